--- /dev/null
+++ b/tests/recordings/test_ledger_recording.py
@@ -0,0 +1,601 @@
+"""Pins what the broker's core does: the sequence of calls, answers and events of scripted requests.
+
+The core's own loop runs in process, on a scripted clock, between a fake decision module, a fake transport
+and fake replies. Rows are `[ms, who, ...]` under names of this file's own, so the recording does not depend
+on how the program's classes are called.
+
+`python -m tests.recordings.test_ledger_recording` writes it anew.
+"""
+
+import dataclasses
+import enum
+import json
+import sys
+from pathlib import Path
+from types import SimpleNamespace
+
+import gevent
+import pytest
+from gevent import socket
+
+from cypressledge import clock
+from cypressledge import contract as c
+from cypressledge.core import Core
+from cypressledge.counters import Counters
+from cypressledge.maintenance import Maintenance
+from cypressledge.net.management import Kept, Management, figures
+from cypressledge.requests import Fault, Place, Query
+from cypressledge.settings import settings_of
+from tests.stands import SETTINGS
+
+RECORDING = Path(__file__).with_suffix(".json")
+MS = 1_000  # µs
+START = 1_000_000_000  # µs of the scripted monotonic clock at the start, without the offset of ours
+ENGINE_1, ENGINE_2 = 7, 8
+EVENTS = {
+    c.EngineList: "engine-list",
+    c.Arrival: "request-received",
+    c.Ended: "attempt-ended",
+    c.Note: "progress",
+    c.ClientLeft: "client-disconnected",
+    c.Stopping: "shutdown",
+    c.TimerFired: "timer-fired",
+    c.Probed: "health-check",
+}
+ROWS = b"1\tbread\t12.5\n"
+FAULT = Fault("engine: out of memory", 241, 500)
+FINAL_FAULT = Fault("no such column", 47, 404, final=True)
+
+
+def plain(value):
+    """A value as JSON holds it, without the names of its type."""
+    if isinstance(value, enum.IntEnum):
+        return int(value)
+    if isinstance(value, bytes):
+        return value.decode()
+    if dataclasses.is_dataclass(value):
+        return [plain(getattr(value, f.name)) for f in dataclasses.fields(value)]
+    if isinstance(value, tuple | list):
+        return [plain(item) for item in value]
+    return value
+
+
+class ReleaseCounters(Counters):
+    """Counts broken invariants, as a release build does."""
+
+    def invariant(self, holds, name):
+        if not holds:
+            self.add(f"broken.{name}")
+        return holds
+
+
+class FakeDecisions:
+    """Records its events and answers with what the script has put down for the next call."""
+
+    def __init__(self, script):
+        self.script, self.actions, self.engines = script, [], {}
+
+    def handle(self, now, events):
+        for event in events:
+            self.script.row("decisions", EVENTS[type(event)], *self._fields(event), at=now)
+        actions, self.actions = self.actions, []
+        return actions
+
+    def _fields(self, event):
+        """The fields of an event; times of the clock count from the start."""
+        for field in dataclasses.fields(event):
+            value = plain(getattr(event, field.name))
+            yield value - self.script.beginning if type(event) is c.Arrival and field.name == "due" else value
+
+    def configure(self, settings):
+        self.script.row("decisions", "configure", settings.max_attempts)
+
+
+class FakeReply:
+    """A client's reply."""
+
+    streams = True
+
+    def __init__(self, script, name):
+        self.script, self.name = script, name
+
+    def served(self, rows):
+        self.script.row(self.name, "served", plain(rows))
+
+    def part(self, rows):
+        self.script.row(self.name, "part", plain(rows))
+
+    def pace(self):
+        return True
+
+    def refused(self, after):
+        self.script.row(self.name, "refused", after)
+
+    def failed(self, fault):
+        self.script.row(self.name, "failed", *plain(fault))
+
+
+class FakeTransport:
+    """The wire to the engines."""
+
+    def __init__(self, script, refuses=False):
+        self.script, self.refuses = script, refuses
+
+    def _row(self, word, attempt):
+        request = attempt.request
+        self.script.row(
+            "transport",
+            word,
+            request.number,
+            attempt.hop,
+            attempt.place.name,
+            attempt.sent_at - self.script.beginning,
+            attempt.until - self.script.beginning,
+            attempt.decided_at - self.script.beginning,
+            request.priority,
+            request.grant_mb,
+        )
+
+    def send(self, attempt):
+        self._row("send", attempt)
+        if self.refuses:
+            raise OSError("no route")
+
+    def cancel(self, attempt):
+        self._row("cancel", attempt)
+
+    def terms(self, attempt):
+        self._row("resources", attempt)
+
+
+class FakeObserver:
+    """Whoever watches attempts."""
+
+    def __init__(self, script):
+        self.script = script
+
+    def heard(self, attempt):
+        self.script.row("observer", "heard", attempt.request.number, attempt.hop)
+
+    def ended(self, attempt, outcome, latency):
+        self.script.row("observer", "ended", attempt.request.number, attempt.hop, int(outcome), latency)
+
+
+class Script:
+    """One core on a scripted clock, and the rows of what it did."""
+
+    def __init__(self, monkeypatch):
+        self.rows, self.elapsed = [], 0
+        monkeypatch.setattr(
+            clock,
+            "time",
+            SimpleNamespace(monotonic_ns=lambda: (START + self.elapsed) * 1_000, time_ns=lambda: 0),
+        )
+        self.beginning = clock.monotonic_us()
+        self.settings = dataclasses.replace(settings_of(SETTINGS), tick=1)
+        self.counters = ReleaseCounters()
+        self.core = Core(self.settings, 1, self.counters)
+        self.core.after_most = 250 * MS
+        self.decisions = self.core.manager = FakeDecisions(self)
+        self.transport = self.core.links["lines"] = FakeTransport(self)
+        self.replies = {}
+        self.list_engines(c.State.READY, c.State.READY)
+        self.loop = gevent.spawn(self.core.run)
+        self.turn()
+
+    def row(self, *fields, at=None):
+        at = self.elapsed if at is None else at - self.beginning
+        self.rows.append([at / MS, *fields])
+
+    # What the script does
+
+    def turn(self, *actions, ms=1):
+        """Let time pass and the loop take what has come; the module answers its next events so."""
+        self.decisions.actions += actions
+        self.elapsed += ms * MS
+        self.core.woken.set()
+        quiet = 0
+        while quiet < 3:
+            gevent.sleep(0.001)
+            quiet = 0 if self.core.inbox else quiet + 1
+
+    def list_engines(self, *states, kind=c.ListKind.FULL, born=0):
+        entries = []
+        for number, state in zip((ENGINE_1, ENGINE_2), states, strict=False):
+            entry = c.Entry(number, state, 0, number % 2, 0, 0)
+            entries.append((entry, Place(number, f"s-{number}", ("127.0.0.1", number), "lines", born)))
+        self.core.listed("lines", kind, entries)
+
+    def submit(self, name="00000000000000aa", wait_ms=3_000, **more):
+        query = Query(name, 0, "lookup", "sahel", b"SELECT 1", clock.monotonic_us() + wait_ms * MS, **more)
+        request = self.core.take(query, FakeReply(self, f"client {name[-2:]}"))
+        self.row("submitted", name[-2:], None if request is None else request.number)
+        return request
+
+    def sent(self, *sends):
+        """A request whose attempts are out, one for each engine named."""
+        request = self.submit()
+        self.turn(*(c.Send(request.number, engine, timeout) for engine, timeout in sends))
+        return request, *request.attempts
+
+    def end(self, attempt, outcome, rows=b"", fault=None):
+        self.core.ended(attempt, outcome, rows, fault)
+
+    def close(self):
+        self.loop.kill()
+        self.row("open", len(self.core.requests), self.core.held)
+        self.row(
+            "replies",
+            {
+                name: count
+                for name, count in sorted(self.counters.counts.items())
+                if name.startswith("replies.")
+            },
+        )
+
+
+# Scenarios
+
+
+def served(s):
+    request, attempt = s.sent((ENGINE_1, 0))
+    s.turn(ms=7)
+    s.end(attempt, c.Outcome.OK, ROWS)
+    s.turn()
+    s.end(attempt, c.Outcome.OK, ROWS)  # a second word on the same attempt
+    s.turn(c.Send(request.number, ENGINE_2), c.Refuse(request.number), c.Fail(request.number))
+
+
+def refused(s):
+    request = s.submit()
+    s.turn(c.Refuse(request.number, c.Reason.NO_PLACE))
+
+
+def failed(s):
+    request, attempt = s.sent((ENGINE_1, 0))
+    s.end(attempt, c.Outcome.ERROR, fault=FAULT)
+    s.turn(c.Fail(request.number, c.Reason.ATTEMPTS_USED), ms=12)
+    other, attempt = s.sent((ENGINE_2, 0))
+    s.turn(c.Fail(other.number, c.Reason.RUNAWAY))
+    s.end(attempt, c.Outcome.OK, ROWS)
+    s.turn()
+
+
+def failed_by_its_statement(s):
+    _, attempt = s.sent((ENGINE_1, 0))
+    s.end(attempt, c.Outcome.ERROR, fault=FINAL_FAULT)
+    s.turn()
+
+
+def retried(s):
+    request, first = s.sent((ENGINE_1, 0))
+    s.end(first, c.Outcome.RESET)
+    s.turn(c.Send(request.number, ENGINE_2, 500 * MS), ms=3)
+    s.end(request.attempts[1], c.Outcome.OK, ROWS)
+    s.turn()
+
+
+def hedged(s):
+    _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
+    s.end(second, c.Outcome.OK, ROWS)
+    s.turn(c.Cancel(1, 0, c.Reason.REQUEST_OVER))
+    s.end(first, c.Outcome.CANCELLED)
+    s.turn()
+
+
+def attempts_beyond_the_most(s):
+    request, *_ = s.sent(*[(ENGINE_1, 0)] * (s.settings.max_attempts + 1))
+    s.turn(c.Refuse(request.number))
+
+
+def client_left_before_send(s):
+    request = s.submit()
+    s.core.left(request)
+    s.turn()
+    request = s.submit("00000000000000bb")
+    s.turn()
+    s.core.left(request)
+    s.turn(c.Send(request.number, ENGINE_1))
+
+
+def client_left_after_send(s):
+    request, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
+    s.core.left(request)
+    s.turn(c.Cancel(request.number, 0, c.Reason.REQUEST_OVER), ms=4)
+    s.turn()
+    s.end(second, c.Outcome.OK, ROWS)
+    s.turn()
+
+
+def client_left_a_streamed_answer(s):
+    request, first = s.sent((ENGINE_1, 0))
+    s.core.rows(first, ROWS)
+    s.turn()
+    s.core.left(request)
+    s.turn()
+    s.core.rows(first, ROWS)
+    s.turn()
+
+
+def streamed_then_served(s):
+    _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
+    s.core.rows(first, ROWS)
+    s.turn()
+    s.core.rows(second, ROWS)
+    s.core.rows(first, ROWS)
+    s.end(second, c.Outcome.OK, ROWS)
+    s.end(first, c.Outcome.OK)
+    s.turn()
+
+
+def streamed_then_failed(s):
+    _, first = s.sent((ENGINE_1, 0))
+    s.core.rows(first, ROWS)
+    s.turn()
+    s.end(first, c.Outcome.RESET)
+    s.turn()
+
+
+def streamed_then_refused(s):
+    request, first = s.sent((ENGINE_1, 0))
+    s.core.rows(first, ROWS)
+    s.turn()
+    s.turn(c.Cancel(request.number, 0, c.Reason.RUNAWAY))
+    s.core.noted(first, c.NoteKind.PROGRESS, 0.25)
+    s.turn(c.Refuse(request.number, c.Reason.LATE))
+
+
+def attempt_times_out(s):
+    request, attempt = s.sent((ENGINE_1, 40 * MS))
+    s.turn(ms=30)
+    s.turn(ms=20)
+    s.end(attempt, c.Outcome.OK, ROWS)
+    s.turn(c.Refuse(request.number))
+
+
+def streamed_attempt_does_not_time_out(s):
+    _, attempt = s.sent((ENGINE_1, 40 * MS))
+    s.core.rows(attempt, ROWS)
+    s.turn(ms=50)
+    s.end(attempt, c.Outcome.OK)
+    s.turn()
+
+
+def deadline_without_a_decision(s):
+    s.submit(wait_ms=100)
+    s.turn(ms=105)
+    s.turn(ms=10)
+    s.turn(ms=1_000)
+
+
+def deadline_of_a_streamed_answer(s):
+    request = s.submit(wait_ms=100)
+    s.turn(c.Send(request.number, ENGINE_1))
+    s.core.rows(request.attempts[0], ROWS)
+    s.turn(ms=120)
+    s.turn()
+
+
+def send_to_an_engine_that_vanished(s):
+    request = s.submit()
+    s.turn()
+    s.list_engines(c.State.READY)
+    s.turn(c.Send(request.number, ENGINE_2), c.Send(99, ENGINE_1))
+    s.list_engines(c.State.DRAINING)
+    s.turn(c.Send(request.number, ENGINE_1))
+    s.turn(c.Refuse(request.number))
+
+
+def send_that_raises(s):
+    s.core.links["lines"] = FakeTransport(s, refuses=True)
+    request, attempt = s.sent((ENGINE_1, 0))
+    s.turn(ms=2_999)
+    s.turn(ms=12)
+    assert s.counters.counts["broken.exception"] == 1
+
+
+def cancelled(s):
+    request, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
+    s.core.noted(second, c.NoteKind.SPILLS, 3.0)
+    s.turn(c.Cancel(request.number, 1, c.Reason.ENGINE_SILENT), c.Cancel(request.number, 5))
+    s.turn(c.Cancel(request.number, 1))
+    s.end(first, c.Outcome.OK, ROWS)
+    s.turn()
+
+
+def priority_and_grant_changed(s):
+    request = s.submit()
+    s.turn(c.SetTerms(request.number, 64.0, 2), c.Send(request.number, ENGINE_1))
+    s.core.noted(request.attempts[0], c.NoteKind.WAITS, 2.0)
+    s.turn(c.SetTerms(request.number, 128.0, 3), c.SetTerms(99, 1.0, 1))
+    s.end(request.attempts[0], c.Outcome.OK, ROWS)
+    s.turn()
+    s.turn(c.SetTerms(request.number, 1.0, 1))
+
+
+def observed(s):
+    s.core.observer = FakeObserver(s)
+    _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
+    s.core.noted(first, c.NoteKind.PROGRESS, 0.5)
+    s.turn(ms=5)
+    s.end(first, c.Outcome.OK, ROWS)
+    s.core.noted(first, c.NoteKind.PROGRESS, 0.7)
+    s.turn()
+
+
+def timers(s):
+    s.submit()
+    s.turn(
+        c.Timer(20 * MS, 3), c.Timer(10 * MS, 4), c.Timer(10 * MS, 5), c.Subscribe(), c.Log("engine 7 odd")
+    )
+    s.turn(ms=9)
+    s.turn(ms=2)
+    s.turn(ms=20)
+
+
+def shutdown_with_open_requests(s):
+    request, attempt = s.sent((ENGINE_1, 0))
+    s.core.stop(clock.monotonic_us() + 50 * MS)
+    s.row("healthy", s.core.serving(), s.core.stopping)
+    late = s.submit("00000000000000bb")
+    s.turn(ms=20)
+    s.core.taking = False
+    s.submit("00000000000000cc")
+    s.turn(ms=31)
+    assert late is not None
+    s.end(attempt, c.Outcome.RESET)
+    s.turn(c.Refuse(late.number, c.Reason.STOPPING), c.Fail(request.number, c.Reason.STOPPING))
+
+
+def reconfigured(s):
+    first = s.submit()
+    s.core.reconfigure(dataclasses.replace(s.settings, max_attempts=1))
+    second = s.submit("00000000000000bb")
+    s.turn()
+    s.list_engines(c.State.READY, c.State.READY)
+    s.turn(*(c.Send(r.number, e) for r in (first, second) for e in (ENGINE_1, ENGINE_2)))
+    s.turn(c.Refuse(first.number), c.Refuse(second.number))
+
+
+def engines_listed(s):
+    s.core.held_out(Maintenance({"s-7"}, {"s-8": clock.monotonic_us()}))
+    s.turn()
+    s.row("names", s.core.names_engine("s-7"), s.core.names_engine("s-9"), s.core.serving())
+    s.core.shut = lambda entry: entry.zone == 0
+    s.core.retell()
+    s.turn()
+    s.row("names", s.core.names_engine("s-7"), s.core.names_engine("s-9"), s.core.serving())
+    s.core.shut = None
+    s.core.held_out(Maintenance())
+    s.list_engines(c.State.READY, c.State.GONE, kind=c.ListKind.CACHED, born=5)
+    s.turn()
+    old, new = (Place(ENGINE_1, "s-7", ("127.0.0.1", 7), "lines", born) for born in (0, 5))
+    s.row("current", s.core.current(old), s.core.current(new))
+
+
+def refused_at_admission(s):
+    s.core.open_most = 2
+    for n in range(3):
+        s.submit(f"{n:016x}")
+    s.core.open_most, s.core.held_most = 10, 15
+    s.submit("00000000000000aa")
+    s.core.held_most = 1_000
+    s.core.door = lambda query: query.tenant != "sahel"
+    s.submit("00000000000000bb")
+    s.row("knows", s.core.knows(f"{0:016x}"), s.core.knows("00000000000000bb"))
+    s.turn(c.Refuse(1), c.Refuse(2))
+
+
+def fields_of_a_request(s):
+    s.submit(key="order-17", cost=120 * MS, memory_mb=64.0, group=17, repeat=True)
+    s.turn(c.Refuse(1))
+
+
+SCENARIOS = (
+    served,
+    refused,
+    failed,
+    failed_by_its_statement,
+    retried,
+    hedged,
+    attempts_beyond_the_most,
+    client_left_before_send,
+    client_left_after_send,
+    client_left_a_streamed_answer,
+    streamed_then_served,
+    streamed_then_failed,
+    streamed_then_refused,
+    attempt_times_out,
+    streamed_attempt_does_not_time_out,
+    deadline_without_a_decision,
+    deadline_of_a_streamed_answer,
+    send_to_an_engine_that_vanished,
+    send_that_raises,
+    cancelled,
+    priority_and_grant_changed,
+    observed,
+    timers,
+    shutdown_with_open_requests,
+    reconfigured,
+    engines_listed,
+    refused_at_admission,
+    fields_of_a_request,
+)
+
+
+def management(s):
+    """The operators' address: every answer, byte for byte."""
+    taking = [True]
+    calls = Management(("127.0.0.1", 0), s.counters, lambda: taking[0])
+    s.core.maintenance = Maintenance()
+    kept = Kept(s.core, "recording", s.directory)
+    classes = ("lookup", "report")
+    calls.add("/status/metrics", "GET", lambda r: (200, figures(s.core, classes)))
+    calls.add("/maintenance/enter", "POST", lambda r: kept.call(r, True))
+    calls.add("/maintenance/exit", "POST", lambda r: kept.call(r, False))
+    listener = calls.server.listener
+    accepting = gevent.spawn(listener.run)
+    request, attempt = s.sent((ENGINE_1, 0))
+    s.end(attempt, c.Outcome.OK, ROWS)
+    s.turn()
+    s.submit("00000000000000bb")
+    s.turn()
+    for line, body in (
+        ("GET /status", ""),
+        ("GET /status/metrics", ""),
+        ("POST /maintenance/enter", "s-7"),
+        ("GET /status/metrics", ""),
+        ("POST /maintenance/exit", "s-7"),
+        ("POST /maintenance/exit", "s-9"),
+        ("POST /maintenance/enter", ""),
+        ("GET /nowhere", ""),
+        ("POST /status", ""),
+    ):
+        s.row("call", line, body, answer(listener.sock.getsockname(), line, body))
+    taking[0] = False
+    s.row("call", "GET /status", "", answer(listener.sock.getsockname(), "GET /status", ""))
+    listener.stop()
+    accepting.kill()
+
+
+def answer(address, line, body):
+    """All bytes that the operators' address answers a call with."""
+    with socket.create_connection(address, timeout=5) as sock:
+        sock.sendall(f"{line} HTTP/1.1\r\nHost: b\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
+        got = b""
+        while part := sock.recv(65536):
+            got += part
+    return got.decode()
+
+
+def play(scenario, monkeypatch, directory):
+    """The rows of one scenario."""
+    script = Script(monkeypatch)
+    script.directory = str(directory)
+    try:
+        scenario(script)
+    finally:
+        script.close()
+    return json.loads(json.dumps(script.rows))
+
+
+@pytest.mark.parametrize("scenario", (*SCENARIOS, management), ids=lambda s: s.__name__)
+def test_recorded(scenario, monkeypatch, tmp_path):
+    assert play(scenario, monkeypatch, tmp_path) == json.loads(RECORDING.read_text())[scenario.__name__]
+
+
+def write() -> None:
+    """Record everything anew: only where the behaviour itself is meant to change."""
+    import tempfile
+
+    with pytest.MonkeyPatch.context() as patch, tempfile.TemporaryDirectory() as directory:
+        recorded = {s.__name__: play(s, patch, directory) for s in (*SCENARIOS, management)}
+    scenarios = (
+        f"{json.dumps(name)}: [\n" + ",\n".join(f"  {json.dumps(row)}" for row in rows) + "\n]"
+        for name, rows in recorded.items()
+    )
+    RECORDING.write_text("{\n" + ",\n".join(scenarios) + "\n}\n")
+
+
+if __name__ == "__main__":
+    sys.exit(write())
