--- a/tests/recordings/test_wire_recording.py
+++ b/tests/recordings/test_wire_recording.py
@@ -424,8 +424,8 @@
         return self.exchange(
             self.admin,
             (
-                f"{method} {path} HTTP/1.1\r\nHost: b\r\nAuthorization: Bearer {token}\r\nConnection: close\r\n"
-                f"Content-Length: {len(body)}\r\n\r\n"
+                f"{method} {path} HTTP/1.1\r\nHost: b\r\nAuthorization: Bearer {token}\r\n"
+                f"Connection: close\r\nContent-Length: {len(body)}\r\n\r\n"
             ).encode()
             + body,
         )
@@ -510,7 +510,8 @@
 
 def tagged(engine, send, params, statement):
     """The first rows, and then an exception behind its tag, as new servers write it."""
-    error = b"\r\n__exception__\r\nabcdefgh\r\nCode: 395. DB::Exception: thrown\r\n8 abcdefgh\r\n__exception__\r\n"
+    text = b"Code: 395. DB::Exception: thrown\r\n"
+    error = b"\r\n__exception__\r\nabcdefgh\r\n" + text + b"8 abcdefgh\r\n__exception__\r\n"
     send(
         b"HTTP/1.1 200 OK\r\nX-ClickHouse-Exception-Tag: abcdefgh\r\nTransfer-Encoding: chunked\r\n\r\n"
         + b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in (ROW * 9, error))
