--- a/tests/recordings/test_operators_answers_recording.py
+++ b/tests/recordings/test_operators_answers_recording.py
@@ -72,9 +72,10 @@
 }
 READS = {
     "history": "history", "history_from": "history?from=3", "history_from_later": "history?from=99",
-    "history_from_no_version": "history?from=new", "state": "state", "state_of_a_prefix": "state?prefix=broker/",
-    "state_of_no_prefix": "state?prefix=none/", "lag": "lag", "lag_of_a_version": "lag?version=2",
-    "lag_of_no_version": "lag?version=1.5", "unknown_call": "nothing",
+    "history_from_no_version": "history?from=new", "state": "state",
+    "state_of_a_prefix": "state?prefix=broker/", "state_of_no_prefix": "state?prefix=none/",
+    "lag": "lag", "lag_of_a_version": "lag?version=2", "lag_of_no_version": "lag?version=1.5",
+    "unknown_call": "nothing",
 }
 
 
@@ -178,7 +179,8 @@
 def test_answers_are_those_recorded(answers):
     recorded = json.loads(FILE.read_text(encoding="utf-8"))
     assert answers.keys() == recorded.keys()
-    different = {name: (answers[name], recorded[name]) for name in recorded if answers[name] != recorded[name]}
+    different = {name: (answers[name], recorded[name]) for name in recorded
+                 if answers[name] != recorded[name]}
     assert not different, json.dumps(different, indent=1)
 
 
