--- a/cypressledge/broker.py
+++ b/cypressledge/broker.py
@@ -52,8 +52,12 @@
 class Broker:
     """All parts of one broker."""
 
-    def __init__(self, read: Callable[[dict], tuple[Config, ServiceConfig | None]],
-                 fleet: str | None = None, control: str | None = None) -> None:
+    def __init__(
+        self,
+        read: Callable[[dict], tuple[Config, ServiceConfig | None]],
+        fleet: str | None = None,
+        control: str | None = None,
+    ) -> None:
         self.read = read
         self.sections: dict = {}  # of the settings, in place of the file's
         self.engines_told = False  # the list is not the file's nor the directory's
@@ -64,8 +68,9 @@
         self.core = Core(_settings(config, service), config.seed, self.counters)
         self.lines = self.core.links["lines"] = LinesLink(self.core, config.limits)
         self.tenants = Tenants()
-        self.front = Front(self.core, config.listen, config.classes, self.tenants, self.counters,
-                           config.inherited)
+        self.front = Front(
+            self.core, config.listen, config.classes, self.tenants, self.counters, config.inherited
+        )
         self.fronts, self.links = [self.front], [self.lines]
         self.parts = [self.core.run, self.front.listener.run, self._tend]
         if config.figures_s:
@@ -75,8 +80,9 @@
             self.management = Management(config.management, self.counters, self._taking)
             self.parts.append(self.management.server.listener.run)
             self.kept = Kept(self.core, config.name)
-            self.management.add("/status/metrics", "GET",
-                                lambda r: (200, figures(self.core, self.config.classes)))
+            self.management.add(
+                "/status/metrics", "GET", lambda r: (200, figures(self.core, self.config.classes))
+            )
             self.management.add("/maintenance/enter", "POST", lambda r: self.kept.call(r, True))
             self.management.add("/maintenance/exit", "POST", lambda r: self.kept.call(r, False))
         self.catalogue = Catalogue(config.kinds, config.zones, "lines")
@@ -189,8 +195,12 @@
         log(f"{self.hello}, {len(self.core.ready)} engines ready")
         for part in map(gevent.spawn, self.parts):
             part.link_exception(self._broken)
-        heeded = {signal.SIGTERM: self.stopping.set, signal.SIGINT: self.stopping.set,
-                  signal.SIGHUP: self.reload, signal.SIGUSR1: lambda: self.counters.print("asked")}
+        heeded = {
+            signal.SIGTERM: self.stopping.set,
+            signal.SIGINT: self.stopping.set,
+            signal.SIGHUP: self.reload,
+            signal.SIGUSR1: lambda: self.counters.print("asked"),
+        }
         for number, act in heeded.items():
             gevent.signal_handler(number, act)
         for number in early:
@@ -263,8 +273,7 @@
     parser = argparse.ArgumentParser(prog="cypressledge", description="a query broker")
     parser.add_argument("--service", metavar="FILE", help="settings of the hosted service's front")
     parser.add_argument("--fleet", metavar="FILE", help="what brokers do together (deploy/fleet.yaml)")
-    parser.add_argument("--control", metavar="FILE",
-                        help="the control plane to follow (deploy/control.yaml)")
+    parser.add_argument("--control", metavar="FILE", help="the control plane to follow (deploy/control.yaml)")
     told = parser.parse_args(args)
     file = told.service
 
--- a/cypressledge/cli.py
+++ b/cypressledge/cli.py
@@ -25,8 +25,13 @@
 
 cli.add_command(control)
 
-at_broker = click.option("--at", type=ManagementAddress(), envvar="ROUTER_MANAGEMENT", required=True,
-                         help="A broker's management address.")
+at_broker = click.option(
+    "--at",
+    type=ManagementAddress(),
+    envvar="ROUTER_MANAGEMENT",
+    required=True,
+    help="A broker's management address.",
+)
 
 
 @cli.group()
@@ -90,10 +95,14 @@
     if as_json:
         click.echo(json.dumps(told, indent=2))
         return
-    click.echo(f"summed up by {told['holder']} (token {told['token']}) {told['age_s']} s ago: "
-               f"{told['brokers']} brokers; missing: {' '.join(told['missing']) or 'none'}")
-    rows = [dict(zip(("class", "success", "overload", "error", "dispatches"), (c, *v), strict=True))
-            for c, v in sorted(told["classes"].items())]
+    click.echo(
+        f"summed up by {told['holder']} (token {told['token']}) {told['age_s']} s ago: "
+        f"{told['brokers']} brokers; missing: {' '.join(told['missing']) or 'none'}"
+    )
+    rows = [
+        dict(zip(("class", "success", "overload", "error", "dispatches"), (c, *v), strict=True))
+        for c, v in sorted(told["classes"].items())
+    ]
     show(rows, False)
     show([{"engine": e, "avoided by": n} for e, n in told["engines_avoided"].items()], False)
 
@@ -147,8 +156,10 @@
     if as_json:
         click.echo(json.dumps(told, indent=2))
         return
-    click.echo(f"plan {told['number']} of {told['planner'] or 'nobody'} (token {told['token']}), "
-               f"heard {told['heard_s']} s ago")
+    click.echo(
+        f"plan {told['number']} of {told['planner'] or 'nobody'} (token {told['token']}), "
+        f"heard {told['heard_s']} s ago"
+    )
     for tenant, part in told["shed"].items():
         click.echo(f"of {tenant} {part / 10:g}% is refused, over its share; {told['shed_here']} here so far")
     show(told["zones"], False)
@@ -156,6 +167,7 @@
 
 def wish(name: str, words: str):
     """A command that passes an operator's wish on to the planner."""
+
     @zone.command(name, help=words)
     @click.argument("zone_name", metavar="ZONE")
     @click.option("--for", "span_s", default=600.0, show_default=True, help="Seconds; then it ends.")
@@ -165,6 +177,7 @@
     def command(at: tuple[str, int], zone_name: str, span_s: float, reason: str, dry_run: bool) -> None:
         body = json.dumps({"zone": zone_name, "what": name, "span_s": span_s, "why": reason})
         click.echo(call(at, "POST", "/zone/dry-run" if dry_run else "/zone/wish", body).strip())
+
     return command
 
 
@@ -221,8 +234,12 @@
 @lab.command("zones")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--runs", default=1, show_default=True, help="Schedules, each played off and on.")
-@click.option("--kind", default="", help="How the zone fails; drawn where it is not named.",
-              type=click.Choice(["", "silent", "reset", "slow", "cut", "blind", "release", "none"]))
+@click.option(
+    "--kind",
+    default="",
+    help="How the zone fails; drawn where it is not named.",
+    type=click.Choice(["", "silent", "reset", "slow", "cut", "blind", "release", "none"]),
+)
 def lab_zones(seed: int, runs: int, kind: str) -> None:
     """Lose a zone under several brokers, with the fleet's part off and on, and compare."""
     from cypressledge.lab.zones import run
@@ -233,8 +250,9 @@
 @lab.command("zone-size")
 @click.option("--brokers", default=200, show_default=True, type=click.IntRange(5, 500))
 @click.option("--engines", default=60, show_default=True, type=click.IntRange(4, 300))
-@click.option("--zones", default=0, help="2 to 6; drawn by the seed where it is not named.",
-              type=click.IntRange(0, 6))
+@click.option(
+    "--zones", default=0, help="2 to 6; drawn by the seed where it is not named.", type=click.IntRange(0, 6)
+)
 @click.option("--kind", default="", help="Schedules, with commas; all where none is named.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--runs", default=1, show_default=True, help="Seeds of each kind.")
@@ -285,8 +303,14 @@
 
 
 @lab.command("capacity-page")
-@click.option("--results", "paths", multiple=True, required=True, type=click.Path(dir_okay=False),
-              help="Files of slopes, and of runs at scale; scale.json beside the first is read by itself.")
+@click.option(
+    "--results",
+    "paths",
+    multiple=True,
+    required=True,
+    type=click.Path(dir_okay=False),
+    help="Files of slopes, and of runs at scale; scale.json beside the first is read by itself.",
+)
 @click.option("--page", required=True, type=click.Path(dir_okay=False), help="Whose tables are written.")
 @click.option("--check", is_flag=True, help="Write nothing; exit 1 where page and results differ.")
 @click.option("--plots", "folder", default="", help="Draw each slope into this folder (needs matplotlib).")
@@ -304,8 +328,9 @@
 @lab.command()
 @click.option("--brokers", default=460, show_default=True, type=click.IntRange(8, 460))
 @click.option("--engines", default=490, show_default=True, type=click.IntRange(8, 490))
-@click.option("--real", default=5, show_default=True, type=click.IntRange(0, 16),
-              help="Real brokers of them.")
+@click.option(
+    "--real", default=5, show_default=True, type=click.IntRange(0, 16), help="Real brokers of them."
+)
 @click.option("--seconds", default=240.0, show_default=True, help="Of the day; start and end come on top.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--points", default="", help="Numbers of brokers, with commas: one run for each.")
@@ -313,8 +338,12 @@
 @click.option("--plot", default="", help="Draw times and costs into this file (needs matplotlib).")
 @click.option("--quick", is_flag=True, help="60 brokers, 60 engines, 30 s.")
 @click.option("--quiet", is_flag=True, help="Break nothing: a change each 5 s, and what that costs.")
-@click.option("--members/--no-members", default=True, show_default=True,
-              help="Whether hollow brokers are members of a fleet, too.")
+@click.option(
+    "--members/--no-members",
+    default=True,
+    show_default=True,
+    help="Whether hollow brokers are members of a fleet, too.",
+)
 @click.option("--ping", "ping_s", default=1.0, show_default=True, help="Seconds of the members' ping period.")
 @click.option("--keep", default="", help="Keep each run's files in this folder.")
 def capacity(**how) -> None:
--- a/cypressledge/clitools.py
+++ b/cypressledge/clitools.py
@@ -29,6 +29,8 @@
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
-    plain = [{k: " ".join(map(str, v)) if isinstance(v, list) else "-" if v is None else v
-              for k, v in row.items()} for row in rows]
+    plain = [
+        {k: " ".join(map(str, v)) if isinstance(v, list) else "-" if v is None else v for k, v in row.items()}
+        for row in rows
+    ]
     click.echo(tabulate(plain, headers="keys") if plain else "none")
--- a/cypressledge/config.py
+++ b/cypressledge/config.py
@@ -103,11 +103,16 @@
         figures_s=_seconds(env.get("ROUTER_FIGURES_S")),
         dns=address(raw["dns"]) if raw.get("dns") else None,
         seed=int(seed, 16) if isinstance(seed, str) else int(seed),
-        limits=limits, settings=settings_of(s), classes=tuple(k["Name"] for k in s["Classes"]),
-        kinds=tuple(s["Skus"]), zones=tuple(s["Dcs"]),
+        limits=limits,
+        settings=settings_of(s),
+        classes=tuple(k["Name"] for k in s["Classes"]),
+        kinds=tuple(s["Skus"]),
+        zones=tuple(s["Dcs"]),
         tenants=frozenset(t["Name"] for t in s.get("Customers", ())),
         quotas={t["Name"]: float(t.get("QuotaRps", 0)) for t in s.get("Customers", ())},
-        serial=serial, engines=tuple(engines))
+        serial=serial,
+        engines=tuple(engines),
+    )
 
 
 def _seconds(text: str | None) -> float:
@@ -141,9 +146,12 @@
         # Guards against a process that is allowed fewer descriptors than its file says.
         sockets=min(int(raw["sockets"]), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         memory_mb=int(raw.get("memory_mb", MEMORY_MB)),
-        streams=int(site["StreamsPerConn"]), connect_s=site["ConnectTimeout"] / 1e6,
-        idle_s=site["ConnIdle"] / 1e6, after_most=int(site.get("MaxRetryAfter", 0)),
-        notes_us=int(s.get("FamilyInfo", {}).get("TellsEvery", 0)))
+        streams=int(site["StreamsPerConn"]),
+        connect_s=site["ConnectTimeout"] / 1e6,
+        idle_s=site["ConnIdle"] / 1e6,
+        after_most=int(site.get("MaxRetryAfter", 0)),
+        notes_us=int(s.get("FamilyInfo", {}).get("TellsEvery", 0)),
+    )
     if min(limits.sockets, limits.memory_mb, limits.streams, limits.connect_s, limits.idle_s) <= 0:
         raise ValueError("a limit is not above 0")
     return limits
--- a/cypressledge/contract.py
+++ b/cypressledge/contract.py
@@ -139,8 +139,10 @@
     def __post_init__(self) -> None:
         """Reject what no site can mean, naming the field."""
         fine = {
-            "classes": len(self.classes) > 0 and all(
-                k.aim > 0 and k.deadline > 0 and k.threads > 0 and k.aim_stretch >= 0 for k in self.classes),
+            "classes": len(self.classes) > 0
+            and all(
+                k.aim > 0 and k.deadline > 0 and k.threads > 0 and k.aim_stretch >= 0 for k in self.classes
+            ),
             "kind_cores": len(self.kind_cores) > 0 and all(n > 0 for n in self.kind_cores),
             "kind_memory_mb": all(mb > 0 for mb in self.kind_memory_mb),
             "tick": self.tick > 0,
--- a/cypressledge/control.py
+++ b/cypressledge/control.py
@@ -11,9 +11,34 @@
 from math import ceil
 
 from cypressledge.contract import (
-    NEVER_RAN, WAITS_FOR_LOAD, Action, Arrival, Cancel, ClientLeft, Effect, Ended, EngineList, Event, Fail,
-    Group, ListKind, Log, Note, NoteKind, Outcome, Probed, Reason, Refuse, Send, SetTerms, Settings, State,
-    Stopping, Subscribe, Timer, TimerFired,
+    NEVER_RAN,
+    WAITS_FOR_LOAD,
+    Action,
+    Arrival,
+    Cancel,
+    ClientLeft,
+    Effect,
+    Ended,
+    EngineList,
+    Event,
+    Fail,
+    Group,
+    ListKind,
+    Log,
+    Note,
+    NoteKind,
+    Outcome,
+    Probed,
+    Reason,
+    Refuse,
+    Send,
+    SetTerms,
+    Settings,
+    State,
+    Stopping,
+    Subscribe,
+    Timer,
+    TimerFired,
 )
 from cypressledge.retries import RetryBudget, drops_repeats_of, repeat_bar, window_end
 
@@ -131,10 +156,16 @@
         self.ranks: dict[int, list[Engine]] = {}
         self.load, self.spread, self.held_time, self.thread_time = 0.5, 0.5, 0.0, 0.0
         self.react = {
-            EngineList: self._list, Arrival: self._arrival, Ended: self._ended, Note: self._note,
-            ClientLeft: self._left, TimerFired: self._timer, Probed: lambda event: None,
+            EngineList: self._list,
+            Arrival: self._arrival,
+            Ended: self._ended,
+            Note: self._note,
+            ClientLeft: self._left,
+            TimerFired: self._timer,
+            Probed: lambda event: None,
             Stopping: lambda event: [
-                self._give_up(r, Reason.STOPPING) for r in [*self.requests.values()] if not r.over],
+                self._give_up(r, Reason.STOPPING) for r in [*self.requests.values()] if not r.over
+            ],
         }
 
     def configure(self, settings: Settings) -> None:
@@ -208,7 +239,14 @@
     def _arrival(self, a: Arrival) -> None:
         r = Request()
         r.id, r.cls, r.due, r.key, r.group, r.hint, r.memory = (
-            a.request, a.cls, a.due, a.key, a.group, a.cost, a.memory_mb)
+            a.request,
+            a.cls,
+            a.due,
+            a.key,
+            a.group,
+            a.cost,
+            a.memory_mb,
+        )
         r.spec = spec = self.s.classes[a.cls]
         r.arrived = self.now
         r.cost = a.cost * self.cost_ratio[a.cls] if a.cost else self.usual[a.cls]
@@ -243,7 +281,7 @@
     def _home(self, group: int) -> list[Engine]:
         """Engines that all managers take as a group's own: as many as its part of the traffic fills."""
         part = self.asked.get(group, 0.0) / max(sum(self.asked.values()), 1.0)
-        return self._ranks(group)[:1 + ceil(HOME_ROOM * part * len(self.order))]
+        return self._ranks(group)[: 1 + ceil(HOME_ROOM * part * len(self.order))]
 
     def _apart(self, group: int) -> list[Engine]:
         """Engines that all managers take for the group's loads: as many as its part of them keeps busy.
@@ -252,19 +290,25 @@
         elsewhere, as long as there is an engine left."""
         part = self.asked.get(group, 0.0) / max(sum(self.asked.values()), 1.0)
         most = ceil(LOAD_ROOM * self.s.peers * self.loads * part)
-        return self._ranks(group)[max(len(self.order) - most, ceil(LEFT_FREE * len(self.order))):]
+        return self._ranks(group)[max(len(self.order) - most, ceil(LEFT_FREE * len(self.order))) :]
 
     def _barred(self, r: Request) -> set[Engine]:
         """Engines that a load leaves to its group's queries; those that such a query would stand still at.
 
         Guards against queries of a group of which loads run everywhere, nearly all the time: they would stand
         still at every engine, and so would what is moved. With nobody else in full work nothing is barred."""
-        free = set(self._ranks(r.group)[:ceil(LEFT_FREE * len(self.order))])
+        free = set(self._ranks(r.group)[: ceil(LEFT_FREE * len(self.order))])
         if r.spec.is_load:
             barred, rest = free, [e for e in self.order if e not in free]
         else:
-            barred, rest = {e for e in self.order if e not in free and (
-                e.holds.get(r.group, 0) or e.seen_held.get(r.group, 0) > self.now)}, free
+            barred, rest = (
+                {
+                    e
+                    for e in self.order
+                    if e not in free and (e.holds.get(r.group, 0) or e.seen_held.get(r.group, 0) > self.now)
+                },
+                free,
+            )
         usable = any(not e.held_off and self.now >= max(e.cold_until, e.full_until) for e in rest)
         return barred if usable else set()
 
@@ -327,8 +371,11 @@
     def _give_up(self, r: Request, why: Reason) -> None:
         """End the request unserved: refused where that is harmless, failed elsewhere."""
         spec = r.spec
-        harmless = spec.effect is Effect.FREE or r.engine is None and (
-            r.maybe_at is None or spec.effect is Effect.KEYED and spec.group is Group.ALL)
+        harmless = (
+            spec.effect is Effect.FREE
+            or r.engine is None
+            and (r.maybe_at is None or spec.effect is Effect.KEYED and spec.group is Group.ALL)
+        )
         self._do(Refuse(r.id, why) if harmless else Fail(r.id, why))
         self._over(r)
 
@@ -652,7 +699,9 @@
     def _head(self, c: int, stuck: set[int]) -> Request | None:
         """Shortest first of those that can meet their aim, then the late ones worth serving."""
         for queues, fits, drop in (
-                (self.queues, self._timely, self._late), (self.overdue, self._worthwhile, self._drop_late)):
+            (self.queues, self._timely, self._late),
+            (self.overdue, self._worthwhile, self._drop_late),
+        ):
             rows = queues[c]
             free = [row for row in rows if row not in stuck]
             for row in free:
@@ -703,12 +752,21 @@
         barred = self._barred(r) if spec.is_load or spec.waits else ()
         free = spec.only_kinds is None and spec.only_zones is None
         for e in self.order:
-            if (spec.only_kinds is not None and e.kind not in spec.only_kinds
-                    or spec.only_zones is not None and e.zone not in spec.only_zones
-                    or r.maybe_at is not None and not drops_repeats_of(spec, r.maybe_on, e)
-                    or e in barred or spec.is_load and not self._line(e, r)
-                    or e.held_off and (e.out or self.now < e.trial_at or spec.effect is Effect.UNSAFE)
-                    or not self._cold_room(e, r.cls) or not self._place(e, r, spare)):
+            if (
+                spec.only_kinds is not None
+                and e.kind not in spec.only_kinds
+                or spec.only_zones is not None
+                and e.zone not in spec.only_zones
+                or r.maybe_at is not None
+                and not drops_repeats_of(spec, r.maybe_on, e)
+                or e in barred
+                or spec.is_load
+                and not self._line(e, r)
+                or e.held_off
+                and (e.out or self.now < e.trial_at or spec.effect is Effect.UNSAFE)
+                or not self._cold_room(e, r.cls)
+                or not self._place(e, r, spare)
+            ):
                 continue
             score = (e.threads + spec.threads) / e.cores * max(e.slow / self.slow, 1.0)
             known = 1.0 / (1.0 + (self.now - e.load_at) / REPORT_AGE)
--- a/cypressledge/controlplane/agent.py
+++ b/cypressledge/controlplane/agent.py
@@ -34,10 +34,21 @@
 
     Spawn what `parts` names; `stop` ends it."""
 
-    def __init__(self, name: str, run: int, settings: ControlSettings, zone: str, region: str,
-                 fleet_address: str, changed: Callable[[FleetState, Change | None], str | None],
-                 counters: Counters, record: str = "", log=None, seed: int | None = None,
-                 settled: Callable[[], str | None] | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        run: int,
+        settings: ControlSettings,
+        zone: str,
+        region: str,
+        fleet_address: str,
+        changed: Callable[[FleetState, Change | None], str | None],
+        counters: Counters,
+        record: str = "",
+        log=None,
+        seed: int | None = None,
+        settled: Callable[[], str | None] | None = None,
+    ) -> None:
         self.name, self.run, self.changed, self.counters = name, run, changed, counters
         self.settled = settled
         self.clock, self.traffic = LeaseClock(), Traffic()
@@ -47,9 +58,21 @@
         self.dialled: Server | None = None
         self.woken, self.stopped = Event(), False
         servers = [Server(s.name, s.address, s.zone, s.region) for s in settings.servers]
-        self.follower = Follower(name, run, servers, zone, region, run if seed is None else seed,
-                                 fleet_address, self._out, self._connect, self._end, self._changed,
-                                 self._event, settled=settled and self._settled)
+        self.follower = Follower(
+            name,
+            run,
+            servers,
+            zone,
+            region,
+            run if seed is None else seed,
+            fleet_address,
+            self._out,
+            self._connect,
+            self._end,
+            self._changed,
+            self._event,
+            settled=settled and self._settled,
+        )
         self.parts = [self.follow]
         self._note("start")
 
--- a/cypressledge/controlplane/cli.py
+++ b/cypressledge/controlplane/cli.py
@@ -23,8 +23,14 @@
 
 Address = tuple[str, int]
 
-at_control = click.option("--at", type=ManagementAddress(), envvar="CYPRESSLEDGE_CONTROL", required=True,
-                          multiple=True, help="A control process's management address; several may be named.")
+at_control = click.option(
+    "--at",
+    type=ManagementAddress(),
+    envvar="CYPRESSLEDGE_CONTROL",
+    required=True,
+    multiple=True,
+    help="A control process's management address; several may be named.",
+)
 
 
 class NoAnswer(Exception):
@@ -110,8 +116,13 @@
 @click.option("--settings", "file", required=True, metavar="FILE", help="As deploy/control.yaml.")
 @click.option("--name", required=True, help="Which of the file's servers this is.")
 @click.option("--store", "folder", required=True, metavar="DIR", help="Where this one keeps the history.")
-@click.option("--first", "seed", default="", metavar="SEED.yaml",
-              help="Begin a new history, with what this file holds (as for `change`). Every voter gets it.")
+@click.option(
+    "--first",
+    "seed",
+    default="",
+    metavar="SEED.yaml",
+    help="Begin a new history, with what this file holds (as for `change`). Every voter gets it.",
+)
 @click.option("--rejoin", is_flag=True, help="The disk was lost: take the history from the others.")
 def serve(file: str, name: str, folder: str, seed: str, rejoin: bool) -> None:
     """Run one control process."""
@@ -138,8 +149,22 @@
         if as_json:
             rows.append(told)
             continue
-        rows.append({key: told.get(key) for key in ("name", "role", "primary", "epoch", "version", "commit",
-                                                    "brokers", "peers", "digest")})
+        rows.append(
+            {
+                key: told.get(key)
+                for key in (
+                    "name",
+                    "role",
+                    "primary",
+                    "epoch",
+                    "version",
+                    "commit",
+                    "brokers",
+                    "peers",
+                    "digest",
+                )
+            }
+        )
     show(rows, as_json)
     sys.exit(1 if silent else 0)
 
@@ -189,8 +214,10 @@
 def say_lag(told: dict) -> None:
     """Who lags, who turned it down, and who can't be reached, a line each."""
     lagging, away = told["lagging"], told["unreachable"]
-    click.echo(f"version {told['version']}: in force at {told['in_force']} of {told['connected']} brokers"
-               + (f"; {lagging} lag: {' '.join(told['names'])}" if lagging else ""))
+    click.echo(
+        f"version {told['version']}: in force at {told['in_force']} of {told['connected']} brokers"
+        + (f"; {lagging} lag: {' '.join(told['names'])}" if lagging else "")
+    )
     if told.get("refused"):  # a primary of the release before doesn't know who
         named = [f"{name}: {why}" for name, why in told["refused_by"].items()]
         more = told["refused"] - len(named)
@@ -230,14 +257,30 @@
 @click.argument("file", metavar="FILE.yaml")
 @at_control
 @click.option("--request", default="", help="Names this request, so that a repeat is known; drawn if absent.")
-@click.option("--against", default=None, type=click.IntRange(0),
-              help="The version it was made on: refused where one of its keys has changed since.")
+@click.option(
+    "--against",
+    default=None,
+    type=click.IntRange(0),
+    help="The version it was made on: refused where one of its keys has changed since.",
+)
 @click.option("--why", default="", help="It stands in the history.")
-@click.option("--wait", default=30.0, show_default=True, type=click.FloatRange(0),
-              help="Seconds for the whole: to be taken, and to be in force everywhere.")
+@click.option(
+    "--wait",
+    default=30.0,
+    show_default=True,
+    type=click.FloatRange(0),
+    help="Seconds for the whole: to be taken, and to be in force everywhere.",
+)
 @click.option("--dry-run", is_flag=True, help="Only say what would come of it.")
-def change(file: str, at: tuple[Address, ...], request: str, against: int | None, why: str, wait: float,
-           dry_run: bool) -> None:
+def change(
+    file: str,
+    at: tuple[Address, ...],
+    request: str,
+    against: int | None,
+    why: str,
+    wait: float,
+    dry_run: bool,
+) -> None:
     """Change configuration, engines or brokers (FILE.yaml: config, engines, brokers; null removes).
 
     Exit code 0: taken, and in force at every connected broker. 1: taken, but some lag after the wait or have
@@ -245,8 +288,17 @@
     ops = read_ops(file)
     request = request or f"{os.environ.get('USER', 'operator')}-{uuid.uuid4().hex[:12]}"
     try:
-        body = json.dumps({"base": against, "request": request, "who": os.environ.get("USER", ""), "why": why,
-                           "ops": ops, "dry_run": dry_run}, allow_nan=False)
+        body = json.dumps(
+            {
+                "base": against,
+                "request": request,
+                "who": os.environ.get("USER", ""),
+                "why": why,
+                "ops": ops,
+                "dry_run": dry_run,
+            },
+            allow_nan=False,
+        )
     except (TypeError, ValueError) as err:
         raise click.UsageError(f"{file}: not plain data: {err}") from None
     until = time.monotonic() + wait
--- a/cypressledge/controlplane/follower.py
+++ b/cypressledge/controlplane/follower.py
@@ -14,8 +14,20 @@
 
 from cypressledge.controlplane.history import unpack
 from cypressledge.controlplane.messages import (
-    FORMAT, Beat, Change, Deltas, Goodbye, Have, Hello, Message, Snapshot, Welcome, Whole, WholeWanted,
-    one_line)
+    FORMAT,
+    Beat,
+    Change,
+    Deltas,
+    Goodbye,
+    Have,
+    Hello,
+    Message,
+    Snapshot,
+    Welcome,
+    Whole,
+    WholeWanted,
+    one_line,
+)
 from cypressledge.controlplane.state import FleetState, StateError
 from cypressledge.counters import Counters
 from cypressledge.fleet.ranks import weight
@@ -56,9 +68,11 @@
 def order(broker: str, zone: str, region: str, servers: list[Server]) -> list[Server]:
     """Own zone first, then own region, then the others; within each an order of the broker's own (rendezvous
     hashing: Thaler and Ravishankar 1998), so brokers spread and a dead server's spread over the others."""
+
     def rank(server: Server) -> tuple[int, int]:
         far = 0 if zone and server.zone == zone else 1 if region and server.region == region else 2
         return far, -weight(server.name, broker)
+
     return sorted(servers, key=rank)
 
 
@@ -70,11 +84,23 @@
     `event(name, **what)`: to be logged, counted here. `lineage`: the only one to be taken; empty: that of the
     first snapshot."""
 
-    def __init__(self, name: str, run: int, servers: list[Server], zone: str, region: str, seed: int,
-                 address: str, out: Callable[[Message], None], connect: Callable[[Server], None],
-                 end: Callable[[str], None], changed: Callable[[FleetState, Change | None], str | None],
-                 event: Callable[..., None], lineage: str = "",
-                 settled: Callable[[], str | None] | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        run: int,
+        servers: list[Server],
+        zone: str,
+        region: str,
+        seed: int,
+        address: str,
+        out: Callable[[Message], None],
+        connect: Callable[[Server], None],
+        end: Callable[[str], None],
+        changed: Callable[[FleetState, Change | None], str | None],
+        event: Callable[..., None],
+        lineage: str = "",
+        settled: Callable[[], str | None] | None = None,
+    ) -> None:
         self.name, self.run, self.address, self.zone, self.region = name, run, address, zone, region
         self.servers = order(name, zone, region, servers)
         self.out, self.connect, self.end, self.changed, self.event = out, connect, end, changed, event
@@ -131,9 +157,22 @@
             return
         self.phase, self._at, self._heard = Phase.GREETING, now, now
         state = self.state
-        self.out(Hello(FORMAT, "broker", self.name, self.run, state.lineage, state.epoch, state.version,
-                       state.digest if state.lineage else b"", self.address, self.zone, self.region,
-                       self.refused))
+        self.out(
+            Hello(
+                FORMAT,
+                "broker",
+                self.name,
+                self.run,
+                state.lineage,
+                state.epoch,
+                state.version,
+                state.digest if state.lineage else b"",
+                self.address,
+                self.zone,
+                self.region,
+                self.refused,
+            )
+        )
 
     def down(self, now: int, why: str) -> None:
         """The connection has ended, or could not be made."""
@@ -355,7 +394,15 @@
         """For operators."""
         server = self.servers[self.current] if self.servers else None
         state = self.state
-        return {"phase": self.phase.value, "server": server and server.name,
-                "address": server and server.address, "lineage": state.lineage, "epoch": state.epoch,
-                "version": state.version, "digest": state.digest.hex(), "primary": self._primary,
-                "stale_ms": self.stale_ms(now), "counts": self.counters.show()}
+        return {
+            "phase": self.phase.value,
+            "server": server and server.name,
+            "address": server and server.address,
+            "lineage": state.lineage,
+            "epoch": state.epoch,
+            "version": state.version,
+            "digest": state.digest.hex(),
+            "primary": self._primary,
+            "stale_ms": self.stale_ms(now),
+            "counts": self.counters.show(),
+        }
--- a/cypressledge/controlplane/history.py
+++ b/cypressledge/controlplane/history.py
@@ -39,8 +39,9 @@
 class History:
     """Versions `base` to `state.version`: all that can be sent as changes."""
 
-    def __init__(self, state: FleetState, changes_most: int = CHANGES_MOST,
-                 bytes_most: int = BYTES_MOST) -> None:
+    def __init__(
+        self, state: FleetState, changes_most: int = CHANGES_MOST, bytes_most: int = BYTES_MOST
+    ) -> None:
         self.changes_most, self.bytes_most = changes_most, bytes_most
         self.counters = Counters()
         self._begin(state)
@@ -86,8 +87,9 @@
         change = self.changes[index - 1][0]
         return change.epoch, change.version, change.digest
 
-    def since(self, epoch: int, version: int, digest: bytes,
-              most_bytes: int = DELTA_BYTES) -> list[Change] | None:
+    def since(
+        self, epoch: int, version: int, digest: bytes, most_bytes: int = DELTA_BYTES
+    ) -> list[Change] | None:
         """The changes after a position, up to `most_bytes` of them but one at least; empty where there are
         none. None: only a snapshot can follow it (too old, not yet here, or not of this history)."""
         if self.at(version) != (epoch, version, digest):
--- a/cypressledge/controlplane/lag.py
+++ b/cypressledge/controlplane/lag.py
@@ -73,12 +73,22 @@
         connected to them: until they have, nobody knows who lags."""
         newest = self.newest()
         behind = sorted(name for name, sight in newest.items() if sight.version < version)
-        refused = {name: sight.refused for name, sight in sorted(newest.items())
-                   if sight.refused and sight.version >= version}
+        refused = {
+            name: sight.refused
+            for name, sight in sorted(newest.items())
+            if sight.refused and sight.version >= version
+        }
         away = sorted(name for name in registered if name not in newest)
-        return {"version": version, "connected": len(newest),
-                "in_force": len(newest) - len(behind) - len(refused),
-                "refused": len(refused), "refused_by": dict(islice(refused.items(), NAMES_MOST)),
-                "lagging": len(behind), "names": behind[:NAMES_MOST], "registered": len(registered),
-                "unreachable": len(away), "unreachable_names": away[:NAMES_MOST],
-                "unheard": sorted(set(alive) - set(self.told))}
+        return {
+            "version": version,
+            "connected": len(newest),
+            "in_force": len(newest) - len(behind) - len(refused),
+            "refused": len(refused),
+            "refused_by": dict(islice(refused.items(), NAMES_MOST)),
+            "lagging": len(behind),
+            "names": behind[:NAMES_MOST],
+            "registered": len(registered),
+            "unreachable": len(away),
+            "unreachable_names": away[:NAMES_MOST],
+            "unheard": sorted(set(alive) - set(self.told)),
+        }
--- a/cypressledge/controlplane/learner.py
+++ b/cypressledge/controlplane/learner.py
@@ -22,8 +22,16 @@
 
     role, joining, until, epoch = "standby", False, NEVER, 0
 
-    def __init__(self, name: str, run: int, settings: ControlSettings, zone: str, region: str, log,
-                 committed: Callable[[list[Change] | None, Snapshot | None], None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        run: int,
+        settings: ControlSettings,
+        zone: str,
+        region: str,
+        log,
+        committed: Callable[[list[Change] | None, Snapshot | None], None],
+    ) -> None:
         self.name, self.committed, self.primary, self.heard = name, committed, "", NEVER
         voters = msgspec.structs.replace(settings, servers=[s for s in settings.servers if s.votes])
         self.agent = FollowerAgent(name, run, voters, zone, region, "", self._changed, Counters(), log=log)
@@ -67,5 +75,14 @@
         """As of now (µs)."""
         state = self.agent.state
         silent = -1 if self.heard == NEVER else (now - self.heard) // 1_000
-        return Status("learner", state.epoch, state.version, state.version, {}, silent, self.primary,
-                      state.lineage, False)
+        return Status(
+            "learner",
+            state.epoch,
+            state.version,
+            state.version,
+            {},
+            silent,
+            self.primary,
+            state.lineage,
+            False,
+        )
--- a/cypressledge/controlplane/messages.py
+++ b/cypressledge/controlplane/messages.py
@@ -66,6 +66,7 @@
 
 # Every connection
 
+
 class Hello(Message, frozen=True, tag="hello"):
     """First frame of whoever connects. `role`: control, broker. A broker says where it is, what it holds, and
     why it has turned that down (see Have)."""
@@ -102,6 +103,7 @@
 
 # Control processes to brokers
 
+
 class Deltas(Message, frozen=True, tag="deltas"):
     """Committed changes that follow what the broker said it holds, in order."""
 
@@ -127,6 +129,7 @@
 
 # Brokers to control processes
 
+
 class Have(Message, frozen=True, tag="have"):
     """What the broker holds now. Also the leave to send the next Deltas: one is out at a time. `refused`: why
     the broker's own process has turned some of it down, one short line; empty: all of it is in force."""
@@ -145,6 +148,7 @@
 
 # Between control processes: each carries the sender's epoch; an older one is answered with Denied
 
+
 class Prepare(Message, frozen=True, tag="prepare"):
     """A new primary asks for a promise: take nothing from any epoch below this."""
 
@@ -238,8 +242,27 @@
     ops: list[Op]
 
 
-Messages = (Hello | Welcome | Goodbye | Deltas | Whole | Beat | Have | WholeWanted | Prepare | Promised
-            | Fetch | Fetched | Append | Install | Appended | Mismatch | Denied | Seen | Register)
+Messages = (
+    Hello
+    | Welcome
+    | Goodbye
+    | Deltas
+    | Whole
+    | Beat
+    | Have
+    | WholeWanted
+    | Prepare
+    | Promised
+    | Fetch
+    | Fetched
+    | Append
+    | Install
+    | Appended
+    | Mismatch
+    | Denied
+    | Seen
+    | Register
+)
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Messages).decode
@@ -248,7 +271,7 @@
 def one_line(text: str) -> str:
     """Why settings were turned down, fit to be sent and shown: guards against text without end, and against
     what would steer an operator's terminal."""
-    words = " ".join(text[:4 * REFUSED_MOST].split())
+    words = " ".join(text[: 4 * REFUSED_MOST].split())
     return "".join(c if c.isprintable() else "?" for c in words)[:REFUSED_MOST]
 
 
--- a/cypressledge/controlplane/operators.py
+++ b/cypressledge/controlplane/operators.py
@@ -70,8 +70,9 @@
 class Operators:
     """The control process's HTTP address. `change(asked, exchange)` answers by `exchange.json`, later."""
 
-    def __init__(self, listen: tuple[str, int], counters: Counters,
-                 change: Callable[[Asked, Exchange], None]) -> None:
+    def __init__(
+        self, listen: tuple[str, int], counters: Counters, change: Callable[[Asked, Exchange], None]
+    ) -> None:
         self.counters, self.change = counters, change
         self.calls: dict[str, Call] = {}
         self.server = HttpServer(listen, counters, "management", BODY_MOST, self._handle)
--- a/cypressledge/controlplane/part.py
+++ b/cypressledge/controlplane/part.py
@@ -32,8 +32,16 @@
         self.run = new_run() if self.fleet is None else self.fleet.node.run_id
         self.touched: set[str] = set()  # kinds of keys of which something has come, and isn't in force yet
         self.refusals: dict[str, str] = {}  # by kind of key: why the newest of that kind is not in force
-        self.agent = FollowerAgent(name, self.run, settings, *self._place(env), self._changed, self.counters,
-                                   settings.lab.record, settled=self._settled)
+        self.agent = FollowerAgent(
+            name,
+            self.run,
+            settings,
+            *self._place(env),
+            self._changed,
+            self.counters,
+            settings.lab.record,
+            settled=self._settled,
+        )
         self.parts = self.agent.parts
         if broker.management is not None:
             broker.management.add("/control/status", "GET", lambda r: (200, self._status()))
@@ -59,8 +67,12 @@
 
     def _status(self) -> bytes:
         told = self.agent.status() | {
-            "run": f"{self.run:x}", "refused": self.refused, "engines_from_here": self.broker.engines_told,
-            "sections": sorted(self.broker.sections), "traffic": self.agent.traffic.show()}
+            "run": f"{self.run:x}",
+            "refused": self.refused,
+            "engines_from_here": self.broker.engines_told,
+            "sections": sorted(self.broker.sections),
+            "traffic": self.agent.traffic.show(),
+        }
         return json.dumps(told).encode() + b"\n"
 
     # What a new state brings
@@ -75,9 +87,11 @@
         the list is taken anew for each of some hundred changes that came together."""
         state, touched = self.agent.state, self.touched
         self.touched = set()
-        for kind, take in (("config", lambda: self._settings(state.config())),
-                           ("engine", lambda: self._engines(state.engines())),
-                           ("broker", self.name_peers)):
+        for kind, take in (
+            ("config", lambda: self._settings(state.config())),
+            ("engine", lambda: self._engines(state.engines())),
+            ("broker", self.name_peers),
+        ):
             if kind in touched:
                 self._take(kind, take)
         return self.refused
@@ -118,8 +132,9 @@
 
 def _listed(name: str, engine: Engine) -> Listed:
     host, port = address(engine.address)
-    return Listed(name, host, port, STATES[engine.state], engine.kind, engine.zone, engine.cell,
-                  engine.born_ms)
+    return Listed(
+        name, host, port, STATES[engine.state], engine.kind, engine.zone, engine.cell, engine.born_ms
+    )
 
 
 def follow(file: str, broker) -> ControlPart:
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -12,8 +12,20 @@
 
 from cypressledge.controlplane.history import History
 from cypressledge.controlplane.messages import (
-    FORMAT, Beat, Deltas, Goodbye, Have, Hello, Message, Op, Seen, Welcome, Whole, WholeWanted,
-    one_line)
+    FORMAT,
+    Beat,
+    Deltas,
+    Goodbye,
+    Have,
+    Hello,
+    Message,
+    Op,
+    Seen,
+    Welcome,
+    Whole,
+    WholeWanted,
+    one_line,
+)
 from cypressledge.controlplane.state import KEY, Broker, FleetState, StateError, canonical, place_of
 from cypressledge.counters import Counters
 
@@ -87,9 +99,16 @@
     """Sends a history to brokers. `out(conn, message)`; `end(conn, goodbye)`: sends it and closes, and `gone`
     need not be told; `event(name, **what)`: to be counted and logged."""
 
-    def __init__(self, name: str, run: int, history: History, limits: Limits,
-                 out: Callable[[int, Message], None], end: Callable[[int, Goodbye], None],
-                 event: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        run: int,
+        history: History,
+        limits: Limits,
+        out: Callable[[int, Message], None],
+        end: Callable[[int, Goodbye], None],
+        event: Callable[..., None],
+    ) -> None:
         self.name, self.run, self.history, self.limits = name, run, history, limits
         self.out, self.end, self.event = out, end, event
         self.counters = Counters()
@@ -113,9 +132,16 @@
             self._end(self.followers[former], Goodbye("replaced", self.limits.replaced_after_ms))
         if len(self.followers) >= self.limits.followers_most:
             return self._refuse(conn, hello.name, Goodbye("full", self.limits.full_after_ms))
-        follower = _Follower(conn, hello.name, hello.run, hello.lineage,
-                             (hello.epoch, hello.version, hello.digest), self._register(hello), now,
-                             refusal=one_line(hello.refused))
+        follower = _Follower(
+            conn,
+            hello.name,
+            hello.run,
+            hello.lineage,
+            (hello.epoch, hello.version, hello.digest),
+            self._register(hello),
+            now,
+            refusal=one_line(hello.refused),
+        )
         self.followers[conn], self.names[hello.name] = follower, conn
         self._changes(hello.name)
         self.out(conn, Welcome(self.name, self.run, self.history.state.lineage))
--- a/cypressledge/controlplane/registry.py
+++ b/cypressledge/controlplane/registry.py
@@ -80,8 +80,11 @@
         if connected is None:
             return
         here = {op.key for op in ops}
-        away = [key for key in state.entries
-                if key.startswith(PREFIX) and key not in here and key[len(PREFIX):] not in connected]
+        away = [
+            key
+            for key in state.entries
+            if key.startswith(PREFIX) and key not in here and key[len(PREFIX) :] not in connected
+        ]
         self.absent = {key: self.absent.get(key, now) for key in away}
 
     def _gone(self, now: int, key: str, span: int) -> bool:
@@ -114,15 +117,19 @@
         """Removals of those at whose address one of these brokers is. Raises `StateError`."""
         touched, places = {op.key for op in ops}, state.places()
         held = [places.get(place_of(op.key, op.value)) for op in ops]
-        return [Op(key) for key in dict.fromkeys(held)
-                if key is not None and key not in touched and self._gone(now, key, SETTLED)]
+        return [
+            Op(key)
+            for key in dict.fromkeys(held)
+            if key is not None and key not in touched and self._gone(now, key, SETTLED)
+        ]
 
     def forgotten(self, now: int, state: FleetState) -> list[Op]:
         """Removals of who has been absent for too long, once a second at the most."""
         if not self.forget or now - self.forgot_at < AGAIN:
             return []
-        ops = [Op(key) for key in self.absent
-               if key in state.entries and self._gone(now, key, self.forget)][:OPS_MOST]
+        ops = [Op(key) for key in self.absent if key in state.entries and self._gone(now, key, self.forget)][
+            :OPS_MOST
+        ]
         if ops:
             self.forgot_at = now
         return ops
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -163,11 +163,11 @@
 
     def cut(self, after: int) -> None:
         """Drop what follows a version."""
-        del self.entries[after - self.base[1]:], self.sizes[after - self.base[1]:]
+        del self.entries[after - self.base[1] :], self.sizes[after - self.base[1] :]
 
     def between(self, after: int, to: int) -> list[Change]:
         """The entries after one version, up to another."""
-        return self.entries[after - self.base[1]:to - self.base[1]]
+        return self.entries[after - self.base[1] : to - self.base[1]]
 
     def after(self, version: int, most: int = DELTA_BYTES) -> list[Change]:
         """The entries after a version, up to `most` bytes but one at least."""
@@ -211,10 +211,19 @@
     can't be read at the start, `HistoryError` at any call.
     """
 
-    def __init__(self, name: str, run: int, voters: tuple[str, ...], disk: Disk, now: int,
-                 out: Callable[[str, Message], None],
-                 committed: Callable[[list[Change] | None, Snapshot | None], None],
-                 event: Callable[..., None], joining: bool = False, mute_us: int = 0) -> None:
+    def __init__(
+        self,
+        name: str,
+        run: int,
+        voters: tuple[str, ...],
+        disk: Disk,
+        now: int,
+        out: Callable[[str, Message], None],
+        committed: Callable[[list[Change] | None, Snapshot | None], None],
+        event: Callable[..., None],
+        joining: bool = False,
+        mute_us: int = 0,
+    ) -> None:
         self.name, self.run, self.voters, self.disk = name, run, voters, disk
         self.peers = tuple(v for v in voters if v != name)
         self.out, self.committed, self.event = out, committed, event
@@ -416,8 +425,9 @@
         """Guards against a majority of those who have forgotten what they promised or held. Empty ones count
         only as long as nobody knows of anything committed."""
         known = any(p.commit >= 1 for p in self.promises.values())
-        return {v: p for v, p in self.promises.items()
-                if not p.joining and not (known and p.last_version < 0)}
+        return {
+            v: p for v, p in self.promises.items() if not p.joining and not (known and p.last_version < 0)
+        }
 
     def _behind(self, newest: Promised) -> bool:
         """Guards against a majority of disks that were put back."""
@@ -468,7 +478,8 @@
     def willing(self, now: int) -> bool:
         """Whether this replica could lead: it makes no sense to ask for the lease else."""
         return not (self.joining or self._muted(now) or self.dirty) and (
-            self.state is not None or self.genesis is not None)
+            self.state is not None or self.genesis is not None
+        )
 
     def begin(self, lineage: str, ops: list[Op]) -> None:
         """Leave to begin a new history, should a majority be empty. Raises `StateError`."""
@@ -692,8 +703,10 @@
             return
         held = self.log.epoch_at(m.prev_version)
         if held is not None and m.prev_version <= self.commit and self.commit >= 1:
-            raise HistoryError(f"version {m.prev_version}, committed, is of epoch {held} here, of "
-                               f"{m.prev_epoch} at {sender}")
+            raise HistoryError(
+                f"version {m.prev_version}, committed, is of epoch {held} here, of "
+                f"{m.prev_epoch} at {sender}"
+            )
         fork = self.commit < 1 and held is not None and not m.prev_version
         at = self.log.last[1] if m.prev_version > self.log.last[1] else max(self.commit, self.log.base[1])
         # Guards against a first history that was never committed: version 0 is of another epoch there.
@@ -721,8 +734,9 @@
 
     # A primary
 
-    def _write(self, ops: list[Op], request: str = "", who: str = "", why: str = "",
-               at: int = 0) -> Change | None:
+    def _write(
+        self, ops: list[Op], request: str = "", who: str = "", why: str = "", at: int = 0
+    ) -> Change | None:
         """The next entry, on the own disk. None: the disk refused, and this is no primary any more."""
         change = self.tail.draft(self.epoch, ops, request, who, why, at)
         if not self._durable("append", [change]):
@@ -731,16 +745,19 @@
         self.log.extend([change])
         return change
 
-    def propose(self, now: int, ops: list[Op], base: int, request: str = "", who: str = "", why: str = "",
-                at: int = 0) -> Ticket:
+    def propose(
+        self, now: int, ops: list[Op], base: int, request: str = "", who: str = "", why: str = "", at: int = 0
+    ) -> Ticket:
         """A change that someone asks for, who looked at version `base`; `at`: wall clock, ms. A repeated
         request is answered with what the first became. Raises `NotPrimary`, `StateError`, `Clash`."""
         self._must_lead(now)
         known = self._known(request)
         if known is not None:
             if self._differs(known, ops):
-                raise StateError(f"request {request} became version {known}, with other contents: give this "
-                                 "one a name of its own")
+                raise StateError(
+                    f"request {request} became version {known}, with other contents: give this "
+                    "one a name of its own"
+                )
             return self.tickets.get(known) or Ticket(known, self.log.epoch_at(known) or 0, "done")
         check(self.tail, ops)
         if keys := clashes(self.tail, base, ops):
@@ -863,9 +880,17 @@
         for peer in self.progress:
             self._tell(peer)
 
-    _handlers = {Prepare: _on_prepare, Promised: _on_promised, Fetch: _on_fetch, Fetched: _on_fetched,
-                 Append: _on_append, Install: _on_install, Appended: _on_appended, Mismatch: _on_mismatch,
-                 Denied: _on_denied}
+    _handlers = {
+        Prepare: _on_prepare,
+        Promised: _on_promised,
+        Fetch: _on_fetch,
+        Fetched: _on_fetched,
+        Append: _on_append,
+        Install: _on_install,
+        Appended: _on_appended,
+        Mismatch: _on_mismatch,
+        Denied: _on_denied,
+    }
 
     # Time
 
@@ -905,6 +930,14 @@
     def status(self, now: int) -> Status:
         """As of now (µs)."""
         silent = 0 if self.role == "primary" else -1 if self.heard == NEVER else (now - self.heard) // 1_000
-        return Status(self.role, self.epoch, self.log.last[1], max(self.commit, 0),
-                      {v: p.match for v, p in self.progress.items()}, silent, self.primary, self.lineage,
-                      self.joining)
+        return Status(
+            self.role,
+            self.epoch,
+            self.log.last[1],
+            max(self.commit, 0),
+            {v: p.match for v, p in self.progress.items()},
+            silent,
+            self.primary,
+            self.lineage,
+            self.joining,
+        )
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -26,7 +26,18 @@
 from cypressledge.controlplane.lag import NAMES_MOST, InForce
 from cypressledge.controlplane.learner import Learner
 from cypressledge.controlplane.messages import (
-    FORMAT, FRAME_MOST, Append, Change, Goodbye, Hello, Message, Op, Register, Seen, Snapshot, Welcome,
+    FORMAT,
+    FRAME_MOST,
+    Append,
+    Change,
+    Goodbye,
+    Hello,
+    Message,
+    Op,
+    Register,
+    Seen,
+    Snapshot,
+    Welcome,
     encode,
 )
 from cypressledge.controlplane.operators import Asked, Operators, number
@@ -81,8 +92,15 @@
     first changes of a new history, where this process may begin one. Raises `ConfigError`, `StateError`,
     `DiskError`, `OSError`."""
 
-    def __init__(self, settings: ControlSettings, name: str, disk: Store | None, faults: Faults,
-                 seed: list[Op] | None = None, rejoin: bool = False) -> None:
+    def __init__(
+        self,
+        settings: ControlSettings,
+        name: str,
+        disk: Store | None,
+        faults: Faults,
+        seed: list[Op] | None = None,
+        rejoin: bool = False,
+    ) -> None:
         self.settings, self.spec, self.name = settings, settings.server(name), name
         self.run_id = new_run()
         self.log, self.counters, self.traffic = logger(name, self.run_id), Counters(), Traffic()
@@ -101,8 +119,9 @@
         self.register_due, self.registry = 0, Registry(round(settings.forget_s * 1e6))
         self.history = History(FleetState())
         limits = Limits(followers_most=settings.brokers_most)
-        self.publisher = Publisher(name, self.run_id, self.history, limits, self._to_broker, self._end_broker,
-                                   self._event)
+        self.publisher = Publisher(
+            name, self.run_id, self.history, limits, self._to_broker, self._end_broker, self._event
+        )
         now = self.clock.now()
         self.node = self._node(now)
         self.replica = self._replica(now, rejoin)
@@ -111,30 +130,60 @@
         self.listener = Listener(address(self.spec.address), self.counters, "control", self._serve, Crowd())
         self.listener.most = settings.brokers_most + SPARE
         self.operators = Operators(address(self.spec.management), self.counters, self._change)
-        for path, call in (("status", self._status), ("lag", self._lag), ("state", self._state),
-                           ("history", self._changes)):
+        for path, call in (
+            ("status", self._status),
+            ("lag", self._lag),
+            ("state", self._state),
+            ("history", self._changes),
+        ):
             self.operators.add(f"/control/{path}", call)
-        self.parts = [*self.node.parts, self.own, self.listener.run, self.operators.server.listener.run,
-                      *(partial(self._dial, s) for s in settings.servers if s.name != name),
-                      *getattr(self.replica, "parts", ())]
+        self.parts = [
+            *self.node.parts,
+            self.own,
+            self.listener.run,
+            self.operators.server.listener.run,
+            *(partial(self._dial, s) for s in settings.servers if s.name != name),
+            *getattr(self.replica, "parts", ()),
+        ]
 
     def _replica(self, now: int, rejoin: bool) -> Replica | Learner:
         told = self.settings
         if not self.spec.votes:
-            return Learner(self.name, self.run_id, told, self.spec.zone, self.spec.region, self.log,
-                           self._learned)
-        return Replica(self.name, self.run_id, told.voters, self.disk, now, self._to_peer, self._committed,
-                       self._event, rejoin, told.term)
+            return Learner(
+                self.name, self.run_id, told, self.spec.zone, self.spec.region, self.log, self._learned
+            )
+        return Replica(
+            self.name,
+            self.run_id,
+            told.voters,
+            self.disk,
+            now,
+            self._to_peer,
+            self._committed,
+            self._event,
+            rejoin,
+            told.term,
+        )
 
     def _node(self, now: int) -> FleetNode:
         told = self.settings
-        electorate = Electorate(self.name, told.term, {told.version: told.voters}, told.version, now,
-                                round(told.grace_s * 1e6))
+        electorate = Electorate(
+            self.name, told.term, {told.version: told.voters}, told.version, now, round(told.grace_s * 1e6)
+        )
         return FleetNode(
-            self.name, listen=address(self.spec.fleet), electorate=electorate, run=self.run_id, log=self.log,
-            addresses={s.name: address(s.fleet) for s in told.servers}, counters=self.counters,
-            places=[Place(PRIMARY, PRIMARY, told.term, wanted=True)], drift_ppm=told.drift_ppm,
-            ping_s=told.ping_s, clock=self.clock, told=lambda *_: self.wake())
+            self.name,
+            listen=address(self.spec.fleet),
+            electorate=electorate,
+            run=self.run_id,
+            log=self.log,
+            addresses={s.name: address(s.fleet) for s in told.servers},
+            counters=self.counters,
+            places=[Place(PRIMARY, PRIMARY, told.term, wanted=True)],
+            drift_ppm=told.drift_ppm,
+            ping_s=told.ping_s,
+            clock=self.clock,
+            told=lambda *_: self.wake(),
+        )
 
     # The owner
 
@@ -212,8 +261,13 @@
 
     def _note_committed(self, what: Change | Snapshot) -> None:
         """Each version by itself: a checker compares with it what brokers had in force."""
-        self._note("committed", epoch=what.epoch, version=what.version, digest=what.digest.hex(),
-                   request=getattr(what, "request", ""))
+        self._note(
+            "committed",
+            epoch=what.epoch,
+            version=what.version,
+            digest=what.digest.hex(),
+            request=getattr(what, "request", ""),
+        )
 
     def _learned(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
         """As `_committed`, from a learner's own greenlet."""
@@ -371,8 +425,16 @@
 
     def _hello(self) -> Hello:
         state = self.history.state
-        return Hello(FORMAT, "control", self.name, self.run_id, self.replica.lineage, state.epoch,
-                     state.version, state.digest)
+        return Hello(
+            FORMAT,
+            "control",
+            self.name,
+            self.run_id,
+            self.replica.lineage,
+            state.epoch,
+            state.version,
+            state.digest,
+        )
 
     def _refusal(self, hello: Hello) -> str:
         """Why a control process is turned down; empty: it isn't."""
@@ -499,13 +561,15 @@
             if asked.dry_run:
                 self._try(asked, base, exchange)
                 return
-            ticket = replica.propose(now, asked.ops, base, asked.request, asked.who, asked.why,
-                                     time.time_ns() // 1_000_000)
+            ticket = replica.propose(
+                now, asked.ops, base, asked.request, asked.who, asked.why, time.time_ns() // 1_000_000
+            )
         except NotPrimary:
             exchange.json(421, {"answer": "not primary"} | self._where())
         except Clash as err:
-            exchange.json(409, {"answer": "clash", "why": str(err), "keys": err.keys,
-                                "version": replica.tail.version})
+            exchange.json(
+                409, {"answer": "clash", "why": str(err), "keys": err.keys, "version": replica.tail.version}
+            )
         except StateError as err:
             exchange.json(400, {"answer": "bad", "why": str(err)})
         else:
@@ -517,8 +581,9 @@
         check(tail, asked.ops)
         if keys := clashes(tail, base, asked.ops):
             raise Clash(keys)
-        exchange.json(200, {"answer": "would do", "version": tail.version + 1,
-                            "keys": len(asked.ops)} | self._where())
+        exchange.json(
+            200, {"answer": "would do", "version": tail.version + 1, "keys": len(asked.ops)} | self._where()
+        )
 
     def _answer(self, now: int) -> int:
         """Tell operators what became of their changes; when to call again."""
@@ -530,16 +595,34 @@
             if w.ticket.state == "done":
                 if self.faults.due("answer"):
                     self.faults.strike()
-                self._event("change_acknowledged", epoch=w.ticket.epoch, version=w.ticket.version,
-                            request=w.asked.request, who=w.asked.who, why=w.asked.why)
-                self._note("acknowledged", epoch=w.ticket.epoch, version=w.ticket.version,
-                           request=w.asked.request)
-                w.exchange.json(200, {"answer": "done", "version": w.ticket.version, "epoch": w.ticket.epoch,
-                                      "request": w.asked.request} | self._where())
+                self._event(
+                    "change_acknowledged",
+                    epoch=w.ticket.epoch,
+                    version=w.ticket.version,
+                    request=w.asked.request,
+                    who=w.asked.who,
+                    why=w.asked.why,
+                )
+                self._note(
+                    "acknowledged", epoch=w.ticket.epoch, version=w.ticket.version, request=w.asked.request
+                )
+                w.exchange.json(
+                    200,
+                    {
+                        "answer": "done",
+                        "version": w.ticket.version,
+                        "epoch": w.ticket.epoch,
+                        "request": w.asked.request,
+                    }
+                    | self._where(),
+                )
             else:
                 self._event("change_unknown", version=w.ticket.version, request=w.asked.request)
-                w.exchange.json(503, {"answer": "unknown", "version": w.ticket.version,
-                                      "why": "no majority in time"} | self._where())
+                w.exchange.json(
+                    503,
+                    {"answer": "unknown", "version": w.ticket.version, "why": "no majority in time"}
+                    | self._where(),
+                )
         self.waiting = left
         return min((w.until for w in left), default=now + WAIT_US)
 
@@ -553,13 +636,27 @@
         now, state = self.clock.now(), self.history.state
         told = self.replica.status(now)
         return 200, {
-            "name": self.name, "run": f"{self.run_id:x}", "role": told.role, "epoch": told.epoch,
-            "version": state.version, "digest": state.digest.hex(), "lineage": state.lineage,
-            "last": told.last, "commit": told.commit, "match": told.match, "silent_ms": told.silent_ms,
-            "joining": told.joining, "brokers": len(self.publisher.followers), "peers": sorted(self.links),
-            "keys": len(state.entries), "bytes": state.size, "waiting": len(self.waiting),
-            "traffic": self.traffic.show(), "counters": self.counters.show(),
-            "published": self.publisher.counters.show()} | self._where()
+            "name": self.name,
+            "run": f"{self.run_id:x}",
+            "role": told.role,
+            "epoch": told.epoch,
+            "version": state.version,
+            "digest": state.digest.hex(),
+            "lineage": state.lineage,
+            "last": told.last,
+            "commit": told.commit,
+            "match": told.match,
+            "silent_ms": told.silent_ms,
+            "joining": told.joining,
+            "brokers": len(self.publisher.followers),
+            "peers": sorted(self.links),
+            "keys": len(state.entries),
+            "bytes": state.size,
+            "waiting": len(self.waiting),
+            "traffic": self.traffic.show(),
+            "counters": self.counters.show(),
+            "published": self.publisher.counters.show(),
+        } | self._where()
 
     def _lag(self, request) -> tuple[int, dict]:
         if not self.leads:
@@ -568,23 +665,43 @@
         registered = [key[7:] for key in state.entries if key.startswith("broker/")]
         version = number(request, "version", 0) or state.version
         return 200, {"answer": "lag", "newest": state.version} | self.in_force.lag(
-            version, registered, self.node.alive())
+            version, registered, self.node.alive()
+        )
 
     def _state(self, request) -> tuple[int, dict]:
         prefix, state = request.params.get("prefix", ""), self.history.state
-        return 200, {"epoch": state.epoch, "version": state.version, "digest": state.digest.hex(),
-                     "lineage": state.lineage,
-                     "entries": {k: {"value": plain(e.value), "version": e.version}
-                                 for k, e in sorted(state.entries.items()) if k.startswith(prefix)}}
+        return 200, {
+            "epoch": state.epoch,
+            "version": state.version,
+            "digest": state.digest.hex(),
+            "lineage": state.lineage,
+            "entries": {
+                k: {"value": plain(e.value), "version": e.version}
+                for k, e in sorted(state.entries.items())
+                if k.startswith(prefix)
+            },
+        }
 
     def _changes(self, request) -> tuple[int, dict]:
         since = number(request, "from", 0)
         kept = [c for c, _ in self.history.changes if c.version >= since][:HISTORY_SHOWN]
-        return 200, {"from": self.history.base[1] + 1, "to": self.history.state.version,
-                     "changes": [{"version": c.version, "epoch": c.epoch, "at": c.at, "who": c.who,
-                                  "why": c.why, "request": c.request,
-                                  "set": [o.key for o in c.ops if o.value is not None],
-                                  "removed": [o.key for o in c.ops if o.value is None]} for c in kept]}
+        return 200, {
+            "from": self.history.base[1] + 1,
+            "to": self.history.state.version,
+            "changes": [
+                {
+                    "version": c.version,
+                    "epoch": c.epoch,
+                    "at": c.at,
+                    "who": c.who,
+                    "why": c.why,
+                    "request": c.request,
+                    "set": [o.key for o in c.ops if o.value is not None],
+                    "removed": [o.key for o in c.ops if o.value is None],
+                }
+                for c in kept
+            ],
+        }
 
     # From start to end
 
@@ -634,11 +751,15 @@
     new = next((op.value for op in ops if op.key == "config/Classes"), None)
     if held is None or new is None:
         return
-    names = [[k.get("Name") for k in classes if isinstance(k, dict)] if isinstance(classes, list) else []
-             for classes in map(plain, (held.value, new))]
+    names = [
+        [k.get("Name") for k in classes if isinstance(k, dict)] if isinstance(classes, list) else []
+        for classes in map(plain, (held.value, new))
+    ]
     if names[0] != names[1]:
-        raise StateError("config: brokers take other classes only at a restart: remove all of config, "
-                         "restart them with files that hold the new classes, then set it again")
+        raise StateError(
+            "config: brokers take other classes only at a restart: remove all of config, "
+            "restart them with files that hold the new classes, then set it again"
+        )
 
 
 def allow_sockets(brokers: int) -> None:
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -76,7 +76,6 @@
         raise StateError(f"not MessagePack: {err}") from None
 
 
-
 def _term(key: str, value: bytes, version: int) -> int:
     """A key's part of the digest's sum."""
     return int.from_bytes(blake2b(_encode((key, value, version)), digest_size=16).digest(), "big")
@@ -131,8 +130,9 @@
         """The version that a named request became; none where it isn't among the last `REQUESTS_MOST`."""
         return self.requests.get(request) if request else None
 
-    def draft(self, epoch: int, ops: list[Op], request: str = "", who: str = "", why: str = "",
-              at: int = 0) -> Change:
+    def draft(
+        self, epoch: int, ops: list[Op], request: str = "", who: str = "", why: str = "", at: int = 0
+    ) -> Change:
         """The next change under an epoch, with the digest after it; the state stays as it is. Looks at the
         touched keys only: `check` and `clashes` come before. `at`: wall clock, ms. Raises `StateError`."""
         version = self.version + 1
@@ -223,8 +223,14 @@
 
     def snapshot(self) -> Snapshot:
         """The whole, keys sorted: equal states make equal snapshots."""
-        return Snapshot(self.lineage, self.epoch, self.version, self.digest,
-                        sorted(self.entries.values(), key=lambda e: e.key), list(self.requests.items()))
+        return Snapshot(
+            self.lineage,
+            self.epoch,
+            self.version,
+            self.digest,
+            sorted(self.entries.values(), key=lambda e: e.key),
+            list(self.requests.items()),
+        )
 
     @classmethod
     def restore(cls, snapshot: Snapshot) -> "FleetState":
@@ -253,8 +259,9 @@
     def copy(self) -> "FleetState":
         """Another state, equal to this one, that goes its own way."""
         other = FleetState(self.lineage)
-        vars(other).update({name: value.copy() if isinstance(value, dict) else value
-                            for name, value in vars(self).items()})
+        vars(other).update(
+            {name: value.copy() if isinstance(value, dict) else value for name, value in vars(self).items()}
+        )
         return other
 
     def config(self) -> dict:
@@ -272,8 +279,9 @@
     def _read(self, kind: str) -> dict:
         start, decode = f"{kind}/", _typed[kind]
         try:
-            return {key[len(start):]: decode(e.value) for key, e in self.entries.items()
-                    if key.startswith(start)}
+            return {
+                key[len(start) :]: decode(e.value) for key, e in self.entries.items() if key.startswith(start)
+            }
         except (msgspec.MsgspecError, RecursionError) as err:
             raise StateError(f"a value of {kind}s: {err}") from None
 
--- a/cypressledge/controlplane/store.py
+++ b/cypressledge/controlplane/store.py
@@ -57,8 +57,8 @@
     """As in sqlite's file format, 4.2."""
     a, b = sums
     for i in range(0, len(words), 2):
-        a = a + words[i] + b & 0xffffffff
-        b = b + words[i + 1] + a & 0xffffffff
+        a = a + words[i] + b & 0xFFFFFFFF
+        b = b + words[i + 1] + a & 0xFFFFFFFF
     return a, b
 
 
@@ -78,8 +78,8 @@
             sums = _checksum(struct.unpack_from(order + "2I", log, at), sums)
             sums = _checksum(struct.unpack_from(f"{order}{page // 4}I", log, at + 24), sums)
             # What ends it for sqlite; another salt is what an earlier round of the log left there.
-            whole = sums == struct.unpack_from(">2I", log, at + 16) and log[at + 8:at + 16] == salt
-        if not whole and log[at + 8:at + 16] == salt and log[at + 4:at + 8] != bytes(4):
+            whole = sums == struct.unpack_from(">2I", log, at + 16) and log[at + 8 : at + 16] == salt
+        if not whole and log[at + 8 : at + 16] == salt and log[at + 4 : at + 8] != bytes(4):
             steps += 1
     return steps
 
@@ -94,14 +94,21 @@
     each durable step, for tests. Raises `StoreError`; its calls raise `DiskError` and work again once the
     disk does."""
 
-    def __init__(self, path: str | Path, name: str, create: Literal["", "first", "rejoin"] = "",
-                 faults: Callable[[str], None] = _no_fault) -> None:
+    def __init__(
+        self,
+        path: str | Path,
+        name: str,
+        create: Literal["", "first", "rejoin"] = "",
+        faults: Callable[[str], None] = _no_fault,
+    ) -> None:
         self.path, self.name, self.faults = Path(path), name, faults
         self.count = self.bytes = 0  # of the changes behind the snapshot
         new = not self.path.exists() or not self.path.stat().st_size
         if new and not create:
-            raise StoreError(f"{path}: there is no store. Start with --rejoin if this disk was lost, with "
-                             "--first if there has never been a history.")
+            raise StoreError(
+                f"{path}: there is no store. Start with --rejoin if this disk was lost, with "
+                "--first if there has never been a history."
+            )
         if new and any(Path(f"{path}{end}").exists() for end in ("-wal", "-journal")):
             # Guards against a log that belonged to the file that is lost: sqlite would take or drop it.
             raise StoreError(f"{path}: only a log of it is left. Move that away and start with --rejoin.")
@@ -122,8 +129,10 @@
     def _damaged(self, err: Exception | str) -> str:
         if "locked" in str(err):
             return f"{self.path}: another process has it open. Stop that one first."
-        return (f"{self.path}: damaged ({err}). Move it and its -wal file away and start with --rejoin, "
-                "while a majority of the control processes runs.")
+        return (
+            f"{self.path}: damaged ({err}). Move it and its -wal file away and start with --rejoin, "
+            "while a majority of the control processes runs."
+        )
 
     def _open(self, new: bool, create: bool) -> None:
         self.db = sqlite3.connect(self.path, isolation_level=None, timeout=0, check_same_thread=False)
@@ -138,8 +147,10 @@
         if create and not run("SELECT COUNT(*) FROM sqlite_master").fetchone()[0]:
             with self._step("create"):
                 run("CREATE TABLE rows (name TEXT PRIMARY KEY, body BLOB NOT NULL, digest BLOB NOT NULL)")
-                run("CREATE TABLE changes (version INTEGER PRIMARY KEY, body BLOB NOT NULL, "
-                    "digest BLOB NOT NULL)")
+                run(
+                    "CREATE TABLE changes (version INTEGER PRIMARY KEY, body BLOB NOT NULL, "
+                    "digest BLOB NOT NULL)"
+                )
                 self._put("mark", _encode(Mark(FORMAT, self.name)))
         found = [row[0] for row in run("PRAGMA quick_check(1)")]
         if found != ["ok"]:
@@ -158,8 +169,10 @@
                 self._change_mark("rejoin", joining=True)
         elif self.mark.last < 0 and not self.mark.joining and create != "first":
             self._shut()
-            raise StoreError(f"{self.path}: it holds no history. Start with --rejoin if there is one "
-                             "elsewhere, with --first if there has never been one.")
+            raise StoreError(
+                f"{self.path}: it holds no history. Start with --rejoin if there is one "
+                "elsewhere, with --first if there has never been one."
+            )
 
     def close(self) -> None:
         """No call follows."""
@@ -233,11 +246,14 @@
 
     def _check_owner(self) -> None:
         if self.mark.format != FORMAT:
-            raise StoreError(f"{self.path}: of format {self.mark.format}, this program's is {FORMAT}. Start "
-                             "the program that wrote it.")
+            raise StoreError(
+                f"{self.path}: of format {self.mark.format}, this program's is {FORMAT}. Start "
+                "the program that wrote it."
+            )
         if self.mark.name != self.name:
-            raise StoreError(f"{self.path}: it is the store of {self.mark.name}, not of {self.name}. Give "
-                             "each its own.")
+            raise StoreError(
+                f"{self.path}: it is the store of {self.mark.name}, not of {self.name}. Give " "each its own."
+            )
 
     def _changes(self, after: int) -> Iterator[Change]:
         self.count = self.bytes = 0
--- a/cypressledge/core.py
+++ b/cypressledge/core.py
@@ -75,8 +75,13 @@
         self.alarm_numbers = itertools.count()
         self.events: list[c.Event] = []
         self.do = {
-            c.Send: self._send, c.SetTerms: self._terms, c.Cancel: self._cancel, c.Refuse: self._refuse,
-            c.Fail: self._fail, c.Timer: self._timer, c.Log: self._log,
+            c.Send: self._send,
+            c.SetTerms: self._terms,
+            c.Cancel: self._cancel,
+            c.Refuse: self._refuse,
+            c.Fail: self._fail,
+            c.Timer: self._timer,
+            c.Log: self._log,
             c.Subscribe: lambda a: None,  # the directory is polled in any case
         }
         counters.gauge("open_requests", lambda: len(self.requests))
@@ -118,7 +123,11 @@
         self._post(self._left, request)
 
     def ended(
-        self, attempt: Attempt, outcome: c.Outcome, rows: bytes = b"", fault: Fault | None = None,
+        self,
+        attempt: Attempt,
+        outcome: c.Outcome,
+        rows: bytes = b"",
+        fault: Fault | None = None,
     ) -> None:
         """A link's word on how an attempt ended."""
         self._post(self._ended, attempt, outcome, rows, fault)
@@ -172,7 +181,8 @@
             if was != now:
                 told = {} if was is None or now is None or was[1] == now[1] else {"process": "new"}
                 self.log.write(
-                    Kind.ENGINE_STATE, engine=name, from_=_state_name(was), to=_state_name(now), **told)
+                    Kind.ENGINE_STATE, engine=name, from_=_state_name(was), to=_state_name(now), **told
+                )
 
     def names_engine(self, name: str) -> bool:
         """Whether a list names an engine of this name."""
@@ -267,8 +277,9 @@
         q = request.query
         self._at(q.due + OVERDUE, self._due, request.number)
         key = stable(q.key, 8) if q.key else 0
-        self.events.append(c.Arrival(
-            request.number, q.cls, q.due, key, q.cost, q.memory_mb, q.group, q.repeat))
+        self.events.append(
+            c.Arrival(request.number, q.cls, q.due, key, q.cost, q.memory_mb, q.group, q.repeat)
+        )
 
     def _left(self, request: Request) -> None:
         if request.over:
@@ -325,8 +336,13 @@
         self.counters.add(f"attempt.{outcome.name.lower()}")
         if outcome is not c.Outcome.OK:
             self.log.write(
-                Kind.ATTEMPT_ENDED, request=request.query.id, attempt=attempt.hop, engine=attempt.place.name,
-                outcome=outcome.name.lower(), after_ms=(self.now() - attempt.sent_at) // MS)
+                Kind.ATTEMPT_ENDED,
+                request=request.query.id,
+                attempt=attempt.hop,
+                engine=attempt.place.name,
+                outcome=outcome.name.lower(),
+                after_ms=(self.now() - attempt.sent_at) // MS,
+            )
         request.fault = fault or request.fault
         # Guards against two attempts in one answer: once rows went out, only their own attempt counts.
         if not request.over and request.begun in (None, attempt):
@@ -337,8 +353,9 @@
         latency = self.now() - attempt.sent_at
         if self.observer is not None:
             self.observer.ended(attempt, outcome, latency)
-        self.events.append(c.Ended(
-            request.number, attempt.hop, attempt.place.id, outcome, request.over, latency))
+        self.events.append(
+            c.Ended(request.number, attempt.hop, attempt.place.id, outcome, request.over, latency)
+        )
         self._forget(request)
 
     def _expired(self, named: tuple[int, int]) -> None:
@@ -379,9 +396,14 @@
         outcome = last.outcome.name.lower() if last.outcome is not None else "out"
         self.counters.add(f"retry_after.{outcome}")
         self.log.write(
-            Kind.RETRY, request=request.query.id, class_=request.query.class_name, attempt=attempt.hop,
-            engine=attempt.place.name, after=outcome,
-            since_first_ms=(attempt.sent_at - first.sent_at) // MS)
+            Kind.RETRY,
+            request=request.query.id,
+            class_=request.query.class_name,
+            attempt=attempt.hop,
+            engine=attempt.place.name,
+            after=outcome,
+            since_first_ms=(attempt.sent_at - first.sent_at) // MS,
+        )
 
     def _terms(self, a: c.SetTerms) -> None:
         if (request := self.requests.get(a.request)) is None:
@@ -398,8 +420,13 @@
             if request.begun is not attempt or request.over:
                 self.counters.add(f"cancelled.{a.reason}")
                 if attempt.open and a.reason is not c.Reason.REQUEST_OVER:
-                    self.log.write(Kind.CANCELLED, request=request.query.id, attempt=attempt.hop,
-                                   engine=attempt.place.name, reason=a.reason)
+                    self.log.write(
+                        Kind.CANCELLED,
+                        request=request.query.id,
+                        attempt=attempt.hop,
+                        engine=attempt.place.name,
+                        reason=a.reason,
+                    )
                 self._stop(attempt, c.Outcome.CANCELLED)
 
     def _refuse(self, a: c.Refuse) -> None:
@@ -418,8 +445,13 @@
         query, kind = request.query, Kind.REFUSED if how == "refused" else Kind.FAILED
         self.counters.add(f"{kind}.{reason}")
         self.log.write(
-            kind, request=query.id, class_=query.class_name, reason=reason,
-            attempts=len(request.attempts), left_ms=(query.due - self.now()) // MS)
+            kind,
+            request=query.id,
+            class_=query.class_name,
+            reason=reason,
+            attempts=len(request.attempts),
+            left_ms=(query.due - self.now()) // MS,
+        )
         self._answer(request, how, *args)
 
     def _timer(self, a: c.Timer) -> None:
--- a/cypressledge/fleet/evidence.py
+++ b/cypressledge/fleet/evidence.py
@@ -69,8 +69,17 @@
             self.windows.append((number, {}))
         return self.windows[-1][1].setdefault(engine, Tally())
 
-    def ended(self, now: int, engine: int, attempt: object, outcome: Outcome, latency: int,
-              expected: int, work: int = 0, quiet: bool = False) -> None:
+    def ended(
+        self,
+        now: int,
+        engine: int,
+        attempt: object,
+        outcome: Outcome,
+        latency: int,
+        expected: int,
+        work: int = 0,
+        quiet: bool = False,
+    ) -> None:
         """An attempt has ended. What was full or never left says nothing of the engine; nor does what was
         called off, unless it had been `quiet` for longer than it should have taken."""
         if attempt in self.counted:
@@ -118,8 +127,10 @@
                     sums.setdefault(engine, Tally()).add(tally)
         most = sorted(sums.items(), key=lambda e: (-e[1].tries, e[0]))[:ENGINES_MOST]
         self.rows = {e: row for e, row in self.rows.items() if e in sums}
-        return [EngineSeen(e, t.ok, t.late, t.refused, t.broken, t.silent, t.work, *self._last(now, e))
-                for e, t in most]
+        return [
+            EngineSeen(e, t.ok, t.late, t.refused, t.broken, t.silent, t.work, *self._last(now, e))
+            for e, t in most
+        ]
 
     def _last(self, now: int, engine: int) -> tuple[int, int]:
         row = self._row(engine)
--- a/cypressledge/fleet/exchange.py
+++ b/cypressledge/fleet/exchange.py
@@ -49,8 +49,14 @@
 class Exchange:
     """The fleet socket. `head` gives (run, incarnation, voters, floor) of what is sent."""
 
-    def __init__(self, name: str, listen: tuple[str, int], counters: Counters, now: Callable[[], int],
-                 head: Callable[[], tuple[int, int, int, int]]) -> None:
+    def __init__(
+        self,
+        name: str,
+        listen: tuple[str, int],
+        counters: Counters,
+        now: Callable[[], int],
+        head: Callable[[], tuple[int, int, int, int]],
+    ) -> None:
         self.name, self.counters, self.now, self.head = name, counters, now, head
         self.addresses: dict[str, tuple[str, int]] = {}
         self.queues: dict[str, list] = {}
@@ -96,7 +102,7 @@
             self.woken.set()
         for peer, items in queues.items():
             for at in range(0, len(items), ITEMS_EACH):
-                self._send(peer, items[at:at + ITEMS_EACH])
+                self._send(peer, items[at : at + ITEMS_EACH])
                 breathe()
 
     def _send(self, peer: str, items: list) -> None:
--- a/cypressledge/fleet/judge.py
+++ b/cypressledge/fleet/judge.py
@@ -81,8 +81,9 @@
             return end.value
 
 
-def judging(told: list[Told], engines: dict[int, str],
-            changing: frozenset[int] = frozenset()) -> Generator[None, None, Judgement]:
+def judging(
+    told: list[Told], engines: dict[int, str], changing: frozenset[int] = frozenset()
+) -> Generator[None, None, Judgement]:
     """The same in short steps: with hundreds of brokers it takes milliseconds; requests wait for a step."""
     fresh = [t for t in told if t.age < FADE]
     zones = sorted(set(engines.values()))
@@ -93,7 +94,7 @@
     blind = yield from _blind(fresh, engines)
     found = {z: Seen(z) for z in zones}
     for at in range(0, len(fresh), CHUNK):
-        for t in fresh[at:at + CHUNK]:
+        for t in fresh[at : at + CHUNK]:
             if t.broker not in blind:
                 _count(t, engines, found)
         yield None
@@ -121,7 +122,7 @@
         return {}
     good: dict[int, set[str]] = defaultdict(set)
     for at in range(0, len(told), CHUNK):
-        for t in told[at:at + CHUNK]:
+        for t in told[at : at + CHUNK]:
             for e in t.sight.engines:
                 if _good(e):
                     good[e.engine].add(t.broker)
@@ -190,13 +191,18 @@
 def _finding(seen: Seen, listed: int, brokers: int, changing: frozenset[int]) -> Finding:
     tried = len(seen.engines)
     if seen.tries < ENOUGH or tried < ENGINES * listed:
-        return Finding(Verdict.FEW, 0.0, f"{seen.tries} tries at {tried} of {listed} engines in {seen.zone} "
-                                         f"by {brokers} brokers")
+        return Finding(
+            Verdict.FEW,
+            0.0,
+            f"{seen.tries} tries at {tried} of {listed} engines in {seen.zone} " f"by {brokers} brokers",
+        )
     down = {e for e, s in seen.engines.items() if s.down}
     slow = {e for e, s in seen.engines.items() if s.slow}
     bad = len(down) / tried
-    words = (f"{len(down)} of {tried} engines tried in {seen.zone} fail, {len(slow)} are slow; "
-             f"{len(seen.brokers)} brokers see it")
+    words = (
+        f"{len(down)} of {tried} engines tried in {seen.zone} fail, {len(slow)} are slow; "
+        f"{len(seen.brokers)} brokers see it"
+    )
     if down and down <= changing:
         return Finding(Verdict.RELEASE, bad, f"{words}; all of these are draining or just started")
     cut = _cut(seen.by_place)
--- a/cypressledge/fleet/keeper.py
+++ b/cypressledge/fleet/keeper.py
@@ -78,9 +78,19 @@
     `out` gets (peer, item). `told` gets (event, lease, token, why); events: acquired, lost, given_back,
     not_won, voted_not."""
 
-    def __init__(self, name: str, run: int, wanted: Iterable[Place], electorate: Electorate, drift: int,
-                 now: int, base: int, seed: int, out: Callable[[str, object], None],
-                 told: Callable[[str, str, int, str], None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        run: int,
+        wanted: Iterable[Place],
+        electorate: Electorate,
+        drift: int,
+        now: int,
+        base: int,
+        seed: int,
+        out: Callable[[str, object], None],
+        told: Callable[[str, str, int, str], None],
+    ) -> None:
         self.name, self.run, self.drift, self.out, self.told = name, run, drift, out, told
         self.electorate, self.random = electorate, random.Random(seed)
         self.voter = Voter(electorate, now, base)
@@ -202,8 +212,11 @@
         """How a lease stands here, with the highest token this broker knew of as voter or claimant."""
         seen = self.voter.look(now, look)
         seat = self.seats.get(look.lease)
-        return seen if seat is None or seat.claim.floor <= seen.token else structs.replace(
-            seen, token=seat.claim.floor)
+        return (
+            seen
+            if seat is None or seat.claim.floor <= seen.token
+            else structs.replace(seen, token=seat.claim.floor)
+        )
 
     def _recall(self, now: int) -> None:
         """A voter that starts has forgotten all tokens: while it is mute it asks everybody for them."""
@@ -289,8 +302,10 @@
             return False
         group = seat.place.group
         counted = seat.place.standby > LINE
-        if counted and any(s.place.group == group and s is not seat and s.phase in (Phase.HELD, Phase.ASKING)
-                           for s in self.seats.values()):
+        if counted and any(
+            s.place.group == group and s is not seat and s.phase in (Phase.HELD, Phase.ASKING)
+            for s in self.seats.values()
+        ):
             return False
         if seat.place.wanted:
             return group in self.wants
@@ -314,8 +329,9 @@
         is mute may answer before those that are free."""
         majority = self.electorate.majority
         was = seat.claim.round  # a former self's vote is not this process's
-        waits = sorted(max(s.left if s.holder != self.name or not was else 0, s.mute)
-                       for s in seat.seen.values())
+        waits = sorted(
+            max(s.left if s.holder != self.name or not was else 0, s.mute) for s in seat.seen.values()
+        )
         holders = [s.holder for s in seat.seen.values() if s.holder]
         if len(waits) < majority:
             return
--- a/cypressledge/fleet/lease.py
+++ b/cypressledge/fleet/lease.py
@@ -76,6 +76,7 @@
 
     def settled(self, now: int, version: int) -> bool:
         """Whether a majority of this version's voters has refused what is older for a whole longest term."""
+
         def refuses(voter: str) -> bool:
             if voter == self.name:
                 return version <= self.version and now >= self.since + self.grace + self.longest
@@ -166,16 +167,24 @@
         """Whether the token asked for is above all others, or is this process's own still. A holder renews
         under its token whatever others have tried: while it holds, no other can have held a higher one."""
         own = standing.vote is not None and standing.vote.run == ask.run
-        return (ask.token > standing.seen or ask.renews
-                or (own and ask.token == standing.seen == standing.vote.token))
+        return (
+            ask.token > standing.seen
+            or ask.renews
+            or (own and ask.token == standing.seen == standing.vote.token)
+        )
 
     def look(self, now: int, asked: Look) -> Seen:
         """How a lease stands; binds nobody."""
         standing = self.leases.get(asked.lease) or Standing(self.base)
         vote = standing.vote
         live = vote is not None and now < vote.until
-        return Seen(asked.lease, vote.holder if live else "", vote.until - now if live else 0,
-                    standing.seen, self.mute(now))
+        return Seen(
+            asked.lease,
+            vote.holder if live else "",
+            vote.until - now if live else 0,
+            standing.seen,
+            self.mute(now),
+        )
 
     def ask(self, now: int, holder: str, ask: Ask) -> Grant | Refuse | None:
         """Grant a vote or say why not; None for a round that has been given back or overtaken."""
@@ -299,8 +308,7 @@
             self.renewals.discard(min(self.began))
             del self.began[min(self.began)]
         self.floor = max(self.floor, self.token)
-        return Ask(self.lease, self.run, self.round, self.token, self.term, self.electorate.version,
-                   renews)
+        return Ask(self.lease, self.run, self.round, self.token, self.term, self.electorate.version, renews)
 
     def counts(self, grant: Grant) -> bool:
         """Whether a grant is an answer to a round of this claim that is still open."""
@@ -331,8 +339,9 @@
 
     def hopeless(self, alive: frozenset[str]) -> bool:
         """Whether the round that is on can't win a majority of those that are there and have not refused."""
-        may = [v for v in self.electorate.voters
-               if v not in self.refusals and (v in alive or v in self.grants)]
+        may = [
+            v for v in self.electorate.voters if v not in self.refusals and (v in alive or v in self.grants)
+        ]
         return len(may) < self.electorate.majority
 
     def drop(self) -> None:
@@ -345,4 +354,3 @@
         """Give the lease, or a try for it, back. Nothing may be done under it from here on."""
         self.drop()
         return GiveBack(self.lease, self.run, self.round)
-
--- a/cypressledge/fleet/members.py
+++ b/cypressledge/fleet/members.py
@@ -47,8 +47,16 @@
 class Members:
     """One broker's view of all. `out` gets (peer, item); `changed` is told each change of a peer's state."""
 
-    def __init__(self, name: str, peers: list[str], incarnation: int, period: int, seed: int,
-                 out: Callable[[str, object], None], changed: Callable[[Member, str], None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        peers: list[str],
+        incarnation: int,
+        period: int,
+        seed: int,
+        out: Callable[[str, object], None],
+        changed: Callable[[Member, str], None],
+    ) -> None:
         self.name, self.period, self.out, self.changed = name, period, out, changed
         self.incarnation, self.random = incarnation, random.Random(seed)
         self.members = {p: Member(p) for p in peers if p != name}
@@ -230,7 +238,8 @@
 
     def _of_me(self, word: Word) -> None:
         if word.incarnation > self.incarnation or (
-                word.incarnation == self.incarnation and word.state != ALIVE and not self.leaving):
+            word.incarnation == self.incarnation and word.state != ALIVE and not self.leaving
+        ):
             self.incarnation = word.incarnation + 1
 
     def _of(self, now: int, member: Member, word: Word) -> None:
--- a/cypressledge/fleet/messages.py
+++ b/cypressledge/fleet/messages.py
@@ -201,9 +201,25 @@
     """A broker that starts, or has heard no plan for long, asks for the newest."""
 
 
-Items = (Look | Ask | GiveBack | Seen | Grant | Refuse | Freed | Ping | Ack | PingFor
-         | FiguresWanted | Figures | Summary | Sight | Plan
-         | PlanWanted | ZoneWish)
+Items = (
+    Look
+    | Ask
+    | GiveBack
+    | Seen
+    | Grant
+    | Refuse
+    | Freed
+    | Ping
+    | Ack
+    | PingFor
+    | FiguresWanted
+    | Figures
+    | Summary
+    | Sight
+    | Plan
+    | PlanWanted
+    | ZoneWish
+)
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -21,7 +21,17 @@
 from cypressledge.fleet.lease import Electorate
 from cypressledge.fleet.members import STATES, Member, Members
 from cypressledge.fleet.messages import (
-    Ack, Ask, Envelope, Freed, GiveBack, Grant, Look, Ping, PingFor, Refuse, Seen,
+    Ack,
+    Ask,
+    Envelope,
+    Freed,
+    GiveBack,
+    Grant,
+    Look,
+    Ping,
+    PingFor,
+    Refuse,
+    Seen,
 )
 
 AT_ONCE = 16  # datagrams looked at before others have their turn
@@ -61,14 +71,29 @@
     Raises `OSError` where `listen` can't be bound.
     """
 
-    def __init__(self, name: str, *, listen: tuple[str, int], addresses: Mapping[str, tuple[str, int]],
-                 electorate: Electorate, places: Iterable[Place], drift_ppm: int, ping_s: float,
-                 counters: Counters, clock: LeaseClock, run: int = 0, wall: int = 0, log=None,
-                 told: Callable[[str, str, int, str], None] | None = None,
-                 member_changed: Callable[[Member, str], None] | None = None,
-                 call_off: Callable[[str], bool] | None = None, tick: Callable[[int], int] | None = None,
-                 handlers: Mapping[type, Handler] | None = None, urgent: Collection[type] = (),
-                 turns_kept: int = TURNS_KEPT) -> None:
+    def __init__(
+        self,
+        name: str,
+        *,
+        listen: tuple[str, int],
+        addresses: Mapping[str, tuple[str, int]],
+        electorate: Electorate,
+        places: Iterable[Place],
+        drift_ppm: int,
+        ping_s: float,
+        counters: Counters,
+        clock: LeaseClock,
+        run: int = 0,
+        wall: int = 0,
+        log=None,
+        told: Callable[[str, str, int, str], None] | None = None,
+        member_changed: Callable[[Member, str], None] | None = None,
+        call_off: Callable[[str], bool] | None = None,
+        tick: Callable[[int], int] | None = None,
+        handlers: Mapping[type, Handler] | None = None,
+        urgent: Collection[type] = (),
+        turns_kept: int = TURNS_KEPT,
+    ) -> None:
         self.name, self.counters, self.clock, self.electorate = name, counters, clock, electorate
         self.run_id = run or new_run()
         self.log = logger(name, self.run_id) if log is None else log
@@ -76,10 +101,27 @@
         self.handlers, self.urgent = dict(handlers or {}), URGENT | frozenset(urgent)
         now, wall = clock.now(), wall or wall_us()
         self.exchange = Exchange(name, listen, counters, clock.now, self._head)
-        self.members = Members(name, list(addresses), wall // 1000, round(ping_s * 1e6), self.run_id,
-                               self.exchange.out, self._member_changed)
-        self.keeper = Keeper(name, self.run_id, places, electorate, drift_ppm, now, wall, self.run_id,
-                             self.exchange.out, self._lease_told)
+        self.members = Members(
+            name,
+            list(addresses),
+            wall // 1000,
+            round(ping_s * 1e6),
+            self.run_id,
+            self.exchange.out,
+            self._member_changed,
+        )
+        self.keeper = Keeper(
+            name,
+            self.run_id,
+            places,
+            electorate,
+            drift_ppm,
+            now,
+            wall,
+            self.run_id,
+            self.exchange.out,
+            self._lease_told,
+        )
         self.versions: dict[str, int] = {}  # of the voter set, by peer, as last said
         self.exchange.name_peers({p: a for p, a in addresses.items() if p != name})
         self.pending: list[tuple[str, str, int, str]] = []
@@ -149,8 +191,12 @@
         self.owner = gevent.getcurrent()
         if self.stopped:  # before it has begun
             return
-        self.log.info("fleet_joined", voters=list(self.electorate.voters), version=self.electorate.version,
-                      mute_s=round(self.keeper.voter.mute(self.clock.now()) / 1e6, 2))
+        self.log.info(
+            "fleet_joined",
+            voters=list(self.electorate.voters),
+            version=self.electorate.version,
+            mute_s=round(self.keeper.voter.mute(self.clock.now()) / 1e6, 2),
+        )
         self.members.greet()
         while not self.stopped:
             self._wait(self._turn())
@@ -196,7 +242,8 @@
         come. Renewals and pings do."""
         items = (i for e in self.exchange.inbox for i in e.items)
         return self.keeper.asking() or any(
-            type(i) in self.urgent or (type(i) is Ask and not i.renews) for i in items)
+            type(i) in self.urgent or (type(i) is Ask and not i.renews) for i in items
+        )
 
     def _receive(self, now: int, envelope: Envelope) -> None:
         mine = envelope.sender == self.name
@@ -232,8 +279,9 @@
 
     def _member_changed(self, member: Member, why: str) -> None:
         self.counters.add(f"fleet.peer_{STATES[member.state]}")
-        self.log.info(f"peer_{STATES[member.state]}", peer=member.name, incarnation=member.incarnation,
-                      why=why)
+        self.log.info(
+            f"peer_{STATES[member.state]}", peer=member.name, incarnation=member.incarnation, why=why
+        )
         if self.member_changed is not None:
             self.member_changed(member, why)
 
--- a/cypressledge/fleet/part.py
+++ b/cypressledge/fleet/part.py
@@ -18,7 +18,13 @@
 from cypressledge.fleet.lease import Electorate, VoterSetError
 from cypressledge.fleet.members import STATES
 from cypressledge.fleet.messages import (
-    Figures, FiguresWanted, Plan, PlanWanted, Sight, Summary, ZoneWish,
+    Figures,
+    FiguresWanted,
+    Plan,
+    PlanWanted,
+    Sight,
+    Summary,
+    ZoneWish,
 )
 from cypressledge.fleet.node import FleetNode, Handler
 from cypressledge.fleet.ranks import line
@@ -51,12 +57,23 @@
         self.node = self._node(told, address(told.listen or own.address))
         self.clock, self.log, self.members = self.node.clock, self.node.log, self.node.members
         self.keeper, self.electorate = self.node.keeper, self.node.electorate
-        self.summaries = Summaries(self.name, self._figures, self.node.others,
-                                   lambda: [p.name for p in self.told.peers], self.node.out, self.node.now)
+        self.summaries = Summaries(
+            self.name,
+            self._figures,
+            self.node.others,
+            lambda: [p.name for p in self.told.peers],
+            self.node.out,
+            self.node.now,
+        )
         self.zones = self._zones(told, config)
         self.node.handlers |= self._handlers()
-        self.runner = Runner([self._task(t) for t in told.tasks], self.node.grant, self.node.now,
-                             Budget(told.task_share), self._event)
+        self.runner = Runner(
+            [self._task(t) for t in told.tasks],
+            self.node.grant,
+            self.node.now,
+            Budget(told.task_share),
+            self._event,
+        )
         self.parts = [*self.node.parts, self.runner.turns]
         counters.gauge("fleet.turn_p99_us", self.node.turn_p99)
         counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest)
@@ -69,14 +86,26 @@
 
     def _node(self, told: FleetSettings, listen: tuple[str, int]) -> FleetNode:
         clock = LeaseClock(told.lab.clock_rate, round(told.lab.clock_offset_s * 1e6))
-        electorate = Electorate(self.name, told.longest, dict(told.sets), max(told.sets), clock.now(),
-                                round(told.grace_s * 1e6))
+        electorate = Electorate(
+            self.name, told.longest, dict(told.sets), max(told.sets), clock.now(), round(told.grace_s * 1e6)
+        )
         return FleetNode(
-            self.name, listen=listen, addresses=self._addresses(told), electorate=electorate,
-            places=self._places(told), drift_ppm=told.drift_ppm, ping_s=told.ping_s, counters=self.counters,
-            clock=clock, wall=wall_us() + round(told.lab.wall_step_s * 1e6),
-            told=self._lease_told, call_off=lambda lease: self.runner.call_off(lease), tick=self._tick,
-            urgent=URGENT, turns_kept=TURNS_KEPT)
+            self.name,
+            listen=listen,
+            addresses=self._addresses(told),
+            electorate=electorate,
+            places=self._places(told),
+            drift_ppm=told.drift_ppm,
+            ping_s=told.ping_s,
+            counters=self.counters,
+            clock=clock,
+            wall=wall_us() + round(told.lab.wall_step_s * 1e6),
+            told=self._lease_told,
+            call_off=lambda lease: self.runner.call_off(lease),
+            tick=self._tick,
+            urgent=URGENT,
+            turns_kept=TURNS_KEPT,
+        )
 
     def _handlers(self) -> dict[type, Handler]:
         """Who takes what. Without zone failover others' words about zones are only counted."""
@@ -89,8 +118,9 @@
 
     @staticmethod
     def _places(told: FleetSettings) -> list[Place]:
-        return [p for spec in told.leases
-                for p in places(spec.name, spec.places, told.term(spec), spec.wanted)]
+        return [
+            p for spec in told.leases for p in places(spec.name, spec.places, told.term(spec), spec.wanted)
+        ]
 
     def _zones(self, told: FleetSettings, config: Config) -> Zones | None:
         """Zone failover, where a task asks for it."""
@@ -105,15 +135,32 @@
         settings, pace = self.core.settings, told.zone_pace
         usual = Pace()
         warm = settings.warm_within or usual.warm
-        site = Site(config.zones, {p.name: p.zone for p in told.peers},
-                    {zone: r.name for r in told.regions for zone in r.zones}, config.quotas)
+        site = Site(
+            config.zones,
+            {p.name: p.zone for p in told.peers},
+            {zone: r.name for r in told.regions for zone in r.zones},
+            config.quotas,
+        )
         return Zones(
-            self.name, self.core, site, Pace(
-                confirm=round(pace.confirm_s * 1e6), hold=round(pace.hold_s * 1e6), margin=pace.margin,
-                hold_most=round(pace.hold_most_s * 1e6), bear=pace.bear,
-                start=settings.start_capacity, warm=warm, step=min(usual.step, warm // 32)),
-            self.node.now, self.node.out, self.node.others,
-            lambda: line(spec.lease, self.members.alive()), self._event)
+            self.name,
+            self.core,
+            site,
+            Pace(
+                confirm=round(pace.confirm_s * 1e6),
+                hold=round(pace.hold_s * 1e6),
+                margin=pace.margin,
+                hold_most=round(pace.hold_most_s * 1e6),
+                bear=pace.bear,
+                start=settings.start_capacity,
+                warm=warm,
+                step=min(usual.step, warm // 32),
+            ),
+            self.node.now,
+            self.node.out,
+            self.node.others,
+            lambda: line(spec.lease, self.members.alive()),
+            self._event,
+        )
 
     def _task(self, spec: TaskSpec) -> Task:
         if spec.kind == "zones":
@@ -168,12 +215,24 @@
 
     def _figures(self, token: int) -> Figures:
         held = self.core.manager.engines
-        avoided = [p.name for lst in self.core.lists.values() for e, p in lst
-                   if e.state is not State.GONE and (
-                       self.core.maintenance.entry(p.name, e).state is not State.READY
-                       or (e.engine in held and held[e.engine].held_off))]
-        return figures(token, self.core.counters.counts, self.classes, avoided, len(self.core.ready),
-                       len(self.core.requests))
+        avoided = [
+            p.name
+            for lst in self.core.lists.values()
+            for e, p in lst
+            if e.state is not State.GONE
+            and (
+                self.core.maintenance.entry(p.name, e).state is not State.READY
+                or (e.engine in held and held[e.engine].held_off)
+            )
+        ]
+        return figures(
+            token,
+            self.core.counters.counts,
+            self.classes,
+            avoided,
+            len(self.core.ready),
+            len(self.core.requests),
+        )
 
     # Changes
 
@@ -193,8 +252,18 @@
         try:
             told = read_fleet(self.path)
             self._own(told)
-            fixed = ("term_s", "longest", "drift_ppm", "listen", "lab", "tasks", "ping_s", "task_share",
-                     "zone_pace", "regions")
+            fixed = (
+                "term_s",
+                "longest",
+                "drift_ppm",
+                "listen",
+                "lab",
+                "tasks",
+                "ping_s",
+                "task_share",
+                "zone_pace",
+                "regions",
+            )
             for key in fixed:
                 if getattr(told, key) != getattr(self.told, key):
                     raise ConfigError(f"{self.path}: another {key} needs a restart of all brokers")
@@ -236,8 +305,13 @@
             self.node.unwant(group)
         self.node.wake()
         held = [g for g in self.keeper.held(now) if g.group == group]
-        return {"lease": group, "wanted": group in self.turns, "yours": bool(held),
-                "token": held[0].token if held else 0, "missing": self.members.missing()}
+        return {
+            "lease": group,
+            "wanted": group in self.turns,
+            "yours": bool(held),
+            "token": held[0].token if held else 0,
+            "missing": self.members.missing(),
+        }
 
     # What operators are shown
 
@@ -247,9 +321,16 @@
         voters = self.electorate.voters
 
         def row(name: str, state: str, incarnation: int, heard: float | None, version: int | None) -> dict:
-            return {"name": name, "zone": zones.get(name, ""), "state": state, "voter": name in voters,
-                    "incarnation": incarnation, "heard_s": heard, "voters_version": version,
-                    "here": name == self.name}
+            return {
+                "name": name,
+                "zone": zones.get(name, ""),
+                "state": state,
+                "voter": name in voters,
+                "incarnation": incarnation,
+                "heard_s": heard,
+                "voters_version": version,
+                "here": name == self.name,
+            }
 
         rows = [row(self.name, "alive", self.members.incarnation, 0.0, self.electorate.version)]
         for m in self.members.members.values():
@@ -260,9 +341,18 @@
     def leases(self) -> list[dict]:
         """Each lease as seen from here; the holder is as last heard of."""
         now = self.clock.now()
-        return [{"lease": n, "state": s.phase.value, "holder": self._holder(s, now), "token": s.claim.token,
-                 "left_s": round(s.claim.left(now) / 1e6, 2), "rank": self.keeper.rank(n),
-                 "line": self.keeper.lines.get(n, [])} for n, s in sorted(self.keeper.seats.items())]
+        return [
+            {
+                "lease": n,
+                "state": s.phase.value,
+                "holder": self._holder(s, now),
+                "token": s.claim.token,
+                "left_s": round(s.claim.left(now) / 1e6, 2),
+                "rank": self.keeper.rank(n),
+                "line": self.keeper.lines.get(n, []),
+            }
+            for n, s in sorted(self.keeper.seats.items())
+        ]
 
     def _holder(self, seat, now: int) -> str:
         standing = self.keeper.voter.leases.get(seat.place.lease)
@@ -274,14 +364,26 @@
 
     def tasks(self) -> list[dict]:
         """Each task, and what it has taken."""
-        return [{"task": t.name, "lease": t.lease, "running_under": sorted(t.running), "acts": t.acts,
-                 "called_off": t.called_off, "overdue": t.overdue, "failed": t.failed, "priority": t.priority,
-                 "cpu_ms": round(self.runner.budget.spent / 1e3, 2),
-                 "longest_step_ms": round(self.runner.budget.longest / 1e3, 3),
-                 "turn_p99_ms": self.node.turn_p99() / 1e3} for t in self.runner.tasks]
+        return [
+            {
+                "task": t.name,
+                "lease": t.lease,
+                "running_under": sorted(t.running),
+                "acts": t.acts,
+                "called_off": t.called_off,
+                "overdue": t.overdue,
+                "failed": t.failed,
+                "priority": t.priority,
+                "cpu_ms": round(self.runner.budget.spent / 1e3, 2),
+                "longest_step_ms": round(self.runner.budget.longest / 1e3, 3),
+                "turn_p99_ms": self.node.turn_p99() / 1e3,
+            }
+            for t in self.runner.tasks
+        ]
 
     def calls(self, management) -> None:
         """Add the operators' calls to their address."""
+
         def shown(what):
             return lambda request: (200, json.dumps(what()).encode() + b"\n")
 
@@ -321,8 +423,9 @@
                 return 409, f"ask the planner, {who}\n".encode() if who else b"there is no planner\n"
             return 200, "\n".join(steps).encode() + b"\n"
         planner = self.zones.wish(*wish)
-        self.log.info("zone_wish", zone=told.zone, what=told.what, span_s=told.span_s, why=told.why,
-                      planner=planner)
+        self.log.info(
+            "zone_wish", zone=told.zone, what=told.what, span_s=told.span_s, why=told.why, planner=planner
+        )
         return (200, f"passed on to {planner}\n".encode()) if planner else (409, b"there is no planner\n")
 
     def _turn_call(self, request, ask: bool) -> tuple[int, bytes]:
--- a/cypressledge/fleet/runner.py
+++ b/cypressledge/fleet/runner.py
@@ -43,8 +43,14 @@
 class Runner:
     """All tasks of a broker."""
 
-    def __init__(self, tasks: list[Task], grant: Callable[[str], Granted | None], now: Callable[[], int],
-                 budget: Budget, told: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        tasks: list[Task],
+        grant: Callable[[str], Granted | None],
+        now: Callable[[], int],
+        budget: Budget,
+        told: Callable[..., None],
+    ) -> None:
         self.tasks, self.grant, self.now, self.budget, self.told = tasks, grant, now, budget, told
         self.lane, self.ready = Lane(), Event()
 
--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -166,8 +166,10 @@
     once([zone for r in told.regions for zone in r.zones], "a region's zone")
     once([(t.kind, t.lease) for t in told.tasks], "task")
     if not 1 <= len(names) <= PEERS_MOST:
-        raise ConfigError(f"{len(names)} peers; 1 to {PEERS_MOST} can be: 460 brokers, as many that replace "
-                          "them, and control machines")
+        raise ConfigError(
+            f"{len(names)} peers; 1 to {PEERS_MOST} can be: 460 brokers, as many that replace "
+            "them, and control machines"
+        )
     for peer in told.peers:
         address(peer.address)
     if told.listen:
--- a/cypressledge/fleet/shed.py
+++ b/cypressledge/fleet/shed.py
@@ -40,8 +40,9 @@
 
 def over_shares(counts: dict[str, int], quotas: dict[str, float]) -> dict[str, int]:
     """Each tenant's part that is over its share, permille. `counts`: of all brokers together, in `SPAN_S`."""
-    parts = {t: round(FULL * (1 - quotas[t] * SPAN_S / n)) for t, n in counts.items()
-             if n and quotas.get(t, 0) > 0}
+    parts = {
+        t: round(FULL * (1 - quotas[t] * SPAN_S / n)) for t, n in counts.items() if n and quotas.get(t, 0) > 0
+    }
     return {t: part for t, part in parts.items() if part >= LEAST}
 
 
--- a/cypressledge/fleet/summary.py
+++ b/cypressledge/fleet/summary.py
@@ -8,8 +8,9 @@
 ENGINES_MOST = 128  # engines that a summary names: those that most brokers avoid
 
 
-def figures(token: int, counts: dict[str, int], classes: tuple[str, ...], avoided: list[str], ready: int,
-            open_: int) -> Figures:
+def figures(
+    token: int, counts: dict[str, int], classes: tuple[str, ...], avoided: list[str], ready: int, open_: int
+) -> Figures:
     """A broker's own, from its counters."""
     by_class = {cls: [counts.get(f"replies.{cls}.{name}", 0) for name in FIGURES] for cls in classes}
     return Figures(token, by_class, sorted(avoided)[:ENGINES_MOST], ready, open_)
--- a/cypressledge/fleet/tasks.py
+++ b/cypressledge/fleet/tasks.py
@@ -22,9 +22,15 @@
 class Summaries:
     """The fleet's figures: gathered by the lease's holder, told to all, served by each."""
 
-    def __init__(self, name: str, own: Callable[[int], Figures], peers: Callable[[], list[str]],
-                 everyone: Callable[[], list[str]], out: Callable[[str, object], None],
-                 now: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        name: str,
+        own: Callable[[int], Figures],
+        peers: Callable[[], list[str]],
+        everyone: Callable[[], list[str]],
+        out: Callable[[str, object], None],
+        now: Callable[[], int],
+    ) -> None:
         self.name, self.own, self.peers, self.out, self.now = name, own, peers, out, now
         self.everyone = everyone  # all that the file names, alive or not
         self.merge: Merge | None = None
@@ -39,14 +45,14 @@
         merge = self.merge = Merge(grant.token, grant.run, self.name)
         merge.add(self.name, self.own(grant.token))
         for at in range(0, len(peers), BATCH):
-            for peer in peers[at:at + BATCH]:
+            for peer in peers[at : at + BATCH]:
                 self.out(peer, FiguresWanted(grant.lease, grant.token, grant.run))
             yield None
         yield GATHER_S
         summary = merge.summary(self.everyone())
         yield None
         for at in range(0, len(peers), BATCH):
-            for peer in peers[at:at + BATCH]:
+            for peer in peers[at : at + BATCH]:
                 self.out(peer, summary)
             yield None
         self._take(summary)
@@ -75,16 +81,24 @@
             return None
         s = self.last
         age = round((self.now() - self.last_at) / 1e6, 2)
-        return {"holder": s.holder, "token": s.token, "age_s": age, "brokers": s.brokers,
-                "missing": s.missing, "classes": s.classes, "engines_avoided": s.engines}
+        return {
+            "holder": s.holder,
+            "token": s.token,
+            "age_s": age,
+            "brokers": s.brokers,
+            "missing": s.missing,
+            "classes": s.classes,
+            "engines_avoided": s.engines,
+        }
 
 
 class Call:
     """An operators' own service, called under a lease: POST with lease, token and run as JSON. The
     service keeps the highest token, and answers 409 with `{"token": N}` to a lower one."""
 
-    def __init__(self, name: str, at: tuple[str, int], steps: int, step_s: float,
-                 refused: Callable[[str, int], None]) -> None:
+    def __init__(
+        self, name: str, at: tuple[str, int], steps: int, step_s: float, refused: Callable[[str, int], None]
+    ) -> None:
         self.name, self.at, self.steps, self.step_s, self.refused = name, at, steps, step_s, refused
         self.number = 0
 
@@ -93,8 +107,15 @@
         self.number += 1
         number = self.number
         for step in range(self.steps):
-            told = {"lease": grant.lease, "token": grant.token, "run": grant.run, "holder": self.name,
-                    "act": number, "step": step, "of": self.steps}
+            told = {
+                "lease": grant.lease,
+                "token": grant.token,
+                "run": grant.run,
+                "holder": self.name,
+                "act": number,
+                "step": step,
+                "of": self.steps,
+            }
             status, body = yield lambda told=told: self._post(told)
             if status == 409:
                 self.refused(grant.lease, _token(body))
--- a/cypressledge/fleet/zoneplan.py
+++ b/cypressledge/fleet/zoneplan.py
@@ -165,8 +165,7 @@
 
     # The step
 
-    def step(self, now: int, findings: dict[str, Finding], loads: dict[str, Load],
-             over: float = 0.0) -> bool:
+    def step(self, now: int, findings: dict[str, Finding], loads: dict[str, Load], over: float = 0.0) -> bool:
         """Let time and findings work; whether the plan has changed."""
         self.over = over
         used, cores = (sum(getattr(load, of) for load in loads.values()) for of in ("used", "cores"))
@@ -192,8 +191,15 @@
 
     def _trouble(self, practising: Zone) -> str:
         """Another zone that fails, if one does."""
-        return next((z.name for z in self.zones.values() if z is not practising and (
-            z.bad_since is not None or z.stage in (Stage.SUSPECT, Stage.LEAVING, Stage.OUT))), "")
+        return next(
+            (
+                z.name
+                for z in self.zones.values()
+                if z is not practising
+                and (z.bad_since is not None or z.stage in (Stage.SUSPECT, Stage.LEAVING, Stage.OUT))
+            ),
+            "",
+        )
 
     def _key(self) -> tuple:
         return (self.short, *((z.stage, z.share, z.by_hand) for z in self.zones.values()))
@@ -235,11 +241,13 @@
         elif now - zone.bad_since >= self.pace.confirm and finding is not None:
             self._leave(zone, finding, now, loads, finding.why)
 
-    def _leave(self, zone: Zone, finding: Finding | None, now: int, loads: dict[str, Load],
-               why: str) -> None:
+    def _leave(self, zone: Zone, finding: Finding | None, now: int, loads: dict[str, Load], why: str) -> None:
         lost = finding is not None and finding.verdict is Verdict.LOST
-        others = [z for z in self.zones.values() if z is not zone and z.share == FULL
-                  and z.bad_since is None and z.by_hand not in AWAY]
+        others = [
+            z
+            for z in self.zones.values()
+            if z is not zone and z.share == FULL and z.bad_since is None and z.by_hand not in AWAY
+        ]
         if not others:
             self._keep(zone, "no other zone serves whole: the last ones are not left")
             return
@@ -272,8 +280,11 @@
         """What of a zone that still serves has to stay, permille, for the others to bear the rest. `over`:
         the part of all work that is refused first."""
         own = loads.get(zone.name, Load(0.0, 1.0)).used * (1 - over)
-        spare = sum(max(0.0, self.pace.bear * loads[z.name].cores - loads[z.name].used * (1 - over))
-                    for z in others if z.name in loads)
+        spare = sum(
+            max(0.0, self.pace.bear * loads[z.name].cores - loads[z.name].used * (1 - over))
+            for z in others
+            if z.name in loads
+        )
         if own <= 0:
             return 0
         stays = max(0.0, 1 - spare / own)
@@ -321,9 +332,19 @@
 
     def stands(self, now: int) -> list[ZoneStands]:
         """How all zones stand."""
-        return [ZoneStands(z.name, z.stage.value, z.share, now - z.since, z.flaps, z.by_hand,
-                           max(0, z.hand_until - now) if z.by_hand else 0, z.why[:160])
-                for z in self.zones.values()]
+        return [
+            ZoneStands(
+                z.name,
+                z.stage.value,
+                z.share,
+                now - z.since,
+                z.flaps,
+                z.by_hand,
+                max(0, z.hand_until - now) if z.by_hand else 0,
+                z.why[:160],
+            )
+            for z in self.zones.values()
+        ]
 
 
 class Follower:
--- a/cypressledge/fleet/zones.py
+++ b/cypressledge/fleet/zones.py
@@ -55,9 +55,18 @@
 class Zones:
     """What one broker does about zones. `peers` gives the living, `line` the first in line for the lease."""
 
-    def __init__(self, name: str, core: Core, site: Site, pace: Pace, now: Callable[[], int],
-                 out: Callable[[str, object], None], peers: Callable[[], list[str]],
-                 line: Callable[[], list[str]], told: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        core: Core,
+        site: Site,
+        pace: Pace,
+        now: Callable[[], int],
+        out: Callable[[str, object], None],
+        peers: Callable[[], list[str]],
+        line: Callable[[], list[str]],
+        told: Callable[..., None],
+    ) -> None:
         self.name, self.core, self.names, self.site, self.pace = name, core, site.zones, site, pace
         self.now, self.out, self.peers, self.line, self.told = now, out, peers, line, told
         self.evidence, self.arrivals = Evidence(), Arrivals()
@@ -82,8 +91,9 @@
         """An attempt has ended."""
         quiet = self.noted.pop(attempt, None) is None
         query = attempt.request.query
-        self.evidence.ended(self.now(), attempt.place.id, attempt, outcome, latency, self._expected(query),
-                            query.cost, quiet)
+        self.evidence.ended(
+            self.now(), attempt.place.id, attempt, outcome, latency, self._expected(query), query.cost, quiet
+        )
 
     def heard(self, attempt: Attempt) -> None:
         """An engine has said something of an attempt."""
@@ -119,8 +129,11 @@
         can't bear all."""
         self.arrivals.add(self.now(), query.tenant)
         plan = self.follower.plan
-        part = plan.shed.get(query.tenant, 0) if plan is not None and not self.follower.deserted(
-            self.now()) else 0
+        part = (
+            plan.shed.get(query.tenant, 0)
+            if plan is not None and not self.follower.deserted(self.now())
+            else 0
+        )
         if part and is_shed(query.id, part):
             self.shed += 1
             return False
@@ -147,8 +160,9 @@
         if self.follower.take(plan, now):
             self.planner_name, self.waiting = sender, False
             if self._shares() != before:
-                self.told("plan_taken", token=plan.token, number=plan.number, planner=sender,
-                          shares=self._shares())
+                self.told(
+                    "plan_taken", token=plan.token, number=plan.number, planner=sender, shares=self._shares()
+                )
                 self.core.retell()
             elif alone:
                 self.core.retell()
@@ -179,8 +193,11 @@
             self._wait_for_plan(now)
         own = judge(*self._views([self._own(sight)]))
         if self.follower.see(now, own.zones):
-            self.told("zones_left_alone", zones=sorted(self.follower.alone),
-                      why="; ".join(own.zones[z].why for z in sorted(self.follower.alone)))
+            self.told(
+                "zones_left_alone",
+                zones=sorted(self.follower.alone),
+                why="; ".join(own.zones[z].why for z in sorted(self.follower.alone)),
+            )
             self.core.retell()
         return self.due
 
@@ -220,8 +237,14 @@
         if changed or now - self.said_at >= AGAIN.get(self.said, REPEAT):
             self.said_at, self.said = now, self.said + 1
             shed = refused(counts, over, self._excess(counts, loads, now))
-            plan = Plan(grant.token, grant.run, self.planner.number + self.regions.number,
-                        self.planner.stands(now), self.regions.stands(now), shed)
+            plan = Plan(
+                grant.token,
+                grant.run,
+                self.planner.number + self.regions.number,
+                self.planner.stands(now),
+                self.regions.stands(now),
+                shed,
+            )
             self._take(plan, self.name, now)
             for peer in self.peers():
                 self.out(peer, plan)
@@ -250,8 +273,12 @@
         """The part of all work that comes, refused or not, which zones can't bear while one is away: 0 to 1.
 
         Without it a module that sees few engines lets ever more onto each, and nearly all is late."""
-        away = [z for p in (self.planner, self.regions) for z in p.zones.values()
-                if z.stage not in (Stage.SERVING, Stage.SUSPECT)]
+        away = [
+            z
+            for p in (self.planner, self.regions)
+            for z in p.zones.values()
+            if z.stage not in (Stage.SERVING, Stage.SUSPECT)
+        ]
         fresh = [s for at, s in self.sights.values() if now - at < FADE]
         answers = sum(e.ok + e.late for s in fresh for e in s.engines)
         if not away or not answers:
@@ -280,8 +307,10 @@
             self.planner = self.regions = self.grant = None
 
     def _all(self, now: int) -> list[Told]:
-        return [Told(b, self.site.broker_zone.get(b, ""), now - at, sight)
-                for b, (at, sight) in self.sights.items()]
+        return [
+            Told(b, self.site.broker_zone.get(b, ""), now - at, sight)
+            for b, (at, sight) in self.sights.items()
+        ]
 
     def _views(self, told: list[Told], region: dict[str, str] | None = None) -> tuple:
         """What is to be judged: all zones; or all regions, of zones that are in one."""
@@ -328,8 +357,12 @@
         return total
 
     def _region_told(self, event: str, region: str, why: str) -> None:
-        self.told(event.replace("zone_", "region_"), region=region, why=why,
-                  token=self.grant.token if self.grant else 0)
+        self.told(
+            event.replace("zone_", "region_"),
+            region=region,
+            why=why,
+            token=self.grant.token if self.grant else 0,
+        )
 
     def _zone_told(self, event: str, zone: str, why: str) -> None:
         self.told(event, zone=zone, why=why, token=self.grant.token if self.grant else 0)
@@ -398,12 +431,25 @@
             stands = self.follower.stands.get(name)
             found = self.of_regions if name in self.site.regions else self.judgement
             finding = found.zones.get(name) if self.planner else None
-            rows.append({
-                "zone": name, "region": self.site.region.get(name, ""),
-                "stage": stands.stage if stands else Stage.SERVING.value,
-                "share": (self.follower.share(name)) / FULL, "alone": name in self.follower.alone,
-                "flaps": stands.flaps if stands else 0, "by_hand": stands.by_hand if stands else "",
-                "finding": finding.verdict.value if finding else "", "why": stands.why if stands else ""})
-        return {"planner": self.planner_name, "token": plan.token if plan else 0,
-                "number": plan.number if plan else 0, "heard_s": round((now - self.follower.heard) / 1e6, 2),
-                "shed": plan.shed if plan else {}, "shed_here": self.shed, "zones": rows}
+            rows.append(
+                {
+                    "zone": name,
+                    "region": self.site.region.get(name, ""),
+                    "stage": stands.stage if stands else Stage.SERVING.value,
+                    "share": (self.follower.share(name)) / FULL,
+                    "alone": name in self.follower.alone,
+                    "flaps": stands.flaps if stands else 0,
+                    "by_hand": stands.by_hand if stands else "",
+                    "finding": finding.verdict.value if finding else "",
+                    "why": stands.why if stands else "",
+                }
+            )
+        return {
+            "planner": self.planner_name,
+            "token": plan.token if plan else 0,
+            "number": plan.number if plan else 0,
+            "heard_s": round((now - self.follower.heard) / 1e6, 2),
+            "shed": plan.shed if plan else {},
+            "shed_here": self.shed,
+            "zones": rows,
+        }
--- a/cypressledge/lab/capacity.py
+++ b/cypressledge/lab/capacity.py
@@ -20,7 +20,14 @@
 from cypressledge.lab import capacity_check as cc
 from cypressledge.lab.capacity_day import Day, draw, quiet_day
 from cypressledge.lab.capacity_fleet import (
-    MEMBERS, TERM_S, ScaleError, Size, World, engine, ghost, http,
+    MEMBERS,
+    TERM_S,
+    ScaleError,
+    Size,
+    World,
+    engine,
+    ghost,
+    http,
 )
 from cypressledge.lab.capacity_play import Faults, Operator, now, seen, tail
 from cypressledge.lab.processes import commit, until
@@ -67,8 +74,11 @@
             self.start_s = time.monotonic() - began
             self.parts.append(gevent.spawn(self._watch))
             gevent.sleep(SETTLE_S)
-            self.day = (quiet_day(self.seed, self.seconds, QUIET_EVERY_S) if self.quiet
-                        else draw(self.seed, self.seconds, TERM_S, EVERY_S))
+            self.day = (
+                quiet_day(self.seed, self.seconds, QUIET_EVERY_S)
+                if self.quiet
+                else draw(self.seed, self.seconds, TERM_S, EVERY_S)
+            )
             self._day(self.day)
             self._last()
         finally:
@@ -88,8 +98,9 @@
             raise ScaleError(f"the first change was not taken: {first}")
         names = list(self.world.brokers)
         if not until(lambda: self._have(names, first.version) == len(names), 30 + len(names) / 5, 0.5):
-            raise ScaleError(f"{self._have(names, first.version)} of {len(names)} brokers have the first "
-                             "change")
+            raise ScaleError(
+                f"{self._have(names, first.version)} of {len(names)} brokers have the first " "change"
+            )
 
     def _have(self, names: list[str], version: int) -> int:
         return sum(_newest(self.world.record(n)) >= version for n in names)
@@ -149,8 +160,9 @@
 
     def _show(self, text: str) -> None:
         if self.live:
-            sys.stderr.write(f"\r\x1b[K{self.size.brokers} brokers: {text}, {len(self.operator.acked)} "
-                             "changes")
+            sys.stderr.write(
+                f"\r\x1b[K{self.size.brokers} brokers: {text}, {len(self.operator.acked)} " "changes"
+            )
             sys.stderr.flush()
 
     # Afterwards
@@ -159,40 +171,74 @@
         world, folder = self.world, self.folder
         brokers = cc.read_records(sorted(folder.glob("*.broker.jsonl")))
         controls = cc.read_records(sorted(folder.glob("*.control.jsonl")))
-        told = seen(self.operator, self.faults, brokers, controls, frozenset(world.brokers), self.over,
-                    {k: at for h in world.hosts for k, at in h.killed.items()})
+        told = seen(
+            self.operator,
+            self.faults,
+            brokers,
+            controls,
+            frozenset(world.brokers),
+            self.over,
+            {k: at for h in world.hosts for k, at in h.killed.items()},
+        )
         kept = asdict(told) | {"ends": [[*life, at] for life, at in told.ends.items()]}
         (folder / "seen.json").write_text(json.dumps(kept, default=sorted))
         self.verdict = v = cc.check(brokers, controls, told)
-        hosts = [(h.cost.cpu_pct / n, h.cost.net_kb_s / n, h.cost.rss_mb / n) for h in world.hosts
-                 if (n := sum(p.host is h for p in world.brokers.values()))]
+        hosts = [
+            (h.cost.cpu_pct / n, h.cost.net_kb_s / n, h.cost.rss_mb / n)
+            for h in world.hosts
+            if (n := sum(p.host is h for p in world.brokers.values()))
+        ]
         real = [(c.cpu_pct, c.net_kb_s, c.rss_mb) for c in world.real_cost.values()]
         self.hollow = [max(column) for column in zip(*hosts, strict=True)] if hosts else [0.0] * 3
         self.real = [max(column) for column in zip(*real, strict=True)] if real else [0.0] * 3
         cpu, net, rss = (max(pair) for pair in zip(self.hollow, self.real, strict=True))
-        most = [max(c) for c in zip(*((c.cost.cpu_pct, c.cost.rss_mb, c.cost.net_kb_s)
-                                      for c in world.controls), strict=True)]
+        most = [
+            max(c)
+            for c in zip(
+                *((c.cost.cpu_pct, c.cost.rss_mb, c.cost.net_kb_s) for c in world.controls), strict=True
+            )
+        ]
         counts = sum((h.counts for h in world.hosts), start=type(world.hosts[0].counts)())
         self.figures = {
-            "brokers": self.size.brokers, "engines": self.size.engines, "seconds": self.seconds,
-            "seed": self.seed, "quiet": self.quiet, "commit": self.commit, "changes": v.changes,
-            "p99_s": round(cc.quantile(v.quiet, 0.99), 3), "most_s": round(max(v.quiet, default=0.0), 3),
+            "brokers": self.size.brokers,
+            "engines": self.size.engines,
+            "seconds": self.seconds,
+            "seed": self.seed,
+            "quiet": self.quiet,
+            "commit": self.commit,
+            "changes": v.changes,
+            "p99_s": round(cc.quantile(v.quiet, 0.99), 3),
+            "most_s": round(max(v.quiet, default=0.0), 3),
             "primary_most_s": round(max((s for s, _ in v.primary_over), default=0.0), 3),
-            "broker_cpu_pct": round(cpu, 2), "broker_net_kb_s": round(net, 2),
-            "broker_rss_mb": round(rss, 1), "lost": len(v.lost), "gone_back": len(v.gone_back),
-            "wrong": len(v.wrong), "load_average": [round(self.load_before, 2), round(self.load_most, 2)],
-            "control_cpu_pct": round(most[0], 2), "control_rss_mb": round(most[1], 1),
-            "control_net_kb_s": round(most[2], 1), "snapshots": counts.get("frames.in.whole", 0),
+            "broker_cpu_pct": round(cpu, 2),
+            "broker_net_kb_s": round(net, 2),
+            "broker_rss_mb": round(rss, 1),
+            "lost": len(v.lost),
+            "gone_back": len(v.gone_back),
+            "wrong": len(v.wrong),
+            "load_average": [round(self.load_before, 2), round(self.load_most, 2)],
+            "control_cpu_pct": round(most[0], 2),
+            "control_rss_mb": round(most[1], 1),
+            "control_net_kb_s": round(most[2], 1),
+            "snapshots": counts.get("frames.in.whole", 0),
             "reconnects": counts.get("frames.in.welcome", 0) - len(world.brokers) + self.size.real,
-            "faults": dict(self.faults.counts), "late_ms_p99": round(1e3 * cc.quantile(self.late, 0.99), 1),
-            "all_p99_s": round(cc.quantile(v.all, 0.99), 3), "all_most_s": round(max(v.all, default=0.0), 3),
-            "hollow_cpu_pct": round(self.hollow[0], 2), "real_cpu_pct": round(self.real[0], 2),
-            "hollow_net_kb_s": round(self.hollow[1], 2), "real_net_kb_s": round(self.real[1], 2),
+            "faults": dict(self.faults.counts),
+            "late_ms_p99": round(1e3 * cc.quantile(self.late, 0.99), 1),
+            "all_p99_s": round(cc.quantile(v.all, 0.99), 3),
+            "all_most_s": round(max(v.all, default=0.0), 3),
+            "hollow_cpu_pct": round(self.hollow[0], 2),
+            "real_cpu_pct": round(self.real[0], 2),
+            "hollow_net_kb_s": round(self.hollow[1], 2),
+            "real_net_kb_s": round(self.real[1], 2),
             "alive_fewest": min(h.alive for h in world.hosts),
             "leases_held": sum(h.held for h in world.hosts),
-            "members_ping_s": self.size.ping_s, "start_s": round(self.start_s, 1)}
-        self.broken += [f"too little took place: {why}"
-                        for why in cc.too_little(v, told, self.size.brokers, self.seconds, self.quiet)]
+            "members_ping_s": self.size.ping_s,
+            "start_s": round(self.start_s, 1),
+        }
+        self.broken += [
+            f"too little took place: {why}"
+            for why in cc.too_little(v, told, self.size.brokers, self.seconds, self.quiet)
+        ]
         self.broken += [f"limit passed: {why}" for why in cc.passed_limits(v, cpu, net, rss)]
         if self._too_large():
             self.broken.append(f"limit passed: {self._too_large()}")
@@ -206,32 +252,49 @@
     def report(self) -> None:
         """Tables, and what is broken."""
         v, f, say = self.verdict, self.figures, self.say
-        rows = [["quiet", *_row(v.quiet)], *([kind, *_row(times)] for kind, times in
-                                            sorted(v.by_fault.items())), ["all", *_row(v.all)]]
+        rows = [
+            ["quiet", *_row(v.quiet)],
+            *([kind, *_row(times)] for kind, times in sorted(v.by_fault.items())),
+            ["all", *_row(v.all)],
+        ]
         say(tabulate(rows, floatfmt=".2f", headers=["in force, s", "times", "median", "p99", "most"]))
         for seconds, kind in v.primary_over:
             say(f"no primary for {seconds:.2f} s: {kind}")
-        rows = [[c.name, c.zone, "votes" if c.votes else "", c.cost.cpu_pct, c.cost.rss_mb, c.cost.net_kb_s]
-                for c in self.world.controls]
+        rows = [
+            [c.name, c.zone, "votes" if c.votes else "", c.cost.cpu_pct, c.cost.rss_mb, c.cost.net_kb_s]
+            for c in self.world.controls
+        ]
         say(tabulate(rows, floatfmt=".2f", headers=["control", "zone", "", "cpu %", "rss MB", "net KB/s"]))
-        rows = [[name, *values] for name, values in (("hollow, of its host", self.hollow),
-                                                     ("real, by itself", self.real))]
+        rows = [
+            [name, *values]
+            for name, values in (("hollow, of its host", self.hollow), ("real, by itself", self.real))
+        ]
         say(tabulate(rows, floatfmt=".2f", headers=["a broker, most", "cpu %", "net KB/s", "rss MB"]))
         starts = [cost.start_cpu_s for cost in self.world.real_cost.values()]
         say(f"a real broker's start, most: {max(starts, default=0.0):.2f} s of CPU, not in the figures above")
-        say("asked: " + ", ".join(f"{k} {n}" for k, n in sorted(self.operator.counts.items()))
-            + f"; longest wait for an answer {self.operator.gap:.2f} s")
+        say(
+            "asked: "
+            + ", ".join(f"{k} {n}" for k, n in sorted(self.operator.counts.items()))
+            + f"; longest wait for an answer {self.operator.gap:.2f} s"
+        )
         say("faults: " + (", ".join(f"{k} {n}" for k, n in self.faults.counts.items()) or "none"))
-        say(f"snapshots {f['snapshots']}, reconnects {f['reconnects']}; real brokers served {self.served} "
+        say(
+            f"snapshots {f['snapshots']}, reconnects {f['reconnects']}; real brokers served {self.served} "
             f"lookups, {self.refused} were not; members' ping period "
-            + (f"{self.size.ping_s:g} s; at the end the fewest that one has for alive {f['alive_fewest']} of "
-               f"{self.size.brokers - self.size.real}, leases held {f['leases_held']} of {MEMBERS['leases']}"
-               if self.size.ping_s else "none"))
+            + (
+                f"{self.size.ping_s:g} s; at the end the fewest that one has for alive {f['alive_fewest']} of "
+                f"{self.size.brokers - self.size.real}, leases held {f['leases_held']} of {MEMBERS['leases']}"
+                if self.size.ping_s
+                else "none"
+            )
+        )
         host_late = max((x for h in self.world.hosts for x in h.late), default=0.0)
-        say(f"start of all {self.start_s:.1f} s; load average {self.load_before:.2f} before, "
+        say(
+            f"start of all {self.start_s:.1f} s; load average {self.load_before:.2f} before, "
             f"{self.load_most:.2f} at the most; wake-ups late by {f['late_ms_p99']:.1f} ms p99, "
             f"{1e3 * max(self.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
-            f"{self.memory_mb:.0f} MB in {self.processes} processes; seed {self.seed}, {self.seconds:g} s")
+            f"{self.memory_mb:.0f} MB in {self.processes} processes; seed {self.seed}, {self.seconds:g} s"
+        )
         for line in (*v.lost[:20], *v.gone_back[:20], *v.wrong[:20]):
             say(f"  BROKEN {line}")
         for line in self.broken:
@@ -240,11 +303,13 @@
     def line(self) -> str:
         """The run in one line."""
         f = self.figures
-        return (f"capacity: brokers {f['brokers']}, engines {f['engines']}, changes {f['changes']}, in force "
-                f"p99 {f['p99_s']:.2f} s most {f['most_s']:.2f} s, primary over most "
-                f"{f['primary_most_s']:.2f} s, broker cpu {f['broker_cpu_pct']:.2f} % net "
-                f"{f['broker_net_kb_s']:.2f} KB/s rss {f['broker_rss_mb']:.1f} MB, "
-                f"lost {f['lost']}, gone back {f['gone_back']}, wrong {f['wrong']}")
+        return (
+            f"capacity: brokers {f['brokers']}, engines {f['engines']}, changes {f['changes']}, in force "
+            f"p99 {f['p99_s']:.2f} s most {f['most_s']:.2f} s, primary over most "
+            f"{f['primary_most_s']:.2f} s, broker cpu {f['broker_cpu_pct']:.2f} % net "
+            f"{f['broker_net_kb_s']:.2f} KB/s rss {f['broker_rss_mb']:.1f} MB, "
+            f"lost {f['lost']}, gone back {f['gone_back']}, wrong {f['wrong']}"
+        )
 
     @property
     def failed(self) -> bool:
@@ -279,9 +344,23 @@
     return [len(times), cc.quantile(times, 0.5), cc.quantile(times, 0.99), max(times, default=0.0)]
 
 
-def run(brokers: int, engines: int, real: int, seconds: float, seed: int, points: str, json_file: str,
-        plot: str, quick: bool, quiet: bool, members: bool, ping_s: float, keep: str,
-        say: Callable[[str], None], live: bool = False) -> int:
+def run(
+    brokers: int,
+    engines: int,
+    real: int,
+    seconds: float,
+    seed: int,
+    points: str,
+    json_file: str,
+    plot: str,
+    quick: bool,
+    quiet: bool,
+    members: bool,
+    ping_s: float,
+    keep: str,
+    say: Callable[[str], None],
+    live: bool = False,
+) -> int:
     """Play one run for each size. 1: something was lost, went back or was wrong, a limit was passed, or too
     little took place."""
     if quick:
@@ -323,9 +402,11 @@
     rows = sorted((p.figures for p in done), key=lambda f: f["brokers"])
     at = [f["brokers"] for f in rows]
     figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=(8, 9))
-    lines = ((("p99_s", "most_s", "primary_most_s"), cc.IN_FORCE_S, "s"),
-             (("hollow_cpu_pct", "real_cpu_pct"), cc.CPU_PCT, "% of a core"),
-             (("hollow_net_kb_s", "real_net_kb_s"), cc.NET_KB_S, "KB/s"))
+    lines = (
+        (("p99_s", "most_s", "primary_most_s"), cc.IN_FORCE_S, "s"),
+        (("hollow_cpu_pct", "real_cpu_pct"), cc.CPU_PCT, "% of a core"),
+        (("hollow_net_kb_s", "real_net_kb_s"), cc.NET_KB_S, "KB/s"),
+    )
     for axis, (names, limit, unit) in zip(axes, lines, strict=True):
         for name in names:
             axis.plot(at, [f[name] for f in rows], marker="o", label=name)
--- a/cypressledge/lab/capacity_check.py
+++ b/cypressledge/lab/capacity_check.py
@@ -109,7 +109,7 @@
             except ValueError:
                 # A restarted process goes on in the same file: its first line may follow half a one.
                 if number + 1 < len(lines) and "}" in line and "{" in line[1:]:
-                    found.append(json.loads(line[line.rindex("{"):]))
+                    found.append(json.loads(line[line.rindex("{") :]))
                 elif number + 1 < len(lines):
                     raise ValueError(f"{path}:{number + 1}: {line[:120]}") from None
     return found
@@ -145,8 +145,9 @@
         if record["event"] == "committed":
             version, digest = record["version"], record["digest"]
             if truth.setdefault(version, digest) != digest:
-                verdict.wrong.append(f"{record['who']} has version {version} as {digest}, another as "
-                                     f"{truth[version]}")
+                verdict.wrong.append(
+                    f"{record['who']} has version {version} as {digest}, another as " f"{truth[version]}"
+                )
     return truth
 
 
@@ -159,16 +160,22 @@
     versions: dict[str, int] = {}
     for change in acked:
         if versions.setdefault(change.request, change.version) != change.version:
-            verdict.wrong.append(f"request {change.request} became versions {versions[change.request]} and "
-                                 f"{change.version}")
+            verdict.wrong.append(
+                f"request {change.request} became versions {versions[change.request]} and "
+                f"{change.version}"
+            )
         if change.version not in truth:
             verdict.lost.append(f"version {change.version} was acknowledged, and is in no one's history")
         elif names.get(change.version, change.request) != change.request:
-            verdict.lost.append(f"version {change.version} was acknowledged for {change.request}, and is "
-                                f"{names[change.version]}")
+            verdict.lost.append(
+                f"version {change.version} was acknowledged for {change.request}, and is "
+                f"{names[change.version]}"
+            )
         elif change.digest and change.digest != truth[change.version]:
-            verdict.wrong.append(f"version {change.version} was acknowledged as {change.digest}, and is "
-                                 f"{truth[change.version]}")
+            verdict.wrong.append(
+                f"version {change.version} was acknowledged as {change.digest}, and is "
+                f"{truth[change.version]}"
+            )
 
 
 def _lives(records: list[dict], seen: Seen) -> list[Life]:
@@ -188,16 +195,19 @@
     last = (0, 0)
     for at, epoch, version, _ in life.held:
         if version < last[1] or epoch < last[0]:
-            verdict.gone_back.append(f"{life.broker} (run {life.run:x}) went from {last} to "
-                                     f"{(epoch, version)} at {at}")
+            verdict.gone_back.append(
+                f"{life.broker} (run {life.run:x}) went from {last} to " f"{(epoch, version)} at {at}"
+            )
         last = (epoch, version)
 
 
 def _digests(life: Life, truth: dict[int, str], verdict: Verdict) -> None:
     for at, _, version, digest in life.held:
         if version and truth.get(version, "") != digest:
-            verdict.wrong.append(f"{life.broker} had version {version} as {digest} at {at}, committed is "
-                                 f"{truth.get(version, 'no such version')}")
+            verdict.wrong.append(
+                f"{life.broker} had version {version} as {digest} at {at}, committed is "
+                f"{truth.get(version, 'no such version')}"
+            )
 
 
 def _in_force(life: Life, seen: Seen, verdict: Verdict) -> None:
@@ -229,8 +239,9 @@
     return moment
 
 
-def _pair(life: Life, change: Acked, base: int, got: int | None, down: list[Span], seen: Seen,
-          verdict: Verdict) -> None:
+def _pair(
+    life: Life, change: Acked, base: int, got: int | None, down: list[Span], seen: Seen, verdict: Verdict
+) -> None:
     until = life.end if got is None else got
     for span in down:  # cut off before it had it: due again from the heal on
         if base < span.begin < until:
@@ -238,8 +249,10 @@
     if base > life.end:
         return
     if got is None and not life.ended:
-        verdict.lost.append(f"{life.broker} (run {life.run:x}) never had version {change.version}, due "
-                            f"{(seen.over - base) / 1e6:.1f} s before the end")
+        verdict.lost.append(
+            f"{life.broker} (run {life.run:x}) never had version {change.version}, due "
+            f"{(seen.over - base) / 1e6:.1f} s before the end"
+        )
     if got is None and life.end - base < IN_FORCE_S * 1e6:
         return  # it was killed before it could have it; or is lost, as said above
     took = max(0, until - base) / 1e6
@@ -288,7 +301,11 @@
     """Which limits the run passed, by name."""
     most = max(verdict.quiet, default=0.0)
     primary = max((s for s, _ in verdict.primary_over), default=0.0)
-    rows = (("in force, quiet, s", most, IN_FORCE_S), ("primary over, s", primary, PRIMARY_S),
-            ("broker cpu, %", cpu_pct, CPU_PCT), ("broker net, KB/s", net_kb_s, NET_KB_S),
-            ("broker rss, MB", rss_mb, RSS_MB))
+    rows = (
+        ("in force, quiet, s", most, IN_FORCE_S),
+        ("primary over, s", primary, PRIMARY_S),
+        ("broker cpu, %", cpu_pct, CPU_PCT),
+        ("broker net, KB/s", net_kb_s, NET_KB_S),
+        ("broker rss, MB", rss_mb, RSS_MB),
+    )
     return [f"{name} {value:.2f} over {limit:g}" for name, value, limit in rows if value > limit]
--- a/cypressledge/lab/capacity_day.py
+++ b/cypressledge/lab/capacity_day.py
@@ -7,10 +7,24 @@
 import random
 from dataclasses import dataclass
 
-FAULTS = ("a primary killed", "brokers killed", "regions cut", "a primary stopped", "a zone gone",
-          "brokers replaced", "all control processes restarted")
-CHANGES = (("settings", 10), ("engine drains", 3), ("engine goes", 2), ("engine comes", 3), ("repeat", 3),
-           ("clash", 2), ("bad", 2))
+FAULTS = (
+    "a primary killed",
+    "brokers killed",
+    "regions cut",
+    "a primary stopped",
+    "a zone gone",
+    "brokers replaced",
+    "all control processes restarted",
+)
+CHANGES = (
+    ("settings", 10),
+    ("engine drains", 3),
+    ("engine goes", 2),
+    ("engine comes", 3),
+    ("repeat", 3),
+    ("clash", 2),
+    ("bad", 2),
+)
 ZONES = ("za", "zb", "zc")
 REGION = {"za": "east", "zb": "east", "zc": "west"}
 LEAD_S = 3.0  # quiet before the first fault
@@ -39,9 +53,15 @@
 
 def span_of(kind: str, term_s: float, rng: random.Random) -> float:
     """Seconds that a fault lasts. A stop outlasts the lease's term; the others may or may not."""
-    low, high = {"a primary killed": (0.8, 2.0), "brokers killed": (0.2, 1.2), "regions cut": (1.4, 2.4),
-                 "a primary stopped": (1.3, 2.0), "a zone gone": (1.2, 2.2), "brokers replaced": (0.2, 0.8),
-                 "all control processes restarted": (0.1, 0.3)}[kind]
+    low, high = {
+        "a primary killed": (0.8, 2.0),
+        "brokers killed": (0.2, 1.2),
+        "regions cut": (1.4, 2.4),
+        "a primary stopped": (1.3, 2.0),
+        "a zone gone": (1.2, 2.2),
+        "brokers replaced": (0.2, 0.8),
+        "all control processes restarted": (0.1, 0.3),
+    }[kind]
     return rng.uniform(low, high) * term_s
 
 
--- a/cypressledge/lab/capacity_fleet.py
+++ b/cypressledge/lab/capacity_fleet.py
@@ -88,8 +88,11 @@
     """A process's answer on its management address: status and JSON. Raises `OSError`, `ValueError`."""
     with socket.create_connection(("127.0.0.1", port), 1.0) as sock:
         sock.settimeout(seconds)
-        sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n"
-                     f"Content-Length: {len(body)}\r\n\r\n".encode() + body)
+        sock.sendall(
+            f"{method} {path} HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n".encode()
+            + body
+        )
         raw = b""
         while chunk := sock.recv(65_536):
             raw += chunk
@@ -114,9 +117,27 @@
         more = ["--first", str(first)] if first else []
         with open(self.log, "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-m", "cypressledge", "control", "serve", "--settings",
-                 str(self.settings), "--name", self.name, "--store", str(self.folder / f"{self.name}.store"),
-                 *more], cwd=ROOT, stdout=log, stderr=log, stdin=subprocess.DEVNULL, start_new_session=True)
+                [
+                    sys.executable,
+                    "-O",
+                    "-m",
+                    "cypressledge",
+                    "control",
+                    "serve",
+                    "--settings",
+                    str(self.settings),
+                    "--name",
+                    self.name,
+                    "--store",
+                    str(self.folder / f"{self.name}.store"),
+                    *more,
+                ],
+                cwd=ROOT,
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                start_new_session=True,
+            )
         self.stopped = False
 
     def status(self, seconds: float = 1.0) -> dict:
@@ -138,8 +159,13 @@
         self.alive, self.held = 0, 0
         with open(folder / f"host{number}.log", "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-m", "cypressledge.lab.hollow"], cwd=ROOT, stdout=subprocess.PIPE,
-                stderr=log, stdin=subprocess.PIPE, start_new_session=True)
+                [sys.executable, "-O", "-m", "cypressledge.lab.hollow"],
+                cwd=ROOT,
+                stdout=subprocess.PIPE,
+                stderr=log,
+                stdin=subprocess.PIPE,
+                start_new_session=True,
+            )
         self.reader = gevent.spawn(self._read)
 
     def tell(self, **command) -> None:
@@ -200,11 +226,13 @@
 
     def __init__(self, size: Size, seed: int, folder: Path) -> None:
         self.size, self.seed, self.folder = size, seed, folder
-        self.controls = [Control(f"c{i + 1}", ZONES[i % 3], i < VOTERS, folder)
-                         for i in range(size.controls)]
+        self.controls = [Control(f"c{i + 1}", ZONES[i % 3], i < VOTERS, folder) for i in range(size.controls)]
         self.by_name = {c.name: c for c in self.controls}
-        self.udp = Relays({c.name: c.fleet for c in self.controls}, seed,
-                          lambda a, b: self.by_name[a].region != self.by_name[b].region)
+        self.udp = Relays(
+            {c.name: c.fleet for c in self.controls},
+            seed,
+            lambda a, b: self.by_name[a].region != self.by_name[b].region,
+        )
         self.tcp = {c.name: TcpRelay(("127.0.0.1", c.port)) for c in self.controls}
         self.standins = [LabEngine(f"live{i}", LIVE, 0.005) for i in range(min(STANDINS, size.engines))]
         self.real = Brokers(str(folder / "real"))
@@ -219,24 +247,37 @@
 
     def _servers(self, region: str, me: str = "") -> list[dict]:
         """The control processes as they are seen from a region, or by one of them."""
+
         def fleet(c: Control) -> str:
             near = not me or c.region == region
             return f"127.0.0.1:{c.fleet}" if near else self.udp.address(me, c.name)
 
-        return [{"name": c.name, "fleet": fleet(c), "management": f"127.0.0.1:{c.management}", "zone": c.zone,
-                 "address": f"127.0.0.1:{c.port}" if c.region == region else self.tcp[c.name].address,
-                 "region": c.region, "votes": c.votes} for c in self.controls]
+        return [
+            {
+                "name": c.name,
+                "fleet": fleet(c),
+                "management": f"127.0.0.1:{c.management}",
+                "zone": c.zone,
+                "address": f"127.0.0.1:{c.port}" if c.region == region else self.tcp[c.name].address,
+                "region": c.region,
+                "votes": c.votes,
+            }
+            for c in self.controls
+        ]
 
     def _file(self, path: Path, servers: list[dict], record: Path | None) -> Path:
         lab = {"lab": {"record": str(record)}} if record else {}
-        path.write_text(yaml.safe_dump({"servers": servers, "term_s": TERM_S, "ping_s": PING_S,
-                                        "grace_s": 1.0, **lab}))
+        path.write_text(
+            yaml.safe_dump({"servers": servers, "term_s": TERM_S, "ping_s": PING_S, "grace_s": 1.0, **lab})
+        )
         return path
 
     def seed_file(self) -> Path:
         """What the history begins with: settings and engines."""
-        config = SETTINGS | {"Dcs": [LIVE, *ZONES], "Classes": [k | {"DcsOpen": [0]}
-                                                                for k in SETTINGS["Classes"]]}
+        config = SETTINGS | {
+            "Dcs": [LIVE, *ZONES],
+            "Classes": [k | {"DcsOpen": [0]} for k in SETTINGS["Classes"]],
+        }
         engines = {e.name: engine(e.member()["host_port"], LIVE) for e in self.standins}
         for n in range(self.size.engines - len(self.standins)):
             engines[f"e{n:03}"] = engine(ghost(n), ZONES[n % 3])
@@ -295,8 +336,9 @@
         self.greenlets += [gevent.spawn(c.run) for c in self.clients]
         ready = until(lambda: all("listening on" in b.words() for b in self.real.all.values()), 40, 0.1)
         if not ready:
-            raise ScaleError("real brokers did not start: " + "".join(
-                b.words()[-500:] for b in self.real.all.values()))
+            raise ScaleError(
+                "real brokers did not start: " + "".join(b.words()[-500:] for b in self.real.all.values())
+            )
 
     def record(self, name: str) -> Path:
         """Where a broker writes down what it has in force."""
@@ -317,19 +359,30 @@
             placed.up = True
             if placed.host is None:
                 file = str(self.real.folder / f"{name}.control.yaml")
-                self.real.all[name].start(False, ("--control", file), {
-                    "ROUTER_ZONE": placed.zone, "ROUTER_REGION": placed.region})
+                self.real.all[name].start(
+                    False, ("--control", file), {"ROUTER_ZONE": placed.zone, "ROUTER_REGION": placed.region}
+                )
                 continue
-            placed.host.tell(do="start", broker=name, zone=placed.zone, region=placed.region,
-                             address=placed.address, settings=str(self.folder / f"{placed.region}.yaml"),
-                             record=str(self.record(name)), members=self._members())
+            placed.host.tell(
+                do="start",
+                broker=name,
+                zone=placed.zone,
+                region=placed.region,
+                address=placed.address,
+                settings=str(self.folder / f"{placed.region}.yaml"),
+                record=str(self.record(name)),
+                members=self._members(),
+            )
 
     def _members(self) -> dict | None:
         if not self.size.ping_s:
             return None
-        return {"ping_s": self.size.ping_s, "term_s": MEMBERS["term_s"],
-                "voters": [f"b{n:03}" for n in range(MEMBERS["voters"])],
-                "leases": [f"lease{n}" for n in range(MEMBERS["leases"])]}
+        return {
+            "ping_s": self.size.ping_s,
+            "term_s": MEMBERS["term_s"],
+            "voters": [f"b{n:03}" for n in range(MEMBERS["voters"])],
+            "leases": [f"lease{n}" for n in range(MEMBERS["leases"])],
+        }
 
     def down(self, names: list[str]) -> None:
         """Kill these."""
@@ -381,13 +434,22 @@
 
     def memory_mb(self) -> float:
         """Of all its processes together, as far as seen, MB."""
-        return sum(c.rss_mb for c in (*(c.cost for c in self.controls), *(h.cost for h in self.hosts),
-                                      *self.real_cost.values()))
+        return sum(
+            c.rss_mb
+            for c in (
+                *(c.cost for c in self.controls),
+                *(h.cost for h in self.hosts),
+                *self.real_cost.values(),
+            )
+        )
 
     def processes(self) -> int:
         """That were started and run."""
-        return (sum(c.running() for c in self.controls) + len(self.hosts)
-                + sum(b.running() for b in self.real.all.values()))
+        return (
+            sum(c.running() for c in self.controls)
+            + len(self.hosts)
+            + sum(b.running() for b in self.real.all.values())
+        )
 
     def end(self) -> None:
         """Nothing is left behind."""
--- a/cypressledge/lab/capacity_page.py
+++ b/cypressledge/lab/capacity_page.py
@@ -13,8 +13,23 @@
 from tabulate import tabulate
 
 from cypressledge.lab.capacity_needs import (
-    BROKERS, CLIENTS, CONTROL, CPU, DIRECTORY, ENGINE, ENGINES, FAILURES, MACHINES, MEMORY, NET, PLANNER,
-    PRIMARY, REQUEST, VOTER, Line, lines,
+    BROKERS,
+    CLIENTS,
+    CONTROL,
+    CPU,
+    DIRECTORY,
+    ENGINE,
+    ENGINES,
+    FAILURES,
+    MACHINES,
+    MEMORY,
+    NET,
+    PLANNER,
+    PRIMARY,
+    REQUEST,
+    VOTER,
+    Line,
+    lines,
 )
 from cypressledge.lab.fits import best
 from cypressledge.lab.results import Results, ResultsError, read
@@ -22,33 +37,84 @@
 MARK = re.compile(r"(<!-- table:([a-z-]+) -->\n).*?(<!-- end -->)", re.S)
 SCALE = "scale.jsonl"  # beside the first results file: a run a line, as `lab capacity` appends them
 SIZES_LEAST = 3  # sizes of a fleet from which a fit is shown
-BY_ROLE = {"request-path": REQUEST, "control-part": CONTROL, "voter": VOTER, "planner": PLANNER,
-           "primary": PRIMARY, "control-machines": MACHINES, "directory": DIRECTORY, "engine": ENGINE,
-           "failures": FAILURES}
+BY_ROLE = {
+    "request-path": REQUEST,
+    "control-part": CONTROL,
+    "voter": VOTER,
+    "planner": PLANNER,
+    "primary": PRIMARY,
+    "control-machines": MACHINES,
+    "directory": DIRECTORY,
+    "engine": ENGINE,
+    "failures": FAILURES,
+}
 TARGET = {"engines": ENGINES, "brokers": BROKERS, "client connections": CLIENTS}
 LIMITS = {"broker_cpu_pct": CPU, "broker_net_kb_s": NET, "broker_rss_mb": MEMORY}
-SHOWN = ("brokers", "engines", "seconds", "seed", "quiet", "commit", "changes", "p99_s", "most_s",
-         "all_most_s", "primary_most_s", "broker_cpu_pct", "broker_net_kb_s", "broker_rss_mb",
-         "control_cpu_pct", "control_net_kb_s", "control_rss_mb", "lost", "gone_back", "wrong", "snapshots",
-         "reconnects", "late_ms_p99", "load_average", "exit", "passed")  # of a run; the file has the rest
+SHOWN = (
+    "brokers",
+    "engines",
+    "seconds",
+    "seed",
+    "quiet",
+    "commit",
+    "changes",
+    "p99_s",
+    "most_s",
+    "all_most_s",
+    "primary_most_s",
+    "broker_cpu_pct",
+    "broker_net_kb_s",
+    "broker_rss_mb",
+    "control_cpu_pct",
+    "control_net_kb_s",
+    "control_rss_mb",
+    "lost",
+    "gone_back",
+    "wrong",
+    "snapshots",
+    "reconnects",
+    "late_ms_p99",
+    "load_average",
+    "exit",
+    "passed",
+)  # of a run; the file has the rest
 NOW = (  # (role, what, figure of a run, unit, limit, where the limit is from): the most of all runs counts
     ("all", "a change in force at every broker, quiet times, p99", "p99_s", "s", 2.0, "the aim"),
     ("all", "a change in force at every broker, quiet times, most", "most_s", "s", 12.0, "the target"),
     ("all", "the same, with every fault of the day counted", "all_most_s", "s", None, "none set"),
     (PRIMARY, "from a primary's loss to the next one's word", "primary_most_s", "s", 8.0, "the target"),
-    (CONTROL, "processor time of a real broker, its starts with it", "real_cpu_pct", "% of a core", CPU,
-     "the target"),
+    (
+        CONTROL,
+        "processor time of a real broker, its starts with it",
+        "real_cpu_pct",
+        "% of a core",
+        CPU,
+        "the target",
+    ),
     (CONTROL, "processor time of a hollow broker", "hollow_cpu_pct", "% of a core", CPU, "the target"),
     (CONTROL, "members and distribution, payload in and out", "broker_net_kb_s", "KB/s", NET, "the target"),
     (CONTROL, "memory of a real broker, all of it", "broker_rss_mb", "MB", MEMORY, "the target"),
-    (MACHINES, "processor time of a control process", "control_cpu_pct", "% of a core", 100.0,
-     "one core, one thread"),
-    (MACHINES, "payload in and out of a control process", "control_net_kb_s", "KB/s", 125_000.0,
-     "a link of 1 Gbit/s, assumed"),
+    (
+        MACHINES,
+        "processor time of a control process",
+        "control_cpu_pct",
+        "% of a core",
+        100.0,
+        "one core, one thread",
+    ),
+    (
+        MACHINES,
+        "payload in and out of a control process",
+        "control_net_kb_s",
+        "KB/s",
+        125_000.0,
+        "a link of 1 Gbit/s, assumed",
+    ),
     (MACHINES, "memory of a control process", "control_rss_mb", "MB", None, "none set"),
     ("all", "acknowledged changes that a broker in reach never had", "lost", "", 0, "the target"),
     ("all", "brokers that went to an older version", "gone_back", "", 0, "the target"),
-    ("all", "brokers whose state differs from the primary's", "wrong", "", 0, "the target"))
+    ("all", "brokers whose state differs from the primary's", "wrong", "", 0, "the target"),
+)
 FITTED = ("cpu", "kb_s", "rss", "_mb")  # parts of names of figures that grow with the fleet
 
 
@@ -76,20 +142,45 @@
     """Needs of one role."""
     return table(
         ["of", "what", "need", "unit", "limit", "need/limit", "limit from", "basis", "slopes", "carried by"],
-        [[line.need.kind, line.need.what, line.value, line.need.unit,
-          "-" if line.limit is None else line.limit,
-          "-" if line.ratio is None else f"{line.ratio:.2f}", line.need.limit_words, line.basis,
-          ", ".join(line.sources) or "-", line.need.carried] for line in told])
+        [
+            [
+                line.need.kind,
+                line.need.what,
+                line.value,
+                line.need.unit,
+                "-" if line.limit is None else line.limit,
+                "-" if line.ratio is None else f"{line.ratio:.2f}",
+                line.need.limit_words,
+                line.basis,
+                ", ".join(line.sources) or "-",
+                line.need.carried,
+            ]
+            for line in told
+        ],
+    )
 
 
 def first_table(told: list[Line]) -> str:
     """What is over its limit, the furthest first."""
     over = [line for line in told if line.ratio is not None and line.ratio > 1]
     over.sort(key=lambda line: -line.ratio)
-    return table(["need/limit", "passed from brokers", "role", "what", "need", "limit", "unit", "basis",
-                  "carried by"],
-                 [[f"{line.ratio:.1f}", round(line.reached) or "any", line.need.role, line.need.what,
-                   line.value, line.limit, line.need.unit, line.basis, line.need.carried] for line in over])
+    return table(
+        ["need/limit", "passed from brokers", "role", "what", "need", "limit", "unit", "basis", "carried by"],
+        [
+            [
+                f"{line.ratio:.1f}",
+                round(line.reached) or "any",
+                line.need.role,
+                line.need.what,
+                line.value,
+                line.limit,
+                line.need.unit,
+                line.basis,
+                line.need.carried,
+            ]
+            for line in over
+        ],
+    )
 
 
 def missing_table(told: list[Line]) -> str:
@@ -103,21 +194,39 @@
         over = [line for line in wanting if line.ratio is not None and line.ratio > 1]
         most = max(over, key=lambda line: line.ratio, default=None)
         first = min(over, key=lambda line: line.reached, default=None)
-        rows.append([first.reached if first else float("inf"), name, f"{len(over)} of {len(wanting)}",
-                     f"{most.ratio:.1f}, {most.need.role}: {most.need.what}" if most else "-",
-                     f"{round(first.reached) or 'any'}, {first.need.role}: {first.need.what}" if first
-                     else "-"])
+        rows.append(
+            [
+                first.reached if first else float("inf"),
+                name,
+                f"{len(over)} of {len(wanting)}",
+                f"{most.ratio:.1f}, {most.need.role}: {most.need.what}" if most else "-",
+                f"{round(first.reached) or 'any'}, {first.need.role}: {first.need.what}" if first else "-",
+            ]
+        )
     rows.sort(key=lambda row: row[0])
-    return table(["missing", "figures over their limit", "furthest over", "passed first, from brokers"],
-                 [row[1:] for row in rows])
+    return table(
+        ["missing", "figures over their limit", "furthest over", "passed first, from brokers"],
+        [row[1:] for row in rows],
+    )
 
 
 def slopes_table(results: Results) -> str:
     """All slopes with points and fits."""
     return table(
         ["slope", "what", "unit", "over", "points", "fit", "residual"],
-        [[s.name, s.what, s.unit, s.x, "; ".join(f"{number(x)}: {number(y)}" for x, y in s.points),
-          f"{s.fit.kind}: {s.fit.words('x')}", f"{s.residual:.1%}"] for s in results.slopes])
+        [
+            [
+                s.name,
+                s.what,
+                s.unit,
+                s.x,
+                "; ".join(f"{number(x)}: {number(y)}" for x, y in s.points),
+                f"{s.fit.kind}: {s.fit.words('x')}",
+                f"{s.residual:.1%}",
+            ]
+            for s in results.slopes
+        ],
+    )
 
 
 def facts_table(results: Results) -> str:
@@ -131,9 +240,20 @@
     by_source: dict = {}
     for one in (*results.slopes, *results.facts):
         by_source.setdefault(msgspec.json.encode(one.source), (one.source, []))[1].append(one.name)
-    return table(["figures", "command", "seed", "commit", "date", "load average"],
-                 [[f"{names[0]} to {names[-1]} ({len(names)})", f"`{s.command}`", s.seed, s.commit, s.date,
-                   s.load_average] for s, names in by_source.values()])
+    return table(
+        ["figures", "command", "seed", "commit", "date", "load average"],
+        [
+            [
+                f"{names[0]} to {names[-1]} ({len(names)})",
+                f"`{s.command}`",
+                s.seed,
+                s.commit,
+                s.date,
+                s.load_average,
+            ]
+            for s, names in by_source.values()
+        ],
+    )
 
 
 # Tables of the scale run
@@ -170,15 +290,20 @@
         return f"No run yet: there is no `{SCALE}` beside the slopes."
     keys = [key for key in SHOWN if any(key in run for run in runs)]
     keys += [key for key in dict.fromkeys(key for run in runs for key in run) if key.startswith("faults.")]
-    return table(["figure", *(f"run {i + 1}" for i in range(len(runs)))],
-                 [[key, *(run.get(key) for run in runs)] for key in keys])
+    return table(
+        ["figure", *(f"run {i + 1}" for i in range(len(runs)))],
+        [[key, *(run.get(key) for run in runs)] for key in keys],
+    )
 
 
 def now_table(runs: list[dict], quiet: bool = False) -> str:
     """The most of all runs at the target's size against limits; of those in which nothing was broken, or of
     the others."""
-    runs = [run for run in runs if run["brokers"] == BROKERS and run.get("engines") == ENGINES
-            and run.get("quiet", False) is quiet]
+    runs = [
+        run
+        for run in runs
+        if run["brokers"] == BROKERS and run.get("engines") == ENGINES and run.get("quiet", False) is quiet
+    ]
     if not runs:
         return f"No run yet with {BROKERS} brokers and {ENGINES} engines."
     rows = []
@@ -186,27 +311,51 @@
         values = [run[key] for run in runs if key in run]
         if values:
             ratio = f"{max(values) / limit:.2f}" if limit else "-"
-            rows.append([role, what, max(values), unit, "-" if limit is None else limit, ratio, source,
-                         f"measured, {len(values)} runs"])
+            rows.append(
+                [
+                    role,
+                    what,
+                    max(values),
+                    unit,
+                    "-" if limit is None else limit,
+                    ratio,
+                    source,
+                    f"measured, {len(values)} runs",
+                ]
+            )
     return table(["role", "what", "most", "unit", "limit", "need/limit", "limit from", "basis"], rows)
 
 
 def control_table(runs: list[dict]) -> str:
     """Fits of what a broker and a control process spend, against brokers, where there are enough sizes."""
     runs = [run for run in runs if not run.get("quiet")]
-    keys = [key for key in dict.fromkeys(key for run in runs for key in run)
-            if any(part in key for part in FITTED)]
+    keys = [
+        key
+        for key in dict.fromkeys(key for run in runs for key in run)
+        if any(part in key for part in FITTED)
+    ]
     rows = []
     for key in keys:
-        points = [(float(run["brokers"]), float(run[key])) for run in runs
-                  if isinstance(run.get(key), Real) and not isinstance(run.get(key), bool)]
+        points = [
+            (float(run["brokers"]), float(run[key]))
+            for run in runs
+            if isinstance(run.get(key), Real) and not isinstance(run.get(key), bool)
+        ]
         if len({x for x, _ in points}) < SIZES_LEAST:
             continue
         fit, limit = best(points), LIMITS.get(key)
         reached = any(x == BROKERS for x, _ in points)
-        rows.append([key, f"{fit.kind}: {fit.words('x')}", f"{fit.residual:.1%}", fit.at(BROKERS),
-                     "within the sizes run" if reached else "extrapolated", "-" if limit is None else limit,
-                     "-" if limit is None else f"{fit.at(BROKERS) / limit:.2f}"])
+        rows.append(
+            [
+                key,
+                f"{fit.kind}: {fit.words('x')}",
+                f"{fit.residual:.1%}",
+                fit.at(BROKERS),
+                "within the sizes run" if reached else "extrapolated",
+                "-" if limit is None else limit,
+                "-" if limit is None else f"{fit.at(BROKERS) / limit:.2f}",
+            ]
+        )
     if not rows:
         return f"No fit yet: fewer than {SIZES_LEAST} sizes of fleet have been run."
     heads = ["figure", "fit over brokers", "residual", f"at {BROKERS}", "basis", "limit", "need/limit"]
@@ -242,12 +391,17 @@
         return lambda: needs_table([line for line in told if line.need.role == role])
 
     return {
-        "first": lambda: first_table(told), "missing": lambda: missing_table(told),
-        "slopes": lambda: slopes_table(results), "facts": lambda: facts_table(results),
-        "sources": lambda: sources_table(results), "scale": lambda: scale_table(runs),
-        "now": lambda: now_table(runs), "quiet": lambda: now_table(runs, True),
+        "first": lambda: first_table(told),
+        "missing": lambda: missing_table(told),
+        "slopes": lambda: slopes_table(results),
+        "facts": lambda: facts_table(results),
+        "sources": lambda: sources_table(results),
+        "scale": lambda: scale_table(runs),
+        "now": lambda: now_table(runs),
+        "quiet": lambda: now_table(runs, True),
         "control": lambda: control_table(runs),
-        **{name: of_role(role) for name, role in BY_ROLE.items()}}
+        **{name: of_role(role) for name, role in BY_ROLE.items()},
+    }
 
 
 def rendered(page: str, made: dict[str, Callable[[], str]]) -> str:
--- a/cypressledge/lab/capacity_play.py
+++ b/cypressledge/lab/capacity_play.py
@@ -50,8 +50,9 @@
         self.counts: Counter[str] = Counter()
         self.version, self.number, self.fresh = 0, 0, 0
         self.first = world.controls[0].management
-        self.engines: dict[str, str] = {f"e{n:03}": "ready"
-                                        for n in range(world.size.engines - len(world.standins))}
+        self.engines: dict[str, str] = {
+            f"e{n:03}": "ready" for n in range(world.size.engines - len(world.standins))
+        }
         self.busy: set[str] = set()  # keys that a change is under way for
         self.settings = BoundedSemaphore(1)  # all settings are one unit: one change of them at a time
         self.gap = 0.0  # seconds of the longest wait for an answer
@@ -69,8 +70,9 @@
         if not request:
             self.number += 1
             request = f"lab-{self.number}"
-        body = json.dumps({"base": base, "request": request, "who": "lab", "why": "scale run",
-                           "ops": ops}).encode()
+        body = json.dumps(
+            {"base": base, "request": request, "who": "lab", "why": "scale run", "ops": ops}
+        ).encode()
         end, why = now() + ASK_S * 1e6, ""
         began = now()
         while now() < end:
@@ -193,8 +195,9 @@
         if told.count("taken") > 1:
             self.wrongs.append(f"two changes of {key} on version {base} were both taken")
         if told.count("refused") > 1 and not any(self._expected(g.value.why) for g in both):
-            self.wrongs.append(f"two changes of {key} on version {base} were both refused: "
-                               f"{[g.value.why for g in both]}")
+            self.wrongs.append(
+                f"two changes of {key} on version {base} were both refused: " f"{[g.value.why for g in both]}"
+            )
         for got, value in zip(both, values, strict=True):
             if got.value.told == "taken":
                 self.engines[name] = value["state"]
@@ -202,10 +205,16 @@
     def _bad(self) -> None:
         """What no state can take: it is refused, and nothing changes."""
         taken = self.world.standins[0].member()["host_port"]
-        ops = self.random.choice((
-            {"set": {"config/Rules": {"DrainGrace": 1}}}, {"remove": ["config/Classes"]},
-            {"set": {"engine/bad": engine(taken, LIVE)}}, {"set": {"engine/bad": {"address": "nowhere"}}},
-            {"set": {"engine/no good": engine(address_of(9999), LIVE)}}, {"set": {"nothing/x": 1}}))
+        ops = self.random.choice(
+            (
+                {"set": {"config/Rules": {"DrainGrace": 1}}},
+                {"remove": ["config/Classes"]},
+                {"set": {"engine/bad": engine(taken, LIVE)}},
+                {"set": {"engine/bad": {"address": "nowhere"}}},
+                {"set": {"engine/no good": engine(address_of(9999), LIVE)}},
+                {"set": {"nothing/x": 1}},
+            )
+        )
         got = self.ask(ops, None)
         self.counts["bad refused"] += got.told == "refused"
         if got.told == "taken":
@@ -280,8 +289,9 @@
         """A few of the hollow ones, and a real one."""
         hollow = [n for n, p in self.world.brokers.items() if p.host]
         real = [n for n, p in self.world.brokers.items() if not p.host]
-        return (self.random.sample(hollow, math.ceil(PART_KILLED * len(hollow)))
-                + self.random.sample(real, min(1, len(real))))
+        return self.random.sample(hollow, math.ceil(PART_KILLED * len(hollow))) + self.random.sample(
+            real, min(1, len(real))
+        )
 
     def _brokers_killed(self, event: Event) -> None:
         names = self._some_brokers()
@@ -322,8 +332,9 @@
         self.world.cut("silent" if event.pick < 0.6 else "reset")
         gevent.sleep(event.span)
         self.world.heal()
-        self.down += [Span(began, now(), event.kind, n) for n, p in self.world.brokers.items()
-                      if p.region == "west"]
+        self.down += [
+            Span(began, now(), event.kind, n) for n, p in self.world.brokers.items() if p.region == "west"
+        ]
 
 
 def primary_of(records: Iterable[dict]) -> str:
@@ -341,12 +352,19 @@
         file.seek(0, 2)
         start = max(0, file.tell() - 65_536)
         file.seek(start)
-        lines = file.read().split(b"\n")[1 if start else 0:-1]
+        lines = file.read().split(b"\n")[1 if start else 0 : -1]
     return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
 
 
-def seen(operator: Operator, faults: Faults, records: list[dict], controls: list[dict], names: frozenset[str],
-         over: int, killed: dict[tuple[str, int], int]) -> Seen:
+def seen(
+    operator: Operator,
+    faults: Faults,
+    records: list[dict],
+    controls: list[dict],
+    names: frozenset[str],
+    over: int,
+    killed: dict[tuple[str, int], int],
+) -> Seen:
     """What the harness did, for the checker. `killed`: the ends of hollow brokers' lives, as their hosts say:
     a busy host may be late. Of a real one a kill ends the life that began last before it. A change counts
     from when a control process wrote that it was acknowledged, where one did before the answer was here."""
@@ -366,7 +384,8 @@
     for r in controls:
         if r["event"] == "acknowledged":
             told.setdefault((r["version"], r.get("request", "")), r["at"])
-    acked = [Acked(min(a.at, told.get((a.version, a.request), a.at)), a.version, a.request, a.digest)
-             for a in operator.acked]
-    return Seen(acked, faults.down, faults.spans, faults.losses, ends, over, operator.wrongs,
-                expected=names)
+    acked = [
+        Acked(min(a.at, told.get((a.version, a.request), a.at)), a.version, a.request, a.digest)
+        for a in operator.acked
+    ]
+    return Seen(acked, faults.down, faults.spans, faults.losses, ends, over, operator.wrongs, expected=names)
--- a/cypressledge/lab/check.py
+++ b/cypressledge/lab/check.py
@@ -61,7 +61,8 @@
         if latest is not None and first < latest[0]:
             verdict.overlaps.append(
                 f"{lease}: token {token} of run {run:x} acted at {first} before token {latest[1]} ended at "
-                f"{latest[0]}")
+                f"{latest[0]}"
+            )
         if latest is None or last > latest[0]:
             latest = (last, token)
 
@@ -78,8 +79,9 @@
             continue
         span = spans.setdefault((b["token"], b["run"]), [b["at"], b["until"], b["broker"]])
         span[1] = max(span[1], b["until"])
-    ordered = sorted((first, min(last, until), token, run, who) for (token, run), (first, last, who)
-                     in spans.items())
+    ordered = sorted(
+        (first, min(last, until), token, run, who) for (token, run), (first, last, who) in spans.items()
+    )
     verdict.grants += len(ordered)
     latest = top = 0
     for first, last, token, _run, who in ordered:
--- a/cypressledge/lab/cost.py
+++ b/cypressledge/lab/cost.py
@@ -38,9 +38,10 @@
     ports = udp_ports(names)
     return {
         "peers": [{"name": n, "address": f"127.0.0.1:{p}"} for n, p in ports.items()],
-        "voters": [{"version": 1, "names": names[:min(5, len(names) - (len(names) + 1) % 2)]}],
+        "voters": [{"version": 1, "names": names[: min(5, len(names) - (len(names) + 1) % 2)]}],
         "leases": [{"name": f"lease-{i}"} for i in range(leases)] + [{"name": "summary"}],
-        "tasks": [{"kind": "summary", "lease": "summary", "every_s": 0.5, "longest_s": 1.0}]}
+        "tasks": [{"kind": "summary", "lease": "summary", "every_s": 0.5, "longest_s": 1.0}],
+    }
 
 
 class Half:
@@ -63,8 +64,9 @@
     def load(self, clients_each: int, pause: float) -> None:
         """Put a load on the first brokers, not running yet."""
         gevent.killall(self.parts)
-        self.clients = [Client([b.port], pause, 0)
-                        for b in self.brokers[:LOADED] for _ in range(clients_each)]
+        self.clients = [
+            Client([b.port], pause, 0) for b in self.brokers[:LOADED] for _ in range(clients_each)
+        ]
 
     def round(self, seconds: float) -> list[float]:
         """Run the load for a while; the lookups' times, s, sorted."""
@@ -106,8 +108,14 @@
     times = [[half.round(seconds) for half in halves] for _ in range(rounds)]
     p99 = [[_p99(t) for t in pair] for pair in times]
     more = sorted(on - off for off, on in p99)
-    return [sum(len(t) for pair in times for t in pair), _middle([off for off, _ in p99]),
-            _middle([on for _, on in p99]), _middle(more), more[len(more) // 4], more[len(more) * 3 // 4]]
+    return [
+        sum(len(t) for pair in times for t in pair),
+        _middle([off for off, _ in p99]),
+        _middle([on for _, on in p99]),
+        _middle(more),
+        more[len(more) // 4],
+        more[len(more) * 3 // 4],
+    ]
 
 
 def run(brokers: int, leases: int, seconds: float, rounds: int, say: Callable[[str], None]) -> int:
@@ -120,19 +128,48 @@
         rows = []
         for half in halves:
             cpu = half.cpu(seconds)
-            rows.append(["on" if half.on else "off", max(map(memory_mb, half.brokers)), sum(cpu) / len(cpu),
-                         max(cpu), sum(e["event"] == "lease_lost" for b in half.brokers for e in b.events())])
-        say(tabulate(rows, floatfmt=".2f", headers=["fleet", "memory MB, most", "cpu %, mean", "most",
-                                                    "leases lost"]))
-        rows = [[title, *_paired(halves, load, rounds, 3.0)]
-                for title, load in (("light", (2, 0.02)), ("heavy", (12, 0.0)))]
-        say(tabulate(rows, floatfmt=".2f", headers=[
-            "load", "lookups", "p99 ms off", "on", "on less off: middle", "a quarter under", "and over"]))
+            rows.append(
+                [
+                    "on" if half.on else "off",
+                    max(map(memory_mb, half.brokers)),
+                    sum(cpu) / len(cpu),
+                    max(cpu),
+                    sum(e["event"] == "lease_lost" for b in half.brokers for e in b.events()),
+                ]
+            )
+        say(
+            tabulate(
+                rows,
+                floatfmt=".2f",
+                headers=["fleet", "memory MB, most", "cpu %, mean", "most", "leases lost"],
+            )
+        )
+        rows = [
+            [title, *_paired(halves, load, rounds, 3.0)]
+            for title, load in (("light", (2, 0.02)), ("heavy", (12, 0.0)))
+        ]
+        say(
+            tabulate(
+                rows,
+                floatfmt=".2f",
+                headers=[
+                    "load",
+                    "lookups",
+                    "p99 ms off",
+                    "on",
+                    "on less off: middle",
+                    "a quarter under",
+                    "and over",
+                ],
+            )
+        )
         told = [(ask(b, "/fleet/tasks") or [{}])[0] for b in on.brokers[:LOADED]]
         step = max(t.get("longest_step_ms", 0) for t in told)
         turn = max(t.get("turn_p99_ms", 0) for t in told)
-        say(f"{brokers} brokers, {leases} leases; {rounds} rounds of 3 s in turns, load on {LOADED} of them; "
-            f"engines take 5 ms; a task's longest step {step} ms, the owner's turns p99 {turn} ms")
+        say(
+            f"{brokers} brokers, {leases} leases; {rounds} rounds of 3 s in turns, load on {LOADED} of them; "
+            f"engines take 5 ms; a task's longest step {step} ms, the owner's turns p99 {turn} ms"
+        )
     finally:
         off.end()
         on.end()
--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -22,11 +22,16 @@
 
 def _fleet(ports: dict[str, int]) -> dict:
     return {
-        "peers": [{"name": n, "address": f"127.0.0.1:{p}", "zone": ZONES[i % 2]}
-                  for i, (n, p) in enumerate(ports.items())],
-        "voters": [{"version": 1, "names": list(ports)}], "term_s": TERM, "ping_s": 0.2,
+        "peers": [
+            {"name": n, "address": f"127.0.0.1:{p}", "zone": ZONES[i % 2]}
+            for i, (n, p) in enumerate(ports.items())
+        ],
+        "voters": [{"version": 1, "names": list(ports)}],
+        "term_s": TERM,
+        "ping_s": 0.2,
         "leases": [{"name": "summary"}],
-        "tasks": [{"kind": "summary", "lease": "summary", "every_s": 0.4, "longest_s": 0.7}]}
+        "tasks": [{"kind": "summary", "lease": "summary", "every_s": 0.4, "longest_s": 0.7}],
+    }
 
 
 def ask(broker: BrokerProcess, path: str) -> object:
@@ -80,9 +85,16 @@
         for name, broker in self.fleet.all.items():
             lease = next(iter(ask(broker, "/fleet/leases") or []), None)
             summary = ask(broker, "/fleet/summary") or {}
-            rows.append([name, "up" if broker.running() else "gone", lease["state"] if lease else "-",
-                         *((lease["holder"], lease["token"]) if lease else "--"),
-                         summary.get("brokers", "-"), " ".join(summary.get("missing", [])) or "-"])
+            rows.append(
+                [
+                    name,
+                    "up" if broker.running() else "gone",
+                    lease["state"] if lease else "-",
+                    *((lease["holder"], lease["token"]) if lease else "--"),
+                    summary.get("brokers", "-"),
+                    " ".join(summary.get("missing", [])) or "-",
+                ]
+            )
         served = sum((c.counts for c in self.clients), Counter())
         if self.live:
             click.clear()
@@ -93,8 +105,10 @@
         else:
             held = next((r for r in rows if r[2] == "held"), None)
             who, token = (held[0], held[4]) if held else ("none", "-")
-            self.say(f"{time.monotonic() - self.began:5.1f} s  holder {who}, token {token}, "
-                     f"served {served['served']}, broken {served['broken']}")
+            self.say(
+                f"{time.monotonic() - self.began:5.1f} s  holder {who}, token {token}, "
+                f"served {served['served']}, broken {served['broken']}"
+            )
 
     def watch(self, seconds: float) -> None:
         """Show how it stands for a while."""
--- a/cypressledge/lab/engines.py
+++ b/cypressledge/lab/engines.py
@@ -19,8 +19,16 @@
 
     def member(self) -> dict:
         """As a directory lists it."""
-        return {"id": self.name, "host_port": f"127.0.0.1:{self.server.server_port}", "locality": self.zone,
-                "cell": 0, "flavor": "node-8c", "phase": "Ready", "size": 4, "up_since_ms": 0}
+        return {
+            "id": self.name,
+            "host_port": f"127.0.0.1:{self.server.server_port}",
+            "locality": self.zone,
+            "cell": 0,
+            "flavor": "node-8c",
+            "phase": "Ready",
+            "size": 4,
+            "up_since_ms": 0,
+        }
 
     def _serve(self, conn, _) -> None:
         conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/cypressledge/lab/explore.py
+++ b/cypressledge/lab/explore.py
@@ -69,15 +69,29 @@
 class World:
     """One state of the world."""
 
-    __slots__ = ("now", "voters", "claims", "sent", "asks", "backs", "restarts", "reborn", "rereads", "top",
-                 "alike", "tells")
+    __slots__ = (
+        "now",
+        "voters",
+        "claims",
+        "sent",
+        "asks",
+        "backs",
+        "restarts",
+        "reborn",
+        "rereads",
+        "top",
+        "alike",
+        "tells",
+    )
 
     def __init__(self, b: Bounds, made: Made) -> None:
         names = sorted({v for s in b.sets.values() for v in s})
         self.now = {n: 0 for n in (*names, *b.claimants)}
         self.voters = {n: made.voter(self._electorate(b, made, n), -b.term, 0) for n in names}
-        self.claims = {n: made.claim(LEASE, i + 1, b.term, DRIFT, self._electorate(b, made, n))
-                       for i, n in enumerate(b.claimants)}
+        self.claims = {
+            n: made.claim(LEASE, i + 1, b.term, DRIFT, self._electorate(b, made, n))
+            for i, n in enumerate(b.claimants)
+        }
         for i, c in enumerate(self.claims.values()):
             c.learn(b.floors[i] if b.floors else i)
         self.alike = {n: n if b.tells else _part(b, n) for n in names}
@@ -132,9 +146,16 @@
             each.append((self.alike[n], state, self.rereads.get(n, 0), votes, sorted(by[n])))
         each.sort()
         return (
-            repr(each), tuple(_claim_key(c, self.now[n]) for n, c in self.claims.items()),
-            tuple(self.asks.values()), self.backs, self.restarts, self.reborn, self.tells,
-            tuple(self.rereads.get(n, 0) for n in self.claims), self.top)
+            repr(each),
+            tuple(_claim_key(c, self.now[n]) for n, c in self.claims.items()),
+            tuple(self.asks.values()),
+            self.backs,
+            self.restarts,
+            self.reborn,
+            self.tells,
+            tuple(self.rereads.get(n, 0) for n in self.claims),
+            self.top,
+        )
 
     def fault(self) -> str:
         """What is wrong with this state; the ghost `top` remembers the highest token that was held."""
@@ -154,8 +175,9 @@
 
 
 def _copy_electorate(e: Electorate) -> Electorate:
-    return type(e)(e.name, e.longest, dict(e.sets), e.version, e.since, e.grace,
-                   {n: list(h) for n, h in e.heard.items()})
+    return type(e)(
+        e.name, e.longest, dict(e.sets), e.version, e.since, e.grace, {n: list(h) for n, h in e.heard.items()}
+    )
 
 
 def _copy_voter(v: Voter) -> Voter:
@@ -184,8 +206,11 @@
     if len(e.sets) == 1:
         return ()
     most = 2 * e.longest
-    return (e.version, min(now - e.since, most),
-            tuple((n, tuple((f, min(now - at, most)) for f, at in h)) for n, h in sorted(e.heard.items())))
+    return (
+        e.version,
+        min(now - e.since, most),
+        tuple((n, tuple((f, min(now - at, most)) for f, at in h)) for n, h in sorted(e.heard.items())),
+    )
 
 
 def _voter_key(v: Voter, now: int) -> tuple:
@@ -266,8 +291,9 @@
 def _reborn(w: World, n: str, b: Bounds, made: Made) -> None:
     w.reborn -= 1
     old = w.claims[n]
-    fresh = made.claim(LEASE, old.run if made.same_run else old.run + 10, b.term, DRIFT,
-                       _copy_electorate(old.electorate))
+    fresh = made.claim(
+        LEASE, old.run if made.same_run else old.run + 10, b.term, DRIFT, _copy_electorate(old.electorate)
+    )
     fresh.learn(w.top[0] if not made.same_run else old.floor - 1)
     w.claims = w.claims | {n: fresh}
 
--- a/cypressledge/lab/fits.py
+++ b/cypressledge/lab/fits.py
@@ -24,7 +24,7 @@
         """The fit's y at x."""
         if self.kind == "power":
             exponent, factor = self.coefficients
-            return factor * x ** exponent
+            return factor * x**exponent
         return float(np.polyval(self.coefficients, x))
 
     def words(self, x: str) -> str:
@@ -32,7 +32,7 @@
         c = [f"{v:.3g}" for v in self.coefficients]
         if self.kind == "power":
             return f"{c[1]}·{x}^{c[0]}"
-        names = [f"·{x}²", f"·{x}", ""][-len(c):]
+        names = [f"·{x}²", f"·{x}", ""][-len(c) :]
         return " + ".join(v + name for v, name in zip(c, names, strict=True)).replace("+ -", "− ")
 
 
