--- a/cypressledge/lab/hollow.py
+++ b/cypressledge/lab/hollow.py
@@ -85,8 +85,18 @@
         self.counters = Counters()
         self.log = logger(self.name, self.run)
         self.node, self.sock = None, None
-        self.agent = FollowerAgent(self.name, self.run, settings, told["zone"], told["region"], self.address,
-                                   self._changed, self.counters, record=told["record"], log=self.log)
+        self.agent = FollowerAgent(
+            self.name,
+            self.run,
+            settings,
+            told["zone"],
+            told["region"],
+            self.address,
+            self._changed,
+            self.counters,
+            record=told["record"],
+            log=self.log,
+        )
         if self.members:
             self._join()
         self.greenlets = [gevent.spawn(part) for part in (*self.agent.parts, *self._node_parts())]
@@ -104,9 +114,18 @@
         electorate = Electorate(self.name, term, {1: tuple(told["voters"])}, 1, clock.now(), 0)
         places = [Place(lease, lease, term, False) for lease in told["leases"]]
         self.node = FleetNode(
-            self.name, listen=address(self.address), addresses={self.name: address(self.address)},
-            electorate=electorate, places=places, drift_ppm=DRIFT_PPM, ping_s=told["ping_s"],
-            counters=self.counters, clock=clock, run=self.run, log=self.log)
+            self.name,
+            listen=address(self.address),
+            addresses={self.name: address(self.address)},
+            electorate=electorate,
+            places=places,
+            drift_ppm=DRIFT_PPM,
+            ping_s=told["ping_s"],
+            counters=self.counters,
+            clock=clock,
+            run=self.run,
+            log=self.log,
+        )
         self.node.exchange.inbox = Gate(self._beyond)
         self.node.exchange.sock = self.sock = Both(self.node.exchange.sock)
 
@@ -182,8 +201,9 @@
     @staticmethod
     def _counts(broker: Hollow) -> dict[str, int]:
         counts = {f"frames.{k}": n for k, n in broker.agent.traffic.frames.items()}
-        return counts | {k: n for k, n in broker.counters.counts.items()
-                         if k.startswith(("control.", "fleet."))}
+        return counts | {
+            k: n for k, n in broker.counters.counts.items() if k.startswith(("control.", "fleet."))
+        }
 
     def figures(self) -> dict:
         """What the process has done so far, and how late it was woken since the last time (s)."""
@@ -193,9 +213,15 @@
                 counts[key] = counts.get(key, 0) + count
         late, self.late = self.late, []
         total = self.gone_bytes + sum(b.bytes() for b in self.brokers.values())
-        return {"event": "figures", "at": LeaseClock().now(), "brokers": len(self.brokers), "counts": counts,
-                "members": self._members(), "bytes": total,
-                "late": round(max(late, default=0.0), 4)}
+        return {
+            "event": "figures",
+            "at": LeaseClock().now(),
+            "brokers": len(self.brokers),
+            "counts": counts,
+            "members": self._members(),
+            "bytes": total,
+            "late": round(max(late, default=0.0), 4),
+        }
 
     def _members(self) -> tuple[int, int]:
         """The fewest others that any broker here has for alive, itself too; leases held here."""
@@ -219,6 +245,7 @@
 
 def main() -> int:
     """Obey until the input ends."""
+
     def say(told: dict) -> None:
         sys.stdout.write(json.dumps(told) + "\n")
         sys.stdout.flush()
--- a/cypressledge/lab/leases.py
+++ b/cypressledge/lab/leases.py
@@ -22,8 +22,19 @@
 from cypressledge.lab.resource import Resource, Write
 
 DRIFT_PPM = 20_000
-FAULTS = ("kill", "kill", "stop in an act", "stop in an act", "stop", "leave", "majority restarts",
-          "partition", "one way", "cut off from the voters", "bad paths")
+FAULTS = (
+    "kill",
+    "kill",
+    "stop in an act",
+    "stop in an act",
+    "stop",
+    "leave",
+    "majority restarts",
+    "partition",
+    "one way",
+    "cut off from the voters",
+    "bad paths",
+)
 LEASES = ({"name": "ledger-a"}, {"name": "ledger-b"}, {"name": "pool", "places": 2})
 
 
@@ -47,7 +58,7 @@
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
         self.names = [f"n{i}" for i in range(self.brokers)]
-        self.voting = self.names[:self.voters]
+        self.voting = self.names[: self.voters]
         self.fleet = Brokers(self.keep)
         self.resource = Resource(self.fence)
         self.resource.watch = self._acted
@@ -60,16 +71,39 @@
 
     def settings(self, name: str) -> dict:
         """A broker's fleet file: its peers are behind relays."""
-        tasks = [{"kind": "call", "lease": lease["name"], "at": self.resource.address, "every_s": 0.1,
-                  "longest_s": self.term / 2, "steps": 4, "step_s": 0.05} for lease in LEASES]
+        tasks = [
+            {
+                "kind": "call",
+                "lease": lease["name"],
+                "at": self.resource.address,
+                "every_s": 0.1,
+                "longest_s": self.term / 2,
+                "steps": 4,
+                "step_s": 0.05,
+            }
+            for lease in LEASES
+        ]
         rate = self.random.choice((1 - DRIFT_PPM / 1e6, 1.0, 1 + DRIFT_PPM / 1e6))
         return {
-            "peers": [{"name": p, "address": f"127.0.0.1:{self.ports[p]}" if p == name
-                       else self.relays.address(name, p)} for p in self.names],
-            "voters": [{"version": 1, "names": self.voting}], "term_s": self.term, "drift_ppm": DRIFT_PPM,
-            "ping_s": 0.2, "leases": list(LEASES), "tasks": tasks,
-            "lab": {"clock_rate": rate, "clock_offset_s": self.random.uniform(0, 10_000),
-                    "record": str(self.fleet.folder / f"{name}.held")}}
+            "peers": [
+                {
+                    "name": p,
+                    "address": f"127.0.0.1:{self.ports[p]}" if p == name else self.relays.address(name, p),
+                }
+                for p in self.names
+            ],
+            "voters": [{"version": 1, "names": self.voting}],
+            "term_s": self.term,
+            "drift_ppm": DRIFT_PPM,
+            "ping_s": 0.2,
+            "leases": list(LEASES),
+            "tasks": tasks,
+            "lab": {
+                "clock_rate": rate,
+                "clock_offset_s": self.random.uniform(0, 10_000),
+                "record": str(self.fleet.folder / f"{name}.held"),
+            },
+        }
 
     # What is seen while it runs
 
@@ -181,8 +215,10 @@
         for pair in self.relays.paths:
             if self.random.random() < 0.6:
                 self.relays.paths[pair] = Path(
-                    loss=self.random.uniform(0, 0.4), copies=0.3,
-                    delay=(0.0, self.random.choice((0.02, 0.2, 1.5 * self.term))))
+                    loss=self.random.uniform(0, 0.4),
+                    copies=0.3,
+                    delay=(0.0, self.random.choice((0.02, 0.2, 1.5 * self.term))),
+                )
         gevent.sleep(self.random.uniform(1, 2) * self.term)
         self._heal()
 
@@ -209,8 +245,12 @@
                 gevent.sleep(1.6 * self.term)
         finally:
             over = LeaseClock().now()
-            self.fleet_files = [json.loads(line) for name in self.names
-                                for line in self._held(name).splitlines() if line.endswith("}")]
+            self.fleet_files = [
+                json.loads(line)
+                for name in self.names
+                for line in self._held(name).splitlines()
+                if line.endswith("}")
+            ]
             for broker in self.fleet.all.values():
                 broker.kill()
             self.relays.close()
@@ -232,8 +272,18 @@
         return "" if self.verdict.grants > len(LEASES) + 1 else "no lease changed hands"
 
 
-def run(brokers: int, voters: int, seed: int, runs: int, seconds: float, no_fence: bool, term: float,
-        keep: str, only: str, say: Callable[[str], None]) -> int:
+def run(
+    brokers: int,
+    voters: int,
+    seed: int,
+    runs: int,
+    seconds: float,
+    no_fence: bool,
+    term: float,
+    keep: str,
+    only: str,
+    say: Callable[[str], None],
+) -> int:
     """Play so many runs; the exit code. 1: something happened that must not. 3: a run meant nothing."""
     kinds = tuple(k.strip() for k in only.split(",")) if only else FAULTS
     verdicts, empty, took, handed = [], 0, [], []
@@ -243,9 +293,11 @@
         verdicts.append(v)
         took += play.takeovers
         handed += play.handovers
-        say(f"seed {n}: {v.acts} acts, {v.grants} grants, {v.refused} stale acts turned down, "
+        say(
+            f"seed {n}: {v.acts} acts, {v.grants} grants, {v.refused} stale acts turned down, "
             f"{sum(play.faults.values())} faults ({', '.join(sorted(play.faults))}), "
-            f"longest gap {v.longest_gap / 1e6:.2f} s")
+            f"longest gap {v.longest_gap / 1e6:.2f} s"
+        )
         for line in (*v.overlaps, *v.beliefs, *v.shrunk):
             say(f"  BROKEN {line}")
         if why := play.meaningless():
@@ -254,9 +306,11 @@
     say(_times("after a kill of a holder the next acts", took, term))
     say(_times("after SIGTERM the next acts", handed, term))
     overlaps = sum(len(v.overlaps) + len(v.beliefs) for v in verdicts)
-    say(f"leases: runs {runs}, acts {sum(v.acts for v in verdicts)}, overlaps {overlaps}, "
+    say(
+        f"leases: runs {runs}, acts {sum(v.acts for v in verdicts)}, overlaps {overlaps}, "
         f"stale acts accepted {sum(v.stale for v in verdicts)}, "
-        f"longest gap {max(v.longest_gap for v in verdicts) / 1e6:.2f} s")
+        f"longest gap {max(v.longest_gap for v in verdicts) / 1e6:.2f} s"
+    )
     if any(v.broken for v in verdicts):
         return 1
     return 3 if empty else 0
@@ -267,5 +321,7 @@
         return f"{what}: not seen"
     ordered = sorted(seconds)
     p99 = ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))]
-    return (f"{what}: {len(ordered)} times, median {ordered[len(ordered) // 2]:.3f} s, p99 {p99:.3f} s "
-            f"({p99 / term:.2f} terms)")
+    return (
+        f"{what}: {len(ordered)} times, median {ordered[len(ordered) // 2]:.3f} s, p99 {p99:.3f} s "
+        f"({p99 / term:.2f} terms)"
+    )
--- a/cypressledge/lab/load.py
+++ b/cypressledge/lab/load.py
@@ -50,9 +50,21 @@
         number = 0
         while True:
             number += 1
-            body = json.dumps({"jsonrpc": "2.0", "id": number, "method": "lookup", "params": {
-                "id": secrets.token_hex(8), "wait": WAIT_MS, "tenant": "sahel", "cost": 20.0, "mem": 10,
-                "content": STATEMENT}}).encode()
+            body = json.dumps(
+                {
+                    "jsonrpc": "2.0",
+                    "id": number,
+                    "method": "lookup",
+                    "params": {
+                        "id": secrets.token_hex(8),
+                        "wait": WAIT_MS,
+                        "tenant": "sahel",
+                        "cost": 20.0,
+                        "mem": 10,
+                        "content": STATEMENT,
+                    },
+                }
+            ).encode()
             sock.sendall(b"Content-Length: %d\r\n\r\n" % len(body) + body)
             asked = time.monotonic()
             served = "result" in answer(file)
--- a/cypressledge/lab/model.py
+++ b/cypressledge/lab/model.py
@@ -13,9 +13,11 @@
 def jobs(deep: bool = False) -> dict[Job, tuple]:
     """All walks by kind and name: the world and the classes under it."""
     worlds = WORLDS | (DEEP if deep else {})
-    return ({("world", b.name): (b, Made()) for b in worlds.values()}
-            | {("mutant", m.guard): (m.world, m.made) for m in MUTANTS if deep or not m.deep}
-            | {("mutant", "a clock that goes on over a suspended machine"): (SUSPENDED, Made())})
+    return (
+        {("world", b.name): (b, Made()) for b in worlds.values()}
+        | {("mutant", m.guard): (m.world, m.made) for m in MUTANTS if deep or not m.deep}
+        | {("mutant", "a clock that goes on over a suspended machine"): (SUSPENDED, Made())}
+    )
 
 
 def _walk(job: tuple) -> Found:
@@ -39,8 +41,10 @@
         whole = "" if found.whole else " (not whole)"
         if kind == "world":
             bad += bool(found.fault)
-            say(f"world {name}: {found.states} states{whole}, {found.steps} steps, held in {found.held}: "
-                f"{found.fault or 'no fault'}")
+            say(
+                f"world {name}: {found.states} states{whole}, {found.steps} steps, held in {found.held}: "
+                f"{found.fault or 'no fault'}"
+            )
         else:
             bad += not found.fault
             say(f"without {name}: {found.fault or 'NOTHING FOUND'} ({found.states} states)")
--- a/cypressledge/lab/mutants.py
+++ b/cypressledge/lab/mutants.py
@@ -14,33 +14,49 @@
 ADDED = {1: ("a", "b", "c"), 2: ("a", "b", "c", "d")}
 FAR = {1: ("a", "b", "c"), 2: ("a", "b", "c", "d"), 3: ("b", "c", "d")}
 # p, a and b go by the first version; c, d and q have taken the third, and know that of each other.
-APART = {"versions": {"q": 3, "c": 3, "d": 3}, "known": dict.fromkeys("qcd", (1, 2, 3)),
-         "heard": {"q": ("c", "d"), "c": ("d",), "d": ("c",)}}
-
-WORLDS = {b.name: b for b in (
-    Bounds("drift", ONE, asks=1, clocks={"p": "slow", "q": "fast", "a": "fast", "b": "fast"}),
-    Bounds("voter restart", ONE, asks=1, restarts=1, floors=(0, 150)),
-    Bounds("give-back", ONE, asks=1, backs=1),
-    Bounds("claimant restart", ONE, asks={"p": 2, "q": 1}, reborn=1, floors=(0, 2), clocks={"q": "fast"}),
-    Bounds("renewal", ONE, asks=2, claimants=("p",), restarts=1),
-    Bounds("voter added", ADDED, asks=1, versions={"q": 2, "d": 2}, rereads={"a": 1}),
-    Bounds("voters far apart", FAR, asks=1, rereads={"b": 1}, tells=3, **APART),
-)}
+APART = {
+    "versions": {"q": 3, "c": 3, "d": 3},
+    "known": dict.fromkeys("qcd", (1, 2, 3)),
+    "heard": {"q": ("c", "d"), "c": ("d",), "d": ("c",)},
+}
+
+WORLDS = {
+    b.name: b
+    for b in (
+        Bounds("drift", ONE, asks=1, clocks={"p": "slow", "q": "fast", "a": "fast", "b": "fast"}),
+        Bounds("voter restart", ONE, asks=1, restarts=1, floors=(0, 150)),
+        Bounds("give-back", ONE, asks=1, backs=1),
+        Bounds("claimant restart", ONE, asks={"p": 2, "q": 1}, reborn=1, floors=(0, 2), clocks={"q": "fast"}),
+        Bounds("renewal", ONE, asks=2, claimants=("p",), restarts=1),
+        Bounds("voter added", ADDED, asks=1, versions={"q": 2, "d": 2}, rereads={"a": 1}),
+        Bounds("voters far apart", FAR, asks=1, rereads={"b": 1}, tells=3, **APART),
+    )
+}
 # p holds, q takes over when p has lapsed, and gives back; p's renewal is still on its way.
-RIVAL = Bounds("a late renewal", ONE, asks={"p": 2, "q": 1}, term=12, backs=1,
-               backers=("q",), clocks={"a": "fast", "b": "fast"})
+RIVAL = Bounds(
+    "a late renewal",
+    ONE,
+    asks={"p": 2, "q": 1},
+    term=12,
+    backs=1,
+    backers=("q",),
+    clocks={"a": "fast", "b": "fast"},
+)
 # Beyond what every run of the tests walks (`lab model --deep`): longer terms, more rounds and restarts.
-DEEP = {b.name: b for b in (
-    Bounds("longer terms", ONE, term=12, asks=1, backs=1, clocks={"p": "slow", "a": "fast"}),
-    RIVAL,
-    Bounds("two rounds each", ONE, asks=2),
-    Bounds("voter added, all reread", ADDED, asks=1, versions={"q": 2, "d": 2}, rereads={"a": 1, "p": 1}),
-    Bounds("give-back and asking again", ONE, asks={"p": 2, "q": 1}, backs=1, floors=(0, 2)),
-    Bounds("two restarts", ONE, asks=1, restarts=2, floors=(0, 150), clocks={"p": "slow", "a": "fast"}),
-    Bounds("all voters restart", ONE, asks=1, restarts=3),
-    Bounds("three claimants", ONE, asks=1, claimants=("p", "q", "r")),
-    Bounds("restart and give-back", ONE, asks=1, restarts=1, backs=1, floors=(0, 150)),
-)}
+DEEP = {
+    b.name: b
+    for b in (
+        Bounds("longer terms", ONE, term=12, asks=1, backs=1, clocks={"p": "slow", "a": "fast"}),
+        RIVAL,
+        Bounds("two rounds each", ONE, asks=2),
+        Bounds("voter added, all reread", ADDED, asks=1, versions={"q": 2, "d": 2}, rereads={"a": 1, "p": 1}),
+        Bounds("give-back and asking again", ONE, asks={"p": 2, "q": 1}, backs=1, floors=(0, 2)),
+        Bounds("two restarts", ONE, asks=1, restarts=2, floors=(0, 150), clocks={"p": "slow", "a": "fast"}),
+        Bounds("all voters restart", ONE, asks=1, restarts=3),
+        Bounds("three claimants", ONE, asks=1, claimants=("p", "q", "r")),
+        Bounds("restart and give-back", ONE, asks=1, restarts=1, backs=1, floors=(0, 150)),
+    )
+}
 
 
 class NotMute(Voter):
@@ -157,22 +173,41 @@
     Mutant("drift margin", Made(claim=NoMargin), WORLDS["drift"]),
     Mutant("timer before asking", Made(claim=LateTimer), WORLDS["drift"]),
     Mutant("token growth", Made(voter=AnyToken), WORLDS["give-back"]),
-    Mutant("tokens over a restart of all voters", Made(base=0),
-           Bounds("tokens after all restart", ONE, asks=1, restarts=3, floors=(0, 0))),
+    Mutant(
+        "tokens over a restart of all voters",
+        Made(base=0),
+        Bounds("tokens after all restart", ONE, asks=1, restarts=3, floors=(0, 0)),
+    ),
     Mutant("one vote at a time", Made(voter=TwoVotes), WORLDS["drift"]),
-    Mutant("a giving back frees its own round only", Made(voter=AnyBack),
-           Bounds("give-back and again", ONE, asks={"p": 2, "q": 1}, backs=1, floors=(0, 2))),
+    Mutant(
+        "a giving back frees its own round only",
+        Made(voter=AnyBack),
+        Bounds("give-back and again", ONE, asks={"p": 2, "q": 1}, backs=1, floors=(0, 2)),
+    ),
     Mutant("a round given back is closed", Made(claim=OpenRounds), WORLDS["give-back"]),
     Mutant("a renewal counts only while the lease is held", Made(claim=AnyRenewal), RIVAL, deep=True),
     Mutant("votes given back don't count", Made(claim=KeepsVotes), WORLDS["give-back"]),
     Mutant("a restarted claimant is another", Made(same_run=True), WORLDS["claimant restart"]),
     Mutant("majority", Made(electorate=HalfIsEnough), WORLDS["drift"]),
-    Mutant("version of the voter set settled", Made(electorate=Unsettled),
-           Bounds("far apart, nobody rereads", FAR, asks=1, **APART)),
-    Mutant("older versions are refused", Made(electorate=AnyVersion),
-           Bounds("an old version at a voter of the new", FAR, asks=1, **APART | {
-               "versions": APART["versions"] | {"b": 2},
-               "heard": {"q": ("b", "c", "d"), "c": ("b", "d"), "d": ("b", "c")}})),
+    Mutant(
+        "version of the voter set settled",
+        Made(electorate=Unsettled),
+        Bounds("far apart, nobody rereads", FAR, asks=1, **APART),
+    ),
+    Mutant(
+        "older versions are refused",
+        Made(electorate=AnyVersion),
+        Bounds(
+            "an old version at a voter of the new",
+            FAR,
+            asks=1,
+            **APART
+            | {
+                "versions": APART["versions"] | {"b": 2},
+                "heard": {"q": ("b", "c", "d"), "c": ("b", "d"), "d": ("b", "c")},
+            },
+        ),
+    ),
 )
 # A clock that stands still over a suspended machine (CLOCK_MONOTONIC) breaks the assumption itself.
 SUSPENDED = Bounds("a claimant's clock stands still", ONE, asks=1, clocks={"p": "stopped"})
--- a/cypressledge/lab/processes.py
+++ b/cypressledge/lab/processes.py
@@ -43,8 +43,14 @@
 class BrokerProcess(OwnProcess):
     """One broker of the program with the fleet's part on. `fleet` is the file's content, by its keys."""
 
-    def __init__(self, name: str, folder: Path, fleet: dict, members: list[dict] | None = None,
-                 more: dict | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        folder: Path,
+        fleet: dict,
+        members: list[dict] | None = None,
+        more: dict | None = None,
+    ) -> None:
         self.name, self.folder, self.fleet = name, folder, fleet
         self.port, self.management = free_port(), free_port()
         self.config_file, self.fleet_file = folder / f"{name}.json", folder / f"{name}.yaml"
@@ -61,9 +67,21 @@
         with open(self.log_file, "a", encoding="utf-8") as log:
             self.life_begins = log.tell()
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-m", "cypressledge",
-                 *(("--fleet", str(self.fleet_file)) if fleet else ()), *more],
-                cwd=ROOT, env=env, stdout=log, stderr=log, stdin=subprocess.DEVNULL, start_new_session=True)
+                [
+                    sys.executable,
+                    "-O",
+                    "-m",
+                    "cypressledge",
+                    *(("--fleet", str(self.fleet_file)) if fleet else ()),
+                    *more,
+                ],
+                cwd=ROOT,
+                env=env,
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                start_new_session=True,
+            )
         self.stopped = False
 
     def leave(self, seconds: float = 5.0) -> int | None:
@@ -100,8 +118,9 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         self.all: dict[str, BrokerProcess] = {}
 
-    def add(self, name: str, fleet: dict, members: list[dict] | None = None,
-            more: dict | None = None) -> BrokerProcess:
+    def add(
+        self, name: str, fleet: dict, members: list[dict] | None = None, more: dict | None = None
+    ) -> BrokerProcess:
         """One more, not started yet. `more`: site settings that differ from the laboratory's."""
         self.all[name] = BrokerProcess(name, self.folder, fleet, members, more)
         return self.all[name]
@@ -128,6 +147,7 @@
 def commit() -> str:
     """The commit that this process began with: what is changed while it runs is not what it runs. A tree that
     differs from its commit says so."""
+
     def git(*words: str) -> str:
         return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True).stdout.strip()
 
--- a/cypressledge/lab/relay.py
+++ b/cypressledge/lab/relay.py
@@ -26,8 +26,9 @@
 class Relays:
     """A relay for each ordered pair: what `a` sends to `address(a, b)` reaches `b`, if its path lets it."""
 
-    def __init__(self, ports: dict[str, int], seed: int,
-                 between: Callable[[str, str], bool] = lambda a, b: True) -> None:
+    def __init__(
+        self, ports: dict[str, int], seed: int, between: Callable[[str, str], bool] = lambda a, b: True
+    ) -> None:
         """`between`: which pairs have a relay; all, where nothing is said."""
         self.ports, self.random = ports, random.Random(seed)
         self.paths = {(a, b): Path() for a in ports for b in ports if a != b and between(a, b)}
--- a/cypressledge/lab/resource.py
+++ b/cypressledge/lab/resource.py
@@ -65,8 +65,17 @@
         accepted = known or not self.fence
         if known:
             self.highest[lease] = (token, run)
-        write = Write(LeaseClock().now(), lease, token, run, told["holder"], told["act"], told["step"],
-                      told["of"], accepted)
+        write = Write(
+            LeaseClock().now(),
+            lease,
+            token,
+            run,
+            told["holder"],
+            told["act"],
+            told["step"],
+            told["of"],
+            accepted,
+        )
         self.writes.append(write)
         self.watch(write)
         start("200 OK" if accepted else "409 Conflict", [("Content-Type", "application/json")])
--- a/cypressledge/lab/results.py
+++ b/cypressledge/lab/results.py
@@ -78,8 +78,9 @@
     return Source(seed, commit(), date, round(os.getloadavg()[0], 2), command)
 
 
-def slope(name: str, role: str, what: str, unit: str, x: str, points: list[tuple[float, float]],
-          told: Source) -> Slope:
+def slope(
+    name: str, role: str, what: str, unit: str, x: str, points: list[tuple[float, float]], told: Source
+) -> Slope:
     """A slope with its fit, points in order of x."""
     points = sorted((float(a), float(f"{b:.6g}")) for a, b in points)
     return Slope(name, role, what, unit, x, points, best(points), told)
--- a/cypressledge/lab/site.py
+++ b/cypressledge/lab/site.py
@@ -7,22 +7,74 @@
 
 SETTINGS = {
     "Classes": [
-        {"Name": "lookup", "Objective": 600000, "Deadline": 3000000, "Idempotency": "free", "AimStretch": 1.5,
-         "Worth": 1.0, "LateWorth": 0.1},
-        {"Name": "report", "Objective": 1500000, "Deadline": 25000000, "Idempotency": "free",
-         "AimStretch": 2.5, "Worth": 10.0, "LateWorth": 0.4},
-        {"Name": "order-load", "Objective": 4000000, "Deadline": 20000000, "Idempotency": "guarded",
-         "Group": "all", "MemorySpan": 12000000, "AimStretch": 2.5, "Worth": 12.0, "LateWorth": 0.6}],
-    "Customers": [{"Name": "sahel"}], "Dcs": ["room1"], "Skus": ["node-8c", "node-16c"], "Step": 5000,
-    "SlotNo": 0, "PeersTotal": 1, "RegistryMode": "pushed",
-    "FamilyInfo": {"CoresByKind": [8, 16], "KindMemoryMb": [16384.0, 32768.0], "LargestShare": 0.4,
-                   "IsLoad": [False, False, True], "ClassWaits": [True, False, False], "Priorities": True,
-                   "TakesGrants": True, "TellsEvery": 1000000, "ThreadsByClass": [1, 2, 2]},
-    "Limits": {"ConnIdle": 30000000, "ConnectTimeout": 250000, "MaxAttempts": 3, "MayCancel": True,
-               "MaxRetryAfter": 1000000, "SecondCopies": True, "StreamsPerConn": 32},
-    "Rules": {"DrainGrace": 2000000, "Fall": 2000000, "FallMultiple": 2.0, "GraceToAnswer": 20000,
-              "MinExtra": 3.0, "RatioSpan": 5000000, "ResendRatio": 0.1, "StartCapacity": 0.31,
-              "WarmWithin": 14000000},
+        {
+            "Name": "lookup",
+            "Objective": 600000,
+            "Deadline": 3000000,
+            "Idempotency": "free",
+            "AimStretch": 1.5,
+            "Worth": 1.0,
+            "LateWorth": 0.1,
+        },
+        {
+            "Name": "report",
+            "Objective": 1500000,
+            "Deadline": 25000000,
+            "Idempotency": "free",
+            "AimStretch": 2.5,
+            "Worth": 10.0,
+            "LateWorth": 0.4,
+        },
+        {
+            "Name": "order-load",
+            "Objective": 4000000,
+            "Deadline": 20000000,
+            "Idempotency": "guarded",
+            "Group": "all",
+            "MemorySpan": 12000000,
+            "AimStretch": 2.5,
+            "Worth": 12.0,
+            "LateWorth": 0.6,
+        },
+    ],
+    "Customers": [{"Name": "sahel"}],
+    "Dcs": ["room1"],
+    "Skus": ["node-8c", "node-16c"],
+    "Step": 5000,
+    "SlotNo": 0,
+    "PeersTotal": 1,
+    "RegistryMode": "pushed",
+    "FamilyInfo": {
+        "CoresByKind": [8, 16],
+        "KindMemoryMb": [16384.0, 32768.0],
+        "LargestShare": 0.4,
+        "IsLoad": [False, False, True],
+        "ClassWaits": [True, False, False],
+        "Priorities": True,
+        "TakesGrants": True,
+        "TellsEvery": 1000000,
+        "ThreadsByClass": [1, 2, 2],
+    },
+    "Limits": {
+        "ConnIdle": 30000000,
+        "ConnectTimeout": 250000,
+        "MaxAttempts": 3,
+        "MayCancel": True,
+        "MaxRetryAfter": 1000000,
+        "SecondCopies": True,
+        "StreamsPerConn": 32,
+    },
+    "Rules": {
+        "DrainGrace": 2000000,
+        "Fall": 2000000,
+        "FallMultiple": 2.0,
+        "GraceToAnswer": 20000,
+        "MinExtra": 3.0,
+        "RatioSpan": 5000000,
+        "ResendRatio": 0.1,
+        "StartCapacity": 0.31,
+        "WarmWithin": 14000000,
+    },
 }
 
 
@@ -42,14 +94,22 @@
     raise OSError("no free port")
 
 
-def config(name: str, listen: int, management: int, members: list[dict] | None = None,
-           more: dict | None = None) -> dict:
+def config(
+    name: str, listen: int, management: int, members: list[dict] | None = None, more: dict | None = None
+) -> dict:
     """A broker's configuration; `members` are its engines, as the directory would list them; `more` are site
     settings in place of those above."""
     return {
-        "name": name, "listen": f"127.0.0.1:{listen}", "management": f"127.0.0.1:{management}",
-        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"offset": 1, "batch": [
-            {"offset": 1, "topology": {"revision": 1, "complete": True, "members": members or []}}]},
-        "settings": SETTINGS | {"Dcs": sorted({m["locality"] for m in members or []}) or SETTINGS["Dcs"]}
-        | (more or {})}
+        "name": name,
+        "listen": f"127.0.0.1:{listen}",
+        "management": f"127.0.0.1:{management}",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {
+            "offset": 1,
+            "batch": [{"offset": 1, "topology": {"revision": 1, "complete": True, "members": members or []}}],
+        },
+        "settings": SETTINGS
+        | {"Dcs": sorted({m["locality"] for m in members or []}) or SETTINGS["Dcs"]}
+        | (more or {}),
+    }
--- a/cypressledge/lab/slopes.py
+++ b/cypressledge/lab/slopes.py
@@ -158,8 +158,9 @@
     return stream.spent / 1e6 / came, len(stream.used), stream.given_up / came
 
 
-def in_rounds(sizes: tuple[int, ...], tables: int, seconds: float, rounds: int,
-              seed: int) -> dict[int, tuple[list[float], int, float]]:
+def in_rounds(
+    sizes: tuple[int, ...], tables: int, seconds: float, rounds: int, seed: int
+) -> dict[int, tuple[list[float], int, float]]:
     """By engines: ms a statement of each round, engines sent to, the part given up. All sizes take turns, so
     that the machine's ups and downs, which last for minutes, meet all of them alike."""
     streams = {n: Stream(module(n, fleet_before(n), seed), tables, seed) for n in sizes}
@@ -206,23 +207,61 @@
     fleets = (40, PEERS) if quick else (40, 120, 240, PEERS)
     peers = {n: statements(60, n, 40, seconds / 5, seed)[0] for n in fleets}
     made = [
-        ("module_ms", "the decision module, a statement, of 40 groups of tables", "ms", "engines",
-         [(n, ms[rounds // 2]) for n, (ms, _, _) in many.items()]),
-        ("engines_used", f"different engines sent to within {seconds:g} s at 500 statements/s", "engines",
-         "engines", [(n, used) for n, (_, used, _) in many.items()]),
-        ("module_one_table_ms", "the same, all statements of one group of tables", "ms", "engines",
-         [(n, ms[1]) for n, (ms, _, _) in one.items()]),
+        (
+            "module_ms",
+            "the decision module, a statement, of 40 groups of tables",
+            "ms",
+            "engines",
+            [(n, ms[rounds // 2]) for n, (ms, _, _) in many.items()],
+        ),
+        (
+            "engines_used",
+            f"different engines sent to within {seconds:g} s at 500 statements/s",
+            "engines",
+            "engines",
+            [(n, used) for n, (_, used, _) in many.items()],
+        ),
+        (
+            "module_one_table_ms",
+            "the same, all statements of one group of tables",
+            "ms",
+            "engines",
+            [(n, ms[1]) for n, (ms, _, _) in one.items()],
+        ),
         ("module_peers_ms", "the decision module before 60 engines", "ms", "brokers", list(peers.items())),
-        ("module_kb", "memory of the decision module", "KB", "engines",
-         [(n, module_kb(n, seed)) for n in sizes]),
-        ("module_list_ms", "the decision module told a whole list, and the next statement", "ms", "engines",
-         [(n, list_ms(n, seed)) for n in sizes])]
+        (
+            "module_kb",
+            "memory of the decision module",
+            "KB",
+            "engines",
+            [(n, module_kb(n, seed)) for n in sizes],
+        ),
+        (
+            "module_list_ms",
+            "the decision module told a whole list, and the next statement",
+            "ms",
+            "engines",
+            [(n, list_ms(n, seed)) for n in sizes],
+        ),
+    ]
     given_up = 100 * max(part for _, _, part in many.values())
     words = "statements that the module gave up, most of all sizes"
-    return ([slope(name, role, what, unit, x, points, told) for name, what, unit, x, points in made],
-            [Fact("module_given_up", words, given_up, "%", told),
-             *(Fact(f"module_{how}_ms", f"module_ms at {sizes[-1]} engines, the {how} of {rounds} rounds",
-                    many[sizes[-1]][0][at], "ms", told) for how, at in (("least", 0), ("most", -1)))])
+    return (
+        [slope(name, role, what, unit, x, points, told) for name, what, unit, x, points in made],
+        [
+            Fact("module_given_up", words, given_up, "%", told),
+            *(
+                Fact(
+                    f"module_{how}_ms",
+                    f"module_ms at {sizes[-1]} engines, the {how} of {rounds} rounds",
+                    many[sizes[-1]][0][at],
+                    "ms",
+                    told,
+                )
+                for how, at in (("least", 0), ("most", -1))
+            ),
+        ],
+    )
 
 
 # The directory's whole list
@@ -316,8 +355,11 @@
 
 def directory(quick: bool, seed: int, told: Source) -> tuple[list[Slope], list[Fact]]:
     """(b): the list of engines as the program polls and reads it now."""
-    bounds = {ANSWER_MOST: "the platform's answer of 8,000 bytes", DNS_MOST - HEADERS: "one UDP datagram",
-              DNS_MOST: "one DNS message"}
+    bounds = {
+        ANSWER_MOST: "the platform's answer of 8,000 bytes",
+        DNS_MOST - HEADERS: "one UDP datagram",
+        DNS_MOST: "one DNS message",
+    }
     fits = {bound: most_that_fit(bound) for bound in bounds}
     sizes = (12, 36, 60) if quick else (*ENGINES[:-1], fits[DNS_MOST - HEADERS])
     query = dns.message.make_query(NAME + ".", dns.rdatatype.SRV)
@@ -325,14 +367,25 @@
     reads = {n: read_ms(n) for n in sizes}
     polls = {n: poll_ms(n, 20) for n in sizes}
     role = "broker, control part"
-    made = [("directory_bytes", "directory", "the list of engines as one DNS message", "bytes",
-             {n: len(raw) for n, raw in raws.items() if raw is not None}),
-            ("directory_read_ms", role, "a changed list read, until the module is told", "ms", reads),
-            ("directory_poll_ms", role, "a poll that brings no change", "ms", polls)]
-    slopes = [slope(name, who, what, unit, "engines", [(n, y) for n, y in at.items() if y is not None], told)
-              for name, who, what, unit, at in made]
-    facts = [Fact(f"directory_fits_{bound}", f"engines whose list fits {words}", fits[bound], "engines", told)
-             for bound, words in bounds.items()]
+    made = [
+        (
+            "directory_bytes",
+            "directory",
+            "the list of engines as one DNS message",
+            "bytes",
+            {n: len(raw) for n, raw in raws.items() if raw is not None},
+        ),
+        ("directory_read_ms", role, "a changed list read, until the module is told", "ms", reads),
+        ("directory_poll_ms", role, "a poll that brings no change", "ms", polls),
+    ]
+    slopes = [
+        slope(name, who, what, unit, "engines", [(n, y) for n, y in at.items() if y is not None], told)
+        for name, who, what, unit, at in made
+    ]
+    facts = [
+        Fact(f"directory_fits_{bound}", f"engines whose list fits {words}", fits[bound], "engines", told)
+        for bound, words in bounds.items()
+    ]
     return slopes, facts
 
 
@@ -353,8 +406,13 @@
         rows = []
         for name in group:
             node, (cpu, sent, size) = world.nodes[name], before[name]
-            rows.append(((node.cpu - cpu) / seconds / 1e7, (node.sent - sent) / seconds,
-                         (node.bytes - size + HEADERS * (node.sent - sent)) / seconds / 1000))
+            rows.append(
+                (
+                    (node.cpu - cpu) / seconds / 1e7,
+                    (node.sent - sent) / seconds,
+                    (node.bytes - size + HEADERS * (node.sent - sent)) / seconds / 1000,
+                )
+            )
         columns = list(zip(*rows, strict=True))
         told[title] = tuple(f(column) for column in columns for f in (lambda v: sum(v) / len(v), max))
     if brokers <= LOSS_MOST:
@@ -377,13 +435,18 @@
         if held == LOSS_S and all(world.holders(f"lease-{i}") for i in range(50)):
             held = step / 4
     cpu = max((x.cpu - before[n][0]) / LOSS_S / 1e7 for n, x in world.nodes.items())
-    kb = max((x.bytes - before[n][2] + HEADERS * (x.sent - before[n][1])) / LOSS_S / 1000
-             for n, x in world.nodes.items())
+    kb = max(
+        (x.bytes - before[n][2] + HEADERS * (x.sent - before[n][1])) / LOSS_S / 1000
+        for n, x in world.nodes.items()
+    )
     return noticed, cpu, kb, held
 
 
-FIGURES = (("cpu", "processor time", "% of a core"), ("datagrams", "datagrams sent", "1/s"),
-           ("kb", "sent, with headers", "KB/s"))
+FIGURES = (
+    ("cpu", "processor time", "% of a core"),
+    ("datagrams", "datagrams sent", "1/s"),
+    ("kb", "sent, with headers", "KB/s"),
+)
 
 
 def together(quick: bool, seed: int, told: Source) -> list[Slope]:
@@ -395,20 +458,40 @@
         for i, (short, what, unit) in enumerate(FIGURES):
             for j, how in enumerate(("mean", "most")):
                 points = [(n, rows[group][2 * i + j]) for n, rows in found.items()]
-                slopes.append(slope(f"members_{group}_{short}_{how}", role,
-                                    f"members and 50 leases: {what}, {how}", unit, "brokers", points, told))
+                slopes.append(
+                    slope(
+                        f"members_{group}_{short}_{how}",
+                        role,
+                        f"members and 50 leases: {what}, {how}",
+                        unit,
+                        "brokers",
+                        points,
+                        told,
+                    )
+                )
     return slopes + losses(found, told)
 
 
 def losses(found: dict[int, dict[str, tuple[float, ...]]], told: Source) -> list[Slope]:
     """What a quarter of the brokers dying at once, as with a zone, asks of the others."""
-    made = (("noticed_s", "a quarter dies: until each of the others holds all of them for gone", "s"),
-            ("loss_cpu_most", "the 15 s after: processor time, most of a broker", "% of a core"),
-            ("loss_kb_most", "the 15 s after: sent, with headers, most of a broker", "KB/s"),
-            ("loss_held_s", "a quarter dies: until all 50 leases are held again", "s"))
-    return [slope(f"members_{name}", "broker, control part", what, unit, "brokers",
-                  [(n, rows["loss"][i]) for n, rows in found.items() if "loss" in rows], told)
-            for i, (name, what, unit) in enumerate(made)]
+    made = (
+        ("noticed_s", "a quarter dies: until each of the others holds all of them for gone", "s"),
+        ("loss_cpu_most", "the 15 s after: processor time, most of a broker", "% of a core"),
+        ("loss_kb_most", "the 15 s after: sent, with headers, most of a broker", "KB/s"),
+        ("loss_held_s", "a quarter dies: until all 50 leases are held again", "s"),
+    )
+    return [
+        slope(
+            f"members_{name}",
+            "broker, control part",
+            what,
+            unit,
+            "brokers",
+            [(n, rows["loss"][i]) for n, rows in found.items() if "loss" in rows],
+            told,
+        )
+        for i, (name, what, unit) in enumerate(made)
+    ]
 
 
 # The planner and the summary
@@ -416,6 +499,7 @@
 
 def sight(engines: list[int], bad: frozenset[int]) -> Sight:
     """What a broker tells of the engines it used: 64 at most, as `Evidence.sight` bounds it."""
+
     def seen(engine: int) -> EngineSeen:
         if engine in bad:
             return EngineSeen(engine, 0, 0, 0, 3, 1, 0, 4, 900)
@@ -429,12 +513,25 @@
     names = [f"n{i:03d}" for i in range(brokers)]
     listed = entries(engines)
     core = SimpleNamespace(
-        now=lambda: 100 * S, settings=SimpleNamespace(kind_cores=(8, 16)), requests={}, retell=lambda: None,
-        lists={"lines": [(e, Place(e.engine, "", ("", 0), "lines")) for e in listed]})
+        now=lambda: 100 * S,
+        settings=SimpleNamespace(kind_cores=(8, 16)),
+        requests={},
+        retell=lambda: None,
+        lists={"lines": [(e, Place(e.engine, "", ("", 0), "lines")) for e in listed]},
+    )
     sent: list[tuple[str, object]] = []
     site = Site(ZONES, {n: ZONES[i % 4] for i, n in enumerate(names)}, REGION, {})
-    zones = Zones(names[0], core, site, Pace(), lambda: 100 * S, lambda peer, item: sent.append((peer, item)),
-                  lambda: names[1:], lambda: names[:1], lambda event, **what: None)
+    zones = Zones(
+        names[0],
+        core,
+        site,
+        Pace(),
+        lambda: 100 * S,
+        lambda peer, item: sent.append((peer, item)),
+        lambda: names[1:],
+        lambda: names[:1],
+        lambda event, **what: None,
+    )
     bad = frozenset(e.engine for e in listed if e.zone == 0) if lost else frozenset()
     rng = random.Random(seed)
     for name in names:
@@ -466,15 +563,16 @@
 def figures_of(engines: int, avoided: int) -> Figures:
     """A broker's figures with so many engines avoided, 128 at most."""
     classes = {name: [40_000_000, 12_000, 3_000, 41_000_000] for name in ("lookup", "report", "order-load")}
-    return Figures(7, classes, [f"s-{stable(f's-{i}', 4):08x}" for i in range(min(avoided, ENGINES_MOST))],
-                   engines, 60)
+    return Figures(
+        7, classes, [f"s-{stable(f's-{i}', 4):08x}" for i in range(min(avoided, ENGINES_MOST))], engines, 60
+    )
 
 
 def summed(brokers: int, engines: int) -> tuple[float, int]:
     """ms of one summary of all brokers but a quarter (a zone that is gone), and its bytes."""
     names = [f"n{i:03d}" for i in range(brokers)]
     merge = Merge(7, 1 << 61, names[0])
-    for name in names[brokers // 4:]:
+    for name in names[brokers // 4 :]:
         merge.add(name, figures_of(engines, engines // 4))
     ms = middle_ms(lambda: merge.summary(names), 3)
     return ms, size(merge.summary(names))
@@ -502,27 +600,63 @@
     sums = {n: summed(n, engines) for n in sizes}
     by_engines = {n: plan_step(sizes[-1], n, True, seed)[0] for n in ((12, 60) if quick else ENGINES)}
     seen = {n: size(sight([stable(f"s-{i}") for i in range(n)], frozenset())) for n in (12, 36, 64)}
-    made = [("planner_well_ms", "one act of the planner, all well", "ms", "brokers",
-             {n: ms for n, (ms, _) in well.items()}),
-            ("planner_lost_ms", "one act of the planner, a zone lost", "ms", "brokers",
-             {n: ms for n, (ms, _) in lost.items()}),
-            ("planner_longest_ms", "its longest step", "ms", "brokers",
-             {n: most for n, (_, most) in lost.items()}),
-            ("planner_engines_ms", f"one act, a zone lost, {sizes[-1]} brokers", "ms", "engines", by_engines),
-            ("sight_bytes", "one broker's sight", "bytes", "engines it names", seen),
-            ("summary_ms", "one summary added up, a quarter missing", "ms", "brokers",
-             {n: ms for n, (ms, _) in sums.items()}),
-            ("summary_bytes", "one summary, a quarter missing, a quarter of the engines avoided", "bytes",
-             "brokers", {n: b for n, (_, b) in sums.items()})]
-    slopes = [slope(name, "planner", what, unit, x, list(points.items()), told)
-              for name, what, unit, x, points in made]
+    made = [
+        (
+            "planner_well_ms",
+            "one act of the planner, all well",
+            "ms",
+            "brokers",
+            {n: ms for n, (ms, _) in well.items()},
+        ),
+        (
+            "planner_lost_ms",
+            "one act of the planner, a zone lost",
+            "ms",
+            "brokers",
+            {n: ms for n, (ms, _) in lost.items()},
+        ),
+        (
+            "planner_longest_ms",
+            "its longest step",
+            "ms",
+            "brokers",
+            {n: most for n, (_, most) in lost.items()},
+        ),
+        ("planner_engines_ms", f"one act, a zone lost, {sizes[-1]} brokers", "ms", "engines", by_engines),
+        ("sight_bytes", "one broker's sight", "bytes", "engines it names", seen),
+        (
+            "summary_ms",
+            "one summary added up, a quarter missing",
+            "ms",
+            "brokers",
+            {n: ms for n, (ms, _) in sums.items()},
+        ),
+        (
+            "summary_bytes",
+            "one summary, a quarter missing, a quarter of the engines avoided",
+            "bytes",
+            "brokers",
+            {n: b for n, (_, b) in sums.items()},
+        ),
+    ]
+    slopes = [
+        slope(name, "planner", what, unit, x, list(points.items()), told)
+        for name, what, unit, x, points in made
+    ]
     zones, sent = planner(4, 60, True, seed)
     for _ in zones.act(Granted("zones", "zones", 1, 1, 200 * S)):
         pass
-    facts = [Fact("plan_bytes", "one plan of 4 zones and 2 regions", size(sent[0][1]), "bytes", told),
-             Fact("figures_bytes", "one broker's figures, 122 engines avoided", size(figures_of(490, 122)),
-                  "bytes", told),
-             Fact("sight_us", "a sight of 64 engines decoded and taken", sight_us(), "µs", told)]
+    facts = [
+        Fact("plan_bytes", "one plan of 4 zones and 2 regions", size(sent[0][1]), "bytes", told),
+        Fact(
+            "figures_bytes",
+            "one broker's figures, 122 engines avoided",
+            size(figures_of(490, 122)),
+            "bytes",
+            told,
+        ),
+        Fact("sight_us", "a sight of 64 engines decoded and taken", sight_us(), "µs", told),
+    ]
     return slopes, facts
 
 
@@ -533,11 +667,18 @@
     """A file of so many peers, five voters, 50 leases."""
     path = folder / f"{peers}.yaml"
     names = [f"n{i:03d}" for i in range(peers)]
-    path.write_text(yaml.safe_dump({
-        "peers": [{"name": n, "address": f"10.0.{i >> 8}.{i & 255}:9701", "zone": ZONES[i % 4]}
-                  for i, n in enumerate(names)],
-        "voters": [{"version": 1, "names": names[:5]}],
-        "leases": [{"name": f"lease-{i}"} for i in range(50)]}))
+    path.write_text(
+        yaml.safe_dump(
+            {
+                "peers": [
+                    {"name": n, "address": f"10.0.{i >> 8}.{i & 255}:9701", "zone": ZONES[i % 4]}
+                    for i, n in enumerate(names)
+                ],
+                "voters": [{"version": 1, "names": names[:5]}],
+                "leases": [{"name": f"lease-{i}"} for i in range(50)],
+            }
+        )
+    )
     return str(path)
 
 
@@ -555,8 +696,10 @@
         except ConfigError:
             most = fleet_settings.PEERS_MOST
     role, what = "broker, control part", "fleet.yaml read and checked"
-    return ([slope("fleet_yaml_ms", role, what, "ms", "brokers", points, told)],
-            [Fact("fleet_yaml_peers", "peers that fleet.yaml may name (460 tried)", most, "brokers", told)])
+    return (
+        [slope("fleet_yaml_ms", role, what, "ms", "brokers", points, told)],
+        [Fact("fleet_yaml_peers", "peers that fleet.yaml may name (460 tried)", most, "brokers", told)],
+    )
 
 
 # All of it
--- a/cypressledge/lab/slopes_process.py
+++ b/cypressledge/lab/slopes_process.py
@@ -55,9 +55,21 @@
     """A connection on which one lookup was answered: one that has said nothing whole is closed after 2 s."""
     sock = socket.create_connection(("127.0.0.1", port), 5.0)
     sock.settimeout(5.0)
-    body = json.dumps({"jsonrpc": "2.0", "id": 1, "method": "lookup", "params": {
-        "id": base64.b16encode(sock.getsockname()[1].to_bytes(4, "big")).decode(), "wait": 3_000,
-        "tenant": "sahel", "cost": 20.0, "mem": 10, "content": STATEMENT}}).encode()
+    body = json.dumps(
+        {
+            "jsonrpc": "2.0",
+            "id": 1,
+            "method": "lookup",
+            "params": {
+                "id": base64.b16encode(sock.getsockname()[1].to_bytes(4, "big")).decode(),
+                "wait": 3_000,
+                "tenant": "sahel",
+                "cost": 20.0,
+                "mem": 10,
+                "content": STATEMENT,
+            },
+        }
+    ).encode()
     sock.sendall(b"Content-Length: %d\r\n\r\n" % len(body) + body)
     answer(sock.makefile("rb"))
     return sock
@@ -105,20 +117,53 @@
     """(f): one broker as a process."""
     still = idle((50, 100) if quick else (100, 200, 400, 600))
     busy = {n: served(n, 1.0 if quick else 4.0) for n in ((4, 8) if quick else (4, 8, 16, 32))}
-    made = [("clients_mb", "memory of the process", "MB", "client connections",
-             {n: v[0] for n, v in still.items()}),
-            ("clients_fds", "descriptors of the process", "descriptors", "client connections",
-             {n: v[1] for n, v in still.items()}),
-            ("clients_idle_ms", "processor time with nobody asking", "ms/s", "client connections",
-             {n: v[2] for n, v in still.items()}),
-            ("connect_ms", "a client's connection and its first statement", "ms", "client connections",
-             {n: v[3] for n, v in still.items()}),
-            ("statement_ms", "the whole broker, a statement of JSON-RPC and lines", "ms", "engines",
-             {n: v[0] for n, v in busy.items()}),
-            ("links_fds", "engine connections of one broker", "descriptors", "engines",
-             {n: v[2] for n, v in busy.items()})]
-    slopes = [slope(name, ROLE, what, unit, x, list(points.items()), told)
-              for name, what, unit, x, points in made]
+    made = [
+        (
+            "clients_mb",
+            "memory of the process",
+            "MB",
+            "client connections",
+            {n: v[0] for n, v in still.items()},
+        ),
+        (
+            "clients_fds",
+            "descriptors of the process",
+            "descriptors",
+            "client connections",
+            {n: v[1] for n, v in still.items()},
+        ),
+        (
+            "clients_idle_ms",
+            "processor time with nobody asking",
+            "ms/s",
+            "client connections",
+            {n: v[2] for n, v in still.items()},
+        ),
+        (
+            "connect_ms",
+            "a client's connection and its first statement",
+            "ms",
+            "client connections",
+            {n: v[3] for n, v in still.items()},
+        ),
+        (
+            "statement_ms",
+            "the whole broker, a statement of JSON-RPC and lines",
+            "ms",
+            "engines",
+            {n: v[0] for n, v in busy.items()},
+        ),
+        (
+            "links_fds",
+            "engine connections of one broker",
+            "descriptors",
+            "engines",
+            {n: v[2] for n, v in busy.items()},
+        ),
+    ]
+    slopes = [
+        slope(name, ROLE, what, unit, x, list(points.items()), told) for name, what, unit, x, points in made
+    ]
     rate = sum(v[1] for v in busy.values()) / len(busy)
     words = "statements/s as statement_ms was measured, mean"
     return slopes, [Fact("statement_rate", words, rate, "1/s", told)]
--- a/cypressledge/lab/virtual.py
+++ b/cypressledge/lab/virtual.py
@@ -34,10 +34,21 @@
         self.cpu = self.sent = self.items = self.bytes = 0
         now = self.now()
         e = Electorate(name, world.term, dict(world.sets), max(world.sets), now)
-        self.members = Members(name, world.names, world.wall() // 1000, S // 2, run, self.out,
-                               lambda m, why: None)
-        self.keeper = Keeper(name, run, world.places, e, world.drift, now, world.wall(), run, self.out,
-                             lambda *told: world.told(self, *told))
+        self.members = Members(
+            name, world.names, world.wall() // 1000, S // 2, run, self.out, lambda m, why: None
+        )
+        self.keeper = Keeper(
+            name,
+            run,
+            world.places,
+            e,
+            world.drift,
+            now,
+            world.wall(),
+            run,
+            self.out,
+            lambda *told: world.told(self, *told),
+        )
         self.members.greet()
 
     def now(self) -> int:
@@ -74,8 +85,11 @@
         e = self.keeper.electorate
         for peer, items in queues.items():
             floor = e.floor(self.now())
-            raw = encode(Envelope(VERSION, self.name, peer, self.run, self.members.incarnation, e.version,
-                                  floor, items))
+            raw = encode(
+                Envelope(
+                    VERSION, self.name, peer, self.run, self.members.incarnation, e.version, floor, items
+                )
+            )
             self.sent, self.items, self.bytes = self.sent + 1, self.items + len(items), self.bytes + len(raw)
             self.world.carry(self.name, peer, (self.name, self.members.incarnation, floor, items))
 
@@ -83,8 +97,16 @@
 class World:
     """All nodes and the network. `cut`: pairs (from, to) that nothing passes."""
 
-    def __init__(self, names: list[str], voters: list[str], leases: int, seed: int, term: int = 3 * S,
-                 drift: int = 10_000, rates: dict[str, float] | None = None) -> None:
+    def __init__(
+        self,
+        names: list[str],
+        voters: list[str],
+        leases: int,
+        seed: int,
+        term: int = 3 * S,
+        drift: int = 10_000,
+        rates: dict[str, float] | None = None,
+    ) -> None:
         self.names, self.term, self.drift, self.rates = names, term, drift, rates or {}
         self.random = random.Random(seed)
         self.sets = {1: tuple(voters)}
@@ -168,8 +190,7 @@
 
     def holders(self, lease: str) -> list[str]:
         """Who believes in holding a lease now, by its own clock."""
-        return [n for n, node in self.nodes.items()
-                if node.keeper.seats[lease].claim.holds(node.now())]
+        return [n for n, node in self.nodes.items() if node.keeper.seats[lease].claim.holds(node.now())]
 
 
 def report(brokers: int, leases: int, voters: int, seconds: float, seed: int, say: Callable) -> int:
@@ -181,12 +202,23 @@
     world.run(round(seconds * S))
     rows = []
     for title, group in (("voters", names[:voters]), ("others", names[voters:])):
-        spent = [[(b - a) / seconds for a, b in zip(
-            before[n], (x.cpu, x.sent, x.items, x.bytes), strict=True)]
-            for n in group for x in (world.nodes[n],)]
+        spent = [
+            [(b - a) / seconds for a, b in zip(before[n], (x.cpu, x.sent, x.items, x.bytes), strict=True)]
+            for n in group
+            for x in (world.nodes[n],)
+        ]
         means = [sum(col) / len(col) for col in zip(*spent, strict=True)]
-        rows.append([title, len(group), f"{means[0] / 1e7:.3f}", f"{max(s[0] for s in spent) / 1e7:.3f}",
-                     f"{means[1]:.1f}", f"{means[2]:.1f}", f"{means[3] / 1000:.2f}"])
+        rows.append(
+            [
+                title,
+                len(group),
+                f"{means[0] / 1e7:.3f}",
+                f"{max(s[0] for s in spent) / 1e7:.3f}",
+                f"{means[1]:.1f}",
+                f"{means[2]:.1f}",
+                f"{means[3] / 1000:.2f}",
+            ]
+        )
     say(tabulate(rows, headers=["", "brokers", "cpu % mean", "cpu % most", "datagrams/s", "items/s", "kB/s"]))
     held = Counter(world.holders(f"lease-{i}")[0] for i in range(leases) if world.holders(f"lease-{i}"))
     say(f"leases held {sum(held.values())} of {leases}, by {len(held)} brokers, most {max(held.values())}")
@@ -206,6 +238,8 @@
                 back[lease] = world.at - died
     spread = Counter(world.holders(lease)[0] for lease in back)
     alive = sum(m.state == ALIVE for m in next(iter(world.nodes.values())).members.members.values())
-    say(f"{victim} killed with {len(lost)} leases: all held again after {max(back.values()) / S:.2f} s, "
-        f"by {len(spread)} brokers; {alive + 1} seen alive")
+    say(
+        f"{victim} killed with {len(lost)} leases: all held again after {max(back.values()) / S:.2f} s, "
+        f"by {len(spread)} brokers; {alive + 1} seen alive"
+    )
     return 0 if len(back) == len(lost) else 1
--- a/cypressledge/lab/zones.py
+++ b/cypressledge/lab/zones.py
@@ -60,9 +60,16 @@
 
     def member(self, broker: str) -> dict:
         """As a directory lists it to a broker."""
-        return {"id": self.name, "host_port": f"127.0.0.1:{self.servers[broker].server_port}",
-                "locality": self.zone, "cell": 0, "flavor": "node-8c", "phase": "Ready", "size": 4,
-                "up_since_ms": 0}
+        return {
+            "id": self.name,
+            "host_port": f"127.0.0.1:{self.servers[broker].server_port}",
+            "locality": self.zone,
+            "cell": 0,
+            "flavor": "node-8c",
+            "phase": "Ready",
+            "size": 4,
+            "up_since_ms": 0,
+        }
 
     def capacity(self) -> float:
         """Cores that it has at the moment."""
@@ -202,12 +209,25 @@
         if left <= 0.01:
             return
         ms = self.work_ms
-        statement = base64.b64encode(b"SELECT a FROM sales_%d.orders /* %d ms */" % (
-            self.random.randrange(20), ms)).decode()
+        statement = base64.b64encode(
+            b"SELECT a FROM sales_%d.orders /* %d ms */" % (self.random.randrange(20), ms)
+        ).decode()
         self.counts["sent"] += 1
-        body = json.dumps({"jsonrpc": "2.0", "id": self.counts["sent"], "method": "lookup", "params": {
-            "id": secrets.token_hex(8), "wait": int(left * 1000), "tenant": "sahel", "cost": float(ms),
-            "mem": 10, "content": statement}}).encode()
+        body = json.dumps(
+            {
+                "jsonrpc": "2.0",
+                "id": self.counts["sent"],
+                "method": "lookup",
+                "params": {
+                    "id": secrets.token_hex(8),
+                    "wait": int(left * 1000),
+                    "tenant": "sahel",
+                    "cost": float(ms),
+                    "mem": 10,
+                    "content": statement,
+                },
+            }
+        ).encode()
         sock.sendall(b"Content-Length: %d\r\n\r\n" % len(body) + body)
         if "result" in answer(file):
             late = time.monotonic() - came > AIM_S + STRETCH * ms / 1000
@@ -222,15 +242,25 @@
     """Brokers as processes, engines in three zones, and a load; with `relayed`, relays between every two
     brokers. `rate`: of all engines' cores."""
 
-    def __init__(self, count: int, on: bool, seed: int, rate: float, relayed: bool = False,
-                 hold_s: float = 3.0, warm_s: float = WARM_S, regions: list[dict] | None = None) -> None:
+    def __init__(
+        self,
+        count: int,
+        on: bool,
+        seed: int,
+        rate: float,
+        relayed: bool = False,
+        hold_s: float = 3.0,
+        warm_s: float = WARM_S,
+        regions: list[dict] | None = None,
+    ) -> None:
         self.names = [f"n{i}" for i in range(count)]
         self.on, self.seed, self.rate, self.hold_s, self.warm_s = on, seed, rate, hold_s, warm_s
         self.regions, self.load = regions or [], None
         self.ports = udp_ports(self.names)
         self.relays = Relays(self.ports, seed) if relayed else None
-        self.engines = [CoreEngine(f"s-{z[-1]}{n}", z, CORES, self.names, warm_s)
-                        for z in ZONES for n in range(3)]
+        self.engines = [
+            CoreEngine(f"s-{z[-1]}{n}", z, CORES, self.names, warm_s) for z in ZONES for n in range(3)
+        ]
         self.fleet = Brokers()
 
     def __getitem__(self, name: str) -> BrokerProcess:
@@ -245,12 +275,16 @@
         rules = SETTINGS["Rules"] | {"WarmWithin": round(self.warm_s * 1e6)}
         family = SETTINGS["FamilyInfo"] | {"CoresByKind": [CORES, CORES]}
         for slot, name in enumerate(self.names):
-            self.fleet.add(name, self._settings(name), [e.member(name) for e in self.engines], {
-                "Rules": rules, "FamilyInfo": family, "SlotNo": slot,
-                "PeersTotal": len(self.names)}).start(self.on)
+            self.fleet.add(
+                name,
+                self._settings(name),
+                [e.member(name) for e in self.engines],
+                {"Rules": rules, "FamilyInfo": family, "SlotNo": slot, "PeersTotal": len(self.names)},
+            ).start(self.on)
         brokers = self.fleet.all.values()
         if not until(lambda: all("listening on" in b.words() or not b.running() for b in brokers), 30) or (
-                not all(b.running() for b in brokers)):
+            not all(b.running() for b in brokers)
+        ):
             raise RuntimeError("the brokers did not start: " + "".join(b.words()[-500:] for b in brokers))
         if self.on and not until(lambda: all(self.status(n).get("token") for n in self.names), 20):
             raise RuntimeError("no planner")
@@ -264,14 +298,19 @@
             near = self.relays is None or peer == name
             return f"127.0.0.1:{self.ports[peer]}" if near else self.relays.address(name, peer)
 
-        voting = self.names[:3 if len(self.names) < 5 else 5]
+        voting = self.names[: 3 if len(self.names) < 5 else 5]
         return {
-            "peers": [{"name": n, "address": where(n), "zone": ZONES[i % 3]}
-                      for i, n in enumerate(self.names)],
-            "voters": [{"version": 1, "names": voting}], "term_s": 1.5, "ping_s": 0.2,
-            "zone_pace": {"hold_s": self.hold_s}, "leases": [{"name": "zones"}],
+            "peers": [
+                {"name": n, "address": where(n), "zone": ZONES[i % 3]} for i, n in enumerate(self.names)
+            ],
+            "voters": [{"version": 1, "names": voting}],
+            "term_s": 1.5,
+            "ping_s": 0.2,
+            "zone_pace": {"hold_s": self.hold_s},
+            "leases": [{"name": "zones"}],
             "regions": self.regions,
-            "tasks": [{"kind": "zones", "lease": "zones", "longest_s": 0.5, "priority": 0}]}
+            "tasks": [{"kind": "zones", "lease": "zones", "longest_s": 0.5, "priority": 0}],
+        }
 
     def status(self, name: str) -> dict:
         """How a broker sees the zones; empty where it does not answer."""
@@ -353,14 +392,19 @@
             self._ration(place.engines)
             self.events = place.events("plan_taken", "zone_leaving", "zones_left_alone")
             self._times(zone, at, back)
-            self.false = sum(1 for e in self.events if e["event"] != "plan_taken" and (
-                kind not in KINDS or zone not in e.get("zone", e.get("zones", ""))))
+            self.false = sum(
+                1
+                for e in self.events
+                if e["event"] != "plan_taken"
+                and (kind not in KINDS or zone not in e.get("zone", e.get("zones", "")))
+            )
         finally:
             place.close()
         return self
 
-    def _fail(self, kind: str, zone: str, engines: list[CoreEngine], names: list[str],
-              seconds: float) -> None:
+    def _fail(
+        self, kind: str, zone: str, engines: list[CoreEngine], names: list[str], seconds: float
+    ) -> None:
         lost = [e for e in engines if e.zone == zone]
         end = time.monotonic() + seconds
         if kind in KINDS:
@@ -396,9 +440,11 @@
         """The run in one line."""
         left = "" if self.left_at is None else f", left by all after {self.left_at:.2f} s"
         back = "" if self.back_s is None else f", whole again after {self.back_s:.1f} s"
-        return (f"seed {self.seed} {'on ' if self.on else 'off'}: {zone} {how} for {out_s:.1f} s: last send "
-                f"into it {self.last_send:.2f} s{left}, kept {self.kept:.1f}%, fallen over {self.fallen}, "
-                f"further attempts {self.further}, false departures {self.false}{back}")
+        return (
+            f"seed {self.seed} {'on ' if self.on else 'off'}: {zone} {how} for {out_s:.1f} s: last send "
+            f"into it {self.last_send:.2f} s{left}, kept {self.kept:.1f}%, fallen over {self.fallen}, "
+            f"further attempts {self.further}, false departures {self.false}{back}"
+        )
 
     def _ration(self, engines: list[CoreEngine]) -> None:
         """Attempts beyond each query's first, over all brokers together: at most 3 a broker and a tenth of
@@ -441,10 +487,12 @@
     broken = sum(h.ration_broken for h in offs + ons)
     false = sum(h.false for h in ons)
     last_off, last_on = most(offs, lambda h: h.last_send), most(ons, lambda h: h.last_send)
-    say(f"zones: seeds {runs}, last send into the lost zone off {last_off:.2f} s / on {last_on:.2f} s, worth "
+    say(
+        f"zones: seeds {runs}, last send into the lost zone off {last_off:.2f} s / on {last_on:.2f} s, worth "
         f"kept off {mean(offs, lambda h: h.kept):.1f}% / on "
         f"{mean(ons, lambda h: h.kept):.1f}%, engines fallen over off {sum(h.fallen for h in offs)} / on "
-        f"{sum(h.fallen for h in ons)}, ration broken {broken}, false departures {false}")
+        f"{sum(h.fallen for h in ons)}, ration broken {broken}, false departures {false}"
+    )
     if broken or false:
         return 1
     return 3 if (not kind or kind in KINDS) and not any(h.last_send for h in offs) else 0
--- a/cypressledge/lab/zonesize.py
+++ b/cypressledge/lab/zonesize.py
@@ -150,8 +150,9 @@
     def _do(self, action: c.Action, now: int) -> None:
         if isinstance(action, c.Send):
             request = self.requests[action.request]
-            attempt = Attempt(request, len(request.attempts), self.world.places[action.engine], now,
-                              request.query.due, now)
+            attempt = Attempt(
+                request, len(request.attempts), self.world.places[action.engine], now, request.query.due, now
+            )
             request.attempts.append(attempt)
             self.world.send(self, attempt)
         elif isinstance(action, c.Timer):
@@ -213,8 +214,9 @@
 class World:
     """So many brokers and engines, one schedule."""
 
-    def __init__(self, seed: int, brokers: int, engines: int, zones: int, load: float, on: bool,
-                 loss: float = 0.01) -> None:
+    def __init__(
+        self, seed: int, brokers: int, engines: int, zones: int, load: float, on: bool, loss: float = 0.01
+    ) -> None:
         self.seed, self.on, self.loss, self.zone_count = seed, on, loss, zones
         self.random = random.Random(seed)
         self.now = EPOCH
@@ -240,16 +242,28 @@
     def settings(self, number: int) -> c.Settings:
         """The site, as each module is told."""
         return c.Settings(
-            classes=(c.ClassSettings(AIM, WAIT, aim_stretch=1.5, late_worth=0.1),), kind_cores=(CORES,),
-            tick=STEP, slot=number, peers=self.brokers_count, may_cancel=True, max_attempts=3,
-            start_capacity=START, warm_within=WARM, fall_multiple=FALL, fall_window=FALL_SPAN,
-            retry_ratio=0.1, retry_free=3.0, retry_window=5 * S)
+            classes=(c.ClassSettings(AIM, WAIT, aim_stretch=1.5, late_worth=0.1),),
+            kind_cores=(CORES,),
+            tick=STEP,
+            slot=number,
+            peers=self.brokers_count,
+            may_cancel=True,
+            max_attempts=3,
+            start_capacity=START,
+            warm_within=WARM,
+            fall_multiple=FALL,
+            fall_window=FALL_SPAN,
+            retry_ratio=0.1,
+            retry_free=3.0,
+            retry_window=5 * S,
+        )
 
     def _join(self, broker: ModelBroker) -> None:
         if self.on:
             self._zones(broker)
-        broker.lists["model"] = [(c.Entry(e.number, c.State.READY, 0, e.zone, 0, 0), self.places[e.number])
-                                 for e in self.engines]
+        broker.lists["model"] = [
+            (c.Entry(e.number, c.State.READY, 0, e.zone, 0, 0), self.places[e.number]) for e in self.engines
+        ]
         broker.retell()
 
     def _zones(self, broker: ModelBroker) -> None:
@@ -267,9 +281,17 @@
                 self.plan_taken.setdefault(number, self.now)
 
         peers = [name for name in names if name != broker.name]
-        broker.zones = Zones(broker.name, broker, site, Pace(start=START, warm=WARM), self.time, out,
-                             lambda: [p for p in peers if self.brokers[int(p[1:])].alive],
-                             lambda: [f"n{self.planner}"], told)
+        broker.zones = Zones(
+            broker.name,
+            broker,
+            site,
+            Pace(start=START, warm=WARM),
+            self.time,
+            out,
+            lambda: [p for p in peers if self.brokers[int(p[1:])].alive],
+            lambda: [f"n{self.planner}"],
+            told,
+        )
         broker.zones.waiting = False
         broker.zones.planner_name = f"n{self.planner}"
 
@@ -345,7 +367,8 @@
         self._arrivals()
         if self.on and self.now >= self.plan_from and self.now % PLAN_EVERY == 0:
             for _ in self.brokers[self.planner].zones.act(
-                    Granted("zones", "zones", self.token, self.token, self.now + S)):
+                Granted("zones", "zones", self.token, self.token, self.now + S)
+            ):
                 pass
         late = self.now % 100_000 == 0
         for broker in self.brokers:
@@ -457,8 +480,9 @@
 
 def both(job: Job) -> tuple[Job, Told, Told]:
     """Play it off and on."""
-    off, on = (play(job.seed, job.brokers, job.engines, job.zones, job.kind, way, job.load)
-               for way in (False, True))
+    off, on = (
+        play(job.seed, job.brokers, job.engines, job.zones, job.kind, way, job.load) for way in (False, True)
+    )
     return job, off, on
 
 
@@ -471,30 +495,69 @@
     def mean(of, halves):
         return sum(map(of, halves)) / len(halves)
 
-    return [kind, len(done), most(lambda t: t.last_send, offs), most(lambda t: t.last_send, ons),
-            most(lambda t: t.in_force, ons), mean(lambda t: t.kept, offs), mean(lambda t: t.kept, ons),
-            sum(t.fallen for t in offs), sum(t.fallen for t in ons), most(lambda t: t.whole_at, ons),
-            sum(t.false for t in ons)]
-
-
-def run(brokers: int, engines: int, zones: int, kind: str, seed: int, runs: int, load: float, workers: int,
-        plot: str, say: Callable[[str], None]) -> int:
+    return [
+        kind,
+        len(done),
+        most(lambda t: t.last_send, offs),
+        most(lambda t: t.last_send, ons),
+        most(lambda t: t.in_force, ons),
+        mean(lambda t: t.kept, offs),
+        mean(lambda t: t.kept, ons),
+        sum(t.fallen for t in offs),
+        sum(t.fallen for t in ons),
+        most(lambda t: t.whole_at, ons),
+        sum(t.false for t in ons),
+    ]
+
+
+def run(
+    brokers: int,
+    engines: int,
+    zones: int,
+    kind: str,
+    seed: int,
+    runs: int,
+    load: float,
+    workers: int,
+    plot: str,
+    say: Callable[[str], None],
+) -> int:
     """Play so many seeds of each kind; a table, and a plot of the first. 1: an engine fell over with the part
     on, or a zone was left for nothing."""
     kinds = tuple(k.strip() for k in kind.split(",")) if kind else SCHEDULES
-    jobs = [Job(n, brokers, engines, zones or 2 + n % 5, k, load)
-            for k in kinds for n in range(seed, seed + runs)]
+    jobs = [
+        Job(n, brokers, engines, zones or 2 + n % 5, k, load) for k in kinds for n in range(seed, seed + runs)
+    ]
     done: dict[str, list] = {k: [] for k in kinds}
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
         for job, off, on in pool.map(both, jobs):
             done[job.kind].append((job, off, on))
     rows = [_row(k, found) for k, found in done.items()]
-    say(tabulate(rows, floatfmt=".2f", missingval="-", headers=[
-        "kind", "seeds", "last send off, s", "on", "plan in force, s", "kept off, %", "on", "fallen off",
-        "on", "whole again, s", "false departures"]))
+    say(
+        tabulate(
+            rows,
+            floatfmt=".2f",
+            missingval="-",
+            headers=[
+                "kind",
+                "seeds",
+                "last send off, s",
+                "on",
+                "plan in force, s",
+                "kept off, %",
+                "on",
+                "fallen off",
+                "on",
+                "whole again, s",
+                "false departures",
+            ],
+        )
+    )
     fallen, false = sum(r[8] for r in rows), sum(r[10] for r in rows)
-    say(f"{brokers} brokers, {engines} engines, {zones or '2 to 6'} zones, load {load:g} of the cores, seeds "
-        f"{seed} to {seed + runs - 1}: engines fallen over on {fallen}, false departures {false}")
+    say(
+        f"{brokers} brokers, {engines} engines, {zones or '2 to 6'} zones, load {load:g} of the cores, seeds "
+        f"{seed} to {seed + runs - 1}: engines fallen over on {fallen}, false departures {false}"
+    )
     if plot:
         draw(done[kinds[0]][0], plot)
         say(f"drawn: {plot}")
@@ -516,8 +579,9 @@
             axis.plot([p[0] for p in told.curve], [p[column + 1] for p in told.curve], label=name)
         axis.set_ylabel(title)
         axis.legend()
-    axes[0].set_title(f"{job.kind}, seed {job.seed}: {job.brokers} brokers, {job.engines} engines, "
-                      f"{job.zones} zones")
+    axes[0].set_title(
+        f"{job.kind}, seed {job.seed}: {job.brokers} brokers, {job.engines} engines, " f"{job.zones} zones"
+    )
     axes[-1].set_xlabel("s")
     figure.savefig(path, dpi=80)
     pyplot.close(figure)
--- a/cypressledge/net/admin.py
+++ b/cypressledge/net/admin.py
@@ -98,6 +98,13 @@
     def _engines(self) -> list[dict]:
         out = {e.id: len(e.out) for e in self.core.manager.engines.values()}
         return [
-            {"name": place.name, "address": "%s:%d" % place.address, "wire": place.wire,
-             "state": entry.state.name.lower(), "attempts": out.get(place.id, 0)}
-            for held in self.core.lists.values() for entry, place in held]
+            {
+                "name": place.name,
+                "address": "%s:%d" % place.address,
+                "wire": place.wire,
+                "state": entry.state.name.lower(),
+                "attempts": out.get(place.id, 0),
+            }
+            for held in self.core.lists.values()
+            for entry, place in held
+        ]
--- a/cypressledge/net/buffer.py
+++ b/cypressledge/net/buffer.py
@@ -50,7 +50,7 @@
         """Read once from the socket; 0 at its end. Once bytes are read nothing here lets others have a turn:
         a time-out that came there would leave them unseen."""
         self._room()
-        with memoryview(self.data) as view, view[self.end:] as free:
+        with memoryview(self.data) as view, view[self.end :] as free:
             got = sock.recv_into(free)
             self.full = got == len(free)
         self.end += got
@@ -63,7 +63,7 @@
         if unread >= self.cap:
             raise TooLong(f"{unread} bytes unread")
         if self.start:
-            self.data[:unread] = self.data[self.start:self.end]
+            self.data[:unread] = self.data[self.start : self.end]
             self.start, self.end = 0, unread
         if len(self.data) - unread < READ:
             more = max(len(self.data), READ)
@@ -78,13 +78,13 @@
             if len(self) > most:
                 raise TooLong(f"no end of line in {most} bytes")
             return None
-        return bytes(self.data[self.start:at])
+        return bytes(self.data[self.start : at])
 
     def take(self, n: int) -> bytes | None:
         """Take n bytes; None while they have not all come."""
         if len(self) < n:
             return None
-        got = bytes(self.data[self.start:self.start + n])
+        got = bytes(self.data[self.start : self.start + n])
         self._skip(self.start + n)
         return got
 
--- a/cypressledge/net/clickhouse.py
+++ b/cypressledge/net/clickhouse.py
@@ -25,10 +25,17 @@
 
 # ClickHouse's own error codes: name, and the HTTP status that its server gives them
 CODES = {
-    36: ("BAD_ARGUMENTS", 400), 48: ("NOT_IMPLEMENTED", 501), 62: ("SYNTAX_ERROR", 400),
-    73: ("UNKNOWN_FORMAT", 404), 115: ("UNKNOWN_SETTING", 404), 159: ("TIMEOUT_EXCEEDED", 408),
-    164: ("READONLY", 500), 202: ("TOO_MANY_SIMULTANEOUS_QUERIES", 503), 210: ("NETWORK_ERROR", 500),
-    216: ("QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING", 500), 381: ("HTTP_LENGTH_REQUIRED", 411),
+    36: ("BAD_ARGUMENTS", 400),
+    48: ("NOT_IMPLEMENTED", 501),
+    62: ("SYNTAX_ERROR", 400),
+    73: ("UNKNOWN_FORMAT", 404),
+    115: ("UNKNOWN_SETTING", 404),
+    159: ("TIMEOUT_EXCEEDED", 408),
+    164: ("READONLY", 500),
+    202: ("TOO_MANY_SIMULTANEOUS_QUERIES", 503),
+    210: ("NETWORK_ERROR", 500),
+    216: ("QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING", 500),
+    381: ("HTTP_LENGTH_REQUIRED", 411),
     516: ("AUTHENTICATION_FAILED", 403),
 }
 ROWS = {"Content-Type": "text/tab-separated-values; charset=UTF-8", "X-ClickHouse-Format": "TabSeparated"}
@@ -37,14 +44,28 @@
 ID = re.compile(r"[!-~]{1,128}\Z", re.A)
 # Possessive, against statements made to backtrack: 20 comments in a row took 0.3 s, 40 would take days.
 FORMAT = re.compile(r"\bFORMAT\s++(\w++)\s*+(?:;\s*+)?\Z", re.I | re.A)
-WRITES = re.compile(r"(?:\s|--[^\n]*\n|(?>/\*.*?\*/))*+(?:insert|create|alter|drop|truncate|delete|update)\b",
-                    re.I | re.S)
+WRITES = re.compile(
+    r"(?:\s|--[^\n]*\n|(?>/\*.*?\*/))*+(?:insert|create|alter|drop|truncate|delete|update)\b", re.I | re.S
+)
 TSV = frozenset(("TabSeparated", "TSV"))
 UNSUPPORTED = ("session_id", "compress", "decompress", "database", "role", "quota_key")
-HEARD = frozenset((
-    "query", "query_id", "user", "password", "workload", "max_execution_time", "default_format",
-    "insert_deduplication_token", "wait_end_of_query", "cancel_http_readonly_queries_on_client_close",
-    "cost_ms", "memory_mb", "client_retry"))
+HEARD = frozenset(
+    (
+        "query",
+        "query_id",
+        "user",
+        "password",
+        "workload",
+        "max_execution_time",
+        "default_format",
+        "insert_deduplication_token",
+        "wait_end_of_query",
+        "cancel_http_readonly_queries_on_client_close",
+        "cost_ms",
+        "memory_mb",
+        "client_retry",
+    )
+)
 NEVER_RAN_CODES = frozenset((0, 202, 439))  # with HTTP 503: turned away unseen
 CLIENTS_FAULT = frozenset((400, 404, 413, 501))  # an engine's statuses for a statement that can't work
 LANES = {0: 4, 1: 3, 2: 2, 3: 1}  # the module's priority as ClickHouse's: 1 is the highest
@@ -65,16 +86,20 @@
     """A whole answer that is an exception, worded as ClickHouse words them."""
     name = CODES.get(code, ("UNKNOWN_EXCEPTION", 0))[0]
     line = text if text.startswith("Code: ") else f"Code: {code}. DB::Exception: {text}. ({name})"
-    exchange.answer(status, {"Content-Type": "text/plain; charset=UTF-8",
-                             "X-ClickHouse-Exception-Code": str(code)} | (more or {}),
-                    line.encode().rstrip(b"\n") + b"\n")
+    exchange.answer(
+        status,
+        {"Content-Type": "text/plain; charset=UTF-8", "X-ClickHouse-Exception-Code": str(code)}
+        | (more or {}),
+        line.encode().rstrip(b"\n") + b"\n",
+    )
 
 
 class ChFront:
     """Takes queries over HTTP into the core."""
 
-    def __init__(self, core: Core, listen: tuple[str, int], classes: tuple[str, ...],
-                 tenants: Tenants) -> None:
+    def __init__(
+        self, core: Core, listen: tuple[str, int], classes: tuple[str, ...], tenants: Tenants
+    ) -> None:
         self.core, self.tenants, self.counters = core, tenants, core.counters
         self.names = classes
         self.classes = {name: i for i, name in enumerate(classes)}
@@ -93,8 +118,11 @@
             raise ChError(48, f"Method {r.method} is not supported")
         if r.path == "/ping":
             healthy = self.core.serving()
-            exchange.answer(200 if healthy else 503, {"Content-Type": "text/plain"},
-                            b"Ok.\n" if healthy else b"Not serving.\n")
+            exchange.answer(
+                200 if healthy else 503,
+                {"Content-Type": "text/plain"},
+                b"Ok.\n" if healthy else b"Not serving.\n",
+            )
         elif r.path != "/":
             raise ChError(48, f"There is no handler {r.path}", 404)
         elif r.method == "GET" and "query" not in r.params:
@@ -130,8 +158,11 @@
         name, key = ways[0] if ways else ("default", "")
         tenant = self.tenants.find(name, key)
         if tenant is None:
-            raise ChError(516, f"{name[:64]}: Authentication failed: password is incorrect, "
-                               "or there is no user with such name")
+            raise ChError(
+                516,
+                f"{name[:64]}: Authentication failed: password is incorrect, "
+                "or there is no user with such name",
+            )
         return tenant
 
     def _read(self, r: HttpRequest, tenant: Tenant) -> Query:
@@ -152,10 +183,18 @@
         seconds = _figure(r, "max_execution_time")
         wait = min(int(seconds * 1e6), spec.deadline) if seconds else spec.deadline
         return Query(
-            id=name, cls=cls, class_name=self.names[cls], tenant=tenant.name, statement=statement,
-            due=now + wait, key=key, cost=int(_figure(r, "cost_ms") * 1000),
-            memory_mb=_figure(r, "memory_mb"), group=table_group(text, escapes=True),
-            repeat=r.params.get("client_retry") == "1")
+            id=name,
+            cls=cls,
+            class_name=self.names[cls],
+            tenant=tenant.name,
+            statement=statement,
+            due=now + wait,
+            key=key,
+            cost=int(_figure(r, "cost_ms") * 1000),
+            memory_mb=_figure(r, "memory_mb"),
+            group=table_group(text, escapes=True),
+            repeat=r.params.get("client_retry") == "1",
+        )
 
     def _class(self, r: HttpRequest, text: str) -> int:
         """The class named by `workload`; without it, loads are told by their statement."""
@@ -271,8 +310,13 @@
     def refused(self, after: int) -> None:
         if not self.exchange.over:
             self._close()
-            refuse(self.exchange, 202, 503, "Too many simultaneous queries",
-                   self._named() | {"Retry-After": str(max(math.ceil(after / 1e6), 1))})
+            refuse(
+                self.exchange,
+                202,
+                503,
+                "Too many simultaneous queries",
+                self._named() | {"Retry-After": str(max(math.ceil(after / 1e6), 1))},
+            )
 
     def failed(self, fault: Fault) -> None:
         if self.exchange.over:
@@ -446,10 +490,15 @@
         a, q = self.attempt, self.attempt.query
         left = max(a.until - monotonic_us(), 1000) / 1e6
         settings = {
-            "query_id": q.id, "workload": q.class_name, "max_execution_time": f"{left:.3f}",
-            "priority": str(LANES[a.request.priority]), "default_format": "TabSeparated",
-            "cancel_http_readonly_queries_on_client_close": "1", "send_progress_in_http_headers": "1",
-            "http_headers_progress_interval_ms": "1000"}
+            "query_id": q.id,
+            "workload": q.class_name,
+            "max_execution_time": f"{left:.3f}",
+            "priority": str(LANES[a.request.priority]),
+            "default_format": "TabSeparated",
+            "cancel_http_readonly_queries_on_client_close": "1",
+            "send_progress_in_http_headers": "1",
+            "http_headers_progress_interval_ms": "1000",
+        }
         if q.key:
             settings["insert_deduplication_token"] = q.key
         if a.request.grant_mb >= 1:
@@ -458,8 +507,10 @@
 
     def _message(self, settings: dict[str, str], statement: bytes) -> bytes:
         host, port = self.attempt.place.address
-        head = (f"POST /?{urlencode(settings)} HTTP/1.1\r\nHost: {host}:{port}\r\n{self.link.headers}"
-                f"Content-Length: {len(statement)}\r\n\r\n")
+        head = (
+            f"POST /?{urlencode(settings)} HTTP/1.1\r\nHost: {host}:{port}\r\n{self.link.headers}"
+            f"Content-Length: {len(statement)}\r\n\r\n"
+        )
         return head.encode() + statement
 
     def _verdict(self) -> tuple[Outcome, Fault | None]:
@@ -502,7 +553,7 @@
         """Rows, or the text of an error."""
         if self.status != 200 or self.code:
             if self.size < ERROR_MOST:
-                self.held.append(body[:ERROR_MOST - self.size])
+                self.held.append(body[: ERROR_MOST - self.size])
                 self.size += len(body)
         elif self.tag:
             self._tagged(body)
--- a/cypressledge/net/directory.py
+++ b/cypressledge/net/directory.py
@@ -69,8 +69,14 @@
     def pair(self, e: Listed) -> tuple[Entry, Place]:
         """An engine as the module knows it, and where it listens."""
         number = stable(e.name)
-        entry = Entry(number, e.state, self.kinds.get(e.kind, 0), self.zones.get(e.zone, 0),
-                      e.cell, self.starts.at(e.name, e.born_ms))
+        entry = Entry(
+            number,
+            e.state,
+            self.kinds.get(e.kind, 0),
+            self.zones.get(e.zone, 0),
+            e.cell,
+            self.starts.at(e.name, e.born_ms),
+        )
         return entry, Place(number, e.name, (e.host, e.port), self.wire, e.born_ms)
 
     def tell(self, core: Core, kind: ListKind, engines: Iterable[Listed]) -> None:
@@ -94,8 +100,15 @@
                 continue
             host, _, port = m["host_port"].rpartition(":")
             engines[m["id"]] = Listed(
-                m["id"], host, int(port), STATES[m["phase"]], m.get("flavor", ""), m.get("locality", ""),
-                int(m.get("cell", 0)), int(m.get("up_since_ms") or 0))
+                m["id"],
+                host,
+                int(port),
+                STATES[m["phase"]],
+                m.get("flavor", ""),
+                m.get("locality", ""),
+                int(m.get("cell", 0)),
+                int(m.get("up_since_ms") or 0),
+            )
     return int(config.get("offset", 0)), list(engines.values())
 
 
@@ -239,8 +252,15 @@
             raise BadRecord(f"no address for {srv.target}")
         labels = [label.decode() for label in srv.target.labels]
         info = infos.get(srv.target, {})
-        engines.append(replace(
-            Listed(labels[0], hosts[srv.target], srv.port, State.DRAINING if srv.priority else State.READY),
-            kind=info.get("kind", ""), zone=labels[1] if len(labels) > 1 else "",
-            cell=int(info.get("cell") or 0), born_ms=int(info.get("started") or 0)))
+        engines.append(
+            replace(
+                Listed(
+                    labels[0], hosts[srv.target], srv.port, State.DRAINING if srv.priority else State.READY
+                ),
+                kind=info.get("kind", ""),
+                zone=labels[1] if len(labels) > 1 else "",
+                cell=int(info.get("cell") or 0),
+                born_ms=int(info.get("started") or 0),
+            )
+        )
     return engines
--- a/cypressledge/net/dnssd.py
+++ b/cypressledge/net/dnssd.py
@@ -16,8 +16,9 @@
 class DnsSd(Poller):
     """Browses one service type."""
 
-    def __init__(self, core: Core, server: tuple[str, int] | None, service: str,
-                 catalogue: Catalogue) -> None:
+    def __init__(
+        self, core: Core, server: tuple[str, int] | None, service: str, catalogue: Catalogue
+    ) -> None:
         super().__init__(core, server, catalogue, "dns-sd")
         self.last: list[Listed] | None = None
         self.browse(server, service)
@@ -41,8 +42,9 @@
     def _browse(self) -> list[Listed]:
         answer = self._ask(self.service, dns.rdatatype.PTR)
         records = _by_name([*answer.answer, *answer.additional])
-        return [self._resolve(ptr.target, records)
-                for ptr in records.get((self.service, dns.rdatatype.PTR), ())]
+        return [
+            self._resolve(ptr.target, records) for ptr in records.get((self.service, dns.rdatatype.PTR), ())
+        ]
 
     def _resolve(self, instance: dns.name.Name, records: dict) -> Listed:
         srv = self._record(instance, dns.rdatatype.SRV, records)[0]
@@ -52,8 +54,13 @@
         if state is None:
             raise BadRecord(f"state of {instance}")
         engine = Listed(info.get("id") or instance.labels[0].decode(), host, srv.port, state)
-        return replace(engine, kind=info.get("kind", ""), zone=info.get("zone", ""),
-                       cell=int(info.get("cell") or 0), born_ms=int(info.get("started") or 0))
+        return replace(
+            engine,
+            kind=info.get("kind", ""),
+            zone=info.get("zone", ""),
+            cell=int(info.get("cell") or 0),
+            born_ms=int(info.get("started") or 0),
+        )
 
     def _record(self, name: dns.name.Name, kind, records: dict) -> list:
         """From the additional section, where the server put it there, else by a query of its own."""
--- a/cypressledge/net/http.py
+++ b/cypressledge/net/http.py
@@ -12,7 +12,19 @@
 from cypressledge.counters import Counters
 from cypressledge.net.buffer import Budget, Buffer
 from cypressledge.net.stream import (
-    DRAIN, FIRST, Crowd, Idle, Listener, Writer, drain, end, fill, flush, left, missed, shut,
+    DRAIN,
+    FIRST,
+    Crowd,
+    Idle,
+    Listener,
+    Writer,
+    drain,
+    end,
+    fill,
+    flush,
+    left,
+    missed,
+    shut,
 )
 
 READ = 16 << 10  # bytes read at once; the parser takes them all
@@ -46,12 +58,14 @@
 class HttpServer:
     """Listens, and hands each whole request to `handle(request, exchange)`, which must not block."""
 
-    def __init__(self, listen: tuple[str, int], counters: Counters, name: str, body_most: int,
-                 handle) -> None:
+    def __init__(
+        self, listen: tuple[str, int], counters: Counters, name: str, body_most: int, handle
+    ) -> None:
         self.handle, self.body_most, self.counters, self.name = handle, body_most, counters, name
         self.connections = Crowd()
-        self.listener = Listener(listen, counters, name, lambda sock: Connection(self, sock).run(),
-                                 self.connections)
+        self.listener = Listener(
+            listen, counters, name, lambda sock: Connection(self, sock).run(), self.connections
+        )
 
     def flush(self, seconds: float) -> None:
         """Let what was answered go out."""
--- a/cypressledge/net/jsonrpc.py
+++ b/cypressledge/net/jsonrpc.py
@@ -89,14 +89,22 @@
 class Front:
     """Listens for clients."""
 
-    def __init__(self, core: Core, listen: tuple[str, int], classes: tuple[str, ...], tenants,
-                 counters: Counters, inherited: int | None = None) -> None:
+    def __init__(
+        self,
+        core: Core,
+        listen: tuple[str, int],
+        classes: tuple[str, ...],
+        tenants,
+        counters: Counters,
+        inherited: int | None = None,
+    ) -> None:
         self.core, self.counters = core, counters
         self.classes = {name: i for i, name in enumerate(classes)}
         self.tenants = tenants
         self.clients, self.retiring = Crowd(), False
         self.listener = Listener(
-            listen, counters, "clients", lambda sock: Client(self, sock).run(), self.clients, inherited)
+            listen, counters, "clients", lambda sock: Client(self, sock).run(), self.clients, inherited
+        )
 
     def stop(self) -> None:
         """Accept nobody any more."""
@@ -275,8 +283,9 @@
         self.counters.add(f"clients_closed.{self.close_reason}")
         if self.open or self.close_reason not in ORDINARY_CLOSES:
             requests = ",".join(c.request.query.id for c in self.open.values() if c.request) or "-"
-            self.core.log.write(Kind.CLIENT_CLOSED, reason=self.close_reason, open=len(self.open),
-                                requests=requests)
+            self.core.log.write(
+                Kind.CLIENT_CLOSED, reason=self.close_reason, open=len(self.open), requests=requests
+            )
 
     @staticmethod
     def _frame(buffer: Buffer) -> bytes | None:
@@ -296,7 +305,7 @@
         if size is None or size > FRAME_MOST:
             raise BadFrame("no Content-Length" if size is None else "frame too long")
         whole = buffer.take(len(head) + 4 + size)
-        return None if whole is None else whole[len(head) + 4:]
+        return None if whole is None else whole[len(head) + 4 :]
 
     def say(self, message: dict) -> None:
         """Queue one message."""
@@ -394,11 +403,18 @@
             raise RpcError(BAD_PARAMS, "retry is not 1")
         statement, text = _statement(params.get("content"))
         return Query(
-            id=name, cls=cls, class_name=method, tenant=tenant, statement=statement,
-            due=now + int(wait * 1000), key=_key(params, spec.effect is Effect.KEYED),
+            id=name,
+            cls=cls,
+            class_name=method,
+            tenant=tenant,
+            statement=statement,
+            due=now + int(wait * 1000),
+            key=_key(params, spec.effect is Effect.KEYED),
             cost=int(_number(params, "cost", COST_MOST, 0.0) * 1000),
-            memory_mb=_number(params, "mem", MEMORY_MOST, 0.0), repeat=bool(params.get("retry")),
-            group=table_group(text))
+            memory_mb=_number(params, "mem", MEMORY_MOST, 0.0),
+            repeat=bool(params.get("retry")),
+            group=table_group(text),
+        )
 
 
 class Call:
--- a/cypressledge/net/lines.py
+++ b/cypressledge/net/lines.py
@@ -88,7 +88,8 @@
         usable = [c for c in self.connections.get(place.id, ()) if c.admits(word, place)]
         up = attempt.carried > 0  # another one that may not come up would take the time that is left
         connection = min(
-            usable, key=lambda c: (up and c.writer is None, len(c.exchanges), -c.used), default=None)
+            usable, key=lambda c: (up and c.writer is None, len(c.exchanges), -c.used), default=None
+        )
         shared = connection is None or len(connection.exchanges) >= SHARE and not up
         if shared and (self.count() < self.most or connection is None and self._make_room()):
             connection = Connection(self, place)
@@ -199,8 +200,12 @@
         while self.order and self.stale[self.order[0]] < now:
             del self.stale[self.order.popleft()]
         usable = not (self.closed or self.late or self.doubtful or self.suspect()) and place == self.place
-        return (usable and len(self.exchanges) < self.link.limits.streams
-                and word not in self.exchanges and self.stale.get(word, 0) < now)
+        return (
+            usable
+            and len(self.exchanges) < self.link.limits.streams
+            and word not in self.exchanges
+            and self.stale.get(word, 0) < now
+        )
 
     def has_unread(self) -> bool:
         """Guards against closing over what the engine says in this moment: that would be a reset."""
@@ -217,8 +222,12 @@
         Only a connection that is silent while its engine speaks on another one has lost something; an engine
         that is silent altogether is the module's to judge."""
         notes, now = self.link.limits.notes_us, monotonic_us()
-        return (self.exchanges and 0 < self.unheard < now - int(notes * LOST_NOTES) and notes > 0
-                and heard > now - int(notes * WITNESS))
+        return (
+            self.exchanges
+            and 0 < self.unheard < now - int(notes * LOST_NOTES)
+            and notes > 0
+            and heard > now - int(notes * WITNESS)
+        )
 
     def carry(self, attempt: Attempt, word: bytes) -> None:
         """Take the attempt; it goes out once the connection is up."""
@@ -336,8 +345,13 @@
         cause = cause.replace(" ", "_")
         self.core.counters.add(f"engine_close.{cause}")
         self.core.log.write(
-            Kind.ENGINE_CLOSED, engine=self.place.name, reason=cause, open=len(self.exchanges),
-            unused_ms=(monotonic_us() - self.used) // 1000, detail=repr(detail.strip()))
+            Kind.ENGINE_CLOSED,
+            engine=self.place.name,
+            reason=cause,
+            open=len(self.exchanges),
+            unused_ms=(monotonic_us() - self.used) // 1000,
+            detail=repr(detail.strip()),
+        )
 
     def _run(self) -> None:
         patience = self.link.limits.connect_s
@@ -418,7 +432,7 @@
         message = buffer.take(len(line) + 2 + size + 2)
         if message is None:
             return False
-        body = message[len(line) + 2:]
+        body = message[len(line) + 2 :]
         if body[size:] != b"\r\n":
             raise BadLine(line[:80])
         self._told(words[0], words[1], words[2], body[:size])
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -64,24 +64,36 @@
 def figures(core: Core, classes: tuple[str, ...]) -> bytes:
     """`GET /status/metrics`: statsd lines, counts from the start of this process and gauges as they are."""
     counts = core.counters.counts
-    lines = [f"{PREFIX}.replies.{cls}.{name}:{counts[f'replies.{cls}.{name}']}|c"
-             for cls in classes for name in FIGURES]
+    lines = [
+        f"{PREFIX}.replies.{cls}.{name}:{counts[f'replies.{cls}.{name}']}|c"
+        for cls in classes
+        for name in FIGURES
+    ]
     dispatches = sum(counts[f"replies.{cls}.dispatches"] for cls in classes)
     targets, disabled = engines(core)
-    lines += [f"{PREFIX}.dispatches:{dispatches}|c", f"{PREFIX}.concurrent:{len(core.requests)}|g",
-              f"{PREFIX}.targets:{targets}|g", f"{PREFIX}.targets_disabled:{disabled}|g",
-              f"{PREFIX}.reload_success:{counts['reloads']}|c",
-              f"{PREFIX}.reload_failure:{counts['reload_failures']}|c"]
+    lines += [
+        f"{PREFIX}.dispatches:{dispatches}|c",
+        f"{PREFIX}.concurrent:{len(core.requests)}|g",
+        f"{PREFIX}.targets:{targets}|g",
+        f"{PREFIX}.targets_disabled:{disabled}|g",
+        f"{PREFIX}.reload_success:{counts['reloads']}|c",
+        f"{PREFIX}.reload_failure:{counts['reload_failures']}|c",
+    ]
     return "\n".join(lines).encode() + b"\n"
 
 
 def engines(core: Core) -> tuple[int, int]:
     """Engines that the lists name, and those of them the broker avoids: out by hand, draining, held off."""
     held = core.manager.engines
-    listed = [(core.maintenance.entry(p.name, e), p) for lst in core.lists.values() for e, p in lst
-              if e.state is not State.GONE]
-    avoided = sum(e.state is not State.READY or (e.engine in held and held[e.engine].held_off)
-                  for e, _ in listed)
+    listed = [
+        (core.maintenance.entry(p.name, e), p)
+        for lst in core.lists.values()
+        for e, p in lst
+        if e.state is not State.GONE
+    ]
+    avoided = sum(
+        e.state is not State.READY or (e.engine in held and held[e.engine].held_off) for e, _ in listed
+    )
     return len(listed), avoided
 
 
--- a/cypressledge/net/stream.py
+++ b/cypressledge/net/stream.py
@@ -177,8 +177,15 @@
     most = 16  # until the limits are known
     spare = 8  # more, for a moment, while those that were let go close
 
-    def __init__(self, listen: tuple[str, int], counters: Counters, name: str, serve,
-                 connections: Crowd, inherited: int | None = None) -> None:
+    def __init__(
+        self,
+        listen: tuple[str, int],
+        counters: Counters,
+        name: str,
+        serve,
+        connections: Crowd,
+        inherited: int | None = None,
+    ) -> None:
         self.counters, self.name, self.serve, self.connections = counters, name, serve, connections
         self.pool = Pool()
         self.inherited = inherited is not None
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -53,9 +53,12 @@
             listen=address(front["listen"]),
             dns_server=address(sd["server"]) if sd else None,
             dns_service=sd["service"] if sd else "",
-            admin_listen=address(admin["listen"]) if admin else None, admin_token=token,
-            engine_user=engines.get("user", ""), engine_key=env.get(engines.get("key_env", ""), ""),
-            tenants=raw.get("tenant", []))
+            admin_listen=address(admin["listen"]) if admin else None,
+            admin_token=token,
+            engine_user=engines.get("user", ""),
+            engine_key=env.get(engines.get("key_env", ""), ""),
+            tenants=raw.get("tenant", []),
+        )
     except OSError as err:
         raise ConfigError(f"{path}: {err.strerror}") from None
     except tomllib.TOMLDecodeError as err:
--- a/cypressledge/simhost.py
+++ b/cypressledge/simhost.py
@@ -111,8 +111,17 @@
     def _decode(self, code, frame, at, now, tail):
         if code == 4:
             _, req, final, took, hop, eng, bill, end, n, *load = ENDED.unpack_from(frame, at)
-            return c.Ended(req, hop, engine_id(eng), _of(OUTCOMES, end, "outcome"), final != 0, took,
-                           (bill >> 12) * 1000, (bill & 4095) * 4.0, tuple(load[:n]))
+            return c.Ended(
+                req,
+                hop,
+                engine_id(eng),
+                _of(OUTCOMES, end, "outcome"),
+                final != 0,
+                took,
+                (bill >> 12) * 1000,
+                (bill & 4095) * 4.0,
+                tuple(load[:n]),
+            )
         if code == 2:
             _, req, cls, _, key, due, cost, mb, group, flags = REQUEST.unpack_from(frame, at)
             return c.Arrival(req, cls, due, key, cost if flags & 1 else 0, mb, int(group), bool(flags & 2))
--- a/cypressledge/sql.py
+++ b/cypressledge/sql.py
@@ -5,14 +5,14 @@
 _NAME = r'(?:[A-Za-z_][A-Za-z0-9_$]*|"(?:[^"]|"")*"|`[^`]*`)'
 _STRING = {False: r"'(?:[^']|'')*'", True: r"'(?:[^'\\]|\\.|'')*'"}
 _TOKENS = {
-    escapes: re.compile(
-        rf"--[^\n]*|/\*.*?(?:\*/|\Z)|{string}|{_NAME}(?:\s*\.\s*{_NAME})*|[^\s]", re.S)
+    escapes: re.compile(rf"--[^\n]*|/\*.*?(?:\*/|\Z)|{string}|{_NAME}(?:\s*\.\s*{_NAME})*|[^\s]", re.S)
     for escapes, string in _STRING.items()
 }
 _SKIPPED = ("--", "/*", "'")
 _BEFORE_TABLE = frozenset(("from", "join", "into", "update", "table", "using", "truncate"))
-_END_OF_TABLES = frozenset((
-    "where", "on", "group", "order", "having", "limit", "set", "select", "values", "union", "window"))
+_END_OF_TABLES = frozenset(
+    ("where", "on", "group", "order", "having", "limit", "set", "select", "values", "union", "window")
+)
 _NUMBERED = re.compile(r".*?_(\d+)\Z", re.S)
 _SCANNED = 65536  # characters looked at: a long statement's rest is data, and reading it would stall the core
 _MOST = 2**24  # groups go to the module as small numbers
--- a/tests/control_stands.py
+++ b/tests/control_stands.py
@@ -66,9 +66,28 @@
         env |= {"TMPDIR": str(self.folder)} | ({VARIABLE: fault} if fault else {})
         with open(self.log_file, "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-m", "cypressledge", "control", "serve", "--settings", str(self.file),
-                 "--name", self.name, "--store", str(self.store), *flags],
-                cwd=ROOT, env=env, stdout=log, stderr=log, stdin=subprocess.DEVNULL, start_new_session=True)
+                [
+                    sys.executable,
+                    "-O",
+                    "-m",
+                    "cypressledge",
+                    "control",
+                    "serve",
+                    "--settings",
+                    str(self.file),
+                    "--name",
+                    self.name,
+                    "--store",
+                    str(self.store),
+                    *flags,
+                ],
+                cwd=ROOT,
+                env=env,
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                start_new_session=True,
+            )
         self.stopped = False
 
     def ask(self, path: str, method: str = "GET", body: dict | None = None) -> tuple[int, dict]:
@@ -124,9 +143,22 @@
         env |= {"ROUTER_CONFIG": str(self.config_file), "TMPDIR": str(self.folder), "ROUTER_ZONE": "z1"}
         with open(self.log_file, "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-m", "cypressledge", "--control", str(self.control),
-                 *(("--fleet", str(self.fleet_file)) if fleet else ())],
-                cwd=ROOT, env=env, stdout=log, stderr=log, stdin=subprocess.DEVNULL, start_new_session=True)
+                [
+                    sys.executable,
+                    "-O",
+                    "-m",
+                    "cypressledge",
+                    "--control",
+                    str(self.control),
+                    *(("--fleet", str(self.fleet_file)) if fleet else ()),
+                ],
+                cwd=ROOT,
+                env=env,
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                start_new_session=True,
+            )
         self.stopped = False
 
     def show(self, path: str):
@@ -219,11 +251,15 @@
         rows = []
         for server in self.servers.values():
             far = self.lines is not None and whose and whose != server.name
-            rows.append({
-                "name": server.name, "management": f"127.0.0.1:{server.management}",
-                "address": self.lines.address(whose, server.name) if far else f"127.0.0.1:{server.port}",
-                "fleet": self.relays.address(whose, server.name) if far else f"127.0.0.1:{server.udp}",
-                "zone": f"z{server.name[1:]}"})
+            rows.append(
+                {
+                    "name": server.name,
+                    "management": f"127.0.0.1:{server.management}",
+                    "address": self.lines.address(whose, server.name) if far else f"127.0.0.1:{server.port}",
+                    "fleet": self.relays.address(whose, server.name) if far else f"127.0.0.1:{server.udp}",
+                    "zone": f"z{server.name[1:]}",
+                }
+            )
         return {"servers": rows, "term_s": TERM, "ping_s": 0.2, "grace_s": 1.0} | self.more
 
     def __getitem__(self, name: str) -> ControlServer:
@@ -237,8 +273,10 @@
 
     def primary(self, *but: str) -> ControlServer:
         """Wait for a primary, another one than these."""
+
         def found():
             return next((s for s in self.others(*but) if s.status().get("role") == "primary"), None)
+
         return self.wait(found, "a primary")
 
     def post(self, server: ControlServer, sets: dict, request: str = "", **more) -> tuple[int, dict]:
@@ -247,6 +285,7 @@
 
     def change(self, sets: dict, request: str, **more) -> dict:
         """A change, repeated until it is done; what was answered."""
+
         def done():
             for server in self.servers.values():
                 told = self.post(server, sets, request, **more)[1]
@@ -254,12 +293,15 @@
                     return told
                 assert told.get("answer") in (None, "unknown", "not primary"), told
             return None
+
         return self.wait(done, f"the change {request}")
 
     def changes(self, server: ControlServer) -> list[tuple]:
         """The history that one of them keeps."""
-        return [(c["epoch"], c["version"], c["request"], *c["set"], *c["removed"])
-                for c in server.ask("history?from=0")[1].get("changes", ())]
+        return [
+            (c["epoch"], c["version"], c["request"], *c["set"], *c["removed"])
+            for c in server.ask("history?from=0")[1].get("changes", ())
+        ]
 
     def position(self, server: ControlServer) -> tuple:
         """What one of them has committed."""
@@ -268,9 +310,11 @@
 
     def one_history(self, least: int = 1) -> int:
         """Wait until all hold the same one, up to a version at least; its last version."""
+
         def same():
             got = [self.position(s) for s in self.servers.values()]
             return got[0][0] if len(set(got)) == 1 and got[0][0] >= least else None
+
         version = self.wait(same, "one history everywhere")
         # What each still has in memory begins where it started: compare the part that all have.
         told = [{c[1]: c for c in self.changes(s)} for s in self.servers.values()]
@@ -280,8 +324,10 @@
 
     def in_force(self, key: str) -> int:
         """The version that set a key, the same everywhere."""
-        got = {s.ask(f"state?prefix={key}")[1]["entries"].get(key, {}).get("version", -1)
-               for s in self.servers.values()}
+        got = {
+            s.ask(f"state?prefix={key}")[1]["entries"].get(key, {}).get("version", -1)
+            for s in self.servers.values()
+        }
         assert len(got) == 1, got
         return got.pop()
 
@@ -312,6 +358,7 @@
 
     def wait(self, holds, what: str, seconds: float = WAIT):
         """Wait, within bounds, until something holds; what it gave."""
+
         def held():
             dead = [s.name for s in self.servers.values() if s.process.poll() in (1, 3)]
             assert not dead, f"{dead} failed while waiting for {what}\n" + self.words()
@@ -323,8 +370,9 @@
 
     def words(self) -> str:
         """The ends of all logs."""
-        return "\n".join(f"--- {s.name}\n{s.words()[-2500:]}"
-                         for s in (*self.servers.values(), *self.processes))
+        return "\n".join(
+            f"--- {s.name}\n{s.words()[-2500:]}" for s in (*self.servers.values(), *self.processes)
+        )
 
     def end(self) -> None:
         """All are gone."""
@@ -341,8 +389,9 @@
 class Hollow(FollowerAgent):
     """A broker's end without a broker: keeps (monotonic s, server, epoch, version, whether whole)."""
 
-    def __init__(self, name: str, settings: ControlSettings, zone: str = "", fleet_address: str = "",
-                 seed: int = 1) -> None:
+    def __init__(
+        self, name: str, settings: ControlSettings, zone: str = "", fleet_address: str = "", seed: int = 1
+    ) -> None:
         self.taken: list[tuple[float, str, int, int, bool]] = []
         self.dials: list[float] = []
         super().__init__(name, 1 + seed, settings, zone, "", fleet_address, self._keep, Counters(), seed=seed)
@@ -371,7 +420,8 @@
         positions = [(epoch, version) for _, _, epoch, version, _ in self.taken]
         return self.state.verify() and all(
             a[0] <= b[0] and a[1] < b[1] or a[0] < b[0] and a[1] == b[1]
-            for a, b in zip(positions, positions[1:], strict=False))
+            for a, b in zip(positions, positions[1:], strict=False)
+        )
 
 
 class Raw:
@@ -402,4 +452,3 @@
     def close(self) -> None:
         """Done."""
         self.sock.close()
-
--- a/tests/controlplane.py
+++ b/tests/controlplane.py
@@ -28,8 +28,13 @@
 
 def run(*args):
     """A command of the program, while this process's greenlets go on."""
-    done = subprocess.run([sys.executable, "-m", "cypressledge", *args], cwd=ROOT, stdout=subprocess.PIPE,
-                          stderr=subprocess.PIPE, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "cypressledge", *args],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        timeout=60,
+    )
     return done.returncode, done.stdout.decode(), done.stderr.decode()
 
 
@@ -45,8 +50,14 @@
         assert self.process is None or self.process.poll() is not None, f"{self.name} runs already"
         plain = {k: v for k, v in os.environ.items() if not k.startswith(("ROUTER_", "CYPRESSLEDGE_"))}
         with open(self.log, "a", encoding="utf-8") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "cypressledge", *args], cwd=ROOT,
-                                            env=plain | env, stdout=log, stderr=log, start_new_session=True)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "cypressledge", *args],
+                cwd=ROOT,
+                env=plain | env,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+            )
 
     def kill(self):
         if self.process is not None and self.process.poll() is None:
@@ -76,9 +87,19 @@
         self.management = int(spec["management"].rpartition(":")[2])
 
     def start(self, *more, fault=""):
-        self.launch("control", "serve", "--settings", str(self.plane.file), "--name", self.name,
-                    "--store", str(self.plane.folder / f"store-{self.name}"), *more,
-                    CYPRESSLEDGE_LAB_FAULT=fault, CYPRESSLEDGE_LAB_ONCE=str(self.plane.folder / "once"))
+        self.launch(
+            "control",
+            "serve",
+            "--settings",
+            str(self.plane.file),
+            "--name",
+            self.name,
+            "--store",
+            str(self.plane.folder / f"store-{self.name}"),
+            *more,
+            CYPRESSLEDGE_LAB_FAULT=fault,
+            CYPRESSLEDGE_LAB_ONCE=str(self.plane.folder / "once"),
+        )
 
     def status(self):
         return ask(self, "/control/status") or {}
@@ -101,14 +122,20 @@
             file = self.plane.folder / f"{self.name}-fleet.yaml"
             file.write_text(yaml.safe_dump(self.fleet))
             more = ["--fleet", str(file)]
-        self.launch("--control", str(self.plane.file), *more, ROUTER_CONFIG=str(self.config),
-                    TMPDIR=str(self.plane.folder))
+        self.launch(
+            "--control",
+            str(self.plane.file),
+            *more,
+            ROUTER_CONFIG=str(self.config),
+            TMPDIR=str(self.plane.folder),
+        )
 
     def status(self):
         return ask(self, "/control/status") or {}
 
     def figure(self, name):
         """A counter, from the log that SIGUSR1 makes it write."""
+
         def lines():
             return [x for x in self.words().splitlines(True) if x.startswith("counters (asked)")]
 
@@ -134,11 +161,30 @@
         self.own = tempfile.TemporaryDirectory(prefix="cypressledge-control-")
         self.folder = Path(self.own.name)
         self.file, self.seed = self.folder / "control.yaml", self.folder / "seed.yaml"
-        servers = [{"name": f"c{i + 1}", "address": local(), "fleet": local(socket.SOCK_DGRAM),
-                    "management": local(), "zone": "room1", "votes": i < voters} for i in range(count)]
+        servers = [
+            {
+                "name": f"c{i + 1}",
+                "address": local(),
+                "fleet": local(socket.SOCK_DGRAM),
+                "management": local(),
+                "zone": "room1",
+                "votes": i < voters,
+            }
+            for i in range(count)
+        ]
         self.record = self.folder / "record.jsonl"
-        self.file.write_text(yaml.safe_dump({"servers": servers, "term_s": TERM, "ping_s": 0.2,
-                                             "grace_s": 1.0, "lab": {"record": str(self.record)}} | more))
+        self.file.write_text(
+            yaml.safe_dump(
+                {
+                    "servers": servers,
+                    "term_s": TERM,
+                    "ping_s": 0.2,
+                    "grace_s": 1.0,
+                    "lab": {"record": str(self.record)},
+                }
+                | more
+            )
+        )
         self.seed.write_text(yaml.safe_dump(seed or {"config": SETTINGS}))
         self.controls = {s["name"]: Control(self, s) for s in servers}
         self.brokers = {}
@@ -152,9 +198,11 @@
 
     def primary(self, but="", seconds=WAIT):
         """Waits for one; its name."""
+
         def found():
             said = {c.name: c.status() for c in self.controls.values() if c.name != but}
             return next((n for n, s in said.items() if s.get("role") == "primary"), None)
+
         got = until(found, seconds, 0.05)
         assert got, self.words()
         return got
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -26,8 +26,17 @@
 
 def settings(*classes, **more):
     """Settings of a plain site, with changes."""
-    plain = dict(tick=5000, kind_cores=(8, 4), tells_cost=True, may_cancel=True, max_attempts=4,
-                 start_capacity=0.3, warm_within=10 * S, fall_multiple=2.0, fall_window=2 * S)
+    plain = dict(
+        tick=5000,
+        kind_cores=(8, 4),
+        tells_cost=True,
+        may_cancel=True,
+        max_attempts=4,
+        start_capacity=0.3,
+        warm_within=10 * S,
+        fall_multiple=2.0,
+        fall_window=2 * S,
+    )
     return Settings(classes=classes or (LOOKUP, REPORT), **(plain | more))
 
 
@@ -65,8 +74,19 @@
 
     def end(self, request, outcome=Outcome.OK, final=None, after=0, work=100_000, latency=100_000, memory=0):
         final = outcome is Outcome.OK if final is None else final
-        return self.tell(Ended(request, self.attempts[request], self.engine_of(request), outcome, final,
-                               latency, work, memory), after=after)
+        return self.tell(
+            Ended(
+                request,
+                self.attempts[request],
+                self.engine_of(request),
+                outcome,
+                final,
+                latency,
+                work,
+                memory,
+            ),
+            after=after,
+        )
 
     def run(self, span):
         """Let the housekeeping timer run for a span; return all actions."""
--- a/tests/recordings/test_mixed_versions_control.py
+++ b/tests/recordings/test_mixed_versions_control.py
@@ -19,8 +19,12 @@
 
 BEFORE = "9c5e980"
 OLD, NEW = "c1", "c2"  # a control process of each version; c3 is of this one, too
-BROKERS = {"old-at-old": (True, OLD), "old-at-new": (True, NEW), "new-at-old": (False, OLD),
-           "new-at-new": (False, NEW)}  # whether of the version before, and whom it is to follow
+BROKERS = {
+    "old-at-old": (True, OLD),
+    "old-at-new": (True, NEW),
+    "new-at-old": (False, OLD),
+    "new-at-new": (False, NEW),
+}  # whether of the version before, and whom it is to follow
 ENGINE = {"address": "127.0.0.1:9", "kind": "node-8c", "zone": "room1"}
 
 
@@ -29,8 +33,10 @@
     """The files of the version before."""
     done = subprocess.run(["git", "archive", BEFORE], cwd=ROOT, capture_output=True, timeout=20)
     if done.returncode:
-        pytest.fail(f"the test needs commit {BEFORE}, which this repository lacks (a shallow clone: "
-                    f"git fetch --unshallow): {done.stderr.decode().strip()}")
+        pytest.fail(
+            f"the test needs commit {BEFORE}, which this repository lacks (a shallow clone: "
+            f"git fetch --unshallow): {done.stderr.decode().strip()}"
+        )
     folder = tmp_path_factory.mktemp("before")
     with tarfile.open(fileobj=io.BytesIO(done.stdout)) as archive:
         archive.extractall(folder, filter="data")
@@ -45,12 +51,20 @@
     def launch(self, *args, **env):
         """Start it there; its log goes on in the same file."""
         assert self.process is None or self.process.poll() is not None, f"{self.name} runs already"
-        plain = {k: v for k, v in os.environ.items()
-                 if not k.startswith(("ROUTER_", "CYPRESSLEDGE_")) and k != "PYTHONPATH"}
+        plain = {
+            k: v
+            for k, v in os.environ.items()
+            if not k.startswith(("ROUTER_", "CYPRESSLEDGE_")) and k != "PYTHONPATH"
+        }
         with open(self.log, "a", encoding="utf-8") as log:
             self.process = gevent.subprocess.Popen(
-                [sys.executable, "-m", "cypressledge", *args], cwd=self.tree, stdout=log, stderr=log,
-                env=plain | env | {"ROUTER_ZONE": self.zone}, start_new_session=True)
+                [sys.executable, "-m", "cypressledge", *args],
+                cwd=self.tree,
+                stdout=log,
+                stderr=log,
+                env=plain | env | {"ROUTER_ZONE": self.zone},
+                start_new_session=True,
+            )
 
 
 class ControlFromTree(FromTree, Control):
@@ -85,13 +99,17 @@
     """Whether what it says of itself is at the position of `told`, or behind it with the same digest."""
     own = process.status()
     return (own.get("version"), own.get("epoch"), own.get("digest")) == (
-        told["version"], told["epoch"], told["digest"])
+        told["version"],
+        told["epoch"],
+        told["digest"],
+    )
 
 
 def reaches_all(plane, number):
     """Propose a change; wait until each process that runs holds it, and brokers have it in force."""
-    code, words = plane.change({"engines": {f"s-{number}": ENGINE | {"address": f"127.0.0.1:{number}"}}},
-                               "--request", f"r{number}")
+    code, words = plane.change(
+        {"engines": {f"s-{number}": ENGINE | {"address": f"127.0.0.1:{number}"}}}, "--request", f"r{number}"
+    )
     running = [p for p in [*plane.controls.values(), *plane.brokers.values()] if p.process.poll() is None]
     assert code == 0, words + plane.words()
     assert f"in force at {len(BROKERS)} of {len(BROKERS)} brokers" in words, words + plane.words()
--- a/tests/recordings/test_operators_answers_recording.py
+++ b/tests/recordings/test_operators_answers_recording.py
@@ -36,13 +36,21 @@
     "change_accepted": change(request="one"),
     "change_repeated": change(request="one"),
     "change_repeated_with_other_keys": change(request="one", ops={"set": {"engine/e9": ENGINE}}),
-    "change_of_all_kinds": change(request="two", base=2, ops={
-        "set": {"engine/e2": {"address": "10.0.0.2:9000", "state": "draining", "cell": 3, "born_ms": 4},
-                "broker/b7": {"address": "10.0.0.7:9100", "zone": "z1", "region": "r1"}},
-        "remove": ["engine/e0"]}),
+    "change_of_all_kinds": change(
+        request="two",
+        base=2,
+        ops={
+            "set": {
+                "engine/e2": {"address": "10.0.0.2:9000", "state": "draining", "cell": 3, "born_ms": 4},
+                "broker/b7": {"address": "10.0.0.7:9100", "zone": "z1", "region": "r1"},
+            },
+            "remove": ["engine/e0"],
+        },
+    ),
     "change_that_removes": change(request="three", ops={"remove": ["engine/e2", "engine/absent"]}),
-    "change_that_removes_and_sets_again": change(request="four", ops={"set": {"engine/e0": {
-        "address": "10.0.0.3:9000"}}}),
+    "change_that_removes_and_sets_again": change(
+        request="four", ops={"set": {"engine/e0": {"address": "10.0.0.3:9000"}}}
+    ),
     "change_of_nothing": change(request="five", ops={}),
     "clash": change(base=1),
     "clash_dry_run": change(base=1, dry_run=True),
@@ -71,10 +79,16 @@
     "bad_ops_remove": change(ops={"remove": [7]}),
 }
 READS = {
-    "history": "history", "history_from": "history?from=3", "history_from_later": "history?from=99",
-    "history_from_no_version": "history?from=new", "state": "state",
-    "state_of_a_prefix": "state?prefix=broker/", "state_of_no_prefix": "state?prefix=none/",
-    "lag": "lag", "lag_of_a_version": "lag?version=2", "lag_of_no_version": "lag?version=1.5",
+    "history": "history",
+    "history_from": "history?from=3",
+    "history_from_later": "history?from=99",
+    "history_from_no_version": "history?from=new",
+    "state": "state",
+    "state_of_a_prefix": "state?prefix=broker/",
+    "state_of_no_prefix": "state?prefix=none/",
+    "lag": "lag",
+    "lag_of_a_version": "lag?version=2",
+    "lag_of_no_version": "lag?version=1.5",
     "unknown_call": "nothing",
 }
 
@@ -139,8 +153,13 @@
         for name, body in CHANGES.items():
             found.keep(name, primary.ask("change", "POST", body))
         newest = primary.status()["version"]
-        plane.wait(lambda: lag(primary).get("refused") == 1 and lag(primary)["in_force"] == 1
-                   and lag(primary)["unheard"] == [] and lag(primary)["newest"] == newest, "reports")
+        plane.wait(
+            lambda: lag(primary).get("refused") == 1
+            and lag(primary)["in_force"] == 1
+            and lag(primary)["unheard"] == []
+            and lag(primary)["newest"] == newest,
+            "reports",
+        )
         for name, path in READS.items():
             found.keep(name, primary.ask(path))
         plane.wait(lambda: other.status()["version"] == newest, "a standby that has everything")
@@ -150,8 +169,11 @@
         found.keep("change_by_get", primary.ask("change"))
         found.keep("state_by_post", primary.ask("state", "POST", {}))
         found.keep("unknown_path", call(primary.management, "GET", "/elsewhere"))
-        plane.wait(lambda: primary.status()["match"].values() and set(
-            primary.status()["match"].values()) == {newest}, "voters that hold everything")
+        plane.wait(
+            lambda: primary.status()["match"].values()
+            and set(primary.status()["match"].values()) == {newest},
+            "voters that hold everything",
+        )
         for agent in (taker, refuser):
             agent.stop()
         plane.wait(lambda: primary.status()["brokers"] == other.status()["brokers"] == 0, "no broker")
@@ -159,8 +181,10 @@
         found.keep("status_at_a_standby", other.ask("status"))
         for server in plane.others(primary.name):
             server.kill()
-        found.keep("change_without_majority", primary.ask("change", "POST", change(request="six", ops={
-            "remove": ["engine/e0"]})))
+        found.keep(
+            "change_without_majority",
+            primary.ask("change", "POST", change(request="six", ops={"remove": ["engine/e0"]})),
+        )
         return found.answers
     finally:
         plane.end()
@@ -179,8 +203,9 @@
 def test_answers_are_those_recorded(answers):
     recorded = json.loads(FILE.read_text(encoding="utf-8"))
     assert answers.keys() == recorded.keys()
-    different = {name: (answers[name], recorded[name]) for name in recorded
-                 if answers[name] != recorded[name]}
+    different = {
+        name: (answers[name], recorded[name]) for name in recorded if answers[name] != recorded[name]
+    }
     assert not different, json.dumps(different, indent=1)
 
 
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -84,10 +84,23 @@
 
     def start(self, name):
         self.runs += 1
-        self.call(name, lambda: self.up.__setitem__(name, self.kind(
-            name, self.runs, self.names, self.disks[name], self.now,
-            lambda peer, message: self.net.append((name, peer, message)), self.handed,
-            lambda event, **what: self.events.append((name, event)), mute_us=self.mute)))
+        self.call(
+            name,
+            lambda: self.up.__setitem__(
+                name,
+                self.kind(
+                    name,
+                    self.runs,
+                    self.names,
+                    self.disks[name],
+                    self.now,
+                    lambda peer, message: self.net.append((name, peer, message)),
+                    self.handed,
+                    lambda event, **what: self.events.append((name, event)),
+                    mute_us=self.mute,
+                ),
+            ),
+        )
         if name in self.up:
             self.up[name].begin(f"of {name}", [])
 
@@ -147,6 +160,7 @@
             ticket = replica.propose(self.now, ops_, base, request, "someone", "a test", 0)
             self.open.append((name, request, ticket))
             return ticket
+
         try:
             return self.call(name, do) if name in self.up else None
         except (NotPrimary, StateError):
--- a/tests/stands.py
+++ b/tests/stands.py
@@ -27,7 +27,6 @@
 __all__ = ["SETTINGS", "free_port"]
 
 
-
 def until(holds, what="an event"):
     """Wait, within bounds, until something holds; return it."""
     end = time.monotonic() + WAIT
@@ -198,12 +197,20 @@
 
         if name.startswith("_app."):
             if self.engines:
-                add(answer.answer, name, "SRV", *(
-                    f"{rank} 40 {port} {who}.room1.hosts." for who, (port, rank) in self.engines.items()))
+                add(
+                    answer.answer,
+                    name,
+                    "SRV",
+                    *(f"{rank} 40 {port} {who}.room1.hosts." for who, (port, rank) in self.engines.items()),
+                )
             for who in self.engines:
                 add(answer.additional, f"{who}.room1.hosts.", "A", "127.0.0.1")
-                add(answer.additional, f"{who}.room1.hosts.", "TXT",
-                    f'"kind=node-8c" "cell=0" "started={self.born}"')
+                add(
+                    answer.additional,
+                    f"{who}.room1.hosts.",
+                    "TXT",
+                    f'"kind=node-8c" "cell=0" "started={self.born}"',
+                )
             add(answer.authority, "cluster.lan.", "SOA", f"ns. root. {self.serial} 1 1 1 1")
         elif name in self.instances:
             port, state = self.instances[name]
@@ -230,7 +237,7 @@
     def serve(self, conn, file):
         while line := file.readline():
             headers = {}
-            while (field := file.readline().strip()):
+            while field := file.readline().strip():
                 key, _, value = field.decode().partition(":")
                 headers[key.lower()] = value.strip()
             target = urlsplit(line.split()[1].decode())
@@ -249,16 +256,21 @@
 
 def rows(*parts):
     """An answer in chunks."""
+
     def play(engine, send, params, statement):
         send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         send(b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in parts) + b"0\r\n\r\n")
+
     return play
 
 
 def ch_error(status, code, text):
     def play(engine, send, params, statement):
-        send(b"HTTP/1.1 %d X\r\nX-ClickHouse-Exception-Code: %d\r\nContent-Length: %d\r\n\r\n%s" % (
-            status, code, len(text), text))
+        send(
+            b"HTTP/1.1 %d X\r\nX-ClickHouse-Exception-Code: %d\r\nContent-Length: %d\r\n\r\n%s"
+            % (status, code, len(text), text)
+        )
+
     return play
 
 
@@ -286,16 +298,28 @@
 
     def send(self, method, params=None, **more):
         self.number += 1
-        self.raw(json.dumps({"jsonrpc": "2.0", "id": self.number, "method": method,
-                             "params": params or {}} | more).encode())
+        self.raw(
+            json.dumps(
+                {"jsonrpc": "2.0", "id": self.number, "method": method, "params": params or {}} | more
+            ).encode()
+        )
         return self.number
 
     def ask(self, method="lookup", statement=b"SELECT a, b, c FROM sales_17.orders", **more):
         self.ids += 1
         name = f"{id(self) & 0xFFFFFFFF:08x}{self.ids:08x}"
-        return self.send(method, {
-            "id": name, "wait": 3000, "tenant": "sahel", "cost": 50.0, "mem": 10,
-            "content": base64.b64encode(statement).decode()} | more)
+        return self.send(
+            method,
+            {
+                "id": name,
+                "wait": 3000,
+                "tenant": "sahel",
+                "cost": 50.0,
+                "mem": 10,
+                "content": base64.b64encode(statement).decode(),
+            }
+            | more,
+        )
 
     def get(self):
         head = b""
@@ -317,22 +341,48 @@
 class Broker:
     """The real program as a process."""
 
-    def __init__(self, engines=(), change=None, optimise=True, service=None, env=None, keep=(), port=None,
-                 hooks=None, descriptors=None):
+    def __init__(
+        self,
+        engines=(),
+        change=None,
+        optimise=True,
+        service=None,
+        env=None,
+        keep=(),
+        port=None,
+        hooks=None,
+        descriptors=None,
+    ):
         self.dns = NameServer()
         self.port = port or free_port()
         self.dir = tempfile.TemporaryDirectory()
         for e in engines:
             self.dns.engines[e.name] = (e.port, 0)
-        members = [{"id": e.name, "host_port": f"127.0.0.1:{e.port}", "locality": "room1", "cell": 0,
-                    "flavor": getattr(e, "kind", "node-8c"), "phase": "Ready", "size": 4, "up_since_ms": 0}
-                   for e in engines]
+        members = [
+            {
+                "id": e.name,
+                "host_port": f"127.0.0.1:{e.port}",
+                "locality": "room1",
+                "cell": 0,
+                "flavor": getattr(e, "kind", "node-8c"),
+                "phase": "Ready",
+                "size": 4,
+                "up_since_ms": 0,
+            }
+            for e in engines
+        ]
         self.config = {
-            "name": "n1", "listen": f"127.0.0.1:{self.port}", "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "dns": f"127.0.0.1:{self.dns.port}",
-            "known": {"offset": 1, "batch": [
-                {"offset": 1, "topology": {"revision": 1, "complete": True, "members": members}}]},
-            "settings": SETTINGS} | (change or {})
+            "name": "n1",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "dns": f"127.0.0.1:{self.dns.port}",
+            "known": {
+                "offset": 1,
+                "batch": [{"offset": 1, "topology": {"revision": 1, "complete": True, "members": members}}],
+            },
+            "settings": SETTINGS,
+        } | (change or {})
         self.path = Path(self.dir.name) / "config.json"
         self.path.write_text(json.dumps(self.config))
         args = [sys.executable, *(["-O"] if optimise else []), "-m", "cypressledge"]
@@ -348,8 +398,12 @@
         names = ("ROUTER_NAME", "ROUTER_LISTEN")
         base = {k: v for k, v in os.environ.items() if k not in names}
         self.process = subprocess.Popen(
-            args, cwd=ROOT, stderr=self.log, env=base | {"ROUTER_CONFIG": str(self.path)} | (env or {}),
-            pass_fds=keep)
+            args,
+            cwd=ROOT,
+            stderr=self.log,
+            env=base | {"ROUTER_CONFIG": str(self.path)} | (env or {}),
+            pass_fds=keep,
+        )
         if descriptors:  # before it has read how many there are
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -14,8 +14,23 @@
 from types import SimpleNamespace
 
 from tests.stands import (
-    ROW, SETTINGS, WAIT, Case, LineEngine, NameServer, content, failing, free_port, hang_up, held, http, page,
-    reset, silent, until, whole,
+    ROW,
+    SETTINGS,
+    WAIT,
+    Case,
+    LineEngine,
+    NameServer,
+    content,
+    failing,
+    free_port,
+    hang_up,
+    held,
+    http,
+    page,
+    reset,
+    silent,
+    until,
+    whole,
 )
 
 FIGURES = {"ROUTER_FIGURES_S": "0.05"}
@@ -50,8 +65,12 @@
             for effect in ("single_shot", "free"):
                 with self.subTest(way=way, effect=effect):
                     engine = self.engine()
-                    broker = self.broker(engine, change=site({"lookup": effect}, ConnectTimeout=5_000_000),
-                                         env=FIGURES, hooks={"dial": DIAL})
+                    broker = self.broker(
+                        engine,
+                        change=site({"lookup": effect}, ConnectTimeout=5_000_000),
+                        env=FIGURES,
+                        hooks={"dial": DIAL},
+                    )
                     client, other = self.client(broker), self.client(broker)
                     client.ask(statement=b"SELECT gone")
                     broker.reached("dial")
@@ -63,7 +82,6 @@
                     self.assertEqual([w[3] for w in engine.wants], [b"SELECT stays"])
                     broker.close()
 
-
     def test_a_burst_of_hundreds_that_leave_takes_its_places_with_it(self):
         """Harmless: every connection's end takes back what it asked, and nothing of it begins later."""
         engine = self.engine(silent)
@@ -108,6 +126,7 @@
     def test_a_second_answer_is_not_taken_for_that_of_the_repeat(self):
         """The repeat of an id went out on the connection that had answered it: the copy of a 503 that came
         milliseconds late ended the repeat, which ran, and a class unsafe to repeat was sent a third time."""
+
         def play(engine, say, name, fields, statement):
             if len(engine.wants) == 1:
                 return say(name, "503")
@@ -223,6 +242,7 @@
             client.ask()
             self.assertIn("result", client.get())
             return "held off" in broker.words()
+
         until(held_off, "the engine held off")
 
 
@@ -263,7 +283,8 @@
         until(lambda: engine.wants, "the query")
         text = b"".join(
             b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
-            for body in (b'{"jsonrpc":"2.0","id":%d,"method":"status"}' % n for n in (1, 2)))
+            for body in (b'{"jsonrpc":"2.0","id":%d,"method":"status"}' % n for n in (1, 2))
+        )
         client.sock.sendall(text[:9])
         self.stopped(broker)
         client.sock.sendall(text[9:])
@@ -288,6 +309,7 @@
 
     def test_a_stop_with_a_page_of_a_result_out(self):
         """Harmless: a result that has begun is read to its end."""
+
         class Paged(LineEngine):
             released = False
 
@@ -298,6 +320,7 @@
                         self.turned = True
                         until(lambda: self.released, "the release")
                     return line
+
                 super().serve(conn, SimpleNamespace(readline=reading, read=file.read))
 
         engine = self.engine(lambda e, say, name, *a: say(name, "200", "count=2", ROW), kind=Paged)
@@ -342,7 +365,6 @@
         self.assertEqual(broker.process.wait(10), 0)
         self.assertEqual(engine.wants, [])
 
-
     def test_a_signal_that_comes_before_the_broker_is_ready(self):
         """SIGHUP, by default, ended the process; what it asked for was lost; SIGTERM made it a crash."""
         engine = self.engine()
@@ -389,8 +411,11 @@
         self.addCleanup(held_open.close)
         os.set_inheritable(held_open.fileno(), True)
         broker = self.broker(
-            engine, env=FIGURES | {"ROUTER_SOCKET_FD": str(held_open.fileno())}, keep=(held_open.fileno(),),
-            port=held_open.getsockname()[1])
+            engine,
+            env=FIGURES | {"ROUTER_SOCKET_FD": str(held_open.fileno())},
+            keep=(held_open.fileno(),),
+            port=held_open.getsockname()[1],
+        )
         client = self.client(broker)
         broker.counted("clients.connections")
         broker.process.send_signal(signal.SIGTERM)
@@ -427,10 +452,22 @@
 
     @staticmethod
     def known(engine):
-        member = {"id": engine.name, "host_port": f"127.0.0.1:{engine.port}", "locality": "room1", "cell": 0,
-                  "flavor": "node-8c", "phase": "Ready", "size": 4, "up_since_ms": 0}
-        return {"known": {"offset": 1, "batch": [
-            {"offset": 1, "topology": {"revision": 1, "complete": True, "members": [member]}}]}}
+        member = {
+            "id": engine.name,
+            "host_port": f"127.0.0.1:{engine.port}",
+            "locality": "room1",
+            "cell": 0,
+            "flavor": "node-8c",
+            "phase": "Ready",
+            "size": 4,
+            "up_since_ms": 0,
+        }
+        return {
+            "known": {
+                "offset": 1,
+                "batch": [{"offset": 1, "topology": {"revision": 1, "complete": True, "members": [member]}}],
+            }
+        }
 
 
 class Lists(Case):
@@ -511,6 +548,7 @@
                 return False
             finally:
                 client.close()
+
         until(asked, "an answer")
         del broker.dns.engines[engine.name]
         broker.dns.engines[new.name] = (new.port, 0)
@@ -534,6 +572,7 @@
         def served():
             client.ask()
             return "result" in client.get()
+
         until(served, "an answer of the only engine that takes work")
 
     def test_accept_without_a_descriptor_neither_spins_nor_ends_the_process(self):
@@ -569,8 +608,9 @@
     def test_half_messages_that_fill_all_buffers_take_no_engine_s_answers_with_them(self):
         """Engines' answers grew their buffers out of the same budget: their connections were closed."""
         engine = self.engine(lambda e, say, name, *a: say(name, "200", "count=1", ROW * 450))
-        broker = self.broker(engine, env=FIGURES,
-                             change={"limits": {"cores": 1.0, "memory_mb": 30, "sockets": 1024}})
+        broker = self.broker(
+            engine, env=FIGURES, change={"limits": {"cores": 1.0, "memory_mb": 30, "sockets": 1024}}
+        )
         client = self.client(broker)
         client.send("status")
         client.get()
@@ -579,16 +619,19 @@
             one = self.client(broker)
             one.sock.sendall(b"Content-Length: 500000\r\n\r\n" + b"x" * 250_000)
             return broker.count("bad_frames")
+
         until(full, "all buffers full")
         client.ask(wait=1500)
         self.assertEqual(content(client.get()), ROW * 450)
         self.assertEqual(len(engine.wants), 1)
 
-
     def test_one_client_s_statements_leave_room_for_the_others(self):
         """Thirty large statements of one connection filled what all may hold: the others were refused."""
-        engine = self.engine(lambda e, say, name, fields, statement: None if b"xx" in statement else
-                             whole(e, say, name, fields, statement))
+        engine = self.engine(
+            lambda e, say, name, fields, statement: None
+            if b"xx" in statement
+            else whole(e, say, name, fields, statement)
+        )
         broker = self.broker(engine, change={"limits": {"cores": 1.0, "memory_mb": 60, "sockets": 1024}})
         greedy, modest = self.client(broker), self.client(broker)
         for _ in range(30):
@@ -670,9 +713,13 @@
         ports, brokers, calls = [], [], []
         for _ in range(2):
             ports.append(free_port())
-            brokers.append(self.broker(
-                *engines, env={"ROUTER_MANAGEMENT": f"127.0.0.1:{ports[-1]}", "TMPDIR": shared},
-                hooks={"save": "cypressledge.net.management:Kept._save"}))
+            brokers.append(
+                self.broker(
+                    *engines,
+                    env={"ROUTER_MANAGEMENT": f"127.0.0.1:{ports[-1]}", "TMPDIR": shared},
+                    hooks={"save": "cypressledge.net.management:Kept._save"},
+                )
+            )
 
         def out(n):
             head = "POST /maintenance/enter HTTP/1.1\r\nHost: b"
@@ -702,8 +749,11 @@
         one that rests, and closed it over the beginning of its request."""
         engine = self.engine()
         broker = self.broker(
-            engine, env=FIGURES, change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64}},
-            hooks={"pause": "cypressledge.net.stream:sleep"})
+            engine,
+            env=FIGURES,
+            change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64}},
+            hooks={"pause": "cypressledge.net.stream:sleep"},
+        )
         client = self.client(broker)
         client.send("status")
         client.get()
@@ -719,6 +769,7 @@
             crowd.append(self.client(broker))
             crowd[-1].send("status")
             return broker.count("clients.let_go")
+
         until(crowded, "room made")
         client.sock.sendall(sent[0][4096:])
         broker.go("pause")
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -10,7 +10,18 @@
 from cypressledge.net.clickhouse import FORMAT, WRITES
 from cypressledge.sql import table_group
 from tests.stands import (
-    ROOT, ROW, SETTINGS, Broker, Case, content, failing, held, page, silent, until, whole,
+    ROOT,
+    ROW,
+    SETTINGS,
+    Broker,
+    Case,
+    content,
+    failing,
+    held,
+    page,
+    silent,
+    until,
+    whole,
 )
 
 
@@ -39,6 +50,7 @@
 
     def test_lost_page_is_an_error_that_is_tried_again(self):
         """The other pages' answers still come: on one connection they would end the repeat as well."""
+
         def once(engine, say, name, fields, statement):
             if len(engine.wants) == 1:
                 say(name, "200", "count=3", page(0))
@@ -55,8 +67,9 @@
 
     def test_connections_carry_32_attempts_each(self):
         engine = self.engine(silent)
-        broker = self.broker(engine, change={"settings": SETTINGS | {"Limits": SETTINGS["Limits"] | {
-            "StreamsPerConn": 2}}})
+        broker = self.broker(
+            engine, change={"settings": SETTINGS | {"Limits": SETTINGS["Limits"] | {"StreamsPerConn": 2}}}
+        )
         client = self.client(broker)
         for _ in range(5):
             client.ask()
@@ -127,6 +140,7 @@
 
     def test_repeat_never_shares_a_connection_with_its_unsettled_attempt(self):
         """A cancelled attempt may still be answered: its repeat must not take that answer for its own."""
+
         def runaway(engine, say, name, fields, statement):
             if len(engine.wants) == 1:
                 for _ in range(40):
@@ -145,6 +159,7 @@
 
     def test_connection_without_a_word_is_not_used_again(self):
         """A machine that vanished leaves its connections open; back again, it knows nothing of them."""
+
         def forgetful(engine, say, name, fields, statement):
             if engine.wants[-1][0] is not engine.wants[0][0]:
                 whole(engine, say, name, fields, statement)
@@ -182,16 +197,25 @@
         good = {"id": "00000000000000aa", "wait": 1000, "tenant": "sahel", "content": ""}
 
         def call(number, method="lookup", **change):
-            return json.dumps({"jsonrpc": "2.0", "id": number, "method": method,
-                               "params": good | change}).encode()
+            return json.dumps(
+                {"jsonrpc": "2.0", "id": number, "method": method, "params": good | change}
+            ).encode()
 
         for body, code, number in (
-            (b"{nonsense", -32700, None), (b"[]", -32600, None), (b'{"jsonrpc":"2.0","id":1}', -32600, None),
-            (call(0), -32600, None), (call(1, "nothing"), -32601, 1), (call(2, wait="x"), -32602, 2),
-            (call(3, wait=float("inf")), -32602, 3), (call(4, id="zz"), -32602, 4),
-            (call(5, tenant="nobody"), -32602, 5), (call(6, content="*"), -32602, 6),
-            (call(7, "order-load"), -32602, 7), (call(8, once="a,b", method="order-load"), -32602, 8),
-            (call(8), -32600, None), (b"[" * 100_000, -32700, None),
+            (b"{nonsense", -32700, None),
+            (b"[]", -32600, None),
+            (b'{"jsonrpc":"2.0","id":1}', -32600, None),
+            (call(0), -32600, None),
+            (call(1, "nothing"), -32601, 1),
+            (call(2, wait="x"), -32602, 2),
+            (call(3, wait=float("inf")), -32602, 3),
+            (call(4, id="zz"), -32602, 4),
+            (call(5, tenant="nobody"), -32602, 5),
+            (call(6, content="*"), -32602, 6),
+            (call(7, "order-load"), -32602, 7),
+            (call(8, once="a,b", method="order-load"), -32602, 8),
+            (call(8), -32600, None),
+            (b"[" * 100_000, -32700, None),
         ):
             with self.subTest(body[:60]):
                 answer = self.error(body)
@@ -201,8 +225,13 @@
         self.assertEqual(content(self.one.get()), ROW)
 
     def test_bad_framing_closes_the_connection(self):
-        for head in (b"Content-Length: x\r\n\r\n", b"Nothing: 1\r\n\r\n", b"Content-Length: 99999999\r\n\r\n",
-                     b"no colon\r\n\r\n", b"y" * 5000):
+        for head in (
+            b"Content-Length: x\r\n\r\n",
+            b"Nothing: 1\r\n\r\n",
+            b"Content-Length: 99999999\r\n\r\n",
+            b"no colon\r\n\r\n",
+            b"y" * 5000,
+        ):
             with self.subTest(head[:30]):
                 client = self.client(self.served)
                 client.raw(b"", head)
@@ -297,9 +326,13 @@
 
     def test_bad_configuration_is_one_plain_line(self):
         for change, word in (
-            ({"listen": "nowhere"}, "HOST:PORT"), ({"settings": {}}, "Limits"), ({"seed": "xyz"}, "xyz"),
-            ({"known": {"batch": [{}]}}, "topology"), ({"limits": {}}, "sockets"),
-            ({"settings": SETTINGS | {"Step": 0}}, "tick")):
+            ({"listen": "nowhere"}, "HOST:PORT"),
+            ({"settings": {}}, "Limits"),
+            ({"seed": "xyz"}, "xyz"),
+            ({"known": {"batch": [{}]}}, "topology"),
+            ({"limits": {}}, "sockets"),
+            ({"settings": SETTINGS | {"Step": 0}}, "tick"),
+        ):
             with self.subTest(word):
                 broker = Broker(change=change)
                 self.addCleanup(broker.close)
@@ -359,11 +392,15 @@
 
     def test_clients_beyond_the_descriptors_are_turned_away(self):
         """Those with a request open keep their places; those that are idle are let go for others."""
-        broker = self.broker(self.engine(whole_but_loads), change={
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}})
+        broker = self.broker(
+            self.engine(whole_but_loads), change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}}
+        )
         until(lambda: self._asks(broker), "a place")
-        held = [client for client in (self._asks(broker, "order-load", once="ab" * 16) for _ in range(30))
-                if client]
+        held = [
+            client
+            for client in (self._asks(broker, "order-load", once="ab" * 16) for _ in range(30))
+            if client
+        ]
         self.assertTrue(15 <= len(held) <= 20, len(held))
         held[0].close()
         until(lambda: self._asks(broker), "a free place")
@@ -394,8 +431,11 @@
             ("SELECT o_2.a FROM staging.x o_1 JOIN sales_8.lines o_2 ON o_1.k = o_2.k", 8),
             ("INSERT INTO sales_3.orders SELECT * FROM staging.load_4", 3),
             ("SELECT 'from sales_1.t' /* from sales_2.t */ -- from sales_5.t\n FROM sales_6.t", 6),
-            ('UPDATE "sales_12"."orders" SET a = 1', 12), ("DELETE FROM db.sales_9.t", 9),
-            ("SELECT 'it''s from sales_4.t' FROM sales_5.t", 5), ("SELECT 1", 0), ("SELECT a FROM orders", 0),
+            ('UPDATE "sales_12"."orders" SET a = 1', 12),
+            ("DELETE FROM db.sales_9.t", 9),
+            ("SELECT 'it''s from sales_4.t' FROM sales_5.t", 5),
+            ("SELECT 1", 0),
+            ("SELECT a FROM orders", 0),
         ):
             with self.subTest(statement):
                 self.assertEqual(table_group(statement), group)
--- a/tests/test_capacity_check.py
+++ b/tests/test_capacity_check.py
@@ -10,13 +10,27 @@
 
 
 def broker(at, name, event="in_force", version=0, run=1, epoch=1, digest=None):
-    return {"at": int(at * S), "broker": name, "run": run, "event": event, "epoch": epoch, "version": version,
-            "digest": f"d{version}" if digest is None else digest}
+    return {
+        "at": int(at * S),
+        "broker": name,
+        "run": run,
+        "event": event,
+        "epoch": epoch,
+        "version": version,
+        "digest": f"d{version}" if digest is None else digest,
+    }
 
 
 def control(at, event="committed", version=0, who="c1", request="", digest=None):
-    return {"at": int(at * S), "who": who, "event": event, "epoch": 1, "version": version, "request": request,
-            "digest": f"d{version}" if digest is None else digest}
+    return {
+        "at": int(at * S),
+        "who": who,
+        "event": event,
+        "epoch": 1,
+        "version": version,
+        "request": request,
+        "digest": f"d{version}" if digest is None else digest,
+    }
 
 
 def seen(acked, over=40.0, **more):
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -45,10 +45,10 @@
     bent = [(x, 2.0 * x * x + 3.0 * x + 1.0) for x in (10.0, 20.0, 40.0, 80.0, 160.0)]
     assert fits.best(bent).kind == "quadratic" and fits.best(bent).residual < 1e-9
     assert fits.best(bent).at(490.0) == pytest.approx(2.0 * 490 * 490 + 3.0 * 490 + 1.0)
-    power = fits.fit([(x, 3.0 * x ** 1.5) for x in (1.0, 4.0, 9.0)], "power")
+    power = fits.fit([(x, 3.0 * x**1.5) for x in (1.0, 4.0, 9.0)], "power")
     assert power.coefficients == pytest.approx([1.5, 3.0]) and power.residual < 1e-9
     straight = fits.fit([(0.0, 9.0), (1.0, 12.0), (2.0, 9.0)], "linear")  # 10 everywhere: off by 1, 2, 1
-    assert straight.residual == pytest.approx(2.0 ** 0.5 / 10)
+    assert straight.residual == pytest.approx(2.0**0.5 / 10)
     with pytest.raises(ValueError, match="needs 2 different x"):
         fits.fit([(1.0, 2.0), (1.0, 3.0)], "linear")
 
@@ -66,10 +66,17 @@
     assert 0 < group["others"][4] < 30 and 0 < group["loss"][0] < slopes.LOSS_S
 
 
-@pytest.mark.parametrize(("raw", "says"), [
-    ("{", "is no results file"), ('{"quick": false, "slopes": [{"name": "x"}]}', "is no results file"),
-    ("[1]", "no list of runs"), ('{"quick": true}', "measured with --quick"),
-    ('{"quick": false}', "the results have no"), (None, "No such file")])
+@pytest.mark.parametrize(
+    ("raw", "says"),
+    [
+        ("{", "is no results file"),
+        ('{"quick": false, "slopes": [{"name": "x"}]}', "is no results file"),
+        ("[1]", "no list of runs"),
+        ('{"quick": true}', "measured with --quick"),
+        ('{"quick": false}', "the results have no"),
+        (None, "No such file"),
+    ],
+)
 def test_a_broken_results_file_is_one_plain_line(tmp_path, raw, says):
     path = tmp_path / "slopes.json"
     if raw is not None:
--- a/tests/test_capacity_play.py
+++ b/tests/test_capacity_play.py
@@ -47,9 +47,14 @@
     @staticmethod
     def is_bad(ops):
         values = ops.get("set", {})
-        return "remove" in ops and "config/Classes" in ops["remove"] or any(
-            k in ("engine/bad", "engine/no good", "nothing/x") or v == {"DrainGrace": 1}
-            for k, v in values.items())
+        return (
+            "remove" in ops
+            and "config/Classes" in ops["remove"]
+            or any(
+                k in ("engine/bad", "engine/no good", "nothing/x") or v == {"DrainGrace": 1}
+                for k, v in values.items()
+            )
+        )
 
 
 def operator(monkeypatch, fault=""):
@@ -57,8 +62,11 @@
     monkeypatch.setattr(play, "http", plane.http)
     monkeypatch.setattr(play, "PAUSE_S", 0.001)
     standin = SimpleNamespace(member=lambda: {"host_port": "127.0.0.1:5"})
-    world = SimpleNamespace(size=SimpleNamespace(engines=9), standins=[standin],
-                            controls=[SimpleNamespace(management=101), SimpleNamespace(management=102)])
+    world = SimpleNamespace(
+        size=SimpleNamespace(engines=9),
+        standins=[standin],
+        controls=[SimpleNamespace(management=101), SimpleNamespace(management=102)],
+    )
     return play.Operator(world, 1), plane
 
 
@@ -75,9 +83,15 @@
     assert {a.version for a in asking.acked} == set(range(1, plane.version + 1))
 
 
-@pytest.mark.parametrize("fault, kind, words", [
-    ("twice", "repeat", "and then"), ("no clash", "clash", "both taken"), ("takes all", "bad", "was taken"),
-    ("refuses", "settings", "good change")])
+@pytest.mark.parametrize(
+    "fault, kind, words",
+    [
+        ("twice", "repeat", "and then"),
+        ("no clash", "clash", "both taken"),
+        ("takes all", "bad", "was taken"),
+        ("refuses", "settings", "good change"),
+    ],
+)
 def test_a_fault_is_found(monkeypatch, fault, kind, words):
     asking, _ = operator(monkeypatch, fault)
     asking.do(Event(0, kind))
@@ -93,10 +107,14 @@
 def test_what_the_harness_saw_becomes_the_checkers():
     asking = SimpleNamespace(acked=[Acked(900, 3, "r3"), Acked(950, 4, "r4")], wrongs=[])
     faults = play.Faults(None, None, kills=[("a", 50), ("a", 500)])
-    records = [{"at": at, "broker": "a", "run": run, "event": "start"}
-               for at, run in ((10, 1), (20, 1), (60, 2), (600, 3))]
-    controls = [{"at": 800, "who": "c1", "event": "acknowledged", "version": 3, "request": "r3"},
-                {"at": 990, "who": "c1", "event": "acknowledged", "version": 4, "request": "r4"}]
+    records = [
+        {"at": at, "broker": "a", "run": run, "event": "start"}
+        for at, run in ((10, 1), (20, 1), (60, 2), (600, 3))
+    ]
+    controls = [
+        {"at": 800, "who": "c1", "event": "acknowledged", "version": 3, "request": "r3"},
+        {"at": 990, "who": "c1", "event": "acknowledged", "version": 4, "request": "r4"},
+    ]
     seen = play.seen(asking, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77})
     assert seen.ends == {("a", 1): 50, ("a", 2): 500, ("b", 7): 77}
     assert [a.at for a in seen.acked] == [800, 950]
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -16,13 +16,19 @@
 LINE = re.compile(
     r"capacity: brokers 12, engines 20, changes (\d+), in force p99 [\d.]+ s most ([\d.]+) s, primary over "
     r"most ([\d.]+) s, broker cpu [\d.]+ % net [\d.]+ KB/s rss [\d.]+ MB, lost (\d+), gone back (\d+), "
-    r"wrong (\d+)")
+    r"wrong (\d+)"
+)
 SMALL = ("lab", "capacity", "--brokers", "12", "--engines", "20", "--real", "1", "--seed", "3")
 
 
 def command(*more):
-    return subprocess.Popen([sys.executable, "-m", "cypressledge", *SMALL, *more], cwd=ROOT, text=True,
-                            stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+    return subprocess.Popen(
+        [sys.executable, "-m", "cypressledge", *SMALL, *more],
+        cwd=ROOT,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+    )
 
 
 def children(pid):
@@ -67,13 +73,24 @@
 
 
 def test_points_are_drawn(tmp_path):
-    names = ("p99_s", "most_s", "primary_most_s", "hollow_cpu_pct", "real_cpu_pct", "hollow_net_kb_s",
-             "real_net_kb_s")
+    names = (
+        "p99_s",
+        "most_s",
+        "primary_most_s",
+        "hollow_cpu_pct",
+        "real_cpu_pct",
+        "hollow_net_kb_s",
+        "real_net_kb_s",
+    )
     points = []
     for count in (120, 60):
         point = Point(Size(count, 490, 5), 30.0, 1, tmp_path, print)
         point.figures = dict.fromkeys(names, 1.0) | {
-            "brokers": count, "engines": 490, "seconds": 30, "seed": 1}
+            "brokers": count,
+            "engines": 490,
+            "seconds": 30,
+            "seed": 1,
+        }
         points.append(point)
     draw_plot(points, str(tmp_path / "a.png"))
     assert (tmp_path / "a.png").stat().st_size > 5_000
--- a/tests/test_clickhouse.py
+++ b/tests/test_clickhouse.py
@@ -11,7 +11,19 @@
 from urllib.parse import urlencode
 
 from tests.stands import (
-    ROW, WAIT, Case, ChEngine, breaking, ch_error, content, free_port, hang_up, page, rows, silent, stalling,
+    ROW,
+    WAIT,
+    Case,
+    ChEngine,
+    breaking,
+    ch_error,
+    content,
+    free_port,
+    hang_up,
+    page,
+    rows,
+    silent,
+    stalling,
     until,
 )
 
@@ -25,7 +37,10 @@
 
     def service(self, *engines, lines=()):
         self.port, self.admin = free_port(), free_port()
-        broker = self.broker(*lines, env={"ADMIN": TOKEN, "ENGINE": "secret"}, service=lambda b: f"""
+        broker = self.broker(
+            *lines,
+            env={"ADMIN": TOKEN, "ENGINE": "secret"},
+            service=lambda b: f"""
             [clickhouse]
             listen = "127.0.0.1:{self.port}"
             [engines]
@@ -40,7 +55,8 @@
             [[tenant]]
             name = "sales"
             key_sha256 = "{hashlib.sha256(KEY.encode()).hexdigest()}"
-            """)
+            """,
+        )
         for n, engine in enumerate(engines):
             broker.dns.instances[f"ch-{n}.{TYPE}"] = (engine.port, "ready")
         if engines:
@@ -48,8 +64,9 @@
             until(lambda: len(self.api("GET", "/v1/engines")[1]["engines"]) == len(engines) + len(lines))
         return broker
 
-    def ask(self, body=b"SELECT a, b, c FROM sales_17.orders", method="POST", path="/", login=LOGIN,
-            **params):
+    def ask(
+        self, body=b"SELECT a, b, c FROM sales_17.orders", method="POST", path="/", login=LOGIN, **params
+    ):
         """One exchange: status, headers, body."""
         with closing(http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT)) as conn:
             conn.request(method, f"{path}?{urlencode(params)}", body if method == "POST" else None, login)
@@ -71,8 +88,12 @@
 
     def api(self, method, path, value=None, token=TOKEN):
         with closing(http.client.HTTPConnection("127.0.0.1", self.admin, timeout=WAIT)) as conn:
-            conn.request(method, path, json.dumps(value) if value is not None else None,
-                         {"Authorization": f"Bearer {token}"})
+            conn.request(
+                method,
+                path,
+                json.dumps(value) if value is not None else None,
+                {"Authorization": f"Bearer {token}"},
+            )
             answer = conn.getresponse()
             body = answer.read()
             return answer.status, json.loads(body) if body else None
@@ -86,15 +107,19 @@
         engine = self.engine(rows(ROW, page(1)), kind=ChEngine)
         self.service(engine)
         status, headers, body = self.ask(
-            query_id="my-id", workload="report", max_execution_time="2.5", insert_deduplication_token="k1")
+            query_id="my-id", workload="report", max_execution_time="2.5", insert_deduplication_token="k1"
+        )
         self.assertEqual((status, body), (200, ROW + page(1)))
         self.assertEqual(headers["Transfer-Encoding"], "chunked")
-        self.assertEqual((headers["X-ClickHouse-Query-Id"], headers["X-ClickHouse-Format"]),
-                         ("my-id", "TabSeparated"))
+        self.assertEqual(
+            (headers["X-ClickHouse-Query-Id"], headers["X-ClickHouse-Format"]), ("my-id", "TabSeparated")
+        )
         params, statement, sent = engine.asked[0]
         self.assertEqual(statement, b"SELECT a, b, c FROM sales_17.orders")
-        self.assertEqual((params["query_id"], params["workload"], params["insert_deduplication_token"]),
-                         ("my-id", "report", "k1"))
+        self.assertEqual(
+            (params["query_id"], params["workload"], params["insert_deduplication_token"]),
+            ("my-id", "report", "k1"),
+        )
         self.assertTrue(0 < float(params["max_execution_time"]) <= 2.5)
         self.assertEqual((sent["x-clickhouse-user"], sent["x-clickhouse-key"]), ("broker", "secret"))
         self.assertEqual(self.ask(method="GET", query="SELECT 1")[2], ROW + page(1))
@@ -111,8 +136,14 @@
         basic = {"Authorization": "Basic " + base64.b64encode(f"sales:{KEY}".encode()).decode()}
         self.assertEqual(self.ask(login=basic)[0], 200)
         self.assertEqual(self.ask(login={}, user="sales", password=KEY)[0], 200)
-        for login in ({}, {"X-ClickHouse-User": "sales"}, LOGIN | {"X-ClickHouse-Key": "wrong"},
-                      LOGIN | basic, {"Authorization": "Bearer x"}, {"X-ClickHouse-User": "sahel"}):
+        for login in (
+            {},
+            {"X-ClickHouse-User": "sales"},
+            LOGIN | {"X-ClickHouse-Key": "wrong"},
+            LOGIN | basic,
+            {"Authorization": "Bearer x"},
+            {"X-ClickHouse-User": "sahel"},
+        ):
             with self.subTest(login):
                 self.assertEqual(self.code(login=login), (403, 516))
 
@@ -134,11 +165,16 @@
         self.service(self.engine(kind=ChEngine))
         select = b"SELECT 1"
         for expected, body, more in (
-            ((501, 48), select, {"session_id": "s"}), ((501, 48), select, {"param_x": "1"}),
-            ((404, 115), select, {"max_threads": "4"}), ((400, 36), select, {"workload": "nothing"}),
-            ((400, 36), select, {"max_execution_time": "soon"}), ((404, 73), b"SELECT 1 FORMAT JSON", {}),
-            ((404, 73), select, {"default_format": "CSV"}), ((400, 62), b"  ", {}),
-            ((400, 36), select, {"query_id": "a b"}), ((404, 48), select, {"path": "/other"}),
+            ((501, 48), select, {"session_id": "s"}),
+            ((501, 48), select, {"param_x": "1"}),
+            ((404, 115), select, {"max_threads": "4"}),
+            ((400, 36), select, {"workload": "nothing"}),
+            ((400, 36), select, {"max_execution_time": "soon"}),
+            ((404, 73), b"SELECT 1 FORMAT JSON", {}),
+            ((404, 73), select, {"default_format": "CSV"}),
+            ((400, 62), b"  ", {}),
+            ((400, 36), select, {"query_id": "a b"}),
+            ((404, 48), select, {"path": "/other"}),
             ((501, 48), select, {"method": "PUT"}),
             ((500, 164), b"", {"method": "GET", "query": "INSERT INTO t VALUES (1)"}),
             ((501, 48), select, {"login": LOGIN | {"Content-Encoding": "gzip"}}),
@@ -158,17 +194,21 @@
         self.service(engine)
         login = b"".join(f"{k}: {v}\r\n".encode() for k, v in LOGIN.items())
         last = login + b"Connection: close\r\n"
-        got = self.raw(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n%s\r\n6\r\nSELECT\r\n" % login,
-                       b"2\r\n 1\r\n0\r\n\r\nGET /ping HTTP/1.1\r\n%s\r\n" % last)  # and one pipelined
+        got = self.raw(
+            b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n%s\r\n6\r\nSELECT\r\n" % login,
+            b"2\r\n 1\r\n0\r\n\r\nGET /ping HTTP/1.1\r\n%s\r\n" % last,
+        )  # and one pipelined
         self.assertEqual(engine.asked[0][1], b"SELECT 1")
         self.assertEqual(got.count(b"HTTP/1.1 200 OK"), 2)
         self.assertTrue(got.endswith(b"Ok.\n"), got)
         whole = b"Content-Length: %d\r\n\r\n%s" % (len(ROW + page(1)), ROW + page(1))
-        for request in (b"GET /?query=SELECT+1 HTTP/1.0\r\n%s\r\n" % login,
-                        b"GET /?query=SELECT+1&wait_end_of_query=1 HTTP/1.1\r\n%s\r\n" % last):
+        for request in (
+            b"GET /?query=SELECT+1 HTTP/1.0\r\n%s\r\n" % login,
+            b"GET /?query=SELECT+1&wait_end_of_query=1 HTTP/1.1\r\n%s\r\n" % last,
+        ):
             got = self.raw(request)
             self.assertIn(whole.split(b"\r\n")[0], got)
-            self.assertTrue(got.endswith(whole[-len(ROW):]))
+            self.assertTrue(got.endswith(whole[-len(ROW) :]))
             self.assertNotIn(b"chunked", got)
 
     def test_what_is_too_large_or_no_http(self):
@@ -176,9 +216,13 @@
         self.service(self.engine(kind=ChEngine))
         for status, *parts in (
             (413, b"POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
-            (413, b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", *(
-                b"100000\r\n" + bytes(1 << 20) + b"\r\n" for _ in range(5))),
-            (431, b"GET /?" + b"x" * 70_000 + b" HTTP/1.1\r\n\r\n"), (400, b"nonsense\r\n\r\n"),
+            (
+                413,
+                b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+                *(b"100000\r\n" + bytes(1 << 20) + b"\r\n" for _ in range(5)),
+            ),
+            (431, b"GET /?" + b"x" * 70_000 + b" HTTP/1.1\r\n\r\n"),
+            (400, b"nonsense\r\n\r\n"),
         ):
             with self.subTest(status):
                 self.assertTrue(self.raw(*parts).startswith(b"HTTP/1.1 %d " % status))
@@ -214,6 +258,7 @@
 
     def test_engine_that_tells_nothing_of_a_query_has_not_lost_its_answer(self):
         """Only engines that speak lines tell of all they run at each interval of notes."""
+
         def play(engine, send, params, statement):
             if b"slow" in statement:
                 engine.released.wait(WAIT)
@@ -267,8 +312,10 @@
 
     def test_after_the_first_byte_no_second_attempt_and_a_visibly_broken_stream(self):
         def tagged(engine, send, params, statement):
-            send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-                 b"X-ClickHouse-Exception-Tag: tagtag\r\n\r\n")
+            send(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
+                b"X-ClickHouse-Exception-Tag: tagtag\r\n\r\n"
+            )
             for part in (ROW * 9, b"\r\n__exception__\r\ntag", b"tag\r\nCode: 241\r\n"):
                 send(b"%x\r\n%s\r\n" % (len(part), part))
             send(b"0\r\n\r\n")
@@ -310,8 +357,13 @@
         answers, token = [], "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
         def load(n):
-            answers.append(self.ask(b"INSERT INTO sales_5.orders VALUES (1)", query_id=f"load-{n}",
-                                    insert_deduplication_token=token)[0])
+            answers.append(
+                self.ask(
+                    b"INSERT INTO sales_5.orders VALUES (1)",
+                    query_id=f"load-{n}",
+                    insert_deduplication_token=token,
+                )[0]
+            )
 
         threads = [threading.Thread(target=load, args=(n,)) for n in range(2)]
         for t in threads:
@@ -341,8 +393,11 @@
         answers = []
         for at in range(0, each, 20):
             for n in range(at, at + 20):
-                client.ask("order-load" if n % 10 == 0 else "lookup", wait=2500, **(
-                    {"once": f"{n:032x}"} if n % 10 == 0 else {}))
+                client.ask(
+                    "order-load" if n % 10 == 0 else "lookup",
+                    wait=2500,
+                    **({"once": f"{n:032x}"} if n % 10 == 0 else {}),
+                )
             answers += [client.get() for _ in range(20)]
         for t in threads:
             t.join(4 * WAIT)
@@ -401,10 +456,12 @@
     def test_what_is_wrong_is_said(self):
         self.service(self.engine(kind=ChEngine))
         for status, *call in (
-            (401, "GET", "/v1/tenants", None, "wrong"), (404, "GET", "/v1/nothing"),
+            (401, "GET", "/v1/tenants", None, "wrong"),
+            (404, "GET", "/v1/nothing"),
             (405, "PUT", "/v1/tenants"),
             (422, "POST", "/v1/tenants", {"name": "x y", "key": "long-enough-key"}),
-            (422, "POST", "/v1/tenants", {"name": "x"}), (400, "POST", "/v1/tenants", [1]),
+            (422, "POST", "/v1/tenants", {"name": "x"}),
+            (400, "POST", "/v1/tenants", [1]),
             (422, "PATCH", "/v1/tenants/sales", {"most_open": -1}),
             (422, "PATCH", "/v1/tenants/sales", {"colour": "red"}),
         ):
@@ -445,9 +502,18 @@
         engine = self.engine(kind=ChEngine)
         broker = self.service(engine)
         listed = self.api("GET", "/v1/engines")[1]["engines"]
-        self.assertEqual(listed, [{
-            "name": "ch-0", "address": f"127.0.0.1:{engine.port}", "wire": "clickhouse", "state": "ready",
-            "attempts": 0}])
+        self.assertEqual(
+            listed,
+            [
+                {
+                    "name": "ch-0",
+                    "address": f"127.0.0.1:{engine.port}",
+                    "wire": "clickhouse",
+                    "state": "ready",
+                    "attempts": 0,
+                }
+            ],
+        )
         broker.dns.instances[f"ch-0.{TYPE}"] = (engine.port, "draining")
         until(lambda: self.api("GET", "/v1/engines")[1]["engines"][0]["state"] == "draining", "the drain")
         status, _, _ = self.ask(max_execution_time="0.5")
@@ -462,8 +528,11 @@
 
     def test_bad_service_file_is_one_plain_line(self):
         for text, word in (
-                ("x", "TOML"), ("[admin]", "clickhouse"), ('[clickhouse]\nlisten = "x"', "HOST:PORT"),
-                ('[clickhouse]\nlisten="127.0.0.1:1"\n[admin]\nlisten="127.0.0.1:2"', "token")):
+            ("x", "TOML"),
+            ("[admin]", "clickhouse"),
+            ('[clickhouse]\nlisten = "x"', "HOST:PORT"),
+            ('[clickhouse]\nlisten="127.0.0.1:1"\n[admin]\nlisten="127.0.0.1:2"', "token"),
+        ):
             with self.subTest(word):
                 broker = self.broker(service=lambda b, text=text: text)
                 self.assertEqual(broker.process.wait(WAIT), 2)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,7 +9,17 @@
 import pytest
 
 from cypressledge.contract import (
-    Arrival, ClassSettings, Ended, EngineList, Entry, ListKind, Outcome, Send, Settings, State, Timer,
+    Arrival,
+    ClassSettings,
+    Ended,
+    EngineList,
+    Entry,
+    ListKind,
+    Outcome,
+    Send,
+    Settings,
+    State,
+    Timer,
     TimerFired,
 )
 from cypressledge.control import WorkloadManager
@@ -28,11 +38,24 @@
     def __init__(self, slot, peers, seed, kinds, estimates, warm):
         self.seed, self.kinds, self.estimates, self.warm = seed, kinds, estimates, warm
         self.site = Settings(
-            classes=tuple(ClassSettings(aim=600_000 * threads * 2, deadline=20 * SECOND, threads=threads)
-                          for _, _, threads in kinds),
-            kind_cores=(8,), tick=TICK, slot=slot, peers=peers, may_cancel=True, max_attempts=3,
-            start_capacity=0.31, warm_within=14 * SECOND, fall_multiple=2.0, fall_window=WINDOW,
-            retry_ratio=0.1, retry_free=3.0, retry_window=5 * SECOND)
+            classes=tuple(
+                ClassSettings(aim=600_000 * threads * 2, deadline=20 * SECOND, threads=threads)
+                for _, _, threads in kinds
+            ),
+            kind_cores=(8,),
+            tick=TICK,
+            slot=slot,
+            peers=peers,
+            may_cancel=True,
+            max_attempts=3,
+            start_capacity=0.31,
+            warm_within=14 * SECOND,
+            fall_multiple=2.0,
+            fall_window=WINDOW,
+            retry_ratio=0.1,
+            retry_free=3.0,
+            retry_window=5 * SECOND,
+        )
         self.numbers, self.rng, self.next = count(1), random.Random(seed), START
         self.start(START)
 
@@ -100,12 +123,15 @@
 
 @pytest.mark.parametrize("peers", [20, 30])
 @pytest.mark.parametrize("restart", [False, True], ids=["running", "all start anew"])
-@pytest.mark.parametrize("kinds, estimates", [(KINDS, True), (KINDS, False), (KINDS[:1], True)],
-                         ids=["mixed", "no estimates", "short work"])
+@pytest.mark.parametrize(
+    "kinds, estimates",
+    [(KINDS, True), (KINDS, False), (KINDS[:1], True)],
+    ids=["mixed", "no estimates", "short work"],
+)
 def test_the_sum_of_all_instances_stays_within_the_budget_and_chance(peers, restart, kinds, estimates):
     """Without estimates, classes of which no answer had come weighed nothing: 86 calls of 24."""
     for seed in (1, 2):
         most, n, got = play(peers, seed, kinds, estimates, restart)
         print(f"seed {seed}: {most:.1f} calls of N = {n:.1f}, by class {got}")
-        assert most <= n + 2 * n ** 0.5 + 2
+        assert most <= n + 2 * n**0.5 + 2
         assert got[0]
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -37,14 +37,31 @@
         self.history = History(FleetState("line"))
         grow(self.history, versions)
         self.sent, self.ended, self.events = defaultdict(list), {}, []
-        self.publisher = Publisher("c1", 7, self.history, Limits(**limits),
-                                   lambda conn, msg: self.sent[conn].append(msg), self.ended.__setitem__,
-                                   lambda name, **what: self.events.append(name))
+        self.publisher = Publisher(
+            "c1",
+            7,
+            self.history,
+            Limits(**limits),
+            lambda conn, msg: self.sent[conn].append(msg),
+            self.ended.__setitem__,
+            lambda name, **what: self.events.append(name),
+        )
 
     def hello(self, conn: int, position: tuple = (0, 0, b""), now: int = 0, **more) -> list:
         lineage = "line" if position[1] else ""
-        told = dict(format=m.FORMAT, role="broker", name=f"b{conn}", run=1, lineage=lineage,
-                    epoch=position[0], version=position[1], digest=position[2]) | more
+        told = (
+            dict(
+                format=m.FORMAT,
+                role="broker",
+                name=f"b{conn}",
+                run=1,
+                lineage=lineage,
+                epoch=position[0],
+                version=position[1],
+                digest=position[2],
+            )
+            | more
+        )
         self.publisher.connected(now, conn, m.Hello(**told))
         return self.sent[conn]
 
@@ -92,18 +109,26 @@
     assert isinstance(desk.sent[1][-1], m.Deltas)
 
 
-@pytest.mark.parametrize(("more", "why"), [
-    ({"format": 99}, "format"), ({"role": "control"}, "nonsense"), ({"name": "-"}, "nonsense"),
-    ({"lineage": "other", "epoch": 1, "version": 1, "digest": b"x" * 16}, "lineage"),
-    ({"version": 5}, "nonsense"), ({"lineage": "line", "version": 5, "digest": b"x"}, "nonsense")])
+@pytest.mark.parametrize(
+    ("more", "why"),
+    [
+        ({"format": 99}, "format"),
+        ({"role": "control"}, "nonsense"),
+        ({"name": "-"}, "nonsense"),
+        ({"lineage": "other", "epoch": 1, "version": 1, "digest": b"x" * 16}, "lineage"),
+        ({"version": 5}, "nonsense"),
+        ({"lineage": "line", "version": 5, "digest": b"x"}, "nonsense"),
+    ],
+)
 def test_publisher_turns_away_who_does_not_fit(more, why):
     desk = Desk()
     desk.hello(1, **more)
     assert desk.ended[1].why == why and not desk.publisher.followers and f"ended_{why}" in desk.events
 
 
-@pytest.mark.parametrize("message", [
-    m.Beat(1, 1, b"", "", 0), m.Have(1, 3, b""), m.WholeWanted("x"), m.Goodbye("x")])
+@pytest.mark.parametrize(
+    "message", [m.Beat(1, 1, b"", "", 0), m.Have(1, 3, b""), m.WholeWanted("x"), m.Goodbye("x")]
+)
 def test_publisher_ends_nonsense(message):
     desk = Desk()
     desk.hello(1, where(desk.history.state))
@@ -276,10 +301,21 @@
     def __init__(self, servers: int = 1, **more) -> None:
         self.said, self.tried, self.ended, self.took, self.events = [], [], [], [], []
         near = [Server(f"c{i}", f"c{i}:1", "" if i else "z", "r" if i < 2 else "") for i in range(servers)]
-        self.follower = Follower("b1", 3, near, "z", "r", 5, "b1:1", self.said.append,
-                                 self.tried.append, self.ended.append,
-                                 lambda state, change: self.took.append(change),
-                                 lambda name, **what: self.events.append(name), **more)
+        self.follower = Follower(
+            "b1",
+            3,
+            near,
+            "z",
+            "r",
+            5,
+            "b1:1",
+            self.said.append,
+            self.tried.append,
+            self.ended.append,
+            lambda state, change: self.took.append(change),
+            lambda name, **what: self.events.append(name),
+            **more,
+        )
 
     def greet(self, now: int = 0, lineage: str = "line") -> "Seat":
         """Wait until it connects; let it."""
@@ -407,7 +443,7 @@
         else:
             now = due
     gaps = [b - a for a, b in itertools.pairwise(tries)]
-    assert all(gap <= min(0.1 * S * 2 ** i, 5 * S) for i, gap in enumerate(gaps)) and len(gaps) > 100
+    assert all(gap <= min(0.1 * S * 2**i, 5 * S) for i, gap in enumerate(gaps)) and len(gaps) > 100
     assert max(gaps[10:]) > 4 * S and min(gaps[10:]) < S
     assert [s.name for s in seat.tried[:4]] == ["c0", "c1", "c2", "c0"]
     seat = Seat().greet()
@@ -496,10 +532,10 @@
         self.events: set[str] = set()
 
     def _site(self, i: int, history: History) -> Publisher:
-        limits = Limits(answer_s=2.0, wholes_at_once=2, wholes_per_s=5, followers_most=3,
-                        full_after_ms=500)
-        return Publisher(f"c{i}", next(self.ids), history, limits, self._to_broker, self._goodbye,
-                         self._event)
+        limits = Limits(answer_s=2.0, wholes_at_once=2, wholes_per_s=5, followers_most=3, full_after_ms=500)
+        return Publisher(
+            f"c{i}", next(self.ids), history, limits, self._to_broker, self._goodbye, self._event
+        )
 
     def _event(self, name: str, **what) -> None:
         self.events.add(name)
@@ -516,9 +552,20 @@
         def end(why: str) -> None:
             self._cut(i)
 
-        return Follower(f"b{i}", life, servers, f"z{i % 2}", "r", self.random.randrange(1 << 30), "",
-                        lambda msg: self._to_site(i, msg), lambda server: self._dial(i, server), end, changed,
-                        self._event)
+        return Follower(
+            f"b{i}",
+            life,
+            servers,
+            f"z{i % 2}",
+            "r",
+            self.random.randrange(1 << 30),
+            "",
+            lambda msg: self._to_site(i, msg),
+            lambda server: self._dial(i, server),
+            end,
+            changed,
+            self._event,
+        )
 
     def later(self, delay: int, act, *args) -> None:
         heapq.heappush(self.heap, (self.now + delay, next(self.order), act, args))
@@ -574,7 +621,7 @@
     def _spoilt(self, msg: m.Message) -> m.Message:
         if isinstance(msg, m.Whole):
             cut = self.random.randrange(len(msg.packed))
-            return m.Whole(msg.packed[:cut] + b"\x55" + msg.packed[cut + 1:][:-1])
+            return m.Whole(msg.packed[:cut] + b"\x55" + msg.packed[cut + 1 :][:-1])
         *rest, last = msg.changes
         bad = m.Change(last.epoch, last.version, [m.Op("engine/bad", b"\x01")], last.digest)
         return m.Deltas([*rest, bad])
@@ -617,7 +664,7 @@
 
     def catch_up(self, i: int, most: int) -> None:
         site = self.sites[i]
-        for change in self.log[site.history.state.version:][:most]:
+        for change in self.log[site.history.state.version :][:most]:
             site.history.apply(change)
         site.primary(self.now, "c0")
         site.committed(self.now)
@@ -645,8 +692,18 @@
 
 
 FAULTS = ["break", "dark", "new broker", "new site", "compact", "spoil", "none"]
-_steps = st.lists(st.tuples(st.sampled_from(FAULTS), st.integers(0, 11), st.integers(0, 4), st.integers(0, 1),
-                            st.integers(0, 2), st.integers(0, 3), st.integers(0, 4 * S)), max_size=25)
+_steps = st.lists(
+    st.tuples(
+        st.sampled_from(FAULTS),
+        st.integers(0, 11),
+        st.integers(0, 4),
+        st.integers(0, 1),
+        st.integers(0, 2),
+        st.integers(0, 3),
+        st.integers(0, 4 * S),
+    ),
+    max_size=25,
+)
 
 
 @given(st.integers(0, 1 << 30), _steps)
@@ -689,7 +746,7 @@
     seat = Seat(servers=8)
     made = outage(seat, 60 * S)
     names = [name for _, name in made]
-    assert names == ([s.name for s in seat.follower.servers] * len(names))[:len(names)]
+    assert names == ([s.name for s in seat.follower.servers] * len(names))[: len(names)]
     waits = [b - a for (a, _), (b, _) in zip(made, made[1:], strict=False)]
     within = [w for i, w in enumerate(waits) if (i + 1) % 8]
     between = waits[7::8]
--- a/tests/test_controlplane_frames.py
+++ b/tests/test_controlplane_frames.py
@@ -13,8 +13,10 @@
 @pytest.fixture
 def pair():
     """Two ends; the second takes small frames only, as before a Hello."""
-    ends = [Frames(sock, Traffic(), most) for sock, most in
-            zip(socket.socketpair(), (4 << 20, 4 << 10), strict=True)]
+    ends = [
+        Frames(sock, Traffic(), most)
+        for sock, most in zip(socket.socketpair(), (4 << 20, 4 << 10), strict=True)
+    ]
     yield ends
     for end in ends:
         end.close()
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -45,9 +45,11 @@
 
 def settled(plane):
     """The primary, once both others hold all that it has."""
+
     def whole():
         told = plane.primary().status()
         return told.get("role") == "primary" and list(told["match"].values()) == [told["last"]] * 2 and told
+
     return plane[plane.wait(whole, "voters that hold everything")["name"]]
 
 
@@ -105,8 +107,12 @@
     raise AssertionError("no fault has struck")
 
 
-@pytest.mark.parametrize("plane", [{"fault": "kill-before:append:13"}, {"fault": "stop-before:append:13"}],
-                         indirect=True, ids=["killed", "stopped"])
+@pytest.mark.parametrize(
+    "plane",
+    [{"fault": "kill-before:append:13"}, {"fault": "stop-before:append:13"}],
+    indirect=True,
+    ids=["killed", "stopped"],
+)
 def test_primary_killed_or_stopped_between_its_own_disk_and_the_next(plane):
     primary = settled(plane)
     other, away = plane.others(primary.name)
@@ -192,8 +198,13 @@
 def many(count, salt):
     """Engines that take some bytes, and do not pack well."""
     draw = random.Random(salt)
-    return {f"engine/x{i}": {"address": f"127.{salt}.{i // 250}.{i % 250 + 1}:7002",
-                             "kind": f"{draw.getrandbits(256):064x}"} for i in range(count)}
+    return {
+        f"engine/x{i}": {
+            "address": f"127.{salt}.{i // 250}.{i % 250 + 1}:7002",
+            "kind": f"{draw.getrandbits(256):064x}",
+        }
+        for i in range(count)
+    }
 
 
 def test_followers_that_do_not_read_read_slowly_or_talk_nonsense(plane):
@@ -207,8 +218,17 @@
     slow = [Raw(primary.port, small=True).hello(f"slow{i}") for i in range(2)]
     draw = random.Random(5)
     mad = [Raw(primary.port) for _ in range(5)]
-    for raw, words in zip(mad, [b"\xff" * 8, b"\0\0\0\0", draw.randbytes(9000), b"GET / HTTP/1.1\r\n\r\n",
-                                b"\0\0\0\4\xc1\xc1\xc1\xc1"], strict=True):
+    for raw, words in zip(
+        mad,
+        [
+            b"\xff" * 8,
+            b"\0\0\0\0",
+            draw.randbytes(9000),
+            b"GET / HTTP/1.1\r\n\r\n",
+            b"\0\0\0\4\xc1\xc1\xc1\xc1",
+        ],
+        strict=True,
+    ):
         raw.sock.sendall(words)
     late = Raw(primary.port).hello("late")
     late.sock.sendall(b"\0\0\1\0" + draw.randbytes(256))
@@ -227,8 +247,10 @@
         longest = max(longest, time.monotonic() - began)
         most = max(most, primary.memory())
     took = time.monotonic() - deaf[0].began
-    print(f"all ended after {took:.1f} s, {number} changes, the slowest in force after {longest:.2f} s, "
-          f"{(most - memory) / MB:.1f} MB more")
+    print(
+        f"all ended after {took:.1f} s, {number} changes, the slowest in force after {longest:.2f} s, "
+        f"{(most - memory) / MB:.1f} MB more"
+    )
     assert primary.status()["brokers"] == 2 and number > 5
     assert most - memory < 24 * MB and longest < 5
     gevent.joinall(ends, WAIT)
@@ -280,9 +302,22 @@
 def test_a_change_whose_digest_differs_is_not_taken(tmp_path):
     liar = Liar()
     places = [f"127.0.0.1:{liar.server.server_port}", *(f"127.0.0.1:{free_port()}" for _ in range(2))]
-    broker = ControlledBroker("n1", tmp_path, {"servers": [
-        {"name": f"c{i}", "address": place, "fleet": f"127.0.0.1:{free_port()}", "zone": f"z{i}",
-         "management": f"127.0.0.1:{free_port()}"} for i, place in enumerate(places, 1)]})
+    broker = ControlledBroker(
+        "n1",
+        tmp_path,
+        {
+            "servers": [
+                {
+                    "name": f"c{i}",
+                    "address": place,
+                    "fleet": f"127.0.0.1:{free_port()}",
+                    "zone": f"z{i}",
+                    "management": f"127.0.0.1:{free_port()}",
+                }
+                for i, place in enumerate(places, 1)
+            ]
+        },
+    )
     broker.start()
     try:
         assert until(lambda: len(liar.heard) == 4, WAIT), broker.words()
@@ -324,14 +359,17 @@
                 wholes.setdefault(server, []).append(moment)
     limits = Limits()
     densest = max(sum(m <= n < m + 1 for n in moments) for moments in wholes.values() for m in moments)
-    print(f"{dict(counts)}; {len(held)} lost, dialled again {again[0]:.3f} to {again[-1]:.3f} s after; all in"
-          f" force {took:.2f} s after, {at - began:.2f} s to begin; {densest} snapshots a second at most")
+    print(
+        f"{dict(counts)}; {len(held)} lost, dialled again {again[0]:.3f} to {again[-1]:.3f} s after; all in"
+        f" force {took:.2f} s after, {at - began:.2f} s to begin; {densest} snapshots a second at most"
+    )
     assert len(held) > 15 and again[-1] - again[0] > 0.05  # full jitter over 0.1 s at least
     assert densest <= limits.wholes_per_s + limits.wholes_at_once  # begun in the second, and out before it
     assert took < 15 and all(a.never_back() for a in agents)
     told = plane.primary().ask("lag")[1]
     assert told["connected"] >= 100 or plane.wait(
-        lambda: plane.primary().ask("lag")[1].get("in_force") == 100, "all counted")
+        lambda: plane.primary().ask("lag")[1].get("in_force") == 100, "all counted"
+    )
 
 
 # Operators, and brokers that move
@@ -339,24 +377,41 @@
 
 def run(*args):
     """A command of the program: exit code, output, errors."""
-    done = subprocess.run([sys.executable, "-m", "cypressledge", *args], cwd=ROOT, stdout=subprocess.PIPE,
-                          stderr=subprocess.PIPE, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "cypressledge", *args],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        timeout=60,
+    )
     return done.returncode, done.stdout.decode(), done.stderr.decode()
 
 
 def test_operators_at_once_and_bad_changes(plane):
     primary = settled(plane)
     base = primary.status()["version"]
-    both = [gevent.spawn(plane.post, primary, {"engine/e1": engine(i), f"engine/o{i}": engine(10 + i)},
-                         f"two{i}", base=base) for i in (1, 2)]
+    both = [
+        gevent.spawn(
+            plane.post,
+            primary,
+            {"engine/e1": engine(i), f"engine/o{i}": engine(10 + i)},
+            f"two{i}",
+            base=base,
+        )
+        for i in (1, 2)
+    ]
     gevent.joinall(both, WAIT)
     answers = sorted((a.value for a in both), key=lambda a: a[0])
     assert [status for status, _ in answers] == [200, 409], answers
     assert answers[1][1]["answer"] == "clash" and answers[1][1]["keys"] == ["engine/e1"]
     version = plane.one_history(answers[0][1]["version"])
     before = plane.position(primary)
-    bad = [{"engine/e2": engine(1) | {"cell": -1}}, {"engine/e2": SEED["engines"]["e0"]},
-           {"nothing/e2": {}}, {"config/Rules": {"Fall": 1}}]
+    bad = [
+        {"engine/e2": engine(1) | {"cell": -1}},
+        {"engine/e2": SEED["engines"]["e0"]},
+        {"nothing/e2": {}},
+        {"config/Rules": {"Fall": 1}},
+    ]
     for number, sets in enumerate(bad):
         status, told = plane.post(primary, sets, f"bad{number}")
         assert (status, told["answer"]) == (400, "bad") and "\n" not in told["why"] and told["why"], told
@@ -375,11 +430,20 @@
 
 def test_broker_replaced_at_a_new_address(plane, tmp_path):
     ports = udp_ports(["n1", "n2", "n3", "new"])
-    fleet = {"peers": [{"name": n, "address": f"127.0.0.1:{ports[n]}"} for n in ("n1", "n2", "n3")],
-             "voters": [{"version": 1, "names": ["n1", "n2", "n3"]}], "term_s": 1.0, "ping_s": 0.2,
-             "grace_s": 1.0}
-    moved = fleet | {"peers": [fleet["peers"][0], {"name": "n2", "address": f"127.0.0.1:{ports['new']}"},
-                               fleet["peers"][2]]}
+    fleet = {
+        "peers": [{"name": n, "address": f"127.0.0.1:{ports[n]}"} for n in ("n1", "n2", "n3")],
+        "voters": [{"version": 1, "names": ["n1", "n2", "n3"]}],
+        "term_s": 1.0,
+        "ping_s": 0.2,
+        "grace_s": 1.0,
+    }
+    moved = fleet | {
+        "peers": [
+            fleet["peers"][0],
+            {"name": "n2", "address": f"127.0.0.1:{ports['new']}"},
+            fleet["peers"][2],
+        ]
+    }
     control = plane.settings()
     brokers = {n: ControlledBroker(n, tmp_path, control, fleet) for n in ("n1", "n2")}
     plane.processes += brokers.values()
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -16,7 +16,15 @@
 from cypressledge.controlplane.history import History
 from cypressledge.controlplane.lag import NAMES_MOST, InForce
 from cypressledge.controlplane.messages import (
-    FRAME_MOST, Deltas, Goodbye, Have, Op, Seen, Welcome, Whole, encode,
+    FRAME_MOST,
+    Deltas,
+    Goodbye,
+    Have,
+    Op,
+    Seen,
+    Welcome,
+    Whole,
+    encode,
 )
 from cypressledge.controlplane.operators import Asked, BadRequest, read_change
 from cypressledge.controlplane.part import ControlPart
@@ -83,9 +91,15 @@
     peer.close()
 
 
-@pytest.mark.parametrize("raw, why", [
-    (b"\x00\x00\x00\x00", "a frame of 0 bytes"), (b"\xff\xff\xff\xff", "a frame of 4294967295 bytes"),
-    (b"\x00\x00\x00\x03abc", "nonsense"), ((FRAME_MOST + 1).to_bytes(4, "big"), "a frame of 4194305 bytes")])
+@pytest.mark.parametrize(
+    "raw, why",
+    [
+        (b"\x00\x00\x00\x00", "a frame of 0 bytes"),
+        (b"\xff\xff\xff\xff", "a frame of 4294967295 bytes"),
+        (b"\x00\x00\x00\x03abc", "nonsense"),
+        ((FRAME_MOST + 1).to_bytes(4, "big"), "a frame of 4194305 bytes"),
+    ],
+)
 def test_what_is_no_frame_ends_the_connection(ends, raw, why):
     frames, far = ends
     far.sendall(raw)
@@ -164,14 +178,29 @@
     assert (told["in_force"], told["refused"], len(told["refused_by"])) == (101, 99, NAMES_MOST)
 
 
-@pytest.mark.parametrize("state, words", [
-    ({}, []), ({"lagging": 1, "names": ["b1"]}, ["1 lag: b1"]),
-    ({"refused": 1, "refused_by": {"b3": "other classes need a restart"}},
-     ["refused by: b3: other classes need a restart"]),
-    ({"refused": 9, "refused_by": {"b3": "x", "b4": "y"}}, ["refused by: b3: x; b4: y; and 7 more"])])
+@pytest.mark.parametrize(
+    "state, words",
+    [
+        ({}, []),
+        ({"lagging": 1, "names": ["b1"]}, ["1 lag: b1"]),
+        (
+            {"refused": 1, "refused_by": {"b3": "other classes need a restart"}},
+            ["refused by: b3: other classes need a restart"],
+        ),
+        ({"refused": 9, "refused_by": {"b3": "x", "b4": "y"}}, ["refused by: b3: x; b4: y; and 7 more"]),
+    ],
+)
 def test_an_answer_of_who_lags_is_settled_only_where_all_have_it(state, words, capsys):
-    told = {"version": 5, "in_force": 1, "connected": 2, "lagging": 0, "names": [], "unheard": [],
-            "unreachable": 0, "unreachable_names": []}  # as a primary of the release before says it
+    told = {
+        "version": 5,
+        "in_force": 1,
+        "connected": 2,
+        "lagging": 0,
+        "names": [],
+        "unheard": [],
+        "unreachable": 0,
+        "unreachable_names": [],
+    }  # as a primary of the release before says it
     cli.say_lag(told | state)
     out = capsys.readouterr().out
     assert all(word in out for word in words) and ("refused" in out) == ("refused" in state)
@@ -179,19 +208,43 @@
 
 
 def test_a_change_in_json():
-    asked = read_change(json.dumps({
-        "base": 3, "request": "r", "who": "me", "why": "so",
-        "ops": {"set": {"config/Step": 5000}, "remove": ["engine/s-1"]}}).encode())
+    asked = read_change(
+        json.dumps(
+            {
+                "base": 3,
+                "request": "r",
+                "who": "me",
+                "why": "so",
+                "ops": {"set": {"config/Step": 5000}, "remove": ["engine/s-1"]},
+            }
+        ).encode()
+    )
     assert (asked.base, asked.request, asked.who, asked.why, asked.dry_run) == (3, "r", "me", "so", False)
     assert [(op.key, op.value and plain(op.value)) for op in asked.ops] == [
-        ("config/Step", 5000), ("engine/s-1", None)]
-
-
-@pytest.mark.parametrize("body", [
-    b"", b"[]", b"{", b'{"ops": 1}', b'{"ops": {"put": {}}}', b'{"ops": {"set": []}}',
-    b'{"ops": {"remove": [1]}}',
-    b'{"base": -1, "ops": {}}', b'{"base": true, "ops": {}}', b'{"request": 1, "ops": {}}', b'{"x": 1}',
-    b'{"ops": {"set": {"config/Step": ' + b"9" * 40 + b"}}}", b"[" * 100_000, b"\xff\xfe"])
+        ("config/Step", 5000),
+        ("engine/s-1", None),
+    ]
+
+
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"[]",
+        b"{",
+        b'{"ops": 1}',
+        b'{"ops": {"put": {}}}',
+        b'{"ops": {"set": []}}',
+        b'{"ops": {"remove": [1]}}',
+        b'{"base": -1, "ops": {}}',
+        b'{"base": true, "ops": {}}',
+        b'{"request": 1, "ops": {}}',
+        b'{"x": 1}',
+        b'{"ops": {"set": {"config/Step": ' + b"9" * 40 + b"}}}",
+        b"[" * 100_000,
+        b"\xff\xfe",
+    ],
+)
 def test_a_change_that_cannot_be_read_is_refused(body):
     with pytest.raises(BadRequest):
         read_change(body)
@@ -200,7 +253,11 @@
 def test_faults_strike_at_their_step():
     faults = Faults("kill-after:append:2")
     assert [faults.due("promised"), faults.due("append"), faults.due("append"), faults.due("append")] == [
-        False, False, True, False]
+        False,
+        False,
+        True,
+        False,
+    ]
     assert (faults.what, faults.when) == ("kill", "after")
     assert Faults("kill-before-answer:1").due("answer")
     full = Faults("disk-full:append:2")
@@ -235,8 +292,16 @@
 
 def test_changes_that_come_together_make_one_list(tmp_path):
     record, file = tmp_path / "record", tmp_path / "control.yaml"
-    file.write_text(json.dumps({"lab": {"record": str(record)}, "servers": [
-        {"name": n, "address": f"{n}:1", "fleet": f"{n}:2", "management": f"{n}:3"} for n in "abc"]}))
+    file.write_text(
+        json.dumps(
+            {
+                "lab": {"record": str(record)},
+                "servers": [
+                    {"name": n, "address": f"{n}:1", "fleet": f"{n}:2", "management": f"{n}:3"} for n in "abc"
+                ],
+            }
+        )
+    )
     broker = Listener()
     part = ControlPart(str(file), broker, {})
     follower, now = part.agent.follower, 0
