--- a/tests/test_controlplane_processes.py
+++ b/tests/test_controlplane_processes.py
@@ -45,8 +45,12 @@
     broker = plane.broker("n1")
     assert in_force(broker, 1), plane.words()
     port = engine.server.server_port
-    code, words = plane.change({"engines": {"s-1": ENGINE | {"address": f"127.0.0.1:{port}"}},
-                                "config": {"Customers": [{"Name": "sahel"}, {"Name": "dune"}]}})
+    code, words = plane.change(
+        {
+            "engines": {"s-1": ENGINE | {"address": f"127.0.0.1:{port}"}},
+            "config": {"Customers": [{"Name": "sahel"}, {"Name": "dune"}]},
+        }
+    )
     assert code == 0, words + plane.words()
     assert "in force at 1 of 1 brokers" in words
     told = broker.status()
@@ -57,8 +61,11 @@
     engine.server.stop()
 
 
-MANY = {f"node-{n:04d}.cluster": ENGINE | {"address": f"10.0.{n // 250}.{n % 250}:8123",
-                                           "born_ms": 1_790_000_000_000 + 977 * n} for n in range(1_500)}
+MANY = {
+    f"node-{n:04d}.cluster": ENGINE
+    | {"address": f"10.0.{n // 250}.{n % 250}:8123", "born_ms": 1_790_000_000_000 + 977 * n}
+    for n in range(1_500)
+}
 
 
 @pytest.mark.parametrize("plane", [{"seed": {"config": SETTINGS, "engines": MANY}}], indirect=True)
@@ -116,8 +123,9 @@
     plane.start()
     engine, other = LabEngine("s-1", "room1"), LabEngine("s-2", "room1")
     broker = plane.broker("n1", [other.member()])
-    code, words = plane.change({"engines": {
-        "s-1": ENGINE | {"address": f"127.0.0.1:{engine.server.server_port}"}}})
+    code, words = plane.change(
+        {"engines": {"s-1": ENGINE | {"address": f"127.0.0.1:{engine.server.server_port}"}}}
+    )
     assert code == 0, words + plane.words()
     assert broker.served()
     before = other.asked
@@ -244,7 +252,8 @@
     assert learner.status()["role"] == "learner"
     told = yaml.safe_load(plane.file.read_text())
     told["servers"] = [s for s in told["servers"] if s["name"] == "c4"] + [
-        s | {"address": local(), "votes": True} for s in told["servers"] if s["name"] != "c4"]
+        s | {"address": local(), "votes": True} for s in told["servers"] if s["name"] != "c4"
+    ]
     plane.file.write_text(yaml.safe_dump(told))  # to the broker the others are out of reach
     broker = plane.broker("n1")
     assert in_force(broker, 1), plane.words()
@@ -258,8 +267,12 @@
     places = {n: local(socket.SOCK_DGRAM) for n in ("n0", "n1", "n2")}
 
     def fleet(places):
-        return {"peers": [{"name": n, "address": a, "zone": "room1"} for n, a in places.items()],
-                "voters": [{"version": 1, "names": list(places)}], "term_s": TERM, "ping_s": 0.2}
+        return {
+            "peers": [{"name": n, "address": a, "zone": "room1"} for n, a in places.items()],
+            "voters": [{"version": 1, "names": list(places)}],
+            "term_s": TERM,
+            "ping_s": 0.2,
+        }
 
     plane.start()
     for name in places:
@@ -292,14 +305,16 @@
 GONE = {n: {"address": PLACES[of], "zone": "room1"} for n, of in (("old", "n1"), ("older", "n2"))}
 
 
-@pytest.mark.parametrize("plane", [{"seed": {"config": SETTINGS, "brokers": GONE}, "forget_s": 20}],
-                         indirect=True)
+@pytest.mark.parametrize(
+    "plane", [{"seed": {"config": SETTINGS, "brokers": GONE}, "forget_s": 20}], indirect=True
+)
 def test_a_machine_under_a_new_name_takes_the_place_of_a_dead_one(plane):
     """And after its time another dead one goes, too."""
     plane.start()
     peers = [{"name": n, "address": a, "zone": "room1"} for n, a in PLACES.items()]
-    plane.broker("n1", fleet={"peers": peers,
-                              "voters": [{"version": 1, "names": list(PLACES)}], "term_s": TERM})
+    plane.broker(
+        "n1", fleet={"peers": peers, "voters": [{"version": 1, "names": list(PLACES)}], "term_s": TERM}
+    )
 
     def registered():
         told = json.loads(run("control", "state", *plane.at(), "--prefix", "broker/")[1])
@@ -322,7 +337,7 @@
         with socket.create_connection((host, int(port)), 2) as sock:
             began = time.monotonic()
             sock.settimeout(0.5 if pause else 10)
-            for part in [raw[i:i + 1] for i in range(len(raw))] if pause else [raw]:
+            for part in [raw[i : i + 1] for i in range(len(raw))] if pause else [raw]:
                 try:
                     sock.sendall(part)
                     if not pause:
@@ -366,22 +381,34 @@
 
 
 def server(number, **more):
-    return {"name": f"c{number}", "address": f"127.0.0.1:{9800 + number}",
-            "fleet": f"127.0.0.1:{9810 + number}", "management": f"127.0.0.1:{9820 + number}"} | more
-
-
-@pytest.mark.parametrize("told, why", [
-    ({"servers": [server(1), server(2)]}, "2 control processes vote; 3, 5 or 7 can"),
-    ({"servers": [server(n) for n in range(1, 5)]}, "4 control processes vote; 3, 5 or 7 can"),
-    ({"servers": [server(n) for n in range(1, 10)]}, "9 control processes; 3 to 8 can be"),
-    ({"servers": [server(1), server(2), server(2)]}, "control process c2 is named twice"),
-    ({"servers": [server(1), server(2), server(3, address="127.0.0.1:9801")]},
-     "address 127.0.0.1:9801 is named twice"),
-    ({"servers": [server(1), server(2), server(3, fleet="nowhere")]}, "no HOST:PORT: 'nowhere'"),
-    ({"servers": [server(1), server(2), server(3)], "term": 3}, "Object contains unknown field `term`"),
-    ({"servers": [server(1), server(2), server(3, votes="yes")]},
-     "Expected `bool`, got `str` - at `$.servers[2].votes`"),
-    ([], "Expected `object`, got `array`")])
+    return {
+        "name": f"c{number}",
+        "address": f"127.0.0.1:{9800 + number}",
+        "fleet": f"127.0.0.1:{9810 + number}",
+        "management": f"127.0.0.1:{9820 + number}",
+    } | more
+
+
+@pytest.mark.parametrize(
+    "told, why",
+    [
+        ({"servers": [server(1), server(2)]}, "2 control processes vote; 3, 5 or 7 can"),
+        ({"servers": [server(n) for n in range(1, 5)]}, "4 control processes vote; 3, 5 or 7 can"),
+        ({"servers": [server(n) for n in range(1, 10)]}, "9 control processes; 3 to 8 can be"),
+        ({"servers": [server(1), server(2), server(2)]}, "control process c2 is named twice"),
+        (
+            {"servers": [server(1), server(2), server(3, address="127.0.0.1:9801")]},
+            "address 127.0.0.1:9801 is named twice",
+        ),
+        ({"servers": [server(1), server(2), server(3, fleet="nowhere")]}, "no HOST:PORT: 'nowhere'"),
+        ({"servers": [server(1), server(2), server(3)], "term": 3}, "Object contains unknown field `term`"),
+        (
+            {"servers": [server(1), server(2), server(3, votes="yes")]},
+            "Expected `bool`, got `str` - at `$.servers[2].votes`",
+        ),
+        ([], "Expected `object`, got `array`"),
+    ],
+)
 def test_a_mistake_in_the_file_is_one_plain_line(tmp_path, told, why):
     file = tmp_path / "control.yaml"
     file.write_text(yaml.safe_dump(told))
--- a/tests/test_controlplane_registry.py
+++ b/tests/test_controlplane_registry.py
@@ -146,11 +146,20 @@
     p.connected = {"held"}
     p.rest(20 * S)
     many = [at(f"b{i}", f"x:{i + 1}") for i in range(20)]
-    told, refused = p.turn(at("n1", "h:1"), at("n2", "h:2"), at("n3", "h:2"), at("bad", "nowhere"), *many,
-                           at("n4", "x:1"), after=S)
+    told, refused = p.turn(
+        at("n1", "h:1"),
+        at("n2", "h:2"),
+        at("n3", "h:2"),
+        at("bad", "nowhere"),
+        *many,
+        at("n4", "x:1"),
+        after=S,
+    )
     assert told == ["-gone", "+n2", *(f"+b{i}" for i in range(20))]
-    assert refused[:2] == ["broker/n1 is at the address of broker/held",
-                           "broker/n3 is at the address of broker/n2"]
+    assert refused[:2] == [
+        "broker/n1 is at the address of broker/held",
+        "broker/n3 is at the address of broker/n2",
+    ]
     assert refused[2].startswith("broker/bad: ")
     assert refused[3:] == ["broker/n4 is at the address of broker/b0"]
 
--- a/tests/test_controlplane_replica.py
+++ b/tests/test_controlplane_replica.py
@@ -270,8 +270,11 @@
     (a_word_after_the_lease, "_leased", lambda self, now: True),
     (a_lost_disk_counted_for_a_promise, "_counted", counts_all),
     (an_empty_disk_counted, "_counted", counts_empty),
-    (a_lost_disk_counted_for_an_entry, "_held",
-     lambda self, v: self.log.last[1] if v == self.name else self.progress[v].match),
+    (
+        a_lost_disk_counted_for_an_entry,
+        "_held",
+        lambda self, v: self.log.last[1] if v == self.name else self.progress[v].match,
+    ),
     (full_again_too_early, "_caught_up", lambda self, epoch, commit: commit <= self.commit),
     (a_lost_promise, "_muted", lambda self, now: False),
     (disks_put_back, "_behind", lambda self, newest: False),
@@ -448,7 +451,7 @@
         elif what < 62 and name not in w.up:
             w.start(name)
         elif what == 62:
-            w.disks[name].plan = ["", "", "", ""][:n % 4] + [("before", "after", "full")[n // 4 % 3]]
+            w.disks[name].plan = ["", "", "", ""][: n % 4] + [("before", "after", "full")[n // 4 % 3]]
         elif losses and what == 63 and n % 2:
             lease.lose_disk(name)
         elif what == 63:
@@ -461,11 +464,16 @@
 def test_random_worlds_keep_one_history(names, losses):
     seen = {"worlds": 0, "versions": 0, "acknowledged": 0, "epochs": 0, "joined": 0}
 
-    @settings(max_examples=150, derandomize=True, deadline=None, database=None,
-              suppress_health_check=list(HealthCheck))
+    @settings(
+        max_examples=150,
+        derandomize=True,
+        deadline=None,
+        database=None,
+        suppress_health_check=list(HealthCheck),
+    )
     @given(st.binary(min_size=500, max_size=900))
     def play(raw):
-        w = walk(struct.unpack(f">{len(raw) // 2}H", raw[:len(raw) // 2 * 2]), names, losses=losses)
+        w = walk(struct.unpack(f">{len(raw) // 2}H", raw[: len(raw) // 2 * 2]), names, losses=losses)
         seen["worlds"] += 1
         seen["versions"] += len(w.truth)
         seen["joined"] += sum(event == "joined" for _, event in w.events)
--- a/tests/test_controlplane_state.py
+++ b/tests/test_controlplane_state.py
@@ -55,8 +55,11 @@
     assert state.brokers() == {"b1": s.Broker("10.0.1.1:7400")}
 
 
-_ops = st.dictionaries(st.sampled_from([f"engine/{n}" for n in "abcdef"]),
-                       st.one_of(st.none(), st.integers(0, 3).map(s.canonical)), max_size=4)
+_ops = st.dictionaries(
+    st.sampled_from([f"engine/{n}" for n in "abcdef"]),
+    st.one_of(st.none(), st.integers(0, 3).map(s.canonical)),
+    max_size=4,
+)
 
 
 @given(st.lists(_ops, max_size=12))
@@ -77,11 +80,17 @@
     good = state.draft(2, [engine("e3", "10.0.0.3:9000")])
     before = state.snapshot()
     many = [Op(f"engine/n{i}", b"\x01") for i in range(OPS_MOST + 1)]
-    for bad in (Change(2, 4, good.ops, good.digest), Change(2, 2, good.ops, good.digest),
-                Change(0, 3, good.ops, good.digest), Change(2, 3, good.ops, b"\0" * 16),
-                Change(2, 3, [engine("e3", "10.0.0.4:9000")], good.digest), Change(2, 3, many, good.digest),
-                Change(2, 3, [Op("engine/e3", b"\0" * CHANGE_MOST)], good.digest),
-                Change(2, 3, good.ops * 2, good.digest), Change(2, 3, good.ops, good.digest, "r" * 600)):
+    for bad in (
+        Change(2, 4, good.ops, good.digest),
+        Change(2, 2, good.ops, good.digest),
+        Change(0, 3, good.ops, good.digest),
+        Change(2, 3, good.ops, b"\0" * 16),
+        Change(2, 3, [engine("e3", "10.0.0.4:9000")], good.digest),
+        Change(2, 3, many, good.digest),
+        Change(2, 3, [Op("engine/e3", b"\0" * CHANGE_MOST)], good.digest),
+        Change(2, 3, good.ops * 2, good.digest),
+        Change(2, 3, good.ops, good.digest, "r" * 600),
+    ):
         with pytest.raises(s.StateError) as told:
             state.apply(bad)
         assert "\n" not in str(told.value) and state.snapshot() == before
@@ -91,25 +100,36 @@
         state.draft(1, [])
 
 
-@pytest.mark.parametrize(("ops", "says"), [
-    ([Op("engine/-x", b"\x01")], "no key"), ([Op("other/x", b"\x01")], "no key"),
-    ([Op("engine/x\n", None)], "no key"), ([Op("config/A", b"\x01"), Op("config/A", None)], "twice"),
-    ([Op("engine/x", b"\xc1")], "not MessagePack"), ([Op("engine/x", s.canonical({}))], "address"),
-    ([Op("engine/x", s.canonical({"address": "a:1", "colour": 1}))], "colour"),
-    ([engine("x", "nowhere")], "HOST:PORT"), ([engine("x", ":80")], "HOST:PORT"),
-    ([engine("x", "a:0")], "HOST:PORT"), ([engine("x", "a:²")], "engine/x"),
-    ([engine("x", "a:1", state="gone")], "state"), ([engine("x", "a:1", cell=-1)], "cell"),
-    ([Op("engine/x", b"\x82\xa4zone\xa0\xa7address\xa3a:1")], "canonical"),
-    ([engine("x", "10.0.0.1:09000")], "at the address of engine/e1"),
-    ([engine("x", "A:1"), engine("y", "a:1")], "at the address of engine/x"),
-    ([broker("x", "10.0.1.1:7400")], "at the address of broker/b1"),
-    ([Op("config/Rules", None)], "Rules"), ([Op("config/Classes", s.canonical([]))], "config"),
-    ([Op("config/Rules", s.canonical(SETTINGS["Rules"] | {"StartCapacity": 2.0}))], "config"),
-    ([Op("config/Extra", s.canonical(float("nan")))], "config"),
-    ([Op("config/Dcs", s.canonical(["a", "a"]))], "twice"),
-    ([Op("config/Limits", s.canonical(SETTINGS["Limits"] | {"ConnIdle": 0}))], "limit"),
-    ([Op(f"engine/n{i}", None) for i in range(OPS_MOST + 1)], "keys in one change"),
-    ([Op("config/Extra", s.canonical("x" * CHANGE_MOST))], "bytes")])
+@pytest.mark.parametrize(
+    ("ops", "says"),
+    [
+        ([Op("engine/-x", b"\x01")], "no key"),
+        ([Op("other/x", b"\x01")], "no key"),
+        ([Op("engine/x\n", None)], "no key"),
+        ([Op("config/A", b"\x01"), Op("config/A", None)], "twice"),
+        ([Op("engine/x", b"\xc1")], "not MessagePack"),
+        ([Op("engine/x", s.canonical({}))], "address"),
+        ([Op("engine/x", s.canonical({"address": "a:1", "colour": 1}))], "colour"),
+        ([engine("x", "nowhere")], "HOST:PORT"),
+        ([engine("x", ":80")], "HOST:PORT"),
+        ([engine("x", "a:0")], "HOST:PORT"),
+        ([engine("x", "a:²")], "engine/x"),
+        ([engine("x", "a:1", state="gone")], "state"),
+        ([engine("x", "a:1", cell=-1)], "cell"),
+        ([Op("engine/x", b"\x82\xa4zone\xa0\xa7address\xa3a:1")], "canonical"),
+        ([engine("x", "10.0.0.1:09000")], "at the address of engine/e1"),
+        ([engine("x", "A:1"), engine("y", "a:1")], "at the address of engine/x"),
+        ([broker("x", "10.0.1.1:7400")], "at the address of broker/b1"),
+        ([Op("config/Rules", None)], "Rules"),
+        ([Op("config/Classes", s.canonical([]))], "config"),
+        ([Op("config/Rules", s.canonical(SETTINGS["Rules"] | {"StartCapacity": 2.0}))], "config"),
+        ([Op("config/Extra", s.canonical(float("nan")))], "config"),
+        ([Op("config/Dcs", s.canonical(["a", "a"]))], "twice"),
+        ([Op("config/Limits", s.canonical(SETTINGS["Limits"] | {"ConnIdle": 0}))], "limit"),
+        ([Op(f"engine/n{i}", None) for i in range(OPS_MOST + 1)], "keys in one change"),
+        ([Op("config/Extra", s.canonical("x" * CHANGE_MOST))], "bytes"),
+    ],
+)
 def test_what_is_refused_before_it_is_taken(ops, says):
     with pytest.raises(s.StateError, match=says) as told:
         s.check(filled(), ops)
@@ -150,7 +170,9 @@
     grow(state, Op("engine/e1"), engine("e2", "10.0.0.2:9001"))
     grow(state, Op("config/Rules", s.canonical(SETTINGS["Rules"] | {"StartCapacity": 0.5})))
     assert s.clashes(state, base, [engine("e1", "a:1"), engine("e2", "a:2"), engine("e3", "a:3")]) == [
-        "engine/e1", "engine/e2"]
+        "engine/e1",
+        "engine/e2",
+    ]
     assert s.clashes(state, base, [Op("config/Dcs", b"")]) == ["config/Rules"]
     assert s.clashes(state, state.version, [Op("config/Dcs", b""), Op("engine/e1", b"")]) == []
     assert s.clashes(state, state.version + 1, []) == [s.BASE_NOT_YET]
@@ -179,8 +201,12 @@
     good = filled().snapshot()
     entry = good.entries[0]
     rest = good.entries[1:]
-    for entries in (rest, [*good.entries, entry], [Entry(entry.key, entry.value, 9), *rest],
-                    [Entry(entry.key, b"\x01", entry.version), *rest]):
+    for entries in (
+        rest,
+        [*good.entries, entry],
+        [Entry(entry.key, entry.value, 9), *rest],
+        [Entry(entry.key, b"\x01", entry.version), *rest],
+    ):
         with pytest.raises(s.StateError):
             s.FleetState.restore(Snapshot("line", 1, 2, good.digest, entries, []))
 
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -99,7 +99,7 @@
     if which != "closed":
         del files["closed"]
     for at in range(0, len(body), step):
-        flipped = body[:at] + bytes(b ^ 0x55 for b in body[at:at + 64]) + body[at + 64:]
+        flipped = body[:at] + bytes(b ^ 0x55 for b in body[at : at + 64]) + body[at + 64 :]
         put(path, files | {which: body[:at] if how == "cut" else flipped})
         found = read(path)
         if isinstance(found, str):
@@ -147,12 +147,17 @@
 
 def test_an_edit_that_sqlite_takes_for_good_is_refused(kept):
     files, _, path = kept
-    edits = ["DELETE FROM changes WHERE version = 7", "DELETE FROM changes WHERE version = 20",
-             "DELETE FROM rows WHERE name = 'base'", "DELETE FROM rows WHERE name = 'mark'",
-             "UPDATE changes SET body = (SELECT body FROM changes WHERE version = 3) WHERE version = 4",
-             "UPDATE changes SET body = 5 WHERE version = 4", "DROP TABLE changes",
-             "UPDATE changes SET (body, digest) = (SELECT body, digest FROM changes WHERE version = 3) "
-             "WHERE version = 4"]
+    edits = [
+        "DELETE FROM changes WHERE version = 7",
+        "DELETE FROM changes WHERE version = 20",
+        "DELETE FROM rows WHERE name = 'base'",
+        "DELETE FROM rows WHERE name = 'mark'",
+        "UPDATE changes SET body = (SELECT body FROM changes WHERE version = 3) WHERE version = 4",
+        "UPDATE changes SET body = 5 WHERE version = 4",
+        "DROP TABLE changes",
+        "UPDATE changes SET (body, digest) = (SELECT body, digest FROM changes WHERE version = 3) "
+        "WHERE version = 4",
+    ]
     for edit in edits:
         put(path, files)
         db = sqlite3.connect(path)
@@ -187,6 +192,7 @@
         steps.append(step)
         if step == end:
             raise SystemExit
+
     for end in ("promise", "append", "truncate", "commit", "compact", "install", "joined"):
         path = tmp_path / end
         Writer(path).store.close()
@@ -196,8 +202,16 @@
         change = state.draft(1, [])
         after = FleetState.restore(state.snapshot())
         after.apply(change)
-        calls = [("promise", 4, 4), ("append", [change]), ("truncate", 0), ("append", [change]),
-                 ("commit", 1), ("compact", after.snapshot()), ("install", after.snapshot()), ("joined",)]
+        calls = [
+            ("promise", 4, 4),
+            ("append", [change]),
+            ("truncate", 0),
+            ("append", [change]),
+            ("commit", 1),
+            ("compact", after.snapshot()),
+            ("install", after.snapshot()),
+            ("joined",),
+        ]
         found = [store.load()]
         with pytest.raises(SystemExit):
             for name, *args in calls:
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -91,8 +91,11 @@
 
 WAYS = st.lists(
     st.sampled_from(
-        ["ok", "full", "over", "liar", "error", "silent", "reset", "cut", "spoilt", "twice", "crossed"]),
-    min_size=1, max_size=4)
+        ["ok", "full", "over", "liar", "error", "silent", "reset", "cut", "spoilt", "twice", "crossed"]
+    ),
+    min_size=1,
+    max_size=4,
+)
 
 
 class Effects(Case):
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -12,9 +12,11 @@
 class Events(Case):
     def events(self, broker, kind, least=1):
         """The fields of all events of a kind, once there are so many."""
+
         def found():
             lines = [fields(w) for w in broker.words().splitlines() if w.startswith(f"{kind} ")]
             return lines if len(lines) >= least else None
+
         return until(found, f"{least} events {kind}")
 
     def test_a_retry_names_its_request_and_what_it_follows(self):
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -46,11 +46,17 @@
     def start(self, name, listen, **more):
         clock = LeaseClock()
         told = {
-            "addresses": self.at, "drift_ppm": 10_000, "ping_s": 0.1, "counters": Counters(), "clock": clock,
-            "electorate": Electorate(name, TERM, {1: NAMES}, 1, clock.now()), "log": Quiet(),
+            "addresses": self.at,
+            "drift_ppm": 10_000,
+            "ping_s": 0.1,
+            "counters": Counters(),
+            "clock": clock,
+            "electorate": Electorate(name, TERM, {1: NAMES}, 1, clock.now()),
+            "log": Quiet(),
             "places": [*places("one", 1, TERM, False), *places("wish", 1, TERM, True)],
             "told": lambda *what: self.told.append((name, *what)),
-            "member_changed": lambda m, why: self.changed.append((name, m.name, m.state))}
+            "member_changed": lambda m, why: self.changed.append((name, m.name, m.state)),
+        }
         node = self.nodes[name] = FleetNode(name, listen=listen, **(told | more))
         self.parts += map(gevent.spawn, node.parts)
         return node
@@ -73,8 +79,9 @@
 
 
 def test_nodes_without_a_broker_hold_a_lease_and_pass_it_on(trio):
-    assert until(trio.holders, 10, 0.01) and until(lambda: all(len(n.alive()) == 3 for n in
-                                                               trio.nodes.values()), 10, 0.01)
+    assert until(trio.holders, 10, 0.01) and until(
+        lambda: all(len(n.alive()) == 3 for n in trio.nodes.values()), 10, 0.01
+    )
     first = trio.holders()[0]
     token = trio.nodes[first].grant("one").token
     trio.nodes[first].stop()
@@ -154,8 +161,15 @@
 
 def test_suspects_are_given_up_and_what_is_named_no_more_is_forgotten():
     changed, sent = [], []
-    members = Members("a", ["a", *"bcdef"], 1, 100, 1, lambda to, item: sent.append(to),
-                      lambda member, why: changed.append((member.name, member.state)))
+    members = Members(
+        "a",
+        ["a", *"bcdef"],
+        1,
+        100,
+        1,
+        lambda to, item: sent.append(to),
+        lambda member, why: changed.append((member.name, member.state)),
+    )
     for name in "bcdef":
         assert members.hear(1_000, name, 5)
     members.receive(1_200, "b", Ping(1, [Word(name, 5, SUSPECT) for name in "cde"]))
@@ -176,8 +190,9 @@
     sent = []
     for peers, greeted in ((5, 5), (100, 8), (200, 8), (455, 18), (1_000, 40)):
         sent.clear()
-        Members("x", [f"n{i}" for i in range(peers)], 1, 100, 1, lambda to, item: sent.append(to),
-                lambda *a: None).greet()
+        Members(
+            "x", [f"n{i}" for i in range(peers)], 1, 100, 1, lambda to, item: sent.append(to), lambda *a: None
+        ).greet()
         assert len(set(sent)) == len(sent) == greeted
 
 
@@ -232,8 +247,16 @@
 def test_a_reload_keeps_what_is_known_of_peers_that_only_the_control_plane_names(tmp_path):
     file = tmp_path / "fleet.yaml"
     peers = [{"name": n, "address": f"127.0.0.1:{i}"} for i, n in enumerate("abc", 1)]
-    file.write_text(json.dumps({"listen": "127.0.0.1:0", "peers": peers, "leases": [{"name": "l"}],
-                                "voters": [{"version": 1, "names": ["a", "b", "c"]}]}))
+    file.write_text(
+        json.dumps(
+            {
+                "listen": "127.0.0.1:0",
+                "peers": peers,
+                "leases": [{"name": "l"}],
+                "voters": [{"version": 1, "names": ["a", "b", "c"]}],
+            }
+        )
+    )
     part = FleetPart(str(file), SimpleNamespace(name="a", classes=(), zones=()), None, Counters())
     try:
         part.name_peers({"b": ("127.0.0.1", 7), "d": ("127.0.0.1", 8)})
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -13,16 +13,31 @@
 from cypressledge.fleet.keeper import Keeper, Phase, places
 from cypressledge.fleet.lease import Electorate
 from cypressledge.fleet.messages import (
-    LARGEST, VERSION, Ack, Ask, Envelope, Figures, Look, Refuse, Seen, Unreadable, Word, decode, encode,
+    LARGEST,
+    VERSION,
+    Ack,
+    Ask,
+    Envelope,
+    Figures,
+    Look,
+    Refuse,
+    Seen,
+    Unreadable,
+    Word,
+    decode,
+    encode,
 )
 from cypressledge.fleet.ranks import line
 from cypressledge.fleet.settings import read_fleet
 from cypressledge.fleet.summary import Fence, Merge
 from cypressledge.lab.virtual import S, World
 
-GOOD = {"peers": [{"name": n, "address": f"127.0.0.1:{9700 + i}"} for i, n in enumerate("abcd")],
-        "voters": [{"version": 1, "names": ["a", "b", "c"]}], "leases": [{"name": "l"}],
-        "tasks": [{"kind": "summary", "lease": "l"}]}
+GOOD = {
+    "peers": [{"name": n, "address": f"127.0.0.1:{9700 + i}"} for i, n in enumerate("abcd")],
+    "voters": [{"version": 1, "names": ["a", "b", "c"]}],
+    "leases": [{"name": "l"}],
+    "tasks": [{"kind": "summary", "lease": "l"}],
+}
 FOUR = {"version": 2, "names": ["a", "b", "c", "d"]}
 
 
@@ -37,22 +52,31 @@
     assert got.sets == {1: ("a", "b", "c"), 2: ("a", "b", "c", "d")} and got.longest == 3 * S
 
 
-@pytest.mark.parametrize("change, word", [
-    ("peers: [", "is not YAML"), ("- 1", "Expected `object`"), ({"colour": 1}, "unknown field `colour`"),
-    ({"peers": GOOD["peers"] * 2}, "named twice"), ({"peers": [{"name": "a b", "address": "x:1"}]}, "regex"),
-    ({"peers": [{"name": "a"}]}, "missing required field `address`"), ({"voters": []}, "no voters"),
-    ({"peers": [*GOOD["peers"], {"name": "e", "address": "nowhere"}]}, "no HOST:PORT"),
-    ({"voters": [{"version": 1, "names": ["a", "b"]}]}, "3 to 7"),
-    ({"voters": [{"version": 1, "names": ["a", "b", "z"]}]}, "voter z is not among the peers"),
-    ({"voters": [*GOOD["voters"], {"version": 2, "names": ["a", "b", "d"]}]}, "more than one voter"),
-    ({"voters": [*GOOD["voters"], FOUR | {"version": 3}]}, "version 2 is missing"),
-    ({"leases": [{"name": "l", "term_s": 9}]}, "over longest_term_s"), ({"term_s": -1}, "> 0"),
-    ({"tasks": [{"kind": "summary", "lease": "m"}]}, "no lease m"),
-    ({"tasks": [{"kind": "dance", "lease": "l"}]}, "Invalid enum value"),
-    ({"tasks": [{"kind": "call", "lease": "l", "at": "x"}]}, "no HOST:PORT"),
-    ({"tasks": [{"kind": "summary", "lease": "l", "longest_s": 2}]}, "over half the term"),
-    ({"leases": [{"name": "l", "places": 0}]}, ">= 1"), ({"drift_ppm": 10**6}, "<= 200000"),
-])
+@pytest.mark.parametrize(
+    "change, word",
+    [
+        ("peers: [", "is not YAML"),
+        ("- 1", "Expected `object`"),
+        ({"colour": 1}, "unknown field `colour`"),
+        ({"peers": GOOD["peers"] * 2}, "named twice"),
+        ({"peers": [{"name": "a b", "address": "x:1"}]}, "regex"),
+        ({"peers": [{"name": "a"}]}, "missing required field `address`"),
+        ({"voters": []}, "no voters"),
+        ({"peers": [*GOOD["peers"], {"name": "e", "address": "nowhere"}]}, "no HOST:PORT"),
+        ({"voters": [{"version": 1, "names": ["a", "b"]}]}, "3 to 7"),
+        ({"voters": [{"version": 1, "names": ["a", "b", "z"]}]}, "voter z is not among the peers"),
+        ({"voters": [*GOOD["voters"], {"version": 2, "names": ["a", "b", "d"]}]}, "more than one voter"),
+        ({"voters": [*GOOD["voters"], FOUR | {"version": 3}]}, "version 2 is missing"),
+        ({"leases": [{"name": "l", "term_s": 9}]}, "over longest_term_s"),
+        ({"term_s": -1}, "> 0"),
+        ({"tasks": [{"kind": "summary", "lease": "m"}]}, "no lease m"),
+        ({"tasks": [{"kind": "dance", "lease": "l"}]}, "Invalid enum value"),
+        ({"tasks": [{"kind": "call", "lease": "l", "at": "x"}]}, "no HOST:PORT"),
+        ({"tasks": [{"kind": "summary", "lease": "l", "longest_s": 2}]}, "over half the term"),
+        ({"leases": [{"name": "l", "places": 0}]}, ">= 1"),
+        ({"drift_ppm": 10**6}, "<= 200000"),
+    ],
+)
 def test_each_mistake_is_one_plain_line(tmp_path, change, word):
     with pytest.raises(ConfigError) as caught:
         told(tmp_path, change if isinstance(change, str) else GOOD | change)
@@ -60,20 +84,38 @@
 
 
 def envelope(**more):
-    return Envelope(**{"v": VERSION, "sender": "a", "to": "b", "run": 1, "incarnation": 1, "voters": 1,
-                       "floor": 1, "items": [Ask("l", 1, 1, 1, 1, 1), Ack(1, "", [Word("c", 2, 0)])]} | more)
+    return Envelope(
+        **{
+            "v": VERSION,
+            "sender": "a",
+            "to": "b",
+            "run": 1,
+            "incarnation": 1,
+            "voters": 1,
+            "floor": 1,
+            "items": [Ask("l", 1, 1, 1, 1, 1), Ack(1, "", [Word("c", 2, 0)])],
+        }
+        | more
+    )
 
 
 def test_messages_come_back_as_they_went():
     assert decode(encode(envelope())) == envelope()
 
 
-@pytest.mark.parametrize("raw, why", [
-    (b"", "garbled"), (b"\xc1", "garbled"), (encode(envelope())[:-3], "garbled"),
-    (b"x" * (LARGEST + 1), "large"), (encode(envelope(v=VERSION + 1)), "version"),
-    (encode(envelope(items=[Ask("l", 1, 1, 1, 1, 1)] * 300)), "large"),
-    (b"\x92\x09\xa3new", "version"), (b"\x91" * 8_000, "garbled"),
-])
+@pytest.mark.parametrize(
+    "raw, why",
+    [
+        (b"", "garbled"),
+        (b"\xc1", "garbled"),
+        (encode(envelope())[:-3], "garbled"),
+        (b"x" * (LARGEST + 1), "large"),
+        (encode(envelope(v=VERSION + 1)), "version"),
+        (encode(envelope(items=[Ask("l", 1, 1, 1, 1, 1)] * 300)), "large"),
+        (b"\x92\x09\xa3new", "version"),
+        (b"\x91" * 8_000, "garbled"),
+    ],
+)
 def test_what_cannot_be_read_is_named(raw, why):
     with pytest.raises(Unreadable, match=why):
         decode(raw)
@@ -170,8 +212,18 @@
 def looker(seen, alive=5):
     """A keeper that looks at a lease and has heard so of it; where its seat stands, and how long it rests."""
     voters, sent = tuple(f"v{i}" for i in range(5)), []
-    keeper = Keeper("n9", 9, places("l", 1, 3 * S, False), Electorate("n9", 3 * S, {1: voters}, 1, 0), 0, 0,
-                    0, 1, lambda to, item: sent.append((to, item)), lambda *a: None)
+    keeper = Keeper(
+        "n9",
+        9,
+        places("l", 1, 3 * S, False),
+        Electorate("n9", 3 * S, {1: voters}, 1, 0),
+        0,
+        0,
+        0,
+        1,
+        lambda to, item: sent.append((to, item)),
+        lambda *a: None,
+    )
     keeper.set_alive(frozenset(voters[:alive]) | {"n9"}, 4 * S)
     keeper.rank = lambda lease: 0
     keeper.tick(5 * S)
@@ -198,8 +250,18 @@
 def test_a_try_that_cannot_win_without_the_dead_is_given_up_at_once():
     voters = tuple(f"v{i}" for i in range(5))
     for alive, given_up in ((voters, False), (voters[:4], True)):
-        keeper = Keeper("n9", 9, places("l", 1, 3 * S, True), Electorate("n9", 3 * S, {1: voters}, 1, 0),
-                        0, 0, 0, 1, lambda *a: None, lambda *a: None)
+        keeper = Keeper(
+            "n9",
+            9,
+            places("l", 1, 3 * S, True),
+            Electorate("n9", 3 * S, {1: voters}, 1, 0),
+            0,
+            0,
+            0,
+            1,
+            lambda *a: None,
+            lambda *a: None,
+        )
         keeper.set_alive(frozenset(alive) | {"n9"}, 4 * S)
         seat = keeper.seats["l"]
         keeper.want("l", 4 * S)
@@ -286,8 +348,11 @@
         if rng.random() < 0.5:
             world.cut |= {(b, a) for a, b in world.cut}
     elif kind == 4:
-        world.loss, world.copies, world.delay = rng.random() / 2, rng.random() / 2, (100, rng.choice(
-            (2_000, 500_000, 6 * S)))
+        world.loss, world.copies, world.delay = (
+            rng.random() / 2,
+            rng.random() / 2,
+            (100, rng.choice((2_000, 500_000, 6 * S))),
+        )
     elif kind == 5:
         world.loss, world.copies, world.delay, world.cut = 0, 0, (100, 2_000), set()
     elif kind == 6 and name in world.nodes:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -24,8 +24,13 @@
 
 def run(*args):
     """A command of the program, while the relays go on."""
-    done = subprocess.run([sys.executable, "-m", "cypressledge", *args], cwd=ROOT, stdout=subprocess.PIPE,
-                          stderr=subprocess.PIPE, timeout=120)
+    done = subprocess.run(
+        [sys.executable, "-m", "cypressledge", *args],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        timeout=120,
+    )
     return done.returncode, done.stdout.decode(), done.stderr.decode()
 
 
@@ -37,27 +42,52 @@
         self.ports = udp_ports(self.names)
         self.relays, self.resource, self.brokers = Relays(self.ports, 1), Resource(), Brokers()
         self.voters = [{"version": 1, "names": self.names[:voters]}]
-        self.more = {"leases": [{"name": "ledger"}, {"name": "summary"},
-                                {"name": "restart", "places": places, "wanted": True}],
-                     "tasks": [{"kind": "call", "lease": "ledger", "at": self.resource.address,
-                                "every_s": 0.05,
-                                "longest_s": TERM / 2, "steps": steps, "step_s": 0.05},
-                               {"kind": "summary", "lease": "summary", "every_s": 0.3, "longest_s": 0.59}]}
+        self.more = {
+            "leases": [
+                {"name": "ledger"},
+                {"name": "summary"},
+                {"name": "restart", "places": places, "wanted": True},
+            ],
+            "tasks": [
+                {
+                    "kind": "call",
+                    "lease": "ledger",
+                    "at": self.resource.address,
+                    "every_s": 0.05,
+                    "longest_s": TERM / 2,
+                    "steps": steps,
+                    "step_s": 0.05,
+                },
+                {"kind": "summary", "lease": "summary", "every_s": 0.3, "longest_s": 0.59},
+            ],
+        }
         for name in self.names:
             self.brokers.add(name, self.settings(name)).start()
 
     def settings(self, name):
-        return {"peers": [{"name": p, "address": f"127.0.0.1:{self.ports[p]}" if p == name
-                           else self.relays.address(name, p)} for p in self.names],
-                "voters": self.voters, "term_s": TERM, "ping_s": 0.2, "grace_s": 1.0, **self.more}
+        return {
+            "peers": [
+                {
+                    "name": p,
+                    "address": f"127.0.0.1:{self.ports[p]}" if p == name else self.relays.address(name, p),
+                }
+                for p in self.names
+            ],
+            "voters": self.voters,
+            "term_s": TERM,
+            "ping_s": 0.2,
+            "grace_s": 1.0,
+            **self.more,
+        }
 
     def __getitem__(self, name):
         return self.brokers.all[name]
 
     def acted(self, after=0, but=""):
         """The first accepted act after a moment, by another than one."""
-        return next((w for w in self.resource.writes
-                     if w.accepted and w.at > after and w.holder != but), None)
+        return next(
+            (w for w in self.resource.writes if w.accepted and w.at > after and w.holder != but), None
+        )
 
     def wait_act(self, after=0, but="", seconds=WAIT):
         got = until(lambda: self.acted(after, but), seconds, 0.005)
@@ -108,8 +138,12 @@
     fleet[first.holder].signal(signal.SIGSTOP)
     second = fleet.wait_act(fleet.last().at, but=first.holder)
     gate.opened.set()
-    late = until(lambda: next((w for w in fleet.resource.writes if w.holder == first.holder
-                               and w.at > second.at), None), WAIT)
+    late = until(
+        lambda: next(
+            (w for w in fleet.resource.writes if w.holder == first.holder and w.at > second.at), None
+        ),
+        WAIT,
+    )
     assert late.token < second.token and not late.accepted
     fleet[first.holder].signal(signal.SIGCONT)
     assert until(lambda: fleet.told(first.holder, "lease_lost"), WAIT)
@@ -219,8 +253,13 @@
     target = ("127.0.0.1", fleet.ports[first.holder])
     sock = gsocket.socket(gsocket.AF_INET, gsocket.SOCK_DGRAM)
     good = Envelope(VERSION, "nobody", first.holder, 1, 1, 1, 1, [Ask("ledger", 9, 9, 1 << 60, 1, 1)])
-    for raw in (b"\xc1", b"", b"y" * 9_000, encode(good), encode(Envelope(VERSION + 1, *[
-            getattr(good, f) for f in good.__struct_fields__[1:]]))):
+    for raw in (
+        b"\xc1",
+        b"",
+        b"y" * 9_000,
+        encode(good),
+        encode(Envelope(VERSION + 1, *[getattr(good, f) for f in good.__struct_fields__[1:]])),
+    ):
         sock.sendto(raw, target)
     for n in range(6_000):  # at a pace at which the system's own buffer does not drop most of them
         sock.sendto(b"flood", target)
@@ -228,8 +267,10 @@
     sock.close()
     fleet.wait_act(fleet.last().at)
     fleet[first.holder].signal(signal.SIGUSR1)
-    line = until(lambda: next((w for w in fleet[first.holder].words().splitlines()
-                               if "counters (asked)" in w), None), WAIT)
+    line = until(
+        lambda: next((w for w in fleet[first.holder].words().splitlines() if "counters (asked)" in w), None),
+        WAIT,
+    )
     counts = dict(pair.split("=") for pair in line.split() if "=" in pair)
     for name in ("bad_garbled", "bad_large", "bad_version", "misdirected", "flooded"):
         assert int(counts[f"fleet.{name}"]) >= 1, line
@@ -243,7 +284,8 @@
     assert broker.process.wait(WAIT) == 2
     assert broker.words().splitlines() == [
         f"cypressledge: {broker.fleet_file}: 0 peers; 1 to 1000 can be: 460 brokers, as many that replace "
-        "them, and control machines"]
+        "them, and control machines"
+    ]
 
 
 def test_run_imports_nothing_of_it(tmp_path):
@@ -251,14 +293,31 @@
     their libraries."""
     brokers = Brokers(str(tmp_path))
     broker = brokers.add("n1", {})
-    code = ("import os, sys; from cypressledge.broker import assemble; assemble([], os.environ); "
-            "print(*sorted(sys.modules))")
-    done = subprocess.run([sys.executable, "-O", "-c", code], cwd=ROOT, stdout=subprocess.PIPE,
-                          env={"ROUTER_CONFIG": str(broker.config_file), "PATH": ""}, timeout=WAIT)
+    code = (
+        "import os, sys; from cypressledge.broker import assemble; assemble([], os.environ); "
+        "print(*sorted(sys.modules))"
+    )
+    done = subprocess.run(
+        [sys.executable, "-O", "-c", code],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        env={"ROUTER_CONFIG": str(broker.config_file), "PATH": ""},
+        timeout=WAIT,
+    )
     modules = done.stdout.decode().split()
     assert "cypressledge.core" in modules
-    bad = ("cypressledge.fleet", "cypressledge.controlplane", "cypressledge.lab", "cypressledge.cli",
-           "msgspec", "yaml", "structlog", "click", "tabulate", "sqlite3")
+    bad = (
+        "cypressledge.fleet",
+        "cypressledge.controlplane",
+        "cypressledge.lab",
+        "cypressledge.cli",
+        "msgspec",
+        "yaml",
+        "structlog",
+        "click",
+        "tabulate",
+        "sqlite3",
+    )
     assert [m for m in modules if m.startswith(bad)] == []
 
 
@@ -270,14 +329,29 @@
 
 @pytest.mark.parametrize("seed", ["11", "21"])
 def test_drawn_faults_never_make_two_holders(seed):
-    code, lines = lab("leases", "--brokers", "5", "--voters", "3", "--seed", seed, "--seconds", "10",
-                      "--term", "1")
+    code, lines = lab(
+        "leases", "--brokers", "5", "--voters", "3", "--seed", seed, "--seconds", "10", "--term", "1"
+    )
     assert code == 0 and ", overlaps 0, stale acts accepted 0, " in lines[-1]
 
 
 def test_without_a_fence_a_stopped_holder_is_found():
-    code, lines = lab("leases", "--brokers", "5", "--voters", "3", "--seed", "5", "--seconds", "8",
-                      "--term", "1", "--no-fence", "--only", "stop in an act")
+    code, lines = lab(
+        "leases",
+        "--brokers",
+        "5",
+        "--voters",
+        "3",
+        "--seed",
+        "5",
+        "--seconds",
+        "8",
+        "--term",
+        "1",
+        "--no-fence",
+        "--only",
+        "stop in an act",
+    )
     assert code == 1 and ", overlaps 0," not in lines[-1]
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -33,8 +33,11 @@
         shutil.copy(ROOT / "tests" / name, tests)
     (tests / "test_a.py").write_text("def test_b():\n    assert False\n\n\ndef test_c():\n    pass\n")
     listed = "tests/test_a.py::test_b: known (issue 1)\n"
-    for lines, code, said in ((listed, 0, "KNOWN-RED: known (issue 1)"), ("", 1, "1 failed"),
-                              (listed + "tests/test_a.py::test_c: mended (issue 2)\n", 1, "XPASS(strict)")):
+    for lines, code, said in (
+        (listed, 0, "KNOWN-RED: known (issue 1)"),
+        ("", 1, "1 failed"),
+        (listed + "tests/test_a.py::test_c: mended (issue 2)\n", 1, "XPASS(strict)"),
+    ):
         (tmp_path / "KNOWN-RED.txt").write_text(lines)
         command = [sys.executable, "-m", "pytest", "-q", "-rxX", "-p", "no:cacheprovider", "tests"]
         run = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -264,8 +264,20 @@
     for request in range(200):
         f.arrive(request)
         engine = f.engine_of(request)
-        f.tell(Ended(request, 0, engine, Outcome.OK, True, 100_000, 100_000, 0.0,
-                     (1.0, 24.0) if engine == 1 else (0.4, 3.0)), after=300_000)
+        f.tell(
+            Ended(
+                request,
+                0,
+                engine,
+                Outcome.OK,
+                True,
+                100_000,
+                100_000,
+                0.0,
+                (1.0, 24.0) if engine == 1 else (0.4, 3.0),
+            ),
+            after=300_000,
+        )
     late = [s.engine for s in f.sends[50:]]
     assert late.count(2) > 3 * late.count(1)
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -140,8 +140,10 @@
 def metrics(port):
     status_, body = http(port, "GET /status/metrics HTTP/1.1\r\nHost: b")
     assert status_ == 200
-    return {name: int(value.split("|")[0]) for name, value in
-            (line.split(":") for line in body.decode().splitlines())}
+    return {
+        name: int(value.split("|")[0])
+        for name, value in (line.split(":") for line in body.decode().splitlines())
+    }
 
 
 class Figures(Management):
@@ -183,5 +185,8 @@
         client = self.client(broker)
         client.ask(id=f"{1:016x}")
         self.assertEqual(content(client.get()), ROW)
-        until(lambda: "counters (every 0.2s): " in broker.words()
-              and "replies.lookup.success=1" in broker.words().splitlines()[-1], "a counters line")
+        until(
+            lambda: "counters (every 0.2s): " in broker.words()
+            and "replies.lookup.success=1" in broker.words().splitlines()[-1],
+            "a counters line",
+        )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -174,11 +174,14 @@
 # 3: drains
 
 
-@pytest.mark.parametrize("news", [
-    EngineList(ListKind.DELTA, (entry(1, State.DRAINING),)),
-    EngineList(ListKind.DELTA, (entry(1, State.GONE),)),
-    EngineList(ListKind.FULL, (entry(2),)),
-])
+@pytest.mark.parametrize(
+    "news",
+    [
+        EngineList(ListKind.DELTA, (entry(1, State.DRAINING),)),
+        EngineList(ListKind.DELTA, (entry(1, State.GONE),)),
+        EngineList(ListKind.FULL, (entry(2),)),
+    ],
+)
 def test_drained_and_missing_engines_get_nothing_at_once(news):
     f = Fleet(engines=2)
     f.tell(news)
@@ -338,8 +341,10 @@
 def test_requests_taken_back_unsent_feed_no_ration():
     """A client that takes back hundreds at once must not buy further attempts for the others."""
     f = Fleet(settings(LOOKUP, retry_ratio=0.1, retry_free=0, retry_window=10 * S, max_attempts=1000))
-    f.tell(*(Arrival(n, 0, f.now + S, cost=100_000) for n in range(100, 300)),
-           *(ClientLeft(n) for n in range(100, 300)))
+    f.tell(
+        *(Arrival(n, 0, f.now + S, cost=100_000) for n in range(100, 300)),
+        *(ClientLeft(n) for n in range(100, 300)),
+    )
     f.arrive(1)
     f.end(1, Outcome.ERROR)
     assert len(f.sends) == 1
@@ -351,8 +356,11 @@
 @given(st.data())
 def test_random_days_keep_the_books(data):
     classes = (LOOKUP, UNSAFE, ORDERED, keyed(Group.ZONE))
-    f = Fleet(settings(*classes, key_rest=S // 10), entries=[entry(i, zone=i % 2) for i in range(1, 5)],
-              seed=data.draw(st.integers(0, 99)))
+    f = Fleet(
+        settings(*classes, key_rest=S // 10),
+        entries=[entry(i, zone=i % 2) for i in range(1, 5)],
+        seed=data.draw(st.integers(0, 99)),
+    )
     outcomes = [Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
     answered = []
     for request in range(40):
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -56,7 +56,8 @@
         broker = self.broker(self.engine())
         client = self.client(broker)
         for text, change, word in (
-            ("{half a fi", {}, "Expecting"), (None, {"dns": "nowhere"}, "HOST:PORT"),
+            ("{half a fi", {}, "Expecting"),
+            (None, {"dns": "nowhere"}, "HOST:PORT"),
             (None, {"listen": "127.0.0.1:1"}, "restart"),
             (None, {"settings": SETTINGS | {"Classes": SETTINGS["Classes"][:1]}}, "restart"),
         ):
@@ -141,11 +142,21 @@
     def test_what_an_engine_cannot_use_never_reaches_one(self):
         client = self.client(self.served)
         for method, change in (
-            ("lookup", {"once": "ab" * 16}), ("order-load", {"once": "a=b"}), ("order-load", {"once": 7}),
-            ("lookup", {"wait": 0}), ("lookup", {"wait": 1e7}), ("lookup", {"wait": True}),
-            ("lookup", {"wait": 10**400}), ("lookup", {"cost": -1}), ("lookup", {"cost": float("nan")}),
-            ("lookup", {"mem": 1e30}), ("lookup", {"retry": "x"}), ("lookup", {"content": ""}),
-            ("lookup", {"content": "AAA="}), ("lookup", {"content": "/w=="}), ("lookup", {"id": "AB" * 8}),
+            ("lookup", {"once": "ab" * 16}),
+            ("order-load", {"once": "a=b"}),
+            ("order-load", {"once": 7}),
+            ("lookup", {"wait": 0}),
+            ("lookup", {"wait": 1e7}),
+            ("lookup", {"wait": True}),
+            ("lookup", {"wait": 10**400}),
+            ("lookup", {"cost": -1}),
+            ("lookup", {"cost": float("nan")}),
+            ("lookup", {"mem": 1e30}),
+            ("lookup", {"retry": "x"}),
+            ("lookup", {"content": ""}),
+            ("lookup", {"content": "AAA="}),
+            ("lookup", {"content": "/w=="}),
+            ("lookup", {"id": "AB" * 8}),
         ):
             with self.subTest(change):
                 if client.number % 10 == 9:
@@ -179,8 +190,9 @@
 
 class Crowds(Case):
     def test_crowd_that_says_nothing_keeps_nobody_out(self):
-        broker = self.broker(self.engine(), change={
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}})
+        broker = self.broker(
+            self.engine(), change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}}
+        )
         crowd = [self.client(broker) for _ in range(60)]
 
         def served():
@@ -191,6 +203,7 @@
                 return client.get()
             except OSError:
                 return None
+
         until(served, "a place among the crowd")
         self.assertTrue(crowd)
 
@@ -205,6 +218,7 @@
             def missed(self, now):
                 looked.append(self.n)
                 return self.worth
+
         crowd = Crowd()
         busy = [Member(n, KEPT, True) for n in range(LOOKS)]
         idle = [Member(n, (2, n), True) for n in range(LOOKS, 5_000)]
@@ -247,7 +261,8 @@
         pairs = [gevent.socket.socketpair() for _ in range(3)]
         lost = []
         slow, slower, good = (
-            Writer(ours, 4 << 20, 30.0, lambda why, n=n: lost.append(n)) for n, (ours, _) in enumerate(pairs))
+            Writer(ours, 4 << 20, 30.0, lambda why, n=n: lost.append(n)) for n, (ours, _) in enumerate(pairs)
+        )
         for writer, size in ((slow, 1 << 20), (slower, 1 << 20), (slow, 512 << 10), (slower, 900 << 10)):
             writer.put(b"x" * size)
             gevent.sleep(0.01)
@@ -267,6 +282,7 @@
 
     def ask(self, raw, **more):
         """Answer the first attempt with these bytes and the next ones well; what the client is told."""
+
         def play(engine, say, name, fields, statement):
             if len(engine.wants) > 1:
                 return whole(engine, say, name, fields, statement)
@@ -279,12 +295,21 @@
 
     def test_spoilt_answers_are_not_passed_on(self):
         for raw in (
-            b"ID 200 count=1 4\r\na\tb\n\r\n", b"ID 200 count=1 8\r\n1\tb\t2.5\r\n",
-            b"ID 200 count=1 6\r\n\xff\tb\tc\n\r\n", b"ID 200 count=0 0\r\n\r\n", b"ID 200 - 0\r\n\r\n",
-            b"ID 200 count=9999 6\r\na\tb\tc\n\r\n", b"ID 200 count=1 7\r\na\tb\tc\n\r\n",
-            b"ID 200 count=1 -6\r\na\tb\tc\n\r\n", b"ID 200 count=1 3000000000\r\n" + b"a\tb\tc\n" * 9000,
-            b"ID 200 count 6\r\na\tb\tc\n\r\n", b"ID 999 - 0\r\n\r\n", b"\0\x80noise\r\n", b"x" * 9000,
-            b"ID status note=done,reading=nan 0\r\n\r\n", b"ID status note=done 0\r\n\r\n",
+            b"ID 200 count=1 4\r\na\tb\n\r\n",
+            b"ID 200 count=1 8\r\n1\tb\t2.5\r\n",
+            b"ID 200 count=1 6\r\n\xff\tb\tc\n\r\n",
+            b"ID 200 count=0 0\r\n\r\n",
+            b"ID 200 - 0\r\n\r\n",
+            b"ID 200 count=9999 6\r\na\tb\tc\n\r\n",
+            b"ID 200 count=1 7\r\na\tb\tc\n\r\n",
+            b"ID 200 count=1 -6\r\na\tb\tc\n\r\n",
+            b"ID 200 count=1 3000000000\r\n" + b"a\tb\tc\n" * 9000,
+            b"ID 200 count 6\r\na\tb\tc\n\r\n",
+            b"ID 999 - 0\r\n\r\n",
+            b"\0\x80noise\r\n",
+            b"x" * 9000,
+            b"ID status note=done,reading=nan 0\r\n\r\n",
+            b"ID status note=done 0\r\n\r\n",
             b"ID chunk pos=1 6\r\na\tb\tc\n\r\n",
             b"ID 200 count=2 6\r\na\tb\tc\n\r\nID chunk pos=2 0\r\n\r\n",
             b"ID 200 count=1 60\r\na\tb",  # and no more: cut short
@@ -339,7 +364,8 @@
             client.ask("report", wait=20000)
         noted = until(lone, "nine wants on two connections")
         notes = threading.Thread(
-            target=until, args=(lambda: says[noted[0]](noted[1], "status") or engine.wants[9:],))
+            target=until, args=(lambda: says[noted[0]](noted[1], "status") or engine.wants[9:],)
+        )
         notes.start()
         self.addCleanup(notes.join)
         until(lambda: engine.wants[9:], "a repeat")
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,32 +11,57 @@
 from tests.stands import ROOT, SETTINGS, Case, content
 
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
-PLATFORM = {"lookup", "report", "order-load", "grand-tunis", "sahel", "sud", "node-8c", "node-16c",
-            "sfax-room1", "sfax-orders"}
+PLATFORM = {
+    "lookup",
+    "report",
+    "order-load",
+    "grand-tunis",
+    "sahel",
+    "sud",
+    "node-8c",
+    "node-16c",
+    "sfax-room1",
+    "sfax-orders",
+}
 DOCUMENTED = ast.Module | ast.ClassDef | ast.FunctionDef
 
 
 def names(site):
     """What a site calls its classes, tenants, machines and rooms."""
-    return {k["name"] for part in ("class", "tenant") for k in site[part]} | set(site["net"]["zones"]) | {
-        k["name"] for tier in site["tier"] for k in tier["kind"]} | {site["name"]}
+    return (
+        {k["name"] for part in ("class", "tenant") for k in site[part]}
+        | set(site["net"]["zones"])
+        | {k["name"] for tier in site["tier"] for k in tier["kind"]}
+        | {site["name"]}
+    )
 
 
 def literals(file):
     """A file's strings that are no docstrings."""
     tree = ast.parse(file.read_text())
-    told = {id(node.body[0].value) for node in ast.walk(tree)
-            if isinstance(node, DOCUMENTED) and ast.get_docstring(node) is not None}
-    return [node.value for node in ast.walk(tree)
-            if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in told]
+    told = {
+        id(node.body[0].value)
+        for node in ast.walk(tree)
+        if isinstance(node, DOCUMENTED) and ast.get_docstring(node) is not None
+    }
+    return [
+        node.value
+        for node in ast.walk(tree)
+        if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in told
+    ]
 
 
 def test_no_name_of_a_site_is_in_the_program():
     """The laboratory, which `run` does not import, has a plain site of its own."""
     wanted = PLATFORM.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
     assert len(wanted) > 20 and len(SITES) == 2
-    found = [(path.name, text) for path in (ROOT / "cypressledge").rglob("*.py") if "lab" not in path.parts
-             for text in literals(path) if any(re.fullmatch(rf"{re.escape(name)}", text) for name in wanted)]
+    found = [
+        (path.name, text)
+        for path in (ROOT / "cypressledge").rglob("*.py")
+        if "lab" not in path.parts
+        for text in literals(path)
+        if any(re.fullmatch(rf"{re.escape(name)}", text) for name in wanted)
+    ]
     assert not found
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert not [name for name in wanted if re.search(rf"\b{re.escape(name)}\b", json.dumps(deploy))]
@@ -59,16 +84,26 @@
         settings = copy.deepcopy(SETTINGS)
         many = rng.randint(1, 5)
         settings["Classes"] = [
-            {"Name": f"{word()}{n}", "Objective": rng.randint(200, 900) * 1000,
-             "Deadline": rng.randint(2, 20) * 1_000_000, "Group": "all",
-             "Idempotency": rng.choice(("free", "guarded", "single_shot")),
-             "MemorySpan": rng.randint(2, 9) * 1_000_000, "Worth": rng.random() * 10} for n in range(many)]
+            {
+                "Name": f"{word()}{n}",
+                "Objective": rng.randint(200, 900) * 1000,
+                "Deadline": rng.randint(2, 20) * 1_000_000,
+                "Group": "all",
+                "Idempotency": rng.choice(("free", "guarded", "single_shot")),
+                "MemorySpan": rng.randint(2, 9) * 1_000_000,
+                "Worth": rng.random() * 10,
+            }
+            for n in range(many)
+        ]
         settings["Customers"] = [{"Name": f"{word()}{n}"} for n in range(rng.randint(1, 4))]
         settings["Skus"], settings["Dcs"] = [word()], [word(), word()]
         settings["FamilyInfo"] |= {
-            "CoresByKind": [rng.randint(2, 32)], "KindMemoryMb": [4096.0],
-            "ThreadsByClass": [rng.randint(1, 3)] * many, "IsLoad": [rng.random() < 0.3 for _ in range(many)],
-            "ClassWaits": [rng.random() < 0.3 for _ in range(many)]}
+            "CoresByKind": [rng.randint(2, 32)],
+            "KindMemoryMb": [4096.0],
+            "ThreadsByClass": [rng.randint(1, 3)] * many,
+            "IsLoad": [rng.random() < 0.3 for _ in range(many)],
+            "ClassWaits": [rng.random() < 0.3 for _ in range(many)],
+        }
         settings["Limits"] |= {"StreamsPerConn": rng.randint(1, 40), "MaxAttempts": rng.randint(1, 5)}
         engine = self.engine()
         engine.kind = settings["Skus"][0]
@@ -84,7 +119,9 @@
         client.ask("lookup")
         self.assertEqual(client.get()["error"]["code"], -32601)
         statement = base64.b64encode(b"SELECT 1").decode()
-        client.send(settings["Classes"][0]["Name"], {
-            "id": "0" * 16, "wait": 1000, "tenant": "nobody", "content": statement})
+        client.send(
+            settings["Classes"][0]["Name"],
+            {"id": "0" * 16, "wait": 1000, "tenant": "nobody", "content": statement},
+        )
         self.assertEqual(client.get()["error"]["code"], -32602)
         broker.close()
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -10,7 +10,16 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "cypressledge"
 DECISIONS = [PACKAGE / name for name in ("contract.py", "control.py", "retries.py")]
-ALLOWED_IMPORTS = {"collections", "cypressledge", "dataclasses", "enum", "heapq", "itertools", "math", "random"}
+ALLOWED_IMPORTS = {
+    "collections",
+    "cypressledge",
+    "dataclasses",
+    "enum",
+    "heapq",
+    "itertools",
+    "math",
+    "random",
+}
 
 
 def imported_modules(path):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,12 +14,19 @@
 ROOT = Path(__file__).parent.parent
 ENGINE = bytes([10, 18, 74, 7, 0x5B, 0x1B])
 SETTINGS = {
-    "Classes": [{"Objective": 1000000, "Deadline": 5000000, "Idempotency": "free", "Group": "all",
-                 "SkusAllowed": [0]}],
-    "Skus": ["a", "b"], "Dcs": ["x"], "Step": 5000, "PeersTotal": 2, "SlotNo": 1, "RegistryMode": "pushed",
+    "Classes": [
+        {"Objective": 1000000, "Deadline": 5000000, "Idempotency": "free", "Group": "all", "SkusAllowed": [0]}
+    ],
+    "Skus": ["a", "b"],
+    "Dcs": ["x"],
+    "Step": 5000,
+    "PeersTotal": 2,
+    "SlotNo": 1,
+    "RegistryMode": "pushed",
     "Limits": {"MayCancel": True, "Probes": False, "MaxAttempts": 3, "MaxRetryAfter": 0, "RetryAfter": True},
     "Rules": {"StartCapacity": 0.3, "WarmWithin": 13000000, "FallMultiple": 2.0, "Fall": 2000000},
-    "FamilyInfo": {"CoresByKind": [12, 8]}, "SomethingNew": 1,
+    "FamilyInfo": {"CoresByKind": [12, 8]},
+    "SomethingNew": 1,
 }
 
 
@@ -31,11 +38,14 @@
 def start(text=None):
     raw = json.dumps(SETTINGS).encode() if text is None else text
     lines = struct.pack("<HHQBB6sf", 0, 0, 0, 2, 0, ENGINE, 1.0)
-    return frame([
-        struct.pack("<BIQII", 0, 3, 42, 0, len(raw)),
-        struct.pack("<BHII", 11, 0, len(raw), 1),
-        struct.pack("<BIBQH", 1, 3, 2, 1, 0),
-    ], raw + lines)
+    return frame(
+        [
+            struct.pack("<BIQII", 0, 3, 42, 0, len(raw)),
+            struct.pack("<BHII", 11, 0, len(raw), 1),
+            struct.pack("<BIBQH", 1, 3, 2, 1, 0),
+        ],
+        raw + lines,
+    )
 
 
 def request(xid=77):
@@ -50,7 +60,8 @@
 
 def test_empty_batch_as_the_wire_page_shows_it():
     assert Host().batch(bytes.fromhex("140000005a5c80000000000000000000" "01000000")).hex() == (
-        "0c0000000000000001000000")
+        "0c0000000000000001000000"
+    )
 
 
 def test_a_request_is_sent_to_the_listed_engine():
@@ -80,8 +91,17 @@
     assert s.retry_ratio is None and s.classes[0].only_zones is None
 
 
-@pytest.mark.parametrize("change", [{"tick": 0}, {"peers": 0}, {"max_attempts": 0}, {"start_capacity": 2.0},
-                                    {"kind_cores": (0,)}, {"classes": ()}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"tick": 0},
+        {"peers": 0},
+        {"max_attempts": 0},
+        {"start_capacity": 2.0},
+        {"kind_cores": (0,)},
+        {"classes": ()},
+    ],
+)
 def test_settings_out_of_range_name_the_field(change):
     plain = dict(classes=(c.ClassSettings(aim=1, deadline=2),), kind_cores=(8,), tick=5000)
     with pytest.raises(ValueError, match=next(iter(change))):
@@ -98,16 +118,19 @@
     assert run.returncode == 0 and run.stderr == b"" and len(run.stdout) >= 12
 
 
-@pytest.mark.parametrize(("raw", "word"), [
-    (start()[:-3], "cut short"),
-    (b"\x14\x00", "cut short"),
-    (frame([struct.pack("<BI", 99, 3)]), "unknown event code 99"),
-    (start(b"{not json"), "not JSON"),
-    (start(json.dumps({k: v for k, v in SETTINGS.items() if k != "Step"}).encode()), "Step"),
-    (frame([struct.pack("<BIQII", 0, 3, 42, 5, 4000)]), "tail offset"),
-    (struct.pack("<IQII", 20, 1, 7, 1), "do not fit"),
-    (struct.pack("<I", 3), "under a header"),
-])
+@pytest.mark.parametrize(
+    ("raw", "word"),
+    [
+        (start()[:-3], "cut short"),
+        (b"\x14\x00", "cut short"),
+        (frame([struct.pack("<BI", 99, 3)]), "unknown event code 99"),
+        (start(b"{not json"), "not JSON"),
+        (start(json.dumps({k: v for k, v in SETTINGS.items() if k != "Step"}).encode()), "Step"),
+        (frame([struct.pack("<BIQII", 0, 3, 42, 5, 4000)]), "tail offset"),
+        (struct.pack("<IQII", 20, 1, 7, 1), "do not fit"),
+        (struct.pack("<I", 3), "under a header"),
+    ],
+)
 def test_bad_input_gets_one_plain_line(raw, word):
     run = simhost(raw)
     lines = run.stderr.decode().splitlines()
--- a/tests/test_zone_processes.py
+++ b/tests/test_zone_processes.py
@@ -27,9 +27,13 @@
 
 
 def cli(field, name, *args):
-    done = subprocess.run([sys.executable, "-m", "cypressledge", "zone", "--at",
-                           f"127.0.0.1:{field[name].management}", *args], cwd=ROOT,
-                          stdout=subprocess.PIPE, stderr=subprocess.STDOUT, timeout=30)
+    done = subprocess.run(
+        [sys.executable, "-m", "cypressledge", "zone", "--at", f"127.0.0.1:{field[name].management}", *args],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        timeout=30,
+    )
     return done.returncode, done.stdout.decode()
 
 
@@ -147,8 +151,9 @@
     assert max(field.last_want(A), field.last_want(B)) < quiet
     for name in new:  # before it had the plan a new process sent nothing: it knew none of the zones as out
         started = [e for e in field[name].events() if e["event"] == "fleet_joined"][-1]
-        got = next(e for e in field[name].events()
-                   if e["event"] == "plan_taken" and moment(e) >= moment(started))
+        got = next(
+            e for e in field[name].events() if e["event"] == "plan_taken" and moment(e) >= moment(started)
+        )
         assert got["shares"][A] == 0 and moment(got) - moment(started) < 1.5
 
 
@@ -162,7 +167,8 @@
     assert until(lambda: all(s == 0 for s in field.shares(A)), WAIT), log(field)
     alone = [e for e in field.events("zones_left_alone") if A in e["zones"]]
     assert {e["broker"] for e in alone} >= set(field.names) - {field.planner()} - {
-        e["broker"] for e in field.events("plan_taken") if e["shares"][A] == 0}
+        e["broker"] for e in field.events("plan_taken") if e["shares"][A] == 0
+    }
     mend(field, A)
     sleep(3)
     assert set(field.shares(A)) == {0}
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -23,9 +23,11 @@
 
 
 def sight(bad=(), good=(), late=()):
-    return Sight([EngineSeen(e, 0, 0, 0, 0, 3, 0, 3, 700) for e in bad]
-                 + [EngineSeen(e, 3, 0, 0, 0, 0, 0, 0, 100) for e in good]
-                 + [EngineSeen(e, 0, 3, 0, 0, 0, 0, 0, 100) for e in late])
+    return Sight(
+        [EngineSeen(e, 0, 0, 0, 0, 3, 0, 3, 700) for e in bad]
+        + [EngineSeen(e, 3, 0, 0, 0, 0, 0, 0, 100) for e in good]
+        + [EngineSeen(e, 0, 3, 0, 0, 0, 0, 0, 100) for e in late]
+    )
 
 
 def told(*sights, age=0):
@@ -55,7 +57,10 @@
 def test_a_lost_zone_is_told_from_a_slow_one_and_one_failing_in_part():
     rest = OF["b"] + OF["c"]
     assert verdicts(told(*[sight(OF["a"], rest)] * 3), ENGINES) == {
-        "a": Verdict.LOST, "b": Verdict.FINE, "c": Verdict.FINE}
+        "a": Verdict.LOST,
+        "b": Verdict.FINE,
+        "c": Verdict.FINE,
+    }
     assert verdicts(told(*[sight((), rest, OF["a"])] * 3), ENGINES)["a"] is Verdict.SLOW
     assert verdicts(told(*[sight(OF["a"][:2], rest + OF["a"][2:])] * 3), ENGINES)["a"] is Verdict.PART
     assert verdicts(told(*[sight(OF["a"][:1], rest + OF["a"][1:])] * 3), ENGINES)["a"] is Verdict.FINE
@@ -63,8 +68,14 @@
 
 def test_a_cut_path_is_not_a_lost_zone():
     # Brokers in zone b alone can't reach zone a.
-    views = told(sight((), OF["a"]), sight(OF["a"], OF["b"]), sight((), OF["a"] + OF["c"]),
-                 sight((), OF["a"]), sight(OF["a"], OF["b"]), sight((), OF["a"]))
+    views = told(
+        sight((), OF["a"]),
+        sight(OF["a"], OF["b"]),
+        sight((), OF["a"] + OF["c"]),
+        sight((), OF["a"]),
+        sight(OF["a"], OF["b"]),
+        sight((), OF["a"]),
+    )
     found = judge(views, ENGINES).zones["a"]
     assert found.verdict is Verdict.CUT and "brokers in b alone" in found.why
 
@@ -98,8 +109,11 @@
     def run(self, span, **findings):
         for _ in range(0, span, 100_000):
             self.now += 100_000
-            self.planner.step(self.now, {z: Finding(findings.get(z, Verdict.FINE), 1.0, "as drawn")
-                                         for z in self.planner.zones}, self.loads)
+            self.planner.step(
+                self.now,
+                {z: Finding(findings.get(z, Verdict.FINE), 1.0, "as drawn") for z in self.planner.zones},
+                self.loads,
+            )
         return self
 
     def stage(self, zone="a"):
@@ -126,8 +140,13 @@
     assert shares[0][1] > 0 and shares[-1][1] == FULL
     assert shares[-1][0] <= 1.5 * PACE.warm
     assert all(b - a <= FULL / 16 + 1 for (_, a), (_, b) in itertools.pairwise(shares))
-    assert [e for e, z in play.said] == ["zone_suspect", "zone_leaving", "zone_out", "zone_returning",
-                                         "zone_serving"]
+    assert [e for e, z in play.said] == [
+        "zone_suspect",
+        "zone_leaving",
+        "zone_out",
+        "zone_returning",
+        "zone_serving",
+    ]
 
 
 def test_a_hiccup_is_not_a_loss():
@@ -288,8 +307,10 @@
 
 def test_what_was_answered_before_the_loss_hides_it_from_nobody():
     # Two seconds of good answers stand in the windows; the rows of failures since then tell.
-    seen = Sight([EngineSeen(e, 20, 0, 0, 0, 2, 0, 2, 600) for e in OF["a"]]
-                 + [EngineSeen(e, 20, 0, 0, 0, 0, 0, 0, 50) for e in OF["b"] + OF["c"]])
+    seen = Sight(
+        [EngineSeen(e, 20, 0, 0, 0, 2, 0, 2, 600) for e in OF["a"]]
+        + [EngineSeen(e, 20, 0, 0, 0, 0, 0, 0, 50) for e in OF["b"] + OF["c"]]
+    )
     assert verdicts(told(seen, seen, seen), ENGINES)["a"] is Verdict.LOST
 
 
@@ -424,8 +445,12 @@
     def verdict(views, changing=frozenset()):
         return judge(views, ENGINES, changing).zones["a"].verdict
 
-    assert Verdict.LOST not in (verdict(blind), verdict(cut), verdict(one),
-                                verdict(release, frozenset(OF["a"])))
+    assert Verdict.LOST not in (
+        verdict(blind),
+        verdict(cut),
+        verdict(one),
+        verdict(release, frozenset(OF["a"])),
+    )
     assert verdict(release) is Verdict.LOST
     with monkeypatch.context() as patch:
         patch.setattr(judging, "_blind", lambda views, engines: (yield) or {})
--- a/tests/wall_clock.py
+++ b/tests/wall_clock.py
@@ -16,8 +16,9 @@
     folder = tempfile.TemporaryDirectory(prefix="wall-clock-")
     shim.folder = folder  # kept, and taken away with the test process
     library = Path(folder.name) / "wall_clock.so"
-    subprocess.run(["cc", "-shared", "-fPIC", "-O2", "-Wall", "-Werror", "-o", library, SOURCE, "-ldl"],
-                   check=True)
+    subprocess.run(
+        ["cc", "-shared", "-fPIC", "-O2", "-Wall", "-Werror", "-o", library, SOURCE, "-ldl"], check=True
+    )
     return library
 
 
