--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -9,6 +9,7 @@
 
 import gevent
 import gevent.socket
+import pytest
 
 from cypressledge.clock import monotonic_us
 from cypressledge.counters import Counters
@@ -34,10 +35,10 @@
         broker.reload(dns=f"127.0.0.1:{moved.port}")
         until(lambda: moved.asked > 1, "the new directory")
         client.ask()  # on the connection from before, and only s-2 is ready now
-        self.assertEqual(client.get()["id"], 2)
+        assert client.get()["id"] == 2
         engine.released = True
-        self.assertEqual(content(client.get()), ROW)
-        self.assertIsNone(broker.process.poll())
+        assert content(client.get()) == ROW
+        assert broker.process.poll() is None
 
     def test_serial_is_kept_over_a_reload(self):
         engine = self.engine()
@@ -50,7 +51,7 @@
         until(lambda: moved.asked > 3, "the new directory")
         client = self.client(broker)
         client.ask()
-        self.assertEqual(content(client.get()), ROW)
+        assert content(client.get()) == ROW
 
     def test_unusable_file_leaves_the_old_configuration_in_force(self):
         broker = self.broker(self.engine())
@@ -65,19 +66,19 @@
                 before = dict(broker.config)
                 line = broker.reload(text, **change)[-1]
                 broker.config = before
-                self.assertIn("the old configuration stays in force", line)
-                self.assertIn(word, line)
+                assert "the old configuration stays in force" in line
+                assert word in line
                 client.ask()
-                self.assertEqual(content(client.get()), ROW)
+                assert content(client.get()) == ROW
 
     def test_whatever_else_has_changed_counts_too(self):
         broker = self.broker(self.engine())
         client = self.client(broker)
         client.ask(tenant="sud")
-        self.assertEqual(client.get()["error"]["code"], -32602)
+        assert client.get()["error"]["code"] == -32602
         broker.reload(settings=SETTINGS | {"Customers": [{"Name": "sud"}]})
         client.ask(tenant="sud")
-        self.assertEqual(content(client.get()), ROW)
+        assert content(client.get()) == ROW
 
 
 class Directory(Case):
@@ -90,8 +91,8 @@
         broker.relist(5)
         client = self.client(broker)
         client.ask()
-        self.assertEqual(content(client.get()), ROW)
-        self.assertEqual(len(second.wants), 1)
+        assert content(client.get()) == ROW
+        assert len(second.wants) == 1
 
 
 class BadClients(Case):
@@ -107,7 +108,7 @@
 
     def tearDown(self):
         self.usual.ask()
-        self.assertEqual(content(self.usual.get()), ROW)
+        assert content(self.usual.get()) == ROW
 
     def said(self, client):
         """What the client is told, until the close; None if neither came in time."""
@@ -115,7 +116,7 @@
         began, words = time.monotonic(), []
         while (word := client.get()) is not None:
             words.append(word)
-        self.assertLess(time.monotonic() - began, 3.5)
+        assert time.monotonic() - began < 3.5
         return words
 
     def test_those_that_say_nothing_or_half_are_let_go(self):
@@ -124,20 +125,20 @@
         trickling.raw(b"", b"Content")
         back.ask(wait=2900)  # and takes back all that it asked
         back.raw(b'{"jsonrpc":"2.0","method":"withdraw","params":{"id":1}}')
-        self.assertEqual(self.said(quiet), [])
-        self.assertEqual([w["error"]["code"] for w in self.said(half)], [-32600])
-        self.assertEqual([w["error"]["code"] for w in self.said(trickling)], [-32600])
+        assert self.said(quiet) == []
+        assert [w["error"]["code"] for w in self.said(half)] == [-32600]
+        assert [w["error"]["code"] for w in self.said(trickling)] == [-32600]
         self.said(back)
 
     def test_client_that_has_been_answered_may_stay_idle(self):
         self.usual.sock.settimeout(4.0)
-        with self.assertRaises(TimeoutError):
+        with pytest.raises(TimeoutError):
             self.usual.sock.recv(1)
 
     def test_huge_body_is_heard_out_so_that_the_error_can_be_read(self):
         client = self.client(self.served)
         client.raw(bytes(1 << 20) * 60, b"Content-Length: 62914560\r\n\r\n")
-        self.assertEqual([w["error"]["code"] for w in self.said(client)], [-32600])
+        assert [w["error"]["code"] for w in self.said(client)] == [-32600]
 
     def test_what_an_engine_cannot_use_never_reaches_one(self):
         client = self.client(self.served)
@@ -162,8 +163,8 @@
                 if client.number % 10 == 9:
                     client = self.client(self.served)
                 client.ask(method, **change)
-                self.assertEqual(client.get()["error"]["code"], -32602)
-        self.assertFalse(self.engine_.wants)
+                assert client.get()["error"]["code"] == -32602
+        assert not self.engine_.wants
 
     def test_id_of_an_open_request_is_an_error_on_any_connection(self):
         self.engine_.play = silent
@@ -171,21 +172,21 @@
         first.ask(id="00000000000000aa")
         until(lambda: self.engine_.wants, "the attempt")
         second.ask(id="00000000000000aa", statement=b"SELECT 2 FROM sales_1.t")
-        self.assertEqual(second.get()["error"]["code"], -32602)
+        assert second.get()["error"]["code"] == -32602
         self.engine_.play = whole
 
     def test_endless_errors_end_the_connection(self):
         client = self.client(self.served)
         for _ in range(40):
             client.send("nothing")
-        self.assertLess(len(self.said(client)), 40)
+        assert len(self.said(client)) < 40
 
     def test_numbers_that_skip_are_not_all_remembered(self):
         used = Used()
         for number in range(2, 50_000, 2):
-            self.assertTrue(used.add(number))
-            self.assertFalse(used.add(number))
-        self.assertLessEqual(len(used.above), SKIPPED_MOST)
+            assert used.add(number)
+            assert not used.add(number)
+        assert len(used.above) <= SKIPPED_MOST
 
 
 class Crowds(Case):
@@ -205,7 +206,7 @@
                 return None
 
         until(served, "a place among the crowd")
-        self.assertTrue(crowd)
+        assert crowd
 
     def test_a_newcomer_costs_the_same_whatever_the_crowd(self):
         """Each newcomer took a look at all connections: a crowd took a whole core."""
@@ -224,12 +225,12 @@
         idle = [Member(n, (2, n), True) for n in range(LOOKS, 5_000)]
         for connection in busy + idle:
             crowd.add(connection)
-        self.assertIsNone(crowd.least(0))  # those heard longest ago are all busy: the next look finds others
-        self.assertIs(crowd.least(0), idle[0])
+        assert crowd.least(0) is None  # those heard longest ago are all busy: the next look finds others
+        assert crowd.least(0) is idle[0]
         quiet = Member(5_000, (1, 0), False)
         crowd.add(quiet)
-        self.assertIs(crowd.least(0), quiet)
-        self.assertLess(len(looked), 4 * LOOKS)
+        assert crowd.least(0) is quiet
+        assert len(looked) < 4 * LOOKS
 
     def test_room_is_made_at_once_and_never_over_a_request_or_an_answer(self):
         """Whoever made room was still counted while its greenlet ended; and bytes on their way were lost."""
@@ -243,10 +244,10 @@
         pairs[0][1].send(b"a request that is not read yet")
         clients[1].writer.running = True  # an answer has not left yet
         for left in (3, 2):
-            self.assertTrue(listener._make_room())
-            self.assertEqual(len(front.clients), left)
-        self.assertFalse(listener._make_room())
-        self.assertEqual(set(front.clients), set(clients[:2]))
+            assert listener._make_room()
+            assert len(front.clients) == left
+        assert not listener._make_room()
+        assert set(front.clients) == set(clients[:2])
         for ours, theirs in pairs:
             ours.close()
             theirs.close()
@@ -271,7 +272,7 @@
         with gevent.Timeout(5):
             while got < 900 << 10:
                 got += len(pairs[2][1].recv(1 << 20))
-        self.assertEqual(lost, [1])
+        assert lost == [1]
         for pair in pairs:
             for sock in pair:
                 sock.close()
@@ -287,6 +288,7 @@
             if len(engine.wants) > 1:
                 return whole(engine, say, name, fields, statement)
             engine.wants[0][0].sendall(raw.replace(b"ID", name.encode()))
+            return None
 
         engine = self.engine(play)
         client = self.client(self.broker(engine))
@@ -316,16 +318,16 @@
         ):
             with self.subTest(raw[:50]):
                 answer, engine = self.ask(raw)
-                self.assertEqual(content(answer), ROW)
-                self.assertIsNot(engine.wants[0][0], engine.wants[1][0])
+                assert content(answer) == ROW
+                assert engine.wants[0][0] is not engine.wants[1][0]
 
     def test_second_copies_and_unknown_ids_are_ignored(self):
         good = b"ID 200 count=1 %d\r\n%s\r\n" % (len(ROW), ROW)
         answer, engine = self.ask(good.replace(b"ID", b"0" * 16) + good + good)
-        self.assertEqual((content(answer), len(engine.wants)), (ROW, 1))
+        assert (content(answer), len(engine.wants)) == (ROW, 1)
         first = b"ID 200 count=2 6\r\na\tb\tc\n\r\n"
         answer, engine = self.ask(first + first + b"ID chunk pos=1 6\r\nd\te\tf\n\r\n" * 2)
-        self.assertEqual((content(answer), len(engine.wants)), (b"a\tb\tc\nd\te\tf\n", 1))
+        assert (content(answer), len(engine.wants)) == (b"a\tb\tc\nd\te\tf\n", 1)
 
     def test_what_else_was_on_the_connection_is_asked_for_again(self):
         def play(engine, say, name, fields, statement):
@@ -339,8 +341,8 @@
         client.ask("order-load", once="ab" * 16, wait=15000)
         until(lambda: engine.wants, "the first attempt")
         client.ask()
-        self.assertEqual([content(client.get()) for _ in "ab"], [ROW, ROW])
-        self.assertEqual(len(engine.wants), 4)
+        assert [content(client.get()) for _ in "ab"] == [ROW, ROW]
+        assert len(engine.wants) == 4
 
     def test_answer_that_never_comes_is_asked_for_again(self):
         """Its connection is silent while the engine tells notes on another one."""
@@ -370,5 +372,5 @@
         self.addCleanup(notes.join)
         until(lambda: engine.wants[9:], "a repeat")
         silent = [name for sock, name, *_ in engine.wants[:9] if sock is not noted[0]]
-        self.assertEqual(len(silent), 8)
-        self.assertIn(engine.wants[9][1], silent)
+        assert len(silent) == 8
+        assert engine.wants[9][1] in silent
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -54,7 +54,8 @@
 def test_no_name_of_a_site_is_in_the_program():
     """The laboratory, which `run` does not import, has a plain site of its own."""
     wanted = PLATFORM.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
-    assert len(wanted) > 20 and len(SITES) == 2
+    assert len(wanted) > 20
+    assert len(SITES) == 2
     found = [
         (path.name, text)
         for path in (ROOT / "cypressledge").rglob("*.py")
@@ -113,15 +114,15 @@
             for tenant in settings["Customers"]:
                 key = {"once": f"{rng.getrandbits(64):x}"} if cls["Idempotency"] == "guarded" else {}
                 client.ask(cls["Name"], tenant=tenant["Name"], wait=2_000, **key)
-                self.assertEqual(content(client.get()), b"1\tbread\t12.5\n")
-                self.assertEqual(engine.wants[-1][2]["c"], cls["Name"])
-                self.assertEqual(engine.wants[-1][2].get("i"), key.get("once"))
+                assert content(client.get()) == b"1\tbread\t12.5\n"
+                assert engine.wants[-1][2]["c"] == cls["Name"]
+                assert engine.wants[-1][2].get("i") == key.get("once")
         client.ask("lookup")
-        self.assertEqual(client.get()["error"]["code"], -32601)
+        assert client.get()["error"]["code"] == -32601
         statement = base64.b64encode(b"SELECT 1").decode()
         client.send(
             settings["Classes"][0]["Name"],
             {"id": "0" * 16, "wait": 1000, "tenant": "nobody", "content": statement},
         )
-        self.assertEqual(client.get()["error"]["code"], -32602)
+        assert client.get()["error"]["code"] == -32602
         broker.close()
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -48,7 +48,8 @@
     starts = Starts(UNIX - NOW)
     for n in range(1_000):
         starts.take({f"s-{n}": 1 + n}, NOW, DOUBT)
-    assert len(starts.starts) <= FORGET_SPARE + 3 and "s-999" in starts.starts
+    assert len(starts.starts) <= FORGET_SPARE + 3
+    assert "s-999" in starts.starts
 
 
 def test_a_return_kept_on_another_clock_counts_as_now():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -88,7 +88,8 @@
 def test_settings_in_our_names():
     s = read_settings(json.dumps(SETTINGS).encode())
     assert (s.peers, s.slot, s.kind_cores, s.classes[0].only_kinds) == (2, 1, (12, 8), frozenset((0,)))
-    assert s.retry_ratio is None and s.classes[0].only_zones is None
+    assert s.retry_ratio is None
+    assert s.classes[0].only_zones is None
 
 
 @pytest.mark.parametrize(
@@ -103,7 +104,7 @@
     ],
 )
 def test_settings_out_of_range_name_the_field(change):
-    plain = dict(classes=(c.ClassSettings(aim=1, deadline=2),), kind_cores=(8,), tick=5000)
+    plain = {"classes": (c.ClassSettings(aim=1, deadline=2),), "kind_cores": (8,), "tick": 5000}
     with pytest.raises(ValueError, match=next(iter(change))):
         c.Settings(**(plain | change))
 
@@ -115,7 +116,9 @@
 
 def test_input_that_ends_between_frames():
     run = simhost(start())
-    assert run.returncode == 0 and run.stderr == b"" and len(run.stdout) >= 12
+    assert run.returncode == 0
+    assert run.stderr == b""
+    assert len(run.stdout) >= 12
 
 
 @pytest.mark.parametrize(
@@ -134,8 +137,11 @@
 def test_bad_input_gets_one_plain_line(raw, word):
     run = simhost(raw)
     lines = run.stderr.decode().splitlines()
-    assert run.returncode == 2 and run.stdout == b"" and len(lines) == 1
-    assert word in lines[0] and "batch" in lines[0]
+    assert run.returncode == 2
+    assert run.stdout == b""
+    assert len(lines) == 1
+    assert word in lines[0]
+    assert "batch" in lines[0]
 
 
 def test_exception_in_the_module_becomes_a_crash_record(monkeypatch, capsys):
--- a/tests/test_zone_processes.py
+++ b/tests/test_zone_processes.py
@@ -4,6 +4,7 @@
 import signal
 import sys
 import time
+from itertools import pairwise
 
 import pytest
 from gevent import sleep, subprocess
@@ -79,8 +80,9 @@
     assert field.load.counts["kept"] > kept
     assert sum(e.falls for e in field.engines) == 0
     grew = [e["shares"][A] for e in field.events("plan_taken") if e["broker"] == "n0"]
-    ups = [b - a for a, b in zip(grew, grew[1:], strict=False) if b > a]
-    assert len(ups) > 4 and max(ups[1:]) <= 63, grew
+    ups = [b - a for a, b in pairwise(grew) if b > a]
+    assert len(ups) > 4, grew
+    assert max(ups[1:]) <= 63, grew
     assert {e["zone"] for e in field.events("zone_leaving")} == {A}
 
 
@@ -119,9 +121,10 @@
     assert until(lambda: all(s == 1 for s in field.shares(A, alive)), WAIT, 0.1), log(field)
     for name in alive:
         grew = [e["shares"][A] for e in field.events("plan_taken") if e["broker"] == name]
-        assert all(b - a <= 63 for a, b in zip(grew[2:], grew[3:], strict=False)), grew
+        assert all(b - a <= 63 for a, b in pairwise(grew[2:])), grew
     tokens = [e["token"] for e in field.events("planner")]
-    assert len(tokens) >= 2 and tokens == sorted(set(tokens))
+    assert len(tokens) >= 2
+    assert tokens == sorted(set(tokens))
     assert sum(e.falls for e in field.engines) == 0
 
 
@@ -154,7 +157,8 @@
         got = next(
             e for e in field[name].events() if e["event"] == "plan_taken" and moment(e) >= moment(started)
         )
-        assert got["shares"][A] == 0 and moment(got) - moment(started) < 1.5
+        assert got["shares"][A] == 0
+        assert moment(got) - moment(started) < 1.5
 
 
 @pytest.mark.parametrize("field", [{"relayed": True}], indirect=True)
@@ -180,7 +184,8 @@
     for name in field.names:  # not all at once, though the planner itself never had the zone out
         grew = [e["shares"][A] for e in field.events("plan_taken") if e["broker"] == name]
         ups = [b - a for a, b in zip([0, *grew], grew, strict=False) if b > a]
-        assert len(ups) > 4 and max(ups) <= 563, grew
+        assert len(ups) > 4, grew
+        assert max(ups) <= 563, grew
 
 
 @pytest.mark.parametrize("field", [{"rate": 0.8}], indirect=True)
@@ -191,16 +196,21 @@
     planner = field.planner()
     other = next(n for n in field.names if n != planner)
     code, words = cli(field, other, "leave", A, "--reason", "a mistake", "--dry-run")
-    assert code == 1 and planner in words
+    assert code == 1
+    assert planner in words
     code, words = cli(field, planner, "leave", A, "--reason", "a mistake", "--dry-run")
-    assert code == 0 and "zone_leaving" in words and "can't bear more" in words, words
+    assert code == 0, words
+    assert "zone_leaving" in words, words
+    assert "can't bear more" in words, words
     assert set(field.shares(A)) == {1}
     code, words = cli(field, other, "practice", A, "--reason", "the yearly one")
-    assert code == 0 and planner in words, words
+    assert code == 0, words
+    assert planner in words, words
     assert until(lambda: field.events("zone_practice_over"), WAIT), log(field)
     assert set(field.shares(A)) == {1}
     code, words = cli(field, other, "leave", A, "--reason", "a mistake", "--for", "5")
-    assert code == 0 and until(lambda: all(0 < s < 1 for s in field.shares(A)), WAIT), log(field)
+    assert code == 0, log(field)
+    assert until(lambda: all(0 < s < 1 for s in field.shares(A)), WAIT), log(field)
     told = json.loads(cli(field, other, "status", "--json")[1])
     assert "can't bear more" in next(z["why"] for z in told["zones"] if z["zone"] == A)
     assert until(lambda: all(s == 1 for s in field.shares(A)), WAIT, 0.1), log(field)
--- a/tests/test_zone_size.py
+++ b/tests/test_zone_size.py
@@ -14,9 +14,13 @@
     print(off.kept, on.kept, on.left_at, on.last_send, on.whole_at)
     assert off.last_send > 5  # each broker goes on trying it for as long as it is gone
     assert on.last_send < {"silent": 2.0, "reset": 2.0, "slow": 3.5, "planner": 5.0}[kind]
-    assert on.kept >= off.kept - 0.3 and on.fallen == 0 and on.false == 0
-    assert on.in_force is not None and on.in_force <= 1.0
-    assert on.whole_at is not None and on.whole_at <= 1.5 * zonesize.WARM / 1e6 + 6
+    assert on.kept >= off.kept - 0.3
+    assert on.fallen == 0
+    assert on.false == 0
+    assert on.in_force is not None
+    assert on.in_force <= 1.0
+    assert on.whole_at is not None
+    assert on.whole_at <= 1.5 * zonesize.WARM / 1e6 + 6
 
 
 @pytest.mark.parametrize("kind", ["cut", "blind", "release"])
@@ -29,7 +33,8 @@
     for n in range(60):
         assert engine.take(zonesize.EPOCH + n * 10_000, (0, n, 0)) or engine.fallen
         engine.step(zonesize.EPOCH + n * 10_000)
-    assert engine.fallen and not engine.take(zonesize.EPOCH + zonesize.S, (0, 99, 0))
+    assert engine.fallen
+    assert not engine.take(zonesize.EPOCH + zonesize.S, (0, 99, 0))
     warm = zonesize.ModelEngine(2, 0)
     for n in range(60):
         warm.take(n * 10_000, (0, n, 0))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -77,7 +77,8 @@
         sight((), OF["a"]),
     )
     found = judge(views, ENGINES).zones["a"]
-    assert found.verdict is Verdict.CUT and "brokers in b alone" in found.why
+    assert found.verdict is Verdict.CUT
+    assert "brokers in b alone" in found.why
 
 
 def test_a_broker_that_fails_everywhere_is_not_listened_to():
@@ -125,7 +126,8 @@
 
 def test_a_lost_zone_is_left_within_the_second_and_returned_to_at_its_pace():
     play = Play().run(600_000, a=Verdict.LOST)
-    assert play.stage() is Stage.LEAVING and play.share() == 0
+    assert play.stage() is Stage.LEAVING
+    assert play.share() == 0
     play.run(3 * S, a=Verdict.LOST)
     assert play.stage() is Stage.OUT
     play.run(4 * S, a=Verdict.FEW)
@@ -137,7 +139,8 @@
         can = PACE.start + (1 - PACE.start) * (play.now - began) / PACE.warm
         work = play.share() / FULL * play.planner.use  # of its cores, while the fleet's work stays as it is
         assert play.now - began >= 1.25 * PACE.warm or work <= PACE.margin * can + 1e-9
-    assert shares[0][1] > 0 and shares[-1][1] == FULL
+    assert shares[0][1] > 0
+    assert shares[-1][1] == FULL
     assert shares[-1][0] <= 1.5 * PACE.warm
     assert all(b - a <= FULL / 16 + 1 for (_, a), (_, b) in itertools.pairwise(shares))
     assert [e for e, z in play.said] == [
@@ -151,7 +154,8 @@
 
 def test_a_hiccup_is_not_a_loss():
     play = Play().run(300_000, a=Verdict.LOST).run(S)
-    assert play.stage() is Stage.SERVING and play.share() == FULL
+    assert play.stage() is Stage.SERVING
+    assert play.share() == FULL
 
 
 def test_a_busy_zone_that_is_late_is_not_left_and_one_that_is_slow_for_no_work_is():
@@ -193,7 +197,8 @@
         play.run(100_000)
     halted = play.share()
     play.run(10 * S, a=Verdict.PART)
-    assert play.share() == halted and play.stage() is Stage.RETURNING
+    assert play.share() == halted
+    assert play.stage() is Stage.RETURNING
     play.run(500_000)
     assert play.share() <= halted + FULL / 16 + 1
 
@@ -202,7 +207,8 @@
     play = Play().run(S, a=Verdict.LOST).run(2 * S, a=Verdict.LOST, b=Verdict.LOST)
     assert [play.share(z) for z in ZONES] == [0, 0, FULL]
     play.run(5 * S, a=Verdict.LOST, b=Verdict.LOST, c=Verdict.LOST)
-    assert play.share("c") == FULL and ("zone_kept", "c") in play.said
+    assert play.share("c") == FULL
+    assert ("zone_kept", "c") in play.said
     both = Play(zones=("a", "b")).run(3 * S, a=Verdict.LOST, b=Verdict.LOST)
     assert [both.share(z) for z in "ab"] == [FULL, FULL]
 
@@ -214,18 +220,21 @@
     play.run(S)
     moved = (1 - play.share() / FULL) * 20
     spare = 2 * 0.9 * 32 - 22 - 24
-    assert 0 < play.share() < FULL and moved <= spare
+    assert 0 < play.share() < FULL
+    assert moved <= spare
     full = Play(loads={z: Load(30.0, 32.0) for z in ZONES})
     full.planner.leave("a", full.now, full.now + 30 * S, "by hand: a mistake")
     full.run(S)
-    assert full.share() == FULL and ("zone_kept", "a") in full.said
+    assert full.share() == FULL
+    assert ("zone_kept", "a") in full.said
 
 
 def test_what_is_done_by_hand_ends_by_itself():
     play = Play()
     play.planner.leave("a", play.now, play.now + 20 * S, "practice")
     play.run(19 * S)
-    assert play.stage() is Stage.OUT and play.share() == 0
+    assert play.stage() is Stage.OUT
+    assert play.share() == 0
     play.run(2 * S)
     assert play.stage() is Stage.RETURNING
     held = Play()
@@ -244,8 +253,10 @@
     heir = Play()
     heir.now = play.now + 700 * S  # its clock has nothing to do with the other's
     heir.planner.resume(play.planner.number, stood, False, heir.now)
-    assert heir.stage() is Stage.RETURNING and heir.share() == play.share()
-    assert heir.planner.stands(heir.now) == stood and heir.planner.number == play.planner.number
+    assert heir.stage() is Stage.RETURNING
+    assert heir.share() == play.share()
+    assert heir.planner.stands(heir.now) == stood
+    assert heir.planner.number == play.planner.number
     heir.run(500_000)
     assert play.share() <= heir.share() <= play.share() + FULL / 16 + 1
 
@@ -256,19 +267,27 @@
 
 def test_an_older_plan_is_turned_down():
     f = Follower("n1")
-    assert f.take(Plan(5, 1, 3, [stands(0)]), 0) and f.share("a") == 0 and f.share("b") == FULL
-    assert not f.take(Plan(4, 9, 9, [stands(FULL)]), 1) and not f.take(Plan(5, 1, 2, [stands(FULL)]), 1)
+    assert f.take(Plan(5, 1, 3, [stands(0)]), 0)
+    assert f.share("a") == 0
+    assert f.share("b") == FULL
+    assert not f.take(Plan(4, 9, 9, [stands(FULL)]), 1)
+    assert not f.take(Plan(5, 1, 2, [stands(FULL)]), 1)
     assert not f.take(Plan(5, 2, 9, [stands(FULL)]), 1)
-    assert f.take(Plan(6, 2, 1, [stands(500)]), 1) and f.share("a") == 500 and f.turned_down == 3
+    assert f.take(Plan(6, 2, 1, [stands(500)]), 1)
+    assert f.share("a") == 500
+    assert f.turned_down == 3
 
 
 def test_alone_a_broker_leaves_on_strong_evidence_and_does_not_return():
     f = Follower("n1")
     lost = {"a": Finding(Verdict.LOST, 1.0, ""), "b": Finding(Verdict.FINE, 0.0, "")}
     all_lost = {z: Finding(Verdict.LOST, 1.0, "") for z in "ab"}
-    assert not f.see(S, lost) and f.share("a") == FULL  # a planner was heard just now
-    assert not f.see(4 * S, all_lost) and f.share("a") == FULL  # cut off from everything: it keeps serving
-    assert f.see(4 * S, lost) and f.share("a") == 0
+    assert not f.see(S, lost)
+    assert f.share("a") == FULL
+    assert not f.see(4 * S, all_lost)
+    assert f.share("a") == FULL
+    assert f.see(4 * S, lost)
+    assert f.share("a") == 0
     f.see(5 * S, {z: Finding(Verdict.FINE, 0.0, "") for z in "ab"})
     assert f.share("a") == 0
     f.take(Plan(1, 1, 1, [stands(FULL)]), 6 * S)
@@ -276,7 +295,8 @@
     f.take(Plan(1, 1, 2, [stands(FULL)]), 7 * S)
     assert f.share("a") == 0
     f.take(Plan(1, 1, 3, [stands(125)]), 7 * S + 1)
-    assert f.share("a") == 125 and not f.alone
+    assert f.share("a") == 125
+    assert not f.alone
 
 
 def test_who_alone_left_a_zone_that_the_planner_keeps_is_back_after_a_while():
@@ -330,14 +350,18 @@
     play = Play(loads=heavy)
     play.planner.leave("a", play.now, play.now + 30 * S, "practice", practice=True)
     play.run(S)
-    assert play.share() == FULL and ("zone_practice_over", "a") in play.said
+    assert play.share() == FULL
+    assert ("zone_practice_over", "a") in play.said
     play = Play()
     play.planner.leave("a", play.now, play.now + 60 * S, "practice", practice=True)
     play.run(5 * S)
-    assert play.stage() is Stage.OUT and play.share() == 0
+    assert play.stage() is Stage.OUT
+    assert play.share() == 0
     play.run(S, b=Verdict.LOST)
-    assert play.stage() is Stage.RETURNING and play.share() > 0
-    assert ("zone_practice_over", "a") in play.said and play.planner.zones["a"].flaps == 0
+    assert play.stage() is Stage.RETURNING
+    assert play.share() > 0
+    assert ("zone_practice_over", "a") in play.said
+    assert play.planner.zones["a"].flaps == 0
 
 
 def test_what_is_over_its_share_goes_before_any_of_a_zone_stays():
@@ -345,13 +369,16 @@
     play = Play(loads=loads)
     play.planner.leave("a", play.now, play.now + 30 * S, "works")
     play.planner.step(play.now, {}, loads, over=0.1)  # 54 of 57.6 cores: all of it can go
-    assert play.share() == 0 and play.planner.short
+    assert play.share() == 0
+    assert play.planner.short
     play = Play(loads=loads)
     play.planner.leave("a", play.now, play.now + 30 * S, "works")
     play.planner.step(play.now, {}, loads)
-    assert 0 < play.share() < FULL and play.planner.short
+    assert 0 < play.share() < FULL
+    assert play.planner.short
     play.run(60 * S)
-    assert play.stage() is Stage.SERVING and not play.planner.short
+    assert play.stage() is Stage.SERVING
+    assert not play.planner.short
 
 
 def test_a_zone_left_in_part_that_is_lost_then_is_left_whole():
@@ -361,7 +388,8 @@
     play.run(S)
     assert 0 < play.share() < FULL
     play.run(S, a=Verdict.LOST)
-    assert play.share() == 0 and ("zone_left_whole", "a") in play.said
+    assert play.share() == 0
+    assert ("zone_left_whole", "a") in play.said
 
 
 def test_shares_of_tenants_are_of_the_whole_fleets_requests():
@@ -375,9 +403,12 @@
     over = over_shares(counts, {"big": 60.0, "small": 50.0})
     assert over == {"big": 400}  # 100 a second, 60 are its share
     assert over_part(counts, over) == pytest.approx(80 / 220)
-    assert over_shares(counts, {}) == {} and over_part({}, {}) == 0.0
+    assert over_shares(counts, {}) == {}
+    assert over_part({}, {}) == 0.0
     shed = sum(is_shed(f"q{i}", 400) for i in range(2_000))
-    assert 700 < shed < 900 and not any(is_shed(f"q{i}", 0) for i in range(200)) and SPAN_S == 2.0
+    assert 700 < shed < 900
+    assert not any(is_shed(f"q{i}", 0) for i in range(200))
+    assert SPAN_S == 2.0
     assert arrivals.counts(9 * S) == {}
 
 
@@ -404,19 +435,23 @@
 def test_able_is_what_work_can_be_given_to():
     play = Play().run(S, a=Verdict.LOST)
     zone = play.planner.zones["a"]
-    assert able(zone, play.now, PACE) == 0 and able(play.planner.zones["b"], play.now, PACE) == 1
+    assert able(zone, play.now, PACE) == 0
+    assert able(play.planner.zones["b"], play.now, PACE) == 1
     play.run(8 * S, a=Verdict.FEW)
-    assert zone.stage is Stage.RETURNING and PACE.start <= able(zone, play.now, PACE) < 1
+    assert zone.stage is Stage.RETURNING
+    assert PACE.start <= able(zone, play.now, PACE) < 1
 
 
 def test_what_is_done_between_two_steps_makes_a_new_plan():
     play = Play().run(S, a=Verdict.LOST)
     number = play.planner.number
     play.planner.back("a", play.now, "by hand")
-    assert play.planner.step(play.now, {}, IDLE) and play.planner.number == number + 1
+    assert play.planner.step(play.now, {}, IDLE)
+    assert play.planner.number == number + 1
     assert not play.planner.step(play.now, {}, IDLE)
     play.planner.adopt("b", play.now, "3 of 5 brokers left it without a planner")
-    assert play.planner.step(play.now, {}, IDLE) and play.share("b") == 0
+    assert play.planner.step(play.now, {}, IDLE)
+    assert play.share("b") == 0
 
 
 def test_a_zones_share_is_never_above_its_regions():
@@ -432,7 +467,8 @@
 
     f = Careless("n1")
     f.take(Plan(5, 1, 3, [stands(0)]), 0)
-    assert f.take(Plan(4, 9, 9, [stands(FULL)]), 1) and f.share("a") == FULL
+    assert f.take(Plan(4, 9, 9, [stands(FULL)]), 1)
+    assert f.share("a") == FULL
 
 
 def test_each_guard_of_the_judgement_is_needed(monkeypatch):
