--- a/cypressledge/core.py
+++ b/cypressledge/broker/core.py
@@ -17,13 +17,23 @@
 from gevent import sleep
 from gevent.event import Event
 
-from cypressledge import contract as c
+from cypressledge.broker.event_log import EventLog, Kind
+from cypressledge.broker.maintenance import Maintenance
+from cypressledge.broker.metrics import Counters, log
+from cypressledge.broker.requests import (
+    DEADLINE_FAULT,
+    Attempt,
+    AttemptObserver,
+    Endpoint,
+    EngineFault,
+    EngineTransport,
+    Query,
+    ReplyHandler,
+    Request,
+)
 from cypressledge.clock import monotonic_us
 from cypressledge.control import WorkloadManager
-from cypressledge.counters import Counters, log
-from cypressledge.events import EventLog, Kind
-from cypressledge.maintenance import Maintenance
-from cypressledge.requests import LATE, Attempt, Fault, Link, Observer, Place, Query, Reply, Request
+from cypressledge.decisions import contract as c
 
 KEY = re.compile(r"[!-+\--~]{1,128}\Z", re.A)  # a client's key: no commas or blanks, it may stand in a list
 ENGINE = re.compile(r"\bengine ([0-9a-f]+)\b")
@@ -37,7 +47,7 @@
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=size).digest(), "big")
 
 
-def _state_name(told: tuple[c.State, int] | None) -> str:
+def _state_name(told: tuple[c.EngineState, int] | None) -> str:
     """How a log names an engine's state; None: no list names it."""
     return "unlisted" if told is None else told[0].name.lower()
 
@@ -52,18 +62,22 @@
         # What the configuration sets: the pause that refusals name, and how many requests and bytes of their
         # statements may be open. Beyond, the memory limit is in danger: refused unseen.
         self.after_most, self.open_most, self.held_most = 0, 1_000, 4 << 20
-        self.links: dict[str, Link] = {}
-        self.places: dict[int, Place] = {}
-        self.lists: dict[str, list[tuple[c.Entry, Place]]] = {}  # as their sources tell them
-        self.last_kind = c.ListKind.CACHED
+        self.links: dict[str, EngineTransport] = {}
+        self.places: dict[int, Endpoint] = {}
+        self.lists: dict[str, list[tuple[c.EngineListEntry, Endpoint]]] = {}  # as their sources tell them
+        self.last_kind = c.EngineListKind.CACHED
         self.maintenance = Maintenance()
         # What the fleet's part adds where it is on: who is told how attempts go, which engines it closes, and
         # which queries it lets in.
-        self.observer: Observer | None = None
-        self.shut: Callable[[c.Entry], bool] | None = None
+        self.observer: AttemptObserver | None = None
+        self.shut: Callable[[c.EngineListEntry], bool] | None = None
         self.door: Callable[[Query], bool] | None = None
-        self.states: dict[str, tuple[c.State, int]] | None = None  # by engine, with the birth of its process
-        self.ready: dict[int, Place] = {}  # engines that take new work, as the lists name them at this moment
+        self.states: dict[str, tuple[c.EngineState, int]] | None = (
+            None  # by engine, with the birth of its process
+        )
+        self.ready: dict[
+            int, Endpoint
+        ] = {}  # engines that take new work, as the lists name them at this moment
         self.requests: dict[int, Request] = {}
         self.names: set[str] = set()
         self.inbox: deque[tuple] = deque()
@@ -75,12 +89,12 @@
         self.alarm_numbers = itertools.count()
         self.events: list[c.Event] = []
         self.do = {
-            c.Send: self._send,
-            c.SetTerms: self._terms,
-            c.Cancel: self._cancel,
-            c.Refuse: self._refuse,
-            c.Fail: self._fail,
-            c.Timer: self._timer,
+            c.StartAttempt: self._send,
+            c.SetAttemptResources: self._terms,
+            c.CancelAttempt: self._cancel,
+            c.RejectRequest: self._refuse,
+            c.FailRequest: self._fail,
+            c.StartTimer: self._timer,
             c.Log: self._log,
             c.Subscribe: lambda a: None,  # the directory is polled in any case
         }
@@ -89,14 +103,14 @@
 
     # Called by socket code
 
-    def take(self, query: Query, reply: Reply) -> Request | None:
+    def take(self, query: Query, reply: ReplyHandler) -> Request | None:
         """Take a query; None, and a refusal at once, if there is no room or the broker is stopping."""
         if not self.taking or len(self.requests) >= self.open_most or self.held > self.held_most:
             return self.refuse_unseen(query, reply, "no_room")
         if self.door is not None and not self.door(query):
             return self.refuse_unseen(query, reply, "over_share")
         if self.stopping:  # work that would not end in time is refused, so that the client asks elsewhere
-            query.due = min(query.due, self.ends_at)
+            query.deadline = min(query.deadline, self.ends_at)
         request = Request(next(self.numbers), query, reply)
         self.requests[request.number] = request
         self.names.add(query.id)
@@ -105,7 +119,7 @@
         self._post(self._taken, request)
         return request
 
-    def refuse_unseen(self, query: Query, reply: Reply, reason: str) -> None:
+    def refuse_unseen(self, query: Query, reply: ReplyHandler, reason: str) -> None:
         """Turn a query away at the door, a front's or the core's: the module never hears of it."""
         self.counters.add(f"refused.{reason}")
         self.counters.reply(query.class_name, "overload")
@@ -127,12 +141,12 @@
         attempt: Attempt,
         outcome: c.Outcome,
         rows: bytes = b"",
-        fault: Fault | None = None,
+        fault: EngineFault | None = None,
     ) -> None:
         """A link's word on how an attempt ended."""
         self._post(self._ended, attempt, outcome, rows, fault)
 
-    def noted(self, attempt: Attempt, kind: c.NoteKind, value: float) -> None:
+    def noted(self, attempt: Attempt, kind: c.ProgressKind, value: float) -> None:
         """A note on an attempt that is out."""
         self._post(self._noted, attempt, kind, value)
 
@@ -141,7 +155,9 @@
         attempt.unread += len(rows)
         self._post(self._rows, attempt, rows)
 
-    def listed(self, source: str, kind: c.ListKind, engines: list[tuple[c.Entry, Place]]) -> None:
+    def listed(
+        self, source: str, kind: c.EngineListKind, engines: list[tuple[c.EngineListEntry, Endpoint]]
+    ) -> None:
         """A source's whole list. Drain and loss count at once, also for sends still on their way."""
         self.lists[source] = engines
         self.last_kind = kind
@@ -157,22 +173,22 @@
         if self.lists:
             self._tell()
 
-    def _entry(self, place: Place, entry: c.Entry) -> c.Entry:
+    def _entry(self, place: Endpoint, entry: c.EngineListEntry) -> c.EngineListEntry:
         """How the module is to see an engine that a list names."""
         entry = self.maintenance.entry(place.name, entry)
-        if self.shut is not None and entry.state is c.State.READY and self.shut(entry):
-            return replace(entry, state=c.State.DRAINING)
+        if self.shut is not None and entry.state is c.EngineState.READY and self.shut(entry):
+            return replace(entry, state=c.EngineState.DRAINING)
         return entry
 
     def _tell(self) -> None:
         whole = [(self._entry(p, e), p) for held in self.lists.values() for e, p in held]
         self._log_engine_states(whole)
-        self.ready = {e.engine: p for e, p in whole if e.state is c.State.READY}
+        self.ready = {e.engine: p for e, p in whole if e.state is c.EngineState.READY}
         self._post(self._listed, self.last_kind, whole)
 
-    def _log_engine_states(self, whole: list[tuple[c.Entry, Place]]) -> None:
+    def _log_engine_states(self, whole: list[tuple[c.EngineListEntry, Endpoint]]) -> None:
         """Log which engines come, go, drain or are another process than before; not the first list."""
-        states = {p.name: (e.state, p.born) for e, p in whole}
+        states = {p.name: (e.state, p.started_at_ms) for e, p in whole}
         before, self.states = self.states, states
         if before is None or before == states:
             return
@@ -203,9 +219,9 @@
 
     def _ending(self, _: None) -> None:
         """Guards against requests that the end of the process, by a signal nobody can heed, finds open."""
-        self.events.append(c.Stopping())
+        self.events.append(c.ShutdownStarted())
 
-    def current(self, place: Place) -> bool:
+    def current(self, place: Endpoint) -> bool:
         """Whether its engine takes new work, and is still the process that listened there."""
         return self.ready.get(place.id) == place
 
@@ -259,8 +275,8 @@
             until = self.alarms[0][0] - self.now() if self.alarms else 1_000_000
             if until > 0:
                 self.woken.wait(until / 1e6)
-        pause = self.last + self.settings.tick - self.now()
-        sleep(min(max(pause, 0), self.settings.tick) / 1e6)
+        pause = self.last + self.settings.timer_resolution - self.now()
+        sleep(min(max(pause, 0), self.settings.timer_resolution) / 1e6)
 
     def _at(self, when: int, what: Callable, arg: object) -> None:
         heappush(self.alarms, (when, next(self.alarm_numbers), what, arg))
@@ -275,10 +291,19 @@
         if request.over or request.left:  # taken back at once: not worth the module's time
             return
         q = request.query
-        self._at(q.due + OVERDUE, self._due, request.number)
+        self._at(q.deadline + OVERDUE, self._due, request.number)
         key = stable(q.key, 8) if q.key else 0
         self.events.append(
-            c.Arrival(request.number, q.cls, q.due, key, q.cost, q.memory_mb, q.group, q.repeat)
+            c.RequestReceived(
+                request.number,
+                q.class_index,
+                q.deadline,
+                key,
+                q.cost,
+                q.memory_mb,
+                q.table_group,
+                q.is_client_retry,
+            )
         )
 
     def _left(self, request: Request) -> None:
@@ -288,7 +313,7 @@
         if request.begun is not None:
             self._stop(request.begun, c.Outcome.CANCELLED)
         self._conclude(request)
-        self.events.append(c.ClientLeft(request.number))
+        self.events.append(c.ClientDisconnected(request.number))
 
     def _due(self, number: int) -> None:
         # Alarms know requests by number: they outlive most of them, and must not keep what has been answered.
@@ -300,19 +325,21 @@
         if request.over:
             return
         self.counters.invariant(request.begun is not None, "overdue")
-        self._end_unserved(request, c.Reason.DEADLINE, "failed", LATE)
-        self.events.append(c.ClientLeft(request.number))
+        self._end_unserved(request, c.Reason.DEADLINE, "failed", DEADLINE_FAULT)
+        self.events.append(c.ClientDisconnected(request.number))
 
-    def _listed(self, kind: c.ListKind, engines: list[tuple[c.Entry, Place]]) -> None:
+    def _listed(self, kind: c.EngineListKind, engines: list[tuple[c.EngineListEntry, Endpoint]]) -> None:
         self.places = {p.id: p for _, p in engines}  # none of those that are gone: they would pile up
         self.counters.add("lists")
-        self.events.append(c.EngineList(kind, tuple(e for e, _ in engines)))
+        self.events.append(c.EngineListReceived(kind, tuple(e for e, _ in engines)))
 
     def _noted(self, attempt: Attempt, kind, value) -> None:
         if attempt.open:
             if self.observer is not None:
                 self.observer.heard(attempt)
-            self.events.append(c.Note(attempt.request.number, attempt.hop, attempt.place.id, kind, value))
+            self.events.append(
+                c.AttemptProgress(attempt.request.number, attempt.number, attempt.endpoint.id, kind, value)
+            )
 
     def _rows(self, attempt: Attempt, rows: bytes) -> None:
         request = attempt.request
@@ -327,7 +354,7 @@
         if request.begun is attempt:
             request.reply.part(rows)
 
-    def _ended(self, attempt: Attempt, outcome: c.Outcome, rows: bytes, fault: Fault | None) -> None:
+    def _ended(self, attempt: Attempt, outcome: c.Outcome, rows: bytes, fault: EngineFault | None) -> None:
         if not attempt.open:
             return
         request = attempt.request
@@ -338,8 +365,8 @@
             self.log.write(
                 Kind.ATTEMPT_ENDED,
                 request=request.query.id,
-                attempt=attempt.hop,
-                engine=attempt.place.name,
+                attempt=attempt.number,
+                engine=attempt.endpoint.name,
                 outcome=outcome.name.lower(),
                 after_ms=(self.now() - attempt.sent_at) // MS,
             )
@@ -349,12 +376,14 @@
             if outcome is c.Outcome.OK:
                 self._answer(request, "served", rows)
             elif request.begun is attempt or fault and fault.final:
-                self._answer(request, "failed", fault or Fault(f"engine: {outcome.name.lower()}"))
+                self._answer(request, "failed", fault or EngineFault(f"engine: {outcome.name.lower()}"))
         latency = self.now() - attempt.sent_at
         if self.observer is not None:
             self.observer.ended(attempt, outcome, latency)
         self.events.append(
-            c.Ended(request.number, attempt.hop, attempt.place.id, outcome, request.over, latency)
+            c.AttemptEnded(
+                request.number, attempt.number, attempt.endpoint.id, outcome, request.over, latency
+            )
         )
         self._forget(request)
 
@@ -367,78 +396,78 @@
 
     # What the module answers
 
-    def _send(self, a: c.Send) -> None:
+    def _send(self, a: c.StartAttempt) -> None:
         request = self.requests.get(a.request)
         now = self.now()
         place = self.ready.get(a.engine) or self.places.get(a.engine)
         if not self.counters.invariant(request is not None and place is not None, "send_of_nothing"):
-            self.events.append(c.Ended(a.request, 0, a.engine, c.Outcome.MOOT, True, 0))
+            self.events.append(c.AttemptEnded(a.request, 0, a.engine, c.Outcome.NOT_SENT, True, 0))
             return
-        until = min(request.query.due, now + a.timeout) if a.timeout else request.query.due
+        until = min(request.query.deadline, now + a.timeout) if a.timeout else request.query.deadline
         attempt = Attempt(request, len(request.attempts), place, now, until, self.last)
         request.attempts.append(attempt)
         request.open += 1
-        many = attempt.hop >= self.settings.max_attempts
+        many = attempt.number >= self.settings.max_attempts
         gone = request.begun or not attempt.wanted
         if gone or many or until <= now or a.engine not in self.ready:
             self.counters.add("moot_sends")
-            self.ended(attempt, c.Outcome.MOOT)
+            self.ended(attempt, c.Outcome.NOT_SENT)
             return
-        self.counters.add("attempts.first" if attempt.hop == 0 else "attempts.further")
-        if attempt.hop:
+        self.counters.add("attempts.first" if attempt.number == 0 else "attempts.further")
+        if attempt.number:
             self._log_retry(attempt)
-        self._at(until, self._expired, (request.number, attempt.hop))
+        self._at(until, self._expired, (request.number, attempt.number))
         self.links[place.wire].send(attempt)
 
     def _log_retry(self, attempt: Attempt) -> None:
         request = attempt.request
-        first, last = request.attempts[0], request.attempts[attempt.hop - 1]
+        first, last = request.attempts[0], request.attempts[attempt.number - 1]
         outcome = last.outcome.name.lower() if last.outcome is not None else "out"
         self.counters.add(f"retry_after.{outcome}")
         self.log.write(
             Kind.RETRY,
             request=request.query.id,
             class_=request.query.class_name,
-            attempt=attempt.hop,
-            engine=attempt.place.name,
+            attempt=attempt.number,
+            engine=attempt.endpoint.name,
             after=outcome,
             since_first_ms=(attempt.sent_at - first.sent_at) // MS,
         )
 
-    def _terms(self, a: c.SetTerms) -> None:
+    def _terms(self, a: c.SetAttemptResources) -> None:
         if (request := self.requests.get(a.request)) is None:
             return
         request.grant_mb, request.priority = a.grant_mb, a.priority
         for attempt in request.attempts:
             if attempt.open:
-                self.links[attempt.place.wire].terms(attempt)
+                self.links[attempt.endpoint.wire].terms(attempt)
 
-    def _cancel(self, a: c.Cancel) -> None:
+    def _cancel(self, a: c.CancelAttempt) -> None:
         request = self.requests.get(a.request)
         if request is not None and a.attempt < len(request.attempts):
             attempt = request.attempts[a.attempt]
             if request.begun is not attempt or request.over:
                 self.counters.add(f"cancelled.{a.reason}")
-                if attempt.open and a.reason is not c.Reason.REQUEST_OVER:
+                if attempt.open and a.reason is not c.Reason.REQUEST_FINISHED:
                     self.log.write(
                         Kind.CANCELLED,
                         request=request.query.id,
-                        attempt=attempt.hop,
-                        engine=attempt.place.name,
+                        attempt=attempt.number,
+                        engine=attempt.endpoint.name,
                         reason=a.reason,
                     )
                 self._stop(attempt, c.Outcome.CANCELLED)
 
-    def _refuse(self, a: c.Refuse) -> None:
+    def _refuse(self, a: c.RejectRequest) -> None:
         if (request := self.requests.get(a.request)) is not None and not request.over:
             if request.begun is None:
                 self._end_unserved(request, a.reason, "refused", self.after_most)
             else:  # rows went out: refusing would be a lie
-                self._end_unserved(request, a.reason, "failed", LATE)
+                self._end_unserved(request, a.reason, "failed", DEADLINE_FAULT)
 
-    def _fail(self, a: c.Fail) -> None:
+    def _fail(self, a: c.FailRequest) -> None:
         if (request := self.requests.get(a.request)) is not None and not request.over:
-            self._end_unserved(request, a.reason, "failed", request.fault or LATE)
+            self._end_unserved(request, a.reason, "failed", request.fault or DEADLINE_FAULT)
 
     def _end_unserved(self, request: Request, reason: c.Reason, how: str, *args) -> None:
         """The final answer, with no rows, of a request that the module or its time has given up."""
@@ -450,11 +479,11 @@
             class_=query.class_name,
             reason=reason,
             attempts=len(request.attempts),
-            left_ms=(query.due - self.now()) // MS,
+            left_ms=(query.deadline - self.now()) // MS,
         )
         self._answer(request, how, *args)
 
-    def _timer(self, a: c.Timer) -> None:
+    def _timer(self, a: c.StartTimer) -> None:
         self._at(self.last + a.after, self._fire, a.token)
 
     def _log(self, a: c.Log) -> None:
@@ -486,7 +515,7 @@
     def _stop(self, attempt: Attempt, outcome: c.Outcome) -> None:
         """Call an attempt off at its engine; its outcome reaches the module with the next batch."""
         if attempt.open:
-            self.links[attempt.place.wire].cancel(attempt)
+            self.links[attempt.endpoint.wire].cancel(attempt)
             self.ended(attempt, outcome)
 
     def _close(self, attempt: Attempt) -> None:
--- a/cypressledge/events.py
+++ b/cypressledge/broker/event_log.py
@@ -6,8 +6,8 @@
 
 from enum import StrEnum
 
+from cypressledge.broker.metrics import Counters, log
 from cypressledge.clock import monotonic_us
-from cypressledge.counters import Counters, log
 
 SECOND = 1_000_000  # µs
 LINES_MOST = 10  # lines a second of one kind of event; what is beyond is counted, and told with the next line
--- a/cypressledge/maintenance.py
+++ b/cypressledge/broker/maintenance.py
@@ -7,7 +7,7 @@
 import json
 from dataclasses import dataclass, field, replace
 
-from cypressledge.contract import Entry, State
+from cypressledge.decisions.contract import EngineListEntry, EngineState
 
 ID_MOST = 128
 
@@ -46,12 +46,12 @@
         if not known and name not in self.out:
             raise MaintenanceError(404, f"no engine {name}")
 
-    def entry(self, name: str, entry: Entry) -> Entry:
+    def entry(self, name: str, entry: EngineListEntry) -> EngineListEntry:
         """How the module is to see an engine that a list names."""
         if name in self.out:
-            return replace(entry, state=State.DRAINING) if entry.state is State.READY else entry
+            return replace(entry, state=EngineState.DRAINING) if entry.state is EngineState.READY else entry
         born = self.back.get(name, 0)
-        return replace(entry, born=born) if born > entry.born else entry
+        return replace(entry, started_at=born) if born > entry.started_at else entry
 
     def dump(self) -> bytes:
         """As it is kept."""
--- a/cypressledge/requests.py
+++ b/cypressledge/broker/requests.py
@@ -6,9 +6,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from cypressledge import contract as c
+from cypressledge.decisions import contract as c
 
-SEND_WAIT = 500_000  # µs from its decision in which an attempt leaves, or never does: the module's margin
+MAX_SEND_DELAY = (
+    500_000  # µs from its decision in which an attempt leaves, or never does: the module's margin
+)
 
 
 @dataclass(slots=True)
@@ -17,20 +19,20 @@
     waiting."""
 
     id: str
-    cls: int
+    class_index: int
     class_name: str
     tenant: str
     statement: bytes
-    due: int
+    deadline: int
     key: str = ""
     cost: int = 0
     memory_mb: float = 0.0
-    group: int = 0
-    repeat: bool = False
+    table_group: int = 0
+    is_client_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class EngineFault:
     """Why an engine's answer is no result. `final`: the statement itself is at fault, no engine helps."""
 
     text: str
@@ -39,21 +41,23 @@
     final: bool = False
 
 
-LATE = Fault("not answered in time", 159, 408)
+DEADLINE_FAULT = EngineFault("not answered in time", 159, 408)
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Endpoint:
     """Where an engine listens and which link speaks to it."""
 
     id: int
     name: str
     address: tuple[str, int]
     wire: str
-    born: int = 0  # ms; a process that starts anew under its id is another place: old connections are dead
+    started_at_ms: int = (
+        0  # ms; a process that starts anew under its id is another place: old connections are dead
+    )
 
 
-class Reply(Protocol):
+class ReplyHandler(Protocol):
     """What a front offers for one taken request; none of these may block."""
 
     streams: bool
@@ -70,11 +74,11 @@
     def refused(self, after: int) -> None:
         """Trying again is harmless, best after so many µs."""
 
-    def failed(self, fault: Fault) -> None:
+    def failed(self, fault: EngineFault) -> None:
         """It may have run; an answer that has begun is left visibly broken."""
 
 
-class Link(Protocol):
+class EngineTransport(Protocol):
     """What a wire to the engines offers; none of these may block."""
 
     def send(self, attempt: "Attempt") -> None:
@@ -93,7 +97,7 @@
 
     number: int
     query: Query
-    reply: Reply
+    reply: ReplyHandler
     attempts: list["Attempt"] = field(default_factory=list)
     grant_mb: float = 0.0
     priority: int = 1
@@ -101,7 +105,7 @@
     over: bool = False
     left: bool = False
     begun: "Attempt | None" = None
-    fault: Fault | None = None
+    fault: EngineFault | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -109,8 +113,8 @@
     """One send of a request to one engine. `carrier` belongs to the link."""
 
     request: Request
-    hop: int
-    place: Place
+    number: int
+    endpoint: Endpoint
     sent_at: int
     until: int
     decided_at: int  # the module's time of the decision, on which windows and budgets were judged
@@ -128,7 +132,7 @@
     def may_leave(self, now: int) -> bool:
         """Whether it is still wanted, and as fresh as the module took it to be when it judged window and
         budget. Guards against connections that come up late, and processes that stood still meanwhile."""
-        return self.wanted and now - self.decided_at <= SEND_WAIT
+        return self.wanted and now - self.decided_at <= MAX_SEND_DELAY
 
     @property
     def query(self) -> Query:
@@ -136,7 +140,7 @@
         return self.request.query
 
 
-class Observer(Protocol):
+class AttemptObserver(Protocol):
     """Whoever is told how attempts go; none of these may block."""
 
     def heard(self, attempt: Attempt) -> None:
--- a/cypressledge/broker.py
+++ b/cypressledge/broker_process.py
@@ -16,19 +16,19 @@
 import gevent
 from gevent.event import Event
 
+from cypressledge.broker.core import Core
+from cypressledge.broker.event_log import Kind
+from cypressledge.broker.metrics import Counters, log
+from cypressledge.broker.requests import MAX_SEND_DELAY
 from cypressledge.clock import StepWatch, monotonic_us
 from cypressledge.config import Config, ConfigError, read_config
-from cypressledge.contract import ListKind, Settings
-from cypressledge.core import Core
-from cypressledge.counters import Counters, log
-from cypressledge.events import Kind
+from cypressledge.decisions.contract import EngineListKind, Settings
 from cypressledge.net.buffer import GROWN
 from cypressledge.net.directory import Catalogue, Directory, Listed
 from cypressledge.net.jsonrpc import Front
 from cypressledge.net.lines import LinesLink
 from cypressledge.net.management import CALLERS_LEAST, CALLERS_MOST, Kept, Management, figures
 from cypressledge.net.stream import QUEUED
-from cypressledge.requests import SEND_WAIT
 from cypressledge.service import Service, ServiceConfig, read_service
 from cypressledge.tenants import Tenants
 
@@ -45,8 +45,8 @@
 def _settings(config: Config, service: ServiceConfig | None) -> Settings:
     """The module's settings. Guards against ClickHouse engines being taken for ones that lose answers: they
     tell nothing of a query whose rows are on their way, or of which they don't know the share done."""
-    notes = config.settings.notes if service is None else 0
-    return replace(config.settings, notes=notes, send_wait=SEND_WAIT)
+    notes = config.settings.progress_interval if service is None else 0
+    return replace(config.settings, progress_interval=notes, max_send_delay=MAX_SEND_DELAY)
 
 
 class Broker:
@@ -86,7 +86,7 @@
             self.management.add("/maintenance/enter", "POST", lambda r: self.kept.call(r, True))
             self.management.add("/maintenance/exit", "POST", lambda r: self.kept.call(r, False))
         self.catalogue = Catalogue(config.kinds, config.zones, "lines")
-        self.catalogue.tell(self.core, ListKind.CACHED, config.engines)
+        self.catalogue.tell(self.core, EngineListKind.CACHED, config.engines)
         self.directory = Directory(self.core, config.dns, self.catalogue, config.serial)
         self.parts.append(self.directory.run)
         self.service = None
@@ -179,7 +179,7 @@
         if not self.engines_told:
             self.engines_told = True
             self.directory.move(None)
-        self.catalogue.tell(self.core, ListKind.FULL, engines)
+        self.catalogue.tell(self.core, EngineListKind.FULL, engines)
 
     def _check(self, config: Config, service: ServiceConfig | None) -> None:
         """Whether this can be taken without a restart."""
--- a/cypressledge/config.py
+++ b/cypressledge/config.py
@@ -4,7 +4,7 @@
 import resource
 from dataclasses import dataclass
 
-from cypressledge import contract as c
+from cypressledge.decisions import contract as c
 from cypressledge.net.directory import Listed, known
 from cypressledge.settings import SettingsError, settings_of
 
--- a/cypressledge/control.py
+++ b/cypressledge/control.py
@@ -1,4 +1,4 @@
-"""All decisions of a workload manager. Its data, events and actions are in cypressledge/contract.py.
+"""All decisions of a workload manager; its settings, events and actions are in decisions/contract.py.
 
 Queries wait in per-class queues; each free engine place is given by a random draw whose class odds a
 PI loop tunes to hold mean wait ratios between classes (docs/design.md names each departure).
@@ -10,34 +10,34 @@
 from itertools import chain
 from math import ceil
 
-from cypressledge.contract import (
-    NEVER_RAN,
+from cypressledge.decisions.contract import (
+    NEVER_EXECUTED,
     WAITS_FOR_LOAD,
     Action,
-    Arrival,
-    Cancel,
-    ClientLeft,
-    Effect,
-    Ended,
-    EngineList,
+    AttemptEnded,
+    AttemptProgress,
+    CancelAttempt,
+    ClientDisconnected,
+    DeduplicationScope,
+    EngineListKind,
+    EngineListReceived,
+    EngineState,
     Event,
-    Fail,
-    Group,
-    ListKind,
+    FailRequest,
+    HealthCheckEnded,
+    Idempotency,
     Log,
-    Note,
-    NoteKind,
     Outcome,
-    Probed,
+    ProgressKind,
     Reason,
-    Refuse,
-    Send,
-    SetTerms,
+    RejectRequest,
+    RequestReceived,
+    SetAttemptResources,
     Settings,
-    State,
-    Stopping,
+    ShutdownStarted,
+    StartAttempt,
+    StartTimer,
     Subscribe,
-    Timer,
     TimerFired,
 )
 from cypressledge.retries import RetryBudget, drops_repeats_of, repeat_bar, window_end
@@ -109,7 +109,7 @@
     """What this manager knows of one engine."""
 
     def __init__(self, entry, cores, memory, start):
-        self.id, self.born, self.state = entry.engine, entry.born, entry.state
+        self.id, self.born, self.state = entry.engine, entry.started_at, entry.state
         self.kind, self.zone, self.cell = entry.kind, entry.zone, entry.cell
         self.cores, self.memory, self.start, self.bound = cores, memory, start, start
         self.out = {}
@@ -156,15 +156,15 @@
         self.ranks: dict[int, list[Engine]] = {}
         self.load, self.spread, self.held_time, self.thread_time = 0.5, 0.5, 0.0, 0.0
         self.react = {
-            EngineList: self._list,
-            Arrival: self._arrival,
-            Ended: self._ended,
-            Note: self._note,
-            ClientLeft: self._left,
+            EngineListReceived: self._list,
+            RequestReceived: self._arrival,
+            AttemptEnded: self._ended,
+            AttemptProgress: self._note,
+            ClientDisconnected: self._left,
             TimerFired: self._timer,
-            Probed: lambda event: None,
-            Stopping: lambda event: [
-                self._give_up(r, Reason.STOPPING) for r in [*self.requests.values()] if not r.over
+            HealthCheckEnded: lambda event: None,
+            ShutdownStarted: lambda event: [
+                self._give_up(r, Reason.SHUTTING_DOWN) for r in [*self.requests.values()] if not r.over
             ],
         }
 
@@ -172,8 +172,8 @@
         """Take the settings, again where they change; the classes stay the same."""
         self.s, classes = settings, settings.classes
         self.retry_budget.settings = settings
-        self.bound_kinds = frozenset().union(*(k.only_kinds or () for k in classes))
-        self.bound_zones = frozenset().union(*(k.only_zones or () for k in classes))
+        self.bound_kinds = frozenset().union(*(k.required_kinds or () for k in classes))
+        self.bound_zones = frozenset().union(*(k.required_zones or () for k in classes))
         self.least, self.widest = min(k.threads for k in classes), max(k.threads for k in classes)
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
@@ -202,59 +202,63 @@
             return
         at = min([self.next_sweep, *(heap[0][0] for heap in (self.dues, self.rests) if heap)])
         if self.wake_at <= self.now or at < self.wake_at:
-            self.wake_at = max(at, self.now + self.s.tick)
-            self._do(Timer(self.wake_at - self.now))
+            self.wake_at = max(at, self.now + self.s.timer_resolution)
+            self._do(StartTimer(self.wake_at - self.now))
 
     def _do(self, action: Action) -> None:
         self.acts.append(action)
 
     # The list of engines
 
-    def _list(self, news: EngineList) -> None:
-        if news.kind is ListKind.FAILED:
-            self._do(Timer(TRIAL, 1))
+    def _list(self, news: EngineListReceived) -> None:
+        if news.kind is EngineListKind.FAILED:
+            self._do(StartTimer(TRIAL, 1))
             return
         for entry in news.entries:
             e = self.engines.get(entry.engine)
             if e is None:
                 cores = self.s.kind_cores[entry.kind]
                 memory = self.s.kind_memory_mb[entry.kind] if self.s.kind_memory_mb else 0.0
-                start = PLACES_PER_CORE * cores / self.s.peers
+                start = PLACES_PER_CORE * cores / self.s.broker_count
                 e = self.engines[entry.engine] = Engine(entry, cores, memory, start)
-            elif entry.born > e.born:
+            elif entry.started_at > e.born:
                 e.slow, e.held_off = 1.0, False
-            e.state, e.born, e.kind, e.zone = entry.state, entry.born, entry.kind, entry.zone
-            e.cold_until = max(e.cold_until, entry.born and entry.born + self.s.warm_within)
-        if news.kind is not ListKind.DELTA:
+            e.state, e.born, e.kind, e.zone = entry.state, entry.started_at, entry.kind, entry.zone
+            e.cold_until = max(e.cold_until, entry.started_at and entry.started_at + self.s.slow_start_window)
+        if news.kind is not EngineListKind.DELTA:
             listed = {entry.engine for entry in news.entries}
             for e in self.engines.values():
                 if e.id not in listed:
-                    e.state = State.GONE
+                    e.state = EngineState.REMOVED
         self.ranks.clear()
-        self.engines = {i: e for i, e in self.engines.items() if e.state is not State.GONE or e.out}
-        self.order = [self.engines[i] for i in sorted(self.engines) if self.engines[i].state is State.READY]
+        self.engines = {i: e for i, e in self.engines.items() if e.state is not EngineState.REMOVED or e.out}
+        self.order = [
+            self.engines[i] for i in sorted(self.engines) if self.engines[i].state is EngineState.READY
+        ]
 
     # Requests
 
-    def _arrival(self, a: Arrival) -> None:
+    def _arrival(self, a: RequestReceived) -> None:
         r = Request()
         r.id, r.cls, r.due, r.key, r.group, r.hint, r.memory = (
             a.request,
-            a.cls,
-            a.due,
+            a.class_index,
+            a.deadline,
             a.key,
-            a.group,
+            a.table_group,
             a.cost,
             a.memory_mb,
         )
-        r.spec = spec = self.s.classes[a.cls]
+        r.spec = spec = self.s.classes[a.class_index]
         r.arrived = self.now
-        r.cost = a.cost * self.cost_ratio[a.cls] if a.cost else self.usual[a.cls]
-        if not self.usual[a.cls]:
-            self.usual[a.cls] = r.cost
+        r.cost = a.cost * self.cost_ratio[a.class_index] if a.cost else self.usual[a.class_index]
+        if not self.usual[a.class_index]:
+            self.usual[a.class_index] = r.cost
         r.run, self.hints = r.cost / spec.threads, self.hints or a.cost > 0
-        r.row = a.group if spec.waits or spec.is_load else 0
-        r.aim_at = self.now + min(spec.aim + int(spec.aim_stretch * r.run), spec.deadline)
+        r.row = a.table_group if spec.blocked_by_loads or spec.is_load else 0
+        r.aim_at = self.now + min(
+            spec.latency_objective + int(spec.latency_objective_stretch * r.run), spec.deadline
+        )
         self.mean_run += 0.01 * (r.run - self.mean_run) if self.mean_run else r.run
         r.attempts, r.engine, r.sent_at, r.maybe_at = 0, None, 0, None
         r.waiting = r.over = r.cancelling = False
@@ -263,7 +267,7 @@
         self.asked[r.group] = self.asked.get(r.group, 0.0) + 1.0
         self.retry_budget.take(self.now)
         heappush(self.dues, (r.due - DUE_MARGIN, r.id))
-        if spec.in_order and r.key:
+        if spec.ordered and r.key:
             line = self.keys.setdefault(r.key, deque())
             line.append(r)
             if line[0] is r:
@@ -289,7 +293,7 @@
         Guards against queries that stand still behind other managers' loads, of which nobody tells: they go
         elsewhere, as long as there is an engine left."""
         part = self.asked.get(group, 0.0) / max(sum(self.asked.values()), 1.0)
-        most = ceil(LOAD_ROOM * self.s.peers * self.loads * part)
+        most = ceil(LOAD_ROOM * self.s.broker_count * self.loads * part)
         return self._ranks(group)[max(len(self.order) - most, ceil(LEFT_FREE * len(self.order))) :]
 
     def _barred(self, r: Request) -> set[Engine]:
@@ -317,12 +321,14 @@
 
         Guards against loads that stand in line at an engine, in turn of coming and in others' way, until they
         are late: here they wait shortest first, and hold no place."""
-        ahead = e.holds.get(r.group, 0) * self.s.peers * self.usual[r.cls] / r.spec.threads
+        ahead = e.holds.get(r.group, 0) * self.s.broker_count * self.usual[r.cls] / r.spec.threads
         return ahead <= LINE * (r.aim_at - r.arrived)
 
     def _near(self, n: int) -> dict[Engine, float]:
         """This manager's own n engines, and how strange each other is: the later in its order, the more."""
-        return {e: (i >= n) * (1.0 + (i - n) / n) for i, e in enumerate(self._ranks(-1 - self.s.slot))}
+        return {
+            e: (i >= n) * (1.0 + (i - n) / n) for i, e in enumerate(self._ranks(-1 - self.s.broker_index))
+        }
 
     def _turn(self, r: Request) -> None:
         """The request is first of its key: queue it, after the key's rest."""
@@ -341,7 +347,7 @@
         self.seq += 1
         heappush(queues[r.cls].setdefault(r.row, []), (r.run, self.seq, r))
 
-    def _left(self, event: ClientLeft) -> None:
+    def _left(self, event: ClientDisconnected) -> None:
         if (r := self.requests.get(event.request)) and not r.over:
             if not r.attempts:
                 self.retry_budget.take_back(r.arrived)
@@ -354,12 +360,16 @@
         r.over, r.waiting = True, False
         if r.engine is None:
             self._forget(r)
-        elif self.s.may_cancel and not r.cancelling and r.spec.effect is not Effect.UNSAFE:
-            self._cancel(r, Reason.REQUEST_OVER)
+        elif (
+            self.s.supports_cancel
+            and not r.cancelling
+            and r.spec.idempotency is not Idempotency.NOT_IDEMPOTENT
+        ):
+            self._cancel(r, Reason.REQUEST_FINISHED)
 
     def _forget(self, r: Request) -> None:
         del self.requests[r.id]
-        line = self.keys.get(r.key) if r.spec.in_order and r.key else None
+        line = self.keys.get(r.key) if r.spec.ordered and r.key else None
         if line:
             first = line[0] is r
             line.remove(r)
@@ -372,11 +382,15 @@
         """End the request unserved: refused where that is harmless, failed elsewhere."""
         spec = r.spec
         harmless = (
-            spec.effect is Effect.FREE
+            spec.idempotency is Idempotency.IDEMPOTENT
             or r.engine is None
-            and (r.maybe_at is None or spec.effect is Effect.KEYED and spec.group is Group.ALL)
+            and (
+                r.maybe_at is None
+                or spec.idempotency is Idempotency.WITH_KEY
+                and spec.deduplication_scope is DeduplicationScope.ALL
+            )
         )
-        self._do(Refuse(r.id, why) if harmless else Fail(r.id, why))
+        self._do(RejectRequest(r.id, why) if harmless else FailRequest(r.id, why))
         self._over(r)
 
     def _waited(self, r: Request) -> None:
@@ -385,7 +399,7 @@
 
     # Outcomes and notes
 
-    def _ended(self, a: Ended) -> None:
+    def _ended(self, a: AttemptEnded) -> None:
         e = self.engines.get(a.engine)
         r = e and e.out.get(a.request)
         if r is None or r.attempts - 1 != a.attempt:
@@ -393,17 +407,19 @@
         self._release(e, r)
         self._judge(e, r, a)
         r.engine, r.cancelling = None, False
-        if a.outcome not in NEVER_RAN and r.maybe_at is None:
+        if a.outcome not in NEVER_EXECUTED and r.maybe_at is None:
             r.maybe_at, r.maybe_on = r.sent_at, e
-        if r.spec.in_order and r.key and a.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            self.rest_until[r.key] = self.now + self.s.key_rest + self.s.tick
+        if r.spec.ordered and r.key and a.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
+            self.rest_until[r.key] = self.now + self.s.ordering_key_cooldown + self.s.timer_resolution
         if r.over:
             self._forget(r)
         elif a.final:
             self._over(r)
         elif (bar := self._retry_bar(r)) is None:
             r.avoid = e
-            if r.spec.effect is Effect.KEYED and r.maybe_at is not None:  # it waits within its window only
+            if (
+                r.spec.idempotency is Idempotency.WITH_KEY and r.maybe_at is not None
+            ):  # it waits within its window only
                 heappush(self.dues, (window_end(r.spec, r.maybe_at), r.id))
             self._enqueue(r)
         else:
@@ -417,21 +433,21 @@
         if r.spec.is_load:
             e.holds[r.group] -= 1
 
-    def _judge(self, e: Engine, r: Request, a: Ended) -> None:
+    def _judge(self, e: Engine, r: Request, a: AttemptEnded) -> None:
         """Learn from one outcome: costs, needs, the engine's pace and health."""
         if a.outcome in (Outcome.OK, Outcome.ERROR):
             e.errors += EWMA * ((a.outcome is Outcome.ERROR) - e.errors)
         if a.outcome is Outcome.OK:
             e.heard, e.resets = self.now, 0
             e.full_room = max(e.full_room, e.threads + r.spec.threads)
-            if r.spec.waits:
+            if r.spec.blocked_by_loads:
                 e.seen_held.pop(r.group, None)  # it ran, so no load holds the group there now
             self.count, self.seen[r.cls] = self.count + 1, self.seen[r.cls] + 1
             self.losses -= EWMA / 10 * self.losses
             if e.held_off:
                 e.held_off, e.errors = False, min(e.errors, ERRORS / 2)
                 self._do(Log(f"engine {e.id:x} answers again"))
-            work = a.work if self.s.tells_cost and a.work else r.cost or a.latency * r.spec.threads
+            work = a.work if self.s.reports_cost and a.work else r.cost or a.latency * r.spec.threads
             c = r.cls
             self.usual[c] += (EWMA if self.usual[c] else 1.0) * (work - self.usual[c])
             if r.hint and a.work:
@@ -447,7 +463,7 @@
             self._pace_of(e)
             self._report(e, r, a)
             self.class_slow[c] += EWMA * (min(a.latency / run, 20.0) - self.class_slow[c])
-            met = self.now - r.arrived <= r.spec.aim + r.spec.aim_stretch * run
+            met = self.now - r.arrived <= r.spec.latency_objective + r.spec.latency_objective_stretch * run
             e.met, e.missed = e.met + met, e.missed + (not met)
         elif a.outcome is Outcome.ERROR:
             # Guards against an engine that answers errors at once, and so has the fewest queries and is given
@@ -456,7 +472,7 @@
             if e.errors > ERRORS + 2.0 * others and not e.held_off and self._may_hold():
                 e.held_off, e.trial_at = True, self.now + TRIAL
                 self._do(Log(f"engine {e.id:x} answers errors where others do not: held off"))
-        elif a.outcome is Outcome.FULL:
+        elif a.outcome is Outcome.REJECTED:
             e.full_until, e.full_try = self.now + FULL_MEMORY, self.now + FULL_TRY
             e.full_room = e.threads
             e.bound = max(min(e.bound, e.threads), e.start / 2)
@@ -465,7 +481,7 @@
             # cold if it was seen to refuse. Single resets are the path's trouble, not the engine's.
             e.resets += 1
             if a.outcome is Outcome.CONNECT_FAILED:
-                e.cold_until = self.now + self.s.warm_within
+                e.cold_until = self.now + self.s.slow_start_window
             elif e.out or e.resets < RESETS:
                 return
             if not e.held_off:
@@ -478,13 +494,13 @@
         self.slow = (self.lat_sum + one) / (self.run_sum + one)
         e.slow = max((e.lat_sum + one * self.slow) / (e.run_sum + one), 0.5)
 
-    def _report(self, e: Engine, r: Request, a: Ended) -> None:
+    def _report(self, e: Engine, r: Request, a: AttemptEnded) -> None:
         """An answer's load report: cores busy, and threads a core beyond them."""
         self.held_time += a.latency - EWMA * self.held_time
         self.thread_time += a.latency * r.spec.threads - EWMA * self.thread_time
-        if not a.report:
+        if not a.load_report:
             return
-        told = dict(zip(self.s.report, a.report, strict=False))
+        told = dict(zip(self.s.load_report_fields, a.load_report, strict=False))
         e.load, e.load_at = told.get("util", 0.0), self.now
         wide = self.thread_time / max(self.held_time, 1.0) / e.cores
         e.load += wide * told.get("queue", 0.0) + max(wide * told.get("inflight", 0.0) - 1.0, 0.0)
@@ -508,19 +524,19 @@
     def _may_retry(self, r: Request) -> bool:
         return self._retry_bar(r) is None
 
-    def _note(self, note: Note) -> None:
+    def _note(self, note: AttemptProgress) -> None:
         r = self.requests.get(note.request)
         if r is None or r.over or r.engine is None or r.attempts - 1 != note.attempt or r.cancelling:
             return
         r.engine.heard = r.told_at = self.now
-        r.stands = note.kind is NoteKind.WAITS
+        r.stands = note.kind is ProgressKind.WAITING
         age = self.now - r.sent_at
         fresh = self._expected(r)
-        if note.kind is NoteKind.PROGRESS:
+        if note.kind is ProgressKind.PROGRESS:
             rest = age * (1.0 - note.value) / max(note.value, 0.01)
             if rest > RUNAWAY * fresh and age > fresh:
                 self._move(r, Reason.RUNAWAY)
-        elif note.kind is NoteKind.WAITS and note.value == WAITS_FOR_LOAD:
+        elif note.kind is ProgressKind.WAITING and note.value == WAITS_FOR_LOAD:
             r.engine.seen_held[r.group] = self.now + SEEN_HELD
             self._move(r, Reason.BEHIND_LOAD)
 
@@ -528,18 +544,23 @@
         """Call an attempt off to try elsewhere, where the class may be repeated, and time and ration allow.
 
         Guards against spending the ration on work that is late already and worth little so."""
-        if self.now + r.run > r.aim_at and r.spec.late_worth < LITTLE:
+        if self.now + r.run > r.aim_at and r.spec.late_priority_weight < LITTLE:
             return
-        if self.s.may_cancel and r.spec.effect is Effect.FREE and not r.cancelling and self._may_retry(r):
+        if (
+            self.s.supports_cancel
+            and r.spec.idempotency is Idempotency.IDEMPOTENT
+            and not r.cancelling
+            and self._may_retry(r)
+        ):
             self._cancel(r, why)
 
     def _cancel(self, r: Request, why: Reason) -> None:
         r.cancelling = True
-        self._do(Cancel(r.id, r.attempts - 1, why))
+        self._do(CancelAttempt(r.id, r.attempts - 1, why))
 
     def _expected(self, r: Request) -> float:
         """What an attempt of the request should take, as the fleet answers its class now."""
-        return max(r.run, self.s.tick) * max(self.class_slow[r.cls], 1.0)
+        return max(r.run, self.s.timer_resolution) * max(self.class_slow[r.cls], 1.0)
 
     # Time
 
@@ -560,7 +581,7 @@
         """Why a request that has waited, or run, for too long ends."""
         if not r.waiting:
             return Reason.DEADLINE
-        return Reason.NO_PLACE if self.now >= r.due - DUE_MARGIN else Reason.WINDOW_OVER
+        return Reason.NO_CAPACITY if self.now >= r.due - DUE_MARGIN else Reason.DEDUPLICATION_WINDOW_OVER
 
     def _sweep(self) -> None:
         """Look at running work: engines under pressure or silent, and work near its aim."""
@@ -578,7 +599,9 @@
                 runs += r.run
                 quiet = min(age, self.now - e.heard)
                 lack = min(quiet / self._expected(r), SILENCE_EACH)
-                if r.spec.waits:  # those of one group may all stand behind one load: they tell once
+                if (
+                    r.spec.blocked_by_loads
+                ):  # those of one group may all stand behind one load: they tell once
                     behind[r.group] = max(behind.get(r.group, 0.0), lack)
                 else:
                     missing += lack
@@ -604,17 +627,30 @@
         Guards against answers that never come, which hold places until the client leaves: an engine that
         speaks tells of all it runs at each interval. Where many are lost, short work goes earlier."""
         quiet = self.now - r.told_at
-        if not self.s.notes or r.over or r.cancelling or self.now - e.heard > self.s.notes:
+        if (
+            not self.s.progress_interval
+            or r.over
+            or r.cancelling
+            or self.now - e.heard > self.s.progress_interval
+        ):
             return r.lost
-        if quiet > LOST_NOTES * self.s.notes:
+        if quiet > LOST_NOTES * self.s.progress_interval:
             self.losses += EWMA / 10 * (1.0 - self.losses) * (not r.lost)
             r.lost = True
-            if r.spec.effect is Effect.FREE and self.now + r.run > r.aim_at and r.spec.late_worth < LITTLE:
-                self._give_up(r, Reason.ANSWER_LOST)
-            elif r.spec.effect is not Effect.UNSAFE and self.s.may_cancel and self._may_retry(r):
-                self._cancel(r, Reason.ANSWER_LOST)
+            if (
+                r.spec.idempotency is Idempotency.IDEMPOTENT
+                and self.now + r.run > r.aim_at
+                and r.spec.late_priority_weight < LITTLE
+            ):
+                self._give_up(r, Reason.RESPONSE_LOST)
+            elif (
+                r.spec.idempotency is not Idempotency.NOT_IDEMPOTENT
+                and self.s.supports_cancel
+                and self._may_retry(r)
+            ):
+                self._cancel(r, Reason.RESPONSE_LOST)
         elif self.losses > LOSSES and not r.stands and quiet > OVERDUE * self._expected(r) + OVERDUE_LEAST:
-            self._move(r, Reason.ANSWER_LOST)
+            self._move(r, Reason.RESPONSE_LOST)
         return r.lost
 
     def _may_hold(self) -> bool:
@@ -628,10 +664,10 @@
                 if r.waiting and r.attempts == 0:
                     self._waited(r)
         n = len(self.odds)
-        mean = [max(self.waits[c] / max(self.samples[c], 1), self.s.tick) for c in range(n)]
+        mean = [max(self.waits[c] / max(self.samples[c], 1), self.s.timer_resolution) for c in range(n)]
         enough = [k >= MIN_SAMPLES for k in self.samples]
         for j in range(n - 1):
-            if not (enough[j] and enough[j + 1]) or max(mean[j], mean[j + 1]) <= self.s.tick:
+            if not (enough[j] and enough[j + 1]) or max(mean[j], mean[j + 1]) <= self.s.timer_resolution:
                 continue  # too few waits to tell: hold the integral
             error = self._aim(j) / self._aim(j + 1) - mean[j] / mean[j + 1]
             error = max(-ERROR_LIMIT, min(ERROR_LIMIT, error))
@@ -650,7 +686,11 @@
     def _aim(self, c: int) -> float:
         """A class's wait reference: its aim, by what its work costs against its worth."""
         spec, work = self.s.classes[c], self.usual[c]
-        return (spec.aim + spec.aim_stretch * work / spec.threads) * (work or 1.0) / spec.worth
+        return (
+            (spec.latency_objective + spec.latency_objective_stretch * work / spec.threads)
+            * (work or 1.0)
+            / spec.priority_weight
+        )
 
     def _bounds(self) -> None:
         """Bounds grow one place a period while a queue waits and answers meet aims; shrink with latency."""
@@ -731,13 +771,13 @@
         return self.now + r.run <= r.due and self.slow <= PRESSURE
 
     def _late(self, r: Request) -> None:
-        if r.spec.late_worth and self.now + r.run < r.due and self.slow < PRESSURE:
+        if r.spec.late_priority_weight and self.now + r.run < r.due and self.slow < PRESSURE:
             self._push(self.overdue, r)
         else:
             self._drop_late(r)
 
     def _drop_late(self, r: Request) -> None:
-        self._give_up(r, Reason.LATE)
+        self._give_up(r, Reason.OBJECTIVE_MISSED)
 
     def _choose(self, r: Request) -> Engine | None:
         """The allowed engine with a free place and the fewest own threads a core; ties at random."""
@@ -745,25 +785,25 @@
         if not self._room(r, spare):
             return None
         spec, best, ties = r.spec, None, []
-        others = REPORT_WEIGHT * (1.0 - 1.0 / self.s.peers)
+        others = REPORT_WEIGHT * (1.0 - 1.0 / self.s.broker_count)
         near, draw = self._near(NEAR_LEAST + int(self.rate / 2)), self.rng.random
         homes = self.order if spec.is_load else self._home(r.group)
-        apart = self._apart(r.group) if spec.is_load or spec.waits else ()
-        barred = self._barred(r) if spec.is_load or spec.waits else ()
-        free = spec.only_kinds is None and spec.only_zones is None
+        apart = self._apart(r.group) if spec.is_load or spec.blocked_by_loads else ()
+        barred = self._barred(r) if spec.is_load or spec.blocked_by_loads else ()
+        free = spec.required_kinds is None and spec.required_zones is None
         for e in self.order:
             if (
-                spec.only_kinds is not None
-                and e.kind not in spec.only_kinds
-                or spec.only_zones is not None
-                and e.zone not in spec.only_zones
+                spec.required_kinds is not None
+                and e.kind not in spec.required_kinds
+                or spec.required_zones is not None
+                and e.zone not in spec.required_zones
                 or r.maybe_at is not None
                 and not drops_repeats_of(spec, r.maybe_on, e)
                 or e in barred
                 or spec.is_load
                 and not self._line(e, r)
                 or e.held_off
-                and (e.out or self.now < e.trial_at or spec.effect is Effect.UNSAFE)
+                and (e.out or self.now < e.trial_at or spec.idempotency is Idempotency.NOT_IDEMPOTENT)
                 or not self._cold_room(e, r.cls)
                 or not self._place(e, r, spare)
             ):
@@ -773,7 +813,7 @@
             guess = (1.0 - known) * self.spread * (2.0 * draw() - 1.0) * (e.load_at > 0)  # a report's age
             score += others * (known * (e.load - self.load) + guess)
             score += (e not in homes) * COLD_READ + (self.now >= e.cold_until) * STRANGE * near[e]
-            if spec.waits or spec.is_load:
+            if spec.blocked_by_loads or spec.is_load:
                 score += HELD * max(e.holds.get(r.group, 0), e.seen_held.get(r.group, 0) > self.now)
                 score += (e not in apart) * APART if spec.is_load else (e in apart) * BEHIND
             if e is r.avoid or self.now < e.full_until:
@@ -798,7 +838,7 @@
         if full or threads > max(bound, 2.0 * self.least) + spare * e.start and e.out:
             e.queue_waited = True
             return False
-        room = max(e.memory * min(1.0, bound / e.start / self.s.peers), 2.0 * self._need(r))
+        room = max(e.memory * min(1.0, bound / e.start / self.s.broker_count), 2.0 * self._need(r))
         return not e.memory or not e.out or e.needs + self._need(r) <= room
 
     def _limit(self, e: Engine) -> float:
@@ -811,13 +851,13 @@
         A share of less than a query caps nothing on its own engine; the sum does, to the nearest query. What
         others send scatters: a deviation of it stays free. Two wide queries more are room for own chance."""
         total = memory = 0.0
-        others = 1.0 - 1.0 / self.s.peers
+        others = 1.0 - 1.0 / self.s.broker_count
         for e in self.order:
             limit = self._limit(e)
             total += limit * (1.0 - others * (self.widest / PLACES_PER_CORE / e.cores) ** 0.5)
             if e.memory:
                 swing = others * min(self.big_need / e.memory, 0.25) ** 0.5
-                memory += e.memory * min(1.0, limit / e.start / self.s.peers) * (1.0 - swing)
+                memory += e.memory * min(1.0, limit / e.start / self.s.broker_count) * (1.0 - swing)
         fits = not memory or r.run <= self.mean_run or self.needs + self._need(r) <= memory
         places = self.threads + r.spec.threads / 2 <= total * (1.0 + spare) + WIDE_ROOM * self.widest
         for e in self.order:
@@ -836,15 +876,18 @@
         tell of weighs what its aim allows. Refused attempts count."""
         if self.now >= e.cold_until and not e.held_off:
             return True
-        window, spec = max(self.s.fall_window, 1), self.s.classes[c]
-        work = max(self.usual[c], (self.seen[c] < COLD_FEW and not self.hints) * spec.aim * spec.threads)
-        while e.sent and e.sent[0][0] < self.now - window - self.s.tick:
+        window, spec = max(self.s.overload_window, 1), self.s.classes[c]
+        work = max(
+            self.usual[c],
+            (self.seen[c] < COLD_FEW and not self.hints) * spec.latency_objective * spec.threads,
+        )
+        while e.sent and e.sent[0][0] < self.now - window - self.s.timer_resolution:
             e.sent_work -= e.sent.popleft()[1]
-        room = self.s.fall_multiple * self.s.start_capacity * e.cores * window * COLD_SAFETY
+        room = self.s.overload_multiple * self.s.slow_start_capacity * e.cores * window * COLD_SAFETY
         if work * COLD_FEW < room:
-            turn = (self.now + self.s.slot * window // self.s.peers) // window
-            work *= _mix(self.s.slot + turn, e.id) / 2.0**64
-        return e.sent_work + work <= room / self.s.peers
+            turn = (self.now + self.s.broker_index * window // self.s.broker_count) // window
+            work *= _mix(self.s.broker_index + turn, e.id) / 2.0**64
+        return e.sent_work + work <= room / self.s.broker_count
 
     def _send(self, r: Request, e: Engine) -> None:
         if r.attempts == 0:
@@ -871,20 +914,20 @@
         if self.now < e.full_until and e.threads > e.full_room:
             e.full_try = self.now + FULL_TRY
         self._lane(r)
-        self._do(Send(r.id, e.id))
+        self._do(StartAttempt(r.id, e.id))
 
     def _lane(self, r: Request) -> None:
         """Terms: short work and loads first, work near its aim raised, late work last."""
-        if not (self.s.priorities or self.s.grants):
+        if not (self.s.supports_priorities or self.s.supports_memory_grants):
             return
         lane = 1
-        if self.s.priorities:
+        if self.s.supports_priorities:
             lane = 3 if r.run <= self.mean_run else 1 + (self.now - r.arrived > 0.5 * (r.aim_at - r.arrived))
             if r.spec.is_load:
                 lane = 3  # others stand still behind it, however late it is
             elif self.now > r.aim_at:
                 lane = 0
-        grant = r.memory * self.need_ratio[r.cls] if self.s.grants else 0.0
+        grant = r.memory * self.need_ratio[r.cls] if self.s.supports_memory_grants else 0.0
         if r.terms is None or r.terms[1] != lane or r.sent_at == self.now and r.terms[0] != grant:
             r.terms = (grant, lane)
-            self._do(SetTerms(r.id, grant, lane))
+            self._do(SetAttemptResources(r.id, grant, lane))
--- a/cypressledge/controlplane/follower.py
+++ b/cypressledge/controlplane/follower.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.history import unpack
 from cypressledge.controlplane.messages import (
     FORMAT,
@@ -29,7 +30,6 @@
     one_line,
 )
 from cypressledge.controlplane.state import FleetState, StateError
-from cypressledge.counters import Counters
 from cypressledge.fleet.ranks import weight
 
 CONNECT = 1_500_000  # µs for a TCP connection
--- a/cypressledge/controlplane/history.py
+++ b/cypressledge/controlplane/history.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import DELTA_BYTES, FRAME_MOST, Change, Snapshot
 from cypressledge.controlplane.state import FleetState, StateError
-from cypressledge.counters import Counters
 
 CHANGES_MOST = 4_096  # changes kept
 BYTES_MOST = 4 << 20  # of changes kept
--- a/cypressledge/controlplane/learner.py
+++ b/cypressledge/controlplane/learner.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.messages import Change, Message, Snapshot
 from cypressledge.controlplane.replica import NEVER, NotPrimary, Status
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.state import FleetState
-from cypressledge.counters import Counters
 
 TICK_US = 500_000
 
--- a/cypressledge/controlplane/operators.py
+++ b/cypressledge/controlplane/operators.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import Op
 from cypressledge.controlplane.state import StateError, canonical
-from cypressledge.counters import Counters
 from cypressledge.net.http import Exchange, HttpRequest, HttpServer
 
 BODY_MOST = 2 << 20  # bytes of a change in JSON
--- a/cypressledge/controlplane/part.py
+++ b/cypressledge/controlplane/part.py
@@ -8,18 +8,18 @@
 import os
 from collections.abc import Callable
 
+from cypressledge.broker.metrics import log
 from cypressledge.config import ConfigError, address
-from cypressledge.contract import State
 from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.messages import Change
 from cypressledge.controlplane.settings import read_control
 from cypressledge.controlplane.state import Engine, FleetState, StateError
-from cypressledge.counters import log
+from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.node import new_run
 from cypressledge.net.directory import Listed
 
 KINDS = ("config", "engine", "broker")
-STATES = {"ready": State.READY, "draining": State.DRAINING}
+STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
 
 
 class ControlPart:
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.history import History
 from cypressledge.controlplane.messages import (
     FORMAT,
@@ -27,7 +28,6 @@
     one_line,
 )
 from cypressledge.controlplane.state import KEY, Broker, FleetState, StateError, canonical, place_of
-from cypressledge.counters import Counters
 
 Position = tuple[int, int, bytes]  # epoch, version, digest
 REASONS_MOST = 500  # refusals in one Seen that say why: guards against more than a frame holds
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -20,6 +20,7 @@
 from gevent.event import Event
 from gevent.queue import Empty, Full, Queue
 
+from cypressledge.broker.metrics import Counters, log
 from cypressledge.config import ConfigError, address
 from cypressledge.controlplane.faults import ONCE, VARIABLE, Faults
 from cypressledge.controlplane.frames import HELLO_S, Ended, Frames, Traffic, connect
@@ -48,7 +49,6 @@
 from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control
 from cypressledge.controlplane.state import FleetState, StateError, canonical, check, clashes, plain
 from cypressledge.controlplane.store import Store, StoreError
-from cypressledge.counters import Counters, log
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
 from cypressledge.fleet.keeper import Place
--- a/cypressledge/fleet/evidence.py
+++ b/cypressledge/fleet/evidence.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from cypressledge.contract import Outcome
+from cypressledge.decisions.contract import Outcome
 from cypressledge.fleet.messages import EngineSeen
 
 WINDOW = 250_000  # µs
--- a/cypressledge/fleet/exchange.py
+++ b/cypressledge/fleet/exchange.py
@@ -14,7 +14,7 @@
 from gevent.event import Event
 from gevent.socket import wait_read
 
-from cypressledge.counters import Counters
+from cypressledge.broker.metrics import Counters
 from cypressledge.fleet.messages import ITEMS_MOST, LARGEST, VERSION, Envelope, Unreadable, decode, encode
 
 INBOX_MOST = 1_024  # datagrams that wait to be looked at
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -12,8 +12,8 @@
 
 import gevent
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.clock import wall_us
-from cypressledge.counters import Counters
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
 from cypressledge.fleet.exchange import Exchange
--- a/cypressledge/fleet/part.py
+++ b/cypressledge/fleet/part.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
+from cypressledge.broker.core import Core
+from cypressledge.broker.metrics import Counters
 from cypressledge.clock import wall_us
 from cypressledge.config import Config, ConfigError, address
-from cypressledge.contract import State
-from cypressledge.core import Core
-from cypressledge.counters import Counters
+from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.budget import Budget
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.keeper import Place, places
@@ -134,7 +134,7 @@
                     raise ConfigError(f"{self.path}: region {region.name}: the zones are {known}")
         settings, pace = self.core.settings, told.zone_pace
         usual = Pace()
-        warm = settings.warm_within or usual.warm
+        warm = settings.slow_start_window or usual.warm
         site = Site(
             config.zones,
             {p.name: p.zone for p in told.peers},
@@ -151,7 +151,7 @@
                 margin=pace.margin,
                 hold_most=round(pace.hold_most_s * 1e6),
                 bear=pace.bear,
-                start=settings.start_capacity,
+                start=settings.slow_start_capacity,
                 warm=warm,
                 step=min(usual.step, warm // 32),
             ),
@@ -219,9 +219,9 @@
             p.name
             for lst in self.core.lists.values()
             for e, p in lst
-            if e.state is not State.GONE
+            if e.state is not EngineState.REMOVED
             and (
-                self.core.maintenance.entry(p.name, e).state is not State.READY
+                self.core.maintenance.entry(p.name, e).state is not EngineState.READY
                 or (e.engine in held and held[e.engine].held_off)
             )
         ]
--- a/cypressledge/fleet/zones.py
+++ b/cypressledge/fleet/zones.py
@@ -9,15 +9,15 @@
 from copy import deepcopy
 from dataclasses import dataclass
 
-from cypressledge import contract as c
-from cypressledge.core import Core
+from cypressledge.broker.core import Core
+from cypressledge.broker.requests import Attempt, Query
+from cypressledge.decisions import contract as c
 from cypressledge.fleet.evidence import Evidence
 from cypressledge.fleet.judge import FADE, Judgement, Told, judge, judging
 from cypressledge.fleet.keeper import Granted
 from cypressledge.fleet.messages import Plan, PlanWanted, Sight, ZoneWish
 from cypressledge.fleet.shed import SPAN_S, Arrivals, is_shed, over_part, over_shares, refused
 from cypressledge.fleet.zoneplan import FULL, Follower, Load, Pace, Planner, Stage, able
-from cypressledge.requests import Attempt, Query
 
 EVERY = 200_000  # µs between looks at what is out, and between sights that say something new
 IDLE_EVERY = 500_000  # µs between sights that say only that all is well
@@ -42,7 +42,7 @@
     region: dict[str, str]
     quotas: dict[str, float]
 
-    def zone_of(self, entry: c.Entry) -> str:
+    def zone_of(self, entry: c.EngineListEntry) -> str:
         """An engine's zone by name."""
         return self.zones[min(entry.zone, len(self.zones) - 1)]
 
@@ -92,7 +92,14 @@
         quiet = self.noted.pop(attempt, None) is None
         query = attempt.request.query
         self.evidence.ended(
-            self.now(), attempt.place.id, attempt, outcome, latency, self._expected(query), query.cost, quiet
+            self.now(),
+            attempt.endpoint.id,
+            attempt,
+            outcome,
+            latency,
+            self._expected(query),
+            query.cost,
+            quiet,
         )
 
     def heard(self, attempt: Attempt) -> None:
@@ -101,8 +108,8 @@
 
     def _expected(self, query) -> int:
         """µs that a query should take as engines answer its class now: if all are crowded, none is lost."""
-        run = query.cost / max(1, self.core.settings.classes[query.cls].threads)
-        return int(run * min(max(self.core.manager.class_slow[query.cls], 1.0), CROWDED))
+        run = query.cost / max(1, self.core.settings.classes[query.class_index].threads)
+        return int(run * min(max(self.core.manager.class_slow[query.class_index], 1.0), CROWDED))
 
     def _look(self, now: int) -> None:
         """At the attempts that are out: which have been quiet for long."""
@@ -113,12 +120,12 @@
                     quiet = clock - attempt.sent_at
                     if attempt in self.noted:
                         quiet = min(quiet, now - self.noted[attempt])
-                    open_.append((attempt, attempt.place.id, quiet, self._expected(request.query)))
+                    open_.append((attempt, attempt.endpoint.id, quiet, self._expected(request.query)))
         self.evidence.out(now, open_)
 
     # Where it binds
 
-    def shut(self, entry: c.Entry) -> bool:
+    def shut(self, entry: c.EngineListEntry) -> bool:
         """Whether the plan closes an engine to this broker."""
         if self.waiting or not self.names:
             return False
@@ -324,7 +331,11 @@
                     engines[entry.engine] = zone
                 elif region and zone in region:
                     engines[entry.engine] = region[zone]
-                if entry.state is not c.State.READY or entry.born and clock - entry.born < CHANGING:
+                if (
+                    entry.state is not c.EngineState.READY
+                    or entry.started_at
+                    and clock - entry.started_at < CHANGING
+                ):
                     changing.add(entry.engine)
         return told, engines, frozenset(changing)
 
@@ -336,7 +347,7 @@
         for held in self.core.lists.values():
             for entry, _ in held:
                 zone = zone_of[entry.engine] = self.site.zone_of(entry)
-                if entry.state is c.State.READY:
+                if entry.state is c.EngineState.READY:
                     kinds = self.core.settings.kind_cores
                     cores[zone] += kinds[min(entry.kind, len(kinds) - 1)]
         now = self.now()
--- a/cypressledge/lab/hollow.py
+++ b/cypressledge/lab/hollow.py
@@ -16,10 +16,10 @@
 import gevent
 from gevent.os import make_nonblocking, nb_read
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.config import address
 from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.settings import ControlSettings, read_control
-from cypressledge.counters import Counters
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
 
--- a/cypressledge/lab/slopes.py
+++ b/cypressledge/lab/slopes.py
@@ -24,11 +24,12 @@
 import dns.rrset
 import yaml
 
-from cypressledge import contract as c
+from cypressledge.broker.core import stable
+from cypressledge.broker.metrics import Counters
+from cypressledge.broker.requests import Endpoint
 from cypressledge.config import ConfigError
 from cypressledge.control import WorkloadManager
-from cypressledge.core import stable
-from cypressledge.counters import Counters
+from cypressledge.decisions import contract as c
 from cypressledge.fleet import settings as fleet_settings
 from cypressledge.fleet.keeper import Granted
 from cypressledge.fleet.messages import VERSION, EngineSeen, Envelope, Figures, Sight, decode, encode
@@ -39,7 +40,6 @@
 from cypressledge.lab.site import SETTINGS
 from cypressledge.lab.virtual import World
 from cypressledge.net.directory import NAME, Catalogue, Directory
-from cypressledge.requests import Place
 from cypressledge.settings import settings_of
 
 S = 1_000_000
@@ -74,16 +74,19 @@
 # The decision module alone
 
 
-def entries(count: int) -> tuple[c.Entry, ...]:
+def entries(count: int) -> tuple[c.EngineListEntry, ...]:
     """So many engines as a list names them."""
-    return tuple(c.Entry(stable(f"s-{i:08x}"), c.State.READY, i % 2, i % 4, i % 2, 0) for i in range(count))
+    return tuple(
+        c.EngineListEntry(stable(f"s-{i:08x}"), c.EngineState.READY, i % 2, i % 4, i % 2, 0)
+        for i in range(count)
+    )
 
 
 def module(engines: int, peers: int, seed: int) -> WorkloadManager:
     """A module that knows its engines and has its usual rate."""
     told = settings_of(SETTINGS | {"PeersTotal": peers, "Dcs": list(ZONES)})
     manager = WorkloadManager(told, seed)
-    manager.handle(S, [c.EngineList(c.ListKind.FULL, entries(engines))])
+    manager.handle(S, [c.EngineListReceived(c.EngineListKind.FULL, entries(engines))])
     manager.rate = RATE  # as after some periods: how many engines a broker keeps to follows from it
     return manager
 
@@ -104,7 +107,7 @@
         """Let time pass, tick by tick; how many statements came."""
         before, end = self.number, self.now + round(seconds * S)
         while self.now < end:
-            self.now += self.manager.s.tick
+            self.now += self.manager.s.timer_resolution
             events = [*self._arrivals(), *self._ended(), *self._timers()]
             if not events:
                 continue
@@ -115,30 +118,30 @@
                 self._do(action)
         return self.number - before
 
-    def _arrivals(self) -> Iterator[c.Arrival]:
+    def _arrivals(self) -> Iterator[c.RequestReceived]:
         while self.next <= self.now:
             self.next += round(self.random.expovariate(RATE) * S)
             self.number += 1
             table = self.random.randrange(self.tables)
-            yield c.Arrival(self.number, 0, self.now + 3 * S, 0, WORK, 10.0, table)
+            yield c.RequestReceived(self.number, 0, self.now + 3 * S, 0, WORK, 10.0, table)
 
-    def _ended(self) -> Iterator[c.Ended]:
+    def _ended(self) -> Iterator[c.AttemptEnded]:
         while self.ends and self.ends[0][0] <= self.now:
             _, request, attempt, engine = heappop(self.ends)
-            yield c.Ended(request, attempt, engine, c.Outcome.OK, True, WORK, WORK)
+            yield c.AttemptEnded(request, attempt, engine, c.Outcome.OK, True, WORK, WORK)
 
     def _timers(self) -> Iterator[c.TimerFired]:
         while self.timers and self.timers[0][0] <= self.now:
             yield c.TimerFired(heappop(self.timers)[1])
 
     def _do(self, action: c.Action) -> None:
-        if isinstance(action, c.Send):
+        if isinstance(action, c.StartAttempt):
             attempt = self.tries[action.request] = self.tries.get(action.request, -1) + 1
             heappush(self.ends, (self.now + WORK, action.request, attempt, action.engine))
             self.used.add(action.engine)
-        elif isinstance(action, c.Timer):
+        elif isinstance(action, c.StartTimer):
             heappush(self.timers, (self.now + action.after, action.token))
-        elif isinstance(action, c.Refuse | c.Fail):
+        elif isinstance(action, c.RejectRequest | c.FailRequest):
             self.given_up += 1
 
 
@@ -191,8 +194,8 @@
 def list_ms(engines: int, seed: int) -> float:
     """ms of a module that is told a whole list without a change, and its first statement after."""
     manager = module(engines, fleet_before(engines), seed)
-    news = c.EngineList(c.ListKind.FULL, entries(engines))
-    arrival = c.Arrival(1, 0, 5 * S, 0, WORK, 10.0, 1)
+    news = c.EngineListReceived(c.EngineListKind.FULL, entries(engines))
+    arrival = c.RequestReceived(1, 0, 5 * S, 0, WORK, 10.0, 1)
     return thread_ms(lambda: manager.handle(2 * S, [news, arrival]))
 
 
@@ -517,7 +520,7 @@
         settings=SimpleNamespace(kind_cores=(8, 16)),
         requests={},
         retell=lambda: None,
-        lists={"lines": [(e, Place(e.engine, "", ("", 0), "lines")) for e in listed]},
+        lists={"lines": [(e, Endpoint(e.engine, "", ("", 0), "lines")) for e in listed]},
     )
     sent: list[tuple[str, object]] = []
     site = Site(ZONES, {n: ZONES[i % 4] for i, n in enumerate(names)}, REGION, {})
--- a/cypressledge/lab/zonesize.py
+++ b/cypressledge/lab/zonesize.py
@@ -22,13 +22,13 @@
 
 from tabulate import tabulate
 
-from cypressledge import contract as c
+from cypressledge.broker.core import OVERDUE
+from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.control import WorkloadManager
-from cypressledge.core import OVERDUE
+from cypressledge.decisions import contract as c
 from cypressledge.fleet.keeper import Granted
 from cypressledge.fleet.zoneplan import Pace
 from cypressledge.fleet.zones import Site, Zones
-from cypressledge.requests import Attempt, Place, Query, Request
 
 S = 1_000_000
 STEP = 10_000  # µs
@@ -115,12 +115,16 @@
         entries = []
         for entry, _ in self.lists["model"]:
             closed = self.shut is not None and self.shut(entry)
-            entries.append(c.Entry(entry.engine, c.State.DRAINING, *self._rest(entry)) if closed else entry)
-        self.events.append(c.EngineList(c.ListKind.FULL, tuple(entries)))
+            entries.append(
+                c.EngineListEntry(entry.engine, c.EngineState.DRAINING, *self._rest(entry))
+                if closed
+                else entry
+            )
+        self.events.append(c.EngineListReceived(c.EngineListKind.FULL, tuple(entries)))
 
     @staticmethod
-    def _rest(entry: c.Entry) -> tuple:
-        return entry.kind, entry.zone, entry.cell, entry.born
+    def _rest(entry: c.EngineListEntry) -> tuple:
+        return entry.kind, entry.zone, entry.cell, entry.started_at
 
     def arrive(self) -> None:
         """A client asks."""
@@ -130,7 +134,7 @@
         if self.door is not None and not self.door(query):
             return
         self.requests[self.next] = Request(self.next, query, None)
-        self.events.append(c.Arrival(self.next, 0, query.due, 0, WORK))
+        self.events.append(c.RequestReceived(self.next, 0, query.deadline, 0, WORK))
 
     def step(self) -> None:
         """Hand the module what came, and do what it says."""
@@ -148,18 +152,23 @@
             self._do(action, now)
 
     def _do(self, action: c.Action, now: int) -> None:
-        if isinstance(action, c.Send):
+        if isinstance(action, c.StartAttempt):
             request = self.requests[action.request]
             attempt = Attempt(
-                request, len(request.attempts), self.world.places[action.engine], now, request.query.due, now
+                request,
+                len(request.attempts),
+                self.world.places[action.engine],
+                now,
+                request.query.deadline,
+                now,
             )
             request.attempts.append(attempt)
             self.world.send(self, attempt)
-        elif isinstance(action, c.Timer):
+        elif isinstance(action, c.StartTimer):
             self.timers.append((now + action.after, action.token))
-        elif isinstance(action, c.Cancel):
+        elif isinstance(action, c.CancelAttempt):
             self.end(action.request, action.attempt, c.Outcome.CANCELLED)
-        elif isinstance(action, c.Refuse | c.Fail):
+        elif isinstance(action, c.RejectRequest | c.FailRequest):
             self._over(self.requests[action.request])
 
     def end(self, number: int, hop: int, outcome: c.Outcome) -> None:
@@ -175,7 +184,7 @@
             request.over = True
         if self.observer is not None:
             self.observer.ended(attempt, outcome, latency)
-        self.events.append(c.Ended(number, hop, attempt.place.id, outcome, request.over, latency))
+        self.events.append(c.AttemptEnded(number, hop, attempt.endpoint.id, outcome, request.over, latency))
         self._forget(request)
 
     def _over(self, request: Request) -> None:
@@ -188,12 +197,12 @@
 
     def overdue(self, now: int) -> None:
         """Clients that have waited long enough are gone."""
-        for request in [r for r in self.requests.values() if now > r.query.due + OVERDUE and not r.over]:
+        for request in [r for r in self.requests.values() if now > r.query.deadline + OVERDUE and not r.over]:
             for attempt in request.attempts:
                 if attempt.open:
-                    self.end(request.number, attempt.hop, c.Outcome.TIMEOUT)
+                    self.end(request.number, attempt.number, c.Outcome.TIMEOUT)
             if not request.over:
-                self.events.append(c.ClientLeft(request.number))
+                self.events.append(c.ClientDisconnected(request.number))
                 self._over(request)
 
 
@@ -223,7 +232,7 @@
         self.counts: Counter[str] = Counter()
         self.zone_names = tuple(f"z{i}" for i in range(zones))
         self.engines = [ModelEngine(i + 1, i % zones) for i in range(engines)]
-        self.places = {e.number: Place(e.number, f"e{e.number}", ("", 0), "model") for e in self.engines}
+        self.places = {e.number: Endpoint(e.number, f"e{e.number}", ("", 0), "model") for e in self.engines}
         self.by_number = {e.number: e for e in self.engines}
         self.brokers_count = brokers
         self.brokers = [ModelBroker(self, i) for i in range(brokers)]
@@ -242,27 +251,28 @@
     def settings(self, number: int) -> c.Settings:
         """The site, as each module is told."""
         return c.Settings(
-            classes=(c.ClassSettings(AIM, WAIT, aim_stretch=1.5, late_worth=0.1),),
+            classes=(c.ClassSettings(AIM, WAIT, latency_objective_stretch=1.5, late_priority_weight=0.1),),
             kind_cores=(CORES,),
-            tick=STEP,
-            slot=number,
-            peers=self.brokers_count,
-            may_cancel=True,
+            timer_resolution=STEP,
+            broker_index=number,
+            broker_count=self.brokers_count,
+            supports_cancel=True,
             max_attempts=3,
-            start_capacity=START,
-            warm_within=WARM,
-            fall_multiple=FALL,
-            fall_window=FALL_SPAN,
-            retry_ratio=0.1,
-            retry_free=3.0,
-            retry_window=5 * S,
+            slow_start_capacity=START,
+            slow_start_window=WARM,
+            overload_multiple=FALL,
+            overload_window=FALL_SPAN,
+            retry_budget_ratio=0.1,
+            retry_budget_floor=3.0,
+            retry_budget_window=5 * S,
         )
 
     def _join(self, broker: ModelBroker) -> None:
         if self.on:
             self._zones(broker)
         broker.lists["model"] = [
-            (c.Entry(e.number, c.State.READY, 0, e.zone, 0, 0), self.places[e.number]) for e in self.engines
+            (c.EngineListEntry(e.number, c.EngineState.READY, 0, e.zone, 0, 0), self.places[e.number])
+            for e in self.engines
         ]
         broker.retell()
 
@@ -306,17 +316,17 @@
 
     def send(self, broker: ModelBroker, attempt: Attempt) -> None:
         """An attempt leaves a broker."""
-        engine = self.by_number[attempt.place.id]
+        engine = self.by_number[attempt.endpoint.id]
         if self.lost_at is not None and engine.zone == self.lost_zone and self.back_at is None:
             self.result.last_send = (self.now - self.lost_at) / S
         if (broker.number, engine.zone) in self.blocked:
             return
-        if not engine.take(self.now, (broker.number, attempt.request.number, attempt.hop)):
-            self.mail.append((broker.number, (attempt.request.number, attempt.hop, c.Outcome.RESET)))
+        if not engine.take(self.now, (broker.number, attempt.request.number, attempt.number)):
+            self.mail.append((broker.number, (attempt.request.number, attempt.number, c.Outcome.RESET)))
 
     def served(self, query: Query, now: int) -> None:
         """A client has its answer."""
-        arrived = query.due - WAIT
+        arrived = query.deadline - WAIT
         in_time = now - arrived <= AIM + 1.5 * WORK
         self.counts["kept" if in_time else "late"] += 1
 
--- a/cypressledge/net/admin.py
+++ b/cypressledge/net/admin.py
@@ -3,12 +3,14 @@
 import hmac
 import json
 
-from cypressledge.core import Core
-from cypressledge.counters import log
+from cypressledge.broker.core import Core
+from cypressledge.broker.metrics import log
+from cypressledge.decisions.contract import EngineState
 from cypressledge.net.http import Exchange, HttpRequest, HttpServer
 from cypressledge.tenants import TenantError, Tenants
 
 BODY_MOST = 64 << 10
+STATE_NAMES = {EngineState.READY: "ready", EngineState.DRAINING: "draining", EngineState.REMOVED: "gone"}
 
 
 class AdminError(Exception):
--- a/cypressledge/net/clickhouse.py
+++ b/cypressledge/net/clickhouse.py
@@ -13,14 +13,14 @@
 import httptools
 from gevent import Timeout, select, sleep, socket, spawn
 
+from cypressledge.broker.core import KEY, Core
+from cypressledge.broker.requests import DEADLINE_FAULT, Attempt, Endpoint, EngineFault, Query, Request
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
-from cypressledge.contract import Effect, NoteKind, Outcome
-from cypressledge.core import KEY, Core
+from cypressledge.decisions.contract import Idempotency, Outcome, ProgressKind
 from cypressledge.net.buffer import Buffer
 from cypressledge.net.http import Exchange, HttpRequest, HttpServer
 from cypressledge.net.stream import dial, end
-from cypressledge.requests import LATE, Attempt, Fault, Place, Query, Request
 from cypressledge.sql import table_group
 from cypressledge.tenants import Tenant, Tenants
 
@@ -179,22 +179,22 @@
         key = r.params.get("insert_deduplication_token", "")
         if not ID.match(name) or key and not KEY.match(key):
             raise ChError(36, "query_id and insert_deduplication_token are words of at most 128 characters")
-        if spec.effect is Effect.KEYED and not key:
+        if spec.idempotency is Idempotency.WITH_KEY and not key:
             key = name  # engines must tell our own repeats, also where the client gives no token
         seconds = _figure(r, "max_execution_time")
         wait = min(int(seconds * 1e6), spec.deadline) if seconds else spec.deadline
         return Query(
             id=name,
-            cls=cls,
+            class_index=cls,
             class_name=self.names[cls],
             tenant=tenant.name,
             statement=statement,
-            due=now + wait,
+            deadline=now + wait,
             key=key,
             cost=int(_figure(r, "cost_ms") * 1000),
             memory_mb=_figure(r, "memory_mb"),
-            group=table_group(text, escapes=True),
-            repeat=r.params.get("client_retry") == "1",
+            table_group=table_group(text, escapes=True),
+            is_client_retry=r.params.get("client_retry") == "1",
         )
 
     def _class(self, r: HttpRequest, text: str) -> int:
@@ -323,7 +323,7 @@
                 self._named() | {"Retry-After": str(max(math.ceil(after / 1e6), 1))},
             )
 
-    def failed(self, fault: Fault) -> None:
+    def failed(self, fault: EngineFault) -> None:
         """Answer with an error."""
         if self.exchange.over:
             return
@@ -340,7 +340,7 @@
 
     def __init__(self, core: Core, limits: Limits) -> None:
         self.core, self.limits, self.headers = core, limits, ""
-        self.free: dict[Place, deque[tuple[object, int]]] = {}
+        self.free: dict[Endpoint, deque[tuple[object, int]]] = {}
         self.held = 0
         core.counters.gauge("clickhouse.engine_connections", lambda: self.held)
 
@@ -352,7 +352,7 @@
         """Run the attempt in a greenlet of its own."""
         if self.held >= self.limits.engines(shared=True):
             self.core.counters.add("moot_sends")
-            self.core.ended(attempt, Outcome.MOOT)
+            self.core.ended(attempt, Outcome.NOT_SENT)
             return
         attempt.carrier = ChExchange(self, attempt)
         spawn(attempt.carrier.run)
@@ -365,7 +365,7 @@
     def terms(self, attempt: Attempt) -> None:
         """ClickHouse can't change the priority of a query that runs."""
 
-    def idle_one(self, place: Place):
+    def idle_one(self, place: Endpoint):
         """A connection kept from before that the engine has not closed meanwhile."""
         kept = self.free.get(place, ())
         while kept:
@@ -375,7 +375,7 @@
             self.close(sock)
         return None
 
-    def connect(self, place: Place):
+    def connect(self, place: Endpoint):
         """A new connection."""
         self.held += 1
         try:
@@ -387,7 +387,7 @@
         self.core.counters.add("clickhouse.engine_connects")
         return sock
 
-    def keep(self, place: Place, sock) -> None:
+    def keep(self, place: Endpoint, sock) -> None:
         """Keep a connection for the next exchange."""
         self.free.setdefault(place, deque()).append((sock, monotonic_us()))
 
@@ -423,13 +423,13 @@
             outcome, fault = self._exchange()
         except (Exception, Timeout) as err:  # whatever an engine says, its attempt has an end
             self.core.counters.add("clickhouse.engine_breaks")
-            outcome, fault = Outcome.RESET, Fault(f"engine connection broke: {type(err).__name__}", 210)
+            outcome, fault = Outcome.RESET, EngineFault(f"engine connection broke: {type(err).__name__}", 210)
             if not self.sent:
-                outcome = Outcome.CONNECT_FAILED if self.sock is None else Outcome.MOOT
+                outcome = Outcome.CONNECT_FAILED if self.sock is None else Outcome.NOT_SENT
         reusable = self.whole and not self.cancelled and self.parser.should_keep_alive()
         if self.sock is not None:
             if reusable:
-                self.link.keep(self.attempt.place, self.sock)
+                self.link.keep(self.attempt.endpoint, self.sock)
             else:
                 self.link.close(self.sock)
         if not self.cancelled:
@@ -450,7 +450,7 @@
     def _kill(self) -> None:
         query = f"KILL QUERY WHERE query_id = '{_quoted(self.attempt.query.id)}' ASYNC"
         try:
-            sock = self.link.connect(self.attempt.place)
+            sock = self.link.connect(self.attempt.endpoint)
         except (OSError, Timeout):
             return
         try:
@@ -463,12 +463,15 @@
         finally:
             self.link.close(sock)
 
-    def _exchange(self) -> tuple[Outcome, Fault | None]:
-        place = self.attempt.place
+    def _exchange(self) -> tuple[Outcome, EngineFault | None]:
+        place = self.attempt.endpoint
         self.sock = self.link.idle_one(place) or self.link.connect(place)
         fresh = self.attempt.may_leave(monotonic_us())
         if self.cancelled or not fresh or not self.core.current(place):
-            return Outcome.MOOT, None  # nothing has left: a drain, a cancel or the client's end overtook it
+            return (
+                Outcome.NOT_SENT,
+                None,
+            )  # nothing has left: a drain, a cancel or the client's end overtook it
         self.sent = True
         with Timeout(max((self.attempt.until - monotonic_us()) / 1e6, 0.001)):
             self.sock.sendall(self._message(self._settings(), self.attempt.query.statement))
@@ -510,24 +513,24 @@
         return settings
 
     def _message(self, settings: dict[str, str], statement: bytes) -> bytes:
-        host, port = self.attempt.place.address
+        host, port = self.attempt.endpoint.address
         head = (
             f"POST /?{urlencode(settings)} HTTP/1.1\r\nHost: {host}:{port}\r\n{self.link.headers}"
             f"Content-Length: {len(statement)}\r\n\r\n"
         )
         return head.encode() + statement
 
-    def _verdict(self) -> tuple[Outcome, Fault | None]:
+    def _verdict(self) -> tuple[Outcome, EngineFault | None]:
         if self.status == 200 and not self.code:
             return Outcome.OK, None
         text = b"".join(self.held).decode("utf-8", "replace").strip() or f"engine answered {self.status}"
-        fault = Fault(text, self.code, self.status if self.status >= 400 else 500)
+        fault = EngineFault(text, self.code, self.status if self.status >= 400 else 500)
         if self.status == 503 and self.code in NEVER_RAN_CODES:
-            return Outcome.FULL, fault
+            return Outcome.REJECTED, fault
         if self.status == 504:
-            return Outcome.MOOT, LATE
+            return Outcome.NOT_SENT, DEADLINE_FAULT
         if self.status in CLIENTS_FAULT:
-            return Outcome.ERROR, Fault(text, self.code, self.status, final=True)
+            return Outcome.ERROR, EngineFault(text, self.code, self.status, final=True)
         return Outcome.ERROR, fault
 
     # httptools calls these
@@ -547,7 +550,7 @@
         total = int(told.get("total_rows_to_read") or 0)
         if total > 0:
             share = min(int(told.get("read_rows") or 0) / total, 1.0)
-            self.core.noted(self.attempt, NoteKind.PROGRESS, share)
+            self.core.noted(self.attempt, ProgressKind.PROGRESS, share)
 
     def on_headers_complete(self) -> None:
         """The status is known."""
--- a/cypressledge/net/directory.py
+++ b/cypressledge/net/directory.py
@@ -11,12 +11,12 @@
 from gevent import Timeout, socket
 from gevent.event import Event
 
+from cypressledge.broker.core import Core, stable
+from cypressledge.broker.engine_start_times import Starts
+from cypressledge.broker.metrics import log
+from cypressledge.broker.requests import Endpoint
 from cypressledge.clock import monotonic_us, wall_offset_us
-from cypressledge.contract import Entry, ListKind, State
-from cypressledge.core import Core, stable
-from cypressledge.counters import log
-from cypressledge.requests import Place
-from cypressledge.starts import Starts
+from cypressledge.decisions.contract import EngineListEntry, EngineListKind, EngineState
 
 NAME = "_app._tcp.cluster.lan"
 PERIOD = 0.4  # seconds between polls: what an answer holds counts as told, so it must not wait for long
@@ -24,7 +24,7 @@
 SPOILT = 0.02  # seconds in which a good answer may follow a bad one, before asking again
 DOUBT = 4  # part of its warm-up by which an engine may pass for older: by then it bears more than its share
 MISSED = 3  # polls in a row without a good answer, from which the server is called out of reach
-STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {"Ready": EngineState.READY, "Terminating": EngineState.DRAINING, "Gone": EngineState.REMOVED}
 
 
 class BadRecord(Exception):
@@ -38,7 +38,7 @@
     name: str
     host: str
     port: int
-    state: State
+    state: EngineState
     kind: str = ""
     zone: str = ""
     cell: int = 0
@@ -50,7 +50,7 @@
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], wire: str) -> None:
         self.wire = wire
-        self.told: tuple[ListKind, list[Listed]] | None = None
+        self.told: tuple[EngineListKind, list[Listed]] | None = None
         self.starts = Starts(wall_offset_us())
         self.name(kinds, zones)
 
@@ -66,10 +66,10 @@
         if self.told is not None and (self.kinds, self.zones) != before:
             self.tell(core, *self.told)
 
-    def pair(self, e: Listed) -> tuple[Entry, Place]:
+    def pair(self, e: Listed) -> tuple[EngineListEntry, Endpoint]:
         """An engine as the module knows it, and where it listens."""
         number = stable(e.name)
-        entry = Entry(
+        entry = EngineListEntry(
             number,
             e.state,
             self.kinds.get(e.kind, 0),
@@ -77,13 +77,13 @@
             e.cell,
             self.starts.at(e.name, e.born_ms),
         )
-        return entry, Place(number, e.name, (e.host, e.port), self.wire, e.born_ms)
+        return entry, Endpoint(number, e.name, (e.host, e.port), self.wire, e.born_ms)
 
-    def tell(self, core: Core, kind: ListKind, engines: Iterable[Listed]) -> None:
+    def tell(self, core: Core, kind: EngineListKind, engines: Iterable[Listed]) -> None:
         """Hand the whole list to the core."""
         self.told = kind, list(engines)
         starts = {e.name: e.born_ms for e in self.told[1]}
-        self.starts.take(starts, monotonic_us(), core.settings.warm_within // DOUBT)
+        self.starts.take(starts, monotonic_us(), core.settings.slow_start_window // DOUBT)
         core.listed(self.wire, kind, list(map(self.pair, self.told[1])))
 
 
@@ -219,7 +219,7 @@
         """Take a whole list, if it is newer than what is held."""
         if serial > self.serial:
             self.serial = serial
-            self.catalogue.tell(self.core, ListKind.FULL, engines)
+            self.catalogue.tell(self.core, EngineListKind.FULL, engines)
 
 
 def checked(query: dns.message.Message, raw: bytes) -> dns.message.Message:
@@ -256,7 +256,10 @@
         engines.append(
             replace(
                 Listed(
-                    labels[0], hosts[srv.target], srv.port, State.DRAINING if srv.priority else State.READY
+                    labels[0],
+                    hosts[srv.target],
+                    srv.port,
+                    EngineState.DRAINING if srv.priority else EngineState.READY,
                 ),
                 kind=info.get("kind", ""),
                 zone=labels[1] if len(labels) > 1 else "",
--- a/cypressledge/net/dnssd.py
+++ b/cypressledge/net/dnssd.py
@@ -6,11 +6,11 @@
 import dns.name
 import dns.rdatatype
 
-from cypressledge.contract import ListKind, State
-from cypressledge.core import Core
+from cypressledge.broker.core import Core
+from cypressledge.decisions.contract import EngineListKind, EngineState
 from cypressledge.net.directory import BadRecord, Catalogue, Listed, Poller, checked, texts
 
-STATES = {"ready": State.READY, "draining": State.DRAINING}
+STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
 
 
 class DnsSd(Poller):
@@ -33,7 +33,7 @@
         engines = sorted(self._browse(), key=lambda e: e.name)
         if engines != self.last:
             self.last = engines
-            self.catalogue.tell(self.core, ListKind.FULL, engines)
+            self.catalogue.tell(self.core, EngineListKind.FULL, engines)
 
     def _ask(self, name: dns.name.Name, kind) -> dns.message.Message:
         query = dns.message.make_query(name, kind, use_edns=True, payload=8192)
--- a/cypressledge/net/http.py
+++ b/cypressledge/net/http.py
@@ -8,8 +8,8 @@
 
 import httptools
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
-from cypressledge.counters import Counters
 from cypressledge.net.buffer import Budget, Buffer
 from cypressledge.net.stream import (
     DRAIN,
--- a/cypressledge/net/jsonrpc.py
+++ b/cypressledge/net/jsonrpc.py
@@ -8,11 +8,12 @@
 
 from gevent import sleep
 
+from cypressledge.broker.core import Core
+from cypressledge.broker.event_log import Kind
+from cypressledge.broker.metrics import Counters
+from cypressledge.broker.requests import EngineFault, Query, Request
 from cypressledge.clock import monotonic_us
-from cypressledge.contract import Effect
-from cypressledge.core import Core
-from cypressledge.counters import Counters
-from cypressledge.events import Kind
+from cypressledge.decisions.contract import Idempotency
 from cypressledge.net.buffer import Buffer, TooLong
 from cypressledge.net.stream import (
     DRAIN,
@@ -29,7 +30,6 @@
     shut,
     unread,
 )
-from cypressledge.requests import Fault, Query, Request
 from cypressledge.sql import table_group
 
 HEAD_MOST = 1024
@@ -404,16 +404,16 @@
         statement, text = _statement(params.get("content"))
         return Query(
             id=name,
-            cls=cls,
+            class_index=cls,
             class_name=method,
             tenant=tenant,
             statement=statement,
-            due=now + int(wait * 1000),
-            key=_key(params, spec.effect is Effect.KEYED),
+            deadline=now + int(wait * 1000),
+            key=_key(params, spec.idempotency is Idempotency.WITH_KEY),
             cost=int(_number(params, "cost", COST_MOST, 0.0) * 1000),
             memory_mb=_number(params, "mem", MEMORY_MOST, 0.0),
-            repeat=bool(params.get("retry")),
-            group=table_group(text),
+            is_client_retry=bool(params.get("retry")),
+            table_group=table_group(text),
         )
 
 
@@ -451,7 +451,7 @@
         if self._owed():  # a call withdrawn a moment ago is owed no refusal either
             self.client._error(self.number, REFUSED, "refused: try again", {"after": after // 1000})
 
-    def failed(self, fault: Fault) -> None:
+    def failed(self, fault: EngineFault) -> None:
         """Answer with an error."""
         if self._owed():
             self.client._error(self.number, FAILED, fault.text)
--- a/cypressledge/net/lines.py
+++ b/cypressledge/net/lines.py
@@ -6,14 +6,14 @@
 
 from gevent import Timeout, spawn, spawn_later
 
+from cypressledge.broker.core import Core
+from cypressledge.broker.event_log import Kind
+from cypressledge.broker.requests import Attempt, Endpoint
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
-from cypressledge.contract import NoteKind, Outcome
-from cypressledge.core import Core
-from cypressledge.events import Kind
+from cypressledge.decisions.contract import Outcome, ProgressKind
 from cypressledge.net.buffer import READ, Buffer, TooLong
 from cypressledge.net.stream import Idle, Writer, dial, end, ended, fill, left, unread
-from cypressledge.requests import Attempt, Place
 
 LINE_MOST = 1024
 PAGE_MOST = 6000
@@ -38,7 +38,7 @@
 WITNESS = 0.8  # intervals of notes within which it must have
 READING_MOST = 1e9  # of a note
 WORDS = frozenset((b"200", b"503", b"500", b"504", b"status", b"chunk"))
-NOTES = {b"done": NoteKind.PROGRESS, b"spills": NoteKind.SPILLS, b"waits": NoteKind.WAITS}
+NOTES = {b"done": ProgressKind.PROGRESS, b"spills": ProgressKind.SPILLING, b"waits": ProgressKind.WAITING}
 
 
 class BadLine(Exception):
@@ -84,7 +84,7 @@
 
         Guards against one spoilt answer, which ends its connection, taking all work at its engine along, and
         against opening many: of new connections some are reset with what they carry."""
-        word, place = attempt.query.id.encode(), attempt.place
+        word, place = attempt.query.id.encode(), attempt.endpoint
         usable = [c for c in self.connections.get(place.id, ()) if c.admits(word, place)]
         up = attempt.carried > 0  # another one that may not come up would take the time that is left
         connection = min(
@@ -96,7 +96,7 @@
             self.connections.setdefault(place.id, []).append(connection)
         if connection is None:
             self.core.counters.add("moot_sends")
-            self.core.ended(attempt, Outcome.MOOT)
+            self.core.ended(attempt, Outcome.NOT_SENT)
         else:
             connection.carry(attempt, word)
 
@@ -116,10 +116,10 @@
         Guards against connections that are reset when new: nothing has run, so no attempt is used up."""
         attempt.carried += 1
         attempt.carrier = None
-        place = self.core.ready.get(attempt.place.id)
+        place = self.core.ready.get(attempt.endpoint.id)
         if attempt.carried < CARRIED_MOST and place is not None and attempt.wanted:
             self.core.counters.add("carried_again")
-            attempt.place = place
+            attempt.endpoint = place
             self.send(attempt)
         else:
             self.core.ended(attempt, outcome)
@@ -130,12 +130,12 @@
         Guards against calling an engine broken, and cold, over a path that is late now and then: one that
         speaks on another connection gets the attempts there, and a single silence is no word on the process
         (one that has ended refuses). It may still come up, the only such one: somebody is there then."""
-        number, held = connection.place.id, self.connections.get(connection.place.id, [])
+        number, held = connection.endpoint.id, self.connections.get(connection.endpoint.id, [])
         for other in [c for c in held if c.late and c is not connection]:
             other.close("never up")
         spoke = max((c.heard for c in held), default=0) > monotonic_us() - ALIVE
         self.unreached[number] = self.unreached.get(number, 0) + 1
-        outcome = Outcome.CONNECT_FAILED if self.unreached[number] >= UNREACHED else Outcome.MOOT
+        outcome = Outcome.CONNECT_FAILED if self.unreached[number] >= UNREACHED else Outcome.NOT_SENT
         for attempt in attempts:
             if spoke:
                 self.again(attempt, outcome)
@@ -154,11 +154,11 @@
 
     def drop(self, connection: "Connection") -> None:
         """A connection is no more."""
-        held = self.connections.get(connection.place.id, [])
+        held = self.connections.get(connection.endpoint.id, [])
         if connection in held:
             held.remove(connection)
         if not held:
-            self.connections.pop(connection.place.id, None)
+            self.connections.pop(connection.endpoint.id, None)
 
     def tend(self) -> None:
         """Close what has been idle for long, what leads to engines that take nothing new, and what has lost
@@ -170,7 +170,7 @@
             for connection in list(held):
                 if connection.lost(heard):
                     connection.close("answer lost")
-                unused = not self.core.current(connection.place) or connection.suspect()
+                unused = not self.core.current(connection.endpoint) or connection.suspect()
                 resting = not connection.exchanges and not connection.has_unread()
                 if resting and (unused or now - connection.used > idle):
                     connection.close("idle")
@@ -179,8 +179,8 @@
 class Connection:
     """One connection to one engine."""
 
-    def __init__(self, link: LinesLink, place: Place) -> None:
-        self.link, self.place, self.core = link, place, link.core
+    def __init__(self, link: LinesLink, place: Endpoint) -> None:
+        self.link, self.endpoint, self.core = link, place, link.core
         self.exchanges: dict[bytes, Exchange] = {}
         self.unsent: list[Exchange] = []
         self.stale: dict[bytes, int] = {}
@@ -191,7 +191,7 @@
         self.closed = self.late = self.doubtful = False
         self.greenlet = spawn(self._run)
 
-    def admits(self, word: bytes, place: Place) -> bool:
+    def admits(self, word: bytes, place: Endpoint) -> bool:
         """Room for one more, and no trace of the id.
 
         Guards against a late answer being taken for that of a repeat: an id given up here may still be
@@ -199,7 +199,7 @@
         now = monotonic_us()
         while self.order and self.stale[self.order[0]] < now:
             del self.stale[self.order.popleft()]
-        usable = not (self.closed or self.late or self.doubtful or self.suspect()) and place == self.place
+        usable = not (self.closed or self.late or self.doubtful or self.suspect()) and place == self.endpoint
         return (
             usable
             and len(self.exchanges) < self.link.limits.streams
@@ -277,14 +277,14 @@
         if exchange.dropped:
             return False
         attempt, now = exchange.attempt, monotonic_us()
-        if not attempt.may_leave(now) or self.place.id not in self.core.ready:
+        if not attempt.may_leave(now) or self.endpoint.id not in self.core.ready:
             self._settle(exchange)
             self.core.counters.add("moot_sends")
-            self.core.ended(attempt, Outcome.MOOT)
+            self.core.ended(attempt, Outcome.NOT_SENT)
             return False
-        if not self.core.current(self.place) or self._over():
+        if not self.core.current(self.endpoint) or self._over():
             self._settle(exchange)
-            self.link.again(attempt, Outcome.MOOT)
+            self.link.again(attempt, Outcome.NOT_SENT)
             return False
         if now - exchange.worded_at > WORDED_MOST:  # it names more time than the client has left
             self._want(exchange)
@@ -332,7 +332,7 @@
                 self._end(exchange, outcome)
             else:
                 self._settle(exchange)
-                self.link.again(exchange.attempt, Outcome.MOOT)
+                self.link.again(exchange.attempt, Outcome.NOT_SENT)
         if self.writer is not None:
             self.writer.close()
         if self.sock is not None:
@@ -346,7 +346,7 @@
         self.core.counters.add(f"engine_close.{cause}")
         self.core.log.write(
             Kind.ENGINE_CLOSED,
-            engine=self.place.name,
+            engine=self.endpoint.name,
             reason=cause,
             open=len(self.exchanges),
             unused_ms=(monotonic_us() - self.used) // 1000,
@@ -358,7 +358,7 @@
         overdue = spawn_later(patience, self._overdue)
         try:
             with Timeout(patience + LATE):
-                self.sock = dial(self.place.address)
+                self.sock = dial(self.endpoint.address)
         except ConnectionResetError:
             self.close("reset when new")
             return
@@ -367,7 +367,7 @@
             return
         except OSError as err:
             if err.errno in OURS:  # no word on the engine
-                self.close("no descriptor", Outcome.MOOT)
+                self.close("no descriptor", Outcome.NOT_SENT)
             else:
                 self.close("connect failed", Outcome.CONNECT_FAILED)
             return
@@ -377,7 +377,7 @@
             end(self.sock)
             return
         self.core.counters.add("engine_connects_late" if self.late else "engine_connects")
-        self.link.unreached.pop(self.place.id, None)
+        self.link.unreached.pop(self.endpoint.id, None)
         self.late, self.used = False, monotonic_us()
         self.writer = Writer(self.sock, 4 << 20, 10.0, self.close)
         for exchange in self.unsent:
@@ -455,7 +455,7 @@
             # asked for together: their answers still come, and must not meet a repeat of the id here.
             self._end(exchange, Outcome.ERROR, bar=STALE if exchange.pages else ANSWERED)
         else:
-            self._end(exchange, Outcome.FULL if what == b"503" else Outcome.MOOT)
+            self._end(exchange, Outcome.REJECTED if what == b"503" else Outcome.NOT_SENT)
 
     def _note(self, exchange: Exchange, told: dict[bytes, bytes]) -> None:
         """Guards against notes that are noise: the module reckons with them."""
@@ -468,7 +468,7 @@
             raise BadLine(b"reading") from None
         if not 0 <= value <= READING_MOST:
             raise BadLine(b"reading")
-        exchange.ran |= kind is not NoteKind.WAITS and value > 0
+        exchange.ran |= kind is not ProgressKind.WAITING and value > 0
         self.core.noted(exchange.attempt, kind, value)
 
     def _first(self, exchange: Exchange, told: dict[bytes, bytes], body: bytes) -> None:
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -13,11 +13,11 @@
 
 from gevent import sleep
 
+from cypressledge.broker.core import Core
+from cypressledge.broker.maintenance import Maintenance, MaintenanceError
+from cypressledge.broker.metrics import Counters, log
 from cypressledge.clock import monotonic_us
-from cypressledge.contract import State
-from cypressledge.core import Core
-from cypressledge.counters import Counters, log
-from cypressledge.maintenance import Maintenance, MaintenanceError
+from cypressledge.decisions.contract import EngineState
 from cypressledge.net.http import Exchange, HttpRequest, HttpServer
 
 PREFIX = "svc"
@@ -89,10 +89,10 @@
         (core.maintenance.entry(p.name, e), p)
         for lst in core.lists.values()
         for e, p in lst
-        if e.state is not State.GONE
+        if e.state is not EngineState.REMOVED
     ]
     avoided = sum(
-        e.state is not State.READY or (e.engine in held and held[e.engine].held_off) for e, _ in listed
+        e.state is not EngineState.READY or (e.engine in held and held[e.engine].held_off) for e, _ in listed
     )
     return len(listed), avoided
 
--- a/cypressledge/net/stream.py
+++ b/cypressledge/net/stream.py
@@ -11,8 +11,8 @@
 from gevent.event import Event
 from gevent.pool import Pool
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
-from cypressledge.counters import Counters
 from cypressledge.net.buffer import Budget, Buffer
 
 QUEUED = Budget(8 << 20)  # bytes that wait for slow peers, in the whole process, until the limits are known
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -7,8 +7,8 @@
 import tomllib
 from dataclasses import dataclass, field
 
+from cypressledge.broker.core import Core
 from cypressledge.config import Config, ConfigError, Limits, address
-from cypressledge.core import Core
 from cypressledge.net.admin import Admin
 from cypressledge.net.clickhouse import ChFront, ChLink
 from cypressledge.net.directory import Catalogue
--- a/cypressledge/settings.py
+++ b/cypressledge/settings.py
@@ -2,10 +2,18 @@
 
 import json
 
-from cypressledge import contract as c
+from cypressledge.decisions import contract as c
 
-EFFECTS = {"free": c.Effect.FREE, "guarded": c.Effect.KEYED, "single_shot": c.Effect.UNSAFE}
-GROUPS = {"all": c.Group.ALL, "zone": c.Group.ZONE, "cell": c.Group.CELL}
+EFFECTS = {
+    "free": c.Idempotency.IDEMPOTENT,
+    "guarded": c.Idempotency.WITH_KEY,
+    "single_shot": c.Idempotency.NOT_IDEMPOTENT,
+}
+GROUPS = {
+    "all": c.DeduplicationScope.ALL,
+    "zone": c.DeduplicationScope.ZONE,
+    "cell": c.DeduplicationScope.CELL,
+}
 
 
 class SettingsError(Exception):
@@ -34,20 +42,20 @@
         loads, waits = fam.get("IsLoad", []), fam.get("ClassWaits", [])
         classes = tuple(
             c.ClassSettings(
-                aim=k["Objective"],
+                latency_objective=k["Objective"],
                 deadline=k["Deadline"],
-                worth=k.get("Worth", 1.0),
-                late_worth=k.get("LateWorth", 0.0),
-                aim_stretch=k.get("AimStretch", 0.0),
-                effect=EFFECTS[k["Idempotency"]],
-                group=GROUPS[k.get("Group") or "all"],
-                window=k.get("MemorySpan", 0),
-                in_order=bool(k.get("OneAtATime", False)),
+                priority_weight=k.get("Worth", 1.0),
+                late_priority_weight=k.get("LateWorth", 0.0),
+                latency_objective_stretch=k.get("AimStretch", 0.0),
+                idempotency=EFFECTS[k["Idempotency"]],
+                deduplication_scope=GROUPS[k.get("Group") or "all"],
+                deduplication_window=k.get("MemorySpan", 0),
+                ordered=bool(k.get("OneAtATime", False)),
                 threads=threads[i] if i < len(threads) else 1,
                 is_load=bool(loads[i]) if i < len(loads) else False,
-                waits=bool(waits[i]) if i < len(waits) else False,
-                only_kinds=_indices(k.get("SkusAllowed")),
-                only_zones=_indices(k.get("DcsOpen")),
+                blocked_by_loads=bool(waits[i]) if i < len(waits) else False,
+                required_kinds=_indices(k.get("SkusAllowed")),
+                required_zones=_indices(k.get("DcsOpen")),
             )
             for i, k in enumerate(s["Classes"])
         )
@@ -55,26 +63,26 @@
             classes=classes,
             kind_cores=tuple(fam.get("CoresByKind") or [1] * len(s["Skus"])),
             kind_memory_mb=tuple(fam.get("KindMemoryMb", ())),
-            tick=s["Step"],
-            slot=s["SlotNo"],
-            peers=s["PeersTotal"],
-            grants=bool(fam.get("TakesGrants", False)),
-            priorities=bool(fam.get("Priorities", False)),
-            tells_cost=bool(fam.get("CostInAnswers", False)),
-            notes=fam.get("TellsEvery", 0),
-            most_grant=fam.get("LargestShare", 1.0),
-            may_cancel=bool(limits["MayCancel"]),
+            timer_resolution=s["Step"],
+            broker_index=s["SlotNo"],
+            broker_count=s["PeersTotal"],
+            supports_memory_grants=bool(fam.get("TakesGrants", False)),
+            supports_priorities=bool(fam.get("Priorities", False)),
+            reports_cost=bool(fam.get("CostInAnswers", False)),
+            progress_interval=fam.get("TellsEvery", 0),
+            max_memory_grant=fam.get("LargestShare", 1.0),
+            supports_cancel=bool(limits["MayCancel"]),
             max_attempts=limits["MaxAttempts"],
             list_on_request=s["RegistryMode"] == "on_request",
-            start_capacity=rules["StartCapacity"],
-            warm_within=rules["WarmWithin"],
-            fall_multiple=rules["FallMultiple"],
-            fall_window=rules["Fall"],
-            key_rest=rules.get("KeyQuiet", 0),
-            report=tuple(s.get("Report", {}).get("Names", ())),
-            retry_ratio=rules.get("ResendRatio"),
-            retry_free=rules.get("MinExtra", 0.0),
-            retry_window=rules.get("RatioSpan", 0),
+            slow_start_capacity=rules["StartCapacity"],
+            slow_start_window=rules["WarmWithin"],
+            overload_multiple=rules["FallMultiple"],
+            overload_window=rules["Fall"],
+            ordering_key_cooldown=rules.get("KeyQuiet", 0),
+            load_report_fields=tuple(s.get("Report", {}).get("Names", ())),
+            retry_budget_ratio=rules.get("ResendRatio"),
+            retry_budget_floor=rules.get("MinExtra", 0.0),
+            retry_budget_window=rules.get("RatioSpan", 0),
         )
     except KeyError as err:
         raise SettingsError(f"settings lack or misname {err}") from None
--- a/cypressledge/simhost.py
+++ b/cypressledge/simulator_adapter.py
@@ -1,14 +1,15 @@
 """The wire: frames of events on standard input, frames of actions on standard output.
 
-Run with `python -m cypressledge.simhost`. It hosts one WorkloadManager per instance and decides nothing.
+Run with `python -m cypressledge.simulator_adapter`. It hosts one WorkloadManager per instance and decides
+nothing.
 """
 
 import struct
 import sys
 import traceback
 
-from cypressledge import contract as c
 from cypressledge.control import WorkloadManager
+from cypressledge.decisions import contract as c
 from cypressledge.settings import SettingsError, read_settings
 
 HEAD = struct.Struct("<IQII")
@@ -35,9 +36,9 @@
 TEXT = struct.Struct("<BIII11x")
 U32_MAX = 0xFFFFFFFF
 OUTCOMES = {o.value: o for o in c.Outcome}
-STATES = {s.value: s for s in c.State}
-NOTES = {n.value: n for n in c.NoteKind}
-LISTS = {k.value: k for k in c.ListKind}
+STATES = {s.value: s for s in c.EngineState}
+NOTES = {n.value: n for n in c.ProgressKind}
+LISTS = {k.value: k for k in c.EngineListKind}
 
 
 class WireError(Exception):
@@ -54,7 +55,7 @@
 
     def __init__(self) -> None:
         self.managers: dict[int, WorkloadManager] = {}
-        self.lists: dict[int, tuple[c.Entry, ...]] = {}
+        self.lists: dict[int, tuple[c.EngineListEntry, ...]] = {}
 
     def batch(self, frame: bytes) -> bytes:
         """Answer one frame of events."""
@@ -111,7 +112,7 @@
     def _decode(self, code, frame, at, now, tail):
         if code == 4:
             _, req, final, took, hop, eng, bill, end, n, *load = ENDED.unpack_from(frame, at)
-            return c.Ended(
+            return c.AttemptEnded(
                 req,
                 hop,
                 engine_id(eng),
@@ -124,23 +125,25 @@
             )
         if code == 2:
             _, req, cls, _, key, due, cost, mb, group, flags = REQUEST.unpack_from(frame, at)
-            return c.Arrival(req, cls, due, key, cost if flags & 1 else 0, mb, int(group), bool(flags & 2))
+            return c.RequestReceived(
+                req, cls, due, key, cost if flags & 1 else 0, mb, int(group), bool(flags & 2)
+            )
         if code == 6:
             return c.TimerFired(ALARM.unpack_from(frame, at)[1])
         if code == 10:
             _, req, hop, eng, value, sort = NOTE.unpack_from(frame, at)
-            return c.Note(req, hop, engine_id(eng), NOTES[sort], value) if sort in NOTES else None
+            return c.AttemptProgress(req, hop, engine_id(eng), NOTES[sort], value) if sort in NOTES else None
         if code == 5:
-            return c.ClientLeft(GONE.unpack_from(frame, at)[1])
+            return c.ClientDisconnected(GONE.unpack_from(frame, at)[1])
         if code == 1:
             _, kind, _, number = MEMBERS.unpack_from(frame, at)
             kind = _of(LISTS, kind, "list kind")
-            if kind is c.ListKind.FAILED:
-                return c.EngineList(kind)
-            return c.EngineList(kind, _of(self.lists, number, "list"))
+            if kind is c.EngineListKind.FAILED:
+                return c.EngineListReceived(kind)
+            return c.EngineListReceived(kind, _of(self.lists, number, "list"))
         if code == 7:
             _, eng, end, took, n, *load = PONG.unpack_from(frame, at)
-            return c.Probed(engine_id(eng), _of(OUTCOMES, end, "outcome"), took, tuple(load[:n]))
+            return c.HealthCheckEnded(engine_id(eng), _of(OUTCOMES, end, "outcome"), took, tuple(load[:n]))
         if code == 8:
             _part(frame, tail, *struct.unpack_from("<II", frame, at + 9))
             return None
@@ -149,9 +152,9 @@
         raise WireError(f"unknown event code {code}")
 
     @staticmethod
-    def _entries(raw: bytes) -> tuple[c.Entry, ...]:
+    def _entries(raw: bytes) -> tuple[c.EngineListEntry, ...]:
         return tuple(
-            c.Entry(engine_id(eng), _of(STATES, state, "engine state"), kind, zone, cell, born)
+            c.EngineListEntry(engine_id(eng), _of(STATES, state, "engine state"), kind, zone, cell, born)
             for zone, cell, born, state, kind, eng, _ in ENTRY.iter_unpack(raw)
         )
 
@@ -163,18 +166,18 @@
 
     def _action(self, who, a, records, texts) -> None:
         kind = type(a)
-        if kind is c.Send:
+        if kind is c.StartAttempt:
             engine = a.engine.to_bytes(6, "big")
             records.append(SUBMIT.pack(68, who, a.request, engine, min(a.timeout, U32_MAX)))
-        elif kind is c.Timer:
+        elif kind is c.StartTimer:
             records.append(TIMER.pack(72, who, min(a.after, U32_MAX), a.token))
-        elif kind is c.SetTerms:
+        elif kind is c.SetAttemptResources:
             records.append(TERMS.pack(67, who, a.request, a.grant_mb, a.priority))
-        elif kind is c.Cancel:
+        elif kind is c.CancelAttempt:
             records.append(CANCEL.pack(76, who, a.request, a.attempt))
-        elif kind is c.Refuse:
+        elif kind is c.RejectRequest:
             records.append(REFUSE.pack(71, who, a.request, 0))
-        elif kind is c.Fail:
+        elif kind is c.FailRequest:
             records.append(FAIL.pack(74, who, a.request))
         elif kind is c.Subscribe:
             records.append(WATCH.pack(75, who, 1))
@@ -217,7 +220,7 @@
             sink.flush()
             number += 1
     except (WireError, SettingsError) as err:
-        print(f"cypressledge.simhost: {where}: {err}", file=sys.stderr)
+        print(f"cypressledge.simulator_adapter: {where}: {err}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/control_stands.py
+++ b/tests/control_stands.py
@@ -17,11 +17,11 @@
 from gevent import socket, subprocess
 from gevent.server import StreamServer
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.faults import VARIABLE
 from cypressledge.controlplane.messages import FORMAT, Hello, encode
 from cypressledge.controlplane.settings import ControlSettings
-from cypressledge.counters import Counters
 from cypressledge.lab.processes import ROOT, BrokerProcess, until
 from cypressledge.lab.relay import Relays, udp_ports
 from cypressledge.lab.site import free_port
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,47 +1,53 @@
 """Helpers to drive the module alone: a small fleet, and attempts that end as the test says."""
 
-from cypressledge.contract import (
-    Arrival,
-    Cancel,
+from cypressledge.control import WorkloadManager
+from cypressledge.decisions.contract import (
+    AttemptEnded,
+    CancelAttempt,
     ClassSettings,
-    Ended,
-    EngineList,
-    Entry,
-    Fail,
-    ListKind,
+    EngineListEntry,
+    EngineListKind,
+    EngineListReceived,
+    EngineState,
+    FailRequest,
     Outcome,
-    Refuse,
-    Send,
+    RejectRequest,
+    RequestReceived,
     Settings,
-    State,
+    StartAttempt,
     TimerFired,
 )
-from cypressledge.control import WorkloadManager
 
 S = 1_000_000
 STEP = 20_000
-LOOKUP = ClassSettings(aim=1 * S, deadline=5 * S, aim_stretch=2.0)
-REPORT = ClassSettings(aim=2 * S, deadline=20 * S, aim_stretch=2.5, late_worth=0.4, threads=2)
+LOOKUP = ClassSettings(latency_objective=1 * S, deadline=5 * S, latency_objective_stretch=2.0)
+REPORT = ClassSettings(
+    latency_objective=2 * S,
+    deadline=20 * S,
+    latency_objective_stretch=2.5,
+    late_priority_weight=0.4,
+    threads=2,
+)
 
 
 def settings(*classes, **more):
     """Settings of a plain site, with changes."""
     plain = {
-        "tick": 5000,
+        "timer_resolution": 5000,
         "kind_cores": (8, 4),
-        "tells_cost": True,
-        "may_cancel": True,
+        "reports_cost": True,
+        "supports_cancel": True,
         "max_attempts": 4,
-        "start_capacity": 0.3,
-        "warm_within": 10 * S,
-        "fall_multiple": 2.0,
-        "fall_window": 2 * S,
+        "slow_start_capacity": 0.3,
+        "slow_start_window": 10 * S,
+        "overload_multiple": 2.0,
+        "overload_window": 2 * S,
     }
     return Settings(classes=classes or (LOOKUP, REPORT), **(plain | more))
 
 
-def entry(engine, state=State.READY, kind=0, zone=0, cell=0, born=0):
-    return Entry(engine, state, kind, zone, cell, born)
+def entry(engine, state=EngineState.READY, kind=0, zone=0, cell=0, born=0):
+    return EngineListEntry(engine, state, kind, zone, cell, born)
 
 
 class Fleet:
@@ -52,14 +58,18 @@
         self.now = 100 * S
         self.done, self.sends = [], []
         self.attempts = {}
-        self.tell(EngineList(ListKind.CACHED, tuple(entries or (entry(i + 1) for i in range(engines)))))
+        self.tell(
+            EngineListReceived(
+                EngineListKind.CACHED, tuple(entries or (entry(i + 1) for i in range(engines)))
+            )
+        )
 
     def tell(self, *events, after=0):
         """Give events at a later moment; return the actions."""
         self.now += after
         actions = self.manager.handle(self.now, list(events))
         for a in actions:
-            if isinstance(a, Send):
+            if isinstance(a, StartAttempt):
                 self.attempts[a.request] = self.attempts.get(a.request, -1) + 1
                 self.sends.append(a)
         self.done += actions
@@ -67,7 +77,7 @@
 
     def arrive(self, request, cls=0, cost=100_000, span=None, **more):
         due = self.now + (span or self.manager.s.classes[cls].deadline)
-        return self.tell(Arrival(request, cls, due, cost=cost, **more))
+        return self.tell(RequestReceived(request, cls, due, cost=cost, **more))
 
     def engine_of(self, request):
         return next(s.engine for s in reversed(self.sends) if s.request == request)
@@ -75,7 +85,7 @@
     def end(self, request, outcome=Outcome.OK, final=None, after=0, work=100_000, latency=100_000, memory=0):
         final = outcome is Outcome.OK if final is None else final
         return self.tell(
-            Ended(
+            AttemptEnded(
                 request,
                 self.attempts[request],
                 self.engine_of(request),
@@ -101,8 +111,8 @@
 
 
 def finals(actions):
-    return of((Refuse, Fail), actions)
+    return of((RejectRequest, FailRequest), actions)
 
 
 def cancels(actions):
-    return of(Cancel, actions)
+    return of(CancelAttempt, actions)
--- a/tests/recordings/decisions_recorder.py
+++ b/tests/recordings/decisions_recorder.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field, fields
 from itertools import count
 
-from cypressledge import contract
-from cypressledge.contract import Settings
 from cypressledge.control import WorkloadManager
+from cypressledge.decisions import contract
+from cypressledge.decisions.contract import Settings
 
 SECOND = 1_000_000  # microseconds
 TICK = 5_000  # microseconds; events of one tick are told together
@@ -23,12 +23,12 @@
 
 # The one place that names actions: their codes in the digest are the positions here.
 ACTION_CODES = {
-    contract.Send: 0,
-    contract.SetTerms: 1,
-    contract.Cancel: 2,
-    contract.Refuse: 3,
-    contract.Fail: 4,
-    contract.Timer: 5,
+    contract.StartAttempt: 0,
+    contract.SetAttemptResources: 1,
+    contract.CancelAttempt: 2,
+    contract.RejectRequest: 3,
+    contract.FailRequest: 4,
+    contract.StartTimer: 5,
     contract.Subscribe: 6,
     contract.Log: 7,
 }
@@ -55,27 +55,27 @@
 
 
 def request_received(request, class_index, deadline, key, cost, memory, group):
-    return contract.Arrival(request, class_index, deadline, key, cost, memory, group)
+    return contract.RequestReceived(request, class_index, deadline, key, cost, memory, group)
 
 
 def attempt_ended(request, attempt, engine, outcome, final, latency, work=0, memory=0.0, report=()):
-    return contract.Ended(request, attempt, engine, outcome, final, latency, work, memory, report)
+    return contract.AttemptEnded(request, attempt, engine, outcome, final, latency, work, memory, report)
 
 
 def progress_note(request, attempt, engine, value):
-    return contract.Note(request, attempt, engine, contract.NoteKind.PROGRESS, value)
+    return contract.AttemptProgress(request, attempt, engine, contract.ProgressKind.PROGRESS, value)
 
 
 def spill_note(request, attempt, engine, value):
-    return contract.Note(request, attempt, engine, contract.NoteKind.SPILLS, value)
+    return contract.AttemptProgress(request, attempt, engine, contract.ProgressKind.SPILLING, value)
 
 
 def waits_note(request, attempt, engine, value):
-    return contract.Note(request, attempt, engine, contract.NoteKind.WAITS, value)
+    return contract.AttemptProgress(request, attempt, engine, contract.ProgressKind.WAITING, value)
 
 
 def client_left(request):
-    return contract.ClientLeft(request)
+    return contract.ClientDisconnected(request)
 
 
 def timer_fired(token):
@@ -83,33 +83,37 @@
 
 
 def probed(engine):
-    return contract.Probed(engine, contract.Outcome.OK, 1_000)
+    return contract.HealthCheckEnded(engine, contract.Outcome.OK, 1_000)
 
 
 def stopping():
-    return contract.Stopping()
+    return contract.ShutdownStarted()
 
 
 def list_failed():
-    return contract.EngineList(contract.ListKind.FAILED)
+    return contract.EngineListReceived(contract.EngineListKind.FAILED)
 
 
 def full_list(engines):
-    return contract.EngineList(contract.ListKind.FULL, tuple(list_entry(engine) for engine in engines))
+    return contract.EngineListReceived(
+        contract.EngineListKind.FULL, tuple(list_entry(engine) for engine in engines)
+    )
 
 
 def delta_list(engines):
-    return contract.EngineList(contract.ListKind.DELTA, tuple(list_entry(engine) for engine in engines))
+    return contract.EngineListReceived(
+        contract.EngineListKind.DELTA, tuple(list_entry(engine) for engine in engines)
+    )
 
 
 def list_entry(engine):
-    state = contract.State(engine.state)
-    return contract.Entry(engine.number, state, engine.kind, engine.zone, engine.cell, engine.born)
+    state = contract.EngineState(engine.state)
+    return contract.EngineListEntry(engine.number, state, engine.kind, engine.zone, engine.cell, engine.born)
 
 
 CONNECT_FAILED, RESET = contract.Outcome.CONNECT_FAILED, contract.Outcome.RESET
-OK, ERROR, FULL = contract.Outcome.OK, contract.Outcome.ERROR, contract.Outcome.FULL
-TIMEOUT, CANCELLED, NOT_SENT = contract.Outcome.TIMEOUT, contract.Outcome.CANCELLED, contract.Outcome.MOOT
+OK, ERROR, FULL = contract.Outcome.OK, contract.Outcome.ERROR, contract.Outcome.REJECTED
+TIMEOUT, CANCELLED, NOT_SENT = contract.Outcome.TIMEOUT, contract.Outcome.CANCELLED, contract.Outcome.NOT_SENT
 REMOVED, DRAINING, READY = 0, 1, 2
 
 
@@ -269,7 +273,7 @@
         cost = int(work * rng.uniform(0.5, 1.6)) if traffic.hinted else 0
         self.requests[number] = FakeRequest(class_index, work, memory, group, deadline)
         if rng.random() < self.scenario.leaving_share:
-            self.at(now + int(rng.uniform(0, 2) * spec.aim), self.leave, number)
+            self.at(now + int(rng.uniform(0, 2) * spec.latency_objective), self.leave, number)
         return [
             request_received(number, class_index, deadline, key, cost, memory * rng.uniform(0.6, 1.4), group)
         ]
@@ -322,10 +326,10 @@
             or self.fault(now, request.engine) == "silent"
         ):
             return []
-        self.at(now + self.scenario.settings.notes, self.note, number, attempt)
+        self.at(now + self.scenario.settings.progress_interval, self.note, number, attempt)
         engine = request.engine
         spec = self.scenario.settings.classes[request.class_index]
-        if spec.waits and engine.loads.get(request.group, 0):
+        if spec.blocked_by_loads and engine.loads.get(request.group, 0):
             return [waits_note(number, attempt, engine.number, self.rng.choice((1.0, 2.0)))]
         if self.rng.random() < 0.05:
             return [spill_note(number, attempt, engine.number, self.rng.uniform(1, 50))]
@@ -347,7 +351,7 @@
         final = outcome is OK or outcome is ERROR and self.rng.random() < 0.2
         work, memory, report = 0, 0.0, ()
         if outcome is OK:
-            work = request.work if self.scenario.settings.tells_cost else 0
+            work = request.work if self.scenario.settings.reports_cost else 0
             memory = request.memory
             report = self.report(engine)
         return [attempt_ended(number, attempt, engine.number, outcome, final, latency, work, memory, report)]
@@ -359,7 +363,7 @@
             "queue": float(max(threads - engine.cores, 0)),
             "inflight": float(threads),
         }
-        return tuple(figures[name] for name in self.scenario.settings.report)
+        return tuple(figures[name] for name in self.scenario.settings.load_report_fields)
 
     def fault(self, now: int, engine: FakeEngine) -> str:
         after = (now - START) / SECOND
@@ -398,8 +402,13 @@
         if outcome is None or request.ends_at > deadline:
             outcome, request.ends_at = TIMEOUT, deadline
         self.at(request.ends_at, self.end, number, request.attempt, outcome)
-        if self.scenario.settings.notes and rng.random() >= self.scenario.lost_share:
-            self.at(now + rng.randrange(self.scenario.settings.notes), self.note, number, request.attempt)
+        if self.scenario.settings.progress_interval and rng.random() >= self.scenario.lost_share:
+            self.at(
+                now + rng.randrange(self.scenario.settings.progress_interval),
+                self.note,
+                number,
+                request.attempt,
+            )
 
     def fate(self, now: int, request: FakeRequest, engine: FakeEngine) -> tuple:
         """Outcome and span of an attempt; no outcome: it runs until its deadline."""
@@ -407,7 +416,7 @@
         threads = sum(engine.running.values())
         spec = self.scenario.settings.classes[request.class_index]
         span = int(request.work / spec.threads * max(threads / engine.cores, 1.0) * rng.uniform(0.8, 1.3))
-        if spec.waits and engine.loads.get(request.group, 0):
+        if spec.blocked_by_loads and engine.loads.get(request.group, 0):
             span += 2 * SECOND
         if fault == "refuses":
             return CONNECT_FAILED, rng.randrange(3_000)
--- a/tests/recordings/decisions_scenarios.py
+++ b/tests/recordings/decisions_scenarios.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from cypressledge.contract import ClassSettings, Effect, Group, Settings
+from cypressledge.decisions.contract import ClassSettings, DeduplicationScope, Idempotency, Settings
 from tests.recordings.decisions_recorder import (
     DRAINING,
     READY,
@@ -16,33 +16,47 @@
 )
 
 EVENTS = 7_200  # of each scenario; 14 of them make 100,800
-LOOKUP = ClassSettings(aim=SECOND, deadline=5 * SECOND, aim_stretch=2.0)
+LOOKUP = ClassSettings(latency_objective=SECOND, deadline=5 * SECOND, latency_objective_stretch=2.0)
 REPORT = ClassSettings(
-    aim=2 * SECOND, deadline=20 * SECOND, worth=4.0, late_worth=0.4, aim_stretch=2.5, threads=2
+    latency_objective=2 * SECOND,
+    deadline=20 * SECOND,
+    priority_weight=4.0,
+    late_priority_weight=0.4,
+    latency_objective_stretch=2.5,
+    threads=2,
 )
-LOAD = ClassSettings(aim=6 * SECOND, deadline=40 * SECOND, late_worth=0.6, is_load=True, threads=2)
-UNSAFE = ClassSettings(aim=4 * SECOND, deadline=20 * SECOND, effect=Effect.UNSAFE)
-IN_ORDER = replace(UNSAFE, in_order=True)
-WAITING_LOOKUP = replace(LOOKUP, waits=True, late_worth=0.1)
+LOAD = ClassSettings(
+    latency_objective=6 * SECOND, deadline=40 * SECOND, late_priority_weight=0.6, is_load=True, threads=2
+)
+UNSAFE = ClassSettings(
+    latency_objective=4 * SECOND, deadline=20 * SECOND, idempotency=Idempotency.NOT_IDEMPOTENT
+)
+IN_ORDER = replace(UNSAFE, ordered=True)
+WAITING_LOOKUP = replace(LOOKUP, blocked_by_loads=True, late_priority_weight=0.1)
 PLAIN = Settings(
     classes=(LOOKUP, REPORT),
     kind_cores=(8, 4),
-    tick=TICK,
-    tells_cost=True,
-    may_cancel=True,
+    timer_resolution=TICK,
+    reports_cost=True,
+    supports_cancel=True,
     max_attempts=4,
-    start_capacity=0.3,
-    warm_within=10 * SECOND,
-    fall_multiple=2.0,
-    fall_window=2 * SECOND,
+    slow_start_capacity=0.3,
+    slow_start_window=10 * SECOND,
+    overload_multiple=2.0,
+    overload_window=2 * SECOND,
 )
 SHORT_WORK = Traffic(rate=160.0, work=180_000)  # with the long work more than twelve engines can do
 LONG_WORK = Traffic(rate=50.0, work=2_000_000)
 
 
-def keyed(scope: Group) -> ClassSettings:
+def keyed(scope: DeduplicationScope) -> ClassSettings:
     return ClassSettings(
-        aim=SECOND, deadline=12 * SECOND, effect=Effect.KEYED, group=scope, window=3 * SECOND, aim_stretch=1.0
+        latency_objective=SECOND,
+        deadline=12 * SECOND,
+        idempotency=Idempotency.WITH_KEY,
+        deduplication_scope=scope,
+        deduplication_window=3 * SECOND,
+        latency_objective_stretch=1.0,
     )
 
 
@@ -52,20 +66,26 @@
         replace(PLAIN, classes=(REPORT, LOOKUP)), (LONG_WORK, SHORT_WORK), EVENTS, seed=2
     ),
     "loads and what waits for them": Scenario(
-        replace(PLAIN, classes=(WAITING_LOOKUP, REPORT, LOAD), priorities=True, notes=SECOND // 2, peers=2),
+        replace(
+            PLAIN,
+            classes=(WAITING_LOOKUP, REPORT, LOAD),
+            supports_priorities=True,
+            progress_interval=SECOND // 2,
+            broker_count=2,
+        ),
         (Traffic(60.0, 150_000), Traffic(6.0, 2_000_000), Traffic(3.0, 5_000_000, groups=4)),
         EVENTS,
         seed=3,
     ),
     "cold engines": Scenario(
-        replace(PLAIN, peers=4, slot=1),
+        replace(PLAIN, broker_count=4, broker_index=1),
         (Traffic(45.0, 180_000, hinted=False), Traffic(6.0, 2_000_000, hinted=False)),
         EVENTS,
         seed=4,
         changes=tuple(Change(2.0 + 3 * n, (1 + n, 13 + n), replaced=True) for n in range(10)),
     ),
     "ejected engines": Scenario(
-        replace(PLAIN, retry_ratio=0.2, retry_free=3.0, retry_window=5 * SECOND),
+        replace(PLAIN, retry_budget_ratio=0.2, retry_budget_floor=3.0, retry_budget_window=5 * SECOND),
         (Traffic(110.0, 120_000), Traffic(8.0, 1_500_000)),
         EVENTS,
         seed=5,
@@ -84,8 +104,8 @@
         replace(
             PLAIN,
             classes=(
-                replace(LOOKUP, only_zones=frozenset((0,))),
-                replace(REPORT, only_kinds=frozenset((0,))),
+                replace(LOOKUP, required_zones=frozenset((0,))),
+                replace(REPORT, required_kinds=frozenset((0,))),
                 LOOKUP,
             ),
         ),
@@ -107,7 +127,13 @@
         ),
     ),
     "full engines, memory and grants": Scenario(
-        replace(PLAIN, kind_memory_mb=(16_000.0, 8_000.0), grants=True, most_grant=0.5, priorities=True),
+        replace(
+            PLAIN,
+            kind_memory_mb=(16_000.0, 8_000.0),
+            supports_memory_grants=True,
+            max_memory_grant=0.5,
+            supports_priorities=True,
+        ),
         (Traffic(110.0, 180_000, memory=150.0), Traffic(24.0, 2_000_000, memory=1_800.0)),
         EVENTS,
         seed=7,
@@ -117,11 +143,17 @@
     "retries and effects": Scenario(
         replace(
             PLAIN,
-            classes=(LOOKUP, keyed(Group.ALL), keyed(Group.ZONE), keyed(Group.CELL), UNSAFE),
-            retry_ratio=0.1,
-            retry_free=3.0,
-            retry_window=5 * SECOND,
-            send_wait=SECOND // 2,
+            classes=(
+                LOOKUP,
+                keyed(DeduplicationScope.ALL),
+                keyed(DeduplicationScope.ZONE),
+                keyed(DeduplicationScope.CELL),
+                UNSAFE,
+            ),
+            retry_budget_ratio=0.1,
+            retry_budget_floor=3.0,
+            retry_budget_window=5 * SECOND,
+            max_send_delay=SECOND // 2,
         ),
         (
             Traffic(40.0, 180_000),
@@ -137,7 +169,9 @@
     ),
     "in order of their keys": Scenario(
         replace(
-            PLAIN, classes=(IN_ORDER, replace(keyed(Group.ALL), in_order=True), LOOKUP), key_rest=300_000
+            PLAIN,
+            classes=(IN_ORDER, replace(keyed(DeduplicationScope.ALL), ordered=True), LOOKUP),
+            ordering_key_cooldown=300_000,
         ),
         (Traffic(25.0, 250_000, keyed=True), Traffic(25.0, 250_000, keyed=True), Traffic(40.0, 200_000)),
         EVENTS,
@@ -147,7 +181,9 @@
     ),
     "notes and lost answers": Scenario(
         replace(
-            PLAIN, classes=(replace(LOOKUP, aim=2 * SECOND), REPORT, keyed(Group.ALL)), notes=SECOND // 2
+            PLAIN,
+            classes=(replace(LOOKUP, latency_objective=2 * SECOND), REPORT, keyed(DeduplicationScope.ALL)),
+            progress_interval=SECOND // 2,
         ),
         (Traffic(50.0, 200_000), Traffic(10.0, 2_500_000), Traffic(10.0, 800_000)),
         EVENTS,
@@ -156,7 +192,7 @@
         leaving_share=0.1,
     ),
     "clients that leave, a reload and the stop": Scenario(
-        replace(PLAIN, retry_ratio=0.1, retry_free=1.0, retry_window=10 * SECOND),
+        replace(PLAIN, retry_budget_ratio=0.1, retry_budget_floor=1.0, retry_budget_window=10 * SECOND),
         (Traffic(160.0, 180_000), Traffic(30.0, 2_000_000)),
         EVENTS,
         seed=11,
@@ -164,23 +200,34 @@
         stops=True,
         reconfigured=replace(
             PLAIN,
-            classes=(replace(LOOKUP, aim=SECOND // 2), replace(REPORT, only_kinds=frozenset((1,)))),
+            classes=(
+                replace(LOOKUP, latency_objective=SECOND // 2),
+                replace(REPORT, required_kinds=frozenset((1,))),
+            ),
             max_attempts=2,
-            tells_cost=False,
-            retry_ratio=0.3,
-            retry_free=2.0,
-            retry_window=5 * SECOND,
+            reports_cost=False,
+            retry_budget_ratio=0.3,
+            retry_budget_floor=2.0,
+            retry_budget_window=5 * SECOND,
         ),
     ),
     "load reports of a shared fleet": Scenario(
-        replace(PLAIN, peers=3, slot=2, report=("util", "queue", "inflight"), tells_cost=False),
+        replace(
+            PLAIN,
+            broker_count=3,
+            broker_index=2,
+            load_report_fields=("util", "queue", "inflight"),
+            reports_cost=False,
+        ),
         (Traffic(60.0, 180_000), Traffic(10.0, 2_000_000)),
         EVENTS,
         seed=12,
         engines=24,
     ),
     "one of many brokers": Scenario(
-        replace(PLAIN, peers=40, slot=17, list_on_request=True, kind_memory_mb=(16_000.0, 8_000.0)),
+        replace(
+            PLAIN, broker_count=40, broker_index=17, list_on_request=True, kind_memory_mb=(16_000.0, 8_000.0)
+        ),
         (Traffic(30.0, 180_000, memory=150.0), Traffic(3.0, 2_000_000, memory=1_500.0)),
         EVENTS,
         seed=13,
@@ -192,18 +239,24 @@
     "everything at once": Scenario(
         replace(
             PLAIN,
-            classes=(WAITING_LOOKUP, REPORT, LOAD, replace(keyed(Group.ZONE), in_order=True), UNSAFE),
-            peers=2,
-            slot=1,
-            priorities=True,
-            grants=True,
+            classes=(
+                WAITING_LOOKUP,
+                REPORT,
+                LOAD,
+                replace(keyed(DeduplicationScope.ZONE), ordered=True),
+                UNSAFE,
+            ),
+            broker_count=2,
+            broker_index=1,
+            supports_priorities=True,
+            supports_memory_grants=True,
             kind_memory_mb=(16_000.0, 8_000.0),
-            notes=SECOND // 2,
-            retry_ratio=0.1,
-            retry_free=3.0,
-            retry_window=5 * SECOND,
-            key_rest=200_000,
-            report=("util", "inflight"),
+            progress_interval=SECOND // 2,
+            retry_budget_ratio=0.1,
+            retry_budget_floor=3.0,
+            retry_budget_window=5 * SECOND,
+            ordering_key_cooldown=200_000,
+            load_report_fields=("util", "inflight"),
         ),
         (
             Traffic(60.0, 180_000, memory=150.0),
--- a/tests/recordings/test_ledger_recording.py
+++ b/tests/recordings/test_ledger_recording.py
@@ -19,12 +19,12 @@
 from gevent import socket
 
 from cypressledge import clock
-from cypressledge import contract as c
-from cypressledge.core import Core
-from cypressledge.counters import Counters
-from cypressledge.maintenance import Maintenance
+from cypressledge.broker.core import Core
+from cypressledge.broker.maintenance import Maintenance
+from cypressledge.broker.metrics import Counters
+from cypressledge.broker.requests import Endpoint, EngineFault, Query
+from cypressledge.decisions import contract as c
 from cypressledge.net.management import Kept, Management, figures
-from cypressledge.requests import Fault, Place, Query
 from cypressledge.settings import settings_of
 from tests.stands import SETTINGS
 
@@ -33,18 +33,18 @@
 START = 1_000_000_000  # µs of the scripted monotonic clock at the start, without the offset of ours
 ENGINE_1, ENGINE_2 = 7, 8
 EVENTS = {
-    c.EngineList: "engine-list",
-    c.Arrival: "request-received",
-    c.Ended: "attempt-ended",
-    c.Note: "progress",
-    c.ClientLeft: "client-disconnected",
-    c.Stopping: "shutdown",
+    c.EngineListReceived: "engine-list",
+    c.RequestReceived: "request-received",
+    c.AttemptEnded: "attempt-ended",
+    c.AttemptProgress: "progress",
+    c.ClientDisconnected: "client-disconnected",
+    c.ShutdownStarted: "shutdown",
     c.TimerFired: "timer-fired",
-    c.Probed: "health-check",
+    c.HealthCheckEnded: "health-check",
 }
 ROWS = b"1\tbread\t12.5\n"
-FAULT = Fault("engine: out of memory", 241, 500)
-FINAL_FAULT = Fault("no such column", 47, 404, final=True)
+FAULT = EngineFault("engine: out of memory", 241, 500)
+FINAL_FAULT = EngineFault("no such column", 47, 404, final=True)
 
 
 def plain(value):
@@ -85,7 +85,11 @@
         """The fields of an event; times of the clock count from the start."""
         for field in dataclasses.fields(event):
             value = plain(getattr(event, field.name))
-            yield value - self.script.beginning if type(event) is c.Arrival and field.name == "due" else value
+            yield (
+                value - self.script.beginning
+                if type(event) is c.RequestReceived and field.name == "deadline"
+                else value
+            )
 
     def configure(self, settings):
         self.script.row("decisions", "configure", settings.max_attempts)
@@ -127,8 +131,8 @@
             "transport",
             word,
             request.number,
-            attempt.hop,
-            attempt.place.name,
+            attempt.number,
+            attempt.endpoint.name,
             attempt.sent_at - self.script.beginning,
             attempt.until - self.script.beginning,
             attempt.decided_at - self.script.beginning,
@@ -155,10 +159,10 @@
         self.script = script
 
     def heard(self, attempt):
-        self.script.row("observer", "heard", attempt.request.number, attempt.hop)
+        self.script.row("observer", "heard", attempt.request.number, attempt.number)
 
     def ended(self, attempt, outcome, latency):
-        self.script.row("observer", "ended", attempt.request.number, attempt.hop, int(outcome), latency)
+        self.script.row("observer", "ended", attempt.request.number, attempt.number, int(outcome), latency)
 
 
 class Script:
@@ -172,14 +176,14 @@
             SimpleNamespace(monotonic_ns=lambda: (START + self.elapsed) * 1_000, time_ns=lambda: 0),
         )
         self.beginning = clock.monotonic_us()
-        self.settings = dataclasses.replace(settings_of(SETTINGS), tick=1)
+        self.settings = dataclasses.replace(settings_of(SETTINGS), timer_resolution=1)
         self.counters = ReleaseCounters()
         self.core = Core(self.settings, 1, self.counters)
         self.core.after_most = 250 * MS
         self.decisions = self.core.manager = FakeDecisions(self)
         self.transport = self.core.links["lines"] = FakeTransport(self)
         self.replies = {}
-        self.list_engines(c.State.READY, c.State.READY)
+        self.list_engines(c.EngineState.READY, c.EngineState.READY)
         self.loop = gevent.spawn(self.core.run)
         self.turn()
 
@@ -199,11 +203,11 @@
             gevent.sleep(0.001)
             quiet = 0 if self.core.inbox else quiet + 1
 
-    def list_engines(self, *states, kind=c.ListKind.FULL, born=0):
+    def list_engines(self, *states, kind=c.EngineListKind.FULL, born=0):
         entries = []
         for number, state in zip((ENGINE_1, ENGINE_2), states, strict=False):
-            entry = c.Entry(number, state, 0, number % 2, 0, 0)
-            entries.append((entry, Place(number, f"s-{number}", ("127.0.0.1", number), "lines", born)))
+            entry = c.EngineListEntry(number, state, 0, number % 2, 0, 0)
+            entries.append((entry, Endpoint(number, f"s-{number}", ("127.0.0.1", number), "lines", born)))
         self.core.listed("lines", kind, entries)
 
     def submit(self, name="00000000000000aa", wait_ms=3_000, **more):
@@ -215,7 +219,7 @@
     def sent(self, *sends):
         """A request whose attempts are out, one for each engine named."""
         request = self.submit()
-        self.turn(*(c.Send(request.number, engine, timeout) for engine, timeout in sends))
+        self.turn(*(c.StartAttempt(request.number, engine, timeout) for engine, timeout in sends))
         return request, *request.attempts
 
     def end(self, attempt, outcome, rows=b"", fault=None):
@@ -243,20 +247,24 @@
     s.end(attempt, c.Outcome.OK, ROWS)
     s.turn()
     s.end(attempt, c.Outcome.OK, ROWS)  # a second word on the same attempt
-    s.turn(c.Send(request.number, ENGINE_2), c.Refuse(request.number), c.Fail(request.number))
+    s.turn(
+        c.StartAttempt(request.number, ENGINE_2),
+        c.RejectRequest(request.number),
+        c.FailRequest(request.number),
+    )
 
 
 def refused(s):
     request = s.submit()
-    s.turn(c.Refuse(request.number, c.Reason.NO_PLACE))
+    s.turn(c.RejectRequest(request.number, c.Reason.NO_CAPACITY))
 
 
 def failed(s):
     request, attempt = s.sent((ENGINE_1, 0))
     s.end(attempt, c.Outcome.ERROR, fault=FAULT)
-    s.turn(c.Fail(request.number, c.Reason.ATTEMPTS_USED), ms=12)
+    s.turn(c.FailRequest(request.number, c.Reason.ATTEMPTS_USED), ms=12)
     other, attempt = s.sent((ENGINE_2, 0))
-    s.turn(c.Fail(other.number, c.Reason.RUNAWAY))
+    s.turn(c.FailRequest(other.number, c.Reason.RUNAWAY))
     s.end(attempt, c.Outcome.OK, ROWS)
     s.turn()
 
@@ -270,7 +278,7 @@
 def retried(s):
     request, first = s.sent((ENGINE_1, 0))
     s.end(first, c.Outcome.RESET)
-    s.turn(c.Send(request.number, ENGINE_2, 500 * MS), ms=3)
+    s.turn(c.StartAttempt(request.number, ENGINE_2, 500 * MS), ms=3)
     s.end(request.attempts[1], c.Outcome.OK, ROWS)
     s.turn()
 
@@ -278,14 +286,14 @@
 def hedged(s):
     _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
     s.end(second, c.Outcome.OK, ROWS)
-    s.turn(c.Cancel(1, 0, c.Reason.REQUEST_OVER))
+    s.turn(c.CancelAttempt(1, 0, c.Reason.REQUEST_FINISHED))
     s.end(first, c.Outcome.CANCELLED)
     s.turn()
 
 
 def attempts_beyond_the_most(s):
     request, *_ = s.sent(*[(ENGINE_1, 0)] * (s.settings.max_attempts + 1))
-    s.turn(c.Refuse(request.number))
+    s.turn(c.RejectRequest(request.number))
 
 
 def client_left_before_send(s):
@@ -295,13 +303,13 @@
     request = s.submit("00000000000000bb")
     s.turn()
     s.core.left(request)
-    s.turn(c.Send(request.number, ENGINE_1))
+    s.turn(c.StartAttempt(request.number, ENGINE_1))
 
 
 def client_left_after_send(s):
     request, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
     s.core.left(request)
-    s.turn(c.Cancel(request.number, 0, c.Reason.REQUEST_OVER), ms=4)
+    s.turn(c.CancelAttempt(request.number, 0, c.Reason.REQUEST_FINISHED), ms=4)
     s.turn()
     s.end(second, c.Outcome.OK, ROWS)
     s.turn()
@@ -340,9 +348,9 @@
     request, first = s.sent((ENGINE_1, 0))
     s.core.rows(first, ROWS)
     s.turn()
-    s.turn(c.Cancel(request.number, 0, c.Reason.RUNAWAY))
-    s.core.noted(first, c.NoteKind.PROGRESS, 0.25)
-    s.turn(c.Refuse(request.number, c.Reason.LATE))
+    s.turn(c.CancelAttempt(request.number, 0, c.Reason.RUNAWAY))
+    s.core.noted(first, c.ProgressKind.PROGRESS, 0.25)
+    s.turn(c.RejectRequest(request.number, c.Reason.OBJECTIVE_MISSED))
 
 
 def attempt_times_out(s):
@@ -350,7 +358,7 @@
     s.turn(ms=30)
     s.turn(ms=20)
     s.end(attempt, c.Outcome.OK, ROWS)
-    s.turn(c.Refuse(request.number))
+    s.turn(c.RejectRequest(request.number))
 
 
 def streamed_attempt_does_not_time_out(s):
@@ -370,7 +378,7 @@
 
 def deadline_of_a_streamed_answer(s):
     request = s.submit(wait_ms=100)
-    s.turn(c.Send(request.number, ENGINE_1))
+    s.turn(c.StartAttempt(request.number, ENGINE_1))
     s.core.rows(request.attempts[0], ROWS)
     s.turn(ms=120)
     s.turn()
@@ -379,11 +387,11 @@
 def send_to_an_engine_that_vanished(s):
     request = s.submit()
     s.turn()
-    s.list_engines(c.State.READY)
-    s.turn(c.Send(request.number, ENGINE_2), c.Send(99, ENGINE_1))
-    s.list_engines(c.State.DRAINING)
-    s.turn(c.Send(request.number, ENGINE_1))
-    s.turn(c.Refuse(request.number))
+    s.list_engines(c.EngineState.READY)
+    s.turn(c.StartAttempt(request.number, ENGINE_2), c.StartAttempt(99, ENGINE_1))
+    s.list_engines(c.EngineState.DRAINING)
+    s.turn(c.StartAttempt(request.number, ENGINE_1))
+    s.turn(c.RejectRequest(request.number))
 
 
 def send_that_raises(s):
@@ -396,37 +404,41 @@
 
 def cancelled(s):
     request, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.noted(second, c.NoteKind.SPILLS, 3.0)
-    s.turn(c.Cancel(request.number, 1, c.Reason.ENGINE_SILENT), c.Cancel(request.number, 5))
-    s.turn(c.Cancel(request.number, 1))
+    s.core.noted(second, c.ProgressKind.SPILLING, 3.0)
+    s.turn(c.CancelAttempt(request.number, 1, c.Reason.ENGINE_SILENT), c.CancelAttempt(request.number, 5))
+    s.turn(c.CancelAttempt(request.number, 1))
     s.end(first, c.Outcome.OK, ROWS)
     s.turn()
 
 
 def priority_and_grant_changed(s):
     request = s.submit()
-    s.turn(c.SetTerms(request.number, 64.0, 2), c.Send(request.number, ENGINE_1))
-    s.core.noted(request.attempts[0], c.NoteKind.WAITS, 2.0)
-    s.turn(c.SetTerms(request.number, 128.0, 3), c.SetTerms(99, 1.0, 1))
+    s.turn(c.SetAttemptResources(request.number, 64.0, 2), c.StartAttempt(request.number, ENGINE_1))
+    s.core.noted(request.attempts[0], c.ProgressKind.WAITING, 2.0)
+    s.turn(c.SetAttemptResources(request.number, 128.0, 3), c.SetAttemptResources(99, 1.0, 1))
     s.end(request.attempts[0], c.Outcome.OK, ROWS)
     s.turn()
-    s.turn(c.SetTerms(request.number, 1.0, 1))
+    s.turn(c.SetAttemptResources(request.number, 1.0, 1))
 
 
 def observed(s):
     s.core.observer = FakeObserver(s)
     _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.noted(first, c.NoteKind.PROGRESS, 0.5)
+    s.core.noted(first, c.ProgressKind.PROGRESS, 0.5)
     s.turn(ms=5)
     s.end(first, c.Outcome.OK, ROWS)
-    s.core.noted(first, c.NoteKind.PROGRESS, 0.7)
+    s.core.noted(first, c.ProgressKind.PROGRESS, 0.7)
     s.turn()
 
 
 def timers(s):
     s.submit()
     s.turn(
-        c.Timer(20 * MS, 3), c.Timer(10 * MS, 4), c.Timer(10 * MS, 5), c.Subscribe(), c.Log("engine 7 odd")
+        c.StartTimer(20 * MS, 3),
+        c.StartTimer(10 * MS, 4),
+        c.StartTimer(10 * MS, 5),
+        c.Subscribe(),
+        c.Log("engine 7 odd"),
     )
     s.turn(ms=9)
     s.turn(ms=2)
@@ -444,7 +456,10 @@
     s.turn(ms=31)
     assert late is not None
     s.end(attempt, c.Outcome.RESET)
-    s.turn(c.Refuse(late.number, c.Reason.STOPPING), c.Fail(request.number, c.Reason.STOPPING))
+    s.turn(
+        c.RejectRequest(late.number, c.Reason.SHUTTING_DOWN),
+        c.FailRequest(request.number, c.Reason.SHUTTING_DOWN),
+    )
 
 
 def reconfigured(s):
@@ -452,9 +467,9 @@
     s.core.reconfigure(dataclasses.replace(s.settings, max_attempts=1))
     second = s.submit("00000000000000bb")
     s.turn()
-    s.list_engines(c.State.READY, c.State.READY)
-    s.turn(*(c.Send(r.number, e) for r in (first, second) for e in (ENGINE_1, ENGINE_2)))
-    s.turn(c.Refuse(first.number), c.Refuse(second.number))
+    s.list_engines(c.EngineState.READY, c.EngineState.READY)
+    s.turn(*(c.StartAttempt(r.number, e) for r in (first, second) for e in (ENGINE_1, ENGINE_2)))
+    s.turn(c.RejectRequest(first.number), c.RejectRequest(second.number))
 
 
 def engines_listed(s):
@@ -467,9 +482,9 @@
     s.row("names", s.core.names_engine("s-7"), s.core.names_engine("s-9"), s.core.serving())
     s.core.shut = None
     s.core.held_out(Maintenance())
-    s.list_engines(c.State.READY, c.State.GONE, kind=c.ListKind.CACHED, born=5)
+    s.list_engines(c.EngineState.READY, c.EngineState.REMOVED, kind=c.EngineListKind.CACHED, born=5)
     s.turn()
-    old, new = (Place(ENGINE_1, "s-7", ("127.0.0.1", 7), "lines", born) for born in (0, 5))
+    old, new = (Endpoint(ENGINE_1, "s-7", ("127.0.0.1", 7), "lines", born) for born in (0, 5))
     s.row("current", s.core.current(old), s.core.current(new))
 
 
@@ -483,12 +498,12 @@
     s.core.door = lambda query: query.tenant != "sahel"
     s.submit("00000000000000bb")
     s.row("knows", s.core.knows(f"{0:016x}"), s.core.knows("00000000000000bb"))
-    s.turn(c.Refuse(1), c.Refuse(2))
+    s.turn(c.RejectRequest(1), c.RejectRequest(2))
 
 
 def fields_of_a_request(s):
-    s.submit(key="order-17", cost=120 * MS, memory_mb=64.0, group=17, repeat=True)
-    s.turn(c.Refuse(1))
+    s.submit(key="order-17", cost=120 * MS, memory_mb=64.0, table_group=17, is_client_retry=True)
+    s.turn(c.RejectRequest(1))
 
 
 SCENARIOS = (
--- a/tests/recordings/test_operators_answers_recording.py
+++ b/tests/recordings/test_operators_answers_recording.py
@@ -16,8 +16,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from control_stands import Plane, call  # noqa: E402
-
+from control_stands import Plane, call
 
 FILE = Path(__file__).with_name("operators_answers.json")
 VOLATILE = frozenset(("at", "counters", "epoch", "lineage", "published", "run", "silent_ms", "traffic"))
--- a/tests/recordings/test_wire_recording.py
+++ b/tests/recordings/test_wire_recording.py
@@ -16,12 +16,12 @@
 import gevent
 from gevent import socket as gsocket
 
+from cypressledge.broker.core import Core
+from cypressledge.broker.metrics import Counters
+from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
-from cypressledge.core import Core
-from cypressledge.counters import Counters
 from cypressledge.net.lines import LinesLink
-from cypressledge.requests import Attempt, Place, Query, Request
 from cypressledge.settings import settings_of
 from tests.stands import (
     ROW,
@@ -136,7 +136,7 @@
     link = core.links["lines"] = LinesLink(core, Limits(64, 64, 32, 5.0, 30.0, 0, 0))
     link.most = 8
     peer = LinesPeer()
-    place = Place(7, "s-1", peer.listener.getsockname(), "lines")
+    place = Endpoint(7, "s-1", peer.listener.getsockname(), "lines")
     core.ready[7] = place
     messages = {}
 
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -17,7 +17,8 @@
 import msgspec
 import pytest
 
-from cypressledge.contract import Entry, Outcome, State
+from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
+from cypressledge.decisions.contract import EngineListEntry, EngineState, Outcome
 from cypressledge.fleet.evidence import Evidence
 from cypressledge.fleet.judge import Finding, Told, Verdict, judge
 from cypressledge.fleet.keeper import Granted
@@ -25,7 +26,6 @@
 from cypressledge.fleet.shed import Arrivals, is_shed, over_part, over_shares, refused
 from cypressledge.fleet.zoneplan import Follower, Load, Pace, Planner, able, is_open, ramp
 from cypressledge.fleet.zones import Site, Zones
-from cypressledge.requests import Attempt, Place, Query, Request
 
 RECORDED = json.loads((Path(__file__).parent / "zone_decisions.json").read_text())
 S = 1_000_000
@@ -236,7 +236,10 @@
         self.manager = SimpleNamespace(class_slow=[1.0])
         self.observer = self.shut = self.door = None
         self.lists = {
-            "one": [(Entry(e, State.READY, e % 2, ZONES.index(z), 0, 0), None) for e, z in ENGINES.items()]
+            "one": [
+                (EngineListEntry(e, EngineState.READY, e % 2, ZONES.index(z), 0, 0), None)
+                for e, z in ENGINES.items()
+            ]
         }
 
     def now(self):
@@ -255,7 +258,7 @@
         self.cores = {n: FakeCore(self) for n in self.names}
         self.mail, self.mood, self.planner, self.token = [], dict.fromkeys(ZONES, "fine"), "n0", 1
         self.cut_off = ""  # a broker to whom everything fails
-        self.places = {e: Place(e, f"e{e}", ("", 0), "model") for e in ENGINES}
+        self.places = {e: Endpoint(e, f"e{e}", ("", 0), "model") for e in ENGINES}
         self.numbers = Counter()
         site = Site(
             ZONES, {n: ZONES[i % 3] for i, n in enumerate(self.names)}, REGION, {"t0": 4.0, "t1": 4.0}
@@ -309,16 +312,18 @@
                 continue
             request = Request(self.numbers[name], query, None)
             engine = self.rng.choice(opened).engine
-            request.attempts.append(Attempt(request, 0, self.places[engine], self.now, query.due, self.now))
+            request.attempts.append(
+                Attempt(request, 0, self.places[engine], self.now, query.deadline, self.now)
+            )
             core.requests[request.number] = request
         for number, request in list(core.requests.items()):
             attempt = request.attempts[0]
-            ended = self._outcome(name, ENGINES[attempt.place.id], self.now - attempt.sent_at)
+            ended = self._outcome(name, ENGINES[attempt.endpoint.id], self.now - attempt.sent_at)
             if ended is not None:
                 attempt.open = False
                 zones.ended(attempt, ended, self.now - attempt.sent_at)
                 del core.requests[number]
-            elif self.rng.random() < 0.1 and self.mood[ENGINES[attempt.place.id]] == "slow":
+            elif self.rng.random() < 0.1 and self.mood[ENGINES[attempt.endpoint.id]] == "slow":
                 zones.heard(attempt)
 
     def _outcome(self, name, zone, age):
--- a/tests/recordings/time_decisions.py
+++ b/tests/recordings/time_decisions.py
@@ -11,9 +11,8 @@
 from dataclasses import replace
 
 from cypressledge.control import WorkloadManager
-from tests.recordings.decisions_recorder import ClosedLoop
+from tests.recordings.decisions_recorder import ClosedLoop, Scenario, Traffic
 from tests.recordings.decisions_scenarios import PLAIN
-from tests.recordings.decisions_recorder import Scenario, Traffic
 
 EVENTS = 6_000
 
@@ -35,7 +34,9 @@
     """One run of a fleet of so many engines with traffic in proportion."""
     busy = engines / 12
     scenario = Scenario(
-        replace(PLAIN, peers=2, priorities=True, report=("util", "queue", "inflight")),
+        replace(
+            PLAIN, broker_count=2, supports_priorities=True, load_report_fields=("util", "queue", "inflight")
+        ),
         (Traffic(60.0 * busy, 180_000), Traffic(10.0 * busy, 2_000_000)),
         EVENTS,
         seed=21,
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -370,7 +370,7 @@
         engine = self.engine()
         for number in (signal.SIGHUP, signal.SIGTERM):
             with self.subTest(number):
-                broker = self.broker(hooks={"limit": "cypressledge.broker:Broker._limit!"})
+                broker = self.broker(hooks={"limit": "cypressledge.broker_process:Broker._limit!"})
                 broker.reached("limit")  # the configuration has been read, and nobody hears of signals yet
                 broker.dns.engines[engine.name] = (engine.port, 0)
                 broker.path.write_text(json.dumps(broker.config | {"dns": f"127.0.0.1:{free_port()}"}))
@@ -388,7 +388,7 @@
         """Harmless: signals are heeded one after the other, each by a greenlet of its own."""
         engine = self.engine(held)
         engine.released = False
-        broker = self.broker(engine, hooks={"check": "cypressledge.broker:Broker._check!"})
+        broker = self.broker(engine, hooks={"check": "cypressledge.broker_process:Broker._check!"})
         client = self.client(broker)
         client.ask()
         until(lambda: engine.wants, "the query")
@@ -648,7 +648,7 @@
         """Both came in one turn of the core, and the module took the new settings first: work that was safe
         to repeat was taken for unsafe, and the other way round."""
         engine = self.engine(lambda e, say, *a: (failing("500") if len(e.wants) == 1 else whole)(e, say, *a))
-        broker = self.broker(engine, env=FIGURES, hooks={"wait": "cypressledge.core:Core._wait#1"})
+        broker = self.broker(engine, env=FIGURES, hooks={"wait": "cypressledge.broker.core:Core._wait#1"})
         broker.reached("wait")  # the core takes nothing in
         client = self.client(broker)
         client.ask()
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -335,7 +335,7 @@
             ({"seed": "xyz"}, "xyz"),
             ({"known": {"batch": [{}]}}, "topology"),
             ({"limits": {}}, "sockets"),
-            ({"settings": SETTINGS | {"Step": 0}}, "tick"),
+            ({"settings": SETTINGS | {"Step": 0}}, "timer_resolution"),
         ):
             with self.subTest(word):
                 broker = Broker(change=change)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,21 +8,21 @@
 
 import pytest
 
-from cypressledge.contract import (
-    Arrival,
+from cypressledge.control import WorkloadManager
+from cypressledge.decisions.contract import (
+    AttemptEnded,
     ClassSettings,
-    Ended,
-    EngineList,
-    Entry,
-    ListKind,
+    EngineListEntry,
+    EngineListKind,
+    EngineListReceived,
+    EngineState,
     Outcome,
-    Send,
+    RequestReceived,
     Settings,
-    State,
-    Timer,
+    StartAttempt,
+    StartTimer,
     TimerFired,
 )
-from cypressledge.control import WorkloadManager
 
 TICK, SECOND = 5_000, 1_000_000
 START = 1_700_000_000 * SECOND
@@ -39,22 +39,22 @@
         self.seed, self.kinds, self.estimates, self.warm = seed, kinds, estimates, warm
         self.site = Settings(
             classes=tuple(
-                ClassSettings(aim=600_000 * threads * 2, deadline=20 * SECOND, threads=threads)
+                ClassSettings(latency_objective=600_000 * threads * 2, deadline=20 * SECOND, threads=threads)
                 for _, _, threads in kinds
             ),
             kind_cores=(8,),
-            tick=TICK,
-            slot=slot,
-            peers=peers,
-            may_cancel=True,
+            timer_resolution=TICK,
+            broker_index=slot,
+            broker_count=peers,
+            supports_cancel=True,
             max_attempts=3,
-            start_capacity=0.31,
-            warm_within=14 * SECOND,
-            fall_multiple=2.0,
-            fall_window=WINDOW,
-            retry_ratio=0.1,
-            retry_free=3.0,
-            retry_window=5 * SECOND,
+            slow_start_capacity=0.31,
+            slow_start_window=14 * SECOND,
+            overload_multiple=2.0,
+            overload_window=WINDOW,
+            retry_budget_ratio=0.1,
+            retry_budget_floor=3.0,
+            retry_budget_window=5 * SECOND,
         )
         self.numbers, self.rng, self.next = count(1), random.Random(seed), START
         self.start(START)
@@ -73,32 +73,32 @@
             kind = self.rng.choices(range(len(self.kinds)), [k[0] for k in self.kinds])[0]
             number, work = next(self.numbers), int(self.kinds[kind][1] * self.rng.lognormvariate(-0.3, 0.8))
             self.work[number] = kind, work
-            events.append(Arrival(number, kind, now + DUE, cost=work if self.estimates else 0))
+            events.append(RequestReceived(number, kind, now + DUE, cost=work if self.estimates else 0))
         while self.running and self.running[0][0] <= now:
             _, number, engine = heapq.heappop(self.running)
             kind, work = self.work.pop(number)
-            events.append(Ended(number, 0, engine, Outcome.OK, True, work // self.kinds[kind][2]))
+            events.append(AttemptEnded(number, 0, engine, Outcome.OK, True, work // self.kinds[kind][2]))
         while self.timers and self.timers[0] <= now:
             heapq.heappop(self.timers)
             events.append(TimerFired(0))
         sent = []
         for action in self.module.handle(now, events) if events else ():
-            if isinstance(action, Send):
+            if isinstance(action, StartAttempt):
                 kind, work = self.work[action.request]
                 end = now + work // self.kinds[kind][2]
                 heapq.heappush(self.running, (end, action.request, action.engine))
                 if action.engine == COLD:
                     sent.append(kind)
-            elif isinstance(action, Timer):
+            elif isinstance(action, StartTimer):
                 heapq.heappush(self.timers, now + action.after)
         return sent
 
 
 def listed(now, warm):
-    entries = [Entry(n, State.READY, 0, 0, 0, 0) for n in warm]
+    entries = [EngineListEntry(n, EngineState.READY, 0, 0, 0, 0) for n in warm]
     if now > BORN:
-        entries.append(Entry(COLD, State.READY, 0, 0, 0, BORN))
-    return EngineList(ListKind.FULL, tuple(entries))
+        entries.append(EngineListEntry(COLD, EngineState.READY, 0, 0, 0, BORN))
+    return EngineListReceived(EngineListKind.FULL, tuple(entries))
 
 
 def play(peers, seed, kinds, estimates, restart, warm=WARM):
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -8,6 +8,7 @@
 import pytest
 from gevent import socket
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.config import ConfigError
 from cypressledge.controlplane import cli
 from cypressledge.controlplane import frames as frames_module
@@ -31,7 +32,6 @@
 from cypressledge.controlplane.replica import DiskError
 from cypressledge.controlplane.server import check_new
 from cypressledge.controlplane.state import FleetState, StateError, canonical, plain
-from cypressledge.counters import Counters
 
 ONE, TWO = Have(7, 3, bytes(16)), Goodbye("stopping", 5)
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -2,8 +2,8 @@
 
 import re
 
-from cypressledge.counters import Counters
-from cypressledge.events import LINES_MOST, EventLog, Kind
+from cypressledge.broker.event_log import LINES_MOST, EventLog, Kind
+from cypressledge.broker.metrics import Counters
 from tests.stands import Case, LineEngine, failing, hang_up, until, whole
 
 
@@ -49,7 +49,7 @@
         assert client.get()["error"]["code"] == -32066
         (refused,) = self.events(broker, "request-refused")
         assert re.search("\\A[0-9a-f]{16}\\Z", refused["request"])
-        assert refused["reason"] in ("late", "no-place", "no-time-for-retry")
+        assert refused["reason"] in ("objective-missed", "no-capacity", "no-time-for-retry")
 
     def test_engines_that_come_and_drain_are_told(self):
         engine, other = self.engine(), self.engine(kind=LineEngine, name="s-2")
@@ -62,7 +62,7 @@
 
 def test_a_burst_of_one_kind_is_held_back_and_counted(capsys, monkeypatch):
     now = 5_000_000
-    monkeypatch.setattr("cypressledge.events.monotonic_us", lambda: now)
+    monkeypatch.setattr("cypressledge.broker.event_log.monotonic_us", lambda: now)
     counters = Counters()
     events = EventLog(counters)
     for n in range(3 * LINES_MOST):
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -2,11 +2,19 @@
 
 import dataclasses
 
-from cypressledge.contract import ClassSettings, EngineList, ListKind, Note, NoteKind, Outcome, SetTerms
+from cypressledge.decisions.contract import (
+    AttemptProgress,
+    ClassSettings,
+    EngineListKind,
+    EngineListReceived,
+    Outcome,
+    ProgressKind,
+    SetAttemptResources,
+)
 from tests.fleet import LOOKUP, REPORT, Fleet, S, cancels, entry, finals, of, settings
 from tests.test_rules import silence
 
-PATIENT = dataclasses.replace(LOOKUP, aim=4 * S)
+PATIENT = dataclasses.replace(LOOKUP, latency_objective=4 * S)
 
 
 def test_silent_engine_is_held_off_and_readmitted_by_its_answer():
@@ -58,8 +66,8 @@
 def test_runaway_plan_is_moved():
     f = Fleet(settings(LOOKUP, REPORT))
     f.arrive(1, cls=1, cost=2 * S)
-    assert not cancels(f.tell(Note(1, 0, f.engine_of(1), NoteKind.PROGRESS, 0.6), after=2 * S))
-    assert cancels(f.tell(Note(1, 0, f.engine_of(1), NoteKind.PROGRESS, 0.1), after=0))
+    assert not cancels(f.tell(AttemptProgress(1, 0, f.engine_of(1), ProgressKind.PROGRESS, 0.6), after=2 * S))
+    assert cancels(f.tell(AttemptProgress(1, 0, f.engine_of(1), ProgressKind.PROGRESS, 0.1), after=0))
     first = f.engine_of(1)
     f.end(1, Outcome.CANCELLED)
     assert f.engine_of(1) != first
@@ -68,21 +76,25 @@
 def test_unsafe_runaway_is_left_alone():
     f = Fleet(settings(dataclasses.replace(REPORT, is_load=True)))
     f.arrive(1, cost=2 * S)
-    f.manager.requests[1].spec = dataclasses.replace(REPORT, effect=2)
-    assert not cancels(f.tell(Note(1, 0, f.engine_of(1), NoteKind.PROGRESS, 0.01), after=3 * S))
+    f.manager.requests[1].spec = dataclasses.replace(REPORT, idempotency=2)
+    assert not cancels(
+        f.tell(AttemptProgress(1, 0, f.engine_of(1), ProgressKind.PROGRESS, 0.01), after=3 * S)
+    )
 
 
 def test_lookups_keep_off_an_engine_where_a_load_holds_their_group():
-    load = ClassSettings(aim=4 * S, deadline=20 * S, is_load=True)
-    f = Fleet(settings(dataclasses.replace(LOOKUP, waits=True), load))
-    f.arrive(1, cls=1, group=7)
+    load = ClassSettings(latency_objective=4 * S, deadline=20 * S, is_load=True)
+    f = Fleet(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), load))
+    f.arrive(1, cls=1, table_group=7)
     for request in range(2, 12):
-        f.arrive(request, group=7)
+        f.arrive(request, table_group=7)
     assert all(s.engine != f.engine_of(1) for s in f.sends[1:])
 
 
 def test_hopeless_work_is_refused_early():
-    f = Fleet(settings(dataclasses.replace(LOOKUP, aim=S, aim_stretch=0)), engines=1)
+    f = Fleet(
+        settings(dataclasses.replace(LOOKUP, latency_objective=S, latency_objective_stretch=0)), engines=1
+    )
     f.manager.order[0].slow, f.manager.order[0].bound = 3.0, 1
     for request in (1, 2, 3):  # two lookups find places
         f.arrive(request)
@@ -92,7 +104,7 @@
 
 def test_restart_makes_an_engine_cold_again():
     f = Fleet()
-    f.tell(EngineList(ListKind.DELTA, (entry(1, born=f.now),)))
+    f.tell(EngineListReceived(EngineListKind.DELTA, (entry(1, born=f.now),)))
     assert f.manager.engines[1].cold_until == f.now + 10 * S
 
 
@@ -123,23 +135,23 @@
 
 def test_loads_and_what_waits_for_them_keep_to_engines_of_their_own():
     """No manager knows the others' loads: all keep a group's loads to the same engines by rank."""
-    load = ClassSettings(aim=4 * S, deadline=20 * S, is_load=True)
-    f = Fleet(settings(dataclasses.replace(LOOKUP, waits=True), load), engines=5)
-    f.arrive(1, cls=1, group=9)
+    load = ClassSettings(latency_objective=4 * S, deadline=20 * S, is_load=True)
+    f = Fleet(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), load), engines=5)
+    f.arrive(1, cls=1, table_group=9)
     f.run(4 * S)  # a load that runs all the time, as far as this manager sees
     apart = {e.id for e in f.manager._apart(9)}
     assert 1 <= len(apart) <= 3
     f.end(1)
     for request in range(2, 30):
-        f.arrive(request, cls=request % 2, group=9)
+        f.arrive(request, cls=request % 2, table_group=9)
         assert (f.engine_of(request) in apart) == (request % 2 == 1)
         f.end(request)
 
 
 def test_answer_tells_that_no_load_holds_the_group_any_more():
-    f = Fleet(settings(dataclasses.replace(LOOKUP, waits=True)), engines=1)
-    f.arrive(1, group=9)
-    f.tell(Note(1, 0, 1, NoteKind.WAITS, 2.0))
+    f = Fleet(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True)), engines=1)
+    f.arrive(1, table_group=9)
+    f.tell(AttemptProgress(1, 0, 1, ProgressKind.WAITING, 2.0))
     assert 9 in f.manager.engines[1].seen_held
     f.end(1)
     assert not f.manager.engines[1].seen_held
@@ -147,52 +159,56 @@
 
 def test_late_work_of_little_worth_is_not_moved():
     """The ration buys more elsewhere."""
-    f = Fleet(settings(dataclasses.replace(LOOKUP, late_worth=0.1, waits=True)), engines=2)
-    f.arrive(1, group=9)
-    f.arrive(2, group=9)
-    f.tell(Note(1, f.attempts[1], f.engine_of(1), NoteKind.WAITS, 2.0))
-    f.tell(Note(2, f.attempts[2], f.engine_of(2), NoteKind.WAITS, 2.0), after=2 * S)
+    f = Fleet(
+        settings(dataclasses.replace(LOOKUP, late_priority_weight=0.1, blocked_by_loads=True)), engines=2
+    )
+    f.arrive(1, table_group=9)
+    f.arrive(2, table_group=9)
+    f.tell(AttemptProgress(1, f.attempts[1], f.engine_of(1), ProgressKind.WAITING, 2.0))
+    f.tell(AttemptProgress(2, f.attempts[2], f.engine_of(2), ProgressKind.WAITING, 2.0), after=2 * S)
     assert [a.request for a in cancels(f.done)] == [1]
 
 
 def test_note_of_waiting_for_a_load_keeps_its_group_off_for_a_while():
-    f = Fleet(settings(dataclasses.replace(LOOKUP, waits=True), REPORT))
-    f.arrive(1, group=7)
+    f = Fleet(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), REPORT))
+    f.arrive(1, table_group=7)
     held = f.engine_of(1)
-    assert cancels(f.tell(Note(1, 0, held, NoteKind.WAITS, 1.0))) == []
-    assert cancels(f.tell(Note(1, 0, held, NoteKind.WAITS, 2.0)))
+    assert cancels(f.tell(AttemptProgress(1, 0, held, ProgressKind.WAITING, 1.0))) == []
+    assert cancels(f.tell(AttemptProgress(1, 0, held, ProgressKind.WAITING, 2.0)))
     for request in range(2, 9):
-        f.arrive(request, group=7)
+        f.arrive(request, table_group=7)
         assert f.engine_of(request) != held
 
 
 def test_loads_run_at_the_highest_priority_however_late():
-    load = ClassSettings(aim=S, deadline=20 * S, is_load=True)
-    f = Fleet(settings(LOOKUP, load, priorities=True))
-    f.arrive(1, cls=1, group=7)
+    load = ClassSettings(latency_objective=S, deadline=20 * S, is_load=True)
+    f = Fleet(settings(LOOKUP, load, supports_priorities=True))
+    f.arrive(1, cls=1, table_group=7)
     f.run(5 * S)
-    assert [a.priority for a in of(SetTerms, f.done)] == [3]
+    assert [a.priority for a in of(SetAttemptResources, f.done)] == [3]
 
 
 def test_work_near_its_aim_is_raised_and_late_work_lowered():
-    f = Fleet(settings(LOOKUP, REPORT, priorities=True))
+    f = Fleet(settings(LOOKUP, REPORT, supports_priorities=True))
     f.arrive(1)
     f.arrive(2, cls=1, cost=2 * S)
     f.run(5 * S)
-    assert [a.priority for a in of(SetTerms, f.done) if a.request == 2] == [1, 2, 0]
+    assert [a.priority for a in of(SetAttemptResources, f.done) if a.request == 2] == [1, 2, 0]
 
 
-WAITING = dataclasses.replace(LOOKUP, waits=True)
-LOAD = ClassSettings(aim=20 * S, deadline=60 * S, is_load=True, threads=2, late_worth=0.6)
+WAITING = dataclasses.replace(LOOKUP, blocked_by_loads=True)
+LOAD = ClassSettings(
+    latency_objective=20 * S, deadline=60 * S, is_load=True, threads=2, late_priority_weight=0.6
+)
 
 
 def test_loads_leave_engines_to_the_queries_of_their_group():
     """However many come: on such engines queries of the group would stand still behind them."""
     f = Fleet(settings(WAITING, LOAD), engines=5)
     for request in range(1, 60):
-        f.arrive(request, cls=1, group=9)
+        f.arrive(request, cls=1, table_group=9)
     assert {s.engine for s in f.sends} == {e.id for e in f.manager._ranks(9)[1:]}
-    f.arrive(100, group=9)
+    f.arrive(100, table_group=9)
     assert f.engine_of(100) == f.manager._ranks(9)[0].id
 
 
@@ -201,7 +217,7 @@
     free = f.manager._ranks(9)[0]
     for e in f.manager.order:
         e.held_off, e.trial_at = e is not free, f.now + 100 * S
-    f.arrive(1, cls=1, group=9)
+    f.arrive(1, cls=1, table_group=9)
     assert f.engine_of(1) == free.id
 
 
@@ -211,17 +227,17 @@
     free, other = f.manager._ranks(9)
     other.seen_held[9] = f.now + 10 * S
     for request in range(1, 9):
-        f.arrive(request, group=9)
+        f.arrive(request, table_group=9)
     assert {s.engine for s in f.sends} == {free.id}
     assert len(f.sends) < 8
-    f.arrive(10, group=8)  # those of another group don't wait behind them
+    f.arrive(10, table_group=8)  # those of another group don't wait behind them
     assert f.engine_of(10) == other.id
 
 
 def test_loads_wait_shortest_first_at_the_broker_not_in_line_at_an_engine():
     f = Fleet(settings(WAITING, LOAD), engines=2)
     for request in range(1, 8):
-        f.arrive(request, cls=1, group=9, cost=(20 - request) * S)
+        f.arrive(request, cls=1, table_group=9, cost=(20 - request) * S)
     sent = len(f.sends)
     assert sent < 7
     f.end(1, work=19 * S, latency=9 * S)
@@ -247,7 +263,7 @@
         while sent < len(f.sends):  # whoever is sent to engine 1, this request or one that waited
             a, sent = f.sends[sent], sent + 1
             if a.engine == 1:
-                f.end(a.request, Outcome.FULL)
+                f.end(a.request, Outcome.REJECTED)
         f.run(20_000)
     assert 2 <= sum(a.engine == 1 for a in f.sends) <= 12  # in 2 s
 
@@ -257,7 +273,7 @@
     free, other = f.manager._ranks(9)
     other.seen_held[9] = f.now + 10 * S
     free.full_until, free.full_try = f.now + 10 * S, f.now + 10 * S
-    f.arrive(1, group=9)
+    f.arrive(1, table_group=9)
     assert f.engine_of(1) == other.id
 
 
@@ -265,13 +281,13 @@
     """Notes of progress each half second, until then, of requests that run."""
     while f.now < until:
         f.run(S // 2)
-        f.tell(*(Note(r, f.attempts[r], f.engine_of(r), NoteKind.PROGRESS, 0.5) for r in told))
+        f.tell(*(AttemptProgress(r, f.attempts[r], f.engine_of(r), ProgressKind.PROGRESS, 0.5) for r in told))
 
 
 def test_answer_that_is_lost_is_missed_by_its_notes():
     """The engine speaks, and would tell of what it runs."""
-    patient = dataclasses.replace(REPORT, aim=20 * S)
-    f = Fleet(settings(LOOKUP, patient, notes=S // 2), engines=1)
+    patient = dataclasses.replace(REPORT, latency_objective=20 * S)
+    f = Fleet(settings(LOOKUP, patient, progress_interval=S // 2), engines=1)
     for request in range(1, 4):
         f.arrive(request, cls=1, cost=4 * S)
     f.run(S // 4)
@@ -282,14 +298,17 @@
 
 
 def test_silence_of_a_whole_engine_loses_no_answers():
-    f = Fleet(settings(LOOKUP, dataclasses.replace(REPORT, aim=20 * S), notes=S // 2), engines=1)
+    f = Fleet(
+        settings(LOOKUP, dataclasses.replace(REPORT, latency_objective=20 * S), progress_interval=S // 2),
+        engines=1,
+    )
     f.arrive(1, cls=1, cost=4 * S)
     f.run(5 * S)
     assert not cancels(f.done)
 
 
 def test_short_work_is_moved_early_where_answers_get_lost():
-    f = Fleet(settings(LOOKUP, notes=S // 2), engines=2)
+    f = Fleet(settings(LOOKUP, progress_interval=S // 2), engines=2)
     f.arrive(1)
     f.run(S // 2)
     assert not cancels(f.done)  # nothing tells yet that it is more than slow
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -8,7 +8,7 @@
 import pytest
 import yaml
 
-from cypressledge.counters import Counters
+from cypressledge.broker.metrics import Counters
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.exchange import ADDRESSES_MOST, BUCKET_IDLE, BURST, Exchange
 from cypressledge.fleet.keeper import places
--- a/tests/test_fleet_scale.py
+++ b/tests/test_fleet_scale.py
@@ -6,7 +6,7 @@
 def engines_met(slot, seed=1, peers=40, engines=30):
     """Engines one manager of a large fleet sends to over 20 s of light traffic: a lookup every 100 ms,
     each answered 300 ms later, as one of 40 brokers sees it."""
-    f = Fleet(settings(LOOKUP, REPORT, peers=peers, slot=slot), engines=engines, seed=seed)
+    f = Fleet(settings(LOOKUP, REPORT, broker_count=peers, broker_index=slot), engines=engines, seed=seed)
     owed = []
     for step in range(1000):
         if step % 5 == 0:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from cypressledge import contract as c
+from cypressledge.broker.core import Core
+from cypressledge.broker.metrics import Counters
+from cypressledge.broker.requests import DEADLINE_FAULT, Endpoint, Query
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
-from cypressledge.core import Core
-from cypressledge.counters import Counters
+from cypressledge.decisions import contract as c
 from cypressledge.net.jsonrpc import Call
 from cypressledge.net.lines import CARRIED_MOST, LinesLink
-from cypressledge.requests import LATE, Place, Query
 from cypressledge.settings import settings_of
 from tests.stands import SETTINGS
 
@@ -34,8 +34,10 @@
         self.core = Core(settings_of(SETTINGS), 1, Counters())
         self.link, self.reply = Told(), Told()
         self.core.links["lines"] = self.link
-        entry = c.Entry(7, c.State.READY, 0, 0, 0, 0)
-        self.core.listed("lines", c.ListKind.CACHED, [(entry, Place(7, "s-1", ("127.0.0.1", 1), "lines"))])
+        entry = c.EngineListEntry(7, c.EngineState.READY, 0, 0, 0, 0)
+        self.core.listed(
+            "lines", c.EngineListKind.CACHED, [(entry, Endpoint(7, "s-1", ("127.0.0.1", 1), "lines"))]
+        )
         query = Query("00000000000000aa", 0, "lookup", "sahel", b"SELECT 1", monotonic_us() + 3_000_000)
         self.request = self.core.take(query, self.reply)
         self.settle()
@@ -48,7 +50,7 @@
             what(*args)
 
     def send(self):
-        self.core._send(c.Send(self.request.number, 7))
+        self.core._send(c.StartAttempt(self.request.number, 7))
         return self.request.attempts[-1]
 
     def test_rows_of_two_attempts_never_mix(self):
@@ -68,10 +70,10 @@
         assert [w[0] for w in self.link.words] == ["send"] * 3
         self.core.ended(self.request.attempts[0], c.Outcome.OK, b"a\n")
         self.settle()
-        self.core._send(c.Send(self.request.number, 7))
+        self.core._send(c.StartAttempt(self.request.number, 7))
         assert [w[0] for w in self.link.words] == ["send"] * 3
-        self.core._refuse(c.Refuse(self.request.number))
-        self.core._fail(c.Fail(self.request.number))
+        self.core._refuse(c.RejectRequest(self.request.number))
+        self.core._fail(c.FailRequest(self.request.number))
         assert self.reply.words == [("served", b"a\n")]
 
     def test_what_the_module_forgets_is_answered_and_counted(self):
@@ -104,9 +106,9 @@
 
     def test_engines_that_are_gone_are_forgotten(self):
         for n in range(50):
-            entry = c.Entry(n, c.State.READY, 0, 0, 0, 0)
-            place = Place(n, f"s-{n}", ("127.0.0.1", 1), "lines")
-            self.core.listed("lines", c.ListKind.FULL, [(entry, place)])
+            entry = c.EngineListEntry(n, c.EngineState.READY, 0, 0, 0, 0)
+            place = Endpoint(n, f"s-{n}", ("127.0.0.1", 1), "lines")
+            self.core.listed("lines", c.EngineListKind.FULL, [(entry, place)])
         self.settle()
         assert list(self.core.places) == [49]
 
@@ -121,7 +123,7 @@
             attempt.carrier.connection.close("reset when new")
             self.settle()
         assert not attempt.open
-        assert self.core.events[-1].outcome == c.Outcome.MOOT
+        assert self.core.events[-1].outcome == c.Outcome.NOT_SENT
 
     def test_withdrawn_call_is_owed_no_refusal(self):
         """The module may give up on a request in the tick in which its client withdraws it."""
@@ -129,7 +131,11 @@
         client.open, client.core = {}, self.core
         call = client.open[1] = Call(client, 1)
         call.leave()
-        for answer in (lambda: call.refused(0), lambda: call.served(b""), lambda: call.failed(LATE)):
+        for answer in (
+            lambda: call.refused(0),
+            lambda: call.served(b""),
+            lambda: call.failed(DEADLINE_FAULT),
+        ):
             answer()
         assert client.words == []
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -4,25 +4,25 @@
 
 import pytest
 
-from cypressledge.contract import (
-    Arrival,
+from cypressledge.control import Request
+from cypressledge.decisions.contract import (
+    AttemptEnded,
     ClassSettings,
-    Ended,
-    EngineList,
-    ListKind,
+    EngineListKind,
+    EngineListReceived,
+    EngineState,
     Outcome,
-    SetTerms,
-    State,
-    Timer,
+    RequestReceived,
+    SetAttemptResources,
+    StartTimer,
     TimerFired,
 )
-from cypressledge.control import Request
 from tests.fleet import LOOKUP, REPORT, Fleet, S, entry, of, settings
 
 
 def loop(means, count=10, classes=None):
     """A manager whose last period saw these mean waits."""
-    classes = classes or [ClassSettings(aim=S, deadline=20 * S) for _ in means]
+    classes = classes or [ClassSettings(latency_objective=S, deadline=20 * S) for _ in means]
     f = Fleet(settings(*classes))
     m = f.manager
     observe(m, means, count)
@@ -54,13 +54,19 @@
 
 def test_references_follow_the_aims():
     # aims 1 s and 4 s: the reference is 0.25, so waits of 50 and 200 ms are no error
-    classes = [ClassSettings(aim=S, deadline=20 * S), ClassSettings(aim=4 * S, deadline=20 * S)]
+    classes = [
+        ClassSettings(latency_objective=S, deadline=20 * S),
+        ClassSettings(latency_objective=4 * S, deadline=20 * S),
+    ]
     assert loop([50_000, 200_000], classes=classes).x == pytest.approx([1.0])
 
 
 def test_references_weigh_work_against_worth():
     # equal aims; work of 1 and 8 for worths of 1 and 4: the reference is 1 / 2
-    classes = [ClassSettings(aim=S, deadline=20 * S), ClassSettings(aim=S, deadline=20 * S, worth=4.0)]
+    classes = [
+        ClassSettings(latency_objective=S, deadline=20 * S),
+        ClassSettings(latency_objective=S, deadline=20 * S, priority_weight=4.0),
+    ]
     m = Fleet(settings(*classes)).manager
     m.usual = [1000.0, 8000.0]
     observe(m, [100_000, 200_000])
@@ -96,7 +102,7 @@
 
 
 def test_those_still_waiting_and_those_who_left_count():
-    f = Fleet(settings(REPORT, REPORT), entries=[entry(1, State.DRAINING)])
+    f = Fleet(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     for request in range(8):
         f.arrive(request, cls=request % 2)
     f.run(S)
@@ -109,10 +115,10 @@
 
 
 def test_draw_follows_the_odds_and_an_empty_queue_yields():
-    f = Fleet(settings(REPORT, REPORT), entries=[entry(1, State.DRAINING)])
+    f = Fleet(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     m = f.manager
     for request in range(2000):
-        m.react[Arrival](Arrival(request, request % 2, f.now + 20 * S, cost=1000))
+        m.react[RequestReceived](RequestReceived(request, request % 2, f.now + 20 * S, cost=1000))
     m.x, m.odds = [3.0], [0.25, 0.75]
     sent = []
     m._choose = lambda r: m.engines[1]
@@ -124,11 +130,11 @@
 
 
 def test_bound_starts_at_two_threads_a_core_times_the_share():
-    f = Fleet(settings(peers=1), entries=[entry(1), entry(2, kind=1)])
+    f = Fleet(settings(broker_count=1), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in f.manager.order] == [16, 8]
-    f = Fleet(settings(peers=4), entries=[entry(1), entry(2, kind=1)])
+    f = Fleet(settings(broker_count=4), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in f.manager.order] == [4, 2]
-    f = Fleet(settings(peers=8), entries=[entry(1), entry(2, kind=1)])
+    f = Fleet(settings(broker_count=8), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in f.manager.order] == [2, 1]
     f.manager.order[1].slow = f.manager.slow = 2.5
     assert [f.manager._place(f.manager.order[1], probe(f, n)) for n in (0, 1, 2)] == [True, True, False]
@@ -178,7 +184,7 @@
 
 
 def test_memory_counts_as_places_do():
-    f = Fleet(settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0), grants=True), engines=1)
+    f = Fleet(settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0), supports_memory_grants=True), engines=1)
     for request in range(30):
         f.arrive(request, memory_mb=200.0)
     assert len(f.sends) == 4  # 225 MB each: between the starting mean and the starting grant
@@ -197,7 +203,7 @@
     f = Fleet(engines=1)
     for request in range(20):
         f.arrive(request)
-    f.end(19, Outcome.FULL)
+    f.end(19, Outcome.REJECTED)
     assert f.manager.order[0].bound == 16
     assert f.manager.requests[19].waiting
 
@@ -208,14 +214,14 @@
         f = Fleet(seed=seed)
         f.arrive(1)
         firsts.add(f.sends[0].engine)
-        f.arrive(2, group=1)
-        f.arrive(3, group=2)
+        f.arrive(2, table_group=1)
+        f.arrive(3, table_group=2)
         assert {s.engine for s in f.sends} == {1, 2, 3}
     assert firsts == {1, 2, 3}
 
 
 def test_free_classes_leave_room_on_engines_that_a_bound_class_must_use():
-    bound = dataclasses.replace(REPORT, only_kinds=frozenset((0,)))
+    bound = dataclasses.replace(REPORT, required_kinds=frozenset((0,)))
     f = Fleet(settings(LOOKUP, bound), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
         f.arrive(request)
@@ -227,30 +233,30 @@
 
 
 def test_shortest_first_within_a_class():
-    f = Fleet(engines=1, entries=[entry(1, State.DRAINING)])
+    f = Fleet(engines=1, entries=[entry(1, EngineState.DRAINING)])
     for request, cost in enumerate((300_000, 100_000, 200_000)):
         f.arrive(request, cost=cost)
-    f.tell(EngineList(ListKind.DELTA, (entry(1),)))
+    f.tell(EngineListReceived(EngineListKind.DELTA, (entry(1),)))
     assert [s.request for s in f.sends] == [1, 2, 0]
 
 
 def test_grants_follow_what_answers_bill():
-    f = Fleet(settings(dataclasses.replace(LOOKUP), grants=True))
+    f = Fleet(settings(dataclasses.replace(LOOKUP), supports_memory_grants=True))
     for request in range(300):
         f.arrive(request, memory_mb=100.0)
         f.end(request, memory=300.0)
     f.arrive(999, memory_mb=100.0)
-    assert 270 <= of(SetTerms, f.done)[-1].grant_mb <= 330
+    assert 270 <= of(SetAttemptResources, f.done)[-1].grant_mb <= 330
 
 
 def test_no_terms_where_they_are_not_heeded():
     f = Fleet()
     f.arrive(1, memory_mb=100.0)
-    assert not of(SetTerms, f.done)
+    assert not of(SetAttemptResources, f.done)
 
 
 def test_short_work_is_not_held_for_the_memory_that_long_work_has():
-    f = Fleet(settings(LOOKUP, REPORT, peers=100, kind_memory_mb=(16_000.0, 8_000.0)), engines=10)
+    f = Fleet(settings(LOOKUP, REPORT, broker_count=100, kind_memory_mb=(16_000.0, 8_000.0)), engines=10)
     f.arrive(8, cost=100_000)
     f.end(8)
     f.sends.clear()
@@ -262,12 +268,12 @@
 
 
 def test_load_reports_steer_away_from_a_crowded_engine():
-    f = Fleet(settings(LOOKUP, peers=100, report=("util", "inflight")), engines=2)
+    f = Fleet(settings(LOOKUP, broker_count=100, load_report_fields=("util", "inflight")), engines=2)
     for request in range(200):
         f.arrive(request)
         engine = f.engine_of(request)
         f.tell(
-            Ended(
+            AttemptEnded(
                 request,
                 0,
                 engine,
@@ -286,6 +292,6 @@
 
 def test_an_idle_manager_asks_for_no_timer():
     f = Fleet()
-    assert of(Timer, f.arrive(1))
-    assert not of(Timer, f.end(1))
-    assert not of(Timer, f.tell(TimerFired(0), after=S))
+    assert of(StartTimer, f.arrive(1))
+    assert not of(StartTimer, f.end(1))
+    assert not of(StartTimer, f.tell(TimerFired(0), after=S))
