--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,29 +6,35 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cypressledge.contract import (
-    Arrival,
+from cypressledge.decisions.contract import (
+    AttemptEnded,
     ClassSettings,
-    ClientLeft,
-    Effect,
-    Ended,
-    EngineList,
-    Fail,
-    Group,
-    ListKind,
+    ClientDisconnected,
+    DeduplicationScope,
+    EngineListKind,
+    EngineListReceived,
+    EngineState,
+    FailRequest,
+    Idempotency,
     Outcome,
-    Refuse,
-    Send,
-    State,
+    RejectRequest,
+    RequestReceived,
+    StartAttempt,
 )
 from tests.fleet import LOOKUP, Fleet, S, cancels, entry, finals, of, settings
 
-UNSAFE = ClassSettings(aim=4 * S, deadline=20 * S, effect=Effect.UNSAFE)
-ORDERED = dataclasses.replace(UNSAFE, in_order=True)
+UNSAFE = ClassSettings(latency_objective=4 * S, deadline=20 * S, idempotency=Idempotency.NOT_IDEMPOTENT)
+ORDERED = dataclasses.replace(UNSAFE, ordered=True)
 
 
 def keyed(group):
-    return ClassSettings(aim=S, deadline=20 * S, effect=Effect.KEYED, group=group, window=5 * S)
+    return ClassSettings(
+        latency_objective=S,
+        deadline=20 * S,
+        idempotency=Idempotency.WITH_KEY,
+        deduplication_scope=group,
+        deduplication_window=5 * S,
+    )
 
 
 # 1: every request gets one final answer, before its client's time
@@ -42,23 +48,23 @@
 
 
 def test_waiting_request_ends_before_its_due():
-    f = Fleet(entries=[entry(1, State.DRAINING)])
+    f = Fleet(entries=[entry(1, EngineState.DRAINING)])
     f.arrive(1, cls=1, span=2 * S)
     got = finals(f.run(2 * S))
-    assert got == [Refuse(1)]
+    assert got == [RejectRequest(1)]
 
 
 def test_timeout_at_the_deadline_still_gets_an_answer():
     f = Fleet(settings(UNSAFE))
     f.arrive(1)
-    assert finals(f.end(1, Outcome.TIMEOUT)) == [Fail(1)]
+    assert finals(f.end(1, Outcome.TIMEOUT)) == [FailRequest(1)]
 
 
 def test_nothing_is_sent_after_the_client_left():
     f = Fleet()
     f.arrive(1)
-    f.tell(ClientLeft(1))
-    assert not of(Send, f.end(1, Outcome.CANCELLED))
+    f.tell(ClientDisconnected(1))
+    assert not of(StartAttempt, f.end(1, Outcome.CANCELLED))
     assert not finals(f.done)
     assert not f.manager.requests
 
@@ -67,8 +73,8 @@
     f = Fleet()
     f.arrive(1)
     f.end(1)
-    assert f.tell(ClientLeft(1), ClientLeft(99)) == []
-    assert f.tell(Ended(1, 0, 1, Outcome.OK, True, 5)) == []
+    assert f.tell(ClientDisconnected(1), ClientDisconnected(99)) == []
+    assert f.tell(AttemptEnded(1, 0, 1, Outcome.OK, True, 5)) == []
     assert all(e.threads == 0 for e in f.manager.engines.values())
 
 
@@ -80,36 +86,36 @@
     f = Fleet(settings(UNSAFE))
     f.arrive(1)
     got = f.end(1, outcome)
-    assert finals(got) == [Fail(1)]
-    assert not of(Send, got)
+    assert finals(got) == [FailRequest(1)]
+    assert not of(StartAttempt, got)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
 def test_unsafe_that_never_ran_is_sent_again(outcome):
     f = Fleet(settings(UNSAFE))
     f.arrive(1)
-    assert of(Send, f.end(1, outcome))
+    assert of(StartAttempt, f.end(1, outcome))
 
 
 def test_unsafe_remembers_an_early_attempt_that_may_have_run():
     f = Fleet(settings(UNSAFE))
     f.arrive(1)
-    f.end(1, Outcome.FULL)
-    assert finals(f.end(1, Outcome.RESET)) == [Fail(1)]
+    f.end(1, Outcome.REJECTED)
+    assert finals(f.end(1, Outcome.RESET)) == [FailRequest(1)]
 
 
 def test_unsafe_in_flight_is_failed_not_refused_when_due():
     f = Fleet(settings(UNSAFE))
     f.arrive(1, span=S)
     got = f.run(S)
-    assert finals(got) == [Fail(1)]
+    assert finals(got) == [FailRequest(1)]
     assert not cancels(got)
 
 
 def test_keyed_is_sent_again_only_inside_its_zone():
     for request in range(20):
         zones = [entry(i, zone=i % 2) for i in range(1, 7)]
-        f = Fleet(settings(keyed(Group.ZONE)), entries=zones, seed=request)
+        f = Fleet(settings(keyed(DeduplicationScope.ZONE)), entries=zones, seed=request)
         f.arrive(request)
         first = f.engine_of(request)
         f.end(request, Outcome.RESET)
@@ -120,30 +126,37 @@
 
 
 def test_keyed_outside_its_window_fails():
-    f = Fleet(settings(keyed(Group.CELL)))
+    f = Fleet(settings(keyed(DeduplicationScope.CELL)))
     f.arrive(1)
     got = f.end(1, Outcome.RESET, after=5 * S)
-    assert finals(got) == [Fail(1)]
-    assert not of(Send, got)
+    assert finals(got) == [FailRequest(1)]
+    assert not of(StartAttempt, got)
 
 
 def test_keyed_is_not_sent_again_when_the_send_may_leave_outside_its_window():
     """A link lets a send wait 0.5 s for its connection before it leaves."""
     for window, again in ((S // 2, 0), (S, 1)):
-        f = Fleet(settings(dataclasses.replace(keyed(Group.ALL), window=window)))
+        f = Fleet(settings(dataclasses.replace(keyed(DeduplicationScope.ALL), deduplication_window=window)))
         f.arrive(1)
         got = f.end(1, Outcome.RESET, after=S // 10)
-        assert len(of(Send, got)) == again
+        assert len(of(StartAttempt, got)) == again
 
 
 def test_keyed_does_not_wait_for_a_place_beyond_its_window():
     """A repeat that found no place was sent as soon as one came free, window or not."""
-    f = Fleet(settings(dataclasses.replace(keyed(Group.ALL), aim=15 * S, window=S)), engines=1)
+    f = Fleet(
+        settings(
+            dataclasses.replace(
+                keyed(DeduplicationScope.ALL), latency_objective=15 * S, deduplication_window=S
+            )
+        ),
+        engines=1,
+    )
     for request in range(30):
         f.arrive(request)
     first = f.sends[0].request
     assert not finals(f.end(first, Outcome.RESET, after=S // 10))  # the next in the queue takes its place
-    assert Refuse(first) in f.run(S)
+    assert RejectRequest(first) in f.run(S)
     for n in range(1, 30):  # places come free
         if n < len(f.sends):
             f.end(f.sends[n].request, after=S // 20)
@@ -153,7 +166,7 @@
 
 def test_never_two_attempts_out():
     """A cancelled attempt is out until its outcome comes."""
-    f = Fleet(settings(dataclasses.replace(LOOKUP, aim=4 * S)))
+    f = Fleet(settings(dataclasses.replace(LOOKUP, latency_objective=4 * S)))
     silence(f)
     moved = {a.request for a in cancels(f.done)}
     assert moved
@@ -184,9 +197,9 @@
 @pytest.mark.parametrize(
     "news",
     [
-        EngineList(ListKind.DELTA, (entry(1, State.DRAINING),)),
-        EngineList(ListKind.DELTA, (entry(1, State.GONE),)),
-        EngineList(ListKind.FULL, (entry(2),)),
+        EngineListReceived(EngineListKind.DELTA, (entry(1, EngineState.DRAINING),)),
+        EngineListReceived(EngineListKind.DELTA, (entry(1, EngineState.REMOVED),)),
+        EngineListReceived(EngineListKind.FULL, (entry(2),)),
     ],
 )
 def test_drained_and_missing_engines_get_nothing_at_once(news):
@@ -199,15 +212,15 @@
 
 def test_failed_update_keeps_the_list():
     f = Fleet(engines=2)
-    f.tell(EngineList(ListKind.FAILED))
-    assert of(Send, f.arrive(1))
+    f.tell(EngineListReceived(EngineListKind.FAILED))
+    assert of(StartAttempt, f.arrive(1))
 
 
 # 4: cold engines
 
 
 def cold_work(peers, listed=True):
-    f = Fleet(settings(LOOKUP, peers=peers), entries=[entry(1, born=99 * S if listed else 0)])
+    f = Fleet(settings(LOOKUP, broker_count=peers), entries=[entry(1, born=99 * S if listed else 0)])
     for request in range(400):
         f.arrive(request, cost=100_000)
         if f.sends and f.sends[-1].request == request:
@@ -226,7 +239,7 @@
     f.arrive(1, cost=1_000_000)
     for _ in range(200):
         if f.manager.requests[1].engine:
-            f.end(1, Outcome.FULL)
+            f.end(1, Outcome.REJECTED)
     assert len(f.sends) * 1_000_000 <= 2.0 * 0.3 * 8 * 2 * S
 
 
@@ -279,10 +292,10 @@
 
 
 def test_key_rests_after_a_reset():
-    f = Fleet(settings(ORDERED, key_rest=S // 2))
+    f = Fleet(settings(ORDERED, ordering_key_cooldown=S // 2))
     f.arrive(1, key=7)
     f.arrive(2, key=7)
-    assert finals(f.end(1, Outcome.RESET)) == [Fail(1)]
+    assert finals(f.end(1, Outcome.RESET)) == [FailRequest(1)]
     f.arrive(3, key=7)
     assert [s.request for s in f.sends] == [1]
     f.run(S // 2 - 20_000)
@@ -295,7 +308,7 @@
     f = Fleet(settings(ORDERED))
     f.arrive(1, key=7, span=S)
     f.arrive(2, key=7)
-    assert finals(f.run(S)) == [Fail(1)]
+    assert finals(f.run(S)) == [FailRequest(1)]
     assert [s.request for s in f.sends] == [1]
     f.end(1, Outcome.OK, final=True)
     assert [s.request for s in f.sends] == [1, 2]
@@ -305,7 +318,7 @@
     f = Fleet(settings(ORDERED))
     f.arrive(1, key=7)
     f.arrive(2, key=7)
-    f.end(1, Outcome.FULL)
+    f.end(1, Outcome.REJECTED)
     assert [s.request for s in f.sends] == [1, 1]
 
 
@@ -313,14 +326,14 @@
 
 
 def test_bound_class_waits_or_ends_but_goes_nowhere_else():
-    bound = dataclasses.replace(LOOKUP, only_kinds=frozenset((1,)), only_zones=frozenset((0,)))
+    bound = dataclasses.replace(LOOKUP, required_kinds=frozenset((1,)), required_zones=frozenset((0,)))
     f = Fleet(settings(bound), entries=[entry(1), entry(2, kind=1), entry(3, kind=1, zone=1)])
     f.arrive(1)
     f.end(1, Outcome.RESET)
-    f.end(1, Outcome.FULL)
+    f.end(1, Outcome.REJECTED)
     assert {s.engine for s in f.sends} <= {2}
-    f.tell(EngineList(ListKind.DELTA, (entry(2, State.GONE, kind=1),)))
-    assert not of(Send, f.arrive(2))
+    f.tell(EngineListReceived(EngineListKind.DELTA, (entry(2, EngineState.REMOVED, kind=1),)))
+    assert not of(StartAttempt, f.arrive(2))
     assert len(finals(f.run(5 * S))) >= 1
 
 
@@ -328,7 +341,15 @@
 
 
 def test_further_attempts_stay_inside_the_sliding_window():
-    f = Fleet(settings(LOOKUP, retry_ratio=0.2, retry_free=2, retry_window=10 * S, max_attempts=1000))
+    f = Fleet(
+        settings(
+            LOOKUP,
+            retry_budget_ratio=0.2,
+            retry_budget_floor=2,
+            retry_budget_window=10 * S,
+            max_attempts=1000,
+        )
+    )
     taken, extra = [], []
     for request in range(60):
         f.arrive(request)
@@ -348,10 +369,18 @@
 
 def test_requests_taken_back_unsent_feed_no_ration():
     """A client that takes back hundreds at once must not buy further attempts for the others."""
-    f = Fleet(settings(LOOKUP, retry_ratio=0.1, retry_free=0, retry_window=10 * S, max_attempts=1000))
+    f = Fleet(
+        settings(
+            LOOKUP,
+            retry_budget_ratio=0.1,
+            retry_budget_floor=0,
+            retry_budget_window=10 * S,
+            max_attempts=1000,
+        )
+    )
     f.tell(
-        *(Arrival(n, 0, f.now + S, cost=100_000) for n in range(100, 300)),
-        *(ClientLeft(n) for n in range(100, 300)),
+        *(RequestReceived(n, 0, f.now + S, cost=100_000) for n in range(100, 300)),
+        *(ClientDisconnected(n) for n in range(100, 300)),
     )
     f.arrive(1)
     f.end(1, Outcome.ERROR)
@@ -363,17 +392,17 @@
 
 @given(st.data())
 def test_random_days_keep_the_books(data):
-    classes = (LOOKUP, UNSAFE, ORDERED, keyed(Group.ZONE))
+    classes = (LOOKUP, UNSAFE, ORDERED, keyed(DeduplicationScope.ZONE))
     f = Fleet(
-        settings(*classes, key_rest=S // 10),
+        settings(*classes, ordering_key_cooldown=S // 10),
         entries=[entry(i, zone=i % 2) for i in range(1, 5)],
         seed=data.draw(st.integers(0, 99)),
     )
-    outcomes = [Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
+    outcomes = [Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET, Outcome.CONNECT_FAILED]
     answered = []
     for request in range(40):
         cls = data.draw(st.integers(0, 3))
-        f.tell(Arrival(request, cls, f.now + 2 * S, key=cls and request % 3, cost=50_000))
+        f.tell(RequestReceived(request, cls, f.now + 2 * S, key=cls and request % 3, cost=50_000))
         for other in list(f.manager.requests.values()):
             if other.engine and data.draw(st.booleans()):
                 outcome = data.draw(st.sampled_from(outcomes))
@@ -399,7 +428,10 @@
     windows, budget = 3, 2.0 * 0.3 * 8 * 2 * S
     sent = 0
     for slot in range(peers):
-        f = Fleet(settings(LOOKUP, peers=peers, slot=slot, kind_cores=(8,)), entries=[entry(1, born=99 * S)])
+        f = Fleet(
+            settings(LOOKUP, broker_count=peers, broker_index=slot, kind_cores=(8,)),
+            entries=[entry(1, born=99 * S)],
+        )
         for request in range(windows * 2 * S // every):
             f.arrive(request, cost=100_000)
             for r in list(f.manager.engines[1].out.values()):
@@ -410,7 +442,7 @@
 
 
 def test_share_of_a_bound_under_a_query_caps_the_sum_of_own_work():
-    f = Fleet(settings(LOOKUP, peers=250), engines=10)
+    f = Fleet(settings(LOOKUP, broker_count=250), engines=10)
     for request in range(60):
         f.arrive(request)
     assert len(f.sends) == 3  # ten engines of 16 threads by 250, 1.25 times, and two lookups of room
@@ -419,9 +451,13 @@
 def test_a_manager_that_runs_long_does_not_grow():
     f = Fleet(settings(ORDERED), entries=[entry(1)])
     for n in range(1, 200):
-        f.arrive(n, key=n, group=n)
+        f.arrive(n, key=n, table_group=n)
         f.end(n, Outcome.TIMEOUT)
-        f.tell(EngineList(ListKind.DELTA, (entry(n, State.GONE), entry(n + 1, born=f.now))))
+        f.tell(
+            EngineListReceived(
+                EngineListKind.DELTA, (entry(n, EngineState.REMOVED), entry(n + 1, born=f.now))
+            )
+        )
         f.run(3 * S)
         assert f.attempts[n] == 0
     m = f.manager
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -11,8 +11,8 @@
 import gevent.socket
 import pytest
 
+from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
-from cypressledge.counters import Counters
 from cypressledge.net.jsonrpc import SKIPPED_MOST, Client, Used
 from cypressledge.net.stream import KEPT, LOOKS, QUEUED, Crowd, Listener, Writer
 from tests.stands import ROW, SETTINGS, WAIT, Case, NameServer, Rpc, content, held, silent, until, whole
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,8 +1,8 @@
 """When engines count as started: ages by Unix times, under clocks of ours or theirs that are wrong."""
 
+from cypressledge.broker.engine_start_times import FORGET_SPARE, Starts
+from cypressledge.broker.maintenance import Maintenance
 from cypressledge.clock import BEGINNING, StepWatch, monotonic_us
-from cypressledge.maintenance import Maintenance
-from cypressledge.starts import FORGET_SPARE, Starts
 
 S = 1_000_000
 NOW = BEGINNING + 1_000 * S
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "cypressledge"
-DECISIONS = [PACKAGE / name for name in ("contract.py", "control.py", "retries.py")]
+DECISIONS = [PACKAGE / "control.py", PACKAGE / "retries.py", *(PACKAGE / "decisions").rglob("*.py")]
 ALLOWED_IMPORTS = {
     "collections",
     "cypressledge",
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from cypressledge import contract as c
-from cypressledge.simhost import Host, engine_id, read_settings
+from cypressledge.decisions import contract as c
+from cypressledge.simulator_adapter import Host, engine_id, read_settings
 
 ROOT = Path(__file__).parent.parent
 ENGINE = bytes([10, 18, 74, 7, 0x5B, 0x1B])
@@ -82,35 +82,49 @@
     record = struct.pack("<BIIBIH6sIBB4f", 4, 3, 9, 0, 18500, 2, ENGINE, bill, 253, 2, 3.0, 0.6, 0, 0)
     got = Host()._decode(4, record.ljust(48, b"\0"), 0, 0, 48)
     assert (got.request, got.attempt, got.engine, got.final) == (9, 2, engine_id(ENGINE), False)
-    assert (got.outcome, got.work, got.memory_mb, len(got.report)) == (c.Outcome.TIMEOUT, 20_000, 12.0, 2)
+    assert (got.outcome, got.work, got.memory_mb, len(got.load_report)) == (
+        c.Outcome.TIMEOUT,
+        20_000,
+        12.0,
+        2,
+    )
 
 
 def test_settings_in_our_names():
     s = read_settings(json.dumps(SETTINGS).encode())
-    assert (s.peers, s.slot, s.kind_cores, s.classes[0].only_kinds) == (2, 1, (12, 8), frozenset((0,)))
-    assert s.retry_ratio is None
-    assert s.classes[0].only_zones is None
+    assert (s.broker_count, s.broker_index, s.kind_cores, s.classes[0].required_kinds) == (
+        2,
+        1,
+        (12, 8),
+        frozenset((0,)),
+    )
+    assert s.retry_budget_ratio is None
+    assert s.classes[0].required_zones is None
 
 
 @pytest.mark.parametrize(
     "change",
     [
-        {"tick": 0},
-        {"peers": 0},
+        {"timer_resolution": 0},
+        {"broker_count": 0},
         {"max_attempts": 0},
-        {"start_capacity": 2.0},
+        {"slow_start_capacity": 2.0},
         {"kind_cores": (0,)},
         {"classes": ()},
     ],
 )
 def test_settings_out_of_range_name_the_field(change):
-    plain = {"classes": (c.ClassSettings(aim=1, deadline=2),), "kind_cores": (8,), "tick": 5000}
+    plain = {
+        "classes": (c.ClassSettings(latency_objective=1, deadline=2),),
+        "kind_cores": (8,),
+        "timer_resolution": 5000,
+    }
     with pytest.raises(ValueError, match=next(iter(change))):
         c.Settings(**(plain | change))
 
 
 def simhost(raw):
-    command = [sys.executable, "-m", "cypressledge.simhost"]
+    command = [sys.executable, "-m", "cypressledge.simulator_adapter"]
     return subprocess.run(command, input=raw, cwd=ROOT, capture_output=True)
 
 
@@ -158,4 +172,4 @@
     code = text.split("```python")[1].split("```")[0]
     space = {}
     exec(code, space)
-    assert space["sent"]
+    assert space["attempts"]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cypressledge.contract import Outcome
+from cypressledge.decisions.contract import Outcome
 from cypressledge.fleet import judge as judging
 from cypressledge.fleet.evidence import Evidence
 from cypressledge.fleet.judge import Finding, Told, Verdict, judge
@@ -47,7 +47,7 @@
     e.ended(2 * S, 2, "y", Outcome.OK, 100_000, 100_000, 70_000)
     e.ended(2 * S, 2, "z", Outcome.OK, 3 * S, 100_000)
     e.ended(2 * S, 3, "w", Outcome.CONNECT_FAILED, 1, 1)
-    e.ended(2 * S, 3, "v", Outcome.FULL, 1, 1)
+    e.ended(2 * S, 3, "v", Outcome.REJECTED, 1, 1)
     seen = {s.engine: s for s in e.sight(2 * S)}
     assert seen[2] == EngineSeen(2, 1, 1, 0, 0, 0, 70_000, 0, 0)
     assert seen[3] == EngineSeen(3, 0, 0, 1, 0, 0, 0, 1)
