--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -40,3 +40,8 @@
     command = [sys.executable, "-m", "ruff", "check", "--no-cache", "."]
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     assert run.returncode == 0, run.stdout
+
+
+def test_mypy_is_clean_over_the_finished_packages():
+    run = subprocess.run([sys.executable, "-m", "mypy"], cwd=ROOT, capture_output=True, text=True)
+    assert run.returncode == 0, run.stdout
