--- a/cypressledge/controlplane/faults.py
+++ b/cypressledge/controlplane/faults.py
@@ -1,7 +1,7 @@
 """For the laboratory alone: a control process that ends or stops itself at a named step.
 
-CYPRESSLEDGE_LAB_FAULT="WHEN-WHAT:STEP:N": `kill-after:append:1` is killed once the first Append with an
-operator's named change has left; `kill-before:promised:1`, `stop-before:append:2` (SIGSTOP),
+CYPRESSLEDGE_LAB_FAULT="WHEN-WHAT:STEP:N": `kill-after:append:1` is killed once the first AppendEntries with
+an operator's named change has left; `kill-before:promised:1`, `stop-before:append:2` (SIGSTOP),
 `kill-before-answer:2` (an operator's second change is decided, not answered), `disk-full:append:2` (its
 second write of entries and all that follow fail). Steps are the tags of `messages.py`, and the store's.
 CYPRESSLEDGE_LAB_ONCE=FILE: of all processes that are given the same file, one strikes: who makes it.
--- a/cypressledge/controlplane/follower.py
+++ b/cypressledge/controlplane/follower.py
@@ -16,18 +16,18 @@
 from cypressledge.controlplane.history import unpack
 from cypressledge.controlplane.messages import (
     FORMAT,
-    Beat,
+    AppliedPosition,
     Change,
+    CompleteSnapshot,
     Deltas,
-    Goodbye,
-    Have,
+    Disconnect,
+    Heartbeat,
     Hello,
+    HelloAccepted,
     Message,
     Snapshot,
-    Welcome,
-    Whole,
-    WholeWanted,
-    one_line,
+    SnapshotRequest,
+    to_printable_line,
 )
 from cypressledge.controlplane.state import FleetState, StateError
 from cypressledge.fleet.ranks import weight
@@ -122,7 +122,7 @@
         self._back: int | None = None  # whom we left to try a nearer one
         self._primary_at: int | None = None
         self._primary = ""
-        self._differed = -1  # version at which a Beat's digest differed
+        self._differed = -1  # version at which a Heartbeat's digest differed
         self._stale: dict[int, int] = {}  # server -> µs until which it is no home
         self._stale_tries = self._stale_at = 0
 
@@ -163,10 +163,10 @@
                 "broker",
                 self.name,
                 self.run,
-                state.lineage,
+                state.cluster_id,
                 state.epoch,
                 state.version,
-                state.digest if state.lineage else b"",
+                state.digest if state.cluster_id else b"",
                 self.address,
                 self.zone,
                 self.region,
@@ -185,21 +185,21 @@
             return
         self._heard = now
         following = self.phase is Phase.FOLLOWING
-        if isinstance(message, Goodbye):
+        if isinstance(message, Disconnect):
             self._goodbye(now, message)
-        elif isinstance(message, Welcome) and not following:
+        elif isinstance(message, HelloAccepted) and not following:
             self._welcome(now, message)
         elif isinstance(message, Deltas) and following:
             self._deltas(message.changes)
-        elif isinstance(message, Whole) and following:
-            self._whole(now, message.packed)
-        elif isinstance(message, Beat) and following:
+        elif isinstance(message, CompleteSnapshot) and following:
+            self._whole(now, message.compressed)
+        elif isinstance(message, Heartbeat) and following:
             self._beat(now, message)
         else:
             self._leave(now, "nonsense")
 
-    def _welcome(self, now: int, message: Welcome) -> None:
-        if not self._own(message.lineage):
+    def _welcome(self, now: int, message: HelloAccepted) -> None:
+        if not self._own(message.cluster_id):
             return self._leave(now, "lineage")
         self.phase, self._back = Phase.FOLLOWING, None
         if self.current == 0:
@@ -210,29 +210,29 @@
 
     def _own(self, lineage: str) -> bool:
         """Whether a history may be ours; one that has no name yet has nothing to send."""
-        return not lineage or lineage == (self.state.lineage or self.lineage or lineage)
+        return not lineage or lineage == (self.state.cluster_id or self.lineage or lineage)
 
-    def _goodbye(self, now: int, message: Goodbye) -> None:
-        after = min(max(message.after_ms, 0) * 1000, AFTER_MOST)
+    def _goodbye(self, now: int, message: Disconnect) -> None:
+        after = min(max(message.retry_after_ms, 0) * 1000, AFTER_MOST)
         if after:
             self._not_before[self.current] = now + after + self._part(after // 4)
-        self._leave(now, f"goodbye {message.why[:40]}")
+        self._leave(now, f"goodbye {message.reason[:40]}")
 
-    def _beat(self, now: int, beat: Beat) -> None:
-        if beat.silent_ms >= 0:
-            heard = now - beat.silent_ms * 1000
+    def _beat(self, now: int, beat: Heartbeat) -> None:
+        if beat.leader_silence_ms >= 0:
+            heard = now - beat.leader_silence_ms * 1000
             self._primary_at = heard if self._primary_at is None else max(heard, self._primary_at)
-            self._primary = beat.primary
+            self._primary = beat.leader
         state = self.state
-        differs = state.lineage and beat.version == state.version and beat.digest != state.digest
+        differs = state.cluster_id and beat.version == state.version and beat.digest != state.digest
         if differs and self._differed != state.version:  # guards against a log line a second
             self._differed = state.version
             self._count("digest_differs", epoch=beat.epoch, version=beat.version)
         self._look_elsewhere(now, beat)
 
-    def _look_elsewhere(self, now: int, beat: Beat) -> None:
+    def _look_elsewhere(self, now: int, beat: Heartbeat) -> None:
         """Guards against a control process that is cut off from the others while they can be reached."""
-        if 0 <= beat.silent_ms < STALE_MS:
+        if 0 <= beat.leader_silence_ms < STALE_MS:
             self._stale_tries = 0
         elif len(self.servers) > 1 and now - self._at >= STALE_MS * 1000 and now >= self._stale_at:
             low, high = STALE_AGAIN
@@ -252,12 +252,12 @@
         else:
             self.out(wanted)
 
-    def _take(self, changes: list[Change]) -> WholeWanted | None:
+    def _take(self, changes: list[Change]) -> SnapshotRequest | None:
         """What follows, up to where a snapshot is wanted instead, if anywhere."""
         for change in changes:
-            if not self.state.lineage or change.version > self.state.version + 1:
+            if not self.state.cluster_id or change.version > self.state.version + 1:
                 self._count("gap", version=change.version, own=self.state.version)
-                return WholeWanted("gap")
+                return SnapshotRequest("gap")
             if change.version <= self.state.version or change.epoch < self.state.epoch:
                 self._turn_down(change.epoch, change.version)
                 continue
@@ -266,7 +266,7 @@
                 self.state.apply(change)
             except StateError as err:
                 self._count("delta_differs", version=change.version, why=str(err))
-                return WholeWanted("digest")
+                return SnapshotRequest("digest")
             self._taken(before, change)
         return None
 
@@ -277,7 +277,7 @@
         except StateError as err:
             self._count("bad_whole", why=str(err))
             return self._leave(now, "bad snapshot")
-        if not snapshot.lineage or not self._own(snapshot.lineage):
+        if not snapshot.cluster_id or not self._own(snapshot.cluster_id):
             return self._leave(now, "lineage")
         if not self._newer(snapshot):
             return self._have()
@@ -290,7 +290,7 @@
     def _newer(self, snapshot: Snapshot) -> bool:
         """Whether a snapshot is to be taken: see the head of this file."""
         own = self.state
-        if not own.lineage:
+        if not own.cluster_id:
             return True
         if snapshot.version < own.version or snapshot.epoch < own.epoch:
             self._turn_down(snapshot.epoch, snapshot.version)
@@ -311,17 +311,17 @@
         after = self.state.position
         self.counters.invariant(after[0] >= before[0] and after[1] >= before[1], "never_back")
         self.counters.add("wholes_taken" if change is None else "changes_taken")
-        self.refused = one_line(self.changed(self.state, change) or "")
+        self.refused = to_printable_line(self.changed(self.state, change) or "")
 
     def _settle(self) -> None:
         if self.settled is not None:
-            self.refused = one_line(self.settled() or "")
+            self.refused = to_printable_line(self.settled() or "")
 
     def _turn_down(self, epoch: int, version: int) -> None:
         self._count("turned_down", epoch=epoch, version=version, own=self.state.position)
 
     def _have(self) -> None:
-        self.out(Have(self.state.epoch, self.state.version, self.state.digest, self.refused))
+        self.out(AppliedPosition(self.state.epoch, self.state.version, self.state.digest, self.refused))
 
     def _connect(self, now: int) -> None:
         self.phase, self._at, self._home_at = Phase.CONNECTING, now, None
@@ -401,7 +401,7 @@
             "phase": self.phase.value,
             "server": server and server.name,
             "address": server and server.address,
-            "lineage": state.lineage,
+            "lineage": state.cluster_id,
             "epoch": state.epoch,
             "version": state.version,
             "digest": state.digest.hex(),
--- a/cypressledge/controlplane/frames.py
+++ b/cypressledge/controlplane/frames.py
@@ -10,7 +10,7 @@
 
 from gevent import Timeout, sleep, socket
 
-from cypressledge.controlplane.messages import FRAME_MOST, Message, Unreadable, decode, encode
+from cypressledge.controlplane.messages import MAX_FRAME_BYTES, InvalidFrameError, Message, decode, encode
 from cypressledge.net.buffer import Buffer, TooLong
 from cypressledge.net.stream import Writer, dial, end, shut
 
@@ -49,7 +49,7 @@
     """One connection. Whoever calls `receive` is its only reader, and closes it in the end. `most`: bytes of
     the largest frame that is taken."""
 
-    def __init__(self, sock, traffic: Traffic, most: int = FRAME_MOST) -> None:
+    def __init__(self, sock, traffic: Traffic, most: int = MAX_FRAME_BYTES) -> None:
         self.sock, self.traffic, self.most = sock, traffic, most
         self.buffer = Buffer(most + HEAD + 1)
         self.need, self.began = 0, 0.0  # bytes of the frame whose head has come; s when its first byte came
@@ -100,7 +100,7 @@
         self.need, self.began = 0, time.monotonic()
         try:
             message = decode(body)
-        except Unreadable as err:
+        except InvalidFrameError as err:
             raise Ended(f"nonsense: {err}") from None
         self.traffic.add("in", message, len(body) + HEAD)
         return message
--- a/cypressledge/controlplane/history.py
+++ b/cypressledge/controlplane/history.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.controlplane.messages import DELTA_BYTES, FRAME_MOST, Change, Snapshot
+from cypressledge.controlplane.messages import MAX_BATCH_BYTES, MAX_FRAME_BYTES, Change, Snapshot
 from cypressledge.controlplane.state import FleetState, StateError
 
 CHANGES_MOST = 4_096  # changes kept
@@ -29,7 +29,7 @@
     try:
         # Guards against a few bytes that unpack into all memory.
         body = reader.decompress(packed, UNPACKED_MOST)
-        if not reader.eof or reader.unused_data or len(packed) > FRAME_MOST:
+        if not reader.eof or reader.unused_data or len(packed) > MAX_FRAME_BYTES:
             raise StateError("snapshot: cut short, or too large")
         return _decode(body)
     except (zlib.error, msgspec.MsgspecError, ValueError, RecursionError) as err:
@@ -88,7 +88,7 @@
         return change.epoch, change.version, change.digest
 
     def since(
-        self, epoch: int, version: int, digest: bytes, most_bytes: int = DELTA_BYTES
+        self, epoch: int, version: int, digest: bytes, most_bytes: int = MAX_BATCH_BYTES
     ) -> list[Change] | None:
         """The changes after a position, up to `most_bytes` of them but one at least; empty where there are
         none. None: only a snapshot can follow it (too old, not yet here, or not of this history)."""
--- a/cypressledge/controlplane/lag.py
+++ b/cypressledge/controlplane/lag.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from cypressledge.controlplane.messages import Seen
+from cypressledge.controlplane.messages import AppliedReport
 
 NAMES_MOST = 50  # that an answer names
 
@@ -17,7 +17,7 @@
 class Sight:
     """What one broker holds, said at a moment (µs); `refused`: why some of it is not in force there."""
 
-    run: int
+    instance_id: int
     version: int
     at: int
     refused: str = ""
@@ -29,9 +29,9 @@
     def __init__(self) -> None:
         self.told: dict[str, dict[str, Sight]] = {}  # by control process, by broker
 
-    def report(self, now: int, sender: str, seen: Seen) -> None:
+    def report(self, now: int, sender: str, seen: AppliedReport) -> None:
         """Take what one control process says. Changes alone tell nothing: what they change isn't known."""
-        if seen.all:
+        if seen.is_complete:
             self.told[sender] = {}
         brokers = self.told.get(sender)
         if brokers is None:
@@ -40,7 +40,7 @@
             if version < 0:
                 brokers.pop(name, None)
             else:
-                brokers[name] = Sight(run, version, now, seen.refused.get(name, ""))
+                brokers[name] = Sight(run, version, now, seen.rejections.get(name, ""))
 
     def drop(self, sender: str) -> None:
         """A control process can't be heard: what it said may no longer be so."""
--- a/cypressledge/controlplane/learner.py
+++ b/cypressledge/controlplane/learner.py
@@ -44,11 +44,11 @@
             self.committed([change], None)
 
     @property
-    def lineage(self) -> str:
+    def cluster_id(self) -> str:
         """Of the history held."""
-        return self.agent.state.lineage
+        return self.agent.state.cluster_id
 
-    def willing(self, now: int) -> bool:
+    def is_eligible(self, now: int) -> bool:
         """Never to lead."""
         return False
 
@@ -83,6 +83,6 @@
             {},
             silent,
             self.primary,
-            state.lineage,
+            state.cluster_id,
             False,
         )
--- a/cypressledge/controlplane/messages.py
+++ b/cypressledge/controlplane/messages.py
@@ -1,51 +1,60 @@
-"""What control processes, brokers and operators say to each other (msgspec, MessagePack). No I/O.
+"""Messages between control processes, brokers and operators (msgspec structs, MessagePack). No I/O.
 
-Frames over TCP: four bytes of length (big endian), then one message. `Change` is also what is kept on disk.
-A position is (epoch, version): the version numbers the history, the epoch is the token of the lease under
-which that version was written.
+A frame on a TCP connection is a length of four bytes (big endian) and one message. `Change` and `Snapshot`
+are also what a voter keeps on disk. Structs are encoded as arrays: the order of fields and the tags are the
+wire format and must not change while `FORMAT` stays; the names of classes and fields are free.
+
+A position is (epoch, version). The version numbers the changes of the replicated log; the epoch (Raft's term)
+is the fencing token of the lease under which that version was written.
 """
 
 from typing import Literal
 
 import msgspec
 
-FORMAT = 1  # of this set of messages; the first frame says it, another one ends it
-FRAME_MOST = 4 << 20  # bytes of one frame
-OPS_MOST = 2_000  # keys that one change may touch
-CHANGE_MOST = 512 << 10  # bytes of one change
-DELTA_BYTES = 128 << 10  # of changes in one Deltas or Append, but for a single larger change
-REFUSED_MOST = 200  # characters of why a broker has turned settings down
+FORMAT = 1  # of this set of messages, sent in the first frame; a peer with another one is disconnected
+MAX_FRAME_BYTES = 4 << 20  # of one message, without its length prefix
+MAX_OPS_PER_CHANGE = 2_000  # keys that one change may set or remove
+MAX_CHANGE_BYTES = 512 << 10  # of one change's keys and values
+MAX_BATCH_BYTES = 128 << 10  # of the changes in one Deltas or AppendEntries, unless a single change is larger
+MAX_REJECTION_REASON_LENGTH = 200  # characters of why a broker has rejected settings
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Anything that a frame carries."""
+    """Base of everything that a frame carries; the tag tells the classes apart on the wire."""
 
 
 class Op(msgspec.Struct, frozen=True, array_like=True):
-    """One key set or, with no value, removed. Keys: `config/SECTION`, `engine/NAME`, `broker/NAME`. The
-    value is the canonical encoding (`state.canonical`) of plain data."""
+    """An operation on one key: set it to a value or, without a value, remove it.
+
+    Keys are `config/SECTION`, `engine/NAME` and `broker/NAME`. The value is plain data in the canonical
+    encoding (see `state.py`).
+    """
 
     key: str
     value: bytes | None = None
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the history. `digest`: of the whole state after it. `request`: who asked for it names it,
-    so that a repeat is known; empty for what the primary does by itself. `at`: the primary's wall clock,
-    ms: to be read by people, decides nothing."""
+    """One entry of the replicated log.
+
+    `digest` is that of the complete state after the change. `request_id` is chosen by whoever asks for the
+    change, so that a repeated request is recognised; it is empty for changes that the leader makes by itself.
+    `created_at_ms` is the leader's wall clock, for people to read only: nothing is decided by it.
+    """
 
     epoch: int
     version: int
     ops: list[Op]
     digest: bytes
-    request: str = ""
-    who: str = ""
-    why: str = ""
-    at: int = 0
+    request_id: str = ""
+    author: str = ""
+    reason: str = ""
+    created_at_ms: int = 0
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One key of a snapshot: its value and the version that set it."""
+class StateEntry(msgspec.Struct, frozen=True, array_like=True):
+    """One key of the state: its value and the version that set it."""
 
     key: str
     value: bytes
@@ -53,112 +62,129 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The whole state at a position. `requests`: the last requests, oldest first, and the versions they
-    became."""
+    """The complete state at a position.
+
+    `requests` holds the most recent request ids, oldest first, and the versions they became. `cluster_id`
+    names the replicated log from its first version on.
+    """
 
-    lineage: str
+    cluster_id: str
     epoch: int
     version: int
     digest: bytes
-    entries: list[Entry]
+    entries: list[StateEntry]
     requests: list[tuple[str, int]]
 
 
-# Every connection
+# Handshake and end of every connection
 
 
 class Hello(Message, frozen=True, tag="hello"):
-    """First frame of whoever connects. `role`: control, broker. A broker says where it is, what it holds, and
-    why it has turned that down (see Have)."""
+    """First frame of whoever connects.
+
+    `instance_id` differs between two processes that had the same name one after the other. A broker also says
+    where it is, which position it holds and why it rejected some of that (see `AppliedPosition`).
+    """
 
     format: int
     role: Literal["control", "broker"]
     name: str
-    run: int
-    lineage: str = ""  # of the history held; empty: none yet
+    instance_id: int
+    cluster_id: str = ""  # of the state held; empty while none is
     epoch: int = 0
     version: int = 0
     digest: bytes = b""
-    address: str = ""  # a broker's fleet socket, HOST:PORT; empty: it is not to be registered
+    address: str = ""  # HOST:PORT of a broker's fleet socket; empty: it is not to be registered
     zone: str = ""
     region: str = ""
-    refused: str = ""
+    rejection_reason: str = ""
 
 
-class Welcome(Message, frozen=True, tag="welcome"):
-    """The answer: this connection is taken. `run` names the control process's life."""
+class HelloAccepted(Message, frozen=True, tag="welcome"):
+    """Answer to `Hello`: the connection is accepted by the control process of this name and instance."""
 
     name: str
-    run: int
-    lineage: str
+    instance_id: int
+    cluster_id: str
+
 
+class Disconnect(Message, frozen=True, tag="goodbye"):
+    """The sender closes the connection.
 
-class Goodbye(Message, frozen=True, tag="goodbye"):
-    """This connection ends, and why: format, lineage, full, replaced, silent, nonsense, stopping. `after_ms`:
-    come again no sooner."""
+    `reason` is one of format, lineage, full, replaced, silent, nonsense, stopping. The peer reconnects after
+    `retry_after_ms` at the earliest.
+    """
 
-    why: str
-    after_ms: int = 0
+    reason: str
+    retry_after_ms: int = 0
 
 
-# Control processes to brokers
+# Control process to broker
 
 
 class Deltas(Message, frozen=True, tag="deltas"):
-    """Committed changes that follow what the broker said it holds, in order."""
+    """Committed changes that follow the position the broker reported, in order and without a gap."""
 
     changes: list[Change]
 
 
-class Whole(Message, frozen=True, tag="whole"):
-    """A committed snapshot: zlib over the encoded `Snapshot`, made once for all brokers at a version."""
+class CompleteSnapshot(Message, frozen=True, tag="whole"):
+    """A committed snapshot: the encoded `Snapshot`, compressed with zlib once a version."""
 
-    packed: bytes
+    compressed: bytes
 
 
-class Beat(Message, frozen=True, tag="beat"):
-    """The newest committed position that this control process knows, and how long ago it last heard of a
-    primary (-1: never), ms. Sent when nothing else was for a while."""
+class Heartbeat(Message, frozen=True, tag="beat"):
+    """The newest committed position that this control process knows; sent while nothing else is.
+
+    `leader_silence_ms` is how long ago it last heard from the leader; -1 if it never has.
+    """
 
     epoch: int
     version: int
     digest: bytes
-    primary: str
-    silent_ms: int
+    leader: str
+    leader_silence_ms: int
+
 
+# Broker to control process
 
-# Brokers to control processes
 
+class AppliedPosition(Message, frozen=True, tag="have"):
+    """The position that the broker holds now; it also permits the next `Deltas`, of which one is in flight.
 
-class Have(Message, frozen=True, tag="have"):
-    """What the broker holds now. Also the leave to send the next Deltas: one is out at a time. `refused`: why
-    the broker's own process has turned some of it down, one short line; empty: all of it is in force."""
+    `rejection_reason` is one short line on why the broker's own process rejected some of that state; empty if
+    all of it is applied.
+    """
 
     epoch: int
     version: int
     digest: bytes
-    refused: str = ""
+    rejection_reason: str = ""
 
 
-class WholeWanted(Message, frozen=True, tag="wholewanted"):
-    """What came doesn't fit what is held (`why`: digest, gap): the broker asks for a snapshot."""
+class SnapshotRequest(Message, frozen=True, tag="wholewanted"):
+    """What was received does not fit the state held (`reason`: digest or gap): a snapshot is needed."""
 
-    why: str
+    reason: str
 
 
-# Between control processes: each carries the sender's epoch; an older one is answered with Denied
+# Control process to control process. Each carries the sender's epoch; an older one is answered with `Denied`.
 
 
 class Prepare(Message, frozen=True, tag="prepare"):
-    """A new primary asks for a promise: take nothing from any epoch below this."""
+    """A candidate asks for the promise to accept nothing from any epoch below this one."""
 
     epoch: int
-    run: int
+    instance_id: int
 
 
-class Promised(Message, frozen=True, tag="promised"):
-    """The promise is on disk. The newest entry that the sender holds, and the highest version that it knows
-    to be committed. `joining`: the sender has lost its disk or was put back, and does not count."""
+class Promise(Message, frozen=True, tag="promised"):
+    """Answer to `Prepare`, once the promise is on disk.
+
+    Tells the position of the newest entry that the sender holds and the highest version that it knows to be
+    committed. A voter that is `joining` has lost its disk or has an old one, and does not count.
+    """
 
     epoch: int
     last_epoch: int
@@ -167,26 +193,32 @@
     joining: bool = False
 
 
-class Fetch(Message, frozen=True, tag="fetch"):
-    """A new primary takes in the history of whoever had the newest: what follows this version."""
+class FetchEntries(Message, frozen=True, tag="fetch"):
+    """A candidate asks the voter with the newest log for the entries that follow this position."""
 
     epoch: int
     prev_epoch: int
     prev_version: int
 
 
-class Fetched(Message, frozen=True, tag="fetched"):
-    """The answer to Fetch: changes from `prev` on, or a snapshot first where those are no longer kept or
-    `prev` is not in the sender's history. `more`: ask again."""
+class EntriesFetched(Message, frozen=True, tag="fetched"):
+    """Answer to `FetchEntries`: the entries that follow the position asked for.
+
+    A compressed snapshot comes first where those entries are no longer kept or the position is not in the
+    sender's log. `has_more` says that another request is needed.
+    """
 
     epoch: int
     changes: list[Change]
-    packed: bytes = b""
-    more: bool = False
+    compressed: bytes = b""
+    has_more: bool = False
 
 
-class Append(Message, frozen=True, tag="append"):
-    """The primary's entries after `prev`, what is committed, and, without entries, a sign of life."""
+class AppendEntries(Message, frozen=True, tag="append"):
+    """The leader's entries that follow a position, and the version up to which its log is committed.
+
+    Without entries it is a heartbeat, or tells a new committed version.
+    """
 
     epoch: int
     prev_epoch: int
@@ -195,17 +227,19 @@
     commit: int
 
 
-class Install(Message, frozen=True, tag="install"):
-    """A snapshot in place of entries that the primary no longer keeps (see Whole), committed."""
+class InstallSnapshot(Message, frozen=True, tag="install"):
+    """A compressed snapshot of committed state, in place of entries that the leader no longer keeps."""
 
     epoch: int
-    packed: bytes
+    compressed: bytes
     commit: int
 
 
-class Appended(Message, frozen=True, tag="appended"):
-    """All up to this version is on the sender's disk and matches the primary's. `joining`: does not count
-    yet."""
+class EntriesAppended(Message, frozen=True, tag="appended"):
+    """Everything up to this version is on the sender's disk and equals the leader's log.
+
+    A voter that is `joining` does not count yet.
+    """
 
     epoch: int
     version: int
@@ -213,83 +247,93 @@
 
 
 class Mismatch(Message, frozen=True, tag="mismatch"):
-    """`prev` is not in the sender's history: begin again behind this version, which may be."""
+    """The previous position of an `AppendEntries` is not in the sender's log: continue after this version.
+
+    That version itself may still be one that differs; -1 asks for a snapshot.
+    """
 
     epoch: int
     version: int
 
 
 class Denied(Message, frozen=True, tag="denied"):
-    """The sender has promised a higher epoch, or its disk does not take more (`why`: epoch, disk)."""
+    """The sender has promised a higher epoch (`reason`: epoch) or could not take what was sent.
+
+    The other reasons are disk, state and lineage.
+    """
 
     epoch: int
-    why: str = "epoch"
+    reason: str = "epoch"
 
 
-class Seen(Message, frozen=True, tag="seen"):
-    """A control process tells the primary what its brokers hold: changed ones only; all of them first after a
-    connection (`all`). Version -1: no longer connected here. `refused`: of those that are named, who has
-    turned that version down, and why."""
+class AppliedReport(Message, frozen=True, tag="seen"):
+    """A control process tells the leader which versions its brokers hold.
 
-    all: bool
-    brokers: list[tuple[str, int, int]]  # name, run, version
-    refused: dict[str, str] = {}
+    A complete report comes first on each connection; later ones name the brokers that changed. Version -1:
+    the broker is no longer connected there. `rejections` gives, by name, why a broker rejected that version.
+    """
 
+    is_complete: bool
+    brokers: list[tuple[str, int, int]]  # name, instance id, version
+    rejections: dict[str, str] = {}
 
-class Register(Message, frozen=True, tag="register"):
-    """A control process passes on that a broker is at another place than the state says: key and value."""
+
+class RegisterBrokers(Message, frozen=True, tag="register"):
+    """A control process forwards that brokers are at other addresses than the state says, as operations."""
 
     ops: list[Op]
 
 
-Messages = (
+AnyMessage = (
     Hello
-    | Welcome
-    | Goodbye
+    | HelloAccepted
+    | Disconnect
     | Deltas
-    | Whole
-    | Beat
-    | Have
-    | WholeWanted
+    | CompleteSnapshot
+    | Heartbeat
+    | AppliedPosition
+    | SnapshotRequest
     | Prepare
-    | Promised
-    | Fetch
-    | Fetched
-    | Append
-    | Install
-    | Appended
+    | Promise
+    | FetchEntries
+    | EntriesFetched
+    | AppendEntries
+    | InstallSnapshot
+    | EntriesAppended
     | Mismatch
     | Denied
-    | Seen
-    | Register
+    | AppliedReport
+    | RegisterBrokers
 )
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Messages).decode
+_decode = msgspec.msgpack.Decoder(AnyMessage).decode
+
 
+class InvalidFrameError(Exception):
+    """A frame whose body is no message; its connection ends."""
 
-def one_line(text: str) -> str:
-    """Why settings were turned down, fit to be sent and shown: guards against text without end, and against
-    what would steer an operator's terminal."""
-    words = " ".join(text[: 4 * REFUSED_MOST].split())
-    return "".join(c if c.isprintable() else "?" for c in words)[:REFUSED_MOST]
 
+def to_printable_line(text: str) -> str:
+    """A rejection's reason as one bounded, printable line.
 
-class Unreadable(Exception):
-    """A frame that is no message; its connection ends."""
+    Guards against text without end, and against control characters that an operator's terminal would obey.
+    """
+    words = " ".join(text[: 4 * MAX_REJECTION_REASON_LENGTH].split())
+    return "".join(c if c.isprintable() else "?" for c in words)[:MAX_REJECTION_REASON_LENGTH]
 
 
 def encode(message: Message) -> bytes:
-    """One frame, length and all. Raises `ValueError` over `FRAME_MOST`."""
+    """One frame with its length prefix. Raises `ValueError` if the body is over `MAX_FRAME_BYTES`."""
     body = _encode(message)
-    if len(body) > FRAME_MOST:
+    if len(body) > MAX_FRAME_BYTES:
         raise ValueError(f"a frame of {len(body)} bytes")
     return len(body).to_bytes(4, "big") + body
 
 
 def decode(body: bytes | memoryview) -> Message:
-    """The message of one frame's body. Raises `Unreadable`, and nothing else, whatever the bytes are."""
+    """The message in one frame's body. Raises only `InvalidFrameError`, whatever the bytes are."""
     try:
         return _decode(body)
     except (msgspec.MsgspecError, ValueError, RecursionError) as err:
-        raise Unreadable(str(err)) from None
+        raise InvalidFrameError(str(err)) from None
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -1,9 +1,9 @@
 """A control process towards its brokers: who holds what, and who is sent what next. No I/O; time is told, µs.
 
-One message is out per broker until it has said Have, so a slow one costs no memory here: it is ended, and
-gets a snapshot when it comes back. Snapshots are rationed and wait in line. Whoever does the I/O ends
-connections whose socket takes nothing more: Beats alone are sent without an answer. They are sent under a
-stream of changes too, as they alone say how long ago a primary was heard.
+One message is out per broker until it has answered with its AppliedPosition, so a slow one costs no memory
+here: it is ended, and gets a snapshot when it comes back. Snapshots are rationed and wait in line. Whoever
+does the I/O ends connections whose socket takes nothing more: Heartbeats alone are sent without an answer.
+They are sent under a stream of changes too, as they alone say how long ago a primary was heard.
 """
 
 from collections import deque
@@ -14,23 +14,23 @@
 from cypressledge.controlplane.history import History
 from cypressledge.controlplane.messages import (
     FORMAT,
-    Beat,
+    AppliedPosition,
+    AppliedReport,
+    CompleteSnapshot,
     Deltas,
-    Goodbye,
-    Have,
+    Disconnect,
+    Heartbeat,
     Hello,
+    HelloAccepted,
     Message,
     Op,
-    Seen,
-    Welcome,
-    Whole,
-    WholeWanted,
-    one_line,
+    SnapshotRequest,
+    to_printable_line,
 )
 from cypressledge.controlplane.state import KEY, Broker, FleetState, StateError, canonical, place_of
 
 Position = tuple[int, int, bytes]  # epoch, version, digest
-REASONS_MOST = 500  # refusals in one Seen that say why: guards against more than a frame holds
+REASONS_MOST = 500  # refusals in one AppliedReport that say why: guards against more than a frame holds
 STEP = 50_000  # µs between ticks at least: guards against one wake for each broker's beat
 
 
@@ -106,7 +106,7 @@
         history: History,
         limits: Limits,
         out: Callable[[int, Message], None],
-        end: Callable[[int, Goodbye], None],
+        end: Callable[[int, Disconnect], None],
         event: Callable[..., None],
     ) -> None:
         self.name, self.run, self.history, self.limits = name, run, history, limits
@@ -124,27 +124,27 @@
     def connected(self, now: int, conn: int, hello: Hello) -> None:
         """A broker's first frame has come."""
         if hello.format != FORMAT:
-            return self._refuse(conn, hello.name, Goodbye("format", self.limits.unfit_after_ms))
+            return self._refuse(conn, hello.name, Disconnect("format", self.limits.unfit_after_ms))
         if conn in self.followers or hello.role != "broker" or not _sound(hello):
-            return self._refuse(conn, hello.name, Goodbye("nonsense"))
+            return self._refuse(conn, hello.name, Disconnect("nonsense"))
         former = self.names.get(hello.name)
         if former is not None:
-            self._end(self.followers[former], Goodbye("replaced", self.limits.replaced_after_ms))
+            self._end(self.followers[former], Disconnect("replaced", self.limits.replaced_after_ms))
         if len(self.followers) >= self.limits.followers_most:
-            return self._refuse(conn, hello.name, Goodbye("full", self.limits.full_after_ms))
+            return self._refuse(conn, hello.name, Disconnect("full", self.limits.full_after_ms))
         follower = _Follower(
             conn,
             hello.name,
-            hello.run,
-            hello.lineage,
+            hello.instance_id,
+            hello.cluster_id,
             (hello.epoch, hello.version, hello.digest),
             self._register(hello),
             now,
-            refusal=one_line(hello.refused),
+            refusal=to_printable_line(hello.rejection_reason),
         )
         self.followers[conn], self.names[hello.name] = follower, conn
         self._changes(hello.name)
-        self.out(conn, Welcome(self.name, self.run, self.history.state.lineage))
+        self.out(conn, HelloAccepted(self.name, self.run, self.history.state.cluster_id))
         if conn in self.followers:
             self._beat(now, follower)
             self._feed(now, follower)
@@ -157,13 +157,17 @@
         if follower is None:
             return None
         # Each of both answers one message: guards against a broker that claims leave for many.
-        if isinstance(message, Have) and follower.sent is not None:
-            self._have(follower, (message.epoch, message.version, message.digest), one_line(message.refused))
-        elif isinstance(message, WholeWanted) and follower.sent is not None and not follower.whole_out:
+        if isinstance(message, AppliedPosition) and follower.sent is not None:
+            self._have(
+                follower,
+                (message.epoch, message.version, message.digest),
+                to_printable_line(message.rejection_reason),
+            )
+        elif isinstance(message, SnapshotRequest) and follower.sent is not None and not follower.whole_out:
             follower.sent, follower.wants_whole = None, True
-            self.event("whole_wanted", broker=follower.name, why=message.why[:40])
+            self.event("whole_wanted", broker=follower.name, why=message.reason[:40])
         else:
-            return self._end(follower, Goodbye("nonsense"))
+            return self._end(follower, Disconnect("nonsense"))
         self._feed(now, follower)
         self._wholes(now)
         return None
@@ -186,7 +190,7 @@
     def stop(self) -> None:
         """This control process ends: its brokers go to others."""
         for follower in list(self.followers.values()):
-            self._end(follower, Goodbye("stopping"))
+            self._end(follower, Disconnect("stopping"))
 
     def tick(self, now: int) -> int:
         """What time brings about; when to call again, µs."""
@@ -202,7 +206,7 @@
         """One broker's times; when the next of them is."""
         limits = self.limits
         if f.sent is not None and now >= f.answer_by:
-            self._end(f, Goodbye("silent"))
+            self._end(f, Disconnect("silent"))
             return now + STEP
         if now - f.beat_at >= round(limits.beat_s * 1e6):
             self._beat(now, f)
@@ -217,7 +221,7 @@
         state, at = self.history.state, self.primary_at
         silent = -1 if at is None else max(now - at, 0) // 1000
         f.beat_at = now
-        self.out(f.conn, Beat(state.epoch, state.version, state.digest, self.primary_name, silent))
+        self.out(f.conn, Heartbeat(state.epoch, state.version, state.digest, self.primary_name, silent))
 
     def _have(self, f: _Follower, position: Position, refusal: str) -> None:
         """An answer: what the broker holds after the message that was out."""
@@ -227,7 +231,7 @@
             self._changes(f.name)
         f.refusal = refusal
         if was_whole and position[1]:
-            f.lineage = self.history.state.lineage
+            f.lineage = self.history.state.cluster_id
         # Guards against sending the same again and again to one who turns it down.
         if position != sent and was_whole:
             f.refused = sent[:2]
@@ -247,8 +251,8 @@
         state = self.history.state
         if f.sent is not None or f.queued or f.conn not in self.followers:
             return None
-        if f.lineage and state.lineage and f.lineage != state.lineage:
-            return self._end(f, Goodbye("lineage", self.limits.unfit_after_ms))
+        if f.lineage and state.cluster_id and f.lineage != state.cluster_id:
+            return self._end(f, Disconnect("lineage", self.limits.unfit_after_ms))
         if self._ahead(now, f) or not state.version or f.refused == state.position:
             return None
         changes = None
@@ -293,23 +297,25 @@
                 continue
             self.ration.begin(now, f.conn)
             state, f.whole_out = self.history.state, True
-            self._send(now, f, Whole(self.history.packed()), (state.epoch, state.version, state.digest))
+            self._send(
+                now, f, CompleteSnapshot(self.history.packed()), (state.epoch, state.version, state.digest)
+            )
 
     def _send(self, now: int, f: _Follower, message: Message, after: Position) -> None:
         self.counters.invariant(f.sent is None, "one_message_out")
         f.sent, f.answer_by = after, now + round(self.limits.answer_s * 1e6)
         self.out(f.conn, message)
 
-    def _refuse(self, conn: int, name: str, goodbye: Goodbye) -> None:
+    def _refuse(self, conn: int, name: str, goodbye: Disconnect) -> None:
         if conn in self.followers:
             return self._end(self.followers[conn], goodbye)
-        self.event(f"ended_{goodbye.why}", broker=name[:64])
+        self.event(f"ended_{goodbye.reason}", broker=name[:64])
         self.end(conn, goodbye)
         return None
 
-    def _end(self, f: _Follower, goodbye: Goodbye) -> None:
+    def _end(self, f: _Follower, goodbye: Disconnect) -> None:
         self._forget(f)
-        self.event(f"ended_{goodbye.why}", broker=f.name)
+        self.event(f"ended_{goodbye.reason}", broker=f.name)
         self.end(f.conn, goodbye)
 
     def _forget(self, f: _Follower) -> None:
@@ -351,14 +357,14 @@
                 found[name] = f.refusal if len(found) < REASONS_MOST else "refused"
         return found
 
-    def seen(self, all: bool) -> Seen | None:
+    def seen(self, all: bool) -> AppliedReport | None:
         """What has changed of `in_force` and `refusals` since the last call, or all of it; None: nothing."""
         now, all = self.in_force(), all or self._all
         names = sorted(now if all else self._changed)
         told = [(name, *now.get(name, (0, -1))) for name in names]
         self._changed.clear()
         self._all = False
-        return Seen(all, told, self.refusals(names)) if told or all else None
+        return AppliedReport(all, told, self.refusals(names)) if told or all else None
 
     def registrations(self, state: FleetState) -> list[Op]:
         """Changes for connected brokers that the state has at another place, or not at all. Each should be
@@ -370,4 +376,4 @@
 def _sound(hello: Hello) -> bool:
     """Whether a Hello says a name and a position that can be."""
     held = hello.version > 0 and hello.epoch >= 0 and len(hello.digest) == 16
-    return bool(KEY.fullmatch(f"broker/{hello.name}")) and (held if hello.lineage else hello.version == 0)
+    return bool(KEY.fullmatch(f"broker/{hello.name}")) and (held if hello.cluster_id else hello.version == 0)
--- a/cypressledge/controlplane/registry.py
+++ b/cypressledge/controlplane/registry.py
@@ -8,11 +8,11 @@
 
 from collections.abc import Collection, Iterable
 
-from cypressledge.controlplane.messages import OPS_MOST, Op
+from cypressledge.controlplane.messages import MAX_OPS_PER_CHANGE, Op
 from cypressledge.controlplane.state import FleetState, StateError, check, place_of
 
 AGAIN = 1_000_000  # after which a registration is sent, or proposed, once more
-REGISTER_MOST = OPS_MOST // 2  # registrations in one change: each may take another key out
+REGISTER_MOST = MAX_OPS_PER_CHANGE // 2  # registrations in one change: each may take another key out
 LOOK = 1_000_000  # between looks at who is absent, where nothing is to be registered
 LOOK_GAP = 10_000_000  # without a look, after which what was seen before says nothing
 # Guards against a broker that only changes its control process being taken for gone: it notices silence after
@@ -128,7 +128,7 @@
         if not self.forget or now - self.forgot_at < AGAIN:
             return []
         ops = [Op(key) for key in self.absent if key in state.entries and self._gone(now, key, self.forget)][
-            :OPS_MOST
+            :MAX_OPS_PER_CHANGE
         ]
         if ops:
             self.forgot_at = now
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -14,26 +14,26 @@
 
 from cypressledge.controlplane.history import pack, unpack
 from cypressledge.controlplane.messages import (
-    DELTA_BYTES,
-    Append,
-    Appended,
+    MAX_BATCH_BYTES,
+    AppendEntries,
     Change,
     Denied,
-    Fetch,
-    Fetched,
-    Install,
+    EntriesAppended,
+    EntriesFetched,
+    FetchEntries,
+    InstallSnapshot,
     Message,
     Mismatch,
     Op,
     Prepare,
-    Promised,
+    Promise,
     Snapshot,
 )
 from cypressledge.controlplane.state import FleetState, StateError, check, clashes
 
 NEVER = -(1 << 62)  # µs: a moment before all others
 BEAT_US = 500_000  # between a primary's signs of life, and between repeats of a candidate's questions
-RESEND_US = 1_000_000  # an Append that wasn't answered for so long is sent again
+RESEND_US = 1_000_000  # an AppendEntries that wasn't answered for so long is sent again
 INSTALL_RESEND_US = 5_000_000  # as long for a snapshot, which takes longer on its way
 ALONE_US = 10_000_000  # without an answer from a majority for so long, another should try
 FETCH_TRIES = 5  # questions to one voter before a candidate begins again without it
@@ -131,7 +131,7 @@
     match: dict[str, int]
     silent_ms: int
     primary: str
-    lineage: str
+    cluster_id: str
     joining: bool
 
 
@@ -169,7 +169,7 @@
         """The entries after one version, up to another."""
         return self.entries[after - self.base[1] : to - self.base[1]]
 
-    def after(self, version: int, most: int = DELTA_BYTES) -> list[Change]:
+    def after(self, version: int, most: int = MAX_BATCH_BYTES) -> list[Change]:
         """The entries after a version, up to `most` bytes but one at least."""
         start = end = version - self.base[1]
         total = 0
@@ -194,9 +194,9 @@
 class Progress:
     """How far a voter is, as its primary knows."""
 
-    next: int  # the version that the next Append begins behind
+    next: int  # the version that the next AppendEntries begins behind
     match: int = -1  # on its disk, as it said
-    told: int = -1  # the commit it has been told of
+    notified_commit: int = -1  # the commit it has been told of
     end: int = -1  # the last version of what is out; -1: nothing is
     resend: int = NEVER  # when that is sent again
     joining: bool = False
@@ -224,7 +224,7 @@
         joining: bool = False,
         mute_us: int = 0,
     ) -> None:
-        self.name, self.run, self.voters, self.disk = name, run, voters, disk
+        self.name, self.instance_id, self.voters, self.disk = name, run, voters, disk
         self.peers = tuple(v for v in voters if v != name)
         self.out, self.committed, self.event = out, committed, event
         self.now = now
@@ -233,7 +233,7 @@
         self.primary, self.heard = "", NEVER
         self.until = NEVER  # of the lease
         self.genesis: tuple[str, list[Op]] | None = None
-        self.promises: dict[str, Promised] = {}
+        self.promises: dict[str, Promise] = {}
         self.progress: dict[str, Progress] = {}
         self.tickets: dict[int, Ticket] = {}
         self.source, self.tries, self.asked = "", 0, NEVER
@@ -361,10 +361,10 @@
 
     def _install(self, snapshot: Snapshot) -> bool:
         """A snapshot in place of what is held, unless it is held already; whether it is here now."""
-        if not self._kin(snapshot.lineage):
-            self.event("lineage", own=self.lineage, other=snapshot.lineage)
+        if not self._is_same_cluster(snapshot.cluster_id):
+            self.event("lineage", own=self.cluster_id, other=snapshot.cluster_id)
             return False
-        if self.state is not None and snapshot.lineage == self.state.lineage:
+        if self.state is not None and snapshot.cluster_id == self.state.cluster_id:
             if snapshot.version <= self.commit:
                 return True
             if self.log.epoch_at(snapshot.version) == snapshot.epoch:
@@ -385,13 +385,13 @@
     # Guards
 
     @property
-    def lineage(self) -> str:
+    def cluster_id(self) -> str:
         """Of the history held. Empty before any of it is known to be committed: such a one may give way."""
-        return self.state.lineage if self.state is not None and self.commit >= 1 else ""
+        return self.state.cluster_id if self.state is not None and self.commit >= 1 else ""
 
-    def _kin(self, lineage: str) -> bool:
+    def _is_same_cluster(self, lineage: str) -> bool:
         """Guards against two histories in one fleet."""
-        return not self.lineage or lineage == self.lineage
+        return not self.cluster_id or lineage == self.cluster_id
 
     def _may_promise(self, epoch: int, run: int) -> bool:
         """Guards against two primaries of one epoch, and an old one's return."""
@@ -421,7 +421,7 @@
         """Guards against a word from one who may no longer be the primary."""
         return now < self.until
 
-    def _counted(self) -> dict[str, Promised]:
+    def _counted(self) -> dict[str, Promise]:
         """Guards against a majority of those who have forgotten what they promised or held. Empty ones count
         only as long as nobody knows of anything committed."""
         known = any(p.commit >= 1 for p in self.promises.values())
@@ -429,7 +429,7 @@
             v: p for v, p in self.promises.items() if not p.joining and not (known and p.last_version < 0)
         }
 
-    def _behind(self, newest: Promised) -> bool:
+    def _behind(self, newest: Promise) -> bool:
         """Guards against a majority of disks that were put back."""
         return any(p.commit > newest.last_version for p in self.promises.values())
 
@@ -449,7 +449,7 @@
         entry of the primary's epoch, committed, comes after."""
         return 1 <= commit <= self.commit and self.log.epoch_at(commit) == epoch
 
-    def _alone(self, now: int) -> bool:
+    def _has_lost_quorum(self, now: int) -> bool:
         """Guards against a lease that is of no use to whoever has it and is missing elsewhere."""
         answered = sorted((now, *self.contact.values()), reverse=True)
         return now >= answered[len(self.voters) // 2] + ALONE_US
@@ -472,10 +472,10 @@
 
     @property
     def epoch(self) -> int:
-        """Promised last; while not a standby, the own one."""
+        """The epoch promised last; while not a standby, the own one."""
         return self.promised[0]
 
-    def willing(self, now: int) -> bool:
+    def is_eligible(self, now: int) -> bool:
         """Whether this replica could lead: it makes no sense to ask for the lease else."""
         return not (self.joining or self._muted(now) or self.dirty) and (
             self.state is not None or self.genesis is not None
@@ -496,7 +496,7 @@
             return False
         if self.role != "standby":
             return True
-        if not self._clean() or not self.willing(now) or not self._leased(now):
+        if not self._clean() or not self.is_eligible(now) or not self._leased(now):
             return False
         if token <= self.epoch:
             self.event("token_behind", token=token, promised=self.epoch)
@@ -515,7 +515,7 @@
         self.role, self.phase, self.primary = "standby", "", ""
 
     def _take_over(self, token: int) -> bool:
-        if not self._promise(token, self.run):
+        if not self._promise(token, self.instance_id):
             return False
         self.role, self.told_behind = "recovering", ()
         self.event("recovering", epoch=token)
@@ -524,15 +524,15 @@
         self._prepare()
         return True
 
-    def _own_promise(self) -> Promised:
-        return Promised(self.epoch, *self.log.last, self.commit, self.joining)
+    def _own_promise(self) -> Promise:
+        return Promise(self.epoch, *self.log.last, self.commit, self.joining)
 
     def _prepare(self) -> None:
         """Ask those who haven't answered."""
         self.phase, self.asked = "prepare", self.now
         for peer in self.peers:
             if peer not in self.promises:
-                self.out(peer, Prepare(self.epoch, self.run))
+                self.out(peer, Prepare(self.epoch, self.instance_id))
         self._consider()
 
     def _consider(self) -> None:
@@ -553,7 +553,7 @@
             at = max(self.commit, self.log.base[1])
             self._fetch((self.log.epoch_at(at) or 0, at))
 
-    def _tell_behind(self, newest: Promised) -> None:
+    def _tell_behind(self, newest: Promise) -> None:
         said = tuple(sorted(self.promises))
         if said != self.told_behind:  # guards against a line in the log at each repeat
             self.told_behind = said
@@ -590,9 +590,9 @@
     def _fetch(self, position: tuple[int, int]) -> None:
         self.fetching, self.asked = position, self.now
         self.tries += 1
-        self.out(self.source, Fetch(self.epoch, *position))
+        self.out(self.source, FetchEntries(self.epoch, *position))
 
-    def _on_fetch(self, sender: str, m: Fetch) -> None:
+    def _on_fetch(self, sender: str, m: FetchEntries) -> None:
         if m.epoch != self.epoch:
             self._deny(sender)
             return
@@ -603,14 +603,14 @@
             packed, at = self._packed(), self.commit
         changes = self.log.after(at)
         more = at + len(changes) < self.log.last[1]
-        self.out(sender, Fetched(m.epoch, changes, packed, more))
+        self.out(sender, EntriesFetched(m.epoch, changes, packed, more))
 
-    def _on_fetched(self, sender: str, m: Fetched) -> None:
+    def _on_fetched(self, sender: str, m: EntriesFetched) -> None:
         if m.epoch != self.epoch or self.phase != "fetch" or sender != self.source:
             return
         at = self.fetching[1]
         try:
-            snapshot = unpack(m.packed) if m.packed else None
+            snapshot = unpack(m.compressed) if m.compressed else None
         except StateError as err:
             self.event("unfit", why=str(err))
             return
@@ -628,7 +628,7 @@
         if self.log.last == (source.last_epoch, source.last_version):
             self.promises[self.name] = self._own_promise()
             self._open([], "a new primary")
-        elif m.more and end > self.fetching[1]:
+        elif m.has_more and end > self.fetching[1]:
             self.tries = 0
             self._fetch((self.log.epoch_at(end), end))
 
@@ -643,27 +643,30 @@
         if handler is None:
             return
         if not self._clean():
-            if isinstance(message, Prepare | Append | Install | Fetch):
+            if isinstance(message, Prepare | AppendEntries | InstallSnapshot | FetchEntries):
                 self._deny(sender, "disk")
             return
-        if isinstance(message, Promised | Fetched | Appended | Mismatch) and message.epoch == self.epoch:
+        if (
+            isinstance(message, Promise | EntriesFetched | EntriesAppended | Mismatch)
+            and message.epoch == self.epoch
+        ):
             self.contact[sender] = now
         handler(self, sender, message)
-        if self.dirty and isinstance(message, Prepare | Append | Install):
+        if self.dirty and isinstance(message, Prepare | AppendEntries | InstallSnapshot):
             self._deny(sender, "disk")
 
     def _deny(self, sender: str, why: str = "epoch") -> None:
         self.out(sender, Denied(self.epoch, why))
 
     def _on_prepare(self, sender: str, m: Prepare) -> None:
-        if not self._may_promise(m.epoch, m.run):
+        if not self._may_promise(m.epoch, m.instance_id):
             self._deny(sender)
             return
         self._step_down("another")
-        if self._promise(m.epoch, m.run):
+        if self._promise(m.epoch, m.instance_id):
             self.out(sender, self._own_promise())
 
-    def _on_promised(self, sender: str, m: Promised) -> None:
+    def _on_promised(self, sender: str, m: Promise) -> None:
         if m.epoch == self.epoch and self.phase == "prepare":
             self.promises[sender] = m
             self._consider()
@@ -681,7 +684,7 @@
         self.primary, self.heard = sender, self.now
         return True
 
-    def _on_append(self, sender: str, m: Append) -> None:
+    def _on_append(self, sender: str, m: AppendEntries) -> None:
         if not self._follow(sender, m.epoch):
             return
         if not self._fits(m.prev_epoch, m.prev_version):
@@ -696,7 +699,7 @@
         if self._advance(self._covered(m.commit, held)):
             self._appended(sender, m.epoch, m.commit, held)
 
-    def _mismatch(self, sender: str, m: Append) -> None:
+    def _mismatch(self, sender: str, m: AppendEntries) -> None:
         """Where the primary may begin again: all that is committed is the same there."""
         if self.state is None:
             self.out(sender, Mismatch(m.epoch, -1))
@@ -712,11 +715,11 @@
         # Guards against a first history that was never committed: version 0 is of another epoch there.
         self.out(sender, Mismatch(m.epoch, -1 if fork else at))
 
-    def _on_install(self, sender: str, m: Install) -> None:
+    def _on_install(self, sender: str, m: InstallSnapshot) -> None:
         if not self._follow(sender, m.epoch):
             return
         try:
-            snapshot = unpack(m.packed)
+            snapshot = unpack(m.compressed)
         except StateError as err:
             self.event("unfit", why=str(err))
             return
@@ -730,7 +733,7 @@
             self.joining = False
             self.event("joined", version=self.log.last[1])
         if not self.dirty:
-            self.out(sender, Appended(epoch, held, self.joining))
+            self.out(sender, EntriesAppended(epoch, held, self.joining))
 
     # A primary
 
@@ -795,13 +798,13 @@
         self._reckon()
 
     def _pump(self, peer: str) -> None:
-        """The next entries to a voter, unless some are on their way: one Append is out at a time."""
+        """The next entries to a voter, unless some are on their way: one AppendEntries is out at a time."""
         progress = self.progress[peer]
         if progress.end >= 0 and self.now < progress.resend:
             return
         if self.log.epoch_at(progress.next) is None:
             progress.end, progress.resend = self.state.version, self.now + INSTALL_RESEND_US
-            self.out(peer, Install(self.epoch, self._packed(), self.commit))
+            self.out(peer, InstallSnapshot(self.epoch, self._packed(), self.commit))
         elif progress.next < self.log.last[1]:
             changes = self.log.after(progress.next)
             progress.end, progress.resend = changes[-1].version, self.now + RESEND_US
@@ -815,8 +818,8 @@
 
     def _append(self, peer: str, prev: int, changes: list[Change]) -> None:
         progress = self.progress[peer]
-        progress.told = max(progress.told, min(self.commit, prev + len(changes)))
-        self.out(peer, Append(self.epoch, self.log.epoch_at(prev), prev, changes, self.commit))
+        progress.notified_commit = max(progress.notified_commit, min(self.commit, prev + len(changes)))
+        self.out(peer, AppendEntries(self.epoch, self.log.epoch_at(prev), prev, changes, self.commit))
 
     def _beat_all(self) -> None:
         """A sign of life, which also finds out where a voter is."""
@@ -828,10 +831,13 @@
     def _tell(self, peer: str) -> None:
         """What is committed, at once, to a voter that holds it."""
         progress = self.progress[peer]
-        if progress.told < min(self.commit, progress.match) and self.log.epoch_at(progress.match) is not None:
+        if (
+            progress.notified_commit < min(self.commit, progress.match)
+            and self.log.epoch_at(progress.match) is not None
+        ):
             self._append(peer, progress.match, [])
 
-    def _on_appended(self, sender: str, m: Appended) -> None:
+    def _on_appended(self, sender: str, m: EntriesAppended) -> None:
         if m.epoch != self.epoch or self.phase != "open" or m.version > self.log.last[1]:
             return
         progress = self.progress[sender]
@@ -856,8 +862,8 @@
     def _on_denied(self, sender: str, m: Denied) -> None:
         if self.role == "standby":
             return
-        if m.why != "epoch":
-            self.event("voter_refuses", voter=sender, why=m.why)
+        if m.reason != "epoch":
+            self.event("voter_refuses", voter=sender, why=m.reason)
         # The same epoch: another run has it at that voter. A primary has its majority, and goes on.
         elif m.epoch > self.epoch or m.epoch == self.epoch and self.phase == "prepare":
             self._step_down("denied")
@@ -882,12 +888,12 @@
 
     _handlers: ClassVar = {
         Prepare: _on_prepare,
-        Promised: _on_promised,
-        Fetch: _on_fetch,
-        Fetched: _on_fetched,
-        Append: _on_append,
-        Install: _on_install,
-        Appended: _on_appended,
+        Promise: _on_promised,
+        FetchEntries: _on_fetch,
+        EntriesFetched: _on_fetched,
+        AppendEntries: _on_append,
+        InstallSnapshot: _on_install,
+        EntriesAppended: _on_appended,
         Mismatch: _on_mismatch,
         Denied: _on_denied,
     }
@@ -900,7 +906,7 @@
         if self._muted(now):
             return self.mute_until
         self._clean()
-        if self.role != "standby" and (not self._leased(now) or self._alone(now)):
+        if self.role != "standby" and (not self._leased(now) or self._has_lost_quorum(now)):
             self._step_down("alone" if self._leased(now) else "lease")
         if self.role == "standby":
             return now + BEAT_US
@@ -938,6 +944,6 @@
             {v: p.match for v, p in self.progress.items()},
             silent,
             self.primary,
-            self.lineage,
+            self.cluster_id,
             self.joining,
         )
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -29,17 +29,17 @@
 from cypressledge.controlplane.learner import Learner
 from cypressledge.controlplane.messages import (
     FORMAT,
-    FRAME_MOST,
-    Append,
+    MAX_FRAME_BYTES,
+    AppendEntries,
+    AppliedReport,
     Change,
-    Goodbye,
+    Disconnect,
     Hello,
+    HelloAccepted,
     Message,
     Op,
-    Register,
-    Seen,
+    RegisterBrokers,
     Snapshot,
-    Welcome,
     encode,
 )
 from cypressledge.controlplane.operators import Asked, Operators, number
@@ -220,7 +220,7 @@
 
     def _lease(self, now: int) -> None:
         """What holds of the lease, for the replica; it is wanted only where that could lead."""
-        willing = self.replica.willing(now) and now >= self.rest_until and self.spec.votes
+        willing = self.replica.is_eligible(now) and now >= self.rest_until and self.spec.votes
         if willing != (PRIMARY in self.node.keeper.wants):
             (self.node.want if willing else self.node.unwant)(PRIMARY)
         grant = self.node.grant(PRIMARY)
@@ -265,7 +265,7 @@
             epoch=what.epoch,
             version=what.version,
             digest=what.digest.hex(),
-            request=getattr(what, "request", ""),
+            request=getattr(what, "request_id", ""),
         )
 
     def _learned(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
@@ -334,7 +334,7 @@
             self._place(now, ops)
         elif ops and primary in self.links:
             self.registry.said(now, ops)
-            self._to_peer(primary, Register(ops))
+            self._to_peer(primary, RegisterBrokers(ops))
         return self.register_due
 
     def _place(self, now: int, ops: list[Op]) -> None:
@@ -387,7 +387,7 @@
 
     def _serve_broker(self, hello: Hello, frames: Frames) -> None:
         if self.stopped or self.clock.now() < self.rest_until:
-            frames.send(Goodbye("stopping", REST_MS))
+            frames.send(Disconnect("stopping", REST_MS))
             frames.finish()
             frames.receive(1.0)
             return
@@ -412,7 +412,7 @@
             self.last = message, encode(message)
         frames.send(message, self.last[1])
 
-    def _end_broker(self, conn: int, goodbye: Goodbye) -> None:
+    def _end_broker(self, conn: int, goodbye: Disconnect) -> None:
         """Its last word; what the broker still says is read, and dropped, for a moment."""
         frames = self.brokers.pop(conn, None)
         if frames is not None:
@@ -429,7 +429,7 @@
             "control",
             self.name,
             self.run_id,
-            self.replica.lineage,
+            self.replica.cluster_id,
             state.epoch,
             state.version,
             state.digest,
@@ -441,15 +441,15 @@
             return "format"
         if hello.name == self.name or hello.name not in {s.name for s in self.settings.servers}:
             return "nonsense"
-        own = self.replica.lineage
-        return "lineage" if own and hello.lineage and hello.lineage != own else ""
+        own = self.replica.cluster_id
+        return "lineage" if own and hello.cluster_id and hello.cluster_id != own else ""
 
     def _serve_peer(self, hello: Hello, frames: Frames) -> None:
         """What another control process says, for as long as it is connected."""
         why = self._refusal(hello)
         if why:
-            self._event("peer_refused", peer=hello.name, why=why, lineage=hello.lineage)
-            frames.send(Goodbye(why, 1_000))
+            self._event("peer_refused", peer=hello.name, why=why, lineage=hello.cluster_id)
+            frames.send(Disconnect(why, 1_000))
             frames.finish()
             frames.receive(1.0)
             return
@@ -457,8 +457,8 @@
         if former is not None:
             former.close()
         self.heard[hello.name] = frames
-        frames.allow(FRAME_MOST)
-        frames.send(Welcome(self.name, self.run_id, self.replica.lineage))
+        frames.allow(MAX_FRAME_BYTES)
+        frames.send(HelloAccepted(self.name, self.run_id, self.replica.cluster_id))
         try:
             while True:
                 message = frames.receive(SILENT_S)
@@ -470,10 +470,10 @@
                 self.inbox.put((self._peer_gone, hello.name))
 
     def _from_peer(self, now: int, name: str, message: Message) -> None:
-        if isinstance(message, Seen):
+        if isinstance(message, AppliedReport):
             if self.replica.role != "standby":  # one that is about to be the primary, too
                 self.in_force.report(now, name, message)
-        elif isinstance(message, Register):
+        elif isinstance(message, RegisterBrokers):
             if self.replica.role != "standby":
                 self.registry.want(message.ops)
         else:
@@ -489,7 +489,7 @@
             self.counters.add("control.no_link")
             return
         step = message.__struct_config__.tag
-        counts = not isinstance(message, Append) or any(c.request for c in message.changes)
+        counts = not isinstance(message, AppendEntries) or any(c.request_id for c in message.changes)
         due = counts and self.faults.due(step)
         if due and self.faults.when == "before":
             self.faults.strike()
@@ -526,13 +526,13 @@
 
     def _greeted(self, spec: ServerSpec, message: Message | None) -> None:
         """Raises `Ended` unless the other one is who it should be."""
-        if isinstance(message, Goodbye):
-            raise Ended(f"goodbye {message.why}")
-        if not isinstance(message, Welcome) or message.name != spec.name:
+        if isinstance(message, Disconnect):
+            raise Ended(f"goodbye {message.reason}")
+        if not isinstance(message, HelloAccepted) or message.name != spec.name:
             raise Ended("no welcome")
-        own = self.replica.lineage
-        if own and message.lineage and own != message.lineage:
-            self._event("peer_refused", peer=spec.name, why="lineage", lineage=message.lineage)
+        own = self.replica.cluster_id
+        if own and message.cluster_id and own != message.cluster_id:
+            self._event("peer_refused", peer=spec.name, why="lineage", lineage=message.cluster_id)
             raise Ended("lineage")
 
     def _linked(self, now: int, name: str) -> None:
@@ -641,7 +641,7 @@
             "epoch": told.epoch,
             "version": state.version,
             "digest": state.digest.hex(),
-            "lineage": state.lineage,
+            "lineage": state.cluster_id,
             "last": told.last,
             "commit": told.commit,
             "match": told.match,
@@ -673,7 +673,7 @@
             "epoch": state.epoch,
             "version": state.version,
             "digest": state.digest.hex(),
-            "lineage": state.lineage,
+            "lineage": state.cluster_id,
             "entries": {
                 k: {"value": plain(e.value), "version": e.version}
                 for k, e in sorted(state.entries.items())
@@ -691,10 +691,10 @@
                 {
                     "version": c.version,
                     "epoch": c.epoch,
-                    "at": c.at,
-                    "who": c.who,
-                    "why": c.why,
-                    "request": c.request,
+                    "at": c.created_at_ms,
+                    "who": c.author,
+                    "why": c.reason,
+                    "request": c.request_id,
                     "set": [o.key for o in c.ops if o.value is not None],
                     "removed": [o.key for o in c.ops if o.value is None],
                 }
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -14,7 +14,14 @@
 import msgspec
 
 from cypressledge.config import ConfigError, address
-from cypressledge.controlplane.messages import CHANGE_MOST, OPS_MOST, Change, Entry, Op, Snapshot
+from cypressledge.controlplane.messages import (
+    MAX_CHANGE_BYTES,
+    MAX_OPS_PER_CHANGE,
+    Change,
+    Op,
+    Snapshot,
+    StateEntry,
+)
 from cypressledge.settings import SettingsError, settings_of
 
 KEY = re.compile(r"(config|engine|broker)/[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")  # names as in fleet.settings.Name
@@ -81,7 +88,7 @@
     return int.from_bytes(blake2b(_encode((key, value, version)), digest_size=16).digest(), "big")
 
 
-def _sum(entries: Iterable[Entry]) -> int:
+def _sum(entries: Iterable[StateEntry]) -> int:
     return sum(_term(e.key, e.value, e.version) for e in entries) % (1 << 128)
 
 
@@ -104,10 +111,10 @@
     """The state at a position. `entries` are read by others, written here alone."""
 
     def __init__(self, lineage: str = "") -> None:
-        self.lineage = lineage
+        self.cluster_id = lineage
         self.epoch = 0
         self.version = 0
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, StateEntry] = {}
         self.requests: dict[str, int] = {}  # name -> version, oldest first
         self.removed: dict[str, int] = {}  # key -> version that removed it, oldest first
         self.removed_since = 0  # removals of later versions are all in `removed`
@@ -150,8 +157,8 @@
         self.epoch, self.version, self._sum = change.epoch, change.version, after
         for op in change.ops:
             self._set(op, change.version)
-        if change.request:
-            self._remember(change.request, change.version)
+        if change.request_id:
+            self._remember(change.request_id, change.version)
 
     def _next(self, change: Change) -> None:
         """Raises `StateError` where a change can't be the next one."""
@@ -159,7 +166,7 @@
             raise StateError(f"version {change.version} does not follow {self.version}")
         if change.epoch < self.epoch:
             raise StateError(f"epoch {change.epoch} is below {self.epoch}")
-        if max(len(change.request), len(change.who), len(change.why)) > TEXT_MOST:
+        if max(len(change.request_id), len(change.author), len(change.reason)) > TEXT_MOST:
             raise StateError(f"a request's name, who or why is over {TEXT_MOST} characters")
         _sizes(change.ops)
         keys = {op.key for op in change.ops}
@@ -181,7 +188,7 @@
             self.size -= _size(old.key, old.value)
         self.removed.pop(op.key, None)
         if op.value is not None:
-            self.entries[op.key] = Entry(op.key, op.value, version)
+            self.entries[op.key] = StateEntry(op.key, op.value, version)
             self.size += _size(op.key, op.value)
         elif old:
             self.removed[op.key] = version
@@ -224,7 +231,7 @@
     def snapshot(self) -> Snapshot:
         """The whole, keys sorted: equal states make equal snapshots."""
         return Snapshot(
-            self.lineage,
+            self.cluster_id,
             self.epoch,
             self.version,
             self.digest,
@@ -235,7 +242,7 @@
     @classmethod
     def restore(cls, snapshot: Snapshot) -> "FleetState":
         """A state from a snapshot. Raises `StateError` where the digest is not that of the entries."""
-        state = cls(snapshot.lineage)
+        state = cls(snapshot.cluster_id)
         state.epoch, state.version = snapshot.epoch, snapshot.version
         state.entries = {e.key: e for e in snapshot.entries}
         if len(state.entries) < len(snapshot.entries):
@@ -258,7 +265,7 @@
 
     def copy(self) -> "FleetState":
         """Another state, equal to this one, that goes its own way."""
-        other = FleetState(self.lineage)
+        other = FleetState(self.cluster_id)
         vars(other).update(
             {name: value.copy() if isinstance(value, dict) else value for name, value in vars(self).items()}
         )
@@ -292,11 +299,11 @@
 
 def _sizes(ops: list[Op]) -> None:
     """Raises `StateError` where a change is over its limits."""
-    if len(ops) > OPS_MOST:
-        raise StateError(f"{len(ops)} keys in one change; {OPS_MOST} can be")
+    if len(ops) > MAX_OPS_PER_CHANGE:
+        raise StateError(f"{len(ops)} keys in one change; {MAX_OPS_PER_CHANGE} can be")
     size = sum(_size(op.key, op.value or b"") for op in ops)
-    if size > CHANGE_MOST:
-        raise StateError(f"a change of {size} bytes; {CHANGE_MOST} can be")
+    if size > MAX_CHANGE_BYTES:
+        raise StateError(f"a change of {size} bytes; {MAX_CHANGE_BYTES} can be")
 
 
 def check(state: FleetState, ops: list[Op]) -> None:
--- a/cypressledge/controlplane/store.py
+++ b/cypressledge/controlplane/store.py
@@ -41,7 +41,7 @@
     format: int
     name: str
     epoch: int = 0
-    run: int = 0
+    instance_id: int = 0
     joining: bool = False
     commit: int = 0
     last: int = -1  # the newest version; -1: no history
@@ -241,7 +241,7 @@
             raise DiskError(f"a row can't be read: {err}") from None
         self._check_whole(snapshot, changes)
         mark = self.mark
-        return Loaded(snapshot, changes, mark.commit, (mark.epoch, mark.run), mark.joining)
+        return Loaded(snapshot, changes, mark.commit, (mark.epoch, mark.instance_id), mark.joining)
 
     def _check_owner(self) -> None:
         if self.mark.format != FORMAT:
@@ -286,7 +286,7 @@
 
     def promise(self, epoch: int, run: int) -> None:
         """See `Disk`."""
-        self._change_mark("promise", epoch=epoch, run=run)
+        self._change_mark("promise", epoch=epoch, instance_id=run)
 
     def commit(self, version: int) -> None:
         """See `Disk`."""
--- a/tests/recordings/test_control_messages_recording.py
+++ b/tests/recordings/test_control_messages_recording.py
@@ -15,7 +15,7 @@
 from cypressledge.controlplane import messages
 from cypressledge.controlplane.frames import Frames, Traffic
 from cypressledge.controlplane.history import pack, unpack
-from cypressledge.controlplane.messages import Change, Entry, Message, Op, Snapshot
+from cypressledge.controlplane.messages import Change, Message, Op, Snapshot, StateEntry
 
 RECORDED = json.loads((Path(__file__).parent / "control_messages.json").read_text())
 
@@ -29,7 +29,7 @@
     3,
     8,
     bytes(range(16, 32)),
-    [Entry("config/Limits", b"\x80", 2)],
+    [StateEntry("config/Limits", b"\x80", 2)],
     [("request-1", 7), ("request-2", 8)],
 )
 
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -128,7 +128,7 @@
         if snapshot is not None:
             self.same(snapshot.version, (snapshot.epoch, snapshot.digest, None))
         for c in changes or ():
-            self.same(c.version, (c.epoch, c.digest, c.request))
+            self.same(c.version, (c.epoch, c.digest, c.request_id))
 
     def same(self, version, found):
         known = self.truth.get(version)
@@ -210,7 +210,7 @@
         states = [r.state for r in self.up.values()]
         if not done or done.state != "done" or len({(s.epoch, s.version, s.digest) for s in states}) != 1:
             raise Fault(f"no one history: {[r.status(self.now) for r in self.up.values()]}")
-        if len({s.lineage for s in states}) != 1 or len({tuple(s.requests.items()) for s in states}) != 1:
+        if len({s.cluster_id for s in states}) != 1 or len({tuple(s.requests.items()) for s in states}) != 1:
             raise Fault("lineages or requests differ")
         for request, version in self.acked.items():
             if states[0].requests.get(request) != version:
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -54,8 +54,8 @@
             "format": m.FORMAT,
             "role": "broker",
             "name": f"b{conn}",
-            "run": 1,
-            "lineage": lineage,
+            "instance_id": 1,
+            "cluster_id": lineage,
             "epoch": position[0],
             "version": position[1],
             "digest": position[2],
@@ -64,18 +64,18 @@
         return self.sent[conn]
 
     def have(self, conn: int, now: int = 0, position: tuple | None = None) -> None:
-        self.publisher.received(now, conn, m.Have(*(position or where(self.history.state))))
+        self.publisher.received(now, conn, m.AppliedPosition(*(position or where(self.history.state))))
 
     def whole(self, conn: int) -> bool:
-        return any(isinstance(msg, m.Whole) for msg in self.sent[conn])
+        return any(isinstance(msg, m.CompleteSnapshot) for msg in self.sent[conn])
 
 
 def test_publisher_sends_changes_or_a_snapshot_and_one_at_a_time():
     desk = Desk()
     welcome, beat, whole = desk.hello(1)
-    assert welcome == m.Welcome("c1", 7, "line")
-    assert beat.silent_ms == -1
-    assert isinstance(whole, m.Whole)
+    assert welcome == m.HelloAccepted("c1", 7, "line")
+    assert beat.leader_silence_ms == -1
+    assert isinstance(whole, m.CompleteSnapshot)
     welcome, beat, deltas = desk.hello(2, desk.history.at(1))
     assert [c.version for c in deltas.changes] == [2, 3]
     grow(desk.history, 2)
@@ -83,17 +83,17 @@
     assert len(desk.sent[2]) == 3  # the first is still out
     desk.have(2, position=desk.history.at(3))
     assert [c.version for c in desk.sent[2][3].changes] == [4, 5]
-    desk.publisher.received(0, 2, m.WholeWanted("digest"))
-    assert isinstance(desk.sent[2][4], m.Whole)
+    desk.publisher.received(0, 2, m.SnapshotRequest("digest"))
+    assert isinstance(desk.sent[2][4], m.CompleteSnapshot)
     assert "whole_wanted" in desk.events
     desk.have(2)
     assert desk.publisher.in_force() == {"b1": (1, 0), "b2": (1, 5)}
     assert len(desk.sent[2]) == 5
     assert len(desk.hello(3, where(desk.history.state))) == 2  # has all
     desk.history.compact()
-    assert isinstance(desk.hello(4, (1, 4, b"x" * 16))[2], m.Whole)
+    assert isinstance(desk.hello(4, (1, 4, b"x" * 16))[2], m.CompleteSnapshot)
     assert "digest_differs" not in desk.events
-    assert isinstance(desk.hello(5, (1, 5, b"x" * 16))[2], m.Whole)
+    assert isinstance(desk.hello(5, (1, 5, b"x" * 16))[2], m.CompleteSnapshot)
     assert "digest_differs" in desk.events
     assert len(Desk(versions=0).hello(1)) == 2  # nothing to send yet
 
@@ -103,10 +103,10 @@
     first = desk.history.at(1)
     desk.hello(1, first)
     desk.have(1, position=first)  # changes not taken: a snapshot
-    assert isinstance(desk.sent[1][-1], m.Whole)
+    assert isinstance(desk.sent[1][-1], m.CompleteSnapshot)
     desk.have(1, position=first)  # nor that: nothing before there is news
     desk.publisher.committed(0)
-    assert isinstance(desk.sent[1][-1], m.Whole)
+    assert isinstance(desk.sent[1][-1], m.CompleteSnapshot)
     assert len(desk.sent[1]) == 4
     assert "whole_refused" in desk.events
     grow(desk.history)
@@ -120,27 +120,28 @@
         ({"format": 99}, "format"),
         ({"role": "control"}, "nonsense"),
         ({"name": "-"}, "nonsense"),
-        ({"lineage": "other", "epoch": 1, "version": 1, "digest": b"x" * 16}, "lineage"),
+        ({"cluster_id": "other", "epoch": 1, "version": 1, "digest": b"x" * 16}, "lineage"),
         ({"version": 5}, "nonsense"),
-        ({"lineage": "line", "version": 5, "digest": b"x"}, "nonsense"),
+        ({"cluster_id": "line", "version": 5, "digest": b"x"}, "nonsense"),
     ],
 )
 def test_publisher_turns_away_who_does_not_fit(more, why):
     desk = Desk()
     desk.hello(1, **more)
-    assert desk.ended[1].why == why
+    assert desk.ended[1].reason == why
     assert not desk.publisher.followers
     assert f"ended_{why}" in desk.events
 
 
 @pytest.mark.parametrize(
-    "message", [m.Beat(1, 1, b"", "", 0), m.Have(1, 3, b""), m.WholeWanted("x"), m.Goodbye("x")]
+    "message",
+    [m.Heartbeat(1, 1, b"", "", 0), m.AppliedPosition(1, 3, b""), m.SnapshotRequest("x"), m.Disconnect("x")],
 )
 def test_publisher_ends_nonsense(message):
     desk = Desk()
     desk.hello(1, where(desk.history.state))
     desk.publisher.received(0, 1, message)
-    assert desk.ended[1].why == "nonsense"
+    assert desk.ended[1].reason == "nonsense"
     desk.publisher.received(0, 1, message)  # what was under way already
     desk.publisher.gone(0, 1)
 
@@ -149,74 +150,80 @@
     desk = Desk(followers_most=2)
     desk.hello(1)
     desk.hello(2)
-    assert desk.publisher.seen(False) == m.Seen(False, [("b1", 1, 0), ("b2", 1, 0)])
+    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 0)])
     desk.hello(3)
-    assert desk.ended[3].why == "full"
-    assert desk.ended[3].after_ms > 0
-    desk.hello(4, name="b1", run=9)
-    assert desk.ended[1].why == "replaced"
+    assert desk.ended[3].reason == "full"
+    assert desk.ended[3].retry_after_ms > 0
+    desk.hello(4, name="b1", instance_id=9)
+    assert desk.ended[1].reason == "replaced"
     assert desk.publisher.in_force()["b1"] == (9, 0)
     desk.have(2)
-    assert desk.publisher.seen(False) == m.Seen(False, [("b1", 9, 0), ("b2", 1, 3)])
+    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 9, 0), ("b2", 1, 3)])
     assert desk.publisher.seen(False) is None
     desk.publisher.gone(0, 2)
-    assert desk.publisher.seen(False) == m.Seen(False, [("b2", 0, -1)])
-    assert desk.publisher.seen(True) == m.Seen(True, [("b1", 9, 0)])
+    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b2", 0, -1)])
+    assert desk.publisher.seen(True) == m.AppliedReport(True, [("b1", 9, 0)])
     desk.publisher.stop()
-    assert desk.ended[4].why == "stopping"
-    assert desk.publisher.seen(True) == m.Seen(True, [])
+    assert desk.ended[4].reason == "stopping"
+    assert desk.publisher.seen(True) == m.AppliedReport(True, [])
 
 
 def test_publisher_tells_who_turned_settings_down():
     desk, why = Desk(), "other classes need a restart"
     desk.hello(1)
-    desk.hello(2, where(desk.history.state), refused=why)  # it was so before it came here
-    assert desk.publisher.seen(False) == m.Seen(False, [("b1", 1, 0), ("b2", 1, 3)], {"b2": why})
-    desk.publisher.received(0, 1, m.Have(*where(desk.history.state), "  a\nlong\x1b[2J" + "x" * 999))
-    told = desk.publisher.seen(False).refused["b1"]
+    desk.hello(2, where(desk.history.state), rejection_reason=why)  # it was so before it came here
+    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 3)], {"b2": why})
+    desk.publisher.received(
+        0, 1, m.AppliedPosition(*where(desk.history.state), "  a\nlong\x1b[2J" + "x" * 999)
+    )
+    told = desk.publisher.seen(False).rejections["b1"]
     assert told.startswith("a long?[2Jxxx")
-    assert len(told) == m.REFUSED_MOST == 200
+    assert len(told) == m.MAX_REJECTION_REASON_LENGTH == 200
     grow(desk.history)
     desk.publisher.committed(0)
-    desk.publisher.received(0, 1, m.Have(*where(desk.history.state), "b"))
+    desk.publisher.received(0, 1, m.AppliedPosition(*where(desk.history.state), "b"))
     desk.have(2)
-    assert desk.publisher.seen(False) == m.Seen(False, [("b1", 1, 4), ("b2", 1, 4)], {"b1": "b"})
-    assert desk.publisher.seen(True).refused == {"b1": "b"}
+    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 1, 4), ("b2", 1, 4)], {"b1": "b"})
+    assert desk.publisher.seen(True).rejections == {"b1": "b"}
     desk.publisher.gone(0, 1)
-    assert desk.publisher.seen(False) == m.Seen(False, [("b1", 0, -1)], {})
+    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 0, -1)], {})
     desk.hello(3, (1, 4, b"x" * 16))
     desk.publisher.seen(False)
-    desk.publisher.received(0, 3, m.Have(*where(desk.history.state), why))  # a snapshot of the same version
-    assert desk.publisher.seen(False) == m.Seen(False, [("b3", 1, 4)], {"b3": why})
+    desk.publisher.received(
+        0, 3, m.AppliedPosition(*where(desk.history.state), why)
+    )  # a snapshot of the same version
+    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b3", 1, 4)], {"b3": why})
 
 
 def test_refusals_of_a_whole_fleet_fit_in_a_frame():
     desk, most = Desk(followers_most=20_000), 20_000
     for conn in range(most):
-        desk.hello(conn, where(desk.history.state), name=f"b{conn:063d}", refused="\u20ac" * 999)
+        desk.hello(conn, where(desk.history.state), name=f"b{conn:063d}", rejection_reason="\u20ac" * 999)
     seen = desk.publisher.seen(True)
-    assert len(m.encode(seen)) < m.FRAME_MOST
-    assert len(seen.refused) == len(seen.brokers) == most
+    assert len(m.encode(seen)) < m.MAX_FRAME_BYTES
+    assert len(seen.rejections) == len(seen.brokers) == most
 
 
 def test_words_without_refusals_are_read_by_old_and_new():
     """A control process or broker of the release before knows no refusals."""
-    assert m.decode(msgspec.msgpack.encode(["have", 1, 2, b"x"])) == m.Have(1, 2, b"x", "")
-    assert m.decode(msgspec.msgpack.encode(["seen", True, [["b", 1, 2]]])) == m.Seen(True, [("b", 1, 2)], {})
-    assert m.decode(msgspec.msgpack.encode(["have", 1, 2, b"x", "why", "later"])).refused == "why"
+    assert m.decode(msgspec.msgpack.encode(["have", 1, 2, b"x"])) == m.AppliedPosition(1, 2, b"x", "")
+    assert m.decode(msgspec.msgpack.encode(["seen", True, [["b", 1, 2]]])) == m.AppliedReport(
+        True, [("b", 1, 2)], {}
+    )
+    assert m.decode(msgspec.msgpack.encode(["have", 1, 2, b"x", "why", "later"])).rejection_reason == "why"
 
 
 def test_follower_says_what_was_turned_down_until_it_is_taken():
     desk, seat, why = Desk(), Seat().greet(), [""]
     seat.follower.changed = lambda state, change: why[0]
-    assert seat.take(m.Whole(desk.history.packed())).refused == ""
+    assert seat.take(m.CompleteSnapshot(desk.history.packed())).rejection_reason == ""
     for why[0] in ("other classes need a restart", ""):
         held = desk.history.state.version
         grow(desk.history)
-        assert seat.take(m.Deltas(after(desk.history, held))).refused == why[0]
+        assert seat.take(m.Deltas(after(desk.history, held))).rejection_reason == why[0]
         seat.follower.down(seat.now, "closed")
         hello = seat.greet(seat.now).said[-1]
-        assert (hello.version, hello.refused) == (desk.history.state.version, why[0])
+        assert (hello.version, hello.rejection_reason) == (desk.history.state.version, why[0])
 
 
 def test_publisher_bounds_names_nobody_asks_for():
@@ -225,7 +232,7 @@
         desk.hello(conn)
         desk.publisher.gone(0, conn)
         assert len(desk.publisher._changed) <= 4
-    assert desk.publisher.seen(False) == m.Seen(True, [])
+    assert desk.publisher.seen(False) == m.AppliedReport(True, [])
 
 
 def test_publisher_ends_the_silent_and_beats():
@@ -236,12 +243,12 @@
     now = 0
     while now < 11 * S:
         now = desk.publisher.tick(now)
-    beats = [b for b in desk.sent[2] if isinstance(b, m.Beat)]
-    assert desk.ended[1].why == "silent"
+    beats = [b for b in desk.sent[2] if isinstance(b, m.Heartbeat)]
+    assert desk.ended[1].reason == "silent"
     assert 2 not in desk.ended
     assert 10 <= len(beats) <= 12
-    assert beats[-1].primary == "c3"
-    assert beats[-1].silent_ms >= 9_000
+    assert beats[-1].leader == "c3"
+    assert beats[-1].leader_silence_ms >= 9_000
     assert not desk.publisher.ration.out
 
 
@@ -284,7 +291,7 @@
     ahead = Desk(versions=5)
     sent = desk.hello(1, where(ahead.history.state))
     assert len(sent) == 2
-    assert isinstance(sent[1], m.Beat)
+    assert isinstance(sent[1], m.Heartbeat)
     for now in range(S, 9 * S, S):
         desk.publisher.tick(now)
     assert desk.events.count("broker_ahead") == 1
@@ -344,7 +351,7 @@
         while self.follower.phase.value != "connecting":
             now = max(now, self.follower.tick(now))
         self.follower.up(now)
-        self.follower.received(now, m.Welcome("c", 1, lineage))
+        self.follower.received(now, m.HelloAccepted("c", 1, lineage))
         self.now = now
         return self
 
@@ -372,8 +379,8 @@
 def test_follower_takes_a_snapshot_and_what_follows():
     desk, seat = Desk(), Seat().greet()
     assert seat.said[0] == m.Hello(m.FORMAT, "broker", "b1", 3, address="b1:1", zone="z", region="r")
-    whole = m.Whole(desk.history.packed())
-    assert seat.take(whole) == m.Have(*where(desk.history.state))
+    whole = m.CompleteSnapshot(desk.history.packed())
+    assert seat.take(whole) == m.AppliedPosition(*where(desk.history.state))
     assert seat.took == [None]
     grow(desk.history, 2)
     assert seat.take(m.Deltas(after(desk.history, 3))).version == 5
@@ -381,7 +388,7 @@
     seat.follower.down(seat.now, "reset")
     seat.greet(seat.now)
     assert seat.said[-1].version == 5
-    assert seat.said[-1].lineage == "line"
+    assert seat.said[-1].cluster_id == "line"
     status = seat.follower.status(seat.now)
     assert status["version"] == 5
     assert status["counts"]["changes_taken"] == 2
@@ -391,34 +398,34 @@
 def test_follower_never_goes_back():
     desk, seat = Desk(versions=4), Seat().greet()
     old = Desk(versions=2)
-    seat.take(m.Whole(desk.history.packed()))
-    held = m.Have(*where(desk.history.state))
+    seat.take(m.CompleteSnapshot(desk.history.packed()))
+    held = m.AppliedPosition(*where(desk.history.state))
     assert seat.take(m.Deltas(after(desk.history, 2))) == held
     assert seat.counts("turned_down") == 2
-    assert seat.take(m.Whole(old.history.packed())) == held
+    assert seat.take(m.CompleteSnapshot(old.history.packed())) == held
     assert seat.counts("turned_down") == 3
     below = desk.history.state.copy()
     change = below.draft(1, [])
     low = m.Change(0, 5, [], change.digest)
     assert seat.take(m.Deltas([low])) == held
     assert seat.counts("turned_down") == 4
-    assert seat.take(m.Whole(desk.history.packed())) == held
+    assert seat.take(m.CompleteSnapshot(desk.history.packed())) == held
     assert seat.took == [None]
-    assert seat.take(m.Deltas([m.Change(1, 6, [], change.digest)])) == m.WholeWanted("gap")
+    assert seat.take(m.Deltas([m.Change(1, 6, [], change.digest)])) == m.SnapshotRequest("gap")
     assert where(seat.follower.state) == where(desk.history.state)
 
 
 def test_follower_keeps_what_it_had_where_a_digest_differs():
     desk, seat = Desk(), Seat().greet()
-    assert seat.take(m.Deltas(after(desk.history, 0))) == m.WholeWanted("gap")  # holds nothing
-    seat.take(m.Whole(desk.history.packed()))
+    assert seat.take(m.Deltas(after(desk.history, 0))) == m.SnapshotRequest("gap")  # holds nothing
+    seat.take(m.CompleteSnapshot(desk.history.packed()))
     held = where(seat.follower.state)
     grow(desk.history)
     good = desk.history.changes[-1][0]
-    assert seat.take(m.Deltas([m.Change(1, 4, good.ops, b"x" * 16)])) == m.WholeWanted("digest")
+    assert seat.take(m.Deltas([m.Change(1, 4, good.ops, b"x" * 16)])) == m.SnapshotRequest("digest")
     assert where(seat.follower.state) == held
     assert seat.counts("delta_differs") == 1
-    assert seat.take(m.Whole(desk.history.packed())).version == 4
+    assert seat.take(m.CompleteSnapshot(desk.history.packed())).version == 4
 
 
 def other_at(epoch: int, version: int) -> FleetState:
@@ -430,21 +437,23 @@
 
 def test_follower_at_one_version_with_two_digests():
     desk, seat = Desk(), Seat().greet()
-    seat.take(m.Whole(desk.history.packed()))
+    seat.take(m.CompleteSnapshot(desk.history.packed()))
     held = where(desk.history.state)
-    assert seat.take(m.Whole(pack(other_at(1, 3).snapshot()))) == m.Have(*held)  # who is right isn't known
+    assert seat.take(m.CompleteSnapshot(pack(other_at(1, 3).snapshot()))) == m.AppliedPosition(
+        *held
+    )  # who is right isn't known
     assert seat.counts("digest_differs") == 1
     assert seat.counts("turned_down") == 1
-    assert seat.take(m.Whole(pack(other_at(0, 3).snapshot()))) == m.Have(*held)  # below
+    assert seat.take(m.CompleteSnapshot(pack(other_at(0, 3).snapshot()))) == m.AppliedPosition(*held)  # below
     above = other_at(2, 3)
-    assert seat.take(m.Whole(pack(above.snapshot()))) == m.Have(*where(above))
+    assert seat.take(m.CompleteSnapshot(pack(above.snapshot()))) == m.AppliedPosition(*where(above))
     seat.follower.state.entries.clear()  # memory spoilt
     same = other_at(2, 3)
-    assert seat.take(m.Whole(pack(same.snapshot()))) == m.Have(*where(same))
+    assert seat.take(m.CompleteSnapshot(pack(same.snapshot()))) == m.AppliedPosition(*where(same))
     assert seat.counts("own_state_spoilt") == 1
     assert seat.follower.state.verify()
     for _ in range(2):
-        seat.take(m.Beat(2, 3, b"x" * 16, "c", 0))
+        seat.take(m.Heartbeat(2, 3, b"x" * 16, "c", 0))
     assert seat.counts("digest_differs") == 3  # a beat that differs: once a version
 
 
@@ -452,9 +461,14 @@
     good = Desk().history.state.snapshot()
     bad = m.Snapshot("line", 1, 3, b"x" * 16, good.entries, [])
     other = Desk().history.state.copy()
-    other.lineage = "other"
-    wholes = [m.Whole(packed) for packed in (b"x", pack(bad), pack(other.snapshot()))]
-    for message in (*wholes, m.Welcome("c", 1, "line"), m.Have(1, 1, b""), m.Goodbye("stopping")):
+    other.cluster_id = "other"
+    wholes = [m.CompleteSnapshot(packed) for packed in (b"x", pack(bad), pack(other.snapshot()))]
+    for message in (
+        *wholes,
+        m.HelloAccepted("c", 1, "line"),
+        m.AppliedPosition(1, 1, b""),
+        m.Disconnect("stopping"),
+    ):
         seat = Seat(servers=2, lineage="line").greet()
         seat.take(message)
         assert len(seat.ended) == 1
@@ -463,7 +477,7 @@
     seat = Seat(servers=2, lineage="line").greet(lineage="other")
     assert seat.ended == ["lineage"]
     seat = Seat().greet()
-    seat.take(m.Whole(pack(good)))
+    seat.take(m.CompleteSnapshot(pack(good)))
     seat.follower.down(seat.now, "x")
     seat.greet(seat.now, "other")
     assert seat.ended == ["lineage"]
@@ -486,10 +500,10 @@
     assert min(gaps[10:]) < S
     assert [s.name for s in seat.tried[:4]] == ["c0", "c1", "c2", "c0"]
     seat = Seat().greet()
-    seat.take(m.Goodbye("full", 7_000))
+    seat.take(m.Disconnect("full", 7_000))
     assert 7 * S <= seat.follower.tick(seat.now) - seat.now <= 9 * S
     seat = Seat(servers=2).greet()
-    seat.take(m.Goodbye("full", 7_000))
+    seat.take(m.Disconnect("full", 7_000))
     seat.greet(seat.now)
     seat.follower.down(seat.now, "x")
     assert seat.follower.tick(seat.now) - seat.now <= S
@@ -536,7 +550,7 @@
             due = seat.follower.tick(seat.now)
             seat.now = min(max(due, seat.now), seat.now + S)
             if seat.follower.phase.value == "following":
-                seat.follower.received(seat.now, m.Beat(0, 0, b"", "", 0))
+                seat.follower.received(seat.now, m.Heartbeat(0, 0, b"", "", 0))
         waits.append(seat.now - start)
         assert seat.ended[-1] == "home"
         seat.follower.down(seat.now, "refused")
@@ -550,10 +564,10 @@
 def test_follower_says_how_stale_it_is():
     seat = Seat(servers=2).greet()
     assert seat.follower.stale_ms(seat.now + 2 * S) >= 2_000
-    seat.take(m.Beat(0, 0, b"", "c3", 400))
+    seat.take(m.Heartbeat(0, 0, b"", "c3", 400))
     assert seat.follower.stale_ms(seat.now) == 400
-    seat.take(m.Beat(0, 0, b"", "c3", 9_000))  # another that heard less takes nothing back
-    seat.take(m.Beat(0, 0, b"", "c3", -1))
+    seat.take(m.Heartbeat(0, 0, b"", "c3", 9_000))  # another that heard less takes nothing back
+    seat.take(m.Heartbeat(0, 0, b"", "c3", -1))
     seat.follower.down(seat.now, "reset")
     assert seat.follower.stale_ms(seat.now + S) == 1_400
 
@@ -655,14 +669,14 @@
         link = self.conns.get(conn)
         if not link:
             return
-        link["out"] = max(link["out"] - isinstance(msg, m.Have | m.WholeWanted), 0)
+        link["out"] = max(link["out"] - isinstance(msg, m.AppliedPosition | m.SnapshotRequest), 0)
         hello, link["hello"] = not link["hello"], True
         site = self.sites[link["site"]]
         site.connected(self.now, conn, msg) if hello else site.received(self.now, conn, msg)
 
     def _to_broker(self, conn: int, msg: m.Message) -> None:
         link = self.conns.get(conn)
-        if link and isinstance(msg, m.Deltas | m.Whole):
+        if link and isinstance(msg, m.Deltas | m.CompleteSnapshot):
             link["out"] += 1
             assert link["out"] <= 1, "more than one message out"
             if self.spoil:
@@ -671,9 +685,9 @@
         self._frame(conn, "back", msg, self._at_broker)
 
     def _spoilt(self, msg: m.Message) -> m.Message:
-        if isinstance(msg, m.Whole):
-            cut = self.random.randrange(len(msg.packed))
-            return m.Whole(msg.packed[:cut] + b"\x55" + msg.packed[cut + 1 :][:-1])
+        if isinstance(msg, m.CompleteSnapshot):
+            cut = self.random.randrange(len(msg.compressed))
+            return m.CompleteSnapshot(msg.compressed[:cut] + b"\x55" + msg.compressed[cut + 1 :][:-1])
         *rest, last = msg.changes
         bad = m.Change(last.epoch, last.version, [m.Op("engine/bad", b"\x01")], last.digest)
         return m.Deltas([*rest, bad])
@@ -682,7 +696,7 @@
         if conn in self.conns:
             self.brokers[self.conns[conn]["broker"]].received(self.now, msg)
 
-    def _goodbye(self, conn: int, goodbye: m.Goodbye) -> None:
+    def _goodbye(self, conn: int, goodbye: m.Disconnect) -> None:
         self._frame(conn, "back", goodbye, self._at_broker)
         self.later(S // 2, self._down, conn)
 
@@ -810,15 +824,15 @@
 
 def test_follower_leaves_a_server_that_hears_no_primary():
     seat, left = Seat(servers=3).greet(), []
-    stale = m.Beat(0, 0, b"", "c1", 11_000)
+    stale = m.Heartbeat(0, 0, b"", "c1", 11_000)
     now = seat.now
     while now < 100 * S:
         now += S
         seat.follower.tick(now)
         if seat.follower.phase.value == "connecting":
             seat.follower.up(now)
-            seat.follower.received(now, m.Welcome("c", 1, "line"))
-        seat.follower.received(now, stale if now < 80 * S else m.Beat(0, 0, b"", "c1", 100))
+            seat.follower.received(now, m.HelloAccepted("c", 1, "line"))
+        seat.follower.received(now, stale if now < 80 * S else m.Heartbeat(0, 0, b"", "c1", 100))
         if seat.ended.count("stale") > len(left):
             left.append((now, seat.tried[-1].name))
     assert left[0][0] - seat.now >= 10 * S
@@ -834,5 +848,5 @@
     for servers, silent in ((1, 60_000), (3, 9_000)):
         seat = Seat(servers=servers).greet()
         for second in range(1, 15):
-            seat.follower.received(seat.now + second * S, m.Beat(0, 0, b"", "c1", silent))
+            seat.follower.received(seat.now + second * S, m.Heartbeat(0, 0, b"", "c1", silent))
         assert not seat.ended
--- a/tests/test_controlplane_frames.py
+++ b/tests/test_controlplane_frames.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from cypressledge.controlplane.frames import Ended, Frames, Traffic
-from cypressledge.controlplane.messages import Whole
+from cypressledge.controlplane.messages import CompleteSnapshot
 
 
 @pytest.fixture
@@ -23,13 +23,13 @@
 
 
 def test_frames_may_be_larger_once_it_is_known_who_sends(pair):
-    large = Whole(os.urandom(300_000))
+    large = CompleteSnapshot(os.urandom(300_000))
     pair[1].allow(4 << 20)
     gevent.spawn(pair[0].send, large)
     assert pair[1].receive(5) == large
 
 
 def test_a_frame_over_the_bound_ends_the_connection(pair):
-    gevent.spawn(pair[0].send, Whole(bytes(5_000)))
+    gevent.spawn(pair[0].send, CompleteSnapshot(bytes(5_000)))
     with pytest.raises(Ended, match="a frame of"):
         pair[1].receive(5)
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -22,7 +22,15 @@
 
 from cypressledge.controlplane.frames import Ended, Frames, Traffic
 from cypressledge.controlplane.history import pack
-from cypressledge.controlplane.messages import Deltas, Have, Hello, Op, Welcome, Whole, WholeWanted
+from cypressledge.controlplane.messages import (
+    AppliedPosition,
+    CompleteSnapshot,
+    Deltas,
+    Hello,
+    HelloAccepted,
+    Op,
+    SnapshotRequest,
+)
 from cypressledge.controlplane.publisher import Limits
 from cypressledge.controlplane.state import FleetState, canonical
 from cypressledge.lab.processes import ROOT, until
@@ -134,7 +142,7 @@
         ended = len(primary.told("primary_ended"))
         primary.signal(signal.SIGCONT)
         plane.wait(lambda: len(primary.told("primary_ended")) > ended, "a primary that steps down")
-        # Its Append left after it went on: both turn it down.
+        # Its AppendEntries left after it went on: both turn it down.
         plane.wait(lambda: primary.status()["traffic"].get("in.denied", {}).get("frames", 0) >= 1, "a denial")
     else:
         kept = primary.kept()
@@ -300,8 +308,8 @@
         frames = Frames(sock, Traffic())
         try:
             self.heard.append(frames.receive(WAIT))
-            frames.send(Welcome("c1", 1, "liar-1"))
-            frames.send(Whole(pack(self.held.snapshot())))
+            frames.send(HelloAccepted("c1", 1, "liar-1"))
+            frames.send(CompleteSnapshot(pack(self.held.snapshot())))
             self.heard.append(frames.receive(WAIT))
             right = self.held.draft(5, [Op("engine/e1", canonical({"address": "127.0.0.1:7002"}))])
             wrong = self.held.draft(5, [Op("engine/e1", canonical({"address": "127.0.0.1:7003"}))])
@@ -309,7 +317,7 @@
             # The value of one, the digest of the other.
             frames.send(Deltas([type(right)(5, 2, wrong.ops, right.digest)]))
             self.heard.append(frames.receive(WAIT))
-            frames.send(Whole(pack(self.held.snapshot())))
+            frames.send(CompleteSnapshot(pack(self.held.snapshot())))
             self.heard.append(frames.receive(WAIT))
             while True:
                 frames.receive(WAIT)
@@ -343,10 +351,10 @@
         assert until(lambda: len(liar.heard) == 4, WAIT), broker.words()
         hello, first, asked, last = liar.heard
         assert isinstance(hello, Hello)
-        assert isinstance(first, Have)
-        assert isinstance(last, Have)
-        assert isinstance(asked, WholeWanted), asked
-        assert asked.why == "digest", asked
+        assert isinstance(first, AppliedPosition)
+        assert isinstance(last, AppliedPosition)
+        assert isinstance(asked, SnapshotRequest), asked
+        assert asked.reason == "digest", asked
         assert (last.version, last.digest) == (2, liar.held.digest)
         told = broker.show("/control/status")
         assert told["counts"]["delta_differs"] == 1
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -17,14 +17,14 @@
 from cypressledge.controlplane.history import History
 from cypressledge.controlplane.lag import NAMES_MOST, InForce
 from cypressledge.controlplane.messages import (
-    FRAME_MOST,
+    MAX_FRAME_BYTES,
+    AppliedPosition,
+    AppliedReport,
+    CompleteSnapshot,
     Deltas,
-    Goodbye,
-    Have,
+    Disconnect,
+    HelloAccepted,
     Op,
-    Seen,
-    Welcome,
-    Whole,
     encode,
 )
 from cypressledge.controlplane.operators import Asked, BadRequest, read_change
@@ -33,7 +33,7 @@
 from cypressledge.controlplane.server import check_new
 from cypressledge.controlplane.state import FleetState, StateError, canonical, plain
 
-ONE, TWO = Have(7, 3, bytes(16)), Goodbye("stopping", 5)
+ONE, TWO = AppliedPosition(7, 3, bytes(16)), Disconnect("stopping", 5)
 
 
 def pair():
@@ -58,7 +58,7 @@
 
 def test_frames_come_whole_however_they_are_cut(ends):
     frames, far = ends
-    raw = encode(ONE) + encode(TWO) + encode(Whole(bytes(300_000)))
+    raw = encode(ONE) + encode(TWO) + encode(CompleteSnapshot(bytes(300_000)))
 
     def send():
         for size in (1, 2, 3, 5, 8, 13):
@@ -70,7 +70,7 @@
 
     sending = gevent.spawn(send)
     assert [frames.receive(2), frames.receive(2)] == [ONE, TWO]
-    assert len(frames.receive(2).packed) == 300_000
+    assert len(frames.receive(2).compressed) == 300_000
     assert frames.receive(0.01) is None
     sending.join()
     assert frames.traffic.show()["in.have"] == {"frames": 1, "bytes": len(encode(ONE))}
@@ -83,10 +83,10 @@
     near, far = pair()
     frames, peer = Frames(near, Traffic(), 4096), Frames(far, Traffic())
     peer.send(ONE)
-    peer.send(Whole(bytes(3_000_000)))
+    peer.send(CompleteSnapshot(bytes(3_000_000)))
     assert frames.receive(2) == ONE
-    frames.allow(FRAME_MOST)
-    assert len(frames.receive(5).packed) == 3_000_000
+    frames.allow(MAX_FRAME_BYTES)
+    assert len(frames.receive(5).compressed) == 3_000_000
     frames.close()
     peer.close()
 
@@ -97,7 +97,7 @@
         (b"\x00\x00\x00\x00", "a frame of 0 bytes"),
         (b"\xff\xff\xff\xff", "a frame of 4294967295 bytes"),
         (b"\x00\x00\x00\x03abc", "nonsense"),
-        ((FRAME_MOST + 1).to_bytes(4, "big"), "a frame of 4194305 bytes"),
+        ((MAX_FRAME_BYTES + 1).to_bytes(4, "big"), "a frame of 4194305 bytes"),
     ],
 )
 def test_what_is_no_frame_ends_the_connection(ends, raw, why):
@@ -125,7 +125,7 @@
     frames = Frames(near, Traffic())
     began = time.monotonic()
     for _ in range(100):
-        frames.send(Whole(bytes(100_000)))
+        frames.send(CompleteSnapshot(bytes(100_000)))
     assert time.monotonic() - began < 1
     with pytest.raises(Ended, match="peer does not read"):
         frames.receive(2)
@@ -145,19 +145,19 @@
 
 def test_who_lags_is_said_by_those_who_know():
     table = InForce()
-    table.report(1, "c1", Seen(True, [("b1", 11, 5), ("b2", 12, 4)]))
+    table.report(1, "c1", AppliedReport(True, [("b1", 11, 5), ("b2", 12, 4)]))
     told = table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"})
     assert (told["connected"], told["in_force"], told["names"]) == (2, 1, ["b2"])
     assert (told["unreachable_names"], told["unheard"]) == (["b3"], ["c2"])
-    table.report(2, "c2", Seen(False, [("b3", 13, 5)]))  # changes of what isn't known here
+    table.report(2, "c2", AppliedReport(False, [("b3", 13, 5)]))  # changes of what isn't known here
     assert table.lag(5, {"b3"}, {"c1", "c2"})["unheard"] == ["c2"]
-    table.report(3, "c2", Seen(True, [("b2", 12, 5)]))  # b2 has moved
+    table.report(3, "c2", AppliedReport(True, [("b2", 12, 5)]))  # b2 has moved
     assert table.lag(5, (), {"c1", "c2"})["lagging"] == 0
-    table.report(4, "c1", Seen(False, [("b2", 12, -1)]))
+    table.report(4, "c1", AppliedReport(False, [("b2", 12, -1)]))
     assert table.newest()["b2"].version == 5
     table.drop("c2")
     assert table.lag(5, {"b2"}, {"c1"})["unreachable_names"] == ["b2"]
-    table.report(5, "c1", Seen(True, [(f"x{i}", 1, 0) for i in range(200)]))
+    table.report(5, "c1", AppliedReport(True, [(f"x{i}", 1, 0) for i in range(200)]))
     told = table.lag(1, (), {"c1"})
     assert (told["lagging"], len(told["names"])) == (200, NAMES_MOST)
 
@@ -165,15 +165,17 @@
 def test_who_turned_a_version_down_has_it_not_in_force():
     table = InForce()
     why = "other classes need a restart"
-    table.report(1, "c1", Seen(True, [("b1", 1, 5), ("b2", 1, 4), ("b3", 1, 5)], {"b3": why, "b2": "older"}))
+    table.report(
+        1, "c1", AppliedReport(True, [("b1", 1, 5), ("b2", 1, 4), ("b3", 1, 5)], {"b3": why, "b2": "older"})
+    )
     told = table.lag(5, (), {"c1"})
     assert (told["connected"], told["in_force"], told["lagging"], told["refused"]) == (3, 1, 1, 1)
     assert told["refused_by"] == {"b3": why}  # b2 has yet to say what it does with this version
-    table.report(2, "c1", Seen(False, [("b3", 1, 6)]))
+    table.report(2, "c1", AppliedReport(False, [("b3", 1, 6)]))
     told = table.lag(5, (), {"c1"})
     assert (told["in_force"], told["refused"], told["refused_by"]) == (2, 0, {})
     many = [(f"x{i}", 1, 9) for i in range(200)]
-    table.report(3, "c1", Seen(True, many, {f"x{i}": why for i in range(99)}))
+    table.report(3, "c1", AppliedReport(True, many, {f"x{i}": why for i in range(99)}))
     told = table.lag(9, (), {"c1"})
     assert (told["in_force"], told["refused"], len(told["refused_by"])) == (101, 99, NAMES_MOST)
 
@@ -309,14 +311,14 @@
     while follower.phase.value != "connecting":
         now = max(now, follower.tick(now))
     follower.up(now)
-    follower.received(now, Welcome("c", 1, "line"))
+    follower.received(now, HelloAccepted("c", 1, "line"))
 
     def engine(i):
         return Op(f"engine/e{i:03}", canonical({"address": f"e:{i + 1}"}))
 
     history = History(FleetState("line"))
     history.apply(history.state.draft(1, [engine(0)]))
-    follower.received(now, Whole(history.packed()))
+    follower.received(now, CompleteSnapshot(history.packed()))
     for i in range(1, 300):
         history.apply(history.state.draft(1, [engine(i)]))
     history.apply(history.state.draft(1, [Op("config/Bad", canonical(1))]))
--- a/tests/test_controlplane_registry.py
+++ b/tests/test_controlplane_registry.py
@@ -4,7 +4,7 @@
 
 from cypressledge.config import ConfigError
 from cypressledge.controlplane.lag import InForce
-from cypressledge.controlplane.messages import OPS_MOST, Op, Seen
+from cypressledge.controlplane.messages import MAX_OPS_PER_CHANGE, AppliedReport, Op
 from cypressledge.controlplane.registry import AGAIN, LOOK, REGISTER_MOST, SETTLED, Registry
 from cypressledge.controlplane.settings import read_control
 from cypressledge.controlplane.state import Broker, FleetState, canonical, check
@@ -74,11 +74,11 @@
 
 
 def test_all_who_are_due_leave_together_and_no_more_than_a_change_a_second():
-    p = Primary(forget=10 * S, **{f"b{i}": f"h:{i + 1}" for i in range(OPS_MOST - 1)})
+    p = Primary(forget=10 * S, **{f"b{i}": f"h:{i + 1}" for i in range(MAX_OPS_PER_CHANGE - 1)})
     p.take([at(f"x{i}", f"x:{i + 1}") for i in range(9)])
     p.rest(10 * S)
     told = p.turn(after=S)[0]
-    assert len(told) == OPS_MOST
+    assert len(told) == MAX_OPS_PER_CHANGE
     assert len(p.names) == 8
     assert p.turn(at("new", "y:1"), after=AGAIN // 2) == (["+new"], [])  # a registration doesn't wait
     assert len(p.names) == 9
@@ -197,9 +197,9 @@
 
 def test_who_is_connected_is_known_only_where_all_have_spoken():
     table, all = InForce(), ["c1", "c2"]
-    table.report(1, "c1", Seen(True, [("a", 1, 1)]))
+    table.report(1, "c1", AppliedReport(True, [("a", 1, 1)]))
     assert table.connected(all, all) is None
-    table.report(1, "c2", Seen(True, [("b", 1, 1)]))
+    table.report(1, "c2", AppliedReport(True, [("b", 1, 1)]))
     assert table.connected(all, all) == {"a", "b"}
     assert table.connected(all, ["c1"]) is None
     table.drop("c2")
--- a/tests/test_controlplane_replica.py
+++ b/tests/test_controlplane_replica.py
@@ -9,7 +9,7 @@
 
 from cypressledge.controlplane import replica as module
 from cypressledge.controlplane.history import pack
-from cypressledge.controlplane.messages import Append, Denied, Install
+from cypressledge.controlplane.messages import AppendEntries, Denied, InstallSnapshot
 from cypressledge.controlplane.replica import Clash, HistoryError, Loaded, NotPrimary, Replica
 from cypressledge.controlplane.state import FleetState, StateError
 
@@ -25,7 +25,7 @@
 
 def opening(message):
     """The first entry of an epoch, or what follows it."""
-    return isinstance(message, Append) and any(not c.ops for c in message.changes)
+    return isinstance(message, AppendEntries) and any(not c.ops for c in message.changes)
 
 
 def one_epoch_two_runs(kind):
@@ -71,7 +71,7 @@
     w.lease("b", 2)
     w.run("bc")
     w.start("a")
-    w.up["b"].progress["a"].end = 2  # an Append to a is out: only signs of life go there
+    w.up["b"].progress["a"].end = 2  # an AppendEntries to a is out: only signs of life go there
     w.up["b"].progress["a"].resend = 1 << 60
     w.pass_time(SECOND, "abc")
 
@@ -148,11 +148,11 @@
     w.lease("b", 2)
     w.run("abc")
     w.propose("b", "x")
-    w.run("ab", lambda m: isinstance(m, Append) and m.commit > 2)
+    w.run("ab", lambda m: isinstance(m, AppendEntries) and m.commit > 2)
     w.lose_disk("b")
     w.lease("a", 3)
     w.run("ac", opening)
-    w.pass_time(2 * SECOND, "ab", lambda m: isinstance(m, Append) and m.changes)
+    w.pass_time(2 * SECOND, "ab", lambda m: isinstance(m, AppendEntries) and m.changes)
     w.crash("a")
     w.lease("c", 4)
     w.pass_time(SECOND, "bc")
@@ -205,8 +205,8 @@
     other = FleetState("of another fleet")
     other.epoch = 5
     other.apply(other.draft(5, engine("x")))
-    w.call("c", lambda: w.up["c"].receive(w.now, "b", Install(5, pack(other.snapshot()), 1)))
-    if w.up["c"].lineage != "of a":
+    w.call("c", lambda: w.up["c"].receive(w.now, "b", InstallSnapshot(5, pack(other.snapshot()), 1)))
+    if w.up["c"].cluster_id != "of a":
         raise Fault("a history has been taken in place of another")
     assert ("c", "lineage") in w.events
     assert w.net.pop() == ("c", "b", Denied(5, "lineage"))
@@ -282,7 +282,7 @@
     (a_lost_promise, "_muted", lambda self, now: False),
     (disks_put_back, "_behind", lambda self, newest: False),
     (less_than_a_majority, "_enough", lambda self, count: True),
-    (another_history, "_kin", lambda self, lineage: True),
+    (another_history, "_is_same_cluster", lambda self, lineage: True),
     (a_request_repeated, "_known", lambda self, request: None),
     (a_promise_not_kept, "_promise", memory_promise),
     (an_entry_not_kept, "_durable", memory_entries),
@@ -306,12 +306,12 @@
     state.epoch, state.version = 1, 1
     other = state.draft(9, engine("y"))
     with pytest.raises(HistoryError):
-        w.up["b"].receive(w.now, "c", Append(9, 1, 1, [other], 1))
+        w.up["b"].receive(w.now, "c", AppendEntries(9, 1, 1, [other], 1))
     unguarded = type("Without", (Replica,), {"_droppable": lambda self, after: True})
     w.crash("b")
     w.kind = unguarded
     w.start("b")
-    w.up["b"].receive(w.now, "c", Append(9, 1, 1, [other], 1))
+    w.up["b"].receive(w.now, "c", AppendEntries(9, 1, 1, [other], 1))
     assert w.up["b"].log.last[1] < w.up["b"].commit  # without the guard: gone, unnoticed
 
 
@@ -394,7 +394,7 @@
     w.propose("a", "x")
     w.pass_time(4 * SECOND, "ab")
     assert w.up["a"].commit == 1
-    assert not w.up["b"].willing(w.now)
+    assert not w.up["b"].is_eligible(w.now)
     w.pass_time(8 * SECOND, "ab")
     assert w.acked == {"x": 2}
     assert not w.disks["b"].kept.joining
--- a/tests/test_controlplane_state.py
+++ b/tests/test_controlplane_state.py
@@ -8,7 +8,14 @@
 
 from cypressledge.controlplane import history as h
 from cypressledge.controlplane import state as s
-from cypressledge.controlplane.messages import CHANGE_MOST, OPS_MOST, Change, Entry, Op, Snapshot
+from cypressledge.controlplane.messages import (
+    MAX_CHANGE_BYTES,
+    MAX_OPS_PER_CHANGE,
+    Change,
+    Op,
+    Snapshot,
+    StateEntry,
+)
 from cypressledge.lab.site import SETTINGS
 
 SECTIONS = [Op(f"config/{name}", s.canonical(value)) for name, value in SETTINGS.items()]
@@ -82,7 +89,7 @@
     state = filled()
     good = state.draft(2, [engine("e3", "10.0.0.3:9000")])
     before = state.snapshot()
-    many = [Op(f"engine/n{i}", b"\x01") for i in range(OPS_MOST + 1)]
+    many = [Op(f"engine/n{i}", b"\x01") for i in range(MAX_OPS_PER_CHANGE + 1)]
     for bad in (
         Change(2, 4, good.ops, good.digest),
         Change(2, 2, good.ops, good.digest),
@@ -90,7 +97,7 @@
         Change(2, 3, good.ops, b"\0" * 16),
         Change(2, 3, [engine("e3", "10.0.0.4:9000")], good.digest),
         Change(2, 3, many, good.digest),
-        Change(2, 3, [Op("engine/e3", b"\0" * CHANGE_MOST)], good.digest),
+        Change(2, 3, [Op("engine/e3", b"\0" * MAX_CHANGE_BYTES)], good.digest),
         Change(2, 3, good.ops * 2, good.digest),
         Change(2, 3, good.ops, good.digest, "r" * 600),
     ):
@@ -130,8 +137,8 @@
         ([Op("config/Extra", s.canonical(float("nan")))], "config"),
         ([Op("config/Dcs", s.canonical(["a", "a"]))], "twice"),
         ([Op("config/Limits", s.canonical(SETTINGS["Limits"] | {"ConnIdle": 0}))], "limit"),
-        ([Op(f"engine/n{i}", None) for i in range(OPS_MOST + 1)], "keys in one change"),
-        ([Op("config/Extra", s.canonical("x" * CHANGE_MOST))], "bytes"),
+        ([Op(f"engine/n{i}", None) for i in range(MAX_OPS_PER_CHANGE + 1)], "keys in one change"),
+        ([Op("config/Extra", s.canonical("x" * MAX_CHANGE_BYTES))], "bytes"),
     ],
 )
 def test_what_is_refused_before_it_is_taken(ops, says):
@@ -163,7 +170,7 @@
 def test_a_state_too_large_for_a_frame_is_refused():
     state = s.FleetState("line")
     value = s.canonical(s.Engine("a:1", kind="k" * 64))
-    state.entries = {f"engine/n{i}": Entry(f"engine/n{i}", value, 1) for i in range(10)}
+    state.entries = {f"engine/n{i}": StateEntry(f"engine/n{i}", value, 1) for i in range(10)}
     state.size = s.STATE_MOST
     with pytest.raises(s.StateError, match="the state would have"):
         s.check(state, [engine("x", "b:1")])
@@ -213,8 +220,8 @@
     for entries in (
         rest,
         [*good.entries, entry],
-        [Entry(entry.key, entry.value, 9), *rest],
-        [Entry(entry.key, b"\x01", entry.version), *rest],
+        [StateEntry(entry.key, entry.value, 9), *rest],
+        [StateEntry(entry.key, b"\x01", entry.version), *rest],
     ):
         with pytest.raises(s.StateError):
             s.FleetState.restore(Snapshot("line", 1, 2, good.digest, entries, []))
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -146,7 +146,7 @@
     replica = Replica("a", 1, ("a", "b", "c"), store, 0, None, lambda *_: None, None, mute_us=5)
     assert replica.joining
     assert replica.mute_until == 5
-    assert not replica.willing(9)
+    assert not replica.is_eligible(9)
 
 
 def test_an_edit_that_sqlite_takes_for_good_is_refused(kept):
