--- a/cypressledge/controlplane/agent.py
+++ b/cypressledge/controlplane/agent.py
@@ -12,7 +12,7 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import address
 from cypressledge.controlplane.follower import Follower, Server
-from cypressledge.controlplane.frames import Ended, Frames, Traffic, connect
+from cypressledge.controlplane.framing import Ended, Frames, Traffic, connect
 from cypressledge.controlplane.messages import Change, Message
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.state import FleetState
--- a/cypressledge/controlplane/follower.py
+++ b/cypressledge/controlplane/follower.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.controlplane.history import unpack
+from cypressledge.controlplane.change_history import unpack
 from cypressledge.controlplane.messages import (
     FORMAT,
     AppliedPosition,
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.controlplane.history import History
+from cypressledge.controlplane.change_history import History
 from cypressledge.controlplane.messages import (
     FORMAT,
     AppliedPosition,
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from cypressledge.controlplane.history import pack, unpack
+from cypressledge.controlplane.change_history import pack, unpack
 from cypressledge.controlplane.messages import (
     MAX_BATCH_BYTES,
     AppendEntries,
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -22,11 +22,11 @@
 
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.config import ConfigError, address
+from cypressledge.controlplane.applied_versions import NAMES_MOST, InForce
+from cypressledge.controlplane.broker_registry import Registry
+from cypressledge.controlplane.change_history import History
 from cypressledge.controlplane.faults import ONCE, VARIABLE, Faults
-from cypressledge.controlplane.frames import HELLO_S, Ended, Frames, Traffic, connect
-from cypressledge.controlplane.history import History
-from cypressledge.controlplane.lag import NAMES_MOST, InForce
-from cypressledge.controlplane.learner import Learner
+from cypressledge.controlplane.framing import HELLO_S, Ended, Frames, Traffic, connect
 from cypressledge.controlplane.messages import (
     FORMAT,
     MAX_FRAME_BYTES,
@@ -42,13 +42,13 @@
     Snapshot,
     encode,
 )
+from cypressledge.controlplane.non_voting_replica import Learner
 from cypressledge.controlplane.operators import Asked, Operators, number
 from cypressledge.controlplane.publisher import Limits, Publisher
-from cypressledge.controlplane.registry import Registry
 from cypressledge.controlplane.replica import Clash, DiskError, NotPrimary, Replica, Ticket
 from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control
+from cypressledge.controlplane.sqlite_storage import Store, StoreError
 from cypressledge.controlplane.state import FleetState, StateError, canonical, check, clashes, plain
-from cypressledge.controlplane.store import Store, StoreError
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
 from cypressledge.fleet.keeper import Place
--- a/tests/recordings/test_control_messages_recording.py
+++ b/tests/recordings/test_control_messages_recording.py
@@ -13,8 +13,8 @@
 from gevent import socket
 
 from cypressledge.controlplane import messages
-from cypressledge.controlplane.frames import Frames, Traffic
-from cypressledge.controlplane.history import pack, unpack
+from cypressledge.controlplane.change_history import pack, unpack
+from cypressledge.controlplane.framing import Frames, Traffic
 from cypressledge.controlplane.messages import Change, Message, Op, Snapshot, StateEntry
 
 RECORDED = json.loads((Path(__file__).parent / "control_messages.json").read_text())
--- a/tests/recordings/test_control_store_recording.py
+++ b/tests/recordings/test_control_store_recording.py
@@ -9,8 +9,8 @@
 
 from cypressledge.controlplane.messages import Change, Op, Snapshot
 from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.sqlite_storage import Store
 from cypressledge.controlplane.state import Broker, Engine, StateError, canonical
-from cypressledge.controlplane.store import Store
 
 RECORDING = Path(__file__).parent / "control_store_9c5e980"
 EXPECTED = json.loads((RECORDING / "expected.json").read_text())
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from cypressledge.controlplane import messages as m
+from cypressledge.controlplane.change_history import History, pack
 from cypressledge.controlplane.follower import SILENT, Follower, Server, order
-from cypressledge.controlplane.history import History, pack
 from cypressledge.controlplane.publisher import Limits, Publisher
 from cypressledge.controlplane.state import Broker, Engine, FleetState, canonical
 
--- a/tests/test_controlplane_frames.py
+++ b/tests/test_controlplane_frames.py
@@ -6,7 +6,7 @@
 import pytest
 from gevent import socket
 
-from cypressledge.controlplane.frames import Ended, Frames, Traffic
+from cypressledge.controlplane.framing import Ended, Frames, Traffic
 from cypressledge.controlplane.messages import CompleteSnapshot
 
 
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -20,8 +20,8 @@
 from gevent import subprocess
 from gevent.server import StreamServer
 
-from cypressledge.controlplane.frames import Ended, Frames, Traffic
-from cypressledge.controlplane.history import pack
+from cypressledge.controlplane.change_history import pack
+from cypressledge.controlplane.framing import Ended, Frames, Traffic
 from cypressledge.controlplane.messages import (
     AppliedPosition,
     CompleteSnapshot,
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -11,11 +11,11 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import ConfigError
 from cypressledge.controlplane import cli
-from cypressledge.controlplane import frames as frames_module
+from cypressledge.controlplane import framing as frames_module
+from cypressledge.controlplane.applied_versions import NAMES_MOST, InForce
+from cypressledge.controlplane.change_history import History
 from cypressledge.controlplane.faults import Faults
-from cypressledge.controlplane.frames import Ended, Frames, Traffic
-from cypressledge.controlplane.history import History
-from cypressledge.controlplane.lag import NAMES_MOST, InForce
+from cypressledge.controlplane.framing import Ended, Frames, Traffic
 from cypressledge.controlplane.messages import (
     MAX_FRAME_BYTES,
     AppliedPosition,
--- a/tests/test_controlplane_registry.py
+++ b/tests/test_controlplane_registry.py
@@ -3,9 +3,9 @@
 import pytest
 
 from cypressledge.config import ConfigError
-from cypressledge.controlplane.lag import InForce
+from cypressledge.controlplane.applied_versions import InForce
+from cypressledge.controlplane.broker_registry import AGAIN, LOOK, REGISTER_MOST, SETTLED, Registry
 from cypressledge.controlplane.messages import MAX_OPS_PER_CHANGE, AppliedReport, Op
-from cypressledge.controlplane.registry import AGAIN, LOOK, REGISTER_MOST, SETTLED, Registry
 from cypressledge.controlplane.settings import read_control
 from cypressledge.controlplane.state import Broker, FleetState, canonical, check
 
--- a/tests/test_controlplane_replica.py
+++ b/tests/test_controlplane_replica.py
@@ -8,7 +8,7 @@
 from replicas import SECOND, Fault, World, engine
 
 from cypressledge.controlplane import replica as module
-from cypressledge.controlplane.history import pack
+from cypressledge.controlplane.change_history import pack
 from cypressledge.controlplane.messages import AppendEntries, Denied, InstallSnapshot
 from cypressledge.controlplane.replica import Clash, HistoryError, Loaded, NotPrimary, Replica
 from cypressledge.controlplane.state import FleetState, StateError
--- a/tests/test_controlplane_state.py
+++ b/tests/test_controlplane_state.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cypressledge.controlplane import history as h
+from cypressledge.controlplane import change_history as h
 from cypressledge.controlplane import state as s
 from cypressledge.controlplane.messages import (
     MAX_CHANGE_BYTES,
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from cypressledge.controlplane import store as module
+from cypressledge.controlplane import sqlite_storage as module
 from cypressledge.controlplane.messages import Op
 from cypressledge.controlplane.replica import DiskError, Replica
+from cypressledge.controlplane.sqlite_storage import Store, StoreError
 from cypressledge.controlplane.state import Engine, FleetState, canonical
-from cypressledge.controlplane.store import Store, StoreError
 
 
 class Writer:
