--- a/cypressledge/broker/engine_start_times.py
+++ b/cypressledge/broker/engine_start_times.py
@@ -11,44 +11,44 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-MS = 1_000  # µs
-FORGET_SPARE = 64  # engines no longer listed that are kept, for those that come back as they were
+US_PER_MS = 1_000  # µs
+MAX_UNLISTED = 64  # engines no longer listed that are kept, for those that come back as they were
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class EngineStart:
     """One process of an engine: `told_ms` as lists tell it, `at` µs of the monotonic clock."""
 
-    told_ms: int
-    at: int
+    listed_ms: int
+    started_at: int
 
 
-class Starts:
+class EngineStartTimes:
     """The starts of all engines heard of. `wall_offset`: µs by which the wall clock was ahead of the
     monotonic one as this process began."""
 
     def __init__(self, wall_offset: int) -> None:
         self.wall_offset = wall_offset
-        self.starts: dict[str, Start] = {}
+        self.starts: dict[str, EngineStart] = {}
 
-    def take(self, told: Mapping[str, int], now: int, doubt: int) -> None:
+    def update(self, told: Mapping[str, int], now: int, doubt: int) -> None:
         """A whole list: engines' starts in ms of Unix time, 0 being long ago. `now`: the monotonic clock, µs;
         `doubt`: µs by which an engine may be taken for older than it is.
 
         What was made of a start stays as it was when first heard of, so a later step changes nothing."""
-        newest = max(told.values(), default=0) * MS
+        newest = max(told.values(), default=0) * US_PER_MS
         reference = min(now + self.wall_offset, newest + doubt)
         for engine, told_ms in told.items():
             held = self.starts.get(engine)
-            if told_ms and (held is None or held.told_ms != told_ms):
-                age = max(reference - told_ms * MS, 0)
-                self.starts[engine] = Start(told_ms, now - age)
+            if told_ms and (held is None or held.listed_ms != told_ms):
+                age = max(reference - told_ms * US_PER_MS, 0)
+                self.starts[engine] = EngineStart(told_ms, now - age)
         self._forget(told)
 
-    def at(self, engine: str, told_ms: int) -> int:
+    def started_at(self, engine: str, told_ms: int) -> int:
         """µs of the monotonic clock at which an engine of the last list counts as started; 0 is long ago."""
-        return self.starts[engine].at if told_ms else 0
+        return self.starts[engine].started_at if told_ms else 0
 
     def _forget(self, told: Mapping[str, int]) -> None:
-        if len(self.starts) > 2 * len(told) + FORGET_SPARE:
+        if len(self.starts) > 2 * len(told) + MAX_UNLISTED:
             self.starts = {engine: start for engine, start in self.starts.items() if engine in told}
--- a/cypressledge/broker/event_log.py
+++ b/cypressledge/broker/event_log.py
@@ -9,21 +9,23 @@
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.clock import monotonic_us
 
-SECOND = 1_000_000  # µs
-LINES_MOST = 10  # lines a second of one kind of event; what is beyond is counted, and told with the next line
+SECOND_US = 1_000_000  # µs
+MAX_LINES_PER_SECOND = (
+    10  # lines a second of one kind of event; what is beyond is counted, and told with the next line
+)
 
 
-class Kind(StrEnum):
+class EventKind(StrEnum):
     """The events, by the first word of their lines."""
 
     ATTEMPT_ENDED = "attempt-ended"
-    CANCELLED = "attempt-cancelled"
+    ATTEMPT_CANCELLED = "attempt-cancelled"
     CLOCK_STEPPED = "clock-stepped"
     CLIENT_CLOSED = "client-closed"
     ENGINE_CLOSED = "engine-connection-closed"
     ENGINE_STATE = "engine-state"
     FAILED = "request-failed"
-    REFUSED = "request-refused"
+    REJECTED = "request-refused"
     RETRY = "retry"
 
 
@@ -37,10 +39,10 @@
 
     def admits(self, now: int) -> bool:
         """Whether one more line fits."""
-        if now - self.since >= SECOND:
+        if now - self.since >= SECOND_US:
             self.since, self.lines = now, 0
         self.lines += 1
-        if self.lines > LINES_MOST:
+        if self.lines > MAX_LINES_PER_SECOND:
             self.held_back += 1
             return False
         return True
@@ -52,9 +54,9 @@
     def __init__(self, counters: Counters) -> None:
         self.counters = counters
         self.started = monotonic_us()
-        self.rates = {kind: _Rate() for kind in Kind}
+        self.rates = {kind: _Rate() for kind in EventKind}
 
-    def write(self, kind: Kind, **fields: object) -> None:
+    def write(self, kind: EventKind, **fields: object) -> None:
         """One event; a field's value must hold no blanks. A field named like a word of Python's has an
         underscore behind it, which is not written."""
         now = monotonic_us()
@@ -66,4 +68,4 @@
             fields["held_back"] = rate.held_back
             rate.held_back = 0
         told = " ".join(f"{name.rstrip('_')}={value}" for name, value in fields.items())
-        log(f"{kind} at={(now - self.started) / SECOND:.3f} {told}")
+        log(f"{kind} at={(now - self.started) / SECOND_US:.3f} {told}")
--- a/cypressledge/broker/maintenance.py
+++ b/cypressledge/broker/maintenance.py
@@ -9,7 +9,7 @@
 
 from cypressledge.decisions.contract import EngineListEntry, EngineState
 
-ID_MOST = 128
+MAX_ID_LENGTH = 128
 
 
 class MaintenanceError(Exception):
@@ -20,45 +20,45 @@
 class Maintenance:
     """Engines out by hand, by name; and those put back, with when (µs of the monotonic clock)."""
 
-    out: set[str] = field(default_factory=set)
-    back: dict[str, int] = field(default_factory=dict)
+    out_of_service: set[str] = field(default_factory=set)
+    returned_at: dict[str, int] = field(default_factory=dict)
 
-    def enter(self, name: str, known: bool) -> bool:
+    def take_out(self, name: str, known: bool) -> bool:
         """Take an engine out; whether that changed anything."""
         self._check(name, known)
-        changed = name not in self.out
-        self.out.add(name)
-        self.back.pop(name, None)
+        changed = name not in self.out_of_service
+        self.out_of_service.add(name)
+        self.returned_at.pop(name, None)
         return changed
 
-    def exit(self, name: str, known: bool, now: int) -> bool:
+    def put_back(self, name: str, known: bool, now: int) -> bool:
         """Put an engine back; whether that changed anything."""
         self._check(name, known)
-        if name not in self.out:
+        if name not in self.out_of_service:
             return False
-        self.out.discard(name)
-        self.back[name] = now
+        self.out_of_service.discard(name)
+        self.returned_at[name] = now
         return True
 
     def _check(self, name: str, known: bool) -> None:
-        if not name or len(name) > ID_MOST or not name.isprintable() or " " in name:
+        if not name or len(name) > MAX_ID_LENGTH or not name.isprintable() or " " in name:
             raise MaintenanceError(400, "no engine id")
-        if not known and name not in self.out:
+        if not known and name not in self.out_of_service:
             raise MaintenanceError(404, f"no engine {name}")
 
-    def entry(self, name: str, entry: EngineListEntry) -> EngineListEntry:
+    def effective_entry(self, name: str, entry: EngineListEntry) -> EngineListEntry:
         """How the module is to see an engine that a list names."""
-        if name in self.out:
+        if name in self.out_of_service:
             return replace(entry, state=EngineState.DRAINING) if entry.state is EngineState.READY else entry
-        born = self.back.get(name, 0)
+        born = self.returned_at.get(name, 0)
         return replace(entry, started_at=born) if born > entry.started_at else entry
 
-    def dump(self) -> bytes:
+    def to_json(self) -> bytes:
         """As it is kept."""
-        return json.dumps({"out": sorted(self.out), "back": self.back}).encode()
+        return json.dumps({"out": sorted(self.out_of_service), "back": self.returned_at}).encode()
 
     @classmethod
-    def load(cls, raw: bytes, now: int) -> "Maintenance":
+    def from_json(cls, raw: bytes, now: int) -> "Maintenance":
         """As it was kept; what can't be read is an empty set. `now` is the monotonic clock, µs: a return that
         is still to come was kept before the machine booted, or on another clock, and counts as just now."""
         try:
--- a/cypressledge/broker/requests.py
+++ b/cypressledge/broker/requests.py
@@ -60,21 +60,21 @@
 class ReplyHandler(Protocol):
     """What a front offers for one taken request; none of these may block."""
 
-    streams: bool
+    supports_streaming: bool
 
-    def served(self, rows: bytes) -> None:
+    def complete(self, rows: bytes) -> None:
         """All rows (behind those of `part`, if any)."""
 
-    def part(self, rows: bytes) -> None:
+    def send_rows(self, rows: bytes) -> None:
         """The next rows of an answer that has begun; only where it `streams`."""
 
-    def pace(self) -> bool:
+    def wait_until_drained(self) -> bool:
         """Called by a link's greenlet: wait, a second at most, for the client to read; whether it did."""
 
-    def refused(self, after: int) -> None:
+    def reject(self, after: int) -> None:
         """Trying again is harmless, best after so many µs."""
 
-    def failed(self, fault: EngineFault) -> None:
+    def fail(self, fault: EngineFault) -> None:
         """It may have run; an answer that has begun is left visibly broken."""
 
 
@@ -87,7 +87,7 @@
     def cancel(self, attempt: "Attempt") -> None:
         """Give it up; nothing is reported of it any more."""
 
-    def terms(self, attempt: "Attempt") -> None:
+    def update_resources(self, attempt: "Attempt") -> None:
         """Its priority has changed."""
 
 
@@ -101,11 +101,11 @@
     attempts: list["Attempt"] = field(default_factory=list)
     grant_mb: float = 0.0
     priority: int = 1
-    open: int = 0
-    over: bool = False
-    left: bool = False
-    begun: "Attempt | None" = None
-    fault: EngineFault | None = None
+    open_attempts: int = 0
+    is_concluded: bool = False
+    client_left: bool = False
+    streaming_attempt: "Attempt | None" = None
+    last_fault: EngineFault | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -116,23 +116,23 @@
     number: int
     endpoint: Endpoint
     sent_at: int
-    until: int
+    deadline: int
     decided_at: int  # the module's time of the decision, on which windows and budgets were judged
-    open: bool = True
+    is_open: bool = True
     outcome: c.Outcome | None = None
-    carrier: object = None
-    carried: int = 0  # connections it was put on in vain
-    unread: int = 0  # bytes of rows on their way to the core
+    transport_state: object = None
+    connections_tried: int = 0  # connections it was put on in vain
+    unread_bytes: int = 0  # bytes of rows on their way to the core
 
     @property
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         """Whether anybody still waits for it."""
-        return self.open and not (self.request.over or self.request.left)
+        return self.is_open and not (self.request.is_concluded or self.request.client_left)
 
-    def may_leave(self, now: int) -> bool:
+    def may_be_sent(self, now: int) -> bool:
         """Whether it is still wanted, and as fresh as the module took it to be when it judged window and
         budget. Guards against connections that come up late, and processes that stood still meanwhile."""
-        return self.wanted and now - self.decided_at <= MAX_SEND_DELAY
+        return self.is_wanted and now - self.decided_at <= MAX_SEND_DELAY
 
     @property
     def query(self) -> Query:
@@ -143,8 +143,8 @@
 class AttemptObserver(Protocol):
     """Whoever is told how attempts go; none of these may block."""
 
-    def heard(self, attempt: Attempt) -> None:
+    def attempt_progressed(self, attempt: Attempt) -> None:
         """The engine has said something of an attempt."""
 
-    def ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
         """An attempt has ended, after so many µs."""
--- a/cypressledge/broker_process.py
+++ b/cypressledge/broker_process.py
@@ -17,10 +17,10 @@
 from gevent.event import Event
 
 from cypressledge.broker.core import Core
-from cypressledge.broker.event_log import Kind
+from cypressledge.broker.event_log import EventKind
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.broker.requests import MAX_SEND_DELAY
-from cypressledge.clock import StepWatch, monotonic_us
+from cypressledge.clock import ClockStepDetector, monotonic_us
 from cypressledge.config import Config, ConfigError, read_config
 from cypressledge.decisions.contract import EngineListKind, Settings
 from cypressledge.net.buffer import GROWN
@@ -32,14 +32,16 @@
 from cypressledge.service import Service, ServiceConfig, read_service
 from cypressledge.tenants import Tenants
 
-LINGER = 0.72  # seconds that a stopping broker goes on taking requests; what came later might meet SIGKILL
-LAST_WORDS = 0.5  # seconds for the last answers to leave
+ACCEPT_AFTER_STOP_S = (
+    0.72  # seconds that a stopping broker goes on taking requests; what came later might meet SIGKILL
+)
+FLUSH_S = 0.5  # seconds for the last answers to leave
 DEADLINE_MOST, KILL_AFTER = 3_000_000, 700_000  # µs
-SPARE = 0.1  # seconds before SIGKILL at which the process has ended
-HURRY = 400_000  # µs before SIGKILL from which whatever is open is given up, and answered so
-TEND = 0.5  # seconds between looks at the engines' connections
-OPEN_MOST = 4_000  # requests open at once, where memory allows as many
-OPEN_BYTES = 10_000  # of memory for each, its statement aside
+EXIT_MARGIN_S = 0.1  # seconds before SIGKILL at which the process has ended
+GIVE_UP_MARGIN_US = 400_000  # µs before SIGKILL from which whatever is open is given up, and answered so
+MAINTENANCE_INTERVAL_S = 0.5  # seconds between looks at the engines' connections
+MAX_OPEN_REQUESTS = 4_000  # requests open at once, where memory allows as many
+BYTES_PER_OPEN_REQUEST = 10_000  # of memory for each, its statement aside
 
 
 def _settings(config: Config, service: ServiceConfig | None) -> Settings:
@@ -66,14 +68,14 @@
         self.counters = Counters()
         self.hello = f"{config.name}: listening on {config.listen[0]}:{config.listen[1]}"
         self.core = Core(_settings(config, service), config.seed, self.counters)
-        self.lines = self.core.links["lines"] = LinesLink(self.core, config.limits)
+        self.lines = self.core.transports["lines"] = LinesLink(self.core, config.limits)
         self.tenants = Tenants()
         self.front = Front(
-            self.core, config.listen, config.classes, self.tenants, self.counters, config.inherited
+            self.core, config.listen, config.classes, self.tenants, self.counters, config.inherited_socket_fd
         )
         self.fronts, self.links = [self.front], [self.lines]
         self.parts = [self.core.run, self.front.listener.run, self._tend]
-        if config.figures_s:
+        if config.metrics_interval_s:
             self.parts.append(self._figures)
         self.management = None
         if config.management is not None:
@@ -87,7 +89,7 @@
             self.management.add("/maintenance/exit", "POST", lambda r: self.kept.call(r, False))
         self.catalogue = Catalogue(config.kinds, config.zones, "lines")
         self.catalogue.tell(self.core, EngineListKind.CACHED, config.engines)
-        self.directory = Directory(self.core, config.dns, self.catalogue, config.serial)
+        self.directory = Directory(self.core, config.dns_server, self.catalogue, config.serial)
         self.parts.append(self.directory.run)
         self.service = None
         if service is not None:
@@ -98,7 +100,7 @@
         self.fleet = self._join(fleet) if fleet else None
         self.control = self._follow(control) if control else None
         self._limit(config)
-        self.clock_watch = StepWatch()
+        self.clock_watch = ClockStepDetector()
         self.stopping = Event()
 
     def _join(self, file: str):
@@ -123,18 +125,20 @@
     def _limit(self, config: Config) -> None:
         """Take what the configuration allows; at the start and at each reload."""
         limits, shared = config.limits, self.service is not None
-        self.core.after_most = limits.after_most
-        self.core.open_most = min(OPEN_MOST, limits.spare // OPEN_BYTES)
-        self.core.held_most = limits.spare // 8
-        GROWN.most = QUEUED.most = limits.spare // 4
-        self.lines.limits, self.lines.most = limits, limits.engines(shared)
-        self.tenants.fixed = config.tenants
-        self.front.listener.most = limits.clients(shared)
-        self.front.listener.spare = limits.sockets // 32
+        self.core.max_retry_after = limits.max_retry_after
+        self.core.max_open_requests = min(MAX_OPEN_REQUESTS, limits.spare_memory // BYTES_PER_OPEN_REQUEST)
+        self.core.max_statement_bytes = limits.spare_memory // 8
+        GROWN.most = QUEUED.most = limits.spare_memory // 4
+        self.lines.limits, self.lines.most = limits, limits.max_engine_connections(shared)
+        self.tenants.site_tenants = config.tenants
+        self.front.listener.most = limits.max_clients(shared)
+        self.front.listener.spare = limits.max_sockets // 32
         if self.service is not None:
             self.service.limit(limits)
         if self.management is not None:
-            self.management.server.listener.most = min(CALLERS_MOST, max(limits.sockets // 32, CALLERS_LEAST))
+            self.management.server.listener.most = min(
+                CALLERS_MOST, max(limits.max_sockets // 32, CALLERS_LEAST)
+            )
 
     def reload(self) -> None:
         """Take the configuration as its file is now. Guards against a bad file, or one that names what only
@@ -163,7 +167,7 @@
         self.catalogue.rename(self.core, config.kinds, config.zones)
         if not self.engines_told:
             self.directory.update(config.serial, config.engines)
-            self.directory.move(config.dns)
+            self.directory.move(config.dns_server)
         if self.service is not None:
             self.service.reload(service, config)
         self.counters.add("reloads")
@@ -192,7 +196,7 @@
 
     def run(self, early: list[int]) -> None:
         """Serve until told to stop; then answer all that was taken. `early`: signals that came before."""
-        log(f"{self.hello}, {len(self.core.ready)} engines ready")
+        log(f"{self.hello}, {len(self.core.ready_endpoints)} engines ready")
         for part in map(gevent.spawn, self.parts):
             part.link_exception(self._broken)
         heeded = {
@@ -207,7 +211,7 @@
             heeded[signal.Signals(number)]()
         self.stopping.wait()
         log("stopping: no longer healthy, still serving")
-        self.core.stop(monotonic_us() + self._grace())
+        self.core.start_shutdown(monotonic_us() + self._grace())
         if self.fleet is not None:
             self.fleet.stop()
         if self.control is not None:
@@ -215,14 +219,16 @@
         if self.front.listener.inherited:  # the socket's queue and the clients are the next process's
             self.front.stop()
             self.front.retire()
-        gevent.sleep(LINGER)
+        gevent.sleep(ACCEPT_AFTER_STOP_S)
         for front in self.fronts:
             front.stop()
-        self.core.taking = False
+        self.core.is_accepting = False
         self.front.retire()
-        while any(not r.over for r in self.core.requests.values()):
+        while any(not r.is_concluded for r in self.core.requests.values()):
             gevent.sleep(0.02)
-        until = min(LAST_WORDS, (self.core.ends_at + HURRY - monotonic_us()) / 1e6 - SPARE)
+        until = min(
+            FLUSH_S, (self.core.shutdown_deadline + GIVE_UP_MARGIN_US - monotonic_us()) / 1e6 - EXIT_MARGIN_S
+        )
         for front in self.fronts:
             front.flush(max(until, 0.0))
         self.counters.print("exit")
@@ -231,18 +237,18 @@
         """µs that a stopping broker has for its answers. By the deployment's rule SIGKILL comes no earlier
         than the longest deadline, of which 3 s count, and 0.7 s after SIGTERM."""
         longest = max(k.deadline for k in self.core.settings.classes)
-        return min(longest, DEADLINE_MOST) + KILL_AFTER - HURRY
+        return min(longest, DEADLINE_MOST) + KILL_AFTER - GIVE_UP_MARGIN_US
 
     def _taking(self) -> bool:
         """Whether this process takes clients."""
-        return self.front.listener.taking.is_set() and not self.core.stopping
+        return self.front.listener.taking.is_set() and not self.core.is_stopping
 
     def _tend(self) -> None:
         tasks = [link.tend for link in self.links] + [self._look_at_clock]
         if self.management is not None:
             tasks.append(self.kept.look)
         while True:
-            gevent.sleep(TEND)
+            gevent.sleep(MAINTENANCE_INTERVAL_S)
             for task in tasks:
                 try:
                     task()
@@ -252,15 +258,15 @@
 
     def _look_at_clock(self) -> None:
         """Log each step of the wall clock: nothing here depends on it, other programs' time stamps do."""
-        if stepped := self.clock_watch.look():
+        if stepped := self.clock_watch.check():
             self.counters.add("clock.steps")
-            self.core.log.write(Kind.CLOCK_STEPPED, by_ms=stepped // 1000)
+            self.core.event_log.write(EventKind.CLOCK_STEPPED, by_ms=stepped // 1000)
 
     def _figures(self) -> None:
         """The counters on one log line every so often, for counting over a fleet from its logs."""
         while True:
-            gevent.sleep(self.config.figures_s)
-            self.counters.print(f"every {self.config.figures_s:g}s")
+            gevent.sleep(self.config.metrics_interval_s)
+            self.counters.print(f"every {self.config.metrics_interval_s:g}s")
 
     def _broken(self, part) -> None:
         # A part that ended by an exception can't be done without: end, so that the platform starts anew.
--- a/cypressledge/clitools.py
+++ b/cypressledge/clitools.py
@@ -5,7 +5,7 @@
 import click
 from tabulate import tabulate
 
-from cypressledge.config import ConfigError, address
+from cypressledge.config import ConfigError, parse_address
 
 
 class ManagementAddress(click.ParamType):
@@ -16,7 +16,7 @@
     def convert(self, value, param, ctx) -> tuple[str, int]:
         """The address as a pair."""
         try:
-            return address(value)
+            return parse_address(value)
         except ConfigError as err:
             self.fail(str(err), param, ctx)
 
--- a/cypressledge/config.py
+++ b/cypressledge/config.py
@@ -6,18 +6,18 @@
 
 from cypressledge.decisions import contract as c
 from cypressledge.net.directory import Listed, known
-from cypressledge.settings import SettingsError, settings_of
+from cypressledge.settings import SettingsError, parse_settings
 
-MEMORY_MB = 192  # where the configuration names no limit
-OWN_SOCKETS = 16  # descriptors that are no client's and no engine's
-OWN_MEMORY_MB = 28  # what a broker takes on a calm day, with room to work
+DEFAULT_MEMORY_MB = 192  # where the configuration names no limit
+RESERVED_SOCKETS = 16  # descriptors that are no client's and no engine's
+BASE_MEMORY_MB = 28  # what a broker takes on a calm day, with room to work
 
 
 class ConfigError(Exception):
     """The configuration can't be used."""
 
 
-def address(text: object) -> tuple[str, int]:
+def parse_address(text: object) -> tuple[str, int]:
     """HOST:PORT as a pair."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not port.isdigit() or int(port) > 65535:
@@ -29,26 +29,26 @@
 class Limits:
     """What the deployment allows this process and its connections."""
 
-    sockets: int
+    max_sockets: int
     memory_mb: int
-    streams: int
-    connect_s: float
-    idle_s: float
-    after_most: int
-    notes_us: int
+    max_streams: int
+    connect_timeout_s: float
+    idle_timeout_s: float
+    max_retry_after: int
+    progress_interval_us: int
 
-    def clients(self, shared: bool) -> int:
+    def max_clients(self, shared: bool) -> int:
         """JSON-RPC clients held at once; fewer where the service's fronts share the descriptors."""
-        return (self.sockets - OWN_SOCKETS) * (2 if shared else 3) // 5
+        return (self.max_sockets - RESERVED_SOCKETS) * (2 if shared else 3) // 5
 
-    def engines(self, shared: bool) -> int:
+    def max_engine_connections(self, shared: bool) -> int:
         """Connections to the engines of one wire."""
-        return self.sockets // (5 if shared else 4)
+        return self.max_sockets // (5 if shared else 4)
 
     @property
-    def spare(self) -> int:
+    def spare_memory(self) -> int:
         """Bytes of memory beyond what the program itself takes."""
-        return max(self.memory_mb - OWN_MEMORY_MB, 4) << 20
+        return max(self.memory_mb - BASE_MEMORY_MB, 4) << 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,10 +57,10 @@
 
     name: str
     listen: tuple[str, int]
-    inherited: int | None  # the clients' socket, where the platform holds it and hands it on
+    inherited_socket_fd: int | None  # the clients' socket, where the platform holds it and hands it on
     management: tuple[str, int] | None
-    figures_s: float  # seconds between log lines of all counters; 0 is never
-    dns: tuple[str, int] | None
+    metrics_interval_s: float  # seconds between log lines of all counters; 0 is never
+    dns_server: tuple[str, int] | None
     seed: int
     limits: Limits
     settings: c.Settings
@@ -97,14 +97,14 @@
     serial, engines = known(raw["known"])
     return Config(
         name=env.get("ROUTER_NAME") or raw["name"],
-        listen=address(env.get("ROUTER_LISTEN") or raw["listen"]),
-        inherited=_descriptor(env.get("ROUTER_SOCKET_FD")),
+        listen=parse_address(env.get("ROUTER_LISTEN") or raw["listen"]),
+        inherited_socket_fd=_descriptor(env.get("ROUTER_SOCKET_FD")),
         management=_management(env.get("ROUTER_MANAGEMENT") or raw.get("management")),
-        figures_s=_seconds(env.get("ROUTER_FIGURES_S")),
-        dns=address(raw["dns"]) if raw.get("dns") else None,
+        metrics_interval_s=_seconds(env.get("ROUTER_FIGURES_S")),
+        dns_server=parse_address(raw["dns"]) if raw.get("dns") else None,
         seed=int(seed, 16) if isinstance(seed, str) else int(seed),
         limits=limits,
-        settings=settings_of(s),
+        settings=parse_settings(s),
         classes=tuple(k["Name"] for k in s["Classes"]),
         kinds=tuple(s["Skus"]),
         zones=tuple(s["Dcs"]),
@@ -137,21 +137,30 @@
         return None
     if isinstance(text, int) or (isinstance(text, str) and text.isdigit()):
         return "0.0.0.0", int(text)
-    return address(text)
+    return parse_address(text)
 
 
 def _limits(raw: dict, s: dict) -> Limits:
     site = s["Limits"]
     limits = Limits(
         # Guards against a process that is allowed fewer descriptors than its file says.
-        sockets=min(int(raw["sockets"]), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
-        memory_mb=int(raw.get("memory_mb", MEMORY_MB)),
-        streams=int(site["StreamsPerConn"]),
-        connect_s=site["ConnectTimeout"] / 1e6,
-        idle_s=site["ConnIdle"] / 1e6,
-        after_most=int(site.get("MaxRetryAfter", 0)),
-        notes_us=int(s.get("FamilyInfo", {}).get("TellsEvery", 0)),
+        max_sockets=min(int(raw["sockets"]), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
+        memory_mb=int(raw.get("memory_mb", DEFAULT_MEMORY_MB)),
+        max_streams=int(site["StreamsPerConn"]),
+        connect_timeout_s=site["ConnectTimeout"] / 1e6,
+        idle_timeout_s=site["ConnIdle"] / 1e6,
+        max_retry_after=int(site.get("MaxRetryAfter", 0)),
+        progress_interval_us=int(s.get("FamilyInfo", {}).get("TellsEvery", 0)),
     )
-    if min(limits.sockets, limits.memory_mb, limits.streams, limits.connect_s, limits.idle_s) <= 0:
+    if (
+        min(
+            limits.max_sockets,
+            limits.memory_mb,
+            limits.max_streams,
+            limits.connect_timeout_s,
+            limits.idle_timeout_s,
+        )
+        <= 0
+    ):
         raise ValueError("a limit is not above 0")
     return limits
--- a/cypressledge/controlplane/agent.py
+++ b/cypressledge/controlplane/agent.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.config import address
+from cypressledge.config import parse_address
 from cypressledge.controlplane.follower import Follower, Server
 from cypressledge.controlplane.framing import Ended, Frames, Traffic, connect
 from cypressledge.controlplane.messages import Change, Message
@@ -109,7 +109,7 @@
     def _dial(self) -> None:
         server, self.dialled = self.dialled, None
         try:
-            self.frames = connect(address(server.address), self.traffic)
+            self.frames = connect(parse_address(server.address), self.traffic)
         except Ended as err:
             self.follower.down(self.clock.now(), str(err))
             return
--- a/cypressledge/controlplane/cli.py
+++ b/cypressledge/controlplane/cli.py
@@ -14,7 +14,7 @@
 import click
 
 from cypressledge.clitools import ManagementAddress, as_json, show
-from cypressledge.config import address
+from cypressledge.config import parse_address
 
 ANSWER_S = 2.0  # seconds for an answer
 CHANGE_S = 6.0  # for that to a change, which may wait 5 for its majority
@@ -87,8 +87,8 @@
     def _learn(self, told: dict) -> None:
         """Where the others are, the primary first."""
         at = self.known[0]
-        others = [address(text) for text in told.get("servers", ())]
-        first = [address(told["at"])] if told.get("at") else []
+        others = [parse_address(text) for text in told.get("servers", ())]
+        first = [parse_address(told["at"])] if told.get("at") else []
         self.known = list(dict.fromkeys([*first, *self.known[1:], *others, at]))
 
 
--- a/cypressledge/controlplane/part.py
+++ b/cypressledge/controlplane/part.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from cypressledge.broker.metrics import log
-from cypressledge.config import ConfigError, address
+from cypressledge.config import ConfigError, parse_address
 from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.messages import Change
 from cypressledge.controlplane.settings import read_control
@@ -127,11 +127,11 @@
         if self.fleet is None:
             return
         brokers = self.agent.state.brokers()
-        self.fleet.name_peers({name: address(b.address) for name, b in brokers.items()})
+        self.fleet.name_peers({name: parse_address(b.address) for name, b in brokers.items()})
 
 
 def _listed(name: str, engine: Engine) -> Listed:
-    host, port = address(engine.address)
+    host, port = parse_address(engine.address)
     return Listed(
         name, host, port, STATES[engine.state], engine.kind, engine.zone, engine.cell, engine.born_ms
     )
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -21,7 +21,7 @@
 from gevent.queue import Empty, Full, Queue
 
 from cypressledge.broker.metrics import Counters, log
-from cypressledge.config import ConfigError, address
+from cypressledge.config import ConfigError, parse_address
 from cypressledge.controlplane.applied_versions import NAMES_MOST, InForce
 from cypressledge.controlplane.broker_registry import Registry
 from cypressledge.controlplane.change_history import History
@@ -128,9 +128,11 @@
         self.replica = self._replica(now, rejoin)
         if seed is not None and self.spec.votes:
             self.replica.begin(f"{name}-{self.run_id:x}", seed)
-        self.listener = Listener(address(self.spec.address), self.counters, "control", self._serve, Crowd())
+        self.listener = Listener(
+            parse_address(self.spec.address), self.counters, "control", self._serve, Crowd()
+        )
         self.listener.most = settings.brokers_most + SPARE
-        self.operators = Operators(address(self.spec.management), self.counters, self._change)
+        self.operators = Operators(parse_address(self.spec.management), self.counters, self._change)
         for path, call in (
             ("status", self._status),
             ("lag", self._lag),
@@ -173,11 +175,11 @@
         )
         return FleetNode(
             self.name,
-            listen=address(self.spec.fleet),
+            listen=parse_address(self.spec.fleet),
             electorate=electorate,
             run=self.run_id,
             log=self.log,
-            addresses={s.name: address(s.fleet) for s in told.servers},
+            addresses={s.name: parse_address(s.fleet) for s in told.servers},
             counters=self.counters,
             places=[Place(PRIMARY, PRIMARY, told.term, wanted=True)],
             drift_ppm=told.drift_ppm,
@@ -504,7 +506,7 @@
         while not self.stopped:
             frames = None
             try:
-                frames = connect(address(spec.address), self.traffic)
+                frames = connect(parse_address(spec.address), self.traffic)
                 frames.send(self._hello())
                 self._greeted(spec, frames.receive(HELLO_S))
                 pause = BACK_OFF[0]
--- a/cypressledge/controlplane/settings.py
+++ b/cypressledge/controlplane/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cypressledge.config import ConfigError, address
+from cypressledge.config import ConfigError, parse_address
 from cypressledge.fleet.settings import Name, Seconds, Strict, once, read_yaml
 
 SERVERS_MOST = 8
@@ -83,7 +83,7 @@
     once([s.name for s in told.servers], "control process")
     for spec in told.servers:
         for text in (spec.address, spec.fleet, spec.management):
-            address(text)
+            parse_address(text)
     once([s.address for s in told.servers] + [s.management for s in told.servers], "address")
     once([s.fleet for s in told.servers], "fleet address")
     if len(told.voters) not in VOTERS:
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from cypressledge.config import ConfigError, address
+from cypressledge.config import ConfigError, parse_address
 from cypressledge.controlplane.messages import (
     MAX_CHANGE_BYTES,
     MAX_OPS_PER_CHANGE,
@@ -22,7 +22,7 @@
     Snapshot,
     StateEntry,
 )
-from cypressledge.settings import SettingsError, settings_of
+from cypressledge.settings import SettingsError, parse_settings
 
 KEY = re.compile(r"(config|engine|broker)/[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")  # names as in fleet.settings.Name
 STATE_MOST = 3 << 20  # bytes of all keys and values: guards against a snapshot that fits in no frame
@@ -98,7 +98,7 @@
     if kind not in _typed:
         return None
     try:
-        host, port = address(_typed[kind](value).address)
+        host, port = parse_address(_typed[kind](value).address)
     except (msgspec.MsgspecError, ConfigError, ValueError, RecursionError) as err:
         raise StateError(f"{key}: {err}") from None
     # Guards against an address that nobody can connect to.
@@ -357,7 +357,7 @@
         return
     try:
         json.dumps(s, allow_nan=False)  # guards against what no configuration file could hold
-        settings_of(s)
+        parse_settings(s)
         _check_names([k["Name"] for k in s["Classes"]], "class")
         _check_names(list(s["Skus"]), "kind")
         _check_names(list(s["Dcs"]), "zone")
--- a/cypressledge/fleet/part.py
+++ b/cypressledge/fleet/part.py
@@ -10,7 +10,7 @@
 from cypressledge.broker.core import Core
 from cypressledge.broker.metrics import Counters
 from cypressledge.clock import wall_us
-from cypressledge.config import Config, ConfigError, address
+from cypressledge.config import Config, ConfigError, parse_address
 from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.budget import Budget
 from cypressledge.fleet.clock import LeaseClock
@@ -54,7 +54,7 @@
         self.turns: set[str] = set()
         self.record = open(told.lab.record, "a", buffering=1, encoding="utf-8") if told.lab.record else None
         self.recorded: dict[str, int] = {}
-        self.node = self._node(told, address(told.listen or own.address))
+        self.node = self._node(told, parse_address(told.listen or own.address))
         self.clock, self.log, self.members = self.node.clock, self.node.log, self.node.members
         self.keeper, self.electorate = self.node.keeper, self.node.electorate
         self.summaries = Summaries(
@@ -114,7 +114,7 @@
 
     @staticmethod
     def _addresses(told: FleetSettings) -> dict[str, tuple[str, int]]:
-        return {p.name: address(p.address) for p in told.peers}
+        return {p.name: parse_address(p.address) for p in told.peers}
 
     @staticmethod
     def _places(told: FleetSettings) -> list[Place]:
@@ -168,7 +168,7 @@
         if spec.kind == "summary":
             act = self.summaries.act
         else:
-            act = Call(self.name, address(spec.at), spec.steps, spec.step_s, self.node.refused).act
+            act = Call(self.name, parse_address(spec.at), spec.steps, spec.step_s, self.node.refused).act
         return Task(spec.kind, spec.lease, act, spec.every_s, spec.longest_s, spec.priority)
 
     # What the owner of members and leases calls
@@ -217,11 +217,11 @@
         held = self.core.manager.engines
         avoided = [
             p.name
-            for lst in self.core.lists.values()
+            for lst in self.core.engine_lists.values()
             for e, p in lst
             if e.state is not EngineState.REMOVED
             and (
-                self.core.maintenance.entry(p.name, e).state is not EngineState.READY
+                self.core.maintenance.effective_entry(p.name, e).state is not EngineState.READY
                 or (e.engine in held and held[e.engine].held_off)
             )
         ]
@@ -230,7 +230,7 @@
             self.core.counters.counts,
             self.classes,
             avoided,
-            len(self.core.ready),
+            len(self.core.ready_endpoints),
             len(self.core.requests),
         )
 
--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 import yaml
 
-from cypressledge.config import ConfigError, address
+from cypressledge.config import ConfigError, parse_address
 from cypressledge.fleet.lease import VoterSetError, check_sets
 
 T = TypeVar("T")
@@ -171,9 +171,9 @@
             "them, and control machines"
         )
     for peer in told.peers:
-        address(peer.address)
+        parse_address(peer.address)
     if told.listen:
-        address(told.listen)
+        parse_address(told.listen)
     _check_voters(told, set(names))
     _check_leases(told)
 
@@ -217,4 +217,4 @@
         if task.longest_s * 1e6 * 2 > term:
             raise ConfigError(f"task {task.kind}: longest_s is over half the term of lease {task.lease}")
         if task.kind == "call":
-            address(task.at)
+            parse_address(task.at)
--- a/cypressledge/fleet/zones.py
+++ b/cypressledge/fleet/zones.py
@@ -83,11 +83,11 @@
         self.judgement = self.of_regions = Judgement({}, {})
         self.last_said: dict[str, str] = {}
         self.shed = self.said = 0
-        core.observer, core.shut, core.door = self, self.shut, self.admit
+        core.observer, core.is_closed, core.admission_filter = self, self.shut, self.admit
 
     # What the core tells
 
-    def ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
         """An attempt has ended."""
         quiet = self.noted.pop(attempt, None) is None
         query = attempt.request.query
@@ -102,7 +102,7 @@
             quiet,
         )
 
-    def heard(self, attempt: Attempt) -> None:
+    def attempt_progressed(self, attempt: Attempt) -> None:
         """An engine has said something of an attempt."""
         self.noted[attempt] = self.now()
 
@@ -116,7 +116,7 @@
         clock, open_ = self.core.now(), []
         for request in self.core.requests.values():
             for attempt in request.attempts:
-                if attempt.open:
+                if attempt.is_open:
                     quiet = clock - attempt.sent_at
                     if attempt in self.noted:
                         quiet = min(quiet, now - self.noted[attempt])
@@ -170,9 +170,9 @@
                 self.told(
                     "plan_taken", token=plan.token, number=plan.number, planner=sender, shares=self._shares()
                 )
-                self.core.retell()
+                self.core.refresh()
             elif alone:
-                self.core.retell()
+                self.core.refresh()
 
     def _shares(self) -> dict[str, int]:
         return {z: self.follower.share(z) for z in self.names}
@@ -205,7 +205,7 @@
                 zones=sorted(self.follower.alone),
                 why="; ".join(own.zones[z].why for z in sorted(self.follower.alone)),
             )
-            self.core.retell()
+            self.core.refresh()
         return self.due
 
     def _own(self, sight: Sight) -> Told:
@@ -324,7 +324,7 @@
         engines, changing, clock = {}, set(), self.core.now()
         if region:
             told = [Told(t.broker, region.get(t.zone, t.zone), t.age, t.sight) for t in told]
-        for held in self.core.lists.values():
+        for held in self.core.engine_lists.values():
             for entry, _ in held:
                 zone = self.site.zone_of(entry) if self.names else ""
                 if zone and not region:
@@ -344,7 +344,7 @@
         used = dict.fromkeys(self.names, 0.0)
         cores = dict.fromkeys(self.names, 0.0)
         zone_of = {}
-        for held in self.core.lists.values():
+        for held in self.core.engine_lists.values():
             for entry, _ in held:
                 zone = zone_of[entry.engine] = self.site.zone_of(entry)
                 if entry.state is c.EngineState.READY:
--- a/cypressledge/lab/capacity_needs.py
+++ b/cypressledge/lab/capacity_needs.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cypressledge.config import MEMORY_MB, OWN_SOCKETS
+from cypressledge.config import DEFAULT_MEMORY_MB, RESERVED_SOCKETS
 from cypressledge.lab.results import Basis, Fact, Results, ResultsError, Slope
 
 # The target, from the operators' letters
@@ -24,7 +24,7 @@
 ACT_MS = 20.0  # processor time of an act: task_share 2% of a core for longest_s, 1 s; then it is cut off
 ACTS = 10.0  # a second that the planner aims at: a tenth of a second between its acts
 SOCKETS = 1_024  # the sites' usual limit of descriptors
-NEEDED_SOCKETS = CLIENTS * 5 // 3 + OWN_SOCKETS + 1  # clients get three fifths of them
+NEEDED_SOCKETS = CLIENTS * 5 // 3 + RESERVED_SOCKETS + 1  # clients get three fifths of them
 SIGHT_ENGINES = 64  # fleet/evidence.py: engines that a sight names
 NETWORK = 125_000.0  # KB/s of a machine's link of 1 Gbit/s, assumed
 RACK = 20  # brokers in a rack, assumed
@@ -200,7 +200,7 @@
         "process with 2,610 idle clients, and the module",
         "MB",
         _broker_mb,
-        float(MEMORY_MB),
+        float(DEFAULT_MEMORY_MB),
         "`memory_mb`, usual value",
         "stands",
     ),
@@ -210,7 +210,7 @@
         "engines known to the module",
         "KB",
         lambda b: b.at("module_kb", b.engines),
-        MEMORY_MB * 1000.0,
+        DEFAULT_MEMORY_MB * 1000.0,
         "`memory_mb`, usual value",
         "stands",
         True,
--- a/cypressledge/lab/hollow.py
+++ b/cypressledge/lab/hollow.py
@@ -17,7 +17,7 @@
 from gevent.os import make_nonblocking, nb_read
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.config import address
+from cypressledge.config import parse_address
 from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.settings import ControlSettings, read_control
 from cypressledge.fleet.clock import LeaseClock
@@ -115,8 +115,8 @@
         places = [Place(lease, lease, term, False) for lease in told["leases"]]
         self.node = FleetNode(
             self.name,
-            listen=address(self.address),
-            addresses={self.name: address(self.address)},
+            listen=parse_address(self.address),
+            addresses={self.name: parse_address(self.address)},
             electorate=electorate,
             places=places,
             drift_ppm=DRIFT_PPM,
@@ -144,8 +144,8 @@
         for name, broker in found.items():
             self.host.regions[name] = broker.region
         if self.node is not None:
-            addresses = {name: address(broker.address) for name, broker in found.items()}
-            self.node.rename(addresses | {self.name: address(self.address)})
+            addresses = {name: parse_address(broker.address) for name, broker in found.items()}
+            self.node.rename(addresses | {self.name: parse_address(self.address)})
 
     def bytes(self) -> int:
         """That have come and gone, of both mechanisms."""
--- a/cypressledge/lab/slopes.py
+++ b/cypressledge/lab/slopes.py
@@ -24,7 +24,7 @@
 import dns.rrset
 import yaml
 
-from cypressledge.broker.core import stable
+from cypressledge.broker.core import stable_hash
 from cypressledge.broker.metrics import Counters
 from cypressledge.broker.requests import Endpoint
 from cypressledge.config import ConfigError
@@ -40,7 +40,7 @@
 from cypressledge.lab.site import SETTINGS
 from cypressledge.lab.virtual import World
 from cypressledge.net.directory import NAME, Catalogue, Directory
-from cypressledge.settings import settings_of
+from cypressledge.settings import parse_settings
 
 S = 1_000_000
 HEADERS = 28  # bytes of UDP and IPv4 on each datagram
@@ -77,14 +77,14 @@
 def entries(count: int) -> tuple[c.EngineListEntry, ...]:
     """So many engines as a list names them."""
     return tuple(
-        c.EngineListEntry(stable(f"s-{i:08x}"), c.EngineState.READY, i % 2, i % 4, i % 2, 0)
+        c.EngineListEntry(stable_hash(f"s-{i:08x}"), c.EngineState.READY, i % 2, i % 4, i % 2, 0)
         for i in range(count)
     )
 
 
 def module(engines: int, peers: int, seed: int) -> WorkloadManager:
     """A module that knows its engines and has its usual rate."""
-    told = settings_of(SETTINGS | {"PeersTotal": peers, "Dcs": list(ZONES)})
+    told = parse_settings(SETTINGS | {"PeersTotal": peers, "Dcs": list(ZONES)})
     manager = WorkloadManager(told, seed)
     manager.handle(S, [c.EngineListReceived(c.EngineListKind.FULL, entries(engines))])
     manager.rate = RATE  # as after some periods: how many engines a broker keeps to follows from it
@@ -273,7 +273,7 @@
 def answer(query: dns.message.Message, engines: int, serial: int = 1) -> dns.message.Message:
     """A directory's answer, as the platform's page shows it: SRV, A and TXT of each, and the serial."""
     told, zones = dns.message.make_response(query), len(ZONES)
-    hosts = [f"s-{stable(f's-{i}', 4):08x}.{ZONES[i % zones]}.hosts." for i in range(engines)]
+    hosts = [f"s-{stable_hash(f's-{i}', 4):08x}.{ZONES[i % zones]}.hosts." for i in range(engines)]
 
     def add(section, owner, kind, *texts) -> None:
         section.append(dns.rrset.from_text_list(owner, 1, "IN", kind, texts))
@@ -307,7 +307,7 @@
 
 def reader() -> Directory:
     """The program's reader with a stand-in for the core, which is told lists and does nothing."""
-    core = SimpleNamespace(counters=Counters(), listed=lambda *told: None)
+    core = SimpleNamespace(counters=Counters(), update_list=lambda *told: None)
     return Directory(core, None, Catalogue(("node-8c", "node-16c"), ZONES, "lines"), 0)
 
 
@@ -519,8 +519,8 @@
         now=lambda: 100 * S,
         settings=SimpleNamespace(kind_cores=(8, 16)),
         requests={},
-        retell=lambda: None,
-        lists={"lines": [(e, Endpoint(e.engine, "", ("", 0), "lines")) for e in listed]},
+        refresh=lambda: None,
+        engine_lists={"lines": [(e, Endpoint(e.engine, "", ("", 0), "lines")) for e in listed]},
     )
     sent: list[tuple[str, object]] = []
     site = Site(ZONES, {n: ZONES[i % 4] for i, n in enumerate(names)}, REGION, {})
@@ -567,7 +567,11 @@
     """A broker's figures with so many engines avoided, 128 at most."""
     classes = {name: [40_000_000, 12_000, 3_000, 41_000_000] for name in ("lookup", "report", "order-load")}
     return Figures(
-        7, classes, [f"s-{stable(f's-{i}', 4):08x}" for i in range(min(avoided, ENGINES_MOST))], engines, 60
+        7,
+        classes,
+        [f"s-{stable_hash(f's-{i}', 4):08x}" for i in range(min(avoided, ENGINES_MOST))],
+        engines,
+        60,
     )
 
 
@@ -584,7 +588,7 @@
 def sight_us() -> float:
     """µs to decode a sight of 64 engines and take it."""
     zones, _ = planner(2, 64, False, 1)
-    told = sight([stable(f"s-{i}") for i in range(64)], frozenset())
+    told = sight([stable_hash(f"s-{i}") for i in range(64)], frozenset())
     raw = encode(Envelope(VERSION, "n001", "n000", 1 << 61, 3, 1, 1, [told]))
 
     def many() -> None:
@@ -602,7 +606,7 @@
     lost = {n: plan_step(n, engines, True, seed) for n in sizes}
     sums = {n: summed(n, engines) for n in sizes}
     by_engines = {n: plan_step(sizes[-1], n, True, seed)[0] for n in ((12, 60) if quick else ENGINES)}
-    seen = {n: size(sight([stable(f"s-{i}") for i in range(n)], frozenset())) for n in (12, 36, 64)}
+    seen = {n: size(sight([stable_hash(f"s-{i}") for i in range(n)], frozenset())) for n in (12, 36, 64)}
     made = [
         (
             "planner_well_ms",
--- a/cypressledge/lab/zonesize.py
+++ b/cypressledge/lab/zonesize.py
@@ -22,7 +22,7 @@
 
 from tabulate import tabulate
 
-from cypressledge.broker.core import OVERDUE
+from cypressledge.broker.core import DEADLINE_GRACE_US
 from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
@@ -98,8 +98,8 @@
         self.settings = world.settings(number)
         self.manager = WorkloadManager(self.settings, world.seed * 1_000 + number)
         self.requests: dict[int, Request] = {}
-        self.lists: dict[str, list] = {}
-        self.observer = self.shut = self.door = None
+        self.engine_lists: dict[str, list] = {}
+        self.observer = self.is_closed = self.admission_filter = None
         self.events: list = []
         self.timers: list[tuple[int, int]] = []
         self.next = 0
@@ -110,11 +110,11 @@
         """The module's time."""
         return self.world.now
 
-    def retell(self) -> None:
+    def refresh(self) -> None:
         """Tell the module which engines there are, and which are closed."""
         entries = []
-        for entry, _ in self.lists["model"]:
-            closed = self.shut is not None and self.shut(entry)
+        for entry, _ in self.engine_lists["model"]:
+            closed = self.is_closed is not None and self.is_closed(entry)
             entries.append(
                 c.EngineListEntry(entry.engine, c.EngineState.DRAINING, *self._rest(entry))
                 if closed
@@ -131,7 +131,7 @@
         self.next += 1
         query = Query(f"{self.name}.{self.next}", 0, "lookup", "sahel", b"", self.world.now + WAIT, cost=WORK)
         self.world.counts["asked"] += 1
-        if self.door is not None and not self.door(query):
+        if self.admission_filter is not None and not self.admission_filter(query):
             return
         self.requests[self.next] = Request(self.next, query, None)
         self.events.append(c.RequestReceived(self.next, 0, query.deadline, 0, WORK))
@@ -174,34 +174,40 @@
     def end(self, number: int, hop: int, outcome: c.Outcome) -> None:
         """An attempt has ended."""
         request = self.requests.get(number)
-        if request is None or not request.attempts[hop].open:
+        if request is None or not request.attempts[hop].is_open:
             return
         now, attempt = self.world.now, request.attempts[hop]
-        attempt.open = False
+        attempt.is_open = False
         latency = now - attempt.sent_at
-        if outcome is c.Outcome.OK and not request.over:
+        if outcome is c.Outcome.OK and not request.is_concluded:
             self.world.served(request.query, now)
-            request.over = True
+            request.is_concluded = True
         if self.observer is not None:
-            self.observer.ended(attempt, outcome, latency)
-        self.events.append(c.AttemptEnded(number, hop, attempt.endpoint.id, outcome, request.over, latency))
+            self.observer.attempt_ended(attempt, outcome, latency)
+        self.events.append(
+            c.AttemptEnded(number, hop, attempt.endpoint.id, outcome, request.is_concluded, latency)
+        )
         self._forget(request)
 
     def _over(self, request: Request) -> None:
-        request.over = True
+        request.is_concluded = True
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        if request.over and not any(a.open for a in request.attempts):
+        if request.is_concluded and not any(a.is_open for a in request.attempts):
             self.requests.pop(request.number, None)
 
     def overdue(self, now: int) -> None:
         """Clients that have waited long enough are gone."""
-        for request in [r for r in self.requests.values() if now > r.query.deadline + OVERDUE and not r.over]:
+        for request in [
+            r
+            for r in self.requests.values()
+            if now > r.query.deadline + DEADLINE_GRACE_US and not r.is_concluded
+        ]:
             for attempt in request.attempts:
-                if attempt.open:
+                if attempt.is_open:
                     self.end(request.number, attempt.number, c.Outcome.TIMEOUT)
-            if not request.over:
+            if not request.is_concluded:
                 self.events.append(c.ClientDisconnected(request.number))
                 self._over(request)
 
@@ -270,11 +276,11 @@
     def _join(self, broker: ModelBroker) -> None:
         if self.on:
             self._zones(broker)
-        broker.lists["model"] = [
+        broker.engine_lists["model"] = [
             (c.EngineListEntry(e.number, c.EngineState.READY, 0, e.zone, 0, 0), self.places[e.number])
             for e in self.engines
         ]
-        broker.retell()
+        broker.refresh()
 
     def _zones(self, broker: ModelBroker) -> None:
         names = [f"n{i}" for i in range(self.brokers_count)]
--- a/cypressledge/net/admin.py
+++ b/cypressledge/net/admin.py
@@ -63,16 +63,18 @@
     def _all(self, request: HttpRequest) -> tuple[int, object]:
         self._only(request, "GET", "POST")
         if request.method == "GET":
-            return 200, {"tenants": [self.tenants.held[n].show() for n in sorted(self.tenants.held)]}
+            return 200, {
+                "tenants": [self.tenants.by_name[n].describe() for n in sorted(self.tenants.by_name)]
+            }
         given = self._body(request)
         name = given.get("name")
-        if isinstance(name, str) and name in self.tenants.held:
+        if isinstance(name, str) and name in self.tenants.by_name:
             raise AdminError(409, f"tenant {name} exists")
         return 201, self._put(name, given)
 
     def _one(self, request: HttpRequest, name: str) -> tuple[int, object]:
         self._only(request, "GET", "PATCH", "DELETE")
-        if name not in self.tenants.held:
+        if name not in self.tenants.by_name:
             raise AdminError(404, f"no tenant {name}")
         if request.method == "DELETE":
             self.tenants.remove(name)
@@ -80,12 +82,12 @@
             return 204, None
         if request.method == "PATCH":
             return 200, self._put(name, self._body(request))
-        return 200, self.tenants.held[name].show()
+        return 200, self.tenants.by_name[name].describe()
 
     def _put(self, name, given: dict) -> dict:
-        tenant = self.tenants.put(name, given)
+        tenant = self.tenants.update(name, given)
         log(f"admin: tenant {name} set")
-        return tenant.show()
+        return tenant.describe()
 
     @staticmethod
     def _body(request: HttpRequest) -> dict:
@@ -107,6 +109,6 @@
                 "state": STATE_NAMES[entry.state],
                 "attempts": out.get(place.id, 0),
             }
-            for held in self.core.lists.values()
+            for held in self.core.engine_lists.values()
             for entry, place in held
         ]
--- a/cypressledge/net/clickhouse.py
+++ b/cypressledge/net/clickhouse.py
@@ -13,7 +13,7 @@
 import httptools
 from gevent import Timeout, select, sleep, socket, spawn
 
-from cypressledge.broker.core import KEY, Core
+from cypressledge.broker.core import CLIENT_KEY, Core
 from cypressledge.broker.requests import DEADLINE_FAULT, Attempt, Endpoint, EngineFault, Query, Request
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
@@ -118,7 +118,7 @@
         if r.method not in ("GET", "POST"):
             raise ChError(48, f"Method {r.method} is not supported")
         if r.path == "/ping":
-            healthy = self.core.serving()
+            healthy = self.core.is_serving()
             exchange.answer(
                 200 if healthy else 503,
                 {"Content-Type": "text/plain"},
@@ -134,16 +134,16 @@
     def _query(self, r: HttpRequest, exchange: Exchange) -> None:
         tenant = self._tenant(r)
         query = self._read(r, tenant)
-        if self.core.knows(query.id):
+        if self.core.is_open(query.id):
             raise ChError(216, f"Query with id = {query.id} is already running")
         answer = ChReply(self, query, tenant, exchange)
-        full = len(self.open) >= OPEN_MOST or 0 < tenant.most_open <= tenant.open
+        full = len(self.open) >= OPEN_MOST or 0 < tenant.max_open <= tenant.open_requests
         answer.begin()
         if full:
             self.counters.add("clickhouse.refused")
-            answer.refused(self.core.after_most)
+            answer.reject(self.core.max_retry_after)
         else:
-            answer.request = self.core.take(query, answer)
+            answer.request = self.core.submit(query, answer)
 
     def _tenant(self, r: HttpRequest) -> Tenant:
         """The tenant by headers, basic authentication or parameters; only one of them may be used."""
@@ -157,7 +157,7 @@
         if len(ways) > 1:
             raise ChError(516, "Invalid authentication: only one way of naming the user may be used")
         name, key = ways[0] if ways else ("default", "")
-        tenant = self.tenants.find(name, key)
+        tenant = self.tenants.authenticate(name, key)
         if tenant is None:
             raise ChError(
                 516,
@@ -177,7 +177,7 @@
         spec = self.core.settings.classes[cls]
         name = r.params.get("query_id") or secrets.token_hex(8)
         key = r.params.get("insert_deduplication_token", "")
-        if not ID.match(name) or key and not KEY.match(key):
+        if not ID.match(name) or key and not CLIENT_KEY.match(key):
             raise ChError(36, "query_id and insert_deduplication_token are words of at most 128 characters")
         if spec.idempotency is Idempotency.WITH_KEY and not key:
             key = name  # engines must tell our own repeats, also where the client gives no token
@@ -266,30 +266,32 @@
 
     def __init__(self, front: ChFront, query: Query, tenant: Tenant, exchange: Exchange) -> None:
         self.front, self.query, self.tenant, self.exchange = front, query, tenant, exchange
-        self.streams = exchange.chunked and exchange.request.params.get("wait_end_of_query", "0") == "0"
+        self.supports_streaming = (
+            exchange.chunked and exchange.request.params.get("wait_end_of_query", "0") == "0"
+        )
         self.request: Request | None = None
 
     def begin(self) -> None:
         """The query counts as open from here to its answer."""
         self.front.open.add(self.query.id)
-        self.tenant.open += 1
+        self.tenant.open_requests += 1
         self.exchange.on_lost = self._lost
 
     def _close(self) -> None:
         self.front.open.discard(self.query.id)
-        self.tenant.open -= 1
+        self.tenant.open_requests -= 1
 
     def _lost(self) -> None:
         """Guards against work for a client that has closed its connection, also halfway through rows."""
         self.front.counters.add("clickhouse.client_left")
         self._close()
         if self.request is not None:
-            self.front.core.left(self.request)
+            self.front.core.client_disconnected(self.request)
 
     def _named(self) -> dict[str, str]:
         return {"X-ClickHouse-Query-Id": self.query.id}
 
-    def part(self, rows: bytes) -> None:
+    def send_rows(self, rows: bytes) -> None:
         """Send the next rows of a streamed answer."""
         if self.exchange.over:
             return
@@ -297,21 +299,21 @@
             self.exchange.begin(self._named() | ROWS)
         self.exchange.chunk(rows)
 
-    def pace(self) -> bool:
+    def wait_until_drained(self) -> bool:
         """Wait, a second at most, until the client has read; whether it has."""
         return self.exchange.over or self.exchange.connection.writer.low.wait(1.0)
 
-    def served(self, rows: bytes) -> None:
+    def complete(self, rows: bytes) -> None:
         """Answer with all rows."""
         if not self.exchange.over:
             self._close()
-            if self.streams:
-                self.part(rows)
+            if self.supports_streaming:
+                self.send_rows(rows)
                 self.exchange.finish()
             else:
                 self.exchange.answer(200, self._named() | ROWS, rows)
 
-    def refused(self, after: int) -> None:
+    def reject(self, after: int) -> None:
         """Reject the request; the client may try again after so many µs."""
         if not self.exchange.over:
             self._close()
@@ -323,7 +325,7 @@
                 self._named() | {"Retry-After": str(max(math.ceil(after / 1e6), 1))},
             )
 
-    def failed(self, fault: EngineFault) -> None:
+    def fail(self, fault: EngineFault) -> None:
         """Answer with an error."""
         if self.exchange.over:
             return
@@ -350,19 +352,19 @@
 
     def send(self, attempt: Attempt) -> None:
         """Run the attempt in a greenlet of its own."""
-        if self.held >= self.limits.engines(shared=True):
+        if self.held >= self.limits.max_engine_connections(shared=True):
             self.core.counters.add("moot_sends")
-            self.core.ended(attempt, Outcome.NOT_SENT)
+            self.core.attempt_ended(attempt, Outcome.NOT_SENT)
             return
-        attempt.carrier = ChExchange(self, attempt)
-        spawn(attempt.carrier.run)
+        attempt.transport_state = ChExchange(self, attempt)
+        spawn(attempt.transport_state.run)
 
     def cancel(self, attempt: Attempt) -> None:
         """Closing ends a read at the engine; what writes is killed by its id."""
-        if attempt.carrier is not None:
-            attempt.carrier.cancel()
+        if attempt.transport_state is not None:
+            attempt.transport_state.cancel()
 
-    def terms(self, attempt: Attempt) -> None:
+    def update_resources(self, attempt: Attempt) -> None:
         """ClickHouse can't change the priority of a query that runs."""
 
     def idle_one(self, place: Endpoint):
@@ -379,7 +381,7 @@
         """A new connection."""
         self.held += 1
         try:
-            with Timeout(self.limits.connect_s):
+            with Timeout(self.limits.connect_timeout_s):
                 sock = dial(place.address)
         except BaseException:
             self.held -= 1
@@ -398,9 +400,9 @@
 
     def tend(self) -> None:
         """Close what has been idle for long or leads to an engine that takes nothing new."""
-        limit = monotonic_us() - int(self.limits.idle_s * 1e6)
+        limit = monotonic_us() - int(self.limits.idle_timeout_s * 1e6)
         for place, kept in list(self.free.items()):
-            while kept and (kept[0][1] < limit or not self.core.current(place)):
+            while kept and (kept[0][1] < limit or not self.core.is_current(place)):
                 self.close(kept.popleft()[0])
             if not kept:
                 del self.free[place]
@@ -434,7 +436,7 @@
                 self.link.close(self.sock)
         if not self.cancelled:
             rows = b"".join(self.held) if outcome is Outcome.OK else b""
-            self.core.ended(self.attempt, outcome, rows, fault)
+            self.core.attempt_ended(self.attempt, outcome, rows, fault)
 
     def cancel(self) -> None:
         """Give it up: the engine sees the connection close; a write is killed by its id as well."""
@@ -454,7 +456,7 @@
         except (OSError, Timeout):
             return
         try:
-            with Timeout(self.link.limits.connect_s):
+            with Timeout(self.link.limits.connect_timeout_s):
                 sock.sendall(self._message({}, query.encode()))
                 sock.recv(4096)
             self.core.counters.add("clickhouse.kills")
@@ -466,14 +468,14 @@
     def _exchange(self) -> tuple[Outcome, EngineFault | None]:
         place = self.attempt.endpoint
         self.sock = self.link.idle_one(place) or self.link.connect(place)
-        fresh = self.attempt.may_leave(monotonic_us())
-        if self.cancelled or not fresh or not self.core.current(place):
+        fresh = self.attempt.may_be_sent(monotonic_us())
+        if self.cancelled or not fresh or not self.core.is_current(place):
             return (
                 Outcome.NOT_SENT,
                 None,
             )  # nothing has left: a drain, a cancel or the client's end overtook it
         self.sent = True
-        with Timeout(max((self.attempt.until - monotonic_us()) / 1e6, 0.001)):
+        with Timeout(max((self.attempt.deadline - monotonic_us()) / 1e6, 0.001)):
             self.sock.sendall(self._message(self._settings(), self.attempt.query.statement))
         self.core.counters.reply(self.attempt.query.class_name, "dispatches")
         buffer = Buffer(READ_MOST, first=READ_MOST)
@@ -488,14 +490,18 @@
 
     def _pace(self) -> None:
         """Read no faster than the core and the client take the rows."""
-        while self.attempt.unread > READ_MOST and not self.cancelled:
+        while self.attempt.unread_bytes > READ_MOST and not self.cancelled:
             sleep(0.001)
-        while self.attempt.request.begun and not self.cancelled and not self.attempt.request.reply.pace():
+        while (
+            self.attempt.request.streaming_attempt
+            and not self.cancelled
+            and not self.attempt.request.reply.wait_until_drained()
+        ):
             pass
 
     def _settings(self) -> dict[str, str]:
         a, q = self.attempt, self.attempt.query
-        left = max(a.until - monotonic_us(), 1000) / 1e6
+        left = max(a.deadline - monotonic_us(), 1000) / 1e6
         settings = {
             "query_id": q.id,
             "workload": q.class_name,
@@ -550,7 +556,7 @@
         total = int(told.get("total_rows_to_read") or 0)
         if total > 0:
             share = min(int(told.get("read_rows") or 0) / total, 1.0)
-            self.core.noted(self.attempt, ProgressKind.PROGRESS, share)
+            self.core.attempt_progressed(self.attempt, ProgressKind.PROGRESS, share)
 
     def on_headers_complete(self) -> None:
         """The status is known."""
@@ -579,8 +585,8 @@
     def _rows(self, rows: bytes) -> None:
         if not rows:
             return
-        if self.attempt.request.reply.streams:
-            self.core.rows(self.attempt, rows)
+        if self.attempt.request.reply.supports_streaming:
+            self.core.rows_received(self.attempt, rows)
             return
         self.size += len(rows)
         if self.size > RESULT_MOST:
--- a/cypressledge/net/directory.py
+++ b/cypressledge/net/directory.py
@@ -11,8 +11,8 @@
 from gevent import Timeout, socket
 from gevent.event import Event
 
-from cypressledge.broker.core import Core, stable
-from cypressledge.broker.engine_start_times import Starts
+from cypressledge.broker.core import Core, stable_hash
+from cypressledge.broker.engine_start_times import EngineStartTimes
 from cypressledge.broker.metrics import log
 from cypressledge.broker.requests import Endpoint
 from cypressledge.clock import monotonic_us, wall_offset_us
@@ -51,7 +51,7 @@
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], wire: str) -> None:
         self.wire = wire
         self.told: tuple[EngineListKind, list[Listed]] | None = None
-        self.starts = Starts(wall_offset_us())
+        self.starts = EngineStartTimes(wall_offset_us())
         self.name(kinds, zones)
 
     def name(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
@@ -68,14 +68,14 @@
 
     def pair(self, e: Listed) -> tuple[EngineListEntry, Endpoint]:
         """An engine as the module knows it, and where it listens."""
-        number = stable(e.name)
+        number = stable_hash(e.name)
         entry = EngineListEntry(
             number,
             e.state,
             self.kinds.get(e.kind, 0),
             self.zones.get(e.zone, 0),
             e.cell,
-            self.starts.at(e.name, e.born_ms),
+            self.starts.started_at(e.name, e.born_ms),
         )
         return entry, Endpoint(number, e.name, (e.host, e.port), self.wire, e.born_ms)
 
@@ -83,8 +83,8 @@
         """Hand the whole list to the core."""
         self.told = kind, list(engines)
         starts = {e.name: e.born_ms for e in self.told[1]}
-        self.starts.take(starts, monotonic_us(), core.settings.slow_start_window // DOUBT)
-        core.listed(self.wire, kind, list(map(self.pair, self.told[1])))
+        self.starts.update(starts, monotonic_us(), core.settings.slow_start_window // DOUBT)
+        core.update_list(self.wire, kind, list(map(self.pair, self.told[1])))
 
 
 def known(config: dict) -> tuple[int, list[Listed]]:
--- a/cypressledge/net/jsonrpc.py
+++ b/cypressledge/net/jsonrpc.py
@@ -9,7 +9,7 @@
 from gevent import sleep
 
 from cypressledge.broker.core import Core
-from cypressledge.broker.event_log import Kind
+from cypressledge.broker.event_log import EventKind
 from cypressledge.broker.metrics import Counters
 from cypressledge.broker.requests import EngineFault, Query, Request
 from cypressledge.clock import monotonic_us
@@ -283,8 +283,8 @@
         self.counters.add(f"clients_closed.{self.close_reason}")
         if self.open or self.close_reason not in ORDINARY_CLOSES:
             requests = ",".join(c.request.query.id for c in self.open.values() if c.request) or "-"
-            self.core.log.write(
-                Kind.CLIENT_CLOSED, reason=self.close_reason, open=len(self.open), requests=requests
+            self.core.event_log.write(
+                EventKind.CLIENT_CLOSED, reason=self.close_reason, open=len(self.open), requests=requests
             )
 
     @staticmethod
@@ -356,7 +356,7 @@
         if method == "withdraw":
             self._withdraw(number, params)
         elif method == "status":
-            self.say({"jsonrpc": "2.0", "id": number, "result": {"healthy": self.core.serving()}})
+            self.say({"jsonrpc": "2.0", "id": number, "result": {"healthy": self.core.is_serving()}})
         elif method not in self.front.classes:
             raise RpcError(NO_METHOD, f"no method {method[:40]}")
         else:
@@ -365,13 +365,13 @@
     def _take(self, query: Query, call: "Call") -> None:
         # Guards against one client's statements filling what all may hold: the others would be refused.
         held = sum(len(c.request.query.statement) for c in self.open.values() if c.request)
-        full = len(self.open) >= OPEN_MOST or held > self.core.held_most // HELD_PART
+        full = len(self.open) >= OPEN_MOST or held > self.core.max_statement_bytes // HELD_PART
         self.open[call.number] = call
         if full:  # no client that keeps to the protocol gets here
             self.faults += 1
-            self.core.refuse_unseen(query, call, "connection_full")
+            self.core.reject_at_admission(query, call, "connection_full")
         else:
-            call.request = self.core.take(query, call)
+            call.request = self.core.submit(query, call)
 
     def _withdraw(self, number, params) -> None:
         """The call is named by its number or its query's id, whichever the client gives."""
@@ -395,7 +395,7 @@
         name, tenant = params.get("id"), params.get("tenant")
         if not isinstance(name, str) or not ID.match(name):
             raise RpcError(BAD_PARAMS, "id is not 16 hex digits")
-        if self.core.knows(name):
+        if self.core.is_open(name):
             raise RpcError(BAD_PARAMS, "id is that of an open request")
         if not isinstance(tenant, str) or tenant not in self.front.tenants:
             raise RpcError(BAD_PARAMS, "unknown tenant")
@@ -420,7 +420,7 @@
 class Call:
     """One open request of a client: what the core answers to."""
 
-    streams = False
+    supports_streaming = False
 
     def __init__(self, client: Client, number: int) -> None:
         self.client, self.number = client, number
@@ -430,28 +430,28 @@
         """The client waits no more."""
         self.client.open.pop(self.number, None)
         if self.request is not None:
-            self.client.core.left(self.request)
+            self.client.core.client_disconnected(self.request)
 
-    def served(self, rows: bytes) -> None:
+    def complete(self, rows: bytes) -> None:
         """Answer with all rows."""
         if self._owed():
             content = base64.b64encode(rows).decode()
             self.client.say({"jsonrpc": "2.0", "id": self.number, "result": {"content": content}})
 
-    def part(self, rows: bytes) -> None:
+    def send_rows(self, rows: bytes) -> None:
         """Send the next rows of a streamed answer."""
         raise NotImplementedError("JSON-RPC answers whole")
 
-    def pace(self) -> bool:
+    def wait_until_drained(self) -> bool:
         """Wait, a second at most, until the client has read; whether it has."""
         return True
 
-    def refused(self, after: int) -> None:
+    def reject(self, after: int) -> None:
         """Reject the request; the client may try again after so many µs."""
         if self._owed():  # a call withdrawn a moment ago is owed no refusal either
             self.client._error(self.number, REFUSED, "refused: try again", {"after": after // 1000})
 
-    def failed(self, fault: EngineFault) -> None:
+    def fail(self, fault: EngineFault) -> None:
         """Answer with an error."""
         if self._owed():
             self.client._error(self.number, FAILED, fault.text)
--- a/cypressledge/net/lines.py
+++ b/cypressledge/net/lines.py
@@ -7,7 +7,7 @@
 from gevent import Timeout, spawn, spawn_later
 
 from cypressledge.broker.core import Core
-from cypressledge.broker.event_log import Kind
+from cypressledge.broker.event_log import EventKind
 from cypressledge.broker.requests import Attempt, Endpoint
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
@@ -73,7 +73,7 @@
     @property
     def silent(self) -> int:
         """µs without a word from which a connection is not trusted."""
-        return max(int(self.limits.notes_us * SILENT_NOTES), SILENT_LEAST)
+        return max(int(self.limits.progress_interval_us * SILENT_NOTES), SILENT_LEAST)
 
     def count(self) -> int:
         """Connections held to all engines."""
@@ -86,7 +86,9 @@
         against opening many: of new connections some are reset with what they carry."""
         word, place = attempt.query.id.encode(), attempt.endpoint
         usable = [c for c in self.connections.get(place.id, ()) if c.admits(word, place)]
-        up = attempt.carried > 0  # another one that may not come up would take the time that is left
+        up = (
+            attempt.connections_tried > 0
+        )  # another one that may not come up would take the time that is left
         connection = min(
             usable, key=lambda c: (up and c.writer is None, len(c.exchanges), -c.used), default=None
         )
@@ -96,7 +98,7 @@
             self.connections.setdefault(place.id, []).append(connection)
         if connection is None:
             self.core.counters.add("moot_sends")
-            self.core.ended(attempt, Outcome.NOT_SENT)
+            self.core.attempt_ended(attempt, Outcome.NOT_SENT)
         else:
             connection.carry(attempt, word)
 
@@ -114,15 +116,15 @@
         """Carry an attempt that never left its connection on another one, a few times.
 
         Guards against connections that are reset when new: nothing has run, so no attempt is used up."""
-        attempt.carried += 1
-        attempt.carrier = None
-        place = self.core.ready.get(attempt.endpoint.id)
-        if attempt.carried < CARRIED_MOST and place is not None and attempt.wanted:
+        attempt.connections_tried += 1
+        attempt.transport_state = None
+        place = self.core.ready_endpoints.get(attempt.endpoint.id)
+        if attempt.connections_tried < CARRIED_MOST and place is not None and attempt.is_wanted:
             self.core.counters.add("carried_again")
             attempt.endpoint = place
             self.send(attempt)
         else:
-            self.core.ended(attempt, outcome)
+            self.core.attempt_ended(attempt, outcome)
 
     def overdue(self, connection: "Connection", attempts: list[Attempt]) -> None:
         """A connection is not up in time, and these attempts waited for it.
@@ -140,17 +142,17 @@
             if spoke:
                 self.again(attempt, outcome)
             else:
-                self.core.ended(attempt, outcome)
+                self.core.attempt_ended(attempt, outcome)
 
     def cancel(self, attempt: Attempt) -> None:
         """Give the attempt up."""
-        if attempt.carrier is not None:
-            attempt.carrier.connection.give_up(attempt.carrier)
+        if attempt.transport_state is not None:
+            attempt.transport_state.connection.give_up(attempt.transport_state)
 
-    def terms(self, attempt: Attempt) -> None:
+    def update_resources(self, attempt: Attempt) -> None:
         """Tell the engine the new priority."""
-        if attempt.carrier is not None:
-            attempt.carrier.connection.hurry(attempt.carrier)
+        if attempt.transport_state is not None:
+            attempt.transport_state.connection.hurry(attempt.transport_state)
 
     def drop(self, connection: "Connection") -> None:
         """A connection is no more."""
@@ -163,14 +165,16 @@
     def tend(self) -> None:
         """Close what has been idle for long, what leads to engines that take nothing new, and what has lost
         an answer."""
-        now, idle = monotonic_us(), int(self.limits.idle_s * IDLE_PART * 1e6)
-        self.unreached = {number: n for number, n in self.unreached.items() if number in self.core.ready}
+        now, idle = monotonic_us(), int(self.limits.idle_timeout_s * IDLE_PART * 1e6)
+        self.unreached = {
+            number: n for number, n in self.unreached.items() if number in self.core.ready_endpoints
+        }
         for held in list(self.connections.values()):
             heard = max(connection.heard for connection in held)
             for connection in list(held):
                 if connection.lost(heard):
                     connection.close("answer lost")
-                unused = not self.core.current(connection.endpoint) or connection.suspect()
+                unused = not self.core.is_current(connection.endpoint) or connection.suspect()
                 resting = not connection.exchanges and not connection.has_unread()
                 if resting and (unused or now - connection.used > idle):
                     connection.close("idle")
@@ -202,7 +206,7 @@
         usable = not (self.closed or self.late or self.doubtful or self.suspect()) and place == self.endpoint
         return (
             usable
-            and len(self.exchanges) < self.link.limits.streams
+            and len(self.exchanges) < self.link.limits.max_streams
             and word not in self.exchanges
             and self.stale.get(word, 0) < now
         )
@@ -221,7 +225,7 @@
         """Guards against answers that never come: whoever runs a query tells at least a note each interval.
         Only a connection that is silent while its engine speaks on another one has lost something; an engine
         that is silent altogether is the module's to judge."""
-        notes, now = self.link.limits.notes_us, monotonic_us()
+        notes, now = self.link.limits.progress_interval_us, monotonic_us()
         return (
             self.exchanges
             and 0 < self.unheard < now - int(notes * LOST_NOTES)
@@ -231,7 +235,7 @@
 
     def carry(self, attempt: Attempt, word: bytes) -> None:
         """Take the attempt; it goes out once the connection is up."""
-        exchange = attempt.carrier = Exchange(attempt, self, word)
+        exchange = attempt.transport_state = Exchange(attempt, self, word)
         self.exchanges[word] = exchange
         self.used = monotonic_us()
         if self.writer is None:
@@ -261,7 +265,7 @@
     def _want(self, exchange: Exchange) -> None:
         a, q = exchange.attempt, exchange.attempt.query
         exchange.worded_at = monotonic_us()
-        left = max((a.until - exchange.worded_at) // 1000, 1)
+        left = max((a.deadline - exchange.worded_at) // 1000, 1)
         fields = [f"c={q.class_name}", f"w={left}", f"order={a.request.priority}"]
         if q.key:
             fields.append(f"i={q.key}")
@@ -277,12 +281,12 @@
         if exchange.dropped:
             return False
         attempt, now = exchange.attempt, monotonic_us()
-        if not attempt.may_leave(now) or self.endpoint.id not in self.core.ready:
+        if not attempt.may_be_sent(now) or self.endpoint.id not in self.core.ready_endpoints:
             self._settle(exchange)
             self.core.counters.add("moot_sends")
-            self.core.ended(attempt, Outcome.NOT_SENT)
+            self.core.attempt_ended(attempt, Outcome.NOT_SENT)
             return False
-        if not self.core.current(self.endpoint) or self._over():
+        if not self.core.is_current(self.endpoint) or self._over():
             self._settle(exchange)
             self.link.again(attempt, Outcome.NOT_SENT)
             return False
@@ -318,7 +322,7 @@
 
     def _end(self, exchange: Exchange, outcome: Outcome, rows: bytes = b"", bar: int = ANSWERED) -> None:
         self._settle(exchange, bar)
-        self.core.ended(exchange.attempt, outcome, rows)
+        self.core.attempt_ended(exchange.attempt, outcome, rows)
 
     def close(self, why: str, outcome: Outcome = Outcome.RESET) -> None:
         """The connection is over; so is all that is open on it."""
@@ -344,8 +348,8 @@
         cause, _, detail = why.partition(":")
         cause = cause.replace(" ", "_")
         self.core.counters.add(f"engine_close.{cause}")
-        self.core.log.write(
-            Kind.ENGINE_CLOSED,
+        self.core.event_log.write(
+            EventKind.ENGINE_CLOSED,
             engine=self.endpoint.name,
             reason=cause,
             open=len(self.exchanges),
@@ -354,7 +358,7 @@
         )
 
     def _run(self) -> None:
-        patience = self.link.limits.connect_s
+        patience = self.link.limits.connect_timeout_s
         overdue = spawn_later(patience, self._overdue)
         try:
             with Timeout(patience + LATE):
@@ -469,7 +473,7 @@
         if not 0 <= value <= READING_MOST:
             raise BadLine(b"reading")
         exchange.ran |= kind is not ProgressKind.WAITING and value > 0
-        self.core.noted(exchange.attempt, kind, value)
+        self.core.attempt_progressed(exchange.attempt, kind, value)
 
     def _first(self, exchange: Exchange, told: dict[bytes, bytes], body: bytes) -> None:
         count = _count(told, b"count", 1, PAGES_MOST)
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -86,8 +86,8 @@
     """Engines that the lists name, and those of them the broker avoids: out by hand, draining, held off."""
     held = core.manager.engines
     listed = [
-        (core.maintenance.entry(p.name, e), p)
-        for lst in core.lists.values()
+        (core.maintenance.effective_entry(p.name, e), p)
+        for lst in core.engine_lists.values()
         for e, p in lst
         if e.state is not EngineState.REMOVED
     ]
@@ -120,10 +120,13 @@
         except OSError:
             return
         self.seen = stamp
-        kept = Maintenance.load(raw, monotonic_us())
-        if (kept.out, kept.back) != (self.core.maintenance.out, self.core.maintenance.back):
-            log(f"maintenance: out by hand {sorted(kept.out)}")
-            self.core.held_out(kept)
+        kept = Maintenance.from_json(raw, monotonic_us())
+        if (kept.out_of_service, kept.returned_at) != (
+            self.core.maintenance.out_of_service,
+            self.core.maintenance.returned_at,
+        ):
+            log(f"maintenance: out by hand {sorted(kept.out_of_service)}")
+            self.core.set_maintenance(kept)
 
     def call(self, request: HttpRequest, enter: bool) -> tuple[int, bytes]:
         """`POST /maintenance/enter` or `exit` with an engine's id as the body."""
@@ -166,22 +169,22 @@
             name = request.body.decode("utf-8").strip()
         except UnicodeDecodeError:
             return 400, b"no engine id\n"
-        held, known = self.core.maintenance, self.core.names_engine(name)
+        held, known = self.core.maintenance, self.core.is_listed(name)
         try:
-            changed = held.enter(name, known) if enter else held.exit(name, known, monotonic_us())
+            changed = held.take_out(name, known) if enter else held.put_back(name, known, monotonic_us())
         except MaintenanceError as err:
             status, text = err.args
             return status, text.encode() + b"\n"
         if changed:
             self._save(held)
-            self.core.held_out(held)
+            self.core.set_maintenance(held)
             log(f"maintenance: {name} {'out' if enter else 'back'}")
-        return 200, f"{name} {'out' if name in held.out else 'in'}\n".encode()
+        return 200, f"{name} {'out' if name in held.out_of_service else 'in'}\n".encode()
 
     def _save(self, held: Maintenance) -> None:
         part = self.path.with_suffix(f".{os.getpid()}")
         try:
-            part.write_bytes(held.dump())
+            part.write_bytes(held.to_json())
             os.replace(part, self.path)
             self.seen = self._stamp()
         except OSError as err:
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from cypressledge.broker.core import Core
-from cypressledge.config import Config, ConfigError, Limits, address
+from cypressledge.config import Config, ConfigError, Limits, parse_address
 from cypressledge.net.admin import Admin
 from cypressledge.net.clickhouse import ChFront, ChLink
 from cypressledge.net.directory import Catalogue
@@ -17,8 +17,8 @@
 from cypressledge.tenants import TenantError, Tenants
 
 WIRE = "clickhouse"
-ADMINS_MOST = 16
-CLIENTS_MOST = 128  # client connections over HTTP, where the descriptors allow as many
+MAX_ADMIN_CONNECTIONS = 16
+MAX_CLIENT_CONNECTIONS = 128  # client connections over HTTP, where the descriptors allow as many
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +48,12 @@
             raise ConfigError(f"{path}: the admin API needs a token of 16 characters in {named}")
         scratch = Tenants()
         for given in raw.get("tenant", ()):
-            scratch.put(given.get("name"), given)
+            scratch.update(given.get("name"), given)
         return ServiceConfig(
-            listen=address(front["listen"]),
-            dns_server=address(sd["server"]) if sd else None,
+            listen=parse_address(front["listen"]),
+            dns_server=parse_address(sd["server"]) if sd else None,
             dns_service=sd["service"] if sd else "",
-            admin_listen=address(admin["listen"]) if admin else None,
+            admin_listen=parse_address(admin["listen"]) if admin else None,
             admin_token=token,
             engine_user=engines.get("user", ""),
             engine_key=env.get(engines.get("key_env", ""), ""),
@@ -76,7 +76,7 @@
 
     def __init__(self, told: ServiceConfig, core: Core, config: Config, tenants: Tenants) -> None:
         self.told, self.tenants, self.core = told, tenants, core
-        self.link = core.links[WIRE] = ChLink(core, config.limits)
+        self.link = core.transports[WIRE] = ChLink(core, config.limits)
         self.front = ChFront(core, told.listen, config.classes, tenants)
         self.servers = [self.front.server]
         self.parts = []
@@ -94,7 +94,7 @@
         for name in {t["name"] for t in self.told.tenants} - {t["name"] for t in told.tenants}:
             self.tenants.remove(name)
         for given in told.tenants:
-            self.tenants.put(given["name"], given)
+            self.tenants.update(given["name"], given)
         self.told = told
         self.link.login(told.engine_user, told.engine_key)
         if self.admin is not None:
@@ -103,10 +103,10 @@
     def limit(self, limits: Limits) -> None:
         """Take what the deployment allows."""
         self.link.limits = limits
-        self.front.server.listener.most = min(CLIENTS_MOST, limits.sockets // 10)
+        self.front.server.listener.most = min(MAX_CLIENT_CONNECTIONS, limits.max_sockets // 10)
         if self.admin is not None:
-            self.admin.server.listener.most = min(ADMINS_MOST, limits.sockets // 32)
-        BODIES.most = limits.spare // 8
+            self.admin.server.listener.most = min(MAX_ADMIN_CONNECTIONS, limits.max_sockets // 32)
+        BODIES.most = limits.spare_memory // 8
 
     def check(self, told: ServiceConfig) -> None:
         """Whether this can be taken without a restart."""
--- a/cypressledge/settings.py
+++ b/cypressledge/settings.py
@@ -4,12 +4,12 @@
 
 from cypressledge.decisions import contract as c
 
-EFFECTS = {
+IDEMPOTENCY_NAMES = {
     "free": c.Idempotency.IDEMPOTENT,
     "guarded": c.Idempotency.WITH_KEY,
     "single_shot": c.Idempotency.NOT_IDEMPOTENT,
 }
-GROUPS = {
+DEDUPLICATION_SCOPE_NAMES = {
     "all": c.DeduplicationScope.ALL,
     "zone": c.DeduplicationScope.ZONE,
     "cell": c.DeduplicationScope.CELL,
@@ -25,16 +25,16 @@
     return None if wanted is None else frozenset(int(i) for i in wanted)
 
 
-def read_settings(text: bytes) -> c.Settings:
+def parse_settings_json(text: bytes) -> c.Settings:
     """JSON settings of the wire in the contract's names; unknown keys are skipped."""
     try:
         s = json.loads(text)
     except json.JSONDecodeError as err:
         raise SettingsError(f"settings are not JSON: {err}") from None
-    return settings_of(s)
+    return parse_settings(s)
 
 
-def settings_of(s: dict) -> c.Settings:
+def parse_settings(s: dict) -> c.Settings:
     """The same from JSON that is read already."""
     try:
         limits, rules, fam = s["Limits"], s["Rules"], s.get("FamilyInfo", {})
@@ -47,8 +47,8 @@
                 priority_weight=k.get("Worth", 1.0),
                 late_priority_weight=k.get("LateWorth", 0.0),
                 latency_objective_stretch=k.get("AimStretch", 0.0),
-                idempotency=EFFECTS[k["Idempotency"]],
-                deduplication_scope=GROUPS[k.get("Group") or "all"],
+                idempotency=IDEMPOTENCY_NAMES[k["Idempotency"]],
+                deduplication_scope=DEDUPLICATION_SCOPE_NAMES[k.get("Group") or "all"],
                 deduplication_window=k.get("MemorySpan", 0),
                 ordered=bool(k.get("OneAtATime", False)),
                 threads=threads[i] if i < len(threads) else 1,
--- a/cypressledge/simulator_adapter.py
+++ b/cypressledge/simulator_adapter.py
@@ -10,7 +10,7 @@
 
 from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
-from cypressledge.settings import SettingsError, read_settings
+from cypressledge.settings import SettingsError, parse_settings_json
 
 HEAD = struct.Struct("<IQII")
 REPLY = struct.Struct("<III")
@@ -93,7 +93,7 @@
             who, seed, offset, size = START.unpack_from(frame, at)
             told[who] = []
             try:
-                settings = read_settings(_part(frame, tail, offset, size))
+                settings = parse_settings_json(_part(frame, tail, offset, size))
                 self.managers[who] = WorkloadManager(settings, seed)
             except ValueError as err:
                 self.managers.pop(who, None)
--- a/cypressledge/tenants.py
+++ b/cypressledge/tenants.py
@@ -5,8 +5,8 @@
 import re
 from dataclasses import dataclass
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z", re.A)
-KEY_LEAST = 12  # characters of a key
+TENANT_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z", re.A)
+MIN_KEY_LENGTH = 12  # characters of a key
 
 
 class TenantError(ValueError):
@@ -24,30 +24,35 @@
 
     name: str
     key_sha256: str
-    most_open: int = 0
+    max_open: int = 0
     enabled: bool = True
-    open: int = 0
+    open_requests: int = 0
 
-    def show(self) -> dict:
+    def describe(self) -> dict:
         """What the administration API tells; never the key."""
-        return {"name": self.name, "most_open": self.most_open, "enabled": self.enabled, "open": self.open}
+        return {
+            "name": self.name,
+            "most_open": self.max_open,
+            "enabled": self.enabled,
+            "open": self.open_requests,
+        }
 
 
 class Tenants:
     """All tenants by name, besides those that the site's settings name (`fixed`; they have no key here)."""
 
     def __init__(self) -> None:
-        self.fixed: frozenset[str] = frozenset()
-        self.held: dict[str, Tenant] = {}
+        self.site_tenants: frozenset[str] = frozenset()
+        self.by_name: dict[str, Tenant] = {}
 
     def __contains__(self, name: str) -> bool:
         """Whether a front that asks for no key may name it: never one that has a key."""
-        return name in self.fixed
+        return name in self.site_tenants
 
-    def put(self, name: str, given: dict) -> Tenant:
+    def update(self, name: str, given: dict) -> Tenant:
         """Add a tenant, or change those of its fields that are given."""
-        old = self.held.get(name)
-        if not isinstance(name, str) or not NAME.match(name):
+        old = self.by_name.get(name)
+        if not isinstance(name, str) or not TENANT_NAME.match(name):
             raise TenantError("name must be 1 to 64 letters, digits, '_', '.' or '-'")
         unknown = set(given) - {"name", "key", "key_sha256", "most_open", "enabled"}
         if unknown:
@@ -55,32 +60,32 @@
         if given.get("name", name) != name:
             raise TenantError("a tenant can't be renamed")
         key = self._key(given, old)
-        most = given.get("most_open", old.most_open if old else 0)
+        most = given.get("most_open", old.max_open if old else 0)
         enabled = given.get("enabled", old.enabled if old else True)
         if type(most) is not int or most < 0 or type(enabled) is not bool:
             raise TenantError("most_open must be a whole number, enabled true or false")
         tenant = old or Tenant(name, key)
-        tenant.key_sha256, tenant.most_open, tenant.enabled = key, most, enabled
-        self.held[name] = tenant
+        tenant.key_sha256, tenant.max_open, tenant.enabled = key, most, enabled
+        self.by_name[name] = tenant
         return tenant
 
     @staticmethod
     def _key(given: dict, old: Tenant | None) -> str:
         if "key" in given:
-            if not isinstance(given["key"], str) or len(given["key"]) < KEY_LEAST:
-                raise TenantError(f"key must have at least {KEY_LEAST} characters")
+            if not isinstance(given["key"], str) or len(given["key"]) < MIN_KEY_LENGTH:
+                raise TenantError(f"key must have at least {MIN_KEY_LENGTH} characters")
             return digest(given["key"])
         hashed = given.get("key_sha256", old.key_sha256 if old else None)
         if not isinstance(hashed, str) or not re.fullmatch(r"[0-9a-f]{64}", hashed):
             raise TenantError("key is missing")
         return hashed
 
-    def find(self, name: str, key: str) -> Tenant | None:
+    def authenticate(self, name: str, key: str) -> Tenant | None:
         """The tenant, if the key is its own; takes as long for a wrong name."""
-        tenant = self.held.get(name)
+        tenant = self.by_name.get(name)
         right = hmac.compare_digest(digest(key), tenant.key_sha256 if tenant else digest(""))
         return tenant if tenant is not None and right and tenant.enabled else None
 
     def remove(self, name: str) -> bool:
         """Forget a tenant; what it has open is still answered."""
-        return self.held.pop(name, None) is not None
+        return self.by_name.pop(name, None) is not None
--- a/tests/recordings/test_ledger_recording.py
+++ b/tests/recordings/test_ledger_recording.py
@@ -25,7 +25,7 @@
 from cypressledge.broker.requests import Endpoint, EngineFault, Query
 from cypressledge.decisions import contract as c
 from cypressledge.net.management import Kept, Management, figures
-from cypressledge.settings import settings_of
+from cypressledge.settings import parse_settings
 from tests.stands import SETTINGS
 
 RECORDING = Path(__file__).with_suffix(".json")
@@ -98,24 +98,24 @@
 class FakeReply:
     """A client's reply."""
 
-    streams = True
+    supports_streaming = True
 
     def __init__(self, script, name):
         self.script, self.name = script, name
 
-    def served(self, rows):
+    def complete(self, rows):
         self.script.row(self.name, "served", plain(rows))
 
-    def part(self, rows):
+    def send_rows(self, rows):
         self.script.row(self.name, "part", plain(rows))
 
-    def pace(self):
+    def wait_until_drained(self):
         return True
 
-    def refused(self, after):
+    def reject(self, after):
         self.script.row(self.name, "refused", after)
 
-    def failed(self, fault):
+    def fail(self, fault):
         self.script.row(self.name, "failed", *plain(fault))
 
 
@@ -134,7 +134,7 @@
             attempt.number,
             attempt.endpoint.name,
             attempt.sent_at - self.script.beginning,
-            attempt.until - self.script.beginning,
+            attempt.deadline - self.script.beginning,
             attempt.decided_at - self.script.beginning,
             request.priority,
             request.grant_mb,
@@ -148,7 +148,7 @@
     def cancel(self, attempt):
         self._row("cancel", attempt)
 
-    def terms(self, attempt):
+    def update_resources(self, attempt):
         self._row("resources", attempt)
 
 
@@ -158,10 +158,10 @@
     def __init__(self, script):
         self.script = script
 
-    def heard(self, attempt):
+    def attempt_progressed(self, attempt):
         self.script.row("observer", "heard", attempt.request.number, attempt.number)
 
-    def ended(self, attempt, outcome, latency):
+    def attempt_ended(self, attempt, outcome, latency):
         self.script.row("observer", "ended", attempt.request.number, attempt.number, int(outcome), latency)
 
 
@@ -176,12 +176,12 @@
             SimpleNamespace(monotonic_ns=lambda: (START + self.elapsed) * 1_000, time_ns=lambda: 0),
         )
         self.beginning = clock.monotonic_us()
-        self.settings = dataclasses.replace(settings_of(SETTINGS), timer_resolution=1)
+        self.settings = dataclasses.replace(parse_settings(SETTINGS), timer_resolution=1)
         self.counters = ReleaseCounters()
         self.core = Core(self.settings, 1, self.counters)
-        self.core.after_most = 250 * MS
+        self.core.max_retry_after = 250 * MS
         self.decisions = self.core.manager = FakeDecisions(self)
-        self.transport = self.core.links["lines"] = FakeTransport(self)
+        self.transport = self.core.transports["lines"] = FakeTransport(self)
         self.replies = {}
         self.list_engines(c.EngineState.READY, c.EngineState.READY)
         self.loop = gevent.spawn(self.core.run)
@@ -208,11 +208,11 @@
         for number, state in zip((ENGINE_1, ENGINE_2), states, strict=False):
             entry = c.EngineListEntry(number, state, 0, number % 2, 0, 0)
             entries.append((entry, Endpoint(number, f"s-{number}", ("127.0.0.1", number), "lines", born)))
-        self.core.listed("lines", kind, entries)
+        self.core.update_list("lines", kind, entries)
 
     def submit(self, name="00000000000000aa", wait_ms=3_000, **more):
         query = Query(name, 0, "lookup", "sahel", b"SELECT 1", clock.monotonic_us() + wait_ms * MS, **more)
-        request = self.core.take(query, FakeReply(self, f"client {name[-2:]}"))
+        request = self.core.submit(query, FakeReply(self, f"client {name[-2:]}"))
         self.row("submitted", name[-2:], None if request is None else request.number)
         return request
 
@@ -223,11 +223,11 @@
         return request, *request.attempts
 
     def end(self, attempt, outcome, rows=b"", fault=None):
-        self.core.ended(attempt, outcome, rows, fault)
+        self.core.attempt_ended(attempt, outcome, rows, fault)
 
     def close(self):
         self.loop.kill()
-        self.row("open", len(self.core.requests), self.core.held)
+        self.row("open", len(self.core.requests), self.core.statement_bytes)
         self.row(
             "replies",
             {
@@ -298,17 +298,17 @@
 
 def client_left_before_send(s):
     request = s.submit()
-    s.core.left(request)
+    s.core.client_disconnected(request)
     s.turn()
     request = s.submit("00000000000000bb")
     s.turn()
-    s.core.left(request)
+    s.core.client_disconnected(request)
     s.turn(c.StartAttempt(request.number, ENGINE_1))
 
 
 def client_left_after_send(s):
     request, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.left(request)
+    s.core.client_disconnected(request)
     s.turn(c.CancelAttempt(request.number, 0, c.Reason.REQUEST_FINISHED), ms=4)
     s.turn()
     s.end(second, c.Outcome.OK, ROWS)
@@ -317,20 +317,20 @@
 
 def client_left_a_streamed_answer(s):
     request, first = s.sent((ENGINE_1, 0))
-    s.core.rows(first, ROWS)
+    s.core.rows_received(first, ROWS)
     s.turn()
-    s.core.left(request)
+    s.core.client_disconnected(request)
     s.turn()
-    s.core.rows(first, ROWS)
+    s.core.rows_received(first, ROWS)
     s.turn()
 
 
 def streamed_then_served(s):
     _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.rows(first, ROWS)
+    s.core.rows_received(first, ROWS)
     s.turn()
-    s.core.rows(second, ROWS)
-    s.core.rows(first, ROWS)
+    s.core.rows_received(second, ROWS)
+    s.core.rows_received(first, ROWS)
     s.end(second, c.Outcome.OK, ROWS)
     s.end(first, c.Outcome.OK)
     s.turn()
@@ -338,7 +338,7 @@
 
 def streamed_then_failed(s):
     _, first = s.sent((ENGINE_1, 0))
-    s.core.rows(first, ROWS)
+    s.core.rows_received(first, ROWS)
     s.turn()
     s.end(first, c.Outcome.RESET)
     s.turn()
@@ -346,10 +346,10 @@
 
 def streamed_then_refused(s):
     request, first = s.sent((ENGINE_1, 0))
-    s.core.rows(first, ROWS)
+    s.core.rows_received(first, ROWS)
     s.turn()
     s.turn(c.CancelAttempt(request.number, 0, c.Reason.RUNAWAY))
-    s.core.noted(first, c.ProgressKind.PROGRESS, 0.25)
+    s.core.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.25)
     s.turn(c.RejectRequest(request.number, c.Reason.OBJECTIVE_MISSED))
 
 
@@ -363,7 +363,7 @@
 
 def streamed_attempt_does_not_time_out(s):
     _, attempt = s.sent((ENGINE_1, 40 * MS))
-    s.core.rows(attempt, ROWS)
+    s.core.rows_received(attempt, ROWS)
     s.turn(ms=50)
     s.end(attempt, c.Outcome.OK)
     s.turn()
@@ -379,7 +379,7 @@
 def deadline_of_a_streamed_answer(s):
     request = s.submit(wait_ms=100)
     s.turn(c.StartAttempt(request.number, ENGINE_1))
-    s.core.rows(request.attempts[0], ROWS)
+    s.core.rows_received(request.attempts[0], ROWS)
     s.turn(ms=120)
     s.turn()
 
@@ -395,7 +395,7 @@
 
 
 def send_that_raises(s):
-    s.core.links["lines"] = FakeTransport(s, refuses=True)
+    s.core.transports["lines"] = FakeTransport(s, refuses=True)
     request, attempt = s.sent((ENGINE_1, 0))
     s.turn(ms=2_999)
     s.turn(ms=12)
@@ -404,7 +404,7 @@
 
 def cancelled(s):
     request, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.noted(second, c.ProgressKind.SPILLING, 3.0)
+    s.core.attempt_progressed(second, c.ProgressKind.SPILLING, 3.0)
     s.turn(c.CancelAttempt(request.number, 1, c.Reason.ENGINE_SILENT), c.CancelAttempt(request.number, 5))
     s.turn(c.CancelAttempt(request.number, 1))
     s.end(first, c.Outcome.OK, ROWS)
@@ -414,7 +414,7 @@
 def priority_and_grant_changed(s):
     request = s.submit()
     s.turn(c.SetAttemptResources(request.number, 64.0, 2), c.StartAttempt(request.number, ENGINE_1))
-    s.core.noted(request.attempts[0], c.ProgressKind.WAITING, 2.0)
+    s.core.attempt_progressed(request.attempts[0], c.ProgressKind.WAITING, 2.0)
     s.turn(c.SetAttemptResources(request.number, 128.0, 3), c.SetAttemptResources(99, 1.0, 1))
     s.end(request.attempts[0], c.Outcome.OK, ROWS)
     s.turn()
@@ -424,10 +424,10 @@
 def observed(s):
     s.core.observer = FakeObserver(s)
     _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.noted(first, c.ProgressKind.PROGRESS, 0.5)
+    s.core.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.5)
     s.turn(ms=5)
     s.end(first, c.Outcome.OK, ROWS)
-    s.core.noted(first, c.ProgressKind.PROGRESS, 0.7)
+    s.core.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.7)
     s.turn()
 
 
@@ -447,11 +447,11 @@
 
 def shutdown_with_open_requests(s):
     request, attempt = s.sent((ENGINE_1, 0))
-    s.core.stop(clock.monotonic_us() + 50 * MS)
-    s.row("healthy", s.core.serving(), s.core.stopping)
+    s.core.start_shutdown(clock.monotonic_us() + 50 * MS)
+    s.row("healthy", s.core.is_serving(), s.core.is_stopping)
     late = s.submit("00000000000000bb")
     s.turn(ms=20)
-    s.core.taking = False
+    s.core.is_accepting = False
     s.submit("00000000000000cc")
     s.turn(ms=31)
     assert late is not None
@@ -473,31 +473,31 @@
 
 
 def engines_listed(s):
-    s.core.held_out(Maintenance({"s-7"}, {"s-8": clock.monotonic_us()}))
+    s.core.set_maintenance(Maintenance({"s-7"}, {"s-8": clock.monotonic_us()}))
     s.turn()
-    s.row("names", s.core.names_engine("s-7"), s.core.names_engine("s-9"), s.core.serving())
-    s.core.shut = lambda entry: entry.zone == 0
-    s.core.retell()
+    s.row("names", s.core.is_listed("s-7"), s.core.is_listed("s-9"), s.core.is_serving())
+    s.core.is_closed = lambda entry: entry.zone == 0
+    s.core.refresh()
     s.turn()
-    s.row("names", s.core.names_engine("s-7"), s.core.names_engine("s-9"), s.core.serving())
-    s.core.shut = None
-    s.core.held_out(Maintenance())
+    s.row("names", s.core.is_listed("s-7"), s.core.is_listed("s-9"), s.core.is_serving())
+    s.core.is_closed = None
+    s.core.set_maintenance(Maintenance())
     s.list_engines(c.EngineState.READY, c.EngineState.REMOVED, kind=c.EngineListKind.CACHED, born=5)
     s.turn()
     old, new = (Endpoint(ENGINE_1, "s-7", ("127.0.0.1", 7), "lines", born) for born in (0, 5))
-    s.row("current", s.core.current(old), s.core.current(new))
+    s.row("current", s.core.is_current(old), s.core.is_current(new))
 
 
 def refused_at_admission(s):
-    s.core.open_most = 2
+    s.core.max_open_requests = 2
     for n in range(3):
         s.submit(f"{n:016x}")
-    s.core.open_most, s.core.held_most = 10, 15
+    s.core.max_open_requests, s.core.max_statement_bytes = 10, 15
     s.submit("00000000000000aa")
-    s.core.held_most = 1_000
-    s.core.door = lambda query: query.tenant != "sahel"
+    s.core.max_statement_bytes = 1_000
+    s.core.admission_filter = lambda query: query.tenant != "sahel"
     s.submit("00000000000000bb")
-    s.row("knows", s.core.knows(f"{0:016x}"), s.core.knows("00000000000000bb"))
+    s.row("knows", s.core.is_open(f"{0:016x}"), s.core.is_open("00000000000000bb"))
     s.turn(c.RejectRequest(1), c.RejectRequest(2))
 
 
--- a/tests/recordings/test_wire_recording.py
+++ b/tests/recordings/test_wire_recording.py
@@ -22,7 +22,7 @@
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
 from cypressledge.net.lines import LinesLink
-from cypressledge.settings import settings_of
+from cypressledge.settings import parse_settings
 from tests.stands import (
     ROW,
     SETTINGS,
@@ -132,12 +132,12 @@
 
 def lines_messages() -> dict[str, bytes]:
     """All commands to engines on lines."""
-    core = Core(settings_of(SETTINGS), 1, Counters())
-    link = core.links["lines"] = LinesLink(core, Limits(64, 64, 32, 5.0, 30.0, 0, 0))
+    core = Core(parse_settings(SETTINGS), 1, Counters())
+    link = core.transports["lines"] = LinesLink(core, Limits(64, 64, 32, 5.0, 30.0, 0, 0))
     link.most = 8
     peer = LinesPeer()
     place = Endpoint(7, "s-1", peer.listener.getsockname(), "lines")
-    core.ready[7] = place
+    core.ready_endpoints[7] = place
     messages = {}
 
     def attempt(name, number, **more):
@@ -154,7 +154,7 @@
     link.send(bare)
     messages["lines: want with no optional field"] = peer.take(b"(1)\r\n")
     full.request.priority = 0
-    link.terms(full)
+    link.update_resources(full)
     messages["lines: hurry"] = peer.take(b"\r\n")
     link.cancel(full)
     messages["lines: never_mind"] = peer.take(b"\r\n")
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -234,8 +234,8 @@
         self.clock, self.requests, self.retold = clock, {}, 0
         self.settings = SimpleNamespace(classes=[SimpleNamespace(threads=2)], kind_cores=(8, 4))
         self.manager = SimpleNamespace(class_slow=[1.0])
-        self.observer = self.shut = self.door = None
-        self.lists = {
+        self.observer = self.is_closed = self.admission_filter = None
+        self.engine_lists = {
             "one": [
                 (EngineListEntry(e, EngineState.READY, e % 2, ZONES.index(z), 0, 0), None)
                 for e, z in ENGINES.items()
@@ -245,7 +245,7 @@
     def now(self):
         return self.clock.now
 
-    def retell(self):
+    def refresh(self):
         self.retold += 1
 
 
@@ -306,7 +306,7 @@
                 cost=100_000,
             )
             admitted = zones.admit(query)
-            opened = [e for e, _ in core.lists["one"] if not zones.shut(e)]
+            opened = [e for e, _ in core.engine_lists["one"] if not zones.shut(e)]
             self.out.add(admitted, [e.engine for e in opened])
             if not admitted or not opened:
                 continue
@@ -320,11 +320,11 @@
             attempt = request.attempts[0]
             ended = self._outcome(name, ENGINES[attempt.endpoint.id], self.now - attempt.sent_at)
             if ended is not None:
-                attempt.open = False
-                zones.ended(attempt, ended, self.now - attempt.sent_at)
+                attempt.is_open = False
+                zones.attempt_ended(attempt, ended, self.now - attempt.sent_at)
                 del core.requests[number]
             elif self.rng.random() < 0.1 and self.mood[ENGINES[attempt.endpoint.id]] == "slow":
-                zones.heard(attempt)
+                zones.attempt_progressed(attempt)
 
     def _outcome(self, name, zone, age):
         mood = "reset" if name == self.cut_off else self.mood[zone]
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -2,7 +2,7 @@
 
 import re
 
-from cypressledge.broker.event_log import LINES_MOST, EventLog, Kind
+from cypressledge.broker.event_log import MAX_LINES_PER_SECOND, EventKind, EventLog
 from cypressledge.broker.metrics import Counters
 from tests.stands import Case, LineEngine, failing, hang_up, until, whole
 
@@ -65,13 +65,13 @@
     monkeypatch.setattr("cypressledge.broker.event_log.monotonic_us", lambda: now)
     counters = Counters()
     events = EventLog(counters)
-    for n in range(3 * LINES_MOST):
-        events.write(Kind.RETRY, request=n)
-    events.write(Kind.REFUSED, request="other")
+    for n in range(3 * MAX_LINES_PER_SECOND):
+        events.write(EventKind.RETRY, request=n)
+    events.write(EventKind.REJECTED, request="other")
     now += 1_000_000
-    events.write(Kind.RETRY, request="later")
+    events.write(EventKind.RETRY, request="later")
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == LINES_MOST + 2
-    assert counters.counts["events.held_back"] == 2 * LINES_MOST
+    assert len(lines) == MAX_LINES_PER_SECOND + 2
+    assert counters.counts["events.held_back"] == 2 * MAX_LINES_PER_SECOND
     assert lines[-2] == "request-refused at=0.000 request=other"
-    assert lines[-1] == f"retry at=1.000 request=later held_back={2 * LINES_MOST}"
+    assert lines[-1] == f"retry at=1.000 request=later held_back={2 * MAX_LINES_PER_SECOND}"
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,21 +1,21 @@
 """When engines count as started: ages by Unix times, under clocks of ours or theirs that are wrong."""
 
-from cypressledge.broker.engine_start_times import FORGET_SPARE, Starts
+from cypressledge.broker.engine_start_times import MAX_UNLISTED, EngineStartTimes
 from cypressledge.broker.maintenance import Maintenance
-from cypressledge.clock import BEGINNING, StepWatch, monotonic_us
+from cypressledge.clock import CLOCK_ORIGIN_US, ClockStepDetector, monotonic_us
 
 S = 1_000_000
-NOW = BEGINNING + 1_000 * S
+NOW = CLOCK_ORIGIN_US + 1_000 * S
 UNIX = 1_790_000_000 * S  # what a right wall clock says at NOW
 DOUBT = 3 * S
 
 
 def starts_of(told_s, ahead_s=0):
     """Engines' ages, in seconds, by a clock that is ahead, from the true ones."""
-    starts = Starts(UNIX + ahead_s * S - NOW)
+    starts = EngineStartTimes(UNIX + ahead_s * S - NOW)
     told = {engine: (UNIX - age * S) // 1_000 for engine, age in told_s.items()}
-    starts.take(told, NOW, DOUBT)
-    return {engine: (NOW - starts.at(engine, told_ms)) / S for engine, told_ms in told.items()}
+    starts.update(told, NOW, DOUBT)
+    return {engine: (NOW - starts.started_at(engine, told_ms)) / S for engine, told_ms in told.items()}
 
 
 def test_ages_by_a_right_clock():
@@ -35,34 +35,34 @@
 
 
 def test_a_start_counts_as_it_was_first_heard_of_until_there_is_another():
-    starts = Starts(UNIX - NOW)
+    starts = EngineStartTimes(UNIX - NOW)
     told_ms = UNIX // 1_000
-    starts.take({"s-1": told_ms, "s-2": 0}, NOW, DOUBT)
-    starts.take({"s-1": told_ms, "s-2": 0}, NOW + 60 * S, DOUBT)
-    assert (starts.at("s-1", told_ms), starts.at("s-2", 0)) == (NOW, 0)
-    starts.take({"s-1": told_ms - 1}, NOW + 60 * S, DOUBT)  # another process, by a clock that was set back
-    assert starts.at("s-1", told_ms - 1) == NOW + 60 * S - DOUBT
+    starts.update({"s-1": told_ms, "s-2": 0}, NOW, DOUBT)
+    starts.update({"s-1": told_ms, "s-2": 0}, NOW + 60 * S, DOUBT)
+    assert (starts.started_at("s-1", told_ms), starts.started_at("s-2", 0)) == (NOW, 0)
+    starts.update({"s-1": told_ms - 1}, NOW + 60 * S, DOUBT)  # another process, by a clock that was set back
+    assert starts.started_at("s-1", told_ms - 1) == NOW + 60 * S - DOUBT
 
 
 def test_engines_that_left_are_forgotten_once_there_are_many():
-    starts = Starts(UNIX - NOW)
+    starts = EngineStartTimes(UNIX - NOW)
     for n in range(1_000):
-        starts.take({f"s-{n}": 1 + n}, NOW, DOUBT)
-    assert len(starts.starts) <= FORGET_SPARE + 3
+        starts.update({f"s-{n}": 1 + n}, NOW, DOUBT)
+    assert len(starts.starts) <= MAX_UNLISTED + 3
     assert "s-999" in starts.starts
 
 
 def test_a_return_kept_on_another_clock_counts_as_now():
     """The file of a former release holds Unix times; that of a former boot, larger ones than the clock."""
-    kept = Maintenance.load(b'{"out": [], "back": {"s-1": 1790000000000000, "s-2": 5}}', NOW)
-    assert kept.back == {"s-1": NOW, "s-2": 5}
+    kept = Maintenance.from_json(b'{"out": [], "back": {"s-1": 1790000000000000, "s-2": 5}}', NOW)
+    assert kept.returned_at == {"s-1": NOW, "s-2": 5}
 
 
 def test_a_step_of_the_wall_clock_is_told_once(monkeypatch):
     wall = [1_790_000_000_000_000]
     monkeypatch.setattr("cypressledge.clock.wall_us", lambda: wall[0] + monotonic_us())
-    watch = StepWatch()
-    assert watch.look() == 0
+    watch = ClockStepDetector()
+    assert watch.check() == 0
     wall[0] -= 5_000_000
-    assert abs(watch.look() + 5_000_000) < 1_000
-    assert watch.look() == 0
+    assert abs(watch.check() + 5_000_000) < 1_000
+    assert watch.check() == 0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cypressledge.decisions import contract as c
-from cypressledge.simulator_adapter import Host, engine_id, read_settings
+from cypressledge.simulator_adapter import Host, engine_id, parse_settings_json
 
 ROOT = Path(__file__).parent.parent
 ENGINE = bytes([10, 18, 74, 7, 0x5B, 0x1B])
@@ -91,7 +91,7 @@
 
 
 def test_settings_in_our_names():
-    s = read_settings(json.dumps(SETTINGS).encode())
+    s = parse_settings_json(json.dumps(SETTINGS).encode())
     assert (s.broker_count, s.broker_index, s.kind_cores, s.classes[0].required_kinds) == (
         2,
         1,
