--- a/cypressledge/broker_process.py
+++ b/cypressledge/broker_process.py
@@ -26,8 +26,10 @@
 from cypressledge.net.buffer import GROWN
 from cypressledge.net.directory import Catalogue, Directory, Listed
 from cypressledge.net.jsonrpc import Front
-from cypressledge.net.lines import LinesLink
+from cypressledge.net.line_protocol.transport import LineProtocolTransport
 from cypressledge.net.management import CALLERS_LEAST, CALLERS_MOST, Kept, Management, figures
+from cypressledge.net.receive_buffer import BUFFER_GROWTH
+from cypressledge.net.socket_writer import QUEUED_BYTES
 from cypressledge.net.stream import QUEUED
 from cypressledge.service import Service, ServiceConfig, read_service
 from cypressledge.tenants import Tenants
@@ -68,7 +70,7 @@
         self.counters = Counters()
         self.hello = f"{config.name}: listening on {config.listen[0]}:{config.listen[1]}"
         self.core = Core(_settings(config, service), config.seed, self.counters)
-        self.lines = self.core.transports["lines"] = LinesLink(self.core, config.limits)
+        self.lines = self.core.transports["lines"] = LineProtocolTransport(self.core, config.limits)
         self.tenants = Tenants()
         self.front = Front(
             self.core, config.listen, config.classes, self.tenants, self.counters, config.inherited_socket_fd
@@ -129,7 +131,8 @@
         self.core.max_open_requests = min(MAX_OPEN_REQUESTS, limits.spare_memory // BYTES_PER_OPEN_REQUEST)
         self.core.max_statement_bytes = limits.spare_memory // 8
         GROWN.most = QUEUED.most = limits.spare_memory // 4
-        self.lines.limits, self.lines.most = limits, limits.max_engine_connections(shared)
+        BUFFER_GROWTH.limit = QUEUED_BYTES.limit = limits.spare_memory // 4
+        self.lines.limits, self.lines.max_connections = limits, limits.max_engine_connections(shared)
         self.tenants.site_tenants = config.tenants
         self.front.listener.most = limits.max_clients(shared)
         self.front.listener.spare = limits.max_sockets // 32
@@ -244,7 +247,7 @@
         return self.front.listener.taking.is_set() and not self.core.is_stopping
 
     def _tend(self) -> None:
-        tasks = [link.tend for link in self.links] + [self._look_at_clock]
+        tasks = [link.maintain for link in self.links] + [self._look_at_clock]
         if self.management is not None:
             tasks.append(self.kept.look)
         while True:
--- a/cypressledge/net/clickhouse.py
+++ b/cypressledge/net/clickhouse.py
@@ -398,7 +398,7 @@
         self.held -= 1
         end(sock)
 
-    def tend(self) -> None:
+    def maintain(self) -> None:
         """Close what has been idle for long or leads to an engine that takes nothing new."""
         limit = monotonic_us() - int(self.limits.idle_timeout_s * 1e6)
         for place, kept in list(self.free.items()):
--- /dev/null
+++ b/cypressledge/net/line_protocol/transport.py
@@ -0,0 +1,147 @@
+"""The pool of connections to engines that speak the line protocol: which attempt uses which connection."""
+
+from cypressledge.broker.core import Core
+from cypressledge.broker.requests import Attempt
+from cypressledge.clock import monotonic_us
+from cypressledge.config import Limits
+from cypressledge.decisions.contract import Outcome
+from cypressledge.net.line_protocol.connection import CloseReason, EngineConnection
+from cypressledge.net.line_protocol.pending_attempt import PendingAttempt
+
+PREFERRED_ATTEMPTS = 8  # on one connection before another is opened; more only once descriptors run out
+MAX_CONNECTIONS_TRIED = 3  # connections that an attempt may be assigned to before it is sent
+RECENTLY_HEARD = 1_500_000  # µs after an engine's message in which a slow connect is not the engine's fault
+UNREACHABLE_TIMEOUTS = 2  # connects in a row that time out, from which their engine counts as unreachable
+IDLE_TIME_SHARE = 0.8  # of the site's idle time: we close first, so that no send crosses the engine's close
+SILENT_INTERVALS = 2.5  # progress intervals without a message, from which a connection is not trusted
+MIN_SILENCE = 2_500_000  # µs; for sites whose engines report no progress, or very frequently
+
+
+class LineProtocolTransport:
+    """Connections to every engine, and the attempts on them."""
+
+    def __init__(self, core: Core, limits: Limits) -> None:
+        self.core, self.limits = core, limits
+        self.max_connections = 0  # to all engines together, until the configuration is known
+        self.connections: dict[int, list[EngineConnection]] = {}  # by engine
+        self.connect_timeouts: dict[int, int] = {}  # by engine: in a row, with no connection up between
+        core.counters.gauge("engine_connections", self.connection_count)
+
+    @property
+    def silence_limit(self) -> int:
+        """µs without a message from which a connection is not trusted."""
+        return max(int(self.limits.progress_interval_us * SILENT_INTERVALS), MIN_SILENCE)
+
+    def connection_count(self) -> int:
+        """Open connections to all engines."""
+        return sum(map(len, self.connections.values()))
+
+    def send(self, attempt: Attempt) -> None:
+        """Assign the attempt to the least used connection; to a new one where that has its share already.
+
+        Guards against one corrupt answer, which ends its connection, costing all work at its engine, and
+        against opening many: of new connections some are reset with what is on them."""
+        query_id, endpoint = attempt.query.id.encode(), attempt.endpoint
+        usable = [c for c in self.connections.get(endpoint.id, ()) if c.accepts(query_id, endpoint)]
+        # One that may not come up would use the time that is left of a reassigned attempt.
+        prefer_connected = attempt.connections_tried > 0
+        connection = min(
+            usable,
+            key=lambda c: (prefer_connected and c.writer is None, len(c.pending), -c.last_used),
+            default=None,
+        )
+        wants_new = connection is None or (
+            len(connection.pending) >= PREFERRED_ATTEMPTS and not prefer_connected
+        )
+        if wants_new and (
+            self.connection_count() < self.max_connections or connection is None and self._make_room()
+        ):
+            connection = EngineConnection(self, endpoint)
+            self.connections.setdefault(endpoint.id, []).append(connection)
+        if connection is None:
+            self.core.counters.add("moot_sends")
+            self.core.attempt_ended(attempt, Outcome.NOT_SENT)
+        else:
+            connection.assign(attempt, query_id)
+
+    def _make_room(self) -> bool:
+        """Close the connection that has been idle for longest; False if none is.
+
+        Guards against new engines getting none because idle connections to others use up the limit."""
+        connections = [c for some in self.connections.values() for c in some]
+        idle = [c for c in connections if not c.pending and not c.has_unread_bytes()]
+        if idle:
+            min(idle, key=lambda c: c.last_used).close(CloseReason.EVICTED)
+        return bool(idle)
+
+    def reassign(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Assign an attempt that was never sent to another connection, a few times; then it ends with
+        `outcome`.
+
+        Guards against connections that are reset when new: nothing has run, so no attempt is used up."""
+        attempt.connections_tried += 1
+        attempt.transport_state = None
+        endpoint = self.core.ready_endpoints.get(attempt.endpoint.id)
+        if attempt.connections_tried < MAX_CONNECTIONS_TRIED and endpoint is not None and attempt.is_wanted:
+            self.core.counters.add("attempts_reassigned")
+            attempt.endpoint = endpoint
+            self.send(attempt)
+        else:
+            self.core.attempt_ended(attempt, outcome)
+
+    def handle_connect_timeout(self, connection: EngineConnection, attempts: list[Attempt]) -> None:
+        """A connection is not up in time, and these attempts waited for it.
+
+        Guards against calling an engine faulty, and cold, over a path that is slow now and then: one that is
+        heard on another connection gets the attempts there, and a single timeout proves nothing about the
+        process (one that has ended refuses). The connection may still come up, one to each engine: somebody
+        is there then."""
+        engine, connections = connection.endpoint.id, self.connections.get(connection.endpoint.id, [])
+        for other in [c for c in connections if c.is_late and c is not connection]:
+            other.close(CloseReason.CONNECT_TIMEOUT)
+        last_heard = max((c.last_heard for c in connections), default=0)
+        is_alive = last_heard > monotonic_us() - RECENTLY_HEARD
+        self.connect_timeouts[engine] = self.connect_timeouts.get(engine, 0) + 1
+        is_unreachable = self.connect_timeouts[engine] >= UNREACHABLE_TIMEOUTS
+        outcome = Outcome.CONNECT_FAILED if is_unreachable else Outcome.NOT_SENT
+        for attempt in attempts:
+            if is_alive:
+                self.reassign(attempt, outcome)
+            else:
+                self.core.attempt_ended(attempt, outcome)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Give the attempt up at its engine."""
+        pending = attempt.transport_state
+        if isinstance(pending, PendingAttempt):
+            pending.connection.cancel(pending)
+
+    def update_resources(self, attempt: Attempt) -> None:
+        """Send the attempt's new priority to its engine."""
+        pending = attempt.transport_state
+        if isinstance(pending, PendingAttempt):
+            pending.connection.update_priority(pending)
+
+    def discard(self, connection: EngineConnection) -> None:
+        """Forget a closed connection."""
+        connections = self.connections.get(connection.endpoint.id, [])
+        if connection in connections:
+            connections.remove(connection)
+        if not connections:
+            self.connections.pop(connection.endpoint.id, None)
+
+    def maintain(self) -> None:
+        """Close connections that are idle for long, whose engine takes no new work, or that lost an
+        answer."""
+        now, idle_limit = monotonic_us(), int(self.limits.idle_timeout_s * IDLE_TIME_SHARE * 1e6)
+        ready = self.core.ready_endpoints
+        self.connect_timeouts = {engine: n for engine, n in self.connect_timeouts.items() if engine in ready}
+        for connections in list(self.connections.values()):
+            last_heard = max(connection.last_heard for connection in connections)
+            for connection in list(connections):
+                if connection.has_lost_answer(last_heard):
+                    connection.close(CloseReason.ANSWER_LOST)
+                is_unusable = not self.core.is_current(connection.endpoint) or connection.is_silent()
+                is_idle = not connection.pending and not connection.has_unread_bytes()
+                if is_idle and (is_unusable or now - connection.last_used > idle_limit):
+                    connection.close(CloseReason.IDLE)
--- /dev/null
+++ b/cypressledge/net/listener.py
@@ -0,0 +1,105 @@
+"""Accepts client connections, a bounded number at once."""
+
+import errno
+from collections.abc import Callable
+
+from gevent import Timeout, sleep, socket
+from gevent.event import Event
+from gevent.pool import Pool
+
+from cypressledge.broker.metrics import Counters
+from cypressledge.clock import monotonic_us
+from cypressledge.net.connection_registry import EXAMINED, ConnectionRegistry
+from cypressledge.net.socket_io import (
+    Address,
+    close_socket,
+    create_listening_socket,
+    disable_send_delay,
+    has_unread_bytes,
+)
+
+CLOSING_TIME = 0.2  # seconds for accepting the connections that wait when a listener closes
+ACCEPT_PAUSE = 0.05  # seconds until the next try where descriptors or memory are exhausted
+EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+
+
+class Listener:
+    """Accepts connections on one address and serves each in a greenlet, `max_connections` at once."""
+
+    max_connections = 16  # until the configuration is known
+    max_closing = 8  # beyond those, for a moment, while evicted ones are closed by their clients
+
+    def __init__(
+        self,
+        address: Address,
+        counters: Counters,
+        name: str,
+        serve: Callable[[socket.socket], None],
+        connections: ConnectionRegistry,
+        inherited: int | None = None,
+    ) -> None:
+        """`inherited`: descriptor of a socket that the platform listens on, used in place of a new one."""
+        self.counters, self.name, self.serve, self.connections = counters, name, serve, connections
+        self.pool = Pool()
+        self.inherited = inherited is not None
+        self.sock = create_listening_socket(address) if inherited is None else socket.socket(fileno=inherited)
+        self.accepting = Event()
+        counters.gauge(f"{name}.connections", lambda: len(self.pool))
+
+    def run(self) -> None:
+        """Accept until `stop`."""
+        self.accepting.set()
+        while True:
+            try:
+                sock, _ = self.sock.accept()
+            except OSError as err:
+                if self.sock.closed:
+                    return
+                self._handle_accept_error(err)
+                continue
+            if self._is_full() and not self._make_room():
+                self.counters.add(f"{self.name}.rejected")
+                close_socket(sock)
+                continue
+            self.counters.add(f"{self.name}.accepted")
+            disable_send_delay(sock)
+            self.pool.spawn(self.serve, sock)
+
+    def _handle_accept_error(self, err: OSError) -> None:
+        self.counters.add(f"{self.name}.accept_error.{err.errno}")
+        if err.errno in EXHAUSTED:  # none can be accepted until some are free, so free one at once
+            self._make_room()
+            sleep(ACCEPT_PAUSE)
+
+    def _is_full(self) -> bool:
+        """Whether no further connection fits; of those that are closing, not too many count as closed."""
+        return len(self.pool) - min(len(self.connections.closing), self.max_closing) >= self.max_connections
+
+    def _make_room(self) -> bool:
+        """Close the connection with the least eviction priority; False if none is evictable."""
+        now = monotonic_us()
+        for _ in range(EXAMINED):
+            candidate = self.connections.eviction_candidate(now)
+            if candidate is None:
+                continue
+            if not has_unread_bytes(candidate.sock):
+                self.counters.add(f"{self.name}.evicted")
+                candidate.close_idle()
+                if self._is_full():  # too many clients that do not close theirs
+                    close_socket(candidate.sock)
+                    sleep(0)
+                return True
+            # Guards against losing a request that has been received and is not read yet.
+            candidate.last_heard = now
+            self.connections.mark_active(candidate)
+        return False
+
+    def stop(self) -> None:
+        """Accept no further connection. An inherited socket stays open in the process that listens on it:
+        what waits in its queue is accepted by the next broker."""
+        self.accepting.clear()
+        with Timeout(CLOSING_TIME, False):
+            # Guards against resetting connections that the kernel has accepted for us.
+            while not self.inherited and has_unread_bytes(self.sock):
+                sleep(0)
+        self.sock.close()
--- /dev/null
+++ b/cypressledge/net/socket_writer.py
@@ -0,0 +1,115 @@
+"""The send queue of a connection: a peer that does not read blocks nobody else."""
+
+from collections import deque
+from collections.abc import Callable
+
+from gevent import Timeout, socket, spawn
+from gevent.event import Event
+
+from cypressledge.net.receive_buffer import ByteBudget
+
+QUEUED_BYTES = ByteBudget(8 << 20)  # bytes queued in the process, until the configuration is known
+LOW_WATER = 256 << 10  # queued bytes below which a streamed answer continues
+SEND_SIZE = 65536  # bytes that one send takes from the queue, at least, where there are as many
+
+ShouldSend = Callable[[], bool]
+
+
+class SocketWriter:
+    """Sends queued bytes from a greenlet that runs while there are any; `write` never blocks.
+
+    Guards against a peer that stops reading: beyond `queue_limit` queued bytes, or `send_timeout` seconds in
+    one send, the connection is given up through `on_failure`, called with the reason.
+    """
+
+    def __init__(
+        self, sock: socket.socket, queue_limit: int, send_timeout: float, on_failure: Callable[[str], None]
+    ) -> None:
+        self.sock, self.queue_limit, self.send_timeout = sock, queue_limit, send_timeout
+        self.on_failure = on_failure
+        self.queue: deque[tuple[bytes, ShouldSend | None]] = deque()
+        self.queued_bytes = 0
+        self.flushed = Event()  # set while nothing is queued
+        self.below_low_water = Event()
+        self.flushed.set()
+        self.below_low_water.set()
+        self.closed = self.failed = self.sending = False
+        self.on_drained: Callable[[], None] | None = None
+
+    def write(self, *parts: bytes, should_send: ShouldSend | None = None) -> None:
+        """Queue bytes. With `should_send`, they are dropped if it returns False when their turn comes."""
+        raw = b"".join(parts)
+        if self.closed or not self._reserve(len(raw)):
+            return
+        self.queue.append((raw, should_send))
+        self.queued_bytes += len(raw)
+        self.flushed.clear()
+        ACTIVE_WRITERS.add(self)
+        if not self.sending:  # most connections are idle: a greenlet for each would cost memory
+            self.sending = True
+            spawn(self._run)
+        if self.queued_bytes > LOW_WATER:
+            self.below_low_water.clear()
+        if self.queued_bytes > self.queue_limit:
+            self._fail("peer does not read")
+
+    def _reserve(self, size: int) -> bool:
+        """Reserve bytes of the process's budget; False if this connection was given up for them.
+
+        Guards against peers that do not read costing those that do their answers: the connection with most
+        queued is given up, whichever writes when the budget is exhausted."""
+        while not QUEUED_BYTES.reserve(size):
+            largest = max(ACTIVE_WRITERS, key=lambda writer: writer.queued_bytes, default=self)
+            if largest.queued_bytes <= self.queued_bytes + size:
+                largest = self
+            largest._fail("peers do not read")
+            if largest is self:
+                return False
+        return True
+
+    def close(self, on_drained: Callable[[], None] | None = None) -> None:
+        """Queue nothing more. What is queued is still sent, and then `on_drained` is called."""
+        self.closed, self.on_drained = True, on_drained
+        if on_drained is not None and not self.sending:
+            on_drained()
+
+    def _fail(self, reason: str) -> None:
+        if self.failed:
+            return
+        self.closed = self.failed = True
+        ACTIVE_WRITERS.discard(self)
+        QUEUED_BYTES.release(sum(len(raw) for raw, _ in self.queue))
+        self.queue.clear()
+        self.queued_bytes = 0
+        self.flushed.set()
+        self.below_low_water.set()
+        self.on_failure(reason)
+
+    def _run(self) -> None:
+        try:
+            while self.queue:
+                self._send_next()
+        except (OSError, Timeout) as err:
+            self._fail(f"write: {err}")
+        self.sending = False
+        ACTIVE_WRITERS.discard(self)
+        self.flushed.set()
+        if self.on_drained is not None:
+            self.on_drained()
+
+    def _send_next(self) -> None:
+        taken, parts = 0, []
+        while self.queue and taken < SEND_SIZE:
+            raw, should_send = self.queue.popleft()
+            taken += len(raw)
+            QUEUED_BYTES.release(len(raw))
+            if should_send is None or should_send():
+                parts.append(raw)
+        with Timeout(self.send_timeout):
+            self.sock.sendall(b"".join(parts))
+        self.queued_bytes = max(self.queued_bytes - taken, 0)
+        if self.queued_bytes <= LOW_WATER:
+            self.below_low_water.set()
+
+
+ACTIVE_WRITERS: set[SocketWriter] = set()  # of the process, those with queued bytes
--- a/tests/recordings/test_wire_recording.py
+++ b/tests/recordings/test_wire_recording.py
@@ -21,7 +21,7 @@
 from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
-from cypressledge.net.lines import LinesLink
+from cypressledge.net.line_protocol.transport import LineProtocolTransport
 from cypressledge.settings import parse_settings
 from tests.stands import (
     ROW,
@@ -133,8 +133,8 @@
 def lines_messages() -> dict[str, bytes]:
     """All commands to engines on lines."""
     core = Core(parse_settings(SETTINGS), 1, Counters())
-    link = core.transports["lines"] = LinesLink(core, Limits(64, 64, 32, 5.0, 30.0, 0, 0))
-    link.most = 8
+    link = core.transports["lines"] = LineProtocolTransport(core, Limits(64, 64, 32, 5.0, 30.0, 0, 0))
+    link.max_connections = 8
     peer = LinesPeer()
     place = Endpoint(7, "s-1", peer.listener.getsockname(), "lines")
     core.ready_endpoints[7] = place
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -34,7 +34,7 @@
 )
 
 FIGURES = {"ROUTER_FIGURES_S": "0.05"}
-DIAL = "cypressledge.net.lines:dial"
+DIAL = "cypressledge.net.line_protocol.connection:connect"
 
 
 def site(effects=(), **limits):
@@ -111,7 +111,7 @@
         broker = self.broker(engine, env=FIGURES)
         client, other = self.client(broker), self.client(broker)
         client.ask(statement=b"SELECT gone")
-        broker.counted("attempt.full")
+        broker.counted("attempt.rejected")
         client.close()
         broker.counted("withdrawn")
         engine.play = whole
@@ -143,7 +143,7 @@
     def test_the_engine_closes_a_resting_connection_in_the_moment_of_a_send(self):
         """The request went out behind the engine's end: reset, so it may have run, and unsafe work failed."""
         engine = self.engine()
-        leaves = "cypressledge.net.lines:Connection._leaves#2!"
+        leaves = "cypressledge.net.line_protocol.connection:EngineConnection._may_send#2!"
         broker = self.broker(engine, change=site(UNSAFE), hooks={"leaves": leaves})
         client = self.client(broker)
         client.ask()
@@ -297,7 +297,9 @@
     def test_a_stop_between_the_decision_and_the_write(self):
         """Harmless: what was taken before is sent and answered."""
         engine = self.engine()
-        broker = self.broker(engine, hooks={"leaves": "cypressledge.net.lines:Connection._leaves!"})
+        broker = self.broker(
+            engine, hooks={"leaves": "cypressledge.net.line_protocol.connection:EngineConnection._may_send!"}
+        )
         client = self.client(broker)
         client.ask()
         broker.reached("leaves")
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -236,7 +236,9 @@
 def test_a_command_that_waited_to_leave_names_the_time_that_is_left(stage):
     """The deadline was worded as the command was queued, and left with it half a second later."""
     engine = stage.engine()
-    broker = stage.broker(engine, hooks={"leaves": "cypressledge.net.lines:Connection._leaves!"})
+    broker = stage.broker(
+        engine, hooks={"leaves": "cypressledge.net.line_protocol.connection:EngineConnection._may_send!"}
+    )
     client = stage.client(broker)
     asked = time.monotonic()
     client.ask(wait=3_000)
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -191,7 +191,11 @@
                 super().serve(conn, file)
 
         engine = self.engine(kind=Resetting)
-        hooks = {"leaves": "cypressledge.net.lines:Connection._want"} if way == "before" else None
+        hooks = (
+            {"leaves": "cypressledge.net.line_protocol.connection:EngineConnection._write_query"}
+            if way == "before"
+            else None
+        )
         broker = self.broker(engine, change=site({"lookup": effect}), hooks=hooks)
         client = self.client(broker)
         client.ask(statement=b"SELECT '" + b"x" * 300_000 + b"' FROM sales_17.orders", wait=3000)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -12,7 +12,7 @@
 from cypressledge.config import Limits
 from cypressledge.decisions import contract as c
 from cypressledge.net.jsonrpc import Call
-from cypressledge.net.lines import CARRIED_MOST, LinesLink
+from cypressledge.net.line_protocol.transport import MAX_CONNECTIONS_TRIED, LineProtocolTransport
 from cypressledge.settings import parse_settings
 from tests.stands import SETTINGS
 
@@ -114,13 +114,15 @@
 
     def test_attempt_that_never_left_its_connection_goes_to_another(self):
         """A connection reset when new proves nothing about the engine, and uses up no attempt."""
-        link = self.core.transports["lines"] = LinesLink(self.core, Limits(64, 64, 32, 0.25, 30.0, 0, 0))
-        link.most = 8
+        link = self.core.transports["lines"] = LineProtocolTransport(
+            self.core, Limits(64, 64, 32, 0.25, 30.0, 0, 0)
+        )
+        link.max_connections = 8
         attempt = self.send()
-        for _ in range(CARRIED_MOST):
+        for _ in range(MAX_CONNECTIONS_TRIED):
             assert attempt.is_open
             assert len(self.request.attempts) == 1
-            attempt.transport_state.connection.close("reset when new")
+            attempt.transport_state.connection.close("reset on connect")
             self.settle()
         assert not attempt.is_open
         assert self.core.events[-1].outcome == c.Outcome.NOT_SENT
