--- a/cypressledge/broker_process.py
+++ b/cypressledge/broker_process.py
@@ -118,7 +118,7 @@
 
     def _follow(self, file: str):
         """The control plane. Imported here alone: without it a broker is as it was."""
-        from cypressledge.controlplane.part import follow
+        from cypressledge.controlplane.broker_integration import follow
 
         part = follow(file, self)
         self.parts += part.parts
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -8,17 +8,18 @@
 import msgspec
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.messages import Change, Message, Snapshot
 from cypressledge.controlplane.replica import NEVER, NotPrimary, Status
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.subscriber import BrokerIdentity
+from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 
 TICK_US = 500_000
 
 
 class Learner:
-    """What `server.py` asks of a `Replica`. `committed` as there."""
+    """What `control_process.py` asks of a `Replica`. `committed` as there."""
 
     role, joining, until, epoch = "standby", False, NEVER, 0
 
@@ -34,7 +35,13 @@
     ) -> None:
         self.name, self.committed, self.primary, self.heard = name, committed, "", NEVER
         voters = msgspec.structs.replace(settings, servers=[s for s in settings.servers if s.votes])
-        self.agent = FollowerAgent(name, run, voters, zone, region, "", self._changed, Counters(), log=log)
+        self.agent = SubscriberClient(
+            BrokerIdentity(name, run, zone, region),
+            voters,
+            Counters(),
+            self._changed,
+            options=SubscriberOptions(log=log),
+        )
         self.parts = self.agent.parts
 
     def _changed(self, state: FleetState, change: Change | None) -> None:
@@ -66,9 +73,9 @@
     def tick(self, now: int) -> int:
         """Learn when a primary was heard last, by whom is followed; the moment of the next tick, µs."""
         told = self.agent.status()
-        if told["primary"]:
-            self.primary, self.heard = told["primary"], now - told["stale_ms"] * 1_000
-        self.epoch = told["epoch"]
+        if told.primary:
+            self.primary, self.heard = told.primary, now - told.stale_ms * 1_000
+        self.epoch = told.epoch
         return now + TICK_US
 
     def status(self, now: int) -> Status:
--- /dev/null
+++ b/cypressledge/controlplane/server_selection.py
@@ -0,0 +1,158 @@
+"""Which control process a broker is connected to, and which it tries next and when. No I/O; times in µs.
+
+Own zone first, then own region. Waits are random parts of a span that doubles ("full jitter"), so that
+brokers which lost one control process do not all come to the next at once.
+"""
+
+import random
+from dataclasses import dataclass
+
+from cypressledge.fleet.ranks import weight
+
+ATTEMPT_SPAN = 100_000  # a random part of it: between the attempts of one round of all servers
+MAX_ROUND_SPAN = 5_000_000  # a random part of it at the most: between rounds, doubling from ATTEMPT_SPAN
+MAX_SPAN_DOUBLINGS = 10
+NEARER_SPAN = (20_000_000, 40_000_000)  # until a nearer server is tried
+MAX_NEARER_DOUBLINGS = 3  # of that while the nearer ones fail; of STALE_SPAN likewise
+MIN_STALE_CONNECTION = 10_000_000  # that a connection is kept, however long no leader is heard over it
+STALE_SPAN = (10_000_000, 20_000_000)  # until the next such change, doubling: all may be cut off alike
+STALE_AVOIDED = 60_000_000  # that a server which heard no leader is not gone back to
+MAX_RETRY_AFTER = 60_000_000  # that a rejection may keep a broker away
+
+
+@dataclass(frozen=True, slots=True)
+class Server:
+    """One control process. `address`: HOST:PORT."""
+
+    name: str
+    address: str
+    zone: str = ""
+    region: str = ""
+
+
+def order(broker: str, zone: str, region: str, servers: list[Server]) -> list[Server]:
+    """Own zone first, then own region, then the others; within each an order of the broker's own (rendezvous
+    hashing: Thaler and Ravishankar 1998), so brokers spread and a dead server's spread over the others."""
+
+    def rank(server: Server) -> tuple[int, int]:
+        distance = 0 if zone and server.zone == zone else 1 if region and server.region == region else 2
+        return distance, -weight(server.name, broker)
+
+    return sorted(servers, key=rank)
+
+
+class ServerSelector:
+    """Chooses among `servers`, the nearest first. `current`: the index of the one that is connected to, or
+    tried next; `nearer_at`: when a nearer one is to be tried, None while that isn't planned."""
+
+    def __init__(self, servers: list[Server], seed: int) -> None:
+        self.servers = servers
+        self.current = 0
+        self.nearer_at: int | None = None
+        self._random = random.Random(seed)
+        self._failures = 0  # in a row
+        self._not_before: dict[int, int] = {}  # by server: until when a rejection keeps us away
+        self._nearer_failures = 0
+        self._nearer_attempts = 0
+        self._fallback: int | None = None  # whom we left to try a nearer one
+        self._stale_until: dict[int, int] = {}  # by server: until when it is not gone back to
+        self._stale_changes = 0
+        self._next_stale_change = 0
+
+    @property
+    def server(self) -> Server:
+        """The one that is connected to, or tried next."""
+        return self.servers[self.current]
+
+    def first_attempt(self, now: int) -> int:
+        """When to try the first."""
+        return now + self._random_part(ATTEMPT_SPAN)
+
+    def attempt_begins(self) -> None:
+        """The current one is tried now."""
+        self.nearer_at = None
+
+    def accepted(self, now: int) -> None:
+        """The current one takes this broker."""
+        self._fallback = None
+        if self.current == 0:
+            self._nearer_failures = 0
+        self._plan_nearer(now)
+
+    def rejected(self, now: int, retry_after_ms: int) -> None:
+        """The current one keeps this broker away."""
+        wait = min(max(retry_after_ms, 0) * 1000, MAX_RETRY_AFTER)
+        if wait:
+            self._not_before[self.current] = now + wait + self._random_part(wait // 4)
+
+    def failed(self, now: int, was_steady: bool) -> int:
+        """The connection has ended, or could not be made: choose another. `was_steady`: it held for long.
+        When to try that."""
+        if was_steady:
+            self._failures = 0
+        self.nearer_at = None
+        if self._fallback is not None:  # a nearer one did not take us
+            self.current, self._fallback = self._fallback, None
+            self._nearer_failures = min(self._nearer_failures + 1, MAX_NEARER_DOUBLINGS)
+            return now + self._random_part(ATTEMPT_SPAN)
+        # All servers in a row, then a pause: guards against a span that grows while most are down, and puts
+        # off the one that is up.
+        self._failures += 1
+        rounds, within = divmod(self._failures, len(self.servers))
+        span = ATTEMPT_SPAN
+        if not within:
+            span = min(ATTEMPT_SPAN << min(rounds - 1, MAX_SPAN_DOUBLINGS), MAX_ROUND_SPAN)
+        return self._choose_next(now + self._random_part(span))
+
+    def _choose_next(self, at: int) -> int:
+        """The next in order that has not kept us away; where all have, whoever is free first. When."""
+        count = len(self.servers)
+        following = [(self.current + 1 + i) % count for i in range(count)]
+        free = next((i for i in following if self._not_before.get(i, 0) <= at), None)
+        if free is None:
+            free = min(following, key=lambda i: self._not_before[i])
+            at = self._not_before[free]
+        self.current = free
+        return at
+
+    def _plan_nearer(self, now: int) -> None:
+        low, high = NEARER_SPAN
+        span = low + self._random_part(high - low)
+        self.nearer_at = now + (span << self._nearer_failures) if self.current else None
+
+    def choose_nearer(self, now: int) -> bool:
+        """Choose a nearer one, if one may be tried now. Where that fails, `failed` goes back."""
+        nearer = [i for i in range(self.current) if self._may_return_to(i, now)]
+        if not nearer:
+            self._plan_nearer(now)
+            return False
+        # In turn: guards against one that stays dead hiding the others.
+        self._fallback, self.current = self.current, nearer[self._nearer_attempts % len(nearer)]
+        self._nearer_attempts += 1
+        return True
+
+    def _may_return_to(self, server: int, now: int) -> bool:
+        return all(until.get(server, 0) <= now for until in (self._not_before, self._stale_until))
+
+    def leader_heard(self) -> None:
+        """The current one hears a leader."""
+        self._stale_changes = 0
+
+    def avoid_stale(self, now: int, connected_at: int) -> bool:
+        """The current one hears no leader: whether another one is to be tried. Guards against a control
+        process that is cut off from the others while they can be reached."""
+        if (
+            len(self.servers) == 1
+            or now - connected_at < MIN_STALE_CONNECTION
+            or now < self._next_stale_change
+        ):
+            return False
+        low, high = STALE_SPAN
+        self._next_stale_change = now + (low + self._random_part(high - low) << self._stale_changes)
+        self._stale_changes = min(self._stale_changes + 1, MAX_NEARER_DOUBLINGS)
+        self._stale_until[self.current] = now + STALE_AVOIDED
+        return True
+
+    def _random_part(self, span: int) -> int:
+        """A random part of a span ("full jitter")."""
+        return self._random.randrange(span + 1)
--- /dev/null
+++ b/cypressledge/controlplane/subscriber.py
@@ -0,0 +1,371 @@
+"""A broker's end of the control plane: which states it accepts. No I/O; time is passed in, µs.
+
+What it accepts only goes on: no version at or below its own, no epoch below its own, no other history. One
+exception: at the same version, a snapshot of a higher epoch, or, where the broker's own entries no longer
+sum to its digest, one of the same epoch. Two sound states of one epoch and version can't both be of the
+history; who is right can't be known here, so the broker keeps what it has, counts and logs it, and the next
+version ends it.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+
+from cypressledge.broker.metrics import Counters
+from cypressledge.controlplane.change_history import unpack
+from cypressledge.controlplane.messages import (
+    FORMAT,
+    AppliedPosition,
+    Change,
+    CompleteSnapshot,
+    Deltas,
+    Disconnect,
+    Heartbeat,
+    Hello,
+    HelloAccepted,
+    Message,
+    Snapshot,
+    SnapshotRequest,
+    to_printable_line,
+)
+from cypressledge.controlplane.server_selection import Server, ServerSelector, order
+from cypressledge.controlplane.state import FleetState, StateError
+
+CONNECT_TIMEOUT = 1_500_000  # for a TCP connection
+SILENCE_TIMEOUT = 3_500_000  # without a frame, after which another server is followed
+STEADY_CONNECTION = 5_000_000  # that a connection has to hold for the next waits to be short again
+# Without a sign of a leader; longer than a change of leader takes: another server is tried.
+STALE_MS = 10_000
+IDLE_TICK = 3_600_000_000  # until the next tick where nothing is due
+MAX_REASON_CHARS = 40  # of a server's reason, in logs
+
+
+class Phase(Enum):
+    """Of the one connection."""
+
+    WAITING = "waiting"
+    CONNECTING = "connecting"
+    GREETING = "greeting"
+    FOLLOWING = "following"
+
+
+@dataclass(frozen=True, slots=True)
+class BrokerIdentity:
+    """Who follows. `run`: of the broker's process, never 0; `address`: HOST:PORT of its fleet socket, empty
+    where it is not to be registered."""
+
+    name: str
+    run: int
+    zone: str = ""
+    region: str = ""
+    address: str = ""
+
+
+@dataclass(slots=True)
+class SubscriberCallbacks:
+    """What a subscriber calls.
+
+    `send(message)` over the connection; `connect(server)`: answered by `connected` or `disconnected`;
+    `disconnect(why)`: close the connection, of which nothing may be passed in any more; `event(name,
+    **fields)`: to be logged, counted already. `changed(state, change)` after each change taken (None: a
+    snapshot), which returns why some of it was rejected, if it was; `settled()`, where given, once all that a
+    message brought is taken, which returns the same: for what needn't be done at each change."""
+
+    send: Callable[[Message], None]
+    connect: Callable[[Server], None]
+    disconnect: Callable[[str], None]
+    changed: Callable[[FleetState, Change | None], str | None]
+    event: Callable[..., None]
+    settled: Callable[[], str | None] | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class SubscriberStatus:
+    """For operators: the JSON of a broker's `GET /control/status` has these names. `server` and `address`: of
+    whom is followed, or tried next, None where the settings name nobody; `primary`: the leader heard of
+    last."""
+
+    phase: str
+    server: str | None
+    address: str | None
+    lineage: str
+    epoch: int
+    version: int
+    digest: str
+    primary: str
+    stale_ms: int
+    counts: dict[str, int]
+
+
+class ConfigSubscriber:
+    """Follows one control process. `seed`: of its random waits; `cluster_id`: of the only history to be
+    accepted; empty: that of the first snapshot."""
+
+    def __init__(
+        self,
+        identity: BrokerIdentity,
+        servers: list[Server],
+        seed: int,
+        callbacks: SubscriberCallbacks,
+        cluster_id: str = "",
+    ) -> None:
+        self.identity, self.callbacks, self.cluster_id = identity, callbacks, cluster_id
+        self.selector = ServerSelector(order(identity.name, identity.zone, identity.region, servers), seed)
+        self.counters = Counters()
+        self.state = FleetState()  # of no cluster while nothing is held
+        self.refused = ""  # why some of it is not in force
+        self.phase = Phase.WAITING
+        self._started_at: int | None = None
+        self._phase_at = 0  # of the wait, the end; of the others, the beginning
+        self._last_frame = 0
+        self._leader_heard_at: int | None = None
+        self._leader = ""
+        self._differing_version = -1  # at which a heartbeat's digest differed
+
+    # Time and the connection
+
+    def tick(self, now: int) -> int:
+        """What time brings about; when to call again, µs."""
+        if not self.selector.servers:
+            return now + IDLE_TICK
+        if self._started_at is None:
+            self._started_at = now
+            self._phase_at = self.selector.first_attempt(now)
+        if self.phase is Phase.WAITING:
+            if now >= self._phase_at:
+                self._connect(now)
+        elif self.phase is Phase.CONNECTING:
+            if now - self._phase_at >= CONNECT_TIMEOUT:
+                self._leave(now, "connect timeout")
+        elif now - self._last_frame >= SILENCE_TIMEOUT:
+            self._leave(now, "silent")
+        elif self.selector.nearer_at is not None and now >= self.selector.nearer_at:
+            self._try_nearer(now)
+        return self._next_tick()
+
+    def _next_tick(self) -> int:
+        if self.phase is Phase.WAITING:
+            return self._phase_at
+        if self.phase is Phase.CONNECTING:
+            return self._phase_at + CONNECT_TIMEOUT
+        silent_at, nearer_at = self._last_frame + SILENCE_TIMEOUT, self.selector.nearer_at
+        return silent_at if nearer_at is None else min(silent_at, nearer_at)
+
+    def connected(self, now: int) -> None:
+        """The connection that was asked for is up."""
+        if self.phase is not Phase.CONNECTING:
+            return
+        self.phase, self._phase_at, self._last_frame = Phase.GREETING, now, now
+        state, identity = self.state, self.identity
+        self.callbacks.send(
+            Hello(
+                FORMAT,
+                "broker",
+                identity.name,
+                identity.run,
+                state.cluster_id,
+                state.epoch,
+                state.version,
+                state.digest if state.cluster_id else b"",
+                identity.address,
+                identity.zone,
+                identity.region,
+                self.refused,
+            )
+        )
+
+    def disconnected(self, now: int, why: str) -> None:
+        """The connection has ended, or could not be made."""
+        if self.phase is not Phase.WAITING:
+            self._lost(now, why)
+
+    def _connect(self, now: int) -> None:
+        self.phase, self._phase_at = Phase.CONNECTING, now
+        self.selector.attempt_begins()
+        self.callbacks.connect(self.selector.server)
+
+    def _leave(self, now: int, why: str) -> None:
+        """End the connection ourselves, and go on to another."""
+        self.callbacks.disconnect(why)
+        self._lost(now, why)
+
+    def _lost(self, now: int, why: str) -> None:
+        self._report("lost", server=self.selector.server.name, why=why)
+        was_steady = (
+            self.phase in (Phase.GREETING, Phase.FOLLOWING) and now - self._phase_at >= STEADY_CONNECTION
+        )
+        self.phase = Phase.WAITING
+        self._phase_at = self.selector.failed(now, was_steady)
+
+    def _try_nearer(self, now: int) -> None:
+        """One attempt at a nearer server; what is held stays, and where it fails we come back."""
+        if self.selector.choose_nearer(now):
+            self.callbacks.disconnect("home")
+            self._report("home_tried", server=self.selector.server.name)
+            self._connect(now)
+
+    # Messages
+
+    def received(self, now: int, message: Message) -> None:
+        """A frame of the server that is followed."""
+        if self.phase not in (Phase.GREETING, Phase.FOLLOWING):
+            return
+        self._last_frame = now
+        is_following = self.phase is Phase.FOLLOWING
+        if isinstance(message, Disconnect):
+            self.selector.rejected(now, message.retry_after_ms)
+            self._leave(now, f"goodbye {message.reason[:MAX_REASON_CHARS]}")
+        elif isinstance(message, HelloAccepted) and not is_following:
+            self._on_accepted(now, message)
+        elif isinstance(message, Deltas) and is_following:
+            self._on_changes(message.changes)
+        elif isinstance(message, CompleteSnapshot) and is_following:
+            self._on_snapshot(now, message.compressed)
+        elif isinstance(message, Heartbeat) and is_following:
+            self._on_heartbeat(now, message)
+        else:
+            self._leave(now, "nonsense")
+
+    def _on_accepted(self, now: int, message: HelloAccepted) -> None:
+        if not self._is_own_history(message.cluster_id):
+            self._leave(now, "lineage")
+            return
+        self.phase = Phase.FOLLOWING
+        self.selector.accepted(now)
+        self._report("followed", server=self.selector.server.name)
+
+    def _is_own_history(self, cluster_id: str) -> bool:
+        """Whether a history may be ours; one that has no name yet has nothing to send."""
+        return not cluster_id or cluster_id == (self.state.cluster_id or self.cluster_id or cluster_id)
+
+    def _on_heartbeat(self, now: int, heartbeat: Heartbeat) -> None:
+        if heartbeat.leader_silence_ms >= 0:
+            heard_at = now - heartbeat.leader_silence_ms * 1000
+            if self._leader_heard_at is None or heard_at > self._leader_heard_at:
+                self._leader_heard_at = heard_at
+            self._leader = heartbeat.leader
+        self._compare_digest(heartbeat)
+        if 0 <= heartbeat.leader_silence_ms < STALE_MS:
+            self.selector.leader_heard()
+        elif self.selector.avoid_stale(now, self._phase_at):
+            self._leave(now, "stale")
+
+    def _compare_digest(self, heartbeat: Heartbeat) -> None:
+        state = self.state
+        if not state.cluster_id or heartbeat.version != state.version or heartbeat.digest == state.digest:
+            return
+        if self._differing_version != state.version:  # guards against a log line a second
+            self._differing_version = state.version
+            self._report("digest_differs", epoch=heartbeat.epoch, version=heartbeat.version)
+
+    def _on_changes(self, changes: list[Change]) -> None:
+        """Take what follows; one answer in any case."""
+        version_before = self.state.version
+        request = self._apply(changes)
+        if self.state.version > version_before:
+            self._settle()
+        if request is None:
+            self._send_position()
+        else:
+            self.callbacks.send(request)
+
+    def _apply(self, changes: list[Change]) -> SnapshotRequest | None:
+        """Take what follows, up to where a snapshot is needed instead, if anywhere."""
+        for change in changes:
+            if not self.state.cluster_id or change.version > self.state.version + 1:
+                self._report("gap", version=change.version, own=self.state.version)
+                return SnapshotRequest("gap")
+            if change.version <= self.state.version or change.epoch < self.state.epoch:
+                self._reject(change.epoch, change.version)
+                continue
+            before = self.state.position
+            try:
+                self.state.apply(change)
+            except StateError as err:
+                self._report("delta_differs", version=change.version, why=str(err))
+                return SnapshotRequest("digest")
+            self._taken(before, change)
+        return None
+
+    def _on_snapshot(self, now: int, compressed: bytes) -> None:
+        try:
+            snapshot = unpack(compressed)
+            state = FleetState.restore(snapshot)
+        except StateError as err:
+            self._report("bad_whole", why=str(err))
+            self._leave(now, "bad snapshot")
+            return
+        if not snapshot.cluster_id or not self._is_own_history(snapshot.cluster_id):
+            self._leave(now, "lineage")
+            return
+        if self._is_newer(snapshot):
+            before, self.state = self.state.position, state
+            self._taken(before, None)
+            self._settle()
+        self._send_position()
+
+    def _is_newer(self, snapshot: Snapshot) -> bool:
+        """Whether a snapshot is to be taken: see the head of this file."""
+        own = self.state
+        if not own.cluster_id:
+            return True
+        if snapshot.version < own.version or snapshot.epoch < own.epoch:
+            self._reject(snapshot.epoch, snapshot.version)
+            return False
+        if snapshot.version > own.version:
+            return True
+        if snapshot.digest != own.digest:
+            self._report("digest_differs", epoch=snapshot.epoch, version=snapshot.version)
+        if snapshot.epoch > own.epoch:
+            return True
+        if not own.verify():
+            self._report("own_state_spoilt", version=own.version)
+            return True
+        self._reject(snapshot.epoch, snapshot.version)
+        return False
+
+    def _taken(self, before: tuple[int, int], change: Change | None) -> None:
+        after = self.state.position
+        self.counters.invariant(after[0] >= before[0] and after[1] >= before[1], "never_back")
+        self.counters.add("wholes_taken" if change is None else "changes_taken")
+        self.refused = to_printable_line(self.callbacks.changed(self.state, change) or "")
+
+    def _settle(self) -> None:
+        if self.callbacks.settled is not None:
+            self.refused = to_printable_line(self.callbacks.settled() or "")
+
+    def _reject(self, epoch: int, version: int) -> None:
+        self._report("turned_down", epoch=epoch, version=version, own=self.state.position)
+
+    def _send_position(self) -> None:
+        state = self.state
+        self.callbacks.send(AppliedPosition(state.epoch, state.version, state.digest, self.refused))
+
+    def _report(self, event: str, **fields: object) -> None:
+        self.counters.add(event)
+        self.callbacks.event(event, **fields)
+
+    # For operators
+
+    def stale_ms(self, now: int) -> int:
+        """How long ago a leader was last known to be heard by the server followed then, ms; from the first
+        tick on where none ever was. Grows while there is no connection."""
+        since = self._started_at if self._leader_heard_at is None else self._leader_heard_at
+        return 0 if since is None else max(now - since, 0) // 1000
+
+    def status(self, now: int) -> SubscriberStatus:
+        """What is in force, from whom, and how stale it may be."""
+        server = self.selector.server if self.selector.servers else None
+        state = self.state
+        return SubscriberStatus(
+            self.phase.value,
+            server.name if server else None,
+            server.address if server else None,
+            state.cluster_id,
+            state.epoch,
+            state.version,
+            state.digest.hex(),
+            self._leader,
+            self.stale_ms(now),
+            self.counters.show(),
+        )
--- /dev/null
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -0,0 +1,182 @@
+"""A broker's connection to the control plane: one greenlet around a `ConfigSubscriber`. Uses gevent.
+
+It wakes only when something has come or is due, and needs no other greenlet but a writer's for a moment:
+many of them are cheap in one process.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import structlog
+from gevent.event import Event
+
+from cypressledge.broker.metrics import Counters
+from cypressledge.config import parse_address
+from cypressledge.controlplane.activity_record import ActivityRecord
+from cypressledge.controlplane.framing import Ended, Frames, Traffic, connect
+from cypressledge.controlplane.messages import Change, Message
+from cypressledge.controlplane.server_selection import Server
+from cypressledge.controlplane.settings import ControlSettings
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.subscriber import (
+    BrokerIdentity,
+    ConfigSubscriber,
+    SubscriberCallbacks,
+    SubscriberStatus,
+)
+from cypressledge.fleet.clock import LeaseClock
+from cypressledge.fleet.events import logger
+
+MAX_MESSAGES_PER_TURN = 16  # before other greenlets have their turn
+UNLOGGED_EVENTS = frozenset(("lost", "followed", "home_tried"))  # these are counted only
+MAX_SLEEP_S = 4.0  # at a time: a suspended machine's timers stand still
+
+
+@dataclass(frozen=True, slots=True)
+class SubscriberOptions:
+    """What few callers need. `record`: for the laboratory, a file of what was in force when; `log`: in place
+    of a logger of its own; `seed`: of random waits, in place of the run."""
+
+    record: str = ""
+    log: structlog.typing.BindableLogger | None = None
+    seed: int | None = None
+
+
+class SubscriberClient:
+    """Follows the control plane for one broker.
+
+    `changed(state, change)` is called by the client's greenlet once a newer state is held (no change: it came
+    as a snapshot); it returns why some of it was rejected, nothing where all is in force. `settled()`, where
+    given, is called once all that came together is held: only then is it in force, and it returns instead.
+
+    Spawn what `parts` names; `stop` ends it."""
+
+    def __init__(
+        self,
+        identity: BrokerIdentity,
+        settings: ControlSettings,
+        counters: Counters,
+        changed: Callable[[FleetState, Change | None], str | None],
+        settled: Callable[[], str | None] | None = None,
+        options: SubscriberOptions | None = None,
+    ) -> None:
+        options = options or SubscriberOptions()
+        self.changed, self.settled, self.counters = changed, settled, counters
+        self.clock, self.traffic = LeaseClock(), Traffic()
+        self._log = options.log or logger(identity.name, identity.run)
+        self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.run})
+        self._frames: Frames | None = None
+        self._to_dial: Server | None = None
+        self._woken, self._is_stopped = Event(), False
+        servers = [Server(s.name, s.address, s.zone, s.region) for s in settings.servers]
+        callbacks = SubscriberCallbacks(
+            self._send,
+            self._connect,
+            self._disconnect,
+            self._on_changed,
+            self._on_event,
+            settled and self._on_settled,
+        )
+        seed = identity.run if options.seed is None else options.seed
+        self.subscriber = ConfigSubscriber(identity, servers, seed, callbacks)
+        self.parts = [self.run]
+        self._record.write("start")
+
+    @property
+    def state(self) -> FleetState:
+        """What is in force."""
+        return self.subscriber.state
+
+    def status(self) -> SubscriberStatus:
+        """For operators: what is in force, from whom, and how stale it may be."""
+        return self.subscriber.status(self.clock.now())
+
+    def stop(self) -> None:
+        """End the connection; the greenlet ends soon."""
+        self._is_stopped = True
+        self._woken.set()
+        if self._frames is not None:
+            self._frames.close()
+
+    # The greenlet
+
+    def run(self) -> None:
+        """Until stopped: connect where the subscriber asks, pass on what comes, wait until more is due."""
+        while not self._is_stopped:
+            due = self.subscriber.tick(self.clock.now())
+            if self._to_dial is not None:
+                self._dial()
+            else:
+                self._wait(min(max((due - self.clock.now()) / 1e6, 0.0), MAX_SLEEP_S))
+        if self._frames is not None:
+            self._frames.close()
+
+    def _dial(self) -> None:
+        server, self._to_dial = self._to_dial, None
+        try:
+            self._frames = connect(parse_address(server.address), self.traffic)
+        except Ended as err:
+            self.subscriber.disconnected(self.clock.now(), str(err))
+            return
+        self.subscriber.connected(self.clock.now())
+
+    def _wait(self, seconds: float) -> None:
+        """Until a message has come and been taken, or the time has passed."""
+        frames = self._frames
+        if frames is None:
+            self._woken.wait(seconds)
+            return
+        try:
+            for _ in range(MAX_MESSAGES_PER_TURN):
+                message = frames.receive(seconds)
+                if message is None:
+                    break
+                self.subscriber.received(self.clock.now(), message)
+                if self._frames is not frames:
+                    break  # the subscriber has ended it
+                seconds = 0.0
+        except Ended as err:
+            frames.close()
+            if self._frames is frames:
+                self._frames = None
+                self.subscriber.disconnected(self.clock.now(), str(err))
+
+    # The subscriber's callbacks
+
+    def _send(self, message: Message) -> None:
+        if self._frames is not None:
+            self._frames.send(message)
+
+    def _connect(self, server: Server) -> None:
+        self._to_dial = server
+
+    def _disconnect(self, why: str) -> None:
+        """The subscriber wants no more of this connection; nothing of it may be passed on any more."""
+        self._to_dial = None
+        if self._frames is not None:
+            self._frames.close()
+            self._frames = None
+
+    def _on_changed(self, state: FleetState, change: Change | None) -> str | None:
+        refused = self.changed(state, change)
+        if self.settled is None:
+            self._note_in_force()
+        return refused
+
+    def _on_settled(self) -> str | None:
+        refused = self.settled()
+        self._note_in_force()
+        return refused
+
+    def _on_event(self, event: str, **fields: object) -> None:
+        self.counters.add(f"control.{event}")
+        if event not in UNLOGGED_EVENTS:
+            self._log.info(f"control_{event}", **fields)
+
+    def _note_in_force(self) -> None:
+        """For the laboratory: what is in force from now on."""
+        if self._record.is_open:
+            state = self.subscriber.state  # the complete one: `changed` has taken it by now
+            self._record.write(
+                "in_force", epoch=state.epoch, version=state.version, digest=state.digest.hex()
+            )
--- a/cypressledge/lab/hollow.py
+++ b/cypressledge/lab/hollow.py
@@ -2,8 +2,8 @@
 
 `python -m cypressledge.lab.hollow`, started by the scale run. Commands come as JSON lines on standard input
 (start, kill, cut, heal), answers and figures go as JSON lines to standard output; the end of the input ends
-the process. Each hollow broker is a `FollowerAgent` and, where `members` is said, a `FleetNode` whose peers
-are those of the state.
+the process. Each hollow broker is a `SubscriberClient` and, where `members` is said, a `FleetNode` whose
+peers are those of the state.
 """
 
 import json
@@ -18,8 +18,9 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import parse_address
-from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.settings import ControlSettings, read_control
+from cypressledge.controlplane.subscriber import BrokerIdentity
+from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
 
@@ -85,17 +86,12 @@
         self.counters = Counters()
         self.log = logger(self.name, self.run)
         self.node, self.sock = None, None
-        self.agent = FollowerAgent(
-            self.name,
-            self.run,
+        self.agent = SubscriberClient(
+            BrokerIdentity(self.name, self.run, told["zone"], told["region"], self.address),
             settings,
-            told["zone"],
-            told["region"],
-            self.address,
-            self._changed,
             self.counters,
-            record=told["record"],
-            log=self.log,
+            self._changed,
+            options=SubscriberOptions(told["record"], self.log),
         )
         if self.members:
             self._join()
--- a/tests/control_stands.py
+++ b/tests/control_stands.py
@@ -18,10 +18,11 @@
 from gevent.server import StreamServer
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.controlplane.agent import FollowerAgent
 from cypressledge.controlplane.faults import VARIABLE
 from cypressledge.controlplane.messages import FORMAT, Hello, encode
 from cypressledge.controlplane.settings import ControlSettings
+from cypressledge.controlplane.subscriber import BrokerIdentity
+from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.lab.processes import ROOT, BrokerProcess, until
 from cypressledge.lab.relay import Relays, udp_ports
 from cypressledge.lab.site import free_port
@@ -386,7 +387,7 @@
         self._own.cleanup()
 
 
-class Hollow(FollowerAgent):
+class Hollow(SubscriberClient):
     """A broker's end without a broker: keeps (monotonic s, server, epoch, version, whether whole)."""
 
     def __init__(
@@ -394,11 +395,17 @@
     ) -> None:
         self.taken: list[tuple[float, str, int, int, bool]] = []
         self.dials: list[float] = []
-        super().__init__(name, 1 + seed, settings, zone, "", fleet_address, self._keep, Counters(), seed=seed)
-        self.greenlet = gevent.spawn(self.follow)
+        super().__init__(
+            BrokerIdentity(name, 1 + seed, zone, "", fleet_address),
+            settings,
+            Counters(),
+            self._keep,
+            options=SubscriberOptions(seed=seed),
+        )
+        self.greenlet = gevent.spawn(self.run)
 
     def _keep(self, state, change) -> None:
-        server = self.follower.servers[self.follower.current].name
+        server = self.subscriber.selector.server.name
         self.taken.append((time.monotonic(), server, state.epoch, state.version, change is None))
 
     def _connect(self, server) -> None:
@@ -413,7 +420,7 @@
     def server(self) -> str:
         """Whom it follows; empty where nobody."""
         told = self.status()
-        return told["server"] if told["phase"] == "following" else ""
+        return told.server if told.phase == "following" else ""
 
     def never_back(self) -> bool:
         """Whether versions and epochs only went on, and the state is what its digest says."""
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -13,9 +13,15 @@
 
 from cypressledge.controlplane import messages as m
 from cypressledge.controlplane.change_history import History, pack
-from cypressledge.controlplane.follower import SILENT, Follower, Server, order
 from cypressledge.controlplane.publisher import Limits, Publisher
+from cypressledge.controlplane.server_selection import Server, order
 from cypressledge.controlplane.state import Broker, Engine, FleetState, canonical
+from cypressledge.controlplane.subscriber import (
+    SILENCE_TIMEOUT,
+    BrokerIdentity,
+    ConfigSubscriber,
+    SubscriberCallbacks,
+)
 
 S = 1_000_000  # µs
 
@@ -215,13 +221,13 @@
 
 def test_follower_says_what_was_turned_down_until_it_is_taken():
     desk, seat, why = Desk(), Seat().greet(), [""]
-    seat.follower.changed = lambda state, change: why[0]
+    seat.subscriber.callbacks.changed = lambda state, change: why[0]
     assert seat.take(m.CompleteSnapshot(desk.history.packed())).rejection_reason == ""
     for why[0] in ("other classes need a restart", ""):
         held = desk.history.state.version
         grow(desk.history)
         assert seat.take(m.Deltas(after(desk.history, held))).rejection_reason == why[0]
-        seat.follower.down(seat.now, "closed")
+        seat.subscriber.disconnected(seat.now, "closed")
         hello = seat.greet(seat.now).said[-1]
         assert (hello.version, hello.rejection_reason) == (desk.history.state.version, why[0])
 
@@ -330,39 +336,37 @@
     def __init__(self, servers: int = 1, **more) -> None:
         self.said, self.tried, self.ended, self.took, self.events = [], [], [], [], []
         near = [Server(f"c{i}", f"c{i}:1", "" if i else "z", "r" if i < 2 else "") for i in range(servers)]
-        self.follower = Follower(
-            "b1",
-            3,
+        self.subscriber = ConfigSubscriber(
+            BrokerIdentity("b1", 3, "z", "r", "b1:1"),
             near,
-            "z",
-            "r",
             5,
-            "b1:1",
-            self.said.append,
-            self.tried.append,
-            self.ended.append,
-            lambda state, change: self.took.append(change),
-            lambda name, **what: self.events.append(name),
+            SubscriberCallbacks(
+                self.said.append,
+                self.tried.append,
+                self.ended.append,
+                lambda state, change: self.took.append(change),
+                lambda name, **what: self.events.append(name),
+            ),
             **more,
         )
 
     def greet(self, now: int = 0, lineage: str = "line") -> "Seat":
         """Wait until it connects; let it."""
-        while self.follower.phase.value != "connecting":
-            now = max(now, self.follower.tick(now))
-        self.follower.up(now)
-        self.follower.received(now, m.HelloAccepted("c", 1, lineage))
+        while self.subscriber.phase.value != "connecting":
+            now = max(now, self.subscriber.tick(now))
+        self.subscriber.connected(now)
+        self.subscriber.received(now, m.HelloAccepted("c", 1, lineage))
         self.now = now
         return self
 
     def take(self, *messages) -> object:
         """What it last said to them."""
         for message in messages:
-            self.follower.received(self.now, message)
+            self.subscriber.received(self.now, message)
         return self.said[-1]
 
     def counts(self, name: str) -> int:
-        return self.follower.counters.counts[name]
+        return self.subscriber.counters.counts[name]
 
 
 def after(history: History, version: int) -> list:
@@ -385,14 +389,14 @@
     grow(desk.history, 2)
     assert seat.take(m.Deltas(after(desk.history, 3))).version == 5
     assert len(seat.took) == 3
-    seat.follower.down(seat.now, "reset")
+    seat.subscriber.disconnected(seat.now, "reset")
     seat.greet(seat.now)
     assert seat.said[-1].version == 5
     assert seat.said[-1].cluster_id == "line"
-    status = seat.follower.status(seat.now)
-    assert status["version"] == 5
-    assert status["counts"]["changes_taken"] == 2
-    assert status["server"] == "c0"
+    status = seat.subscriber.status(seat.now)
+    assert status.version == 5
+    assert status.counts["changes_taken"] == 2
+    assert status.server == "c0"
 
 
 def test_follower_never_goes_back():
@@ -412,18 +416,18 @@
     assert seat.take(m.CompleteSnapshot(desk.history.packed())) == held
     assert seat.took == [None]
     assert seat.take(m.Deltas([m.Change(1, 6, [], change.digest)])) == m.SnapshotRequest("gap")
-    assert where(seat.follower.state) == where(desk.history.state)
+    assert where(seat.subscriber.state) == where(desk.history.state)
 
 
 def test_follower_keeps_what_it_had_where_a_digest_differs():
     desk, seat = Desk(), Seat().greet()
     assert seat.take(m.Deltas(after(desk.history, 0))) == m.SnapshotRequest("gap")  # holds nothing
     seat.take(m.CompleteSnapshot(desk.history.packed()))
-    held = where(seat.follower.state)
+    held = where(seat.subscriber.state)
     grow(desk.history)
     good = desk.history.changes[-1][0]
     assert seat.take(m.Deltas([m.Change(1, 4, good.ops, b"x" * 16)])) == m.SnapshotRequest("digest")
-    assert where(seat.follower.state) == held
+    assert where(seat.subscriber.state) == held
     assert seat.counts("delta_differs") == 1
     assert seat.take(m.CompleteSnapshot(desk.history.packed())).version == 4
 
@@ -447,11 +451,11 @@
     assert seat.take(m.CompleteSnapshot(pack(other_at(0, 3).snapshot()))) == m.AppliedPosition(*held)  # below
     above = other_at(2, 3)
     assert seat.take(m.CompleteSnapshot(pack(above.snapshot()))) == m.AppliedPosition(*where(above))
-    seat.follower.state.entries.clear()  # memory spoilt
+    seat.subscriber.state.entries.clear()  # memory spoilt
     same = other_at(2, 3)
     assert seat.take(m.CompleteSnapshot(pack(same.snapshot()))) == m.AppliedPosition(*where(same))
     assert seat.counts("own_state_spoilt") == 1
-    assert seat.follower.state.verify()
+    assert seat.subscriber.state.verify()
     for _ in range(2):
         seat.take(m.Heartbeat(2, 3, b"x" * 16, "c", 0))
     assert seat.counts("digest_differs") == 3  # a beat that differs: once a version
@@ -469,28 +473,28 @@
         m.AppliedPosition(1, 1, b""),
         m.Disconnect("stopping"),
     ):
-        seat = Seat(servers=2, lineage="line").greet()
+        seat = Seat(servers=2, cluster_id="line").greet()
         seat.take(message)
         assert len(seat.ended) == 1
         assert not seat.took
-        assert seat.follower.current == 1
-    seat = Seat(servers=2, lineage="line").greet(lineage="other")
+        assert seat.subscriber.selector.current == 1
+    seat = Seat(servers=2, cluster_id="line").greet(lineage="other")
     assert seat.ended == ["lineage"]
     seat = Seat().greet()
     seat.take(m.CompleteSnapshot(pack(good)))
-    seat.follower.down(seat.now, "x")
+    seat.subscriber.disconnected(seat.now, "x")
     seat.greet(seat.now, "other")
     assert seat.ended == ["lineage"]
-    assert where(seat.follower.state)[1] == 3
+    assert where(seat.subscriber.state)[1] == 3
 
 
 def test_follower_waits_longer_each_time_and_honours_refusals():
     seat, now, tries = Seat(servers=3), 0, []
     for _ in range(300):
-        due = seat.follower.tick(now)
+        due = seat.subscriber.tick(now)
         if len(seat.tried) > len(tries):
             tries.append(now)
-            seat.follower.down(now, "refused")
+            seat.subscriber.disconnected(now, "refused")
         else:
             now = due
     gaps = [b - a for a, b in itertools.pairwise(tries)]
@@ -501,59 +505,61 @@
     assert [s.name for s in seat.tried[:4]] == ["c0", "c1", "c2", "c0"]
     seat = Seat().greet()
     seat.take(m.Disconnect("full", 7_000))
-    assert 7 * S <= seat.follower.tick(seat.now) - seat.now <= 9 * S
+    assert 7 * S <= seat.subscriber.tick(seat.now) - seat.now <= 9 * S
     seat = Seat(servers=2).greet()
     seat.take(m.Disconnect("full", 7_000))
     seat.greet(seat.now)
-    seat.follower.down(seat.now, "x")
-    assert seat.follower.tick(seat.now) - seat.now <= S
-    assert seat.follower.current == 1
+    seat.subscriber.disconnected(seat.now, "x")
+    assert seat.subscriber.tick(seat.now) - seat.now <= S
+    assert seat.subscriber.selector.current == 1
 
 
 def test_a_connection_that_held_makes_the_waits_short_again():
     seat = Seat()
     for held in [0] * 8 + [5 * S] * 8:
         seat.greet(seat.now if seat.said else 0)
-        seat.follower.down(seat.now + held, "reset")
-        wait = seat.follower.tick(seat.now + held) - seat.now - held
+        seat.subscriber.disconnected(seat.now + held, "reset")
+        wait = seat.subscriber.tick(seat.now + held) - seat.now - held
         if held:
             assert wait <= S // 10
-    assert Follower("b", 1, [], "", "", 1, "", None, None, None, None, None).tick(0) > S  # nobody to follow
+    assert (
+        ConfigSubscriber(BrokerIdentity("b", 1), [], 1, SubscriberCallbacks(*[None] * 5)).tick(0) > S
+    )  # nobody to follow
 
 
 def test_follower_leaves_the_silent_and_times_out():
     seat = Seat(servers=2)
-    now = seat.follower.tick(0)
-    due = seat.follower.tick(now)
+    now = seat.subscriber.tick(0)
+    due = seat.subscriber.tick(now)
     assert due - now == 1.5 * S
     assert seat.tried[0].name == "c0"
-    seat.follower.tick(due)
+    seat.subscriber.tick(due)
     assert seat.ended == ["connect timeout"]
     seat.greet(due)
     assert seat.tried[1].name == "c1"
-    seat.follower.tick(seat.now + SILENT - 1)
+    seat.subscriber.tick(seat.now + SILENCE_TIMEOUT - 1)
     assert len(seat.ended) == 1
-    seat.follower.tick(seat.now + SILENT)
+    seat.subscriber.tick(seat.now + SILENCE_TIMEOUT)
     assert seat.ended[1:] == ["silent"]
 
 
 def test_follower_goes_home_and_back_where_home_fails():
     seat = Seat(servers=3)
-    now = seat.follower.tick(0)
-    seat.follower.tick(now)
-    seat.follower.down(now, "refused")
+    now = seat.subscriber.tick(0)
+    seat.subscriber.tick(now)
+    seat.subscriber.disconnected(now, "refused")
     seat.greet(now)
     assert seat.tried[-1].name == "c1"
     start, waits = seat.now, []
     for _ in range(2):
         while seat.tried[-1].name == "c1":
-            due = seat.follower.tick(seat.now)
+            due = seat.subscriber.tick(seat.now)
             seat.now = min(max(due, seat.now), seat.now + S)
-            if seat.follower.phase.value == "following":
-                seat.follower.received(seat.now, m.Heartbeat(0, 0, b"", "", 0))
+            if seat.subscriber.phase.value == "following":
+                seat.subscriber.received(seat.now, m.Heartbeat(0, 0, b"", "", 0))
         waits.append(seat.now - start)
         assert seat.ended[-1] == "home"
-        seat.follower.down(seat.now, "refused")
+        seat.subscriber.disconnected(seat.now, "refused")
         seat.greet(seat.now)
         start = seat.now
         assert seat.tried[-1].name == "c1"
@@ -563,13 +569,13 @@
 
 def test_follower_says_how_stale_it_is():
     seat = Seat(servers=2).greet()
-    assert seat.follower.stale_ms(seat.now + 2 * S) >= 2_000
+    assert seat.subscriber.stale_ms(seat.now + 2 * S) >= 2_000
     seat.take(m.Heartbeat(0, 0, b"", "c3", 400))
-    assert seat.follower.stale_ms(seat.now) == 400
+    assert seat.subscriber.stale_ms(seat.now) == 400
     seat.take(m.Heartbeat(0, 0, b"", "c3", 9_000))  # another that heard less takes nothing back
     seat.take(m.Heartbeat(0, 0, b"", "c3", -1))
-    seat.follower.down(seat.now, "reset")
-    assert seat.follower.stale_ms(seat.now + S) == 1_400
+    seat.subscriber.disconnected(seat.now, "reset")
+    assert seat.subscriber.stale_ms(seat.now + S) == 1_400
 
 
 class World:
@@ -596,7 +602,7 @@
     def _event(self, name: str, **what) -> None:
         self.events.add(name)
 
-    def _broker(self, i: int, life: int) -> Follower:
+    def _broker(self, i: int, life: int) -> ConfigSubscriber:
         servers = [Server(f"c{k}", f"c{k}:1", f"z{k % 2}", "r") for k in range(3)]
         seen = [(0, 0)]
 
@@ -610,19 +616,17 @@
         def end(why: str) -> None:
             self._cut(i)
 
-        return Follower(
-            f"b{i}",
-            life,
+        return ConfigSubscriber(
+            BrokerIdentity(f"b{i}", life, f"z{i % 2}", "r"),
             servers,
-            f"z{i % 2}",
-            "r",
             self.random.randrange(1 << 30),
-            "",
-            lambda msg: self._to_site(i, msg),
-            lambda server: self._dial(i, server),
-            end,
-            changed,
-            self._event,
+            SubscriberCallbacks(
+                lambda msg: self._to_site(i, msg),
+                lambda server: self._dial(i, server),
+                end,
+                changed,
+                self._event,
+            ),
         )
 
     def later(self, delay: int, act, *args) -> None:
@@ -654,7 +658,7 @@
 
     def _up(self, conn: int) -> None:
         if conn in self.conns:
-            self.brokers[self.conns[conn]["broker"]].up(self.now)
+            self.brokers[self.conns[conn]["broker"]].connected(self.now)
 
     def _frame(self, conn: int, way: str, msg: m.Message, act) -> None:
         link = self.conns.get(conn)
@@ -703,7 +707,7 @@
     def _down(self, conn: int) -> None:
         link = self.conns.pop(conn, None)
         if link:
-            self.brokers[link["broker"]].down(self.now, "reset")
+            self.brokers[link["broker"]].disconnected(self.now, "reset")
 
     def run(self, span: int) -> None:
         end = self.now + span
@@ -799,11 +803,11 @@
     """Refuse each try until then; when each was made, and at whom."""
     now, made = 0, []
     while now < until:
-        due = seat.follower.tick(now)
+        due = seat.subscriber.tick(now)
         if len(seat.tried) > len(made):
             made.append((now, seat.tried[-1].name))
-            seat.follower.down(now, "refused")
-            due = seat.follower.tick(now)
+            seat.subscriber.disconnected(now, "refused")
+            due = seat.subscriber.tick(now)
         now = max(now, due)
     return made
 
@@ -812,7 +816,7 @@
     seat = Seat(servers=8)
     made = outage(seat, 60 * S)
     names = [name for _, name in made]
-    assert names == ([s.name for s in seat.follower.servers] * len(names))[: len(names)]
+    assert names == ([s.name for s in seat.subscriber.selector.servers] * len(names))[: len(names)]
     waits = [b - a for (a, _), (b, _) in pairwise(made)]
     within = [w for i, w in enumerate(waits) if (i + 1) % 8]
     between = waits[7::8]
@@ -828,11 +832,11 @@
     now = seat.now
     while now < 100 * S:
         now += S
-        seat.follower.tick(now)
-        if seat.follower.phase.value == "connecting":
-            seat.follower.up(now)
-            seat.follower.received(now, m.HelloAccepted("c", 1, "line"))
-        seat.follower.received(now, stale if now < 80 * S else m.Heartbeat(0, 0, b"", "c1", 100))
+        seat.subscriber.tick(now)
+        if seat.subscriber.phase.value == "connecting":
+            seat.subscriber.connected(now)
+            seat.subscriber.received(now, m.HelloAccepted("c", 1, "line"))
+        seat.subscriber.received(now, stale if now < 80 * S else m.Heartbeat(0, 0, b"", "c1", 100))
         if seat.ended.count("stale") > len(left):
             left.append((now, seat.tried[-1].name))
     assert left[0][0] - seat.now >= 10 * S
@@ -848,5 +852,5 @@
     for servers, silent in ((1, 60_000), (3, 9_000)):
         seat = Seat(servers=servers).greet()
         for second in range(1, 15):
-            seat.follower.received(seat.now + second * S, m.Heartbeat(0, 0, b"", "c1", silent))
+            seat.subscriber.received(seat.now + second * S, m.Heartbeat(0, 0, b"", "c1", silent))
         assert not seat.ended
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -532,7 +532,7 @@
     assert shown["primary"] == ""
     assert shown["version"] < told["version"]
     assert plane.post(primary, {"engine/e4": engine(4)}, "r4")[0] == 421
-    plane.wait(lambda: inside.status()["stale_ms"] > 2000 * TERM, "a follower that knows it is stale")
+    plane.wait(lambda: inside.status().stale_ms > 2000 * TERM, "a follower that knows it is stale")
     assert inside.server() == primary.name
     assert inside.version == shown["version"]
     plane.heal()
@@ -541,7 +541,7 @@
     again = plane.change({"engine/e2": engine(2)}, "r2")
     plane.wait(lambda: inside.version >= again["version"] <= outside.version, "all go on")
     assert plane.requests("r2") == 1
-    assert inside.status()["stale_ms"] < 3000 * TERM
+    assert inside.status().stale_ms < 3000 * TERM
 
     # An old copy of a disk, put back
     old = next(s for s in plane.others(plane.primary().name))
@@ -563,7 +563,7 @@
     beats = after.traffic.frames["in.beat"]
     plane.wait(lambda: after.traffic.frames["in.beat"] > beats + 2, "some beats of the old one")
     assert after.version == held
-    assert after.follower.counters.show().get("turned_down", 0) == 0
+    assert after.subscriber.counters.show().get("turned_down", 0) == 0
     assert old.status()["role"] == "standby"
     plane.heal()
     told = plane.change({"engine/e9": engine(9)}, "r9")
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -13,6 +13,7 @@
 from cypressledge.controlplane import cli
 from cypressledge.controlplane import framing as frames_module
 from cypressledge.controlplane.applied_versions import NAMES_MOST, InForce
+from cypressledge.controlplane.broker_integration import BrokerIntegration
 from cypressledge.controlplane.change_history import History
 from cypressledge.controlplane.faults import Faults
 from cypressledge.controlplane.framing import Ended, Frames, Traffic
@@ -28,7 +29,6 @@
     encode,
 )
 from cypressledge.controlplane.operators import Asked, BadRequest, read_change
-from cypressledge.controlplane.part import ControlPart
 from cypressledge.controlplane.replica import DiskError
 from cypressledge.controlplane.server import check_new
 from cypressledge.controlplane.state import FleetState, StateError, canonical, plain
@@ -306,11 +306,11 @@
         )
     )
     broker = Listener()
-    part = ControlPart(str(file), broker, {})
-    follower, now = part.agent.follower, 0
+    part = BrokerIntegration(str(file), broker, {})
+    follower, now = part.client.subscriber, 0
     while follower.phase.value != "connecting":
         now = max(now, follower.tick(now))
-    follower.up(now)
+    follower.connected(now)
     follower.received(now, HelloAccepted("c", 1, "line"))
 
     def engine(i):
--- a/tests/test_controlplane_processes.py
+++ b/tests/test_controlplane_processes.py
@@ -11,7 +11,7 @@
 from gevent import socket
 
 from cypressledge.config import ConfigError
-from cypressledge.controlplane.follower import Server, order
+from cypressledge.controlplane.server_selection import Server, order
 from cypressledge.controlplane.settings import read_control
 from cypressledge.lab.demo import ask
 from cypressledge.lab.engines import LabEngine
