--- a/cypressledge/fleet/evidence.py
+++ b/cypressledge/fleet/evidence.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from cypressledge.decisions.contract import Outcome
-from cypressledge.fleet.messages import EngineSeen
+from cypressledge.fleet.messages import EngineObservation
 
 WINDOW = 250_000  # µs
 WINDOWS = 8  # that a sight covers: 2 s
@@ -117,7 +117,7 @@
                 self.counted.add(attempt)
                 self._failed(now, engine).silent += 1
 
-    def sight(self, now: int) -> list[EngineSeen]:
+    def sight(self, now: int) -> list[EngineObservation]:
         """What the last windows say, bounded."""
         oldest = now // WINDOW - WINDOWS
         sums: dict[int, Tally] = {}
@@ -128,7 +128,7 @@
         most = sorted(sums.items(), key=lambda e: (-e[1].tries, e[0]))[:ENGINES_MOST]
         self.rows = {e: row for e, row in self.rows.items() if e in sums}
         return [
-            EngineSeen(e, t.ok, t.late, t.refused, t.broken, t.silent, t.work, *self._last(now, e))
+            EngineObservation(e, t.ok, t.late, t.refused, t.broken, t.silent, t.work, *self._last(now, e))
             for e, t in most
         ]
 
--- a/cypressledge/fleet/exchange.py
+++ b/cypressledge/fleet/exchange.py
@@ -15,7 +15,15 @@
 from gevent.socket import wait_read
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.fleet.messages import ITEMS_MOST, LARGEST, VERSION, Envelope, Unreadable, decode, encode
+from cypressledge.fleet.messages import (
+    MAX_DATAGRAM_BYTES,
+    MAX_ITEMS,
+    VERSION,
+    Envelope,
+    InvalidDatagramError,
+    decode,
+    encode,
+)
 
 INBOX_MOST = 1_024  # datagrams that wait to be looked at
 RATE = 400.0  # datagrams a second from one address, in the long run
@@ -88,7 +96,7 @@
             self.counters.add("fleet.unknown_peer")
             return
         queue = self.queues.setdefault(peer, [])
-        if len(queue) >= ITEMS_MOST:
+        if len(queue) >= MAX_ITEMS:
             self.counters.add("fleet.queue_full")
             return
         queue.append(item)
@@ -115,7 +123,7 @@
             self._send(peer, items[:half])
             self._send(peer, items[half:])
             return
-        if len(raw) > LARGEST:
+        if len(raw) > MAX_DATAGRAM_BYTES:
             self.counters.add("fleet.too_large")
             return
         try:
@@ -141,7 +149,7 @@
         self.drained.set()
         for count in range(DRAIN_MOST):
             try:
-                raw, source = self.sock._sock.recvfrom(LARGEST + 1)
+                raw, source = self.sock._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return count
             except OSError:
@@ -160,10 +168,10 @@
             return
         try:
             envelope = decode(raw)
-        except Unreadable as err:
+        except InvalidDatagramError as err:
             self.counters.add(f"fleet.bad_{err}")
             return
-        if envelope.to != self.name or envelope.sender not in self.addresses:
+        if envelope.recipient != self.name or envelope.sender not in self.addresses:
             self.counters.add("fleet.misdirected")
             return
         self.counters.add("fleet.received")
--- a/cypressledge/fleet/judge.py
+++ b/cypressledge/fleet/judge.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cypressledge.fleet.messages import EngineSeen, Sight
+from cypressledge.fleet.messages import EngineObservation, EngineObservations
 
 FADE = 3_000_000  # µs after which a sight weighs nothing
 ENOUGH = 4  # tries in a zone below which nothing is said of it
@@ -46,7 +46,7 @@
     broker: str
     zone: str
     age: int
-    sight: Sight
+    sight: EngineObservations
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,17 +57,17 @@
     blind: dict[str, str]
 
 
-def _good(seen: EngineSeen) -> int:
-    return seen.ok + seen.late
+def _good(seen: EngineObservation) -> int:
+    return seen.succeeded + seen.late
 
 
-def _bad(seen: EngineSeen) -> int:
-    return seen.refused + seen.broken + seen.silent
+def _bad(seen: EngineObservation) -> int:
+    return seen.connect_failed + seen.failed + seen.timed_out
 
 
-def _vouches(told: "Told", seen: EngineSeen) -> bool:
+def _vouches(told: "Told", seen: EngineObservation) -> bool:
     """Whether a broker has just had an answer of an engine, and no failure since."""
-    return seen.fails == 0 and 0 <= seen.answered_ms < FRESH_MS and told.age < VOUCH
+    return seen.consecutive_failures == 0 and 0 <= seen.last_answer_age_ms < FRESH_MS and told.age < VOUCH
 
 
 def judge(told: list[Told], engines: dict[int, str], changing: frozenset[int] = frozenset()) -> Judgement:
@@ -105,7 +105,7 @@
 
 def _troubled(told: Told) -> bool:
     """Whether anything in a sight has failed or was late."""
-    return any(e.fails or e.late or _bad(e) for e in told.sight.engines)
+    return any(e.consecutive_failures or e.late or _bad(e) for e in told.sight.engines)
 
 
 def _blind(told: list[Told], engines: dict[int, str]) -> Generator[None, None, dict[str, str]]:
@@ -180,11 +180,11 @@
         seen.tries += good + _bad(e)
         total.good += weight * good
         total.late += weight * e.late
-        total.fails += e.fails
+        total.fails += e.consecutive_failures
         total.vouched |= vouched
         place[0] += vouched
-        place[1] += e.fails
-        if e.fails:
+        place[1] += e.consecutive_failures
+        if e.consecutive_failures:
             seen.brokers.add(t.broker)
 
 
--- a/cypressledge/fleet/keeper.py
+++ b/cypressledge/fleet/keeper.py
@@ -12,7 +12,15 @@
 from msgspec import structs
 
 from cypressledge.fleet.lease import Claim, Electorate, Voter
-from cypressledge.fleet.messages import Ask, Freed, GiveBack, Grant, Look, Refuse, Seen
+from cypressledge.fleet.messages import (
+    LeaseReleased,
+    LeaseStatus,
+    LeaseStatusRequest,
+    ReleaseLease,
+    VoteGranted,
+    VoteRejected,
+    VoteRequest,
+)
 from cypressledge.fleet.ranks import LINE, line
 
 MS = 1_000
@@ -61,7 +69,7 @@
     began: int = 0
     hurry: int = 0
     split: int = 0  # tries in a row that split the vote
-    seen: dict[str, Seen] = field(default_factory=dict)
+    seen: dict[str, LeaseStatus] = field(default_factory=dict)
     holder: str = ""  # as last told
 
 
@@ -174,7 +182,7 @@
             return False
         if not seat.place.wanted:
             for name in line(lease, self.alive - {self.name}, seat.place.standby):
-                self.out(name, Freed(lease, token))
+                self.out(name, LeaseReleased(lease, token))
         self.told("given_back", lease, token, why)
         return True
 
@@ -194,21 +202,21 @@
 
     def receive(self, now: int, sender: str, item: object) -> None:
         """One of the leases' messages, from a peer that is listened to."""
-        if isinstance(item, Ask):
+        if isinstance(item, VoteRequest):
             answer = self.voter.ask(now, sender, item)
             if answer is not None:
                 self.out(sender, answer)
-                if isinstance(answer, Refuse) and answer.why not in ("held", "token"):
-                    self.told("voted_not", item.lease, item.token, answer.why)
-        elif isinstance(item, Look):
+                if isinstance(answer, VoteRejected) and answer.reason not in ("held", "token"):
+                    self.told("voted_not", item.lease, item.token, answer.reason)
+        elif isinstance(item, LeaseStatusRequest):
             self.out(sender, self._seen(now, item))
-        elif isinstance(item, GiveBack):
+        elif isinstance(item, ReleaseLease):
             self.voter.give_back(item)
         elif (seat := self.seats.get(item.lease)) is not None:
             self._answered(now, seat, sender, item)
             self.soonest = min(self.soonest, seat.due)
 
-    def _seen(self, now: int, look: Look) -> Seen:
+    def _seen(self, now: int, look: LeaseStatusRequest) -> LeaseStatus:
         """How a lease stands here, with the highest token this broker knew of as voter or claimant."""
         seen = self.voter.look(now, look)
         seat = self.seats.get(look.lease)
@@ -226,29 +234,29 @@
         self.recall_due = now + max(left // 3, 100 * MS)
         for name in sorted(self.alive - {self.name}):
             for lease in self.seats:
-                self.out(name, Look(lease))
+                self.out(name, LeaseStatusRequest(lease))
 
     def _answered(self, now: int, seat: Seat, sender: str, item: object) -> None:
-        if isinstance(item, Grant):
+        if isinstance(item, VoteGranted):
             self._granted(now, seat, sender, item)
-        elif isinstance(item, Refuse):
+        elif isinstance(item, VoteRejected):
             seat.claim.refused(sender, item)
             if seat.phase is Phase.ASKING and seat.claim.hopeless(self.alive):
                 self._not_won(now, seat)
-        elif isinstance(item, Seen):
+        elif isinstance(item, LeaseStatus):
             seat.claim.learn(item.token)
             if self.voter.mute(now):
                 self.voter.learn(item.lease, item.token)
             if seat.phase is Phase.LOOKING and sender in self.electorate.voters:
                 seat.seen[sender] = item
                 self._looked(now, seat)
-        elif isinstance(item, Freed):
+        elif isinstance(item, LeaseReleased):
             seat.claim.learn(item.token)
             if seat.phase is Phase.IDLE and self._may(seat):
                 seat.hurry = HURRIES
                 seat.due = now + (self.rank(seat.place.lease) or 0) * self._stagger(seat)
 
-    def _granted(self, now: int, seat: Seat, sender: str, item: Grant) -> None:
+    def _granted(self, now: int, seat: Seat, sender: str, item: VoteGranted) -> None:
         if seat.phase not in (Phase.ASKING, Phase.HELD) or not seat.claim.granted(now, sender, item):
             return
         if seat.phase is Phase.ASKING and seat.claim.holds(now):
@@ -322,7 +330,7 @@
         seat.phase, seat.due = Phase.LOOKING, now + min(seat.place.term // 6, 500 * MS)
         seat.seen.clear()
         for voter in self.electorate.voters:
-            self.out(voter, Look(seat.place.lease))
+            self.out(voter, LeaseStatusRequest(seat.place.lease))
 
     def _looked(self, now: int, seat: Seat, late: bool = False) -> None:
         """Ask as soon as a majority is free; rest once all that live have answered, or it is `late`: one that
@@ -330,7 +338,8 @@
         majority = self.electorate.majority
         was = seat.claim.round  # a former self's vote is not this process's
         waits = sorted(
-            max(s.left if s.holder != self.name or not was else 0, s.mute) for s in seat.seen.values()
+            max(s.remaining if s.holder != self.name or not was else 0, s.voting_quarantine)
+            for s in seat.seen.values()
         )
         holders = [s.holder for s in seat.seen.values() if s.holder]
         if len(waits) < majority:
@@ -380,15 +389,15 @@
     def _not_won(self, now: int, seat: Seat) -> None:
         """A try that can't win: free what votes it has, and try again when that may help."""
         refusals = list(seat.claim.refusals.values())
-        why = refusals[-1].why if refusals else "no answer"
+        why = refusals[-1].reason if refusals else "no answer"
         self._send_back(seat)
         self.told("not_won", seat.place.lease, seat.claim.token, why)
-        if refusals and all(r.why == "token" for r in refusals):
+        if refusals and all(r.reason == "token" for r in refusals):
             pause = 0  # now a higher one is known
         elif seat.hurry:
             pause = 10 * MS + self._jitter(30 * MS)
         elif why in ("mute", "version", "full"):
-            pause = min(max(r.left for r in refusals) or seat.place.term // 2, seat.place.term)
+            pause = min(max(r.remaining for r in refusals) or seat.place.term // 2, seat.place.term)
         elif why == "held":  # it was free when it was looked at: a split vote; look again, soon and not alike
             seat.split = min(seat.split + 1, 4)
             pause = 10 * MS + self._jitter(40 * MS << seat.split)
--- a/cypressledge/fleet/lease.py
+++ b/cypressledge/fleet/lease.py
@@ -12,7 +12,14 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-from cypressledge.fleet.messages import Ask, GiveBack, Grant, Look, Refuse, Seen
+from cypressledge.fleet.messages import (
+    LeaseStatus,
+    LeaseStatusRequest,
+    ReleaseLease,
+    VoteGranted,
+    VoteRejected,
+    VoteRequest,
+)
 
 MILLION = 1_000_000
 NEVER = -(1 << 62)  # µs: a moment before all others; a clock may begin anywhere
@@ -164,22 +171,22 @@
         """Whether a vote may be given to `run`."""
         return vote is None or vote.run == run or now >= vote.until
 
-    def grows(self, standing: Standing, ask: Ask) -> bool:
+    def grows(self, standing: Standing, ask: VoteRequest) -> bool:
         """Whether the token asked for is above all others, or is this process's own still. A holder renews
         under its token whatever others have tried: while it holds, no other can have held a higher one."""
-        own = standing.vote is not None and standing.vote.run == ask.run
+        own = standing.vote is not None and standing.vote.run == ask.instance_id
         return (
             ask.token > standing.seen
-            or ask.renews
+            or ask.renewal
             or (own and ask.token == standing.seen == standing.vote.token)
         )
 
-    def look(self, now: int, asked: Look) -> Seen:
+    def look(self, now: int, asked: LeaseStatusRequest) -> LeaseStatus:
         """How a lease stands; binds nobody."""
         standing = self.leases.get(asked.lease) or Standing(self.base)
         vote = standing.vote
         live = vote is not None and now < vote.until
-        return Seen(
+        return LeaseStatus(
             asked.lease,
             vote.holder if live else "",
             vote.until - now if live else 0,
@@ -187,7 +194,7 @@
             self.mute(now),
         )
 
-    def ask(self, now: int, holder: str, ask: Ask) -> Grant | Refuse | None:
+    def ask(self, now: int, holder: str, ask: VoteRequest) -> VoteGranted | VoteRejected | None:
         """Grant a vote or say why not; None for a round that has been given back or overtaken."""
         standing = self.leases.get(ask.lease)
         if standing is None:
@@ -200,51 +207,53 @@
         why = self._why_not(now, standing, ask)
         if why:
             return self._refuse(now, ask, standing, why)
-        repeat = vote is not None and (vote.run, vote.round) == (ask.run, ask.round)
+        repeat = vote is not None and (vote.run, vote.round) == (ask.instance_id, ask.round)
         if not repeat:  # a second copy of an Ask lengthens nothing
             until = now + ask.term
-            if vote is not None and vote.run == ask.run:
+            if vote is not None and vote.run == ask.instance_id:
                 until = max(until, vote.until)
-            standing.vote = Vote(holder, ask.run, ask.round, ask.token, until)
+            standing.vote = Vote(holder, ask.instance_id, ask.round, ask.token, until)
             standing.seen = max(standing.seen, ask.token)
-        return Grant(ask.lease, ask.run, ask.round, ask.token)
+        return VoteGranted(ask.lease, ask.instance_id, ask.round, ask.token)
 
-    def _old(self, standing: Standing, ask: Ask) -> bool:
-        if standing.shut[0] == ask.run and ask.round <= standing.shut[1]:
+    def _old(self, standing: Standing, ask: VoteRequest) -> bool:
+        if standing.shut[0] == ask.instance_id and ask.round <= standing.shut[1]:
             return True
         vote = standing.vote
-        return vote is not None and vote.run == ask.run and ask.round < vote.round
+        return vote is not None and vote.run == ask.instance_id and ask.round < vote.round
 
-    def _why_not(self, now: int, standing: Standing, ask: Ask) -> str:
+    def _why_not(self, now: int, standing: Standing, ask: VoteRequest) -> str:
         if self.mute(now):
             return "mute"
-        if not self.electorate.answers(now, ask.version) or not self.electorate.ready(now):
+        if not self.electorate.answers(now, ask.voters_version) or not self.electorate.ready(now):
             return "version"
         if ask.term > self.electorate.longest:
             return "term"
-        if not self.free(now, standing.vote, ask.run):
+        if not self.free(now, standing.vote, ask.instance_id):
             return "held"
         return "" if self.grows(standing, ask) else "token"
 
-    def _refuse(self, now: int, ask: Ask, standing: Standing, why: str) -> Refuse:
+    def _refuse(self, now: int, ask: VoteRequest, standing: Standing, why: str) -> VoteRejected:
         vote = standing.vote
         live = vote is not None and now < vote.until
         left = self.mute(now) if why == "mute" else vote.until - now if live else 0
-        return Refuse(ask.lease, ask.run, ask.round, why, vote.holder if live else "", left, standing.seen)
+        return VoteRejected(
+            ask.lease, ask.instance_id, ask.round, why, vote.holder if live else "", left, standing.seen
+        )
 
-    def covers(self, vote: Vote, back: GiveBack) -> bool:
+    def covers(self, vote: Vote, back: ReleaseLease) -> bool:
         """Whether a giving back is of this vote: one of an earlier round is not."""
-        return vote.run == back.run and vote.round <= back.round
+        return vote.run == back.instance_id and vote.round <= back.round
 
-    def give_back(self, back: GiveBack) -> None:
+    def give_back(self, back: ReleaseLease) -> None:
         """Free a vote."""
         standing = self.leases.get(back.lease)
         if standing is None:
             return
         if standing.vote is not None and self.covers(standing.vote, back):
             standing.vote = None
-        if standing.shut[0] != back.run or standing.shut[1] < back.round:
-            standing.shut = (back.run, back.round)
+        if standing.shut[0] != back.instance_id or standing.shut[1] < back.round:
+            standing.shut = (back.instance_id, back.round)
 
     def learn(self, lease: str, token: int) -> None:
         """Somebody knows of a higher token."""
@@ -267,7 +276,7 @@
         self.renewals: set[int] = set()  # rounds that count only while the lease is held
         self.began: dict[int, int] = {}  # rounds whose answers count: when each was begun
         self.grants: dict[str, int] = {}  # by voter: until when its vote counts, on this clock
-        self.refusals: dict[str, Refuse] = {}
+        self.refusals: dict[str, VoteRejected] = {}
 
     def span(self) -> int:
         """µs from the beginning of a round that a vote of it counts for."""
@@ -291,7 +300,7 @@
         """µs that the lease is held for without a further vote."""
         return max(0, self.until() - now)
 
-    def ask(self, now: int) -> Ask | None:
+    def ask(self, now: int) -> VoteRequest | None:
         """A new round, to be sent to every voter: a renewal under the same token while the lease is held,
         else a new claim under a higher one. None while the voter set may not be gone by."""
         if not self.electorate.ready(now):
@@ -309,13 +318,15 @@
             self.renewals.discard(min(self.began))
             del self.began[min(self.began)]
         self.floor = max(self.floor, self.token)
-        return Ask(self.lease, self.run, self.round, self.token, self.term, self.electorate.version, renews)
+        return VoteRequest(
+            self.lease, self.run, self.round, self.token, self.term, self.electorate.version, renews
+        )
 
-    def counts(self, grant: Grant) -> bool:
+    def counts(self, grant: VoteGranted) -> bool:
         """Whether a grant is an answer to a round of this claim that is still open."""
-        return grant.run == self.run and grant.token == self.token and grant.round in self.began
+        return grant.instance_id == self.run and grant.token == self.token and grant.round in self.began
 
-    def granted(self, now: int, voter: str, grant: Grant) -> bool:
+    def granted(self, now: int, voter: str, grant: VoteGranted) -> bool:
         """Count a vote that came at `now`; whether it counts."""
         if not self.counts(grant) or self.lapsed(now, grant.round):
             return False
@@ -328,9 +339,9 @@
         higher token."""
         return round_ in self.renewals and not self.holds(now)
 
-    def refused(self, voter: str, refuse: Refuse) -> None:
+    def refused(self, voter: str, refuse: VoteRejected) -> None:
         """Remember a refusal of the round that is on."""
-        if refuse.run == self.run and refuse.round == self.round:
+        if refuse.instance_id == self.run and refuse.round == self.round:
             self.refusals[voter] = refuse
         self.learn(refuse.token)
 
@@ -351,7 +362,7 @@
         self.began.clear()
         self.renewals.clear()
 
-    def give_back(self) -> GiveBack:
+    def give_back(self) -> ReleaseLease:
         """Give the lease, or a try for it, back. Nothing may be done under it from here on."""
         self.drop()
-        return GiveBack(self.lease, self.run, self.round)
+        return ReleaseLease(self.lease, self.run, self.round)
--- a/cypressledge/fleet/members.py
+++ b/cypressledge/fleet/members.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from cypressledge.fleet.lease import NEVER
-from cypressledge.fleet.messages import Ack, Ping, PingFor, Word
+from cypressledge.fleet.messages import Ack, GossipUpdate, IndirectPing, Ping
 
 ALIVE, SUSPECT, GONE = 0, 1, 2
 STATES = ("alive", "suspect", "gone")
@@ -112,33 +112,33 @@
         were all cut off from each other, and would hold each other gone for good."""
         for item in items:
             if isinstance(item, Ping | Ack):
-                for word in item.words:
+                for word in item.updates:
                     if word.name == self.name:
                         self._of_me(word)
 
-    def receive(self, now: int, sender: str, item: Ping | Ack | PingFor) -> None:
+    def receive(self, now: int, sender: str, item: Ping | Ack | IndirectPing) -> None:
         """One of the membership's own messages from a peer that is listened to."""
         if isinstance(item, Ping):
-            self._learn(now, item.words)
-            self.out(sender, Ack(item.number, "", self._news(sender)))
-        elif isinstance(item, PingFor):
+            self._learn(now, item.updates)
+            self.out(sender, Ack(item.sequence, "", self._news(sender)))
+        elif isinstance(item, IndirectPing):
             if item.target in self.members:
                 self.number += 1
-                self.asked_for[self.number] = (sender, item.number, item.target)
+                self.asked_for[self.number] = (sender, item.sequence, item.target)
                 self._trim()
                 self.out(item.target, Ping(self.number, []))
         else:
-            self._learn(now, item.words)
-            if item.number in self.asked_for:
-                asker, number, target = self.asked_for.pop(item.number)
+            self._learn(now, item.updates)
+            if item.sequence in self.asked_for:
+                asker, number, target = self.asked_for.pop(item.sequence)
                 self.out(asker, Ack(number, target, []))
-            elif item.number in self.probes:
+            elif item.sequence in self.probes:
                 self._answered(now, item)
 
     def _answered(self, now: int, ack: Ack) -> None:
-        probe = self.probes.pop(ack.number)
+        probe = self.probes.pop(ack.sequence)
         member = self.members.get(probe.target)
-        if ack.about and member is not None and member.state == SUSPECT:
+        if ack.target and member is not None and member.state == SUSPECT:
             self._set(now, member, member.incarnation, ALIVE, "answers through others")
 
     def tick(self, now: int) -> int:
@@ -163,7 +163,7 @@
             probe.widened = True
             others = [m.name for m in self.members.values() if m.state == ALIVE and m.name != probe.target]
             for name in self.random.sample(others, min(THROUGH, len(others))):
-                self.out(name, PingFor(number, probe.target))
+                self.out(name, IndirectPing(number, probe.target))
         elif waited >= 2 * self.period:
             del self.probes[number]
             member = self.members.get(probe.target)
@@ -198,25 +198,25 @@
         names = list(self.members)
         most = max(GREETED, GREETED * len(names) // GREETED_UP_TO)
         for name in self.random.sample(names, min(most, len(names))):
-            self.out(name, Ping(0, [Word(self.name, self.incarnation, ALIVE)]))
+            self.out(name, Ping(0, [GossipUpdate(self.name, self.incarnation, ALIVE)]))
 
     def leave(self) -> None:
         """This broker stops: some are told, and tell the others."""
         self.leaving, self._alive = True, None
-        word = [Word(self.name, self.incarnation, GONE)]
+        word = [GossipUpdate(self.name, self.incarnation, GONE)]
         living = [m.name for m in self.members.values() if m.state == ALIVE]
         for name in self.random.sample(living, min(8, len(living))):
             self.out(name, Ping(0, word))
 
     # News
 
-    def _word(self, member: Member) -> Word:
-        return Word(member.name, member.incarnation, member.state)
+    def _word(self, member: Member) -> GossipUpdate:
+        return GossipUpdate(member.name, member.incarnation, member.state)
 
-    def _news(self, to: str) -> list[Word]:
+    def _news(self, to: str) -> list[GossipUpdate]:
         """What rides on a message: the news told least often yet, and all that is known to who just began."""
         member = self.members.get(to)
-        own = Word(self.name, self.incarnation, GONE if self.leaving else ALIVE)
+        own = GossipUpdate(self.name, self.incarnation, GONE if self.leaving else ALIVE)
         if member is None or member.state != ALIVE or member.heard - member.since < 2 * self.period:
             known = [m for m in self.members.values() if m.incarnation]
             return [own] + [self._word(m) for m in self.random.sample(known, min(FIRST_WORDS, len(known)))]
@@ -229,20 +229,20 @@
                 del self.words[name]
         return [own] + [self._word(self.members[n]) for n in news if n in self.members]
 
-    def _learn(self, now: int, words: list[Word]) -> None:
+    def _learn(self, now: int, words: list[GossipUpdate]) -> None:
         for word in words:
             if word.name == self.name:
                 self._of_me(word)
             elif word.name in self.members and word.state in (ALIVE, SUSPECT, GONE):
                 self._of(now, self.members[word.name], word)
 
-    def _of_me(self, word: Word) -> None:
+    def _of_me(self, word: GossipUpdate) -> None:
         if word.incarnation > self.incarnation or (
             word.incarnation == self.incarnation and word.state != ALIVE and not self.leaving
         ):
             self.incarnation = word.incarnation + 1
 
-    def _of(self, now: int, member: Member, word: Word) -> None:
+    def _of(self, now: int, member: Member, word: GossipUpdate) -> None:
         newer = word.incarnation > member.incarnation
         worse = word.incarnation == member.incarnation and word.state > member.state
         # A rumour of suspicion does not outweigh having heard the peer itself just now.
--- a/cypressledge/fleet/messages.py
+++ b/cypressledge/fleet/messages.py
@@ -1,87 +1,104 @@
-"""What brokers say to each other: typed messages and their encoding (msgspec, MessagePack). No I/O.
+"""Messages between brokers of a fleet, and their encoding (msgspec, MessagePack). No I/O.
 
 One datagram is one `Envelope` with a list of items. MessagePack and msgspec's tagged structs are the whole
-format: a datagram has its own bounds, so there is no framing. Times in messages are spans in µs, never
-moments: brokers' clocks have nothing in common but their rate, within a bound.
+format: a datagram has its own bounds, so there is no framing. Structs are encoded by position: tags, the
+order of fields and `VERSION` are the wire format, names are not. Times in messages are durations in µs, never
+points in time: brokers' clocks share nothing but their rate, within a bound.
 """
 
+from enum import StrEnum
+
 import msgspec
 
-VERSION = 1  # of this set of messages; another one is counted and dropped
-LARGEST = 8_192  # bytes of one datagram
-ITEMS_MOST = 256
+VERSION = 1  # of this set of messages; datagrams of another version are counted and dropped
+MAX_DATAGRAM_BYTES = 8_192
+MAX_ITEMS = 256  # items of one envelope
+
+
+class RejectionReason(StrEnum):
+    """Why a voter rejects a vote request. The values are the wire format."""
+
+    HELD = "held"  # the vote is another process's still
+    VOTING_QUARANTINE = "mute"  # the voter has started too recently to vote
+    TOKEN = "token"  # the token requested is not above every one known
+    VOTERS_VERSION = "version"  # an older voter set, or one that has not settled
+    TERM = "term"  # longer than the longest term allowed
+    CAPACITY = "full"  # the voter keeps the state of no further lease
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Anything that an envelope carries."""
+    """Base of everything that an envelope carries."""
 
 
-class Look(Item, frozen=True, tag="look"):
-    """How does a lease stand with you? Binds nobody."""
+class LeaseStatusRequest(Item, frozen=True, tag="look"):
+    """Asks for the status of a lease at a voter. Binds nobody."""
 
     lease: str
 
 
-class Ask(Item, frozen=True, tag="ask"):
-    """Vote for me. `run` names the process, `round` the try, `term` is µs on the voter's clock."""
+class VoteRequest(Item, frozen=True, tag="ask"):
+    """Asks for a vote. `instance_id` names the process, `round` its attempt; `term` is µs on the voter's
+    clock, `voters_version` the voter set that the requester goes by."""
 
     lease: str
-    run: int
+    instance_id: int
     round: int
     token: int
     term: int
-    version: int  # of the voter set that the asker goes by
-    renews: bool = False  # the asker holds the lease under this token
+    voters_version: int
+    renewal: bool = False  # the requester holds the lease under this token
 
 
-class GiveBack(Item, frozen=True, tag="back"):
-    """I hold it no more: votes of mine up to this round are free."""
+class ReleaseLease(Item, frozen=True, tag="back"):
+    """Frees the sender's votes for a lease up to and including this round."""
 
     lease: str
-    run: int
+    instance_id: int
     round: int
 
 
-class Seen(Item, frozen=True, tag="seen"):
-    """How a lease stands with this voter. `left` is µs until its vote is free, `mute` µs until it votes."""
+class LeaseStatus(Item, frozen=True, tag="seen"):
+    """The status of a lease at one voter. `remaining`: µs until its vote expires; `voting_quarantine`: µs
+    until it votes at all."""
 
     lease: str
     holder: str
-    left: int
+    remaining: int
     token: int
-    mute: int
+    voting_quarantine: int
 
 
-class Grant(Item, frozen=True, tag="grant"):
-    """My vote is yours for the term asked."""
+class VoteGranted(Item, frozen=True, tag="grant"):
+    """The vote is granted for the term requested."""
 
     lease: str
-    run: int
+    instance_id: int
     round: int
     token: int
 
 
-class Refuse(Item, frozen=True, tag="refuse"):
-    """No vote. `why`: held, mute, token, version, term, full."""
+class VoteRejected(Item, frozen=True, tag="refuse"):
+    """No vote. `reason`: a `RejectionReason`, or a later version's; `remaining`: µs until it may be
+    granted."""
 
     lease: str
-    run: int
+    instance_id: int
     round: int
-    why: str
+    reason: str
     holder: str
-    left: int
+    remaining: int
     token: int
 
 
-class Freed(Item, frozen=True, tag="freed"):
-    """A hint to those next in line: I gave this back; `token` was mine."""
+class LeaseReleased(Item, frozen=True, tag="freed"):
+    """Tells the next candidates that the holder under `token` has released a lease. A hint: may get lost."""
 
     lease: str
     token: int
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member: `state` is 0 alive, 1 suspect, 2 gone."""
+class GossipUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """The state of a member as the sender knows it: 0 alive, 1 suspect, 2 gone."""
 
     name: str
     incarnation: int
@@ -89,165 +106,170 @@
 
 
 class Ping(Item, frozen=True, tag="ping"):
-    """Are you there? `words` ride along."""
+    """A health check of the receiver, with gossip."""
 
-    number: int
-    words: list[Word]
+    sequence: int
+    updates: list[GossipUpdate]
 
 
 class Ack(Item, frozen=True, tag="ack"):
-    """I am, or `about` is, if it was asked for through me."""
+    """The answer to a ping; `target` is empty, or the member that was pinged on the receiver's behalf."""
 
-    number: int
-    about: str
-    words: list[Word]
+    sequence: int
+    target: str
+    updates: list[GossipUpdate]
 
 
-class PingFor(Item, frozen=True, tag="pingfor"):
-    """Ask this one for me: I can't reach it."""
+class IndirectPing(Item, frozen=True, tag="pingfor"):
+    """Asks the receiver to ping `target`, which the sender can't reach."""
 
-    number: int
+    sequence: int
     target: str
 
 
-class FiguresWanted(Item, frozen=True, tag="want"):
-    """The summary's holder asks for figures, under its token."""
+class MetricsRequest(Item, frozen=True, tag="want"):
+    """The holder of the summary's lease asks for a broker's metrics, under its token."""
 
     lease: str
     token: int
-    run: int
+    instance_id: int
 
 
-class Figures(Item, frozen=True, tag="figures"):
-    """One broker's counters: by class success, overload, error, dispatches; the engines it avoids."""
+class BrokerMetrics(Item, frozen=True, tag="figures"):
+    """One broker's counters. `counts_by_class`: success, overload, error, dispatches."""
 
     token: int
-    classes: dict[str, list[int]]
-    avoided: list[str]
-    ready: int
-    open: int
+    counts_by_class: dict[str, list[int]]
+    avoided_engines: list[str]
+    ready_engines: int
+    open_requests: int
 
 
-class Summary(Item, frozen=True, tag="summary"):
-    """All brokers' figures merged by the holder of `token`. `engines`: how many brokers avoid each."""
+class FleetSummary(Item, frozen=True, tag="summary"):
+    """All brokers' metrics merged by the holder of `token`. `avoided_engines`: how many brokers avoid
+    each."""
 
     token: int
-    run: int
+    instance_id: int
     holder: str
-    brokers: int
-    missing: list[str]
-    classes: dict[str, list[int]]
-    engines: dict[str, int]
+    broker_count: int
+    missing_brokers: list[str]
+    counts_by_class: dict[str, list[int]]
+    avoided_engines: dict[str, int]
 
 
-class EngineSeen(msgspec.Struct, frozen=True, array_like=True):
-    """How one broker's attempts at one engine went. `engine`: its number, as all brokers have it."""
+class EngineObservation(msgspec.Struct, frozen=True, array_like=True):
+    """How one broker's attempts at one engine ended. `engine`: its number, the same at all brokers."""
 
     engine: int
-    ok: int
-    late: int
-    refused: int
-    broken: int
-    silent: int
-    work: int = 0  # µs of processor work that was answered
-    fails: int = 0  # in a row, since its last answer
-    answered_ms: int = -1  # ms since its last answer; -1: none is known
+    succeeded: int
+    late: int  # succeeded, but well after the expected run time
+    connect_failed: int
+    failed: int
+    timed_out: int
+    cpu_time: int = 0  # µs of engine processor time of the attempts that succeeded
+    consecutive_failures: int = 0
+    last_answer_age_ms: int = -1  # -1: no answer is known
 
 
-class Sight(Item, frozen=True, tag="sight"):
-    """What one broker's links saw in the last two seconds; `tenants`: requests that came in those; `alone`:
-    zones that it has left by itself."""
+class EngineObservations(Item, frozen=True, tag="sight"):
+    """One broker's attempts of the last two seconds; `requests_by_tenant`: requests received in those;
+    `locally_evacuated_zones`: zones that it has left without a plan."""
 
-    engines: list[EngineSeen]
-    tenants: dict[str, int] = {}
-    alone: list[str] = []
+    engines: list[EngineObservation]
+    requests_by_tenant: dict[str, int] = {}
+    locally_evacuated_zones: list[str] = []
 
 
-class ZoneStands(msgspec.Struct, frozen=True, array_like=True):
-    """Where a zone is. `share` in permille; `age` and `hand_left` in µs; `by_hand`: out, hold or nothing."""
+class ZoneStatus(msgspec.Struct, frozen=True, array_like=True):
+    """The status of a zone or region in the plan. `share` in permille; `age` and `override_remaining` in µs;
+    `operator_override`: out, practice, hold or empty."""
 
     name: str
     stage: str
     share: int
     age: int
     flaps: int
-    by_hand: str
-    hand_left: int
-    why: str
+    operator_override: str
+    override_remaining: int
+    reason: str
 
 
-class Plan(Item, frozen=True, tag="plan"):
+class FailoverPlan(Item, frozen=True, tag="plan"):
     """The fleet's plan for its zones and regions, by the holder of `token`. `shed`: the part of each tenant's
-    requests that is refused, permille."""
+    requests to reject, permille."""
 
     token: int
-    run: int
+    instance_id: int
     number: int
-    zones: list[ZoneStands]
-    regions: list[ZoneStands] = []
+    zones: list[ZoneStatus]
+    regions: list[ZoneStatus] = []
     shed: dict[str, int] = {}
 
 
-class ZoneWish(Item, frozen=True, tag="zonewish"):
-    """An operator's wish, passed on to the planner. `what`: leave, practice, hold, return; `span` in µs."""
+class ZoneCommand(Item, frozen=True, tag="zonewish"):
+    """An operator's command for a zone, forwarded to the planner. `action`: leave, practice, hold or return;
+    `duration` in µs."""
 
     zone: str
-    what: str
-    span: int
-    why: str
+    action: str
+    duration: int
+    reason: str
 
 
-class PlanWanted(Item, frozen=True, tag="planwanted"):
-    """A broker that starts, or has heard no plan for long, asks for the newest."""
+class PlanRequest(Item, frozen=True, tag="planwanted"):
+    """Asks for the newest plan: from a broker that starts, or has received none for long."""
 
 
-Items = (
-    Look
-    | Ask
-    | GiveBack
-    | Seen
-    | Grant
-    | Refuse
-    | Freed
+AnyItem = (
+    LeaseStatusRequest
+    | VoteRequest
+    | ReleaseLease
+    | LeaseStatus
+    | VoteGranted
+    | VoteRejected
+    | LeaseReleased
     | Ping
     | Ack
-    | PingFor
-    | FiguresWanted
-    | Figures
-    | Summary
-    | Sight
-    | Plan
-    | PlanWanted
-    | ZoneWish
+    | IndirectPing
+    | MetricsRequest
+    | BrokerMetrics
+    | FleetSummary
+    | EngineObservations
+    | FailoverPlan
+    | PlanRequest
+    | ZoneCommand
 )
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram. `voters`: version of the sender's voter set; `floor`: the oldest version it answers."""
+    """One datagram. `voters_version`: version of the sender's voter set; `oldest_voters_version`: the oldest
+    that it answers."""
 
-    v: int
+    version: int
     sender: str
-    to: str
-    run: int
+    recipient: str
+    instance_id: int
     incarnation: int
-    voters: int
-    floor: int
-    items: list[Items]
+    voters_version: int
+    oldest_voters_version: int
+    items: list[AnyItem]
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
+class EnvelopeHeader(msgspec.Struct, frozen=True, array_like=True):
     """The part of an envelope that every version has."""
 
-    v: int
+    version: int
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Envelope).decode
-_head = msgspec.msgpack.Decoder(Head).decode
+_decode_header = msgspec.msgpack.Decoder(EnvelopeHeader).decode
 
 
-class Unreadable(Exception):
-    """A datagram that is dropped; its text is the name of the count: garbled, version, large."""
+class InvalidDatagramError(Exception):
+    """A datagram that is dropped; its text is the suffix of the counter `fleet.bad_…`: garbled, version,
+    large."""
 
 
 def encode(envelope: Envelope) -> bytes:
@@ -256,22 +278,22 @@
 
 
 def decode(raw: bytes) -> Envelope:
-    """The envelope of a datagram. Raises `Unreadable`, and nothing else, whatever the bytes are."""
-    if len(raw) > LARGEST:
-        raise Unreadable("large")
+    """The envelope of a datagram. Raises `InvalidDatagramError`, and nothing else, whatever the bytes are."""
+    if len(raw) > MAX_DATAGRAM_BYTES:
+        raise InvalidDatagramError("large")
     try:
         envelope = _decode(raw)
     except (msgspec.MsgspecError, ValueError, RecursionError):
-        raise Unreadable(_why(raw)) from None
-    if envelope.v != VERSION:
-        raise Unreadable("version")
-    if len(envelope.items) > ITEMS_MOST:
-        raise Unreadable("large")
+        raise InvalidDatagramError(_invalid_reason(raw)) from None
+    if envelope.version != VERSION:
+        raise InvalidDatagramError("version")
+    if len(envelope.items) > MAX_ITEMS:
+        raise InvalidDatagramError("large")
     return envelope
 
 
-def _why(raw: bytes) -> str:
+def _invalid_reason(raw: bytes) -> str:
     try:
-        return "garbled" if _head(raw).v == VERSION else "version"
+        return "garbled" if _decode_header(raw).version == VERSION else "version"
     except (msgspec.MsgspecError, ValueError, RecursionError):
         return "garbled"
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -22,16 +22,16 @@
 from cypressledge.fleet.members import STATES, Member, Members
 from cypressledge.fleet.messages import (
     Ack,
-    Ask,
     Envelope,
-    Freed,
-    GiveBack,
-    Grant,
-    Look,
+    IndirectPing,
+    LeaseReleased,
+    LeaseStatus,
+    LeaseStatusRequest,
     Ping,
-    PingFor,
-    Refuse,
-    Seen,
+    ReleaseLease,
+    VoteGranted,
+    VoteRejected,
+    VoteRequest,
 )
 
 AT_ONCE = 16  # datagrams looked at before others have their turn
@@ -42,9 +42,11 @@
 SLEEP_MOST = 1.0  # seconds that the owner sleeps at a time: a suspended machine's timers stand still
 RUN_BITS = 62
 TURNS_KEPT = 256  # turns whose times are kept
-OF_MEMBERS = frozenset((Ping, Ack, PingFor))
-OF_LEASES = frozenset((Look, Ask, GiveBack, Seen, Grant, Refuse, Freed))
-URGENT = frozenset((Freed, GiveBack, Refuse, PingFor))
+OF_MEMBERS = frozenset((Ping, Ack, IndirectPing))
+OF_LEASES = frozenset(
+    (LeaseStatusRequest, VoteRequest, ReleaseLease, LeaseStatus, VoteGranted, VoteRejected, LeaseReleased)
+)
+URGENT = frozenset((LeaseReleased, ReleaseLease, VoteRejected, IndirectPing))
 QUIET = ("not_won", "voted_not")  # events that are counted only
 
 Handler = Callable[[str, object], None]  # gets the sender's name and an item
@@ -242,7 +244,7 @@
         come. Renewals and pings do."""
         items = (i for e in self.exchange.inbox for i in e.items)
         return self.keeper.asking() or any(
-            type(i) in self.urgent or (type(i) is Ask and not i.renews) for i in items
+            type(i) in self.urgent or (type(i) is VoteRequest and not i.renewal) for i in items
         )
 
     def _receive(self, now: int, envelope: Envelope) -> None:
@@ -251,8 +253,8 @@
             self.counters.add("fleet.former_self")
             self.members.refute(envelope.items)
             return
-        self.electorate.hear(now, envelope.sender, envelope.floor)
-        self.versions[envelope.sender] = envelope.voters
+        self.electorate.hear(now, envelope.sender, envelope.oldest_voters_version)
+        self.versions[envelope.sender] = envelope.voters_version
         for item in envelope.items:
             kind = type(item)
             if kind in OF_MEMBERS:
--- a/cypressledge/fleet/part.py
+++ b/cypressledge/fleet/part.py
@@ -18,13 +18,13 @@
 from cypressledge.fleet.lease import Electorate, VoterSetError
 from cypressledge.fleet.members import STATES
 from cypressledge.fleet.messages import (
-    Figures,
-    FiguresWanted,
-    Plan,
-    PlanWanted,
-    Sight,
-    Summary,
-    ZoneWish,
+    BrokerMetrics,
+    EngineObservations,
+    FailoverPlan,
+    FleetSummary,
+    MetricsRequest,
+    PlanRequest,
+    ZoneCommand,
 )
 from cypressledge.fleet.node import FleetNode, Handler
 from cypressledge.fleet.ranks import line
@@ -35,9 +35,9 @@
 from cypressledge.fleet.zoneplan import Pace
 from cypressledge.fleet.zones import STEP_S, Site, Zones
 
-OF_ZONES = (Sight, Plan, PlanWanted, ZoneWish)
-OF_SUMMARIES = (FiguresWanted, Figures, Summary)
-URGENT = (Plan, ZoneWish, PlanWanted)
+OF_ZONES = (EngineObservations, FailoverPlan, PlanRequest, ZoneCommand)
+OF_SUMMARIES = (MetricsRequest, BrokerMetrics, FleetSummary)
+URGENT = (FailoverPlan, ZoneCommand, PlanRequest)
 FAR = 1_000_000  # µs: without zones nothing else is due sooner
 TURNS_KEPT = 4_096  # minutes of the owner's turns
 
@@ -213,7 +213,7 @@
         self.counters.add(f"fleet.{event}")
         self.log.info(event, **what)
 
-    def _figures(self, token: int) -> Figures:
+    def _figures(self, token: int) -> BrokerMetrics:
         held = self.core.manager.engines
         avoided = [
             p.name
--- a/cypressledge/fleet/tasks.py
+++ b/cypressledge/fleet/tasks.py
@@ -10,7 +10,7 @@
 from gevent import socket
 
 from cypressledge.fleet.keeper import Granted
-from cypressledge.fleet.messages import Figures, FiguresWanted, Summary
+from cypressledge.fleet.messages import BrokerMetrics, FleetSummary, MetricsRequest
 from cypressledge.fleet.runner import CalledOff
 from cypressledge.fleet.summary import Fence, Merge
 
@@ -25,7 +25,7 @@
     def __init__(
         self,
         name: str,
-        own: Callable[[int], Figures],
+        own: Callable[[int], BrokerMetrics],
         peers: Callable[[], list[str]],
         everyone: Callable[[], list[str]],
         out: Callable[[str, object], None],
@@ -35,7 +35,7 @@
         self.everyone = everyone  # all that the file names, alive or not
         self.merge: Merge | None = None
         self.fences: dict[str, Fence] = {}
-        self.last: Summary | None = None
+        self.last: FleetSummary | None = None
         self.last_at = 0
         self.turned_down = 0
 
@@ -46,7 +46,7 @@
         merge.add(self.name, self.own(grant.token))
         for at in range(0, len(peers), BATCH):
             for peer in peers[at : at + BATCH]:
-                self.out(peer, FiguresWanted(grant.lease, grant.token, grant.run))
+                self.out(peer, MetricsRequest(grant.lease, grant.token, grant.run))
             yield None
         yield GATHER_S
         summary = merge.summary(self.everyone())
@@ -57,22 +57,22 @@
             yield None
         self._take(summary)
 
-    def receive(self, sender: str, item: FiguresWanted | Figures | Summary) -> None:
+    def receive(self, sender: str, item: MetricsRequest | BrokerMetrics | FleetSummary) -> None:
         """A peer's message about summaries. An older holder's is turned down."""
-        if isinstance(item, FiguresWanted):
-            if self.fences.setdefault(item.lease, Fence()).admits(item.token, item.run):
+        if isinstance(item, MetricsRequest):
+            if self.fences.setdefault(item.lease, Fence()).admits(item.token, item.instance_id):
                 self.out(sender, self.own(item.token))
             else:
                 self.turned_down += 1
-        elif isinstance(item, Figures):
+        elif isinstance(item, BrokerMetrics):
             if self.merge is not None:
                 self.merge.add(sender, item)
-        elif self.fences.setdefault("", Fence()).admits(item.token, item.run):
+        elif self.fences.setdefault("", Fence()).admits(item.token, item.instance_id):
             self._take(item)
         else:
             self.turned_down += 1
 
-    def _take(self, summary: Summary) -> None:
+    def _take(self, summary: FleetSummary) -> None:
         self.last, self.last_at = summary, self.now()
 
     def show(self) -> dict | None:
@@ -85,10 +85,10 @@
             "holder": s.holder,
             "token": s.token,
             "age_s": age,
-            "brokers": s.brokers,
-            "missing": s.missing,
-            "classes": s.classes,
-            "engines_avoided": s.engines,
+            "brokers": s.broker_count,
+            "missing": s.missing_brokers,
+            "classes": s.counts_by_class,
+            "engines_avoided": s.avoided_engines,
         }
 
 
--- a/cypressledge/fleet/zoneplan.py
+++ b/cypressledge/fleet/zoneplan.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 
 from cypressledge.fleet.judge import Finding, Verdict
-from cypressledge.fleet.messages import Plan, ZoneStands
+from cypressledge.fleet.messages import FailoverPlan, ZoneStatus
 
 FULL = 1_000  # permille: a whole share
 STEP = 16  # parts that a return goes in
@@ -125,15 +125,15 @@
 
     # Taking over, and being told
 
-    def resume(self, number: int, stand: list[ZoneStands], short: bool, now: int) -> None:
+    def resume(self, number: int, stand: list[ZoneStatus], short: bool, now: int) -> None:
         """Go on from another planner's plan: shares and ages as they stand, so that nothing jumps."""
         self.number, self.short = max(self.number, number), short
         for stands in stand:
             if stands.name in self.zones:
                 zone = self.zones[stands.name]
                 zone.stage, zone.share = Stage(stands.stage), stands.share
-                zone.since, zone.flaps, zone.why = now - stands.age, stands.flaps, stands.why
-                zone.by_hand, zone.hand_until = stands.by_hand, now + stands.hand_left
+                zone.since, zone.flaps, zone.why = now - stands.age, stands.flaps, stands.reason
+                zone.by_hand, zone.hand_until = stands.operator_override, now + stands.override_remaining
         self.told_key = self._key()
 
     def leave(self, name: str, now: int, until: int, why: str, practice: bool = False) -> None:
@@ -330,10 +330,10 @@
 
     # The plan
 
-    def stands(self, now: int) -> list[ZoneStands]:
+    def stands(self, now: int) -> list[ZoneStatus]:
         """How all zones stand."""
         return [
-            ZoneStands(
+            ZoneStatus(
                 z.name,
                 z.stage.value,
                 z.share,
@@ -353,16 +353,16 @@
 
     def __init__(self, broker: str, region: dict[str, str] | None = None, alone_after: int = 3 * S) -> None:
         self.broker, self.region, self.alone_after = broker, region or {}, alone_after
-        self.plan: Plan | None = None
-        self.stands: dict[str, ZoneStands] = {}
+        self.plan: FailoverPlan | None = None
+        self.stands: dict[str, ZoneStatus] = {}
         self.heard = self.back = 0  # when a plan came last; when the last time without a planner ended
         self.alone: set[str] = set()  # zones left on own evidence
         self.turned_down = 0
 
-    def take(self, plan: Plan, now: int) -> bool:
+    def take(self, plan: FailoverPlan, now: int) -> bool:
         """Take a plan unless it is an older one; whether it was taken."""
         old = self.plan
-        twin = old is not None and plan.token == old.token and plan.run != old.run
+        twin = old is not None and plan.token == old.token and plan.instance_id != old.instance_id
         if twin or (old is not None and self.older(plan, old)):
             self.turned_down += 1
             return False
@@ -376,7 +376,7 @@
         self.alone = set() if told else self.alone & kept
         return True
 
-    def older(self, plan: Plan, known: Plan) -> bool:
+    def older(self, plan: FailoverPlan, known: FailoverPlan) -> bool:
         """Whether a plan is older than the one known: its planner's token, then its number."""
         return (plan.token, plan.number) < (known.token, known.number)
 
--- a/cypressledge/fleet/zones.py
+++ b/cypressledge/fleet/zones.py
@@ -15,7 +15,7 @@
 from cypressledge.fleet.evidence import Evidence
 from cypressledge.fleet.judge import FADE, Judgement, Told, judge, judging
 from cypressledge.fleet.keeper import Granted
-from cypressledge.fleet.messages import Plan, PlanWanted, Sight, ZoneWish
+from cypressledge.fleet.messages import EngineObservations, FailoverPlan, PlanRequest, ZoneCommand
 from cypressledge.fleet.shed import SPAN_S, Arrivals, is_shed, over_part, over_shares, refused
 from cypressledge.fleet.zoneplan import FULL, Follower, Load, Pace, Planner, Stage, able
 
@@ -72,7 +72,7 @@
         self.evidence, self.arrivals = Evidence(), Arrivals()
         self.follower = Follower(name, site.region)
         self.follower.heard = now()
-        self.sights: dict[str, tuple[int, Sight]] = {}
+        self.sights: dict[str, tuple[int, EngineObservations]] = {}
         self.planner: Planner | None = None
         self.regions: Planner | None = None
         self.grant: Granted | None = None
@@ -148,20 +148,22 @@
 
     # What peers tell
 
-    def receive(self, sender: str, item: Sight | Plan | PlanWanted | ZoneWish) -> None:
+    def receive(
+        self, sender: str, item: EngineObservations | FailoverPlan | PlanRequest | ZoneCommand
+    ) -> None:
         """A peer's message about zones."""
         now = self.now()
-        if isinstance(item, Sight):
+        if isinstance(item, EngineObservations):
             self.sights[sender] = (now, item)
-        elif isinstance(item, Plan):
+        elif isinstance(item, FailoverPlan):
             self._take(item, sender, now)
-        elif isinstance(item, ZoneWish):
+        elif isinstance(item, ZoneCommand):
             if self.planner is not None:
                 self._wish(item, now)
         elif self.follower.plan is not None:
             self.out(sender, self.follower.plan)
 
-    def _take(self, plan: Plan, sender: str, now: int) -> None:
+    def _take(self, plan: FailoverPlan, sender: str, now: int) -> None:
         before = self._shares()
         alone = set(self.follower.alone)
         if self.follower.take(plan, now):
@@ -185,8 +187,10 @@
             return self.due
         self.due = now + EVERY
         self._look(now)
-        sight = Sight(self.evidence.sight(now), self.arrivals.counts(now), sorted(self.follower.alone))
-        bad = any(e.fails or e.late for e in sight.engines)
+        sight = EngineObservations(
+            self.evidence.sight(now), self.arrivals.counts(now), sorted(self.follower.alone)
+        )
+        bad = any(e.consecutive_failures or e.late for e in sight.engines)
         if now - self.sent_at >= (EVERY if bad else IDLE_EVERY):
             self.sent_at = now
             self.sights[self.name] = (now, sight)
@@ -208,7 +212,7 @@
             self.core.refresh()
         return self.due
 
-    def _own(self, sight: Sight) -> Told:
+    def _own(self, sight: EngineObservations) -> Told:
         return Told(self.name, self.site.broker_zone.get(self.name, ""), 0, sight)
 
     def _wait_for_plan(self, now: int) -> None:
@@ -216,7 +220,7 @@
             self.waiting = False
             return
         for peer in self.peers()[:5]:
-            self.out(peer, PlanWanted())
+            self.out(peer, PlanRequest())
 
     # The planner, under a lease
 
@@ -244,7 +248,7 @@
         if changed or now - self.said_at >= AGAIN.get(self.said, REPEAT):
             self.said_at, self.said = now, self.said + 1
             shed = refused(counts, over, self._excess(counts, loads, now))
-            plan = Plan(
+            plan = FailoverPlan(
                 grant.token,
                 grant.run,
                 self.planner.number + self.regions.number,
@@ -260,7 +264,7 @@
         """Take on what most brokers left by themselves, so that they do not come back all at once."""
         fresh = [t for t in told if t.age < FADE]
         for name, zone in self.planner.zones.items():
-            alone = sum(name in t.sight.alone for t in fresh)
+            alone = sum(name in t.sight.locally_evacuated_zones for t in fresh)
             others = any(z.share == FULL for z in self.planner.zones.values() if z is not zone)
             if zone.stage is Stage.SERVING and others and alone >= max(2, len(fresh) / 2):
                 self.planner.adopt(name, now, f"{alone} of {len(fresh)} brokers left it without a planner")
@@ -287,10 +291,10 @@
             if z.stage not in (Stage.SERVING, Stage.SUSPECT)
         ]
         fresh = [s for at, s in self.sights.values() if now - at < FADE]
-        answers = sum(e.ok + e.late for s in fresh for e in s.engines)
+        answers = sum(e.succeeded + e.late for s in fresh for e in s.engines)
         if not away or not answers:
             return 0.0
-        each = sum(e.work for s in fresh for e in s.engines) / answers / 1e6
+        each = sum(e.cpu_time for s in fresh for e in s.engines) / answers / 1e6
         comes = sum(counts.values()) / SPAN_S * each
         bears = sum(load.cores * self._can(zone, now) for zone, load in loads.items()) * self.pace.bear
         return max(0.0, 1 - bears / comes) if comes else 0.0
@@ -305,7 +309,7 @@
         total: Counter[str] = Counter()
         for at, sight in self.sights.values():
             if now - at < FADE:
-                total.update(sight.tenants)
+                total.update(sight.requests_by_tenant)
         return total
 
     def step_down_from(self, lease: str) -> None:
@@ -355,7 +359,7 @@
             if now - at < 3_000_000:
                 for seen in sight.engines:
                     if seen.engine in zone_of:
-                        used[zone_of[seen.engine]] += seen.work / 2_000_000
+                        used[zone_of[seen.engine]] += seen.cpu_time / 2_000_000
         return {z: Load(used[z], cores[z]) for z in self.names}
 
     def _summed(self, loads: dict[str, Load]) -> dict[str, Load]:
@@ -388,7 +392,7 @@
 
     def wish(self, zone: str, what: str, span: int, why: str) -> str:
         """An operator's wish; where it went."""
-        wish = ZoneWish(zone, what, span, why)
+        wish = ZoneCommand(zone, what, span, why)
         if self.planner is not None:
             self._wish(wish, self.now())
             return self.name
@@ -396,17 +400,17 @@
             self.out(self.planner_name, wish)
         return self.planner_name
 
-    def _wish(self, wish: ZoneWish, now: int, planner: Planner | None = None) -> None:
+    def _wish(self, wish: ZoneCommand, now: int, planner: Planner | None = None) -> None:
         planner = planner or self._planner_of(wish.zone)
         if wish.zone not in planner.zones:
             return
-        if wish.what in ("leave", "practice"):
-            why = f"{'practice' if wish.what == 'practice' else 'by hand'}: {wish.why}"
-            planner.leave(wish.zone, now, now + wish.span, why, wish.what == "practice")
-        elif wish.what == "hold":
-            planner.hold(wish.zone, now, now + wish.span, f"held by hand: {wish.why}")
+        if wish.action in ("leave", "practice"):
+            why = f"{'practice' if wish.action == 'practice' else 'by hand'}: {wish.reason}"
+            planner.leave(wish.zone, now, now + wish.duration, why, wish.action == "practice")
+        elif wish.action == "hold":
+            planner.hold(wish.zone, now, now + wish.duration, f"held by hand: {wish.reason}")
         else:
-            planner.back(wish.zone, now, f"by hand: {wish.why}")
+            planner.back(wish.zone, now, f"by hand: {wish.reason}")
 
     def _planner_of(self, name: str) -> Planner:
         return self.regions if name in self.regions.zones else self.planner
@@ -424,7 +428,7 @@
             whole.told = told
         now, at = self.now(), 0
         trial.told = lambda event, name, words: said.append(f"after {at / 1e6:g} s: {event} {name}: {words}")
-        self._wish(ZoneWish(zone, what, span, why), now, trial)
+        self._wish(ZoneCommand(zone, what, span, why), now, trial)
         counts, loads = self._counts(now), self.loads()
         part = over_part(counts, over_shares(counts, self.site.quotas))
         found = self.judgement
@@ -450,9 +454,9 @@
                     "share": (self.follower.share(name)) / FULL,
                     "alone": name in self.follower.alone,
                     "flaps": stands.flaps if stands else 0,
-                    "by_hand": stands.by_hand if stands else "",
+                    "by_hand": stands.operator_override if stands else "",
                     "finding": finding.verdict.value if finding else "",
-                    "why": stands.why if stands else "",
+                    "why": stands.reason if stands else "",
                 }
             )
         return {
--- a/cypressledge/lab/explore.py
+++ b/cypressledge/lab/explore.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 
 from cypressledge.fleet.lease import NEVER, Claim, Electorate, Voter, VoterSetError
-from cypressledge.fleet.messages import Ask, GiveBack, Grant
+from cypressledge.fleet.messages import ReleaseLease, VoteGranted, VoteRequest
 
 LEASE = "l"
 TICK = {"slow": 4, "true": 5, "fast": 6}  # µs of a clock in a tick of real time: drift of one part in five
@@ -197,10 +197,12 @@
     return d
 
 
-def _item_key(m: object) -> tuple:
-    if isinstance(m, GiveBack):
-        return "back", m.run, m.round
-    return type(m).__name__, m.run, m.round, m.token, getattr(m, "version", 0), getattr(m, "renews", False)
+def _item_key(m: VoteRequest | VoteGranted | ReleaseLease) -> tuple:
+    if isinstance(m, ReleaseLease):
+        return "back", m.instance_id, m.round
+    if isinstance(m, VoteRequest):
+        return "ask", m.instance_id, m.round, m.token, m.voters_version, m.renewal
+    return "grant", m.instance_id, m.round, m.token, 0, False
 
 
 def _electorate_key(e: Electorate, now: int) -> tuple:
@@ -257,9 +259,9 @@
 
 
 def _words(item: object) -> str:
-    if isinstance(item, Ask):
+    if isinstance(item, VoteRequest):
         return f"Ask(round {item.round}, token {item.token})"
-    if isinstance(item, Grant):
+    if isinstance(item, VoteGranted):
         return f"Grant(round {item.round}, token {item.token})"
     return type(item).__name__
 
@@ -328,11 +330,11 @@
         c.granted(now, source, item)
         return
     voter = w.own_voter(to)
-    if isinstance(item, GiveBack):
+    if isinstance(item, ReleaseLease):
         voter.give_back(item)
         return
     answer = voter.ask(now, source, item)
-    if isinstance(answer, Grant):  # refusals only tell of tokens, which `floors` does here
+    if isinstance(answer, VoteGranted):  # refusals only tell of tokens, which `floors` does here
         _send(w, to, source, answer)
 
 
--- a/cypressledge/lab/mutants.py
+++ b/cypressledge/lab/mutants.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from cypressledge.fleet.lease import NEVER, Claim, Electorate, Voter
-from cypressledge.fleet.messages import Ask, GiveBack, Grant
+from cypressledge.fleet.messages import ReleaseLease, VoteGranted, VoteRequest
 from cypressledge.lab.explore import Bounds, Made
 
 ONE = {1: ("a", "b", "c")}
@@ -78,7 +78,7 @@
 class LateTimer(Claim):
     """Counts a vote from when it hears of it."""
 
-    def granted(self, now: int, voter: str, grant: Grant) -> bool:
+    def granted(self, now: int, voter: str, grant: VoteGranted) -> bool:
         """As if the round had begun just now."""
         if not self.counts(grant):
             return False
@@ -89,7 +89,7 @@
 class AnyToken(Voter):
     """Grants under any token."""
 
-    def grows(self, standing, ask: Ask) -> bool:
+    def grows(self, standing, ask: VoteRequest) -> bool:
         """Always."""
         return True
 
@@ -105,9 +105,9 @@
 class AnyBack(Voter):
     """Takes a giving back of an earlier round for one of the vote that is out."""
 
-    def covers(self, vote, back: GiveBack) -> bool:
+    def covers(self, vote, back: ReleaseLease) -> bool:
         """Whatever the round."""
-        return vote.run == back.run
+        return vote.run == back.instance_id
 
 
 class AnyRenewal(Claim):
--- a/cypressledge/lab/slopes.py
+++ b/cypressledge/lab/slopes.py
@@ -32,7 +32,15 @@
 from cypressledge.decisions import contract as c
 from cypressledge.fleet import settings as fleet_settings
 from cypressledge.fleet.keeper import Granted
-from cypressledge.fleet.messages import VERSION, EngineSeen, Envelope, Figures, Sight, decode, encode
+from cypressledge.fleet.messages import (
+    VERSION,
+    BrokerMetrics,
+    EngineObservation,
+    EngineObservations,
+    Envelope,
+    decode,
+    encode,
+)
 from cypressledge.fleet.summary import ENGINES_MOST, Merge
 from cypressledge.fleet.zoneplan import Pace
 from cypressledge.fleet.zones import Site, Zones
@@ -500,15 +508,15 @@
 # The planner and the summary
 
 
-def sight(engines: list[int], bad: frozenset[int]) -> Sight:
+def sight(engines: list[int], bad: frozenset[int]) -> EngineObservations:
     """What a broker tells of the engines it used: 64 at most, as `Evidence.sight` bounds it."""
 
-    def seen(engine: int) -> EngineSeen:
+    def seen(engine: int) -> EngineObservation:
         if engine in bad:
-            return EngineSeen(engine, 0, 0, 0, 3, 1, 0, 4, 900)
-        return EngineSeen(engine, 40, 0, 0, 0, 0, 400_000, 0, 12)
+            return EngineObservation(engine, 0, 0, 0, 3, 1, 0, 4, 900)
+        return EngineObservation(engine, 40, 0, 0, 0, 0, 400_000, 0, 12)
 
-    return Sight([seen(e) for e in engines[:64]], {"sahel": 1_000}, [])
+    return EngineObservations([seen(e) for e in engines[:64]], {"sahel": 1_000}, [])
 
 
 def planner(brokers: int, engines: int, lost: bool, seed: int) -> tuple[Zones, list[tuple[str, object]]]:
@@ -563,10 +571,10 @@
     return len(encode(Envelope(VERSION, "n000", "n001", 1 << 61, 3, 1, 1, list(items)))) + HEADERS
 
 
-def figures_of(engines: int, avoided: int) -> Figures:
+def figures_of(engines: int, avoided: int) -> BrokerMetrics:
     """A broker's figures with so many engines avoided, 128 at most."""
     classes = {name: [40_000_000, 12_000, 3_000, 41_000_000] for name in ("lookup", "report", "order-load")}
-    return Figures(
+    return BrokerMetrics(
         7,
         classes,
         [f"s-{stable_hash(f's-{i}', 4):08x}" for i in range(min(avoided, ENGINES_MOST))],
--- a/cypressledge/lab/virtual.py
+++ b/cypressledge/lab/virtual.py
@@ -16,7 +16,7 @@
 from cypressledge.fleet.keeper import Keeper, places
 from cypressledge.fleet.lease import Electorate
 from cypressledge.fleet.members import ALIVE, Members
-from cypressledge.fleet.messages import VERSION, Ack, Envelope, Ping, PingFor, encode
+from cypressledge.fleet.messages import VERSION, Ack, Envelope, IndirectPing, Ping, encode
 
 S = 1_000_000
 GATHER = 10_000  # µs that a broker takes datagrams together for, as the program does
@@ -70,7 +70,7 @@
                 continue
             self.keeper.electorate.hear(now, sender, floor)
             for item in items:
-                if isinstance(item, Ping | Ack | PingFor):
+                if isinstance(item, Ping | Ack | IndirectPing):
                     self.members.receive(now, sender, item)
                 else:
                     self.keeper.receive(now, sender, item)
--- a/tests/recordings/test_fleet_messages_recording.py
+++ b/tests/recordings/test_fleet_messages_recording.py
@@ -17,93 +17,112 @@
 
 LEASE, RUN, ROUND, TOKEN = "restart/1", (1 << 61) + 7, 11, 1_764_680_000_000_003
 WORDS = [
-    m.Word(name="n1", incarnation=1_764_680_000_001, state=0),
-    m.Word(name="n2", incarnation=1_764_680_000_002, state=1),
-    m.Word(name="n3", incarnation=1_764_680_000_003, state=2),
+    m.GossipUpdate(name="n1", incarnation=1_764_680_000_001, state=0),
+    m.GossipUpdate(name="n2", incarnation=1_764_680_000_002, state=1),
+    m.GossipUpdate(name="n3", incarnation=1_764_680_000_003, state=2),
 ]
-ZONE = m.ZoneStands(
+ZONE = m.ZoneStatus(
     name="room1",
     stage="leaving",
     share=250,
     age=1_000_001,
     flaps=2,
-    by_hand="out",
-    hand_left=60_000_002,
-    why="by hand",
+    operator_override="out",
+    override_remaining=60_000_002,
+    reason="by hand",
 )
-REGION = m.ZoneStands(
-    name="north", stage="here", share=1_000, age=1_000_003, flaps=3, by_hand="", hand_left=0, why=""
+REGION = m.ZoneStatus(
+    name="north",
+    stage="here",
+    share=1_000,
+    age=1_000_003,
+    flaps=3,
+    operator_override="",
+    override_remaining=0,
+    reason="",
 )
 
 ITEMS = {
-    "look": m.Look(lease=LEASE),
-    "ask": m.Ask(lease=LEASE, run=RUN, round=ROUND, token=TOKEN, term=3_000_000, version=4, renews=True),
-    "back": m.GiveBack(lease=LEASE, run=RUN, round=ROUND),
-    "seen": m.Seen(lease=LEASE, holder="n2", left=2_000_001, token=TOKEN, mute=1_000_002),
-    "grant": m.Grant(lease=LEASE, run=RUN, round=ROUND, token=TOKEN),
-    "refuse": m.Refuse(
-        lease=LEASE, run=RUN, round=ROUND, why="held", holder="n3", left=2_000_003, token=TOKEN
+    "look": m.LeaseStatusRequest(lease=LEASE),
+    "ask": m.VoteRequest(
+        lease=LEASE, instance_id=RUN, round=ROUND, token=TOKEN, term=3_000_000, voters_version=4, renewal=True
     ),
-    "freed": m.Freed(lease=LEASE, token=TOKEN),
-    "ping": m.Ping(number=41, words=WORDS),
-    "ack": m.Ack(number=42, about="n3", words=WORDS[:1]),
-    "pingfor": m.PingFor(number=43, target="n3"),
-    "want": m.FiguresWanted(lease="summary", token=TOKEN, run=RUN),
-    "figures": m.Figures(
+    "back": m.ReleaseLease(lease=LEASE, instance_id=RUN, round=ROUND),
+    "seen": m.LeaseStatus(
+        lease=LEASE, holder="n2", remaining=2_000_001, token=TOKEN, voting_quarantine=1_000_002
+    ),
+    "grant": m.VoteGranted(lease=LEASE, instance_id=RUN, round=ROUND, token=TOKEN),
+    "refuse": m.VoteRejected(
+        lease=LEASE,
+        instance_id=RUN,
+        round=ROUND,
+        reason="held",
+        holder="n3",
+        remaining=2_000_003,
+        token=TOKEN,
+    ),
+    "freed": m.LeaseReleased(lease=LEASE, token=TOKEN),
+    "ping": m.Ping(sequence=41, updates=WORDS),
+    "ack": m.Ack(sequence=42, target="n3", updates=WORDS[:1]),
+    "pingfor": m.IndirectPing(sequence=43, target="n3"),
+    "want": m.MetricsRequest(lease="summary", token=TOKEN, instance_id=RUN),
+    "figures": m.BrokerMetrics(
         token=TOKEN,
-        classes={"lookup": [1, 2, 3, 4], "report": [5, 6, 7, 8]},
-        avoided=["s-1", "s-2"],
-        ready=12,
-        open=34,
+        counts_by_class={"lookup": [1, 2, 3, 4], "report": [5, 6, 7, 8]},
+        avoided_engines=["s-1", "s-2"],
+        ready_engines=12,
+        open_requests=34,
     ),
-    "summary": m.Summary(
+    "summary": m.FleetSummary(
         token=TOKEN,
-        run=RUN,
+        instance_id=RUN,
         holder="n1",
-        brokers=3,
-        missing=["n4"],
-        classes={"lookup": [10, 20, 30, 40]},
-        engines={"s-1": 2},
+        broker_count=3,
+        missing_brokers=["n4"],
+        counts_by_class={"lookup": [10, 20, 30, 40]},
+        avoided_engines={"s-1": 2},
     ),
-    "sight": m.Sight(
+    "sight": m.EngineObservations(
         engines=[
-            m.EngineSeen(
+            m.EngineObservation(
                 engine=5,
-                ok=60,
+                succeeded=60,
                 late=7,
-                refused=8,
-                broken=9,
-                silent=10,
-                work=1_100,
-                fails=12,
-                answered_ms=1_300,
+                connect_failed=8,
+                failed=9,
+                timed_out=10,
+                cpu_time=1_100,
+                consecutive_failures=12,
+                last_answer_age_ms=1_300,
             ),
-            m.EngineSeen(engine=6, ok=1, late=2, refused=3, broken=4, silent=5),
+            m.EngineObservation(engine=6, succeeded=1, late=2, connect_failed=3, failed=4, timed_out=5),
         ],
-        tenants={"sahel": 70},
-        alone=["room2"],
+        requests_by_tenant={"sahel": 70},
+        locally_evacuated_zones=["room2"],
+    ),
+    "plan": m.FailoverPlan(
+        token=TOKEN, instance_id=RUN, number=77, zones=[ZONE], regions=[REGION], shed={"sahel": 125}
     ),
-    "plan": m.Plan(token=TOKEN, run=RUN, number=77, zones=[ZONE], regions=[REGION], shed={"sahel": 125}),
-    "zonewish": m.ZoneWish(zone="room1", what="practice", span=600_000_000, why="a practice"),
-    "planwanted": m.PlanWanted(),
+    "zonewish": m.ZoneCommand(zone="room1", action="practice", duration=600_000_000, reason="a practice"),
+    "planwanted": m.PlanRequest(),
 }
 ENVELOPE = {
     "sender": "n1",
-    "to": "n2",
-    "run": (1 << 60) + 5,
+    "recipient": "n2",
+    "instance_id": (1 << 60) + 5,
     "incarnation": 1_764_680_000_123,
-    "voters": 4,
-    "floor": 3,
+    "voters_version": 4,
+    "oldest_voters_version": 3,
 }
 
 
 def datagram(tag: str) -> m.Envelope:
     """The envelope that the recording of this tag was made of."""
-    return m.Envelope(v=m.VERSION, **ENVELOPE, items=[ITEMS[tag]])
+    return m.Envelope(version=m.VERSION, **ENVELOPE, items=[ITEMS[tag]])
 
 
 def test_version_and_tags_are_those_recorded():
-    tags = {cls.__struct_config__.tag for cls in get_args(m.Items)}
+    tags = {cls.__struct_config__.tag for cls in get_args(m.AnyItem)}
     assert m.VERSION == 1
     assert tags == set(ITEMS) == set(RECORDING)
 
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -22,7 +22,7 @@
 from cypressledge.fleet.evidence import Evidence
 from cypressledge.fleet.judge import Finding, Told, Verdict, judge
 from cypressledge.fleet.keeper import Granted
-from cypressledge.fleet.messages import EngineSeen, Plan, Sight, ZoneStands
+from cypressledge.fleet.messages import EngineObservation, EngineObservations, FailoverPlan, ZoneStatus
 from cypressledge.fleet.shed import Arrivals, is_shed, over_part, over_shares, refused
 from cypressledge.fleet.zoneplan import Follower, Load, Pace, Planner, able, is_open, ramp
 from cypressledge.fleet.zones import Site, Zones
@@ -123,7 +123,7 @@
                 f"n{i}",
                 ZONES[i % 3],
                 rng.choice((0, 100_000, 600_000, 800_000, 2_900_000, 3_000_000)),
-                Sight(observations(rng, EngineSeen)),
+                EngineObservations(observations(rng, EngineObservation)),
             )
             for i in range(rng.randrange(12))
         ]
@@ -180,7 +180,7 @@
         now += rng.choice((300_000, 700_000, 700_000, 4_000_000))
         if rng.random() < 0.5:
             rows = [
-                ZoneStands(
+                ZoneStatus(
                     z,
                     rng.choice(("serving", "out", "returning")),
                     rng.choice((0, 500, 1000, 1000, 1000)),
@@ -192,7 +192,7 @@
                 )
                 for z in (*ZONES, "north", "south")
             ]
-            plan = Plan(
+            plan = FailoverPlan(
                 1 + number // 300 + (rng.random() < 0.002),
                 1 + (rng.random() < 0.02),
                 number - rng.randrange(2),
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -14,7 +14,7 @@
 from cypressledge.fleet.keeper import places
 from cypressledge.fleet.lease import Electorate
 from cypressledge.fleet.members import ALIVE, GONE, SUSPECT, Members
-from cypressledge.fleet.messages import Ping, Sight, Word
+from cypressledge.fleet.messages import EngineObservations, GossipUpdate, Ping
 from cypressledge.fleet.node import FleetNode
 from cypressledge.fleet.part import FleetPart
 from cypressledge.fleet.settings import read_fleet
@@ -141,9 +141,11 @@
 def test_what_no_handler_takes_is_counted_and_stops_nothing(trio):
     assert until(lambda: all(len(n.alive()) == 3 for n in trio.nodes.values()), 10, 0.01)
     got = []
-    trio.nodes["n1"].handlers[Sight] = lambda sender, item: got.append((sender, item.alone))
+    trio.nodes["n1"].handlers[EngineObservations] = lambda sender, item: got.append(
+        (sender, item.locally_evacuated_zones)
+    )
     for peer in ("n1", "n2"):
-        trio.nodes["n0"].out(peer, Sight([], {}, ["z"]))
+        trio.nodes["n0"].out(peer, EngineObservations([], {}, ["z"]))
     assert until(lambda: got, 10, 0.01) == [("n0", ["z"])]
     assert until(lambda: trio.nodes["n2"].counters.counts["fleet.not_handled"], 10, 0.01)
     assert not trio.nodes["n2"].owner.dead
@@ -160,7 +162,7 @@
     gevent.sleep(0.3)
     for _ in range(5):
         sent = lone.counters.counts["fleet.sent"]
-        lone.out("n0", Sight([], {}, ["z"]))
+        lone.out("n0", EngineObservations([], {}, ["z"]))
         assert until(lambda sent=sent: lone.counters.counts["fleet.sent"] > sent, 0.3, 0.005)  # at once
 
 
@@ -177,7 +179,7 @@
     )
     for name in "bcdef":
         assert members.hear(1_000, name, 5)
-    members.receive(1_200, "b", Ping(1, [Word(name, 5, SUSPECT) for name in "cde"]))
+    members.receive(1_200, "b", Ping(1, [GossipUpdate(name, 5, SUSPECT) for name in "cde"]))
     members.hear(1_210, "e", 6)  # it speaks up
     assert set(members.suspects) == {"c", "d"}
     members.rename([*"abceg"])
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -14,17 +14,17 @@
 from cypressledge.fleet.keeper import Keeper, Phase, places
 from cypressledge.fleet.lease import Electorate
 from cypressledge.fleet.messages import (
-    LARGEST,
+    MAX_DATAGRAM_BYTES,
     VERSION,
     Ack,
-    Ask,
+    BrokerMetrics,
     Envelope,
-    Figures,
-    Look,
-    Refuse,
-    Seen,
-    Unreadable,
-    Word,
+    GossipUpdate,
+    InvalidDatagramError,
+    LeaseStatus,
+    LeaseStatusRequest,
+    VoteRejected,
+    VoteRequest,
     decode,
     encode,
 )
@@ -89,14 +89,14 @@
 def envelope(**more):
     return Envelope(
         **{
-            "v": VERSION,
+            "version": VERSION,
             "sender": "a",
-            "to": "b",
-            "run": 1,
+            "recipient": "b",
+            "instance_id": 1,
             "incarnation": 1,
-            "voters": 1,
-            "floor": 1,
-            "items": [Ask("l", 1, 1, 1, 1, 1), Ack(1, "", [Word("c", 2, 0)])],
+            "voters_version": 1,
+            "oldest_voters_version": 1,
+            "items": [VoteRequest("l", 1, 1, 1, 1, 1), Ack(1, "", [GossipUpdate("c", 2, 0)])],
         }
         | more
     )
@@ -112,22 +112,22 @@
         (b"", "garbled"),
         (b"\xc1", "garbled"),
         (encode(envelope())[:-3], "garbled"),
-        (b"x" * (LARGEST + 1), "large"),
-        (encode(envelope(v=VERSION + 1)), "version"),
-        (encode(envelope(items=[Ask("l", 1, 1, 1, 1, 1)] * 300)), "large"),
+        (b"x" * (MAX_DATAGRAM_BYTES + 1), "large"),
+        (encode(envelope(version=VERSION + 1)), "version"),
+        (encode(envelope(items=[VoteRequest("l", 1, 1, 1, 1, 1)] * 300)), "large"),
         (b"\x92\x09\xa3new", "version"),
         (b"\x91" * 8_000, "garbled"),
     ],
 )
 def test_what_cannot_be_read_is_named(raw, why):
-    with pytest.raises(Unreadable, match=why):
+    with pytest.raises(InvalidDatagramError, match=why):
         decode(raw)
 
 
 @given(st.binary(max_size=300))
 @settings(max_examples=300)
 def test_no_bytes_raise_anything_else(raw):
-    with contextlib.suppress(Unreadable):
+    with contextlib.suppress(InvalidDatagramError):
         decode(raw)
 
 
@@ -230,9 +230,9 @@
     keeper.set_alive(frozenset(voters[:alive]) | {"n9"}, 4 * S)
     keeper.rank = lambda lease: 0
     keeper.tick(5 * S)
-    assert {to for to, item in sent if isinstance(item, Look)} == set(voters)
+    assert {to for to, item in sent if isinstance(item, LeaseStatusRequest)} == set(voters)
     for voter, holder, left, mute in seen:
-        keeper.receive(5 * S, voter, Seen("l", holder, left, 7, mute))
+        keeper.receive(5 * S, voter, LeaseStatus("l", holder, left, 7, mute))
     seat = keeper.seats["l"]
     return seat.phase, (seat.due - 5 * S) / S
 
@@ -275,7 +275,7 @@
         keeper.tick(5 * S)
         assert seat.phase is Phase.ASKING
         for voter in ("v0", "v1"):
-            keeper.receive(5 * S, voter, Refuse("l", 9, seat.claim.round, "held", "n1", S, 1))
+            keeper.receive(5 * S, voter, VoteRejected("l", 9, seat.claim.round, "held", "n1", S, 1))
         assert (seat.phase is not Phase.ASKING) is given_up
         assert not given_up or seat.due - 5 * S < S // 5
 
@@ -438,12 +438,16 @@
 
 def test_a_summary_adds_up_and_names_who_is_missing():
     merge = Merge(7, 1, "a")
-    assert merge.add("a", Figures(7, {"lookup": [1, 2, 3, 4]}, ["s-1"], 3, 0))
-    assert merge.add("b", Figures(7, {"lookup": [10, 20, 30, 40], "odd": [1]}, ["s-1", "s-2"], 3, 0))
-    assert not merge.add("c", Figures(6, {"lookup": [9, 9, 9, 9]}, [], 3, 0))
+    assert merge.add("a", BrokerMetrics(7, {"lookup": [1, 2, 3, 4]}, ["s-1"], 3, 0))
+    assert merge.add("b", BrokerMetrics(7, {"lookup": [10, 20, 30, 40], "odd": [1]}, ["s-1", "s-2"], 3, 0))
+    assert not merge.add("c", BrokerMetrics(6, {"lookup": [9, 9, 9, 9]}, [], 3, 0))
     got = merge.summary(["a", "b", "c"])
-    assert (got.classes, got.missing, got.brokers) == ({"lookup": [11, 22, 33, 44]}, ["c"], 2)
-    assert got.engines == {"s-1": 2, "s-2": 1}
+    assert (got.counts_by_class, got.missing_brokers, got.broker_count) == (
+        {"lookup": [11, 22, 33, 44]},
+        ["c"],
+        2,
+    )
+    assert got.avoided_engines == {"s-1": 2, "s-2": 1}
 
 
 def test_a_fence_turns_down_lower_tokens_and_a_twin():
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -10,7 +10,7 @@
 from gevent import socket as gsocket
 from gevent import subprocess
 
-from cypressledge.fleet.messages import VERSION, Ask, Envelope, encode
+from cypressledge.fleet.messages import VERSION, Envelope, VoteRequest, encode
 from cypressledge.fleet.settings import read_fleet
 from cypressledge.lab.demo import ask
 from cypressledge.lab.processes import ROOT, Brokers, until
@@ -261,7 +261,7 @@
     first = fleet.wait_act()
     target = ("127.0.0.1", fleet.ports[first.holder])
     sock = gsocket.socket(gsocket.AF_INET, gsocket.SOCK_DGRAM)
-    good = Envelope(VERSION, "nobody", first.holder, 1, 1, 1, 1, [Ask("ledger", 9, 9, 1 << 60, 1, 1)])
+    good = Envelope(VERSION, "nobody", first.holder, 1, 1, 1, 1, [VoteRequest("ledger", 9, 9, 1 << 60, 1, 1)])
     for raw in (
         b"\xc1",
         b"",
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -3,7 +3,13 @@
 import pytest
 
 from cypressledge.fleet.lease import MILLION, Claim, Electorate, Voter, VoterSetError, held_for
-from cypressledge.fleet.messages import Ask, GiveBack, Grant, Look, Refuse
+from cypressledge.fleet.messages import (
+    LeaseStatusRequest,
+    ReleaseLease,
+    VoteGranted,
+    VoteRejected,
+    VoteRequest,
+)
 
 T = 3 * MILLION
 DRIFT = 10_000
@@ -26,7 +32,7 @@
     ask = c.ask(now)
     for name, v in voters.items():
         answer = v.ask(now, "p", ask)
-        if isinstance(answer, Grant):
+        if isinstance(answer, VoteGranted):
             c.granted(now, name, answer)
     return ask
 
@@ -89,7 +95,7 @@
     ask = c.ask(0)
     v.ask(0, "p", ask)
     until = v.leases["l"].vote.until
-    assert isinstance(v.ask(T // 2, "p", ask), Grant)
+    assert isinstance(v.ask(T // 2, "p", ask), VoteGranted)
     assert v.leases["l"].vote.until == until
 
 
@@ -112,19 +118,19 @@
     v.ask(1, "p", again)
     v.give_back(back)
     assert v.leases["l"].vote is not None
-    v.give_back(GiveBack("l", 1, again.round))
+    v.give_back(ReleaseLease("l", 1, again.round))
     assert v.leases["l"].vote is None
     assert v.ask(2, "p", again) is None  # nor does a copy of the Ask bring the vote back
 
 
 def test_a_restarted_voter_is_mute_for_the_longest_term():
     fresh = voter(now=0)
-    answer = fresh.ask(T - 1, "p", Ask("l", 1, 1, 1, T, 1))
-    assert isinstance(answer, Refuse)
-    assert answer.why == "mute"
-    assert answer.left == 1
-    assert fresh.look(0, Look("l")).mute == T
-    assert isinstance(fresh.ask(T, "p", Ask("l", 1, 1, 1, T, 1)), Grant)
+    answer = fresh.ask(T - 1, "p", VoteRequest("l", 1, 1, 1, T, 1))
+    assert isinstance(answer, VoteRejected)
+    assert answer.reason == "mute"
+    assert answer.remaining == 1
+    assert fresh.look(0, LeaseStatusRequest("l")).voting_quarantine == T
+    assert isinstance(fresh.ask(T, "p", VoteRequest("l", 1, 1, 1, T, 1)), VoteGranted)
 
 
 def test_tokens_grow_over_a_restart_of_all_voters():
@@ -144,9 +150,9 @@
 def test_a_holder_renews_though_a_rival_has_tried_a_higher_token():
     voters, c = trio(), claim()
     ask = win(c, voters, 0)
-    voters["c"].give_back(GiveBack("l", 1, ask.round))
-    assert isinstance(voters["c"].ask(1, "q", Ask("l", 2, 1, ask.token + 5, T, 1)), Grant)
-    voters["c"].give_back(GiveBack("l", 2, 1))
+    voters["c"].give_back(ReleaseLease("l", 1, ask.round))
+    assert isinstance(voters["c"].ask(1, "q", VoteRequest("l", 2, 1, ask.token + 5, T, 1)), VoteGranted)
+    voters["c"].give_back(ReleaseLease("l", 2, 1))
     win(c, voters, 2)
     assert set(c.grants) == {"a", "b", "c"}
     assert c.token == ask.token
@@ -160,12 +166,12 @@
     late = held_for(T, DRIFT) + 1
     for n, v in voters.items():
         c.granted(late, n, v.ask(late, "p", ask))
-    assert ask.renews
+    assert ask.renewal
     assert not c.holds(late)
 
 
 def test_a_term_over_the_longest_is_refused():
-    assert voter().ask(0, "p", Ask("l", 1, 1, 1, T + 1, 1)).why == "term"
+    assert voter().ask(0, "p", VoteRequest("l", 1, 1, 1, T + 1, 1)).reason == "term"
 
 
 def test_one_voter_more_or_fewer_at_a_time():
@@ -193,5 +199,5 @@
 
 def test_a_voter_of_the_new_set_refuses_what_is_two_versions_old_and_serves_during_the_grace():
     v = Voter(Electorate("a", T, {1: SETS[1], 2: ("a", "b", "c", "d")}, 2, 0, grace=T), -10 * T, 0)
-    assert isinstance(v.ask(T - 1, "p", Ask("l", 1, 1, 1, T, 1)), Grant)
-    assert v.ask(T, "p", Ask("l", 1, 2, 1, T, 1)).why == "version"
+    assert isinstance(v.ask(T - 1, "p", VoteRequest("l", 1, 1, 1, T, 1)), VoteGranted)
+    assert v.ask(T, "p", VoteRequest("l", 1, 2, 1, T, 1)).reason == "version"
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,7 @@
 from cypressledge.fleet import judge as judging
 from cypressledge.fleet.evidence import Evidence
 from cypressledge.fleet.judge import Finding, Told, Verdict, judge
-from cypressledge.fleet.messages import EngineSeen, Plan, Sight, ZoneStands
+from cypressledge.fleet.messages import EngineObservation, EngineObservations, FailoverPlan, ZoneStatus
 from cypressledge.fleet.shed import SPAN_S, Arrivals, is_shed, over_part, over_shares, refused
 from cypressledge.fleet.zoneplan import FULL, Follower, Load, Pace, Planner, Stage, able, is_open, ramp
 
@@ -23,10 +23,10 @@
 
 
 def sight(bad=(), good=(), late=()):
-    return Sight(
-        [EngineSeen(e, 0, 0, 0, 0, 3, 0, 3, 700) for e in bad]
-        + [EngineSeen(e, 3, 0, 0, 0, 0, 0, 0, 100) for e in good]
-        + [EngineSeen(e, 0, 3, 0, 0, 0, 0, 0, 100) for e in late]
+    return EngineObservations(
+        [EngineObservation(e, 0, 0, 0, 0, 3, 0, 3, 700) for e in bad]
+        + [EngineObservation(e, 3, 0, 0, 0, 0, 0, 0, 100) for e in good]
+        + [EngineObservation(e, 0, 3, 0, 0, 0, 0, 0, 100) for e in late]
     )
 
 
@@ -42,15 +42,15 @@
     e = Evidence()
     for now in range(0, 2 * S, S // 4):
         e.out(now, [("x", 1, now, 100_000), ("y", 2, 10_000, 100_000)])
-    assert e.sight(2 * S - 1) == [EngineSeen(1, 0, 0, 0, 0, 1, 0, 1)]
+    assert e.sight(2 * S - 1) == [EngineObservation(1, 0, 0, 0, 0, 1, 0, 1)]
     e.ended(2 * S, 1, "x", Outcome.CANCELLED, 2 * S, 100_000)
     e.ended(2 * S, 2, "y", Outcome.OK, 100_000, 100_000, 70_000)
     e.ended(2 * S, 2, "z", Outcome.OK, 3 * S, 100_000)
     e.ended(2 * S, 3, "w", Outcome.CONNECT_FAILED, 1, 1)
     e.ended(2 * S, 3, "v", Outcome.REJECTED, 1, 1)
     seen = {s.engine: s for s in e.sight(2 * S)}
-    assert seen[2] == EngineSeen(2, 1, 1, 0, 0, 0, 70_000, 0, 0)
-    assert seen[3] == EngineSeen(3, 0, 0, 1, 0, 0, 0, 1)
+    assert seen[2] == EngineObservation(2, 1, 1, 0, 0, 0, 70_000, 0, 0)
+    assert seen[3] == EngineObservation(3, 0, 0, 1, 0, 0, 0, 1)
     assert e.sight(9 * S) == []
 
 
@@ -96,7 +96,9 @@
 def test_few_and_old_reports_say_nothing():
     assert set(verdicts([], ENGINES).values()) == {Verdict.FEW}
     assert verdicts(told(sight(OF["a"]), age=4 * S), ENGINES)["a"] is Verdict.FEW
-    assert verdicts(told(Sight([EngineSeen(0, 0, 0, 0, 0, 1)])), ENGINES)["a"] is Verdict.FEW
+    assert (
+        verdicts(told(EngineObservations([EngineObservation(0, 0, 0, 0, 0, 1)])), ENGINES)["a"] is Verdict.FEW
+    )
 
 
 class Play:
@@ -170,7 +172,7 @@
     e.ended(0, 1, "x", Outcome.CANCELLED, 350_000, 100_000, quiet=True)
     e.ended(0, 1, "y", Outcome.CANCELLED, 350_000, 100_000, quiet=False)
     e.ended(0, 1, "z", Outcome.CANCELLED, 250_000, 100_000, quiet=True)
-    assert e.sight(0) == [EngineSeen(1, 0, 0, 0, 0, 1, 0, 1)]
+    assert e.sight(0) == [EngineObservation(1, 0, 0, 0, 0, 1, 0, 1)]
 
 
 @pytest.mark.parametrize("verdict", [Verdict.CUT, Verdict.PART, Verdict.RELEASE, Verdict.FEW])
@@ -262,18 +264,18 @@
 
 
 def stands(share, name="a"):
-    return ZoneStands(name, "out", share, 0, 0, "", 0, "")
+    return ZoneStatus(name, "out", share, 0, 0, "", 0, "")
 
 
 def test_an_older_plan_is_turned_down():
     f = Follower("n1")
-    assert f.take(Plan(5, 1, 3, [stands(0)]), 0)
+    assert f.take(FailoverPlan(5, 1, 3, [stands(0)]), 0)
     assert f.share("a") == 0
     assert f.share("b") == FULL
-    assert not f.take(Plan(4, 9, 9, [stands(FULL)]), 1)
-    assert not f.take(Plan(5, 1, 2, [stands(FULL)]), 1)
-    assert not f.take(Plan(5, 2, 9, [stands(FULL)]), 1)
-    assert f.take(Plan(6, 2, 1, [stands(500)]), 1)
+    assert not f.take(FailoverPlan(4, 9, 9, [stands(FULL)]), 1)
+    assert not f.take(FailoverPlan(5, 1, 2, [stands(FULL)]), 1)
+    assert not f.take(FailoverPlan(5, 2, 9, [stands(FULL)]), 1)
+    assert f.take(FailoverPlan(6, 2, 1, [stands(500)]), 1)
     assert f.share("a") == 500
     assert f.turned_down == 3
 
@@ -290,11 +292,11 @@
     assert f.share("a") == 0
     f.see(5 * S, {z: Finding(Verdict.FINE, 0.0, "") for z in "ab"})
     assert f.share("a") == 0
-    f.take(Plan(1, 1, 1, [stands(FULL)]), 6 * S)
+    f.take(FailoverPlan(1, 1, 1, [stands(FULL)]), 6 * S)
     assert f.share("a") == 0  # the planner has not heard of it yet
-    f.take(Plan(1, 1, 2, [stands(FULL)]), 7 * S)
+    f.take(FailoverPlan(1, 1, 2, [stands(FULL)]), 7 * S)
     assert f.share("a") == 0
-    f.take(Plan(1, 1, 3, [stands(125)]), 7 * S + 1)
+    f.take(FailoverPlan(1, 1, 3, [stands(125)]), 7 * S + 1)
     assert f.share("a") == 125
     assert not f.alone
 
@@ -303,7 +305,7 @@
     f = Follower("n1")
     f.see(4 * S, {"a": Finding(Verdict.LOST, 1.0, ""), "b": Finding(Verdict.FINE, 0.0, "")})
     for number in range(5):
-        f.take(Plan(1, 1, number + 1, [stands(FULL)]), (5 + number) * S)
+        f.take(FailoverPlan(1, 1, number + 1, [stands(FULL)]), (5 + number) * S)
         assert f.share("a") == (0 if number < 2 else FULL)
 
 
@@ -327,9 +329,9 @@
 
 def test_what_was_answered_before_the_loss_hides_it_from_nobody():
     # Two seconds of good answers stand in the windows; the rows of failures since then tell.
-    seen = Sight(
-        [EngineSeen(e, 20, 0, 0, 0, 2, 0, 2, 600) for e in OF["a"]]
-        + [EngineSeen(e, 20, 0, 0, 0, 0, 0, 0, 50) for e in OF["b"] + OF["c"]]
+    seen = EngineObservations(
+        [EngineObservation(e, 20, 0, 0, 0, 2, 0, 2, 600) for e in OF["a"]]
+        + [EngineObservation(e, 20, 0, 0, 0, 0, 0, 0, 50) for e in OF["b"] + OF["c"]]
     )
     assert verdicts(told(seen, seen, seen), ENGINES)["a"] is Verdict.LOST
 
@@ -456,7 +458,7 @@
 
 def test_a_zones_share_is_never_above_its_regions():
     f = Follower("n1", {"a": "north", "b": "north"})
-    f.take(Plan(1, 1, 1, [stands(FULL), stands(250, "b")], [stands(500, "north")]), 0)
+    f.take(FailoverPlan(1, 1, 1, [stands(FULL), stands(250, "b")], [stands(500, "north")]), 0)
     assert [f.share(z) for z in "abc"] == [500, 250, FULL]
 
 
@@ -466,8 +468,8 @@
             return False
 
     f = Careless("n1")
-    f.take(Plan(5, 1, 3, [stands(0)]), 0)
-    assert f.take(Plan(4, 9, 9, [stands(FULL)]), 1)
+    f.take(FailoverPlan(5, 1, 3, [stands(0)]), 0)
+    assert f.take(FailoverPlan(4, 9, 9, [stands(FULL)]), 1)
     assert f.share("a") == FULL
 
 
