--- a/cypressledge/cli.py
+++ b/cypressledge/cli.py
@@ -12,7 +12,7 @@
 
 import click
 
-from cypressledge.clitools import ManagementAddress, as_json, show
+from cypressledge.cli_support import ManagementAddress, as_json, show
 from cypressledge.controlplane.cli import control
 
 ANSWER_S = 5.0  # seconds for a broker's answer
--- a/cypressledge/clitools.py
+++ b/cypressledge/cli_support.py
@@ -13,7 +13,9 @@
 
     name = "HOST:PORT"
 
-    def convert(self, value, param, ctx) -> tuple[str, int]:
+    def convert(
+        self, value: str, param: click.Parameter | None, ctx: click.Context | None
+    ) -> tuple[str, int]:
         """The address as a pair."""
         try:
             return parse_address(value)
@@ -24,13 +26,16 @@
 as_json = click.option("--json", "as_json", is_flag=True, help="JSON in place of a table.")
 
 
-def show(rows: list[dict], as_json: bool) -> None:
-    """A table, or JSON."""
+def show(rows: list[dict[str, object]], as_json: bool) -> None:
+    """Print rows as a table, or as JSON."""
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
-    plain = [
-        {k: " ".join(map(str, v)) if isinstance(v, list) else "-" if v is None else v for k, v in row.items()}
-        for row in rows
-    ]
-    click.echo(tabulate(plain, headers="keys") if plain else "none")
+    cells = [{column: _cell(value) for column, value in row.items()} for row in rows]
+    click.echo(tabulate(cells, headers="keys") if cells else "none")
+
+
+def _cell(value: object) -> object:
+    if isinstance(value, list):
+        return " ".join(map(str, value))
+    return "-" if value is None else value
--- /dev/null
+++ b/cypressledge/controlplane/operator_client.py
@@ -0,0 +1,112 @@
+"""Calls the operators' HTTP addresses of control processes, and finds the one that leads."""
+
+import http.client
+import json
+import time
+from dataclasses import dataclass
+from http import HTTPStatus
+
+import click
+
+from cypressledge.config import parse_address
+
+ANSWER_TIMEOUT_S = 2.0
+CHANGE_TIMEOUT_S = 6.0  # a change may wait 5 for its majority
+PAUSE_S = 0.3  # between attempts, and between looks at who lags
+
+Address = tuple[str, int]
+
+
+class NoAnswerError(Exception):
+    """Nobody answered, or what came was none of ours."""
+
+
+@dataclass(frozen=True, slots=True)
+class CallAnswer:
+    """An HTTP status, and the JSON that came with it."""
+
+    status: int
+    body: dict
+
+    @property
+    def is_ok(self) -> bool:
+        """Whether the call succeeded."""
+        return self.status == HTTPStatus.OK
+
+    @property
+    def error(self) -> str:
+        """Why it did not."""
+        return self.body.get("why") or f"HTTP {self.status}"
+
+
+def call(server: Address, method: str, path: str, body: str = "") -> CallAnswer:
+    """What a control process answers. Raises `NoAnswerError`."""
+    timeout = CHANGE_TIMEOUT_S if method == "POST" else ANSWER_TIMEOUT_S
+    connection = http.client.HTTPConnection(*server, timeout=timeout)
+    try:
+        connection.request(method, path, body.encode())
+        response = connection.getresponse()
+        return CallAnswer(response.status, json.loads(response.read()))
+    except (OSError, http.client.HTTPException, ValueError) as err:
+        raise NoAnswerError(f"no answer from {server[0]}:{server[1]}: {err}") from None
+    finally:
+        connection.close()
+
+
+def ask_any(servers: tuple[Address, ...], path: str) -> dict:
+    """What the first that answers says. Raises `ClickException`."""
+    why = ""
+    for server in servers:
+        try:
+            answer = call(server, "GET", path)
+        except NoAnswerError as err:
+            why = str(err)
+            continue
+        if not answer.is_ok:
+            raise click.ClickException(answer.error)
+        return answer.body
+    raise click.ClickException(why)
+
+
+class LeaderClient:
+    """Calls whoever leads, wherever that is now: follows "not primary", and goes round the addresses that are
+    known where nobody answers. `deadline`: on `time.monotonic`, s."""
+
+    def __init__(self, known: tuple[Address, ...], deadline: float) -> None:
+        self._known, self._deadline = list(known), deadline
+
+    def call(self, method: str, path: str, body: str = "") -> CallAnswer:
+        """The answer, asked for until the time is up: only for calls that are idempotent. Raises
+        `NoAnswerError`."""
+        while True:
+            try:
+                self._find_leader()
+                answer = call(self._known[0], method, path, body)
+            except NoAnswerError as err:
+                why = str(err)
+                self._known.append(self._known.pop(0))
+            else:
+                outcome = answer.body.get("answer")
+                if outcome not in ("not primary", "unknown"):
+                    return answer
+                why = outcome + (f": {answer.body['why']}" if answer.body.get("why") else "")
+                self._learn_addresses(answer.body)
+            if time.monotonic() >= self._deadline:
+                raise NoAnswerError(why)
+            time.sleep(PAUSE_S)
+
+    def _find_leader(self) -> None:
+        """Put the leader's address first. Guards against a change that waits long for a process that stands
+        still. Raises `NoAnswerError`."""
+        status = call(self._known[0], "GET", "/control/status").body
+        if status.get("role") != "primary":
+            self._learn_addresses(status)
+            if not status.get("at"):
+                raise NoAnswerError("there is no primary")
+
+    def _learn_addresses(self, answer: dict) -> None:
+        """Where the others are, the leader first."""
+        asked = self._known[0]
+        others = [parse_address(text) for text in answer.get("servers", ())]
+        leader = [parse_address(answer["at"])] if answer.get("at") else []
+        self._known = list(dict.fromkeys([*leader, *self._known[1:], *others, asked]))
