--- a/cypressledge/broker_process.py
+++ b/cypressledge/broker_process.py
@@ -25,7 +25,7 @@
 from cypressledge.decisions.contract import EngineListKind, Settings
 from cypressledge.net.buffer import GROWN
 from cypressledge.net.directory import Catalogue, Directory, Listed
-from cypressledge.net.jsonrpc import Front
+from cypressledge.net.jsonrpc.frontend import JsonRpcFrontend
 from cypressledge.net.line_protocol.transport import LineProtocolTransport
 from cypressledge.net.management import CALLERS_LEAST, CALLERS_MOST, Kept, Management, figures
 from cypressledge.net.receive_buffer import BUFFER_GROWTH
@@ -72,7 +72,7 @@
         self.core = Core(_settings(config, service), config.seed, self.counters)
         self.lines = self.core.transports["lines"] = LineProtocolTransport(self.core, config.limits)
         self.tenants = Tenants()
-        self.front = Front(
+        self.front = JsonRpcFrontend(
             self.core, config.listen, config.classes, self.tenants, self.counters, config.inherited_socket_fd
         )
         self.fronts, self.links = [self.front], [self.lines]
@@ -134,8 +134,8 @@
         BUFFER_GROWTH.limit = QUEUED_BYTES.limit = limits.spare_memory // 4
         self.lines.limits, self.lines.max_connections = limits, limits.max_engine_connections(shared)
         self.tenants.site_tenants = config.tenants
-        self.front.listener.most = limits.max_clients(shared)
-        self.front.listener.spare = limits.max_sockets // 32
+        self.front.listener.max_connections = limits.max_clients(shared)
+        self.front.listener.max_closing = limits.max_sockets // 32
         if self.service is not None:
             self.service.limit(limits)
         if self.management is not None:
@@ -221,12 +221,12 @@
             self.control.stop()
         if self.front.listener.inherited:  # the socket's queue and the clients are the next process's
             self.front.stop()
-            self.front.retire()
+            self.front.drain()
         gevent.sleep(ACCEPT_AFTER_STOP_S)
         for front in self.fronts:
             front.stop()
         self.core.is_accepting = False
-        self.front.retire()
+        self.front.drain()
         while any(not r.is_concluded for r in self.core.requests.values()):
             gevent.sleep(0.02)
         until = min(
@@ -244,7 +244,7 @@
 
     def _taking(self) -> bool:
         """Whether this process takes clients."""
-        return self.front.listener.taking.is_set() and not self.core.is_stopping
+        return self.front.listener.accepting.is_set() and not self.core.is_stopping
 
     def _tend(self) -> None:
         tasks = [link.maintain for link in self.links] + [self._look_at_clock]
--- /dev/null
+++ b/cypressledge/net/jsonrpc/connection.py
@@ -0,0 +1,311 @@
+"""One client's JSON-RPC connection: reads calls, writes answers, and ends in one way."""
+
+import errno
+import json
+from enum import StrEnum
+from typing import TYPE_CHECKING, Any
+
+from gevent import socket
+
+from cypressledge.broker.event_log import EventKind
+from cypressledge.broker.requests import Query
+from cypressledge.clock import monotonic_us
+from cypressledge.net.connection_registry import eviction_priority
+from cypressledge.net.jsonrpc.errors import ErrorCode, FramingError, JsonRpcError
+from cypressledge.net.jsonrpc.framing import MAX_BODY_SIZE, MAX_HEADER_SIZE, take_frame
+from cypressledge.net.jsonrpc.pending_call import PendingCall
+from cypressledge.net.jsonrpc.request_ids import UsedRequestIds
+from cypressledge.net.receive_buffer import BufferLimitError, ReceiveBuffer
+from cypressledge.net.socket_io import (
+    FIRST_MESSAGE_TIMEOUT,
+    LINGER_TIMEOUT,
+    IdleTimeoutError,
+    close_socket,
+    discard_until_closed,
+    has_unread_bytes,
+    receive,
+    remaining_seconds,
+    shutdown_write,
+)
+from cypressledge.net.socket_writer import SocketWriter
+
+if TYPE_CHECKING:
+    from cypressledge.net.jsonrpc.frontend import JsonRpcFrontend
+
+MAX_OPEN_CALLS = 32  # on one connection
+STATEMENT_SHARE = 4  # one connection may hold 1/4 of the bytes of statements that all may hold
+SEND_QUEUE_LIMIT = 4 << 20  # bytes of answers that a client may leave unread
+SEND_TIMEOUT = 30.0  # seconds that one send may take
+MESSAGE_TIMEOUT = 2.0  # seconds from the first byte of a message to its last
+DRAIN_CHECK_INTERVAL = 0.05  # seconds between looks at a draining connection that cannot be closed yet
+IDLE_TIMEOUT = 10.0  # seconds with no open call until a client is closed; usual ones close after 4
+MAX_ERRORS = 16  # messages of one connection that are answered by an error
+MAX_REQUEST_ID = 1 << 53
+
+
+class CloseReason(StrEnum):
+    """Why a client's connection has ended; else the name of the system's error."""
+
+    CLIENT_CLOSED = "by-client"
+    IDLE = "idle"
+    FRAMING_ERROR = "framing-error"
+    SEND_FAILED = "send-failed"
+    EVICTED = "evicted"
+    SYSTEM_ERROR = "error"
+
+
+ORDINARY_CLOSES = frozenset((CloseReason.CLIENT_CLOSED, CloseReason.IDLE))
+
+
+class JsonRpcConnection:
+    """Reads one client's calls and sends their answers."""
+
+    def __init__(self, frontend: "JsonRpcFrontend", sock: socket.socket) -> None:
+        self.frontend, self.sock, self.core = frontend, sock, frontend.core
+        self.counters = frontend.counters
+        self.used_ids = UsedRequestIds()
+        self.open_calls: dict[int, PendingCall] = {}
+        self.writer = SocketWriter(sock, SEND_QUEUE_LIMIT, SEND_TIMEOUT, self._handle_send_failure)
+        self.connected_at = self.last_heard = monotonic_us()
+        self.message_began_at = 0  # of a message that is not complete yet; 0: there is none
+        self.error_count = 0
+        self.has_requested = self.has_answered = False
+        self.draining = frontend.draining  # closes once no answer is owed
+        self.ignores_input = False
+        self.processing = False  # received bytes are being processed
+        self.shutdown_at = 0  # when our side was shut down; 0: it was not
+        self.close_reason = str(CloseReason.CLIENT_CLOSED)
+        frontend.connections.add(self)
+
+    def run(self) -> None:
+        """Read until the client closes, framing is lost, or nothing is received for too long."""
+        buffer = ReceiveBuffer(MAX_BODY_SIZE + MAX_HEADER_SIZE)
+        try:
+            while self._receive(buffer):
+                pass
+        except (FramingError, BufferLimitError) as err:
+            self._handle_framing_error(err)
+        except OSError as err:
+            self.close_reason = errno.errorcode.get(err.errno or 0, CloseReason.SYSTEM_ERROR)
+        finally:
+            self._close()
+
+    def _receive(self, buffer: ReceiveBuffer) -> bool:
+        """Read once and process what is complete; False once there is nothing more to read."""
+        try:
+            if not receive(buffer, self.sock, self._read_timeout):
+                return False
+            self._process(buffer)
+            return True
+        except IdleTimeoutError:
+            # Guards against closing on a request that is received at this moment: it is answered first.
+            if not self.shutdown_at:
+                self.counters.add("clients.idle")
+                self.close_reason = CloseReason.IDLE
+                self.drain()
+                return True
+            return False
+
+    def _handle_framing_error(self, err: Exception) -> None:
+        """Ignore further input; calls that are open are still answered, and then our side is shut down.
+
+        Guards against answers lost with a connection that cannot go on: only its framing, or the client's
+        patience, is lost. A client that closes meanwhile is noticed."""
+        self.counters.add("clients.framing_errors")
+        self.close_reason = CloseReason.FRAMING_ERROR
+        self.send_error(None, ErrorCode.INVALID_REQUEST, f"bad framing: {err}")
+        self.ignores_input = True
+        self.drain()
+        discard_until_closed(self.sock, self._linger_timeout)
+
+    def _linger_timeout(self) -> float:
+        return remaining_seconds(self.shutdown_at, LINGER_TIMEOUT) if self.shutdown_at else LINGER_TIMEOUT
+
+    def _process(self, buffer: ReceiveBuffer) -> None:
+        self.processing = True
+        try:
+            self._process_frames(buffer)
+        finally:
+            self.processing = False
+        if self.draining:
+            self.drain()
+
+    def _process_frames(self, buffer: ReceiveBuffer) -> None:
+        any_complete = False
+        while (frame := take_frame(buffer)) is not None:
+            any_complete = True
+            if self.writer.closed:  # received after our side was shut down: no answer can reach the client
+                self.counters.add("clients.received_after_shutdown")
+                continue
+            self._process_message(frame)
+            if self.error_count > MAX_ERRORS:
+                raise FramingError("too many errors")
+        self.has_requested |= any_complete
+        self._mark_active()
+        if not len(buffer):
+            self.message_began_at = 0
+        elif any_complete or not self.message_began_at:
+            self.message_began_at = self.last_heard
+
+    def _read_timeout(self) -> float:
+        """Seconds until the client must have sent more.
+
+        Guards against clients that send nothing, never complete a message, or withdraw all they asked: each
+        is owed an answer or a close within 3 s. A client that has been answered may stay idle."""
+        if self.shutdown_at:
+            return remaining_seconds(self.shutdown_at, LINGER_TIMEOUT)
+        if self.message_began_at:
+            if monotonic_us() > self.message_began_at + MESSAGE_TIMEOUT * 1e6:
+                raise FramingError("message not whole in time")
+            return remaining_seconds(self.message_began_at, MESSAGE_TIMEOUT)
+        if self.open_calls:
+            return IDLE_TIMEOUT
+        if self.draining:
+            self.drain()
+            if self.shutdown_at:
+                return remaining_seconds(self.shutdown_at, LINGER_TIMEOUT)
+            return DRAIN_CHECK_INTERVAL
+        if self.has_requested and self.has_answered:
+            return remaining_seconds(self.last_heard, IDLE_TIMEOUT)
+        return remaining_seconds(self.connected_at, FIRST_MESSAGE_TIMEOUT)
+
+    def _mark_active(self) -> None:
+        self.last_heard = monotonic_us()
+        self.frontend.connections.mark_active(self)
+
+    # How a connection ends
+
+    def eviction_priority(self, now: int) -> tuple[int, int]:
+        """See `ClientConnection`: busy is one with an open call, or an answer on its way out."""
+        is_busy = bool(self.open_calls or self.message_began_at or self.writer.sending)
+        return eviction_priority(now, self.connected_at, self.last_heard, self.has_requested, is_busy)
+
+    def drain(self) -> None:
+        """Close the connection once no answer is owed on it: the client's next call meets the next process.
+
+        Guards against rejecting what is received on connections kept open past a stop: after the last answer
+        our side is shut down, and the client, seeing the end, repeats its call on a new connection. What has
+        been received before is not left unread: it is answered first."""
+        self.draining = True
+        now = monotonic_us()
+        # Its first request may be on its way.
+        is_new = not self.has_requested and now - self.connected_at < FIRST_MESSAGE_TIMEOUT * 1e6
+        has_input = is_new or self.message_began_at or self.processing or has_unread_bytes(self.sock)
+        if (self.ignores_input or not has_input) and not self.open_calls and not self.shutdown_at:
+            self.shutdown_at = now
+            self.counters.add("clients.drained")
+            self.writer.close(lambda: shutdown_write(self.sock))
+
+    def close_idle(self) -> None:
+        """Make room for another client: answer what has been requested, and read nothing more."""
+        self.close_reason = CloseReason.EVICTED
+        self.frontend.connections.mark_closing(self)
+        self.drain()
+
+    def _handle_send_failure(self, reason: str) -> None:
+        self.counters.add("clients.send_failed")
+        self.close_reason = CloseReason.SEND_FAILED
+        close_socket(self.sock)
+
+    def _close(self) -> None:
+        self._log_close()
+        for call in list(self.open_calls.values()):
+            call.cancel()
+        self.frontend.connections.discard(self)
+        self.writer.close()
+        close_socket(self.sock)
+
+    def _log_close(self) -> None:
+        """Ordinary ends, with no call open, are only counted."""
+        self.counters.add(f"clients_closed.{self.close_reason}")
+        if self.open_calls or self.close_reason not in ORDINARY_CLOSES:
+            requests = ",".join(call.request.query.id for call in self.open_calls.values() if call.request)
+            self.core.event_log.write(
+                EventKind.CLIENT_CLOSED,
+                reason=self.close_reason,
+                open=len(self.open_calls),
+                requests=requests or "-",
+            )
+
+    # Answers
+
+    def send(self, message: dict) -> None:
+        """Queue one message."""
+        self.has_answered = True
+        self._mark_active()
+        body = json.dumps(message, separators=(",", ":")).encode()
+        self.writer.write(b"Content-Length: %d\r\n\r\n" % len(body), body)
+        if self.draining:
+            self.drain()
+
+    def send_error(self, call_id: int | None, code: ErrorCode, text: str, data: dict | None = None) -> None:
+        """Queue an error; `call_id` is None where the message's own is unknown or not its own."""
+        error: dict[str, object] = {"code": code, "message": text}
+        if data is not None:
+            error["data"] = data
+        self.send({"jsonrpc": "2.0", "id": call_id, "error": error})
+
+    # Calls
+
+    def _process_message(self, frame: bytes) -> None:
+        call_id = None
+        try:
+            try:
+                message = json.loads(frame)
+            except (ValueError, RecursionError):
+                raise JsonRpcError(ErrorCode.PARSE_ERROR, "not JSON") from None
+            method, call_id = self._method_and_id(message)
+            self._dispatch(method, call_id, message.get("params"))
+        except JsonRpcError as err:
+            self.error_count += 1
+            self.counters.add(f"rpc_error.{-err.code}")
+            self.send_error(call_id, err.code, str(err))
+
+    def _method_and_id(self, message: object) -> tuple[str, Any]:
+        """The method, and the id: once it is known to be new; of `withdraw`, whatever it is."""
+        if not isinstance(message, dict) or message.get("jsonrpc") != "2.0":
+            raise JsonRpcError(ErrorCode.INVALID_REQUEST, "not a JSON-RPC 2.0 request")
+        method, call_id = message.get("method"), message.get("id")
+        if not isinstance(method, str):
+            raise JsonRpcError(ErrorCode.INVALID_REQUEST, "no method")
+        if method == "withdraw":
+            return method, call_id
+        if type(call_id) is not int or not 1 <= call_id <= MAX_REQUEST_ID:
+            raise JsonRpcError(ErrorCode.INVALID_REQUEST, "id is not a number from 1")
+        if not self.used_ids.add(call_id):
+            # Under the id itself an error would be a second answer to the open call.
+            raise JsonRpcError(ErrorCode.INVALID_REQUEST, f"id {call_id} was used before")
+        return method, call_id
+
+    def _dispatch(self, method: str, call_id: Any, params: object) -> None:
+        if method == "withdraw":
+            self._withdraw(call_id, params)
+        elif method == "status":
+            self.send({"jsonrpc": "2.0", "id": call_id, "result": {"healthy": self.core.is_serving()}})
+        elif method not in self.frontend.query_parser.classes:
+            raise JsonRpcError(ErrorCode.METHOD_NOT_FOUND, f"no method {method[:40]}")
+        else:
+            query = self.frontend.query_parser.parse(method, params)
+            self._submit(query, PendingCall(self, call_id))
+
+    def _submit(self, query: Query, call: PendingCall) -> None:
+        # Guards against one client's statements using up what all may hold: the others would be rejected.
+        held_bytes = sum(len(c.request.query.statement) for c in self.open_calls.values() if c.request)
+        is_full = (
+            len(self.open_calls) >= MAX_OPEN_CALLS
+            or held_bytes > self.core.max_statement_bytes // STATEMENT_SHARE
+        )
+        self.open_calls[call.call_id] = call
+        if is_full:  # no client that keeps to the protocol gets here
+            self.error_count += 1
+            self.core.reject_at_admission(query, call, "connection_full")
+        else:
+            call.request = self.core.submit(query, call)
+
+    def _withdraw(self, call_id: object, params: object) -> None:
+        """The call is named by its id or its query's, whichever the client gives. It is not answered."""
+        self.counters.add("withdraws")
+        names = [call_id, *(params.values() if isinstance(params, dict) else ())]
+        for call in list(self.open_calls.values()):
+            if call.call_id in names or call.request and call.request.query.id in names:
+                call.cancel()
--- /dev/null
+++ b/cypressledge/net/jsonrpc/frontend.py
@@ -0,0 +1,65 @@
+"""Listens for JSON-RPC clients."""
+
+from gevent import sleep
+
+from cypressledge.broker.core import Core
+from cypressledge.broker.metrics import Counters
+from cypressledge.clock import monotonic_us
+from cypressledge.net.connection_registry import ConnectionRegistry
+from cypressledge.net.jsonrpc.connection import JsonRpcConnection
+from cypressledge.net.jsonrpc.query_parser import QueryParser
+from cypressledge.net.listener import Listener
+from cypressledge.net.socket_io import Address
+from cypressledge.tenants import Tenants
+
+FLUSH_INTERVAL = 0.01  # seconds between two looks at what is still open while the process ends
+
+
+class JsonRpcFrontend:
+    """The listener, and what its connections share."""
+
+    def __init__(
+        self,
+        core: Core,
+        address: Address,
+        classes: tuple[str, ...],
+        tenants: Tenants,
+        counters: Counters,
+        inherited: int | None = None,
+    ) -> None:
+        """`inherited`: descriptor of a socket that the platform listens on."""
+        self.core, self.counters = core, counters
+        self.query_parser = QueryParser(core, classes, tenants)
+        self.connections: ConnectionRegistry[JsonRpcConnection] = ConnectionRegistry()
+        self.draining = False
+        self.listener = Listener(
+            address,
+            counters,
+            "clients",
+            lambda sock: JsonRpcConnection(self, sock).run(),
+            self.connections,
+            inherited,
+        )
+
+    def stop(self) -> None:
+        """Accept no further connection."""
+        self.listener.stop()
+
+    def drain(self) -> None:
+        """Another process serves the clients: close each connection as soon as no answer is owed on it."""
+        self.draining = True
+        for connection in list(self.connections):
+            connection.drain()
+
+    def flush(self, seconds: float) -> None:
+        """Send all answers, and wait for the clients to close their connections.
+
+        Guards against the last answers being lost with the process, whose sockets are reset where bytes are
+        unread: what has been received is read and answered; in the second half of the time, further messages
+        of those that are not done are ignored."""
+        until = monotonic_us() + int(seconds * 1e6)
+        while len(self.listener.pool) and (now := monotonic_us()) < until:
+            for connection in list(self.connections):
+                connection.ignores_input |= until - now < seconds * 5e5
+                connection.drain()
+            sleep(FLUSH_INTERVAL)
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -356,7 +356,7 @@
     def test_connections_that_wait_to_be_accepted_are_answered(self):
         """A listener that closes resets what waits in its queue, with the requests written to it."""
         engine = self.engine()
-        broker = self.broker(engine, hooks={"stop": "cypressledge.net.stream:Listener.stop!"})
+        broker = self.broker(engine, hooks={"stop": "cypressledge.net.listener:Listener.stop!"})
         broker.process.send_signal(signal.SIGTERM)
         broker.reached("stop")
         client = self.client(broker)
@@ -539,7 +539,7 @@
         for _ in range(80):
             idle.append(self.client(broker))
             idle[-1].send("status")
-        until(lambda: broker.count("clients.turned_away") + broker.count("clients.let_go"), "a full table")
+        until(lambda: broker.count("clients.rejected") + broker.count("clients.evicted"), "a full table")
 
         def asked():  # a crowd's newcomer may be turned away while all are young
             client = self.client(broker)
@@ -620,7 +620,7 @@
         def full():
             one = self.client(broker)
             one.sock.sendall(b"Content-Length: 500000\r\n\r\n" + b"x" * 250_000)
-            return broker.count("bad_frames")
+            return broker.count("clients.framing_errors")
 
         until(full, "all buffers full")
         client.ask(wait=1500)
@@ -754,7 +754,7 @@
             engine,
             env=FIGURES,
             change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64}},
-            hooks={"pause": "cypressledge.net.stream:sleep"},
+            hooks={"pause": "cypressledge.net.socket_io:sleep"},
         )
         client = self.client(broker)
         client.send("status")
@@ -770,7 +770,7 @@
         def crowded():  # more than there are places
             crowd.append(self.client(broker))
             crowd[-1].send("status")
-            return broker.count("clients.let_go")
+            return broker.count("clients.evicted")
 
         until(crowded, "room made")
         client.sock.sendall(sent[0][4096:])
@@ -780,7 +780,9 @@
     def test_a_request_that_comes_as_the_idle_client_is_let_go_is_answered(self):
         """What came in that moment was read and dropped."""
         engine = self.engine()
-        broker = self.broker(engine, hooks={"idle": "cypressledge.net.jsonrpc:Client.retire!"})
+        broker = self.broker(
+            engine, hooks={"idle": "cypressledge.net.jsonrpc.connection:JsonRpcConnection.drain!"}
+        )
         client = self.client(broker)
         client.sock.settimeout(20)
         client.ask()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -153,7 +153,7 @@
         client.ask()
         assert "result" in client.get()
     assert len(engine.wants) == sent
-    assert broker.count("clients_closed.idle") == broker.count("clients_cut") == 0
+    assert broker.count("clients_closed.idle") == broker.count("clients.send_failed") == 0
     assert broker.count("attempts.further") == 0
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -11,7 +11,7 @@
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
 from cypressledge.decisions import contract as c
-from cypressledge.net.jsonrpc import Call
+from cypressledge.net.jsonrpc.pending_call import PendingCall
 from cypressledge.net.line_protocol.transport import MAX_CONNECTIONS_TRIED, LineProtocolTransport
 from cypressledge.settings import parse_settings
 from tests.stands import SETTINGS
@@ -130,9 +130,9 @@
     def test_withdrawn_call_is_owed_no_refusal(self):
         """The module may give up on a request in the tick in which its client withdraws it."""
         client = Told()
-        client.open, client.core = {}, self.core
-        call = client.open[1] = Call(client, 1)
-        call.leave()
+        client.open_calls, client.core = {}, self.core
+        call = client.open_calls[1] = PendingCall(client, 1)
+        call.cancel()
         for answer in (
             lambda: call.reject(0),
             lambda: call.complete(b""),
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -13,8 +13,11 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
-from cypressledge.net.jsonrpc import SKIPPED_MOST, Client, Used
-from cypressledge.net.stream import KEPT, LOOKS, QUEUED, Crowd, Listener, Writer
+from cypressledge.net.connection_registry import EXAMINED, NOT_EVICTABLE, ConnectionRegistry
+from cypressledge.net.jsonrpc.connection import JsonRpcConnection
+from cypressledge.net.jsonrpc.request_ids import MAX_SKIPPED, UsedRequestIds
+from cypressledge.net.listener import Listener
+from cypressledge.net.socket_writer import QUEUED_BYTES, SocketWriter
 from tests.stands import ROW, SETTINGS, WAIT, Case, NameServer, Rpc, content, held, silent, until, whole
 
 
@@ -182,11 +185,11 @@
         assert len(self.said(client)) < 40
 
     def test_numbers_that_skip_are_not_all_remembered(self):
-        used = Used()
+        used = UsedRequestIds()
         for number in range(2, 50_000, 2):
             assert used.add(number)
             assert not used.add(number)
-        assert len(used.above) <= SKIPPED_MOST
+        assert len(used.above) <= MAX_SKIPPED
 
 
 class Crowds(Case):
@@ -194,7 +197,7 @@
         broker = self.broker(
             self.engine(), change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}}
         )
-        crowd = [self.client(broker) for _ in range(60)]
+        silent_clients = [self.client(broker) for _ in range(60)]
 
         def served():
             client = Rpc(broker.port)
@@ -205,49 +208,55 @@
             except OSError:
                 return None
 
-        until(served, "a place among the crowd")
-        assert crowd
+        until(served, "a place among the silent clients")
+        assert silent_clients
 
-    def test_a_newcomer_costs_the_same_whatever_the_crowd(self):
-        """Each newcomer took a look at all connections: a crowd took a whole core."""
+    def test_a_newcomer_costs_the_same_whatever_the_number_of_clients(self):
+        """Each newcomer took a look at all connections: of many, that took a whole core."""
         looked = []
 
         class Member:
-            def __init__(self, n, worth, asked):
-                self.n, self.worth, self.asked = n, worth, asked
+            def __init__(self, n, priority, has_requested):
+                self.n, self.priority, self.has_requested = n, priority, has_requested
 
-            def missed(self, now):
+            def eviction_priority(self, now):
                 looked.append(self.n)
-                return self.worth
+                return self.priority
 
-        crowd = Crowd()
-        busy = [Member(n, KEPT, True) for n in range(LOOKS)]
-        idle = [Member(n, (2, n), True) for n in range(LOOKS, 5_000)]
+        registry = ConnectionRegistry()
+        busy = [Member(n, NOT_EVICTABLE, True) for n in range(EXAMINED)]
+        idle = [Member(n, (2, n), True) for n in range(EXAMINED, 5_000)]
         for connection in busy + idle:
-            crowd.add(connection)
-        assert crowd.least(0) is None  # those heard longest ago are all busy: the next look finds others
-        assert crowd.least(0) is idle[0]
+            registry.add(connection)
+        assert registry.eviction_candidate(0) is None  # all busy: the next finds others
+        assert registry.eviction_candidate(0) is idle[0]
         quiet = Member(5_000, (1, 0), False)
-        crowd.add(quiet)
-        assert crowd.least(0) is quiet
-        assert len(looked) < 4 * LOOKS
+        registry.add(quiet)
+        assert registry.eviction_candidate(0) is quiet
+        assert len(looked) < 4 * EXAMINED
 
     def test_room_is_made_at_once_and_never_over_a_request_or_an_answer(self):
         """Whoever made room was still counted while its greenlet ended; and bytes on their way were lost."""
-        front = SimpleNamespace(core=None, counters=Counters(), clients=Crowd(), retiring=False)
-        listener = Listener(("127.0.0.1", 0), front.counters, "clients", None, front.clients)
+        front = SimpleNamespace(
+            core=None, counters=Counters(), connections=ConnectionRegistry(), draining=False
+        )
+        listener = Listener(("127.0.0.1", 0), front.counters, "clients", None, front.connections)
         self.addCleanup(listener.sock.close)
         pairs = [socket.socketpair() for _ in range(4)]
-        clients = [Client(front, ours) for ours, _ in pairs]
+        clients = [JsonRpcConnection(front, ours) for ours, _ in pairs]
         for n, client in enumerate(clients):
-            client.asked, client.since, client.last = True, 0, monotonic_us() - 1_000_000 + n
+            client.has_requested, client.connected_at, client.last_heard = (
+                True,
+                0,
+                monotonic_us() - 1_000_000 + n,
+            )
         pairs[0][1].send(b"a request that is not read yet")
-        clients[1].writer.running = True  # an answer has not left yet
+        clients[1].writer.sending = True  # an answer has not left yet
         for left in (3, 2):
             assert listener._make_room()
-            assert len(front.clients) == left
+            assert len(front.connections) == left
         assert not listener._make_room()
-        assert set(front.clients) == set(clients[:2])
+        assert set(front.connections) == set(clients[:2])
         for ours, theirs in pairs:
             ours.close()
             theirs.close()
@@ -258,16 +267,17 @@
 
     def test_the_one_with_most_queued_is_given_up_not_whoever_comes_next(self):
         """A client that read all its answers was cut because others did not read theirs."""
-        self.enterContext(patch.object(QUEUED, "most", 3 << 19))
+        self.enterContext(patch.object(QUEUED_BYTES, "limit", 3 << 19))
         pairs = [gevent.socket.socketpair() for _ in range(3)]
         lost = []
         slow, slower, good = (
-            Writer(ours, 4 << 20, 30.0, lambda why, n=n: lost.append(n)) for n, (ours, _) in enumerate(pairs)
+            SocketWriter(ours, 4 << 20, 30.0, lambda why, n=n: lost.append(n))
+            for n, (ours, _) in enumerate(pairs)
         )
         for writer, size in ((slow, 1 << 20), (slower, 1 << 20), (slow, 512 << 10), (slower, 900 << 10)):
-            writer.put(b"x" * size)
+            writer.write(b"x" * size)
             gevent.sleep(0.01)
-        good.put(b"y" * (900 << 10))
+        good.write(b"y" * (900 << 10))
         got = 0
         with gevent.Timeout(5):
             while got < 900 << 10:
