--- a/cypressledge/broker_process.py
+++ b/cypressledge/broker_process.py
@@ -24,7 +24,7 @@
 from cypressledge.config import Config, ConfigError, read_config
 from cypressledge.decisions.contract import EngineListKind, Settings
 from cypressledge.net.buffer import GROWN
-from cypressledge.net.directory import Catalogue, Directory, Listed
+from cypressledge.net.dns_discovery import DirectoryPoller, DiscoveredEngine, EngineNaming
 from cypressledge.net.jsonrpc.frontend import JsonRpcFrontend
 from cypressledge.net.line_protocol.transport import LineProtocolTransport
 from cypressledge.net.management import CALLERS_LEAST, CALLERS_MOST, Kept, Management, figures
@@ -89,9 +89,9 @@
             )
             self.management.add("/maintenance/enter", "POST", lambda r: self.kept.call(r, True))
             self.management.add("/maintenance/exit", "POST", lambda r: self.kept.call(r, False))
-        self.catalogue = Catalogue(config.kinds, config.zones, "lines")
-        self.catalogue.tell(self.core, EngineListKind.CACHED, config.engines)
-        self.directory = Directory(self.core, config.dns_server, self.catalogue, config.serial)
+        self.engine_naming = EngineNaming(config.kinds, config.zones, "lines")
+        self.engine_naming.publish(self.core, EngineListKind.CACHED, config.engines)
+        self.directory = DirectoryPoller(self.core, config.dns_server, self.engine_naming, config.serial)
         self.parts.append(self.directory.run)
         self.service = None
         if service is not None:
@@ -167,10 +167,10 @@
         self.config, self.sections = config, sections
         self._limit(config)
         self.core.reconfigure(_settings(config, service))
-        self.catalogue.rename(self.core, config.kinds, config.zones)
+        self.engine_naming.rename(self.core, config.kinds, config.zones)
         if not self.engines_told:
             self.directory.update(config.serial, config.engines)
-            self.directory.move(config.dns_server)
+            self.directory.set_server(config.dns_server)
         if self.service is not None:
             self.service.reload(service, config)
         self.counters.add("reloads")
@@ -181,12 +181,12 @@
         self._reload(sections)
         log(f"control: new settings are in force: {' '.join(sorted(sections))}")
 
-    def take_engines(self, engines: list[Listed]) -> None:
+    def take_engines(self, engines: list[DiscoveredEngine]) -> None:
         """The whole list, from now on in place of the file's and the directory's, which is asked no more."""
         if not self.engines_told:
             self.engines_told = True
-            self.directory.move(None)
-        self.catalogue.tell(self.core, EngineListKind.FULL, engines)
+            self.directory.set_server(None)
+        self.engine_naming.publish(self.core, EngineListKind.FULL, engines)
 
     def _check(self, config: Config, service: ServiceConfig | None) -> None:
         """Whether this can be taken without a restart."""
--- a/cypressledge/config.py
+++ b/cypressledge/config.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from cypressledge.decisions import contract as c
-from cypressledge.net.directory import Listed, known
+from cypressledge.net.dns_discovery import DiscoveredEngine, configured_engines
 from cypressledge.settings import SettingsError, parse_settings
 
 DEFAULT_MEMORY_MB = 192  # where the configuration names no limit
@@ -70,7 +70,7 @@
     tenants: frozenset[str]
     quotas: dict[str, float]  # requests a second of a tenant within its share, over all brokers
     serial: int
-    engines: tuple[Listed, ...]
+    engines: tuple[DiscoveredEngine, ...]
 
 
 def read_config(env, sections: dict | None = None) -> Config:
@@ -94,7 +94,7 @@
 def _config(raw: dict, env) -> Config:
     s, seed = raw["settings"], raw["seed"]
     limits = _limits(raw["limits"], s)
-    serial, engines = known(raw["known"])
+    serial, engines = configured_engines(raw["known"])
     return Config(
         name=env.get("ROUTER_NAME") or raw["name"],
         listen=parse_address(env.get("ROUTER_LISTEN") or raw["listen"]),
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -18,7 +18,7 @@
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.node import new_run
-from cypressledge.net.directory import Listed
+from cypressledge.net.dns_discovery import DiscoveredEngine
 
 KINDS = ("config", "engine", "broker")  # of keys
 ENGINE_STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
@@ -130,9 +130,9 @@
         self.fleet.name_peers({name: parse_address(broker.address) for name, broker in brokers.items()})
 
 
-def _listed(name: str, engine: Engine) -> Listed:
+def _listed(name: str, engine: Engine) -> DiscoveredEngine:
     host, port = parse_address(engine.address)
-    return Listed(
+    return DiscoveredEngine(
         name, host, port, ENGINE_STATES[engine.state], engine.kind, engine.zone, engine.cell, engine.born_ms
     )
 
--- a/cypressledge/lab/slopes.py
+++ b/cypressledge/lab/slopes.py
@@ -47,7 +47,7 @@
 from cypressledge.lab.results import Fact, Results, Slope, Source, slope, source, write
 from cypressledge.lab.site import SETTINGS
 from cypressledge.lab.virtual import World
-from cypressledge.net.directory import NAME, Catalogue, Directory
+from cypressledge.net.dns_discovery import SERVICE_NAME, DirectoryPoller, EngineNaming
 from cypressledge.settings import parse_settings
 
 S = 1_000_000
@@ -286,7 +286,12 @@
     def add(section, owner, kind, *texts) -> None:
         section.append(dns.rrset.from_text_list(owner, 1, "IN", kind, texts))
 
-    add(told.answer, NAME + ".", "SRV", *(f"0 40 {6565 + i % 8} {host}" for i, host in enumerate(hosts)))
+    add(
+        told.answer,
+        SERVICE_NAME + ".",
+        "SRV",
+        *(f"0 40 {6565 + i % 8} {host}" for i, host in enumerate(hosts)),
+    )
     for i, host in enumerate(hosts):
         add(told.additional, host, "A", f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}")
         add(told.additional, host, "TXT", f'"kind=node-8c" "cell={i % 2}" "started={BORN_MS + i}"')
@@ -304,7 +309,7 @@
 
 def most_that_fit(bound: int) -> int:
     """Engines whose list just fits an answer of so many bytes."""
-    query = dns.message.make_query(NAME + ".", dns.rdatatype.SRV)
+    query = dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV)
     low, high = 1, 2_000
     while low < high:
         middle = (low + high + 1) // 2
@@ -313,20 +318,20 @@
     return low
 
 
-def reader() -> Directory:
+def reader() -> DirectoryPoller:
     """The program's reader with a stand-in for the core, which is told lists and does nothing."""
     core = SimpleNamespace(counters=Counters(), update_list=lambda *told: None)
-    return Directory(core, None, Catalogue(("node-8c", "node-16c"), ZONES, "lines"), 0)
+    return DirectoryPoller(core, None, EngineNaming(("node-8c", "node-16c"), ZONES, "lines"), 0)
 
 
 def read_ms(engines: int) -> float | None:
     """ms that a changed list takes a broker until its module is told; None where it can't be sent."""
-    query = dns.message.make_query(NAME + ".", dns.rdatatype.SRV)
+    query = dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV)
     raws = [wire(query, engines, serial) for serial in (1, 2, 3)]
     if None in raws:
         return None
     directory, serials = reader(), iter(raws)
-    return middle_ms(lambda: directory._read(query, next(serials)), 3)
+    return middle_ms(lambda: directory.read_answer(query, next(serials)), 3)
 
 
 @contextmanager
@@ -349,7 +354,7 @@
 
 def poll_ms(engines: int, polls: int) -> float | None:
     """ms of a poll that brings the same list as the last one; None where it can't be sent."""
-    raw = wire(dns.message.make_query(NAME + ".", dns.rdatatype.SRV), engines)
+    raw = wire(dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV), engines)
     if raw is None or len(raw) > DNS_MOST - HEADERS:
         return None
     with responder(raw) as server:
@@ -373,7 +378,7 @@
     }
     fits = {bound: most_that_fit(bound) for bound in bounds}
     sizes = (12, 36, 60) if quick else (*ENGINES[:-1], fits[DNS_MOST - HEADERS])
-    query = dns.message.make_query(NAME + ".", dns.rdatatype.SRV)
+    query = dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV)
     raws = {n: wire(query, n) for n in sizes}
     reads = {n: read_ms(n) for n in sizes}
     polls = {n: poll_ms(n, 20) for n in sizes}
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -11,8 +11,8 @@
 from cypressledge.config import Config, ConfigError, Limits, parse_address
 from cypressledge.net.admin import Admin
 from cypressledge.net.clickhouse import ChFront, ChLink
-from cypressledge.net.directory import Catalogue
-from cypressledge.net.dnssd import DnsSd
+from cypressledge.net.dns_discovery import EngineNaming
+from cypressledge.net.dns_sd import DnsSdPoller
 from cypressledge.net.http import BODIES
 from cypressledge.tenants import TenantError, Tenants
 
@@ -84,8 +84,8 @@
         if told.admin_listen:
             self.admin = Admin(core, told.admin_listen, tenants)
             self.servers.append(self.admin.server)
-        self.catalogue = Catalogue(config.kinds, config.zones, WIRE)
-        self.names = DnsSd(core, told.dns_server, told.dns_service, self.catalogue)
+        self.engine_naming = EngineNaming(config.kinds, config.zones, WIRE)
+        self.names = DnsSdPoller(core, told.dns_server, told.dns_service, self.engine_naming)
         self.parts += [self.names.run, *(server.listener.run for server in self.servers)]
         self._take(told)
 
@@ -116,7 +116,7 @@
     def reload(self, told: ServiceConfig, config: Config) -> None:
         """Take what its file says now."""
         self._take(told)
-        self.catalogue.rename(self.core, config.kinds, config.zones)
+        self.engine_naming.rename(self.core, config.kinds, config.zones)
         self.names.browse(told.dns_server, told.dns_service)
 
     def stop(self) -> None:
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -382,7 +382,7 @@
                     assert broker.process.wait(WAIT) == 0
                 else:
                     broker.said("the new configuration is in force")
-                    assert "now asking" in broker.words()
+                    assert "now polling" in broker.words()
                     assert broker.process.poll() is None
                 broker.close()
 
@@ -493,7 +493,7 @@
         leaving, staying = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(leaving, staying)
         broker.dns.mute = True
-        broker.said("directory: out of reach")
+        broker.said("directory: unreachable")
         broker.dns.engines[leaving.name] = (leaving.port, 1)
         broker.dns.serial, broker.dns.mute = 2, False
         told, asked = time.monotonic(), broker.dns.asked
@@ -508,7 +508,7 @@
     def test_an_answer_of_the_former_directory_that_is_on_its_way_counts_no_more(self):
         """It was taken; its higher number made every list of the new directory an older one."""
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
-        broker = self.broker(one, two, hooks={"answer": "cypressledge.net.directory:_answer#8"})
+        broker = self.broker(one, two, hooks={"answer": "cypressledge.net.dns_discovery:_receive_datagram#8"})
         broker.dns.mute = True
         broker.reached("answer")  # it has asked, and not looked for the answer yet
         until(lambda: broker.dns.asked >= 8, "the query")
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -260,12 +260,12 @@
     def test_list_is_kept_while_the_directory_is_out_of_reach(self):
         broker = self.broker(self.engine())
         broker.dns.mute = True
-        until(lambda: "out of reach" in broker.words(), "the log line")
+        until(lambda: "unreachable" in broker.words(), "the log line")
         client = self.client(broker)
         client.ask()
         assert content(client.get()) == ROW
         broker.dns.mute = False
-        until(lambda: "answers again" in broker.words(), "the log line")
+        until(lambda: "reachable again" in broker.words(), "the log line")
 
     def test_not_healthy_without_engines(self):
         broker = self.broker()
