--- a/cypressledge/cli.py
+++ b/cypressledge/cli.py
@@ -297,7 +297,7 @@
 @click.option("--seed", default=1, show_default=True)
 def slopes(path: str, quick: bool, seed: int) -> None:
     """What each part of the program costs against the fleet's size, with fits, as a results file."""
-    from cypressledge.lab.slopes import run
+    from cypressledge.lab.scaling import run
 
     sys.exit(run(path, quick, seed, click.echo))
 
@@ -316,7 +316,7 @@
 @click.option("--plots", "folder", default="", help="Draw each slope into this folder (needs matplotlib).")
 def capacity_page(paths: tuple[str, ...], page: str, check: bool, folder: str) -> None:
     """Write the tables of a page anew from results files."""
-    from cypressledge.lab.capacity_page import run
+    from cypressledge.lab.capacity.page import run
     from cypressledge.lab.results import ResultsError
 
     try:
@@ -348,7 +348,7 @@
 @click.option("--keep", default="", help="Keep each run's files in this folder.")
 def capacity(**how) -> None:
     """Control processes, real and hollow brokers on the loopback, and a day of changes and faults."""
-    from cypressledge.lab.capacity import run
+    from cypressledge.lab.capacity.run import run
 
     live = sys.stderr.isatty() and os.environ.get("TERM") != "dumb"
     sys.exit(run(**how, say=click.echo, live=live))
--- a/cypressledge/lab/capacity_fleet.py
+++ b/cypressledge/lab/capacity/fleet.py
@@ -16,13 +16,13 @@
 import yaml
 from gevent import socket, subprocess
 
-from cypressledge.lab.capacity_day import REGION, ZONES
+from cypressledge.lab.capacity.day import REGION, ZONES
 from cypressledge.lab.engines import LabEngine
 from cypressledge.lab.load import Client
 from cypressledge.lab.processes import ROOT, Brokers, OwnProcess, until
-from cypressledge.lab.relay import Path as Way
-from cypressledge.lab.relay import Relays, TcpRelay
 from cypressledge.lab.site import SETTINGS, free_port
+from cypressledge.lab.tcp_proxy import TcpProxy
+from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
 
 TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / (1 << 20)
@@ -159,7 +159,7 @@
         self.alive, self.held = 0, 0
         with open(folder / f"host{number}.log", "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-m", "cypressledge.lab.hollow"],
+                [sys.executable, "-O", "-m", "cypressledge.lab.simulated_broker"],
                 cwd=ROOT,
                 stdout=subprocess.PIPE,
                 stderr=log,
@@ -228,12 +228,12 @@
         self.size, self.seed, self.folder = size, seed, folder
         self.controls = [Control(f"c{i + 1}", ZONES[i % 3], i < VOTERS, folder) for i in range(size.controls)]
         self.by_name = {c.name: c for c in self.controls}
-        self.udp = Relays(
+        self.udp = UdpProxies(
             {c.name: c.fleet for c in self.controls},
             seed,
             lambda a, b: self.by_name[a].region != self.by_name[b].region,
         )
-        self.tcp = {c.name: TcpRelay(("127.0.0.1", c.port)) for c in self.controls}
+        self.tcp = {c.name: TcpProxy(("127.0.0.1", c.port)) for c in self.controls}
         self.standins = [LabEngine(f"live{i}", LIVE, 0.005) for i in range(min(STANDINS, size.engines))]
         self.real = Brokers(str(folder / "real"))
         self.hosts: list[HollowHost] = []
@@ -404,7 +404,7 @@
         """Nothing passes between the regions any more."""
         self.is_cut = True
         for pair in self.udp.paths:
-            self.udp.paths[pair] = Way(cut=True)
+            self.udp.paths[pair] = LinkConditions(cut=True)
         for relay in self.tcp.values():
             relay.cut(how)
         for host in self.hosts:
--- a/cypressledge/lab/capacity_page.py
+++ b/cypressledge/lab/capacity/page.py
@@ -12,7 +12,7 @@
 import msgspec
 from tabulate import tabulate
 
-from cypressledge.lab.capacity_needs import (
+from cypressledge.lab.capacity.requirements import (
     BROKERS,
     CLIENTS,
     CONTROL,
@@ -31,7 +31,7 @@
     Line,
     lines,
 )
-from cypressledge.lab.fits import best
+from cypressledge.lab.curve_fit import best
 from cypressledge.lab.results import Results, ResultsError, read
 
 MARK = re.compile(r"(<!-- table:([a-z-]+) -->\n).*?(<!-- end -->)", re.S)
--- a/cypressledge/lab/capacity_play.py
+++ b/cypressledge/lab/capacity/playback.py
@@ -12,10 +12,10 @@
 import gevent
 from gevent.lock import BoundedSemaphore
 
-from cypressledge.lab.capacity_check import Acked, Loss, Seen, Span
-from cypressledge.lab.capacity_day import Event
-from cypressledge.lab.capacity_fleet import LIVE, World, engine, http
-from cypressledge.lab.capacity_fleet import ghost as address_of
+from cypressledge.lab.capacity.checks import Acked, Loss, Seen, Span
+from cypressledge.lab.capacity.day import Event
+from cypressledge.lab.capacity.fleet import LIVE, World, engine, http
+from cypressledge.lab.capacity.fleet import ghost as address_of
 from cypressledge.lab.site import SETTINGS
 
 ASK_S = 20.0  # seconds after which the operator gives a change up
--- a/cypressledge/lab/capacity.py
+++ b/cypressledge/lab/capacity/run.py
@@ -17,9 +17,9 @@
 import gevent
 from tabulate import tabulate
 
-from cypressledge.lab import capacity_check as cc
-from cypressledge.lab.capacity_day import Day, draw, quiet_day
-from cypressledge.lab.capacity_fleet import (
+from cypressledge.lab.capacity import checks
+from cypressledge.lab.capacity.day import Day, draw, quiet_day
+from cypressledge.lab.capacity.fleet import (
     MEMBERS,
     TERM_S,
     ScaleError,
@@ -29,7 +29,7 @@
     ghost,
     http,
 )
-from cypressledge.lab.capacity_play import Faults, Operator, now, seen, tail
+from cypressledge.lab.capacity.playback import Faults, Operator, now, seen, tail
 from cypressledge.lab.processes import commit, until
 
 EVERY_S = 0.7  # a change so often, on average
@@ -51,7 +51,7 @@
     say: Callable[[str], None]
     live: bool = False
     quiet: bool = False  # nothing is broken
-    verdict: cc.Verdict = field(default_factory=cc.Verdict)
+    verdict: checks.Verdict = field(default_factory=checks.Verdict)
     figures: dict = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)  # lines that make the run fail
     late: list[float] = field(default_factory=list)
@@ -169,8 +169,8 @@
 
     def _judge(self) -> None:
         world, folder = self.world, self.folder
-        brokers = cc.read_records(sorted(folder.glob("*.broker.jsonl")))
-        controls = cc.read_records(sorted(folder.glob("*.control.jsonl")))
+        brokers = checks.read_records(sorted(folder.glob("*.broker.jsonl")))
+        controls = checks.read_records(sorted(folder.glob("*.control.jsonl")))
         told = seen(
             self.operator,
             self.faults,
@@ -182,7 +182,7 @@
         )
         kept = asdict(told) | {"ends": [[*life, at] for life, at in told.ends.items()]}
         (folder / "seen.json").write_text(json.dumps(kept, default=sorted))
-        self.verdict = v = cc.check(brokers, controls, told)
+        self.verdict = v = checks.check(brokers, controls, told)
         hosts = [
             (h.cost.cpu_pct / n, h.cost.net_kb_s / n, h.cost.rss_mb / n)
             for h in world.hosts
@@ -207,7 +207,7 @@
             "quiet": self.quiet,
             "commit": self.commit,
             "changes": v.changes,
-            "p99_s": round(cc.quantile(v.quiet, 0.99), 3),
+            "p99_s": round(checks.quantile(v.quiet, 0.99), 3),
             "most_s": round(max(v.quiet, default=0.0), 3),
             "primary_most_s": round(max((s for s, _ in v.primary_over), default=0.0), 3),
             "broker_cpu_pct": round(cpu, 2),
@@ -223,8 +223,8 @@
             "snapshots": counts.get("frames.in.whole", 0),
             "reconnects": counts.get("frames.in.welcome", 0) - len(world.brokers) + self.size.real,
             "faults": dict(self.faults.counts),
-            "late_ms_p99": round(1e3 * cc.quantile(self.late, 0.99), 1),
-            "all_p99_s": round(cc.quantile(v.all, 0.99), 3),
+            "late_ms_p99": round(1e3 * checks.quantile(self.late, 0.99), 1),
+            "all_p99_s": round(checks.quantile(v.all, 0.99), 3),
             "all_most_s": round(max(v.all, default=0.0), 3),
             "hollow_cpu_pct": round(self.hollow[0], 2),
             "real_cpu_pct": round(self.real[0], 2),
@@ -237,9 +237,9 @@
         }
         self.broken += [
             f"too little took place: {why}"
-            for why in cc.too_little(v, told, self.size.brokers, self.seconds, self.quiet)
+            for why in checks.too_little(v, told, self.size.brokers, self.seconds, self.quiet)
         ]
-        self.broken += [f"limit passed: {why}" for why in cc.passed_limits(v, cpu, net, rss)]
+        self.broken += [f"limit passed: {why}" for why in checks.passed_limits(v, cpu, net, rss)]
         if self._too_large():
             self.broken.append(f"limit passed: {self._too_large()}")
 
@@ -342,7 +342,7 @@
 
 
 def _row(times: list[float]) -> list:
-    return [len(times), cc.quantile(times, 0.5), cc.quantile(times, 0.99), max(times, default=0.0)]
+    return [len(times), checks.quantile(times, 0.5), checks.quantile(times, 0.99), max(times, default=0.0)]
 
 
 def run(
@@ -404,9 +404,9 @@
     at = [f["brokers"] for f in rows]
     figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=(8, 9))
     lines = (
-        (("p99_s", "most_s", "primary_most_s"), cc.IN_FORCE_S, "s"),
-        (("hollow_cpu_pct", "real_cpu_pct"), cc.CPU_PCT, "% of a core"),
-        (("hollow_net_kb_s", "real_net_kb_s"), cc.NET_KB_S, "KB/s"),
+        (("p99_s", "most_s", "primary_most_s"), checks.IN_FORCE_S, "s"),
+        (("hollow_cpu_pct", "real_cpu_pct"), checks.CPU_PCT, "% of a core"),
+        (("hollow_net_kb_s", "real_net_kb_s"), checks.NET_KB_S, "KB/s"),
     )
     for axis, (names, limit, unit) in zip(axes, lines, strict=True):
         for name in names:
@@ -414,7 +414,7 @@
         axis.axhline(limit, color="red", linestyle="--", label=f"limit {limit:g}")
         axis.set_ylabel(unit)
         axis.legend()
-    axes[0].axhline(cc.PRIMARY_S, color="orange", linestyle="--")
+    axes[0].axhline(checks.PRIMARY_S, color="orange", linestyle="--")
     axes[0].set_title(f"seed {rows[0]['seed']}, {rows[0]['seconds']:g} s, {rows[0]['engines']} engines")
     axes[-1].set_xlabel("brokers")
     figure.savefig(path, dpi=80)
--- a/cypressledge/lab/cost.py
+++ b/cypressledge/lab/cost.py
@@ -16,7 +16,7 @@
 from cypressledge.lab.engines import LabEngine
 from cypressledge.lab.load import Client
 from cypressledge.lab.processes import BrokerProcess, Brokers, until
-from cypressledge.lab.relay import udp_ports
+from cypressledge.lab.site import free_udp_ports
 
 LOADED = 4  # brokers that get load
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -35,7 +35,7 @@
 
 
 def _settings(names: list[str], leases: int) -> dict:
-    ports = udp_ports(names)
+    ports = free_udp_ports(names)
     return {
         "peers": [{"name": n, "address": f"127.0.0.1:{p}"} for n, p in ports.items()],
         "voters": [{"version": 1, "names": names[: min(5, len(names) - (len(names) + 1) % 2)]}],
--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -13,7 +13,7 @@
 from cypressledge.lab.engines import LabEngine
 from cypressledge.lab.load import Client
 from cypressledge.lab.processes import BrokerProcess, Brokers, until
-from cypressledge.lab.relay import udp_ports
+from cypressledge.lab.site import free_udp_ports
 
 NAMES = ("n1", "n2", "n3")
 ZONES = ("room1", "room2")
@@ -56,7 +56,7 @@
         self.began = time.monotonic()
         self.engines = [LabEngine(f"s-{i + 1}", ZONES[i % 2]) for i in range(4)]
         self.fleet = Brokers()
-        told = _fleet(udp_ports(list(NAMES)))
+        told = _fleet(free_udp_ports(list(NAMES)))
         for name in NAMES:
             self.fleet.add(name, told, [e.member() for e in self.engines]).start()
         ports = [b.port for b in self.fleet.all.values()]
--- a/cypressledge/lab/mutants.py
+++ b/cypressledge/lab/guard_mutations.py
@@ -8,7 +8,7 @@
 
 from cypressledge.fleet.lease import NEVER, Claim, Electorate, Voter
 from cypressledge.fleet.messages import ReleaseLease, VoteGranted, VoteRequest
-from cypressledge.lab.explore import Bounds, Made
+from cypressledge.lab.model_checker import Bounds, Made
 
 ONE = {1: ("a", "b", "c")}
 ADDED = {1: ("a", "b", "c"), 2: ("a", "b", "c", "d")}
--- a/cypressledge/lab/leases.py
+++ b/cypressledge/lab/leases.py
@@ -18,8 +18,9 @@
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.lab.check import Verdict, check
 from cypressledge.lab.processes import Brokers, until
-from cypressledge.lab.relay import Path, Relays, udp_ports
 from cypressledge.lab.resource import Resource, Write
+from cypressledge.lab.site import free_udp_ports
+from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
 
 DRIFT_PPM = 20_000
 FAULTS = (
@@ -62,8 +63,8 @@
         self.fleet = Brokers(self.keep)
         self.resource = Resource(self.fence)
         self.resource.watch = self._acted
-        self.ports = udp_ports(self.names)
-        self.relays = Relays(self.ports, self.seed)
+        self.ports = free_udp_ports(self.names)
+        self.relays = UdpProxies(self.ports, self.seed)
         self.in_act: dict[str, str] = {}  # by broker: a lease it is in the middle of an act under
         self.waiting: dict[str, tuple[str, int, list]] = {}  # by lease: who held it, when, for what
         self.calm = True
@@ -206,7 +207,7 @@
         self.calm = False
         for pair in self.relays.paths:
             if which(*pair):
-                self.relays.paths[pair] = Path(cut=True)
+                self.relays.paths[pair] = LinkConditions(cut=True)
         gevent.sleep(self.random.uniform(0.5, 2.0) * self.term)
         self._heal()
 
@@ -214,7 +215,7 @@
         self.calm = False
         for pair in self.relays.paths:
             if self.random.random() < 0.6:
-                self.relays.paths[pair] = Path(
+                self.relays.paths[pair] = LinkConditions(
                     loss=self.random.uniform(0, 0.4),
                     copies=0.3,
                     delay=(0.0, self.random.choice((0.02, 0.2, 1.5 * self.term))),
--- a/cypressledge/lab/model.py
+++ b/cypressledge/lab/model.py
@@ -4,8 +4,8 @@
 import os
 from collections.abc import Callable
 
-from cypressledge.lab.explore import Found, Made, explore
-from cypressledge.lab.mutants import DEEP, MUTANTS, SUSPENDED, WORLDS
+from cypressledge.lab.guard_mutations import DEEP, MUTANTS, SUSPENDED, WORLDS
+from cypressledge.lab.model_checker import Found, Made, explore
 
 Job = tuple[str, str]  # kind (world, mutant) and name
 
--- a/cypressledge/lab/results.py
+++ b/cypressledge/lab/results.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cypressledge.lab.fits import Fit, best
+from cypressledge.lab.curve_fit import Fit, best
 from cypressledge.lab.processes import commit
 
 Basis = Literal["measured", "interpolated", "extrapolated"]
--- a/cypressledge/lab/slopes.py
+++ b/cypressledge/lab/scaling.py
@@ -727,7 +727,7 @@
 
 def run(path: str, quick: bool, seed: int, say: Callable[[str], None]) -> int:
     """Measure all slopes, one after the other, and write them. 0, whatever the figures are."""
-    from cypressledge.lab.slopes_process import process
+    from cypressledge.lab.scaling_process import process
 
     command = f"python -m cypressledge lab slopes --json {path} --seed {seed}{' --quick' if quick else ''}"
     results = Results(quick)
--- a/cypressledge/lab/hollow.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -1,9 +1,9 @@
-"""Many hollow brokers in one process: the control plane's true client code, and no statements.
+"""Many simulated brokers in one process: the control plane's real client code, and no statements.
 
-`python -m cypressledge.lab.hollow`, started by the scale run. Commands come as JSON lines on standard input
-(start, kill, cut, heal), answers and figures go as JSON lines to standard output; the end of the input ends
-the process. Each hollow broker is a `SubscriberClient` and, where `members` is said, a `FleetNode` whose
-peers are those of the state.
+`python -m cypressledge.lab.simulated_broker`, started by the capacity run. Commands come as JSON lines on
+standard input (start, kill, cut, heal), answers and figures go as JSON lines to standard output; the end of
+the input ends the process. Each simulated broker is a `SubscriberClient` and, where `members` is given, a
+`FleetNode` whose peers are those of the state.
 """
 
 import json
--- a/cypressledge/lab/site.py
+++ b/cypressledge/lab/site.py
@@ -113,3 +113,13 @@
         | {"Dcs": sorted({m["locality"] for m in members or []}) or SETTINGS["Dcs"]}
         | (more or {}),
     }
+
+
+def free_udp_ports(names: list[str]) -> dict[str, int]:
+    """A free UDP port for each."""
+    ports: dict[str, int] = {}
+    while len(ports) < len(names):
+        port = free_port(socket.SOCK_DGRAM)
+        if port not in ports.values():
+            ports[names[len(ports)]] = port
+    return ports
--- a/cypressledge/lab/zones.py
+++ b/cypressledge/lab/zones.py
@@ -26,8 +26,8 @@
 from cypressledge.lab.engines import ROW
 from cypressledge.lab.load import answer
 from cypressledge.lab.processes import BrokerProcess, Brokers, until
-from cypressledge.lab.relay import Relays, udp_ports
-from cypressledge.lab.site import SETTINGS
+from cypressledge.lab.site import SETTINGS, free_udp_ports
+from cypressledge.lab.udp_proxy import UdpProxies
 
 ZONES = ("room1", "room2", "room3")
 RULES = SETTINGS["Rules"]
@@ -255,8 +255,8 @@
         self.names = [f"n{i}" for i in range(count)]
         self.on, self.seed, self.rate, self.hold_s, self.warm_s = on, seed, rate, hold_s, warm_s
         self.regions, self.load = regions or [], None
-        self.ports = udp_ports(self.names)
-        self.relays = Relays(self.ports, seed) if relayed else None
+        self.ports = free_udp_ports(self.names)
+        self.relays = UdpProxies(self.ports, seed) if relayed else None
         self.engines = [
             CoreEngine(f"s-{z[-1]}{n}", z, CORES, self.names, warm_s) for z in ZONES for n in range(3)
         ]
--- a/tests/control_stands.py
+++ b/tests/control_stands.py
@@ -24,8 +24,8 @@
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.lab.processes import ROOT, BrokerProcess, until
-from cypressledge.lab.relay import Relays, udp_ports
-from cypressledge.lab.site import free_port
+from cypressledge.lab.site import free_port, free_udp_ports
+from cypressledge.lab.udp_proxy import UdpProxies
 
 TERM = 1.0
 WAIT = 25.0  # seconds that a test waits for an event at most
@@ -236,10 +236,10 @@
     def __init__(self, relays: bool = False, fault: str = "", more: dict | None = None) -> None:
         self._own = tempfile.TemporaryDirectory(prefix="cypressledge-control-")
         self.folder, self.more = Path(self._own.name), more or {}
-        udp = udp_ports(list(NAMES))
+        udp = free_udp_ports(list(NAMES))
         self.servers = {n: ControlServer(n, self.folder, free_port(), udp[n]) for n in NAMES}
         self.lines = Lines({n: s.port for n, s in self.servers.items()}) if relays else None
-        self.relays = Relays(udp, 1) if relays else None
+        self.relays = UdpProxies(udp, 1) if relays else None
         self.agents: list[Hollow] = []
         self.processes: list[BrokerProcess] = []
         (self.folder / "seed.yaml").write_text(yaml.safe_dump(SEED))
--- a/tests/test_capacity_check.py
+++ b/tests/test_capacity_check.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cypressledge.lab import capacity_check as cc
+from cypressledge.lab.capacity import checks
 
 S = 1_000_000
 
@@ -35,11 +35,13 @@
 
 def seen(acked, over=40.0, **more):
     told = {"down": [], "faults": [], "losses": [], "ends": {}, **more}
-    return cc.Seen(acked=[cc.Acked(int(at * S), v, f"r{v}") for at, v in acked], over=int(over * S), **told)
+    return checks.Seen(
+        acked=[checks.Acked(int(at * S), v, f"r{v}") for at, v in acked], over=int(over * S), **told
+    )
 
 
 def span(begin, end, kind="cut", who=""):
-    return cc.Span(int(begin * S), int(end * S), kind, who)
+    return checks.Span(int(begin * S), int(end * S), kind, who)
 
 
 HISTORY = [control(0, "primary"), *(control(v, version=v, request=f"r{v}") for v in range(1, 6))]
@@ -48,92 +50,92 @@
 
 
 def test_a_whole_run_is_whole():
-    v = cc.check(WHOLE, HISTORY, seen(ACKED))
+    v = checks.check(WHOLE, HISTORY, seen(ACKED))
     assert not v.broken
     assert v.changes == 5
     assert v.quiet == v.all == [0.5] * 5
 
 
 def test_a_change_that_never_came_is_lost():
-    v = cc.check(WHOLE[:-1], HISTORY, seen(ACKED))
+    v = checks.check(WHOLE[:-1], HISTORY, seen(ACKED))
     assert len(v.lost) == 1
     assert "version 5" in v.lost[0]
 
 
 def test_a_broker_that_is_cut_off_at_the_end_has_lost_nothing():
-    v = cc.check(WHOLE[:-1], HISTORY, seen(ACKED, down=[span(4.9, 41, "cut", "a")]))
+    v = checks.check(WHOLE[:-1], HISTORY, seen(ACKED, down=[span(4.9, 41, "cut", "a")]))
     assert not v.lost
 
 
 def test_a_later_version_takes_the_earlier_along():
-    v = cc.check([WHOLE[0], WHOLE[-1]], HISTORY, seen(ACKED))
+    v = checks.check([WHOLE[0], WHOLE[-1]], HISTORY, seen(ACKED))
     assert not v.broken
     assert max(v.all) == 4.5
 
 
 def test_a_broker_that_wrote_nothing_is_lost():
-    v = cc.check(WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab")))
+    v = checks.check(WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab")))
     assert v.lost == ["b is to be there at the end, and wrote nothing"]
-    assert not cc.check(WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab"), gone=frozenset("b"))).lost
+    assert not checks.check(WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab"), gone=frozenset("b"))).lost
 
 
 def test_a_killed_broker_that_did_not_come_back_is_lost():
-    v = cc.check(WHOLE, HISTORY, seen(ACKED, ends={("a", 1): 30 * S}, expected=frozenset("a")))
+    v = checks.check(WHOLE, HISTORY, seen(ACKED, ends={("a", 1): 30 * S}, expected=frozenset("a")))
     assert len(v.lost) == 1
 
 
 def test_an_acknowledged_change_that_no_history_has_is_lost():
-    v = cc.check(WHOLE, HISTORY, seen([*ACKED, (5.1, 9)]))
+    v = checks.check(WHOLE, HISTORY, seen([*ACKED, (5.1, 9)]))
     assert any("in no one's history" in line for line in v.lost)
 
 
 def test_an_acknowledged_change_whose_version_is_another_is_lost():
     history = [*HISTORY[:-1], control(5, version=5, request="another")]
-    v = cc.check(WHOLE, history, seen(ACKED))
+    v = checks.check(WHOLE, history, seen(ACKED))
     assert any("and is another" in line for line in v.lost)
 
 
 def test_back_to_an_older_version_is_found_but_not_across_lives():
     back = [*WHOLE, broker(7, "a", version=3), broker(8, "a", version=5)]
-    assert len(cc.check(back, HISTORY, seen(ACKED)).gone_back) == 1
+    assert len(checks.check(back, HISTORY, seen(ACKED)).gone_back) == 1
     other = [*WHOLE, broker(7, "a", version=3, run=2), broker(8, "a", version=5, run=2)]
-    assert not cc.check(other, HISTORY, seen(ACKED, ends={("a", 1): 6 * S})).gone_back
+    assert not checks.check(other, HISTORY, seen(ACKED, ends={("a", 1): 6 * S})).gone_back
 
 
 def test_back_to_an_older_epoch_is_found():
     back = [*WHOLE, broker(7, "a", version=6, epoch=0)]
-    assert cc.check(back, [*HISTORY, control(6, version=6)], seen(ACKED)).gone_back
+    assert checks.check(back, [*HISTORY, control(6, version=6)], seen(ACKED)).gone_back
 
 
 def test_another_digest_at_a_broker_is_wrong():
-    v = cc.check([*WHOLE[:-1], broker(5.5, "a", version=5, digest="x")], HISTORY, seen(ACKED))
+    v = checks.check([*WHOLE[:-1], broker(5.5, "a", version=5, digest="x")], HISTORY, seen(ACKED))
     assert len(v.wrong) == 1
     assert "committed is d5" in v.wrong[0]
 
 
 def test_a_version_that_nobody_committed_is_wrong():
-    assert cc.check([*WHOLE, broker(6, "a", version=6)], HISTORY, seen(ACKED)).wrong
+    assert checks.check([*WHOLE, broker(6, "a", version=6)], HISTORY, seen(ACKED)).wrong
 
 
 def test_two_histories_are_wrong():
-    v = cc.check(WHOLE, [*HISTORY, control(6, version=3, who="c2", digest="y")], seen(ACKED))
+    v = checks.check(WHOLE, [*HISTORY, control(6, version=3, who="c2", digest="y")], seen(ACKED))
     assert len(v.wrong) == 1
 
 
 def test_a_repeat_that_became_another_version_is_wrong():
     told = seen(ACKED)
-    told.acked.append(cc.Acked(6 * S, 5, "r4"))
-    assert any("became versions 4 and 5" in line for line in cc.check(WHOLE, HISTORY, told).wrong)
+    told.acked.append(checks.Acked(6 * S, 5, "r4"))
+    assert any("became versions 4 and 5" in line for line in checks.check(WHOLE, HISTORY, told).wrong)
 
 
 def test_an_answer_that_must_not_be_is_wrong():
-    assert cc.check(WHOLE, HISTORY, seen(ACKED, wrongs=["a bad change was taken"])).wrong
+    assert checks.check(WHOLE, HISTORY, seen(ACKED, wrongs=["a bad change was taken"])).wrong
 
 
 def test_a_cut_broker_counts_from_the_heal():
     late = [*WHOLE[:-1], broker(20.5, "a", version=5)]
     told = seen(ACKED, down=[span(4.8, 20, "cut", "a")], faults=[span(4.8, 20, "cut")])
-    v = cc.check(late, HISTORY, told)
+    v = checks.check(late, HISTORY, told)
     assert not v.broken
     assert max(v.all) == pytest.approx(0.5)
 
@@ -141,12 +143,12 @@
 def test_one_that_is_cut_while_it_waits_counts_from_the_heal():
     late = [*WHOLE[:-1], broker(20.5, "a", version=5)]
     told = seen(ACKED, down=[span(5.2, 20, "cut", "a")], faults=[span(5.2, 20, "cut")])
-    assert max(cc.check(late, HISTORY, told).all) == pytest.approx(0.5)
+    assert max(checks.check(late, HISTORY, told).all) == pytest.approx(0.5)
 
 
 def test_a_later_start_counts_from_the_start_and_once():
     other = [broker(30, "a", "start", run=2), broker(30.4, "a", version=5, run=2)]
-    v = cc.check([*WHOLE, *other], HISTORY, seen(ACKED, ends={("a", 1): 10 * S}))
+    v = checks.check([*WHOLE, *other], HISTORY, seen(ACKED, ends={("a", 1): 10 * S}))
     assert not v.broken
     assert v.all.count(pytest.approx(0.4)) == 1
     assert len(v.all) == 6
@@ -154,41 +156,41 @@
 
 def test_one_that_was_killed_before_it_could_have_it_counts_for_nothing():
     told = seen(ACKED, ends={("a", 1): round(5.2 * S)}, gone=frozenset("a"))
-    assert not cc.check(WHOLE[:-1], HISTORY, told).broken
+    assert not checks.check(WHOLE[:-1], HISTORY, told).broken
 
 
 def test_one_that_had_time_and_was_killed_without_it_shows():
     told = seen(ACKED, ends={("a", 1): 30 * S}, gone=frozenset("a"))
-    assert max(cc.check(WHOLE[:-1], HISTORY, told).quiet) == 25
+    assert max(checks.check(WHOLE[:-1], HISTORY, told).quiet) == 25
 
 
 def test_quiet_times_and_faults_are_told_apart():
-    v = cc.check(WHOLE, HISTORY, seen(ACKED, faults=[span(2.9, 3.1, "a primary killed")]))
+    v = checks.check(WHOLE, HISTORY, seen(ACKED, faults=[span(2.9, 3.1, "a primary killed")]))
     assert len(v.quiet) == 4
     assert v.by_fault == {"a primary killed": [0.5]}
 
 
 def test_time_without_a_primary_ends_with_another():
     records = [*HISTORY, control(10.5, "acknowledged", 5, who="c1"), control(13, "primary", who="c2")]
-    told = seen(ACKED, losses=[cc.Loss(10 * S, "c1", "killed")])
-    assert cc.check(WHOLE, records, told).primary_over == [(3.0, "killed")]
-    told.losses = [cc.Loss(20 * S, "c2", "killed")]
-    assert cc.check(WHOLE, records, told).primary_over == [(20.0, "killed")]
+    told = seen(ACKED, losses=[checks.Loss(10 * S, "c1", "killed")])
+    assert checks.check(WHOLE, records, told).primary_over == [(3.0, "killed")]
+    told.losses = [checks.Loss(20 * S, "c2", "killed")]
+    assert checks.check(WHOLE, records, told).primary_over == [(20.0, "killed")]
 
 
 def test_all_restarted_ends_with_any_primary():
-    told = seen(ACKED, losses=[cc.Loss(10 * S, "", "all")])
-    assert cc.check(WHOLE, [*HISTORY, control(12, "primary")], told).primary_over == [(2.0, "all")]
+    told = seen(ACKED, losses=[checks.Loss(10 * S, "", "all")])
+    assert checks.check(WHOLE, [*HISTORY, control(12, "primary")], told).primary_over == [(2.0, "all")]
 
 
 def test_the_last_words_before_all_are_gone_are_no_sign():
-    told = seen(ACKED, losses=[cc.Loss(10 * S, "", "all", round(10.2 * S))])
+    told = seen(ACKED, losses=[checks.Loss(10 * S, "", "all", round(10.2 * S))])
     records = [*HISTORY, control(10.1, "acknowledged", 5), control(12, "primary")]
-    assert cc.check(WHOLE, records, told).primary_over == [(2.0, "all")]
+    assert checks.check(WHOLE, records, told).primary_over == [(2.0, "all")]
 
 
 def test_too_little_is_said():
-    found = cc.too_little(cc.check([], [], seen([])), seen([]), 10, 30)
+    found = checks.too_little(checks.check([], [], seen([])), seen([]), 10, 30)
     words = " ".join(found)
     for part in ("0 changes", "quiet times", "no primary was lost", "no broker came back", "0 kinds"):
         assert part in words
@@ -196,29 +198,29 @@
 
 def test_a_quiet_run_needs_changes_and_no_fault():
     told = seen([])
-    found = cc.too_little(cc.check([], [], told), told, 10, 60, quiet=True)
+    found = checks.too_little(checks.check([], [], told), told, 10, 60, quiet=True)
     assert len(found) == 2
     assert "0 changes" in found[0]
-    told.losses.append(cc.Loss(1, "c1", "killed"))
-    assert "something was broken" in cc.too_little(cc.check([], [], told), told, 10, 60, quiet=True)
+    told.losses.append(checks.Loss(1, "c1", "killed"))
+    assert "something was broken" in checks.too_little(checks.check([], [], told), told, 10, 60, quiet=True)
 
 
 def test_limits_are_named():
-    v = cc.Verdict(quiet=[12.5], primary_over=[(8.5, "killed")])
-    assert len(cc.passed_limits(v, 3.3, 31, 257)) == 5
-    assert not cc.passed_limits(cc.Verdict(quiet=[11.0], primary_over=[(7.0, "")]), 3.2, 30, 256)
+    v = checks.Verdict(quiet=[12.5], primary_over=[(8.5, "killed")])
+    assert len(checks.passed_limits(v, 3.3, 31, 257)) == 5
+    assert not checks.passed_limits(checks.Verdict(quiet=[11.0], primary_over=[(7.0, "")]), 3.2, 30, 256)
 
 
 def test_half_lines_of_killed_processes_are_passed_over(tmp_path):
     path = tmp_path / "a.jsonl"
     path.write_text('{"at": 1}\n{"at": 2, "x{"at": 3}\n{"at"')
-    assert cc.read_records([path]) == [{"at": 1}, {"at": 3}]
+    assert checks.read_records([path]) == [{"at": 1}, {"at": 3}]
     path.write_text('nonsense\n{"at": 1}\n')
     with pytest.raises(ValueError, match="nonsense|JSON|malformed"):
-        cc.read_records([path])
+        checks.read_records([path])
 
 
 def test_quantile():
-    assert cc.quantile([], 0.99) == 0
-    assert cc.quantile([float(n) for n in range(100)], 0.99) == 99
-    assert json.dumps(cc.quantile([1.0], 0.99)) == "1.0"
+    assert checks.quantile([], 0.99) == 0
+    assert checks.quantile([float(n) for n in range(100)], 0.99) == 99
+    assert json.dumps(checks.quantile([1.0], 0.99)) == "1.0"
--- a/tests/test_capacity_day.py
+++ b/tests/test_capacity_day.py
@@ -5,8 +5,8 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from cypressledge.lab.capacity_day import FAULTS, REST_S, TAIL_S, draw
-from cypressledge.lab.relay import TcpRelay
+from cypressledge.lab.capacity.day import FAULTS, REST_S, TAIL_S, draw
+from cypressledge.lab.tcp_proxy import TcpProxy
 
 
 def test_a_day_is_the_seeds_alone():
@@ -34,7 +34,7 @@
     def __init__(self):
         self.server = StreamServer(("127.0.0.1", 0), self.serve)
         self.server.start()
-        self.relay = TcpRelay(("127.0.0.1", self.server.server_port))
+        self.relay = TcpProxy(("127.0.0.1", self.server.server_port))
 
     def serve(self, conn, _):
         while data := conn.recv(100):
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -7,9 +7,9 @@
 from click.testing import CliRunner
 
 from cypressledge.cli import cli
-from cypressledge.lab import fits, slopes
-from cypressledge.lab.capacity_needs import NEEDS, ROLES, lines
-from cypressledge.lab.capacity_page import control_table, now_table, rendered, scale_table, slope_limits
+from cypressledge.lab import curve_fit, scaling
+from cypressledge.lab.capacity.page import control_table, now_table, rendered, scale_table, slope_limits
+from cypressledge.lab.capacity.requirements import NEEDS, ROLES, lines
 from cypressledge.lab.results import ResultsError, read, slope, source
 
 ROOT = Path(__file__).parent.parent
@@ -44,32 +44,32 @@
 
 def test_a_fit_finds_its_law_and_says_how_far_off_it_is():
     bent = [(x, 2.0 * x * x + 3.0 * x + 1.0) for x in (10.0, 20.0, 40.0, 80.0, 160.0)]
-    assert fits.best(bent).kind == "quadratic"
-    assert fits.best(bent).residual < 1e-9
-    assert fits.best(bent).at(490.0) == pytest.approx(2.0 * 490 * 490 + 3.0 * 490 + 1.0)
-    power = fits.fit([(x, 3.0 * x**1.5) for x in (1.0, 4.0, 9.0)], "power")
+    assert curve_fit.best(bent).kind == "quadratic"
+    assert curve_fit.best(bent).residual < 1e-9
+    assert curve_fit.best(bent).at(490.0) == pytest.approx(2.0 * 490 * 490 + 3.0 * 490 + 1.0)
+    power = curve_fit.fit([(x, 3.0 * x**1.5) for x in (1.0, 4.0, 9.0)], "power")
     assert power.coefficients == pytest.approx([1.5, 3.0])
     assert power.residual < 1e-9
-    straight = fits.fit([(0.0, 9.0), (1.0, 12.0), (2.0, 9.0)], "linear")  # 10 everywhere: off by 1, 2, 1
+    straight = curve_fit.fit([(0.0, 9.0), (1.0, 12.0), (2.0, 9.0)], "linear")  # 10 everywhere: off by 1, 2, 1
     assert straight.residual == pytest.approx(2.0**0.5 / 10)
     with pytest.raises(ValueError, match="needs 2 different x"):
-        fits.fit([(1.0, 2.0), (1.0, 3.0)], "linear")
+        curve_fit.fit([(1.0, 2.0), (1.0, 3.0)], "linear")
 
 
 def test_small_slopes_are_sane():
     origin = source(1, "a test")
-    ms, used, given_up = slopes.statements(12, slopes.fleet_before(12), 40, 0.5, 1)
+    ms, used, given_up = scaling.statements(12, scaling.fleet_before(12), 40, 0.5, 1)
     assert 0 < ms < 20
     assert 3 <= used <= 12
     assert given_up < 0.05
-    found, facts = slopes.planning(True, 1, origin)
+    found, facts = scaling.planning(True, 1, origin)
     by_name = {s.name: s for s in found}
     assert all(y > 0 for s in found for _, y in s.points)
     assert by_name["summary_bytes"].points[-1][1] < 8_192
-    assert slopes.most_that_fit(slopes.ANSWER_MOST) < 100 < slopes.most_that_fit(slopes.DNS_MOST) < 490
-    group = slopes.members(12, 2.0, 1)
+    assert scaling.most_that_fit(scaling.ANSWER_MOST) < 100 < scaling.most_that_fit(scaling.DNS_MOST) < 490
+    group = scaling.members(12, 2.0, 1)
     assert 0 < group["others"][4] < 30
-    assert 0 < group["loss"][0] < slopes.LOSS_S
+    assert 0 < group["loss"][0] < scaling.LOSS_S
 
 
 @pytest.mark.parametrize(
--- a/tests/test_capacity_play.py
+++ b/tests/test_capacity_play.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from cypressledge.lab import capacity_play as play
-from cypressledge.lab.capacity_check import Acked
-from cypressledge.lab.capacity_day import Event
-from cypressledge.lab.capacity_fleet import Cost
+from cypressledge.lab.capacity import playback
+from cypressledge.lab.capacity.checks import Acked
+from cypressledge.lab.capacity.day import Event
+from cypressledge.lab.capacity.fleet import Cost
 
 
 class Plane:
@@ -59,15 +59,15 @@
 
 def operator(monkeypatch, fault=""):
     plane = Plane(fault)
-    monkeypatch.setattr(play, "http", plane.http)
-    monkeypatch.setattr(play, "PAUSE_S", 0.001)
+    monkeypatch.setattr(playback, "http", plane.http)
+    monkeypatch.setattr(playback, "PAUSE_S", 0.001)
     standin = SimpleNamespace(member=lambda: {"host_port": "127.0.0.1:5"})
     world = SimpleNamespace(
         size=SimpleNamespace(engines=9),
         standins=[standin],
         controls=[SimpleNamespace(management=101), SimpleNamespace(management=102)],
     )
-    return play.Operator(world, 1), plane
+    return playback.Operator(world, 1), plane
 
 
 KINDS = ("settings", "engine drains", "engine goes", "engine comes", "repeat", "clash", "bad")
@@ -110,7 +110,7 @@
 
 def test_what_the_harness_saw_becomes_the_checkers():
     asking = SimpleNamespace(acked=[Acked(900, 3, "r3"), Acked(950, 4, "r4")], wrongs=[])
-    faults = play.Faults(None, None, kills=[("a", 50), ("a", 500)])
+    faults = playback.Faults(None, None, kills=[("a", 50), ("a", 500)])
     records = [
         {"at": at, "broker": "a", "run": run, "event": "start"}
         for at, run in ((10, 1), (20, 1), (60, 2), (600, 3))
@@ -119,7 +119,7 @@
         {"at": 800, "who": "c1", "event": "acknowledged", "version": 3, "request": "r3"},
         {"at": 990, "who": "c1", "event": "acknowledged", "version": 4, "request": "r4"},
     ]
-    seen = play.seen(asking, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77})
+    seen = playback.seen(asking, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77})
     assert seen.ends == {("a", 1): 50, ("a", 2): 500, ("b", 7): 77}
     assert [a.at for a in seen.acked] == [800, 950]
 
@@ -127,7 +127,7 @@
 def test_the_tail_of_a_file_is_whole_lines(tmp_path):
     path = tmp_path / "a"
     path.write_text("".join(json.dumps({"n": n, "x": "y" * 50}) + "\n" for n in range(3_000)) + '{"n": 3')
-    found = play.tail(path)
+    found = playback.tail(path)
     assert found[-1]["n"] == 2_999
     assert 500 < len(found) < 1_200
 
@@ -143,7 +143,7 @@
     def told(who, event, epoch):
         return {"who": who, "event": event, "epoch": epoch}
 
-    assert play.primary_of([]) == ""
+    assert playback.primary_of([]) == ""
     both = [told("c1", "primary", 5), told("c2", "primary", 9), told("c1", "stepped_down", 5)]
-    assert play.primary_of(both) == "c2"  # whatever the former one says later
-    assert play.primary_of([*both, told("c2", "stepped_down", 9)]) == ""
+    assert playback.primary_of(both) == "c2"  # whatever the former one says later
+    assert playback.primary_of([*both, told("c2", "stepped_down", 9)]) == ""
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -9,8 +9,8 @@
 import time
 from pathlib import Path
 
-from cypressledge.lab.capacity import Point, draw_plot
-from cypressledge.lab.capacity_fleet import Size
+from cypressledge.lab.capacity.fleet import Size
+from cypressledge.lab.capacity.run import Point, draw_plot
 from cypressledge.lab.processes import ROOT
 
 LINE = re.compile(
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -34,8 +34,7 @@
 from cypressledge.controlplane.publisher import Limits
 from cypressledge.controlplane.state import FleetState, canonical
 from cypressledge.lab.processes import ROOT, until
-from cypressledge.lab.relay import udp_ports
-from cypressledge.lab.site import free_port
+from cypressledge.lab.site import free_port, free_udp_ports
 
 MB = 1 << 20
 
@@ -470,7 +469,7 @@
 
 
 def test_broker_replaced_at_a_new_address(plane, tmp_path):
-    ports = udp_ports(["n1", "n2", "n3", "new"])
+    ports = free_udp_ports(["n1", "n2", "n3", "new"])
     fleet = {
         "peers": [{"name": n, "address": f"127.0.0.1:{ports[n]}"} for n in ("n1", "n2", "n3")],
         "voters": [{"version": 1, "names": ["n1", "n2", "n3"]}],
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -19,7 +19,7 @@
 from cypressledge.fleet.part import FleetPart
 from cypressledge.fleet.settings import read_fleet
 from cypressledge.lab.processes import until
-from cypressledge.lab.relay import udp_ports
+from cypressledge.lab.site import free_udp_ports
 
 TERM = 600_000  # µs
 NAMES = ("n0", "n1", "n2")
@@ -36,7 +36,7 @@
     """Three nodes in this process: one lease that all ask for, and one for those that want it."""
 
     def __init__(self):
-        ports = udp_ports([*NAMES, "spare"])
+        ports = free_udp_ports([*NAMES, "spare"])
         self.at = {n: ("127.0.0.1", p) for n, p in ports.items()}
         self.spare = self.at.pop("spare")
         self.told, self.changed, self.nodes, self.parts = [], [], {}, []
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -14,9 +14,9 @@
 from cypressledge.fleet.settings import read_fleet
 from cypressledge.lab.demo import ask
 from cypressledge.lab.processes import ROOT, Brokers, until
-from cypressledge.lab.relay import Path as Way
-from cypressledge.lab.relay import Relays, udp_ports
 from cypressledge.lab.resource import Resource
+from cypressledge.lab.site import free_udp_ports
+from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
 
 TERM = 1.2
 WAIT = 20
@@ -39,8 +39,8 @@
 
     def __init__(self, count=3, voters=3, steps=2, places=1):
         self.names = [f"n{i}" for i in range(count)]
-        self.ports = udp_ports(self.names)
-        self.relays, self.resource, self.brokers = Relays(self.ports, 1), Resource(), Brokers()
+        self.ports = free_udp_ports(self.names)
+        self.relays, self.resource, self.brokers = UdpProxies(self.ports, 1), Resource(), Brokers()
         self.voters = [{"version": 1, "names": self.names[:voters]}]
         self.more = {
             "leases": [
@@ -192,7 +192,7 @@
     first = fleet.wait_act()
     for pair in fleet.relays.paths:  # one way: what the voters say does not reach it
         if pair[1] == first.holder:
-            fleet.relays.paths[pair] = Way(cut=True)
+            fleet.relays.paths[pair] = LinkConditions(cut=True)
     second = fleet.wait_act(fleet.last().at, but=first.holder)
     assert second.token > first.token
     assert until(lambda: fleet.told(first.holder, "lease_lost"), WAIT)
--- a/tests/test_zone_processes.py
+++ b/tests/test_zone_processes.py
@@ -10,7 +10,7 @@
 from gevent import sleep, subprocess
 
 from cypressledge.lab.processes import ROOT, until
-from cypressledge.lab.relay import Path as Way
+from cypressledge.lab.udp_proxy import LinkConditions
 from cypressledge.lab.zones import ZONES, Field, moment
 
 WAIT = 25
@@ -165,7 +165,7 @@
 def test_without_the_exchange_brokers_leave_alone_and_do_not_return_alone(field):
     busy(field)
     for pair in field.relays.paths:
-        field.relays.paths[pair] = Way(cut=True)
+        field.relays.paths[pair] = LinkConditions(cut=True)
     sleep(0.5)
     lose(field, A, "reset")
     assert until(lambda: all(s == 0 for s in field.shares(A)), WAIT), log(field)
