--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -1,14 +1,14 @@
-"""A control process towards its brokers: who holds what, and who is sent what next. No I/O; time is told, µs.
+"""A control process towards its brokers: who holds what, and who is sent what next. No I/O; times in µs.
 
-One message is out per broker until it has answered with its AppliedPosition, so a slow one costs no memory
-here: it is ended, and gets a snapshot when it comes back. Snapshots are rationed and wait in line. Whoever
-does the I/O ends connections whose socket takes nothing more: Heartbeats alone are sent without an answer.
-They are sent under a stream of changes too, as they alone say how long ago a primary was heard.
+One message is in flight per broker until it has answered with its position, so a slow one costs no memory
+here: it is disconnected, and gets a snapshot when it comes back. Snapshots are throttled and queue. Whoever
+does the I/O ends connections whose socket takes nothing more: heartbeats alone are sent without an answer.
+They are sent under a stream of changes too, as they alone say how long ago a leader was heard.
 """
 
 from collections import deque
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.change_history import History
@@ -27,312 +27,331 @@
     SnapshotRequest,
     to_printable_line,
 )
+from cypressledge.controlplane.snapshot_throttle import SnapshotThrottle
 from cypressledge.controlplane.state import KEY, Broker, FleetState, StateError, canonical, place_of
+from cypressledge.controlplane.subscription import Position, Subscription
 
-Position = tuple[int, int, bytes]  # epoch, version, digest
-REASONS_MOST = 500  # refusals in one AppliedReport that say why: guards against more than a frame holds
-STEP = 50_000  # µs between ticks at least: guards against one wake for each broker's beat
+MAX_REASONS = 500  # rejections in one report that say why: guards against more than a frame holds
+MIN_TICK = 50_000  # µs between ticks at least: guards against one wake for each broker's heartbeat
+MAX_NAME_CHARS = 64  # of a broker that is rejected, in logs
+MAX_REASON_CHARS = 40  # of a broker's reason, in logs
+MAX_ERROR_CHARS = 120  # of what is wrong with an address, in logs
+MAX_NAMED_CHANGES = 4  # times the subscribers: names of changed ones that are kept for the next report
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """What brokers may cost a control process. Seconds; `wholes`: snapshots."""
-
-    answer_s: float = 10.0
-    beat_s: float = 1.0
-    ahead_s: float = 5.0
-    wholes_at_once: int = 8
-    hold_s: float = 2.0  # that one without an answer keeps its place: others wait behind it
-    wholes_per_s: int = 20
-    followers_most: int = 600
-    full_after_ms: int = 5_000
-    unfit_after_ms: int = 5_000  # for another format or lineage
-    replaced_after_ms: int = 1_000  # guards against two of one name that end each other without a pause
-
-
-@dataclass(slots=True)
-class _Follower:
-    """One connected broker."""
-
-    conn: int
-    name: str
-    run: int
-    lineage: str
-    position: Position
-    register: Op | None
-    beat_at: int
-    sent: Position | None = None  # what it will hold once it has taken the message that is out
-    whole_out: bool = False
-    answer_by: int = 0
-    wants_whole: bool = False
-    queued: bool = False
-    refused: tuple[int, int] | None = None  # our position of a snapshot that it did not take
-    refusal: str = ""  # why its process has turned down some of what it holds
-    ahead_since: int | None = None
-    ahead_told: bool = False
-
-
-@dataclass(slots=True)
-class _Ration:
-    """Snapshots out by conn with when each was begun, and when the last ones were. µs."""
-
-    at_once: int
-    per_s: int
-    hold: int
-    out: dict[int, int] = field(default_factory=dict)
-    starts: deque[int] = field(default_factory=deque)
-
-    def free_at(self, now: int) -> int:
-        """When the next may begin: once one that is out has been answered, or has kept its place for long."""
-        held = [at + self.hold for at in self.out.values() if at + self.hold > now]
-        place = now if len(held) < self.at_once else min(held)
-        return place if len(self.starts) < self.per_s else max(place, self.starts[0] + 1_000_000)
-
-    def begin(self, now: int, conn: int) -> None:
-        self.out[conn] = now
-        self.starts.append(now)
-        if len(self.starts) > self.per_s:
-            self.starts.popleft()
+class PublisherLimits:
+    """What brokers may cost a control process."""
+
+    answer_timeout_s: float = 10.0
+    heartbeat_interval_s: float = 1.0
+    ahead_tolerance_s: float = 5.0
+    max_concurrent_snapshots: int = 8
+    snapshot_slot_timeout_s: float = 2.0
+    max_snapshots_per_s: int = 20
+    max_subscribers: int = 600
+    full_retry_after_ms: int = 5_000
+    mismatch_retry_after_ms: int = 5_000  # for another format or history
+    replaced_retry_after_ms: int = 1_000  # guards against two of one name that end each other without a pause
 
 
 class Publisher:
-    """Sends a history to brokers. `out(conn, message)`; `end(conn, goodbye)`: sends it and closes, and `gone`
-    need not be told; `event(name, **what)`: to be counted and logged."""
+    """Sends a history to brokers. `send(connection, message)`; `end(connection, disconnect)`: sends it and
+    closes, and `gone` need not be called; `event(name, **fields)`: to be counted and logged."""
 
     def __init__(
         self,
         name: str,
         run: int,
         history: History,
-        limits: Limits,
-        out: Callable[[int, Message], None],
+        limits: PublisherLimits,
+        send: Callable[[int, Message], None],
         end: Callable[[int, Disconnect], None],
         event: Callable[..., None],
     ) -> None:
         self.name, self.run, self.history, self.limits = name, run, history, limits
-        self.out, self.end, self.event = out, end, event
+        self._send_message, self._end_connection, self._event = send, end, event
         self.counters = Counters()
-        self.followers: dict[int, _Follower] = {}
-        self.names: dict[str, int] = {}  # name -> conn
-        self.waiting: deque[int] = deque()  # conns that a snapshot is due to, first come first
-        self.ration = _Ration(limits.wholes_at_once, limits.wholes_per_s, round(limits.hold_s * 1e6))
-        self.primary_name = ""
-        self.primary_at: int | None = None
-        self._changed: set[str] = set()  # names since the last `seen`
-        self._all = False  # too many to name: the next `seen` tells all
-
-    def connected(self, now: int, conn: int, hello: Hello) -> None:
+        self.subscriptions: dict[int, Subscription] = {}
+        self._connections: dict[str, int] = {}  # by broker's name
+        self.snapshot_queue: deque[int] = deque()  # connections, first come first
+        self.throttle = SnapshotThrottle(
+            limits.max_concurrent_snapshots,
+            limits.max_snapshots_per_s,
+            round(limits.snapshot_slot_timeout_s * 1e6),
+        )
+        self._heartbeat_interval = round(limits.heartbeat_interval_s * 1e6)
+        self._leader = ""
+        self._leader_heard_at: int | None = None
+        self._changed: set[str] = set()  # names since the last report
+        self._is_complete_report_due = False  # too many to name
+
+    # Connections
+
+    def connected(self, now: int, connection: int, hello: Hello) -> None:
         """A broker's first frame has come."""
-        if hello.format != FORMAT:
-            return self._refuse(conn, hello.name, Disconnect("format", self.limits.unfit_after_ms))
-        if conn in self.followers or hello.role != "broker" or not _sound(hello):
-            return self._refuse(conn, hello.name, Disconnect("nonsense"))
-        former = self.names.get(hello.name)
-        if former is not None:
-            self._end(self.followers[former], Disconnect("replaced", self.limits.replaced_after_ms))
-        if len(self.followers) >= self.limits.followers_most:
-            return self._refuse(conn, hello.name, Disconnect("full", self.limits.full_after_ms))
-        follower = _Follower(
-            conn,
+        rejection = self._rejection(connection, hello)
+        if rejection is not None:
+            self._reject(connection, hello.name, rejection)
+            return
+        subscription = Subscription(
+            connection,
             hello.name,
             hello.instance_id,
             hello.cluster_id,
             (hello.epoch, hello.version, hello.digest),
-            self._register(hello),
+            self._registration(hello),
             now,
-            refusal=to_printable_line(hello.rejection_reason),
+            rejection_reason=to_printable_line(hello.rejection_reason),
         )
-        self.followers[conn], self.names[hello.name] = follower, conn
-        self._changes(hello.name)
-        self.out(conn, HelloAccepted(self.name, self.run, self.history.state.cluster_id))
-        if conn in self.followers:
-            self._beat(now, follower)
-            self._feed(now, follower)
-            return None
+        self.subscriptions[connection], self._connections[hello.name] = subscription, connection
+        self._mark_changed(hello.name)
+        self._send_message(connection, HelloAccepted(self.name, self.run, self.history.state.cluster_id))
+        if connection in self.subscriptions:
+            self._send_heartbeat(now, subscription)
+            self._send_next(now, subscription)
+
+    def _rejection(self, connection: int, hello: Hello) -> Disconnect | None:
+        """Why a broker is not taken, if it isn't. One of the same name makes room for it."""
+        limits = self.limits
+        if hello.format != FORMAT:
+            return Disconnect("format", limits.mismatch_retry_after_ms)
+        if connection in self.subscriptions or hello.role != "broker" or not _is_valid(hello):
+            return Disconnect("nonsense")
+        former = self._connections.get(hello.name)
+        if former is not None:
+            replaced = Disconnect("replaced", limits.replaced_retry_after_ms)
+            self._disconnect(self.subscriptions[former], replaced)
+        if len(self.subscriptions) >= limits.max_subscribers:
+            return Disconnect("full", limits.full_retry_after_ms)
         return None
 
-    def received(self, now: int, conn: int, message: Message) -> None:
+    def received(self, now: int, connection: int, message: Message) -> None:
         """Another frame of a broker that `connected`."""
-        follower = self.followers.get(conn)
-        if follower is None:
-            return None
-        # Each of both answers one message: guards against a broker that claims leave for many.
-        if isinstance(message, AppliedPosition) and follower.sent is not None:
-            self._have(
-                follower,
-                (message.epoch, message.version, message.digest),
-                to_printable_line(message.rejection_reason),
-            )
-        elif isinstance(message, SnapshotRequest) and follower.sent is not None and not follower.whole_out:
-            follower.sent, follower.wants_whole = None, True
-            self.event("whole_wanted", broker=follower.name, why=message.reason[:40])
+        subscription = self.subscriptions.get(connection)
+        if subscription is None:
+            return
+        if isinstance(message, AppliedPosition) and subscription.expected_position is not None:
+            position = message.epoch, message.version, message.digest
+            self._on_position(subscription, position, to_printable_line(message.rejection_reason))
+        elif isinstance(message, SnapshotRequest) and subscription.may_ask_for_snapshot():
+            subscription.expected_position, subscription.needs_snapshot = None, True
+            self._event("whole_wanted", broker=subscription.name, why=message.reason[:MAX_REASON_CHARS])
         else:
-            return self._end(follower, Disconnect("nonsense"))
-        self._feed(now, follower)
-        self._wholes(now)
-        return None
+            self._disconnect(subscription, Disconnect("nonsense"))
+            return
+        self._send_next(now, subscription)
+        self._send_queued_snapshots(now)
 
-    def gone(self, now: int, conn: int) -> None:
+    def gone(self, now: int, connection: int) -> None:
         """A connection is down."""
-        if conn in self.followers:
-            self._forget(self.followers[conn])
-            self._wholes(now)
+        if connection in self.subscriptions:
+            self._remove(self.subscriptions[connection])
+            self._send_queued_snapshots(now)
+
+    def stop(self) -> None:
+        """This control process ends: its brokers go to others."""
+        for subscription in list(self.subscriptions.values()):
+            self._disconnect(subscription, Disconnect("stopping"))
+
+    def _reject(self, connection: int, name: str, disconnect: Disconnect) -> None:
+        if connection in self.subscriptions:
+            self._disconnect(self.subscriptions[connection], disconnect)
+            return
+        self._event(f"ended_{disconnect.reason}", broker=name[:MAX_NAME_CHARS])
+        self._end_connection(connection, disconnect)
+
+    def _disconnect(self, subscription: Subscription, disconnect: Disconnect) -> None:
+        self._remove(subscription)
+        self._event(f"ended_{disconnect.reason}", broker=subscription.name)
+        self._end_connection(subscription.connection, disconnect)
+
+    def _remove(self, subscription: Subscription) -> None:
+        self._clear_in_flight(subscription)
+        del self.subscriptions[subscription.connection], self._connections[subscription.name]
+        if subscription.is_queued:
+            self.snapshot_queue.remove(subscription.connection)
+        self._mark_changed(subscription.name)
+
+    # The history and time
 
     def committed(self, now: int) -> None:
         """The history has grown or was reset."""
-        for follower in list(self.followers.values()):
-            self._feed(now, follower)
+        for subscription in list(self.subscriptions.values()):
+            self._send_next(now, subscription)
 
-    def primary(self, now: int, name: str) -> None:
-        """A sign of the primary was heard."""
-        self.primary_name, self.primary_at = name, now
-
-    def stop(self) -> None:
-        """This control process ends: its brokers go to others."""
-        for follower in list(self.followers.values()):
-            self._end(follower, Disconnect("stopping"))
+    def leader_heard(self, now: int, name: str) -> None:
+        """A sign of the leader was heard."""
+        self._leader, self._leader_heard_at = name, now
 
     def tick(self, now: int) -> int:
         """What time brings about; when to call again, µs."""
-        due = now + round(self.limits.beat_s * 1e6)
-        for follower in list(self.followers.values()):
-            if follower.conn in self.followers:
-                due = min(due, self._tend(now, follower))
-        self._wholes(now)
-        free = self.ration.free_at(now) if self.waiting else None
-        return max(due if free is None else min(due, free), now + STEP)
-
-    def _tend(self, now: int, f: _Follower) -> int:
-        """One broker's times; when the next of them is."""
-        limits = self.limits
-        if f.sent is not None and now >= f.answer_by:
-            self._end(f, Disconnect("silent"))
-            return now + STEP
-        if now - f.beat_at >= round(limits.beat_s * 1e6):
-            self._beat(now, f)
-        ahead = 0 if f.ahead_since is None else now - f.ahead_since
-        if ahead >= round(limits.ahead_s * 1e6) and not f.ahead_told:
-            f.ahead_told = True
-            self.event("broker_ahead", broker=f.name, theirs=f.position[:2], ours=self.history.state.position)
-        due = f.beat_at + round(limits.beat_s * 1e6)
-        return due if f.sent is None else min(due, f.answer_by)
-
-    def _beat(self, now: int, f: _Follower) -> None:
-        state, at = self.history.state, self.primary_at
-        silent = -1 if at is None else max(now - at, 0) // 1000
-        f.beat_at = now
-        self.out(f.conn, Heartbeat(state.epoch, state.version, state.digest, self.primary_name, silent))
-
-    def _have(self, f: _Follower, position: Position, refusal: str) -> None:
-        """An answer: what the broker holds after the message that was out."""
-        sent, was_whole = f.sent, f.whole_out
-        self._answered(f)
-        if (*position[:2], refusal) != (*f.position[:2], f.refusal):
-            self._changes(f.name)
-        f.refusal = refusal
-        if was_whole and position[1]:
-            f.lineage = self.history.state.cluster_id
-        # Guards against sending the same again and again to one who turns it down.
-        if position != sent and was_whole:
-            f.refused = sent[:2]
-            self.event("whole_refused", broker=f.name, theirs=position[:2], ours=sent[:2])
-        elif position[:2] <= f.position[:2] and not was_whole:
-            f.wants_whole = True
-        f.position = position
-
-    def _answered(self, f: _Follower) -> None:
-        f.sent = None
-        if f.whole_out:
-            f.whole_out = False
-            del self.ration.out[f.conn]
-
-    def _feed(self, now: int, f: _Follower) -> None:
-        """Send a broker what follows what it holds, unless something is out or due to it already."""
+        due = now + self._heartbeat_interval
+        for subscription in list(self.subscriptions.values()):
+            if subscription.connection in self.subscriptions:
+                due = min(due, self._check_times(now, subscription))
+        self._send_queued_snapshots(now)
+        if self.snapshot_queue:
+            due = min(due, self.throttle.free_at(now))
+        return max(due, now + MIN_TICK)
+
+    def _check_times(self, now: int, subscription: Subscription) -> int:
+        """One broker's timeouts; when the next of them is."""
+        if subscription.expected_position is not None and now >= subscription.answer_deadline:
+            self._disconnect(subscription, Disconnect("silent"))
+            return now + MIN_TICK
+        if now - subscription.heartbeat_at >= self._heartbeat_interval:
+            self._send_heartbeat(now, subscription)
+        self._report_ahead(now, subscription)
+        due = subscription.heartbeat_at + self._heartbeat_interval
+        return due if subscription.expected_position is None else min(due, subscription.answer_deadline)
+
+    def _report_ahead(self, now: int, subscription: Subscription) -> None:
+        """Once, where a broker has been newer than this process for long."""
+        if subscription.ahead_since is None or subscription.is_ahead_reported:
+            return
+        if now - subscription.ahead_since >= round(self.limits.ahead_tolerance_s * 1e6):
+            subscription.is_ahead_reported = True
+            self._event(
+                "broker_ahead",
+                broker=subscription.name,
+                theirs=subscription.position[:2],
+                ours=self.history.state.position,
+            )
+
+    def _send_heartbeat(self, now: int, subscription: Subscription) -> None:
+        state, heard_at = self.history.state, self._leader_heard_at
+        silent_ms = -1 if heard_at is None else max(now - heard_at, 0) // 1000
+        subscription.heartbeat_at = now
+        self._send_message(
+            subscription.connection,
+            Heartbeat(state.epoch, state.version, state.digest, self._leader, silent_ms),
+        )
+
+    # One message at a time
+
+    def _on_position(self, subscription: Subscription, position: Position, rejection_reason: str) -> None:
+        """An answer: what the broker holds after the message that was in flight."""
+        expected, was_snapshot = subscription.expected_position, subscription.is_snapshot_in_flight
+        self._clear_in_flight(subscription)
+        if (*position[:2], rejection_reason) != (*subscription.position[:2], subscription.rejection_reason):
+            self._mark_changed(subscription.name)
+        subscription.rejection_reason = rejection_reason
+        if was_snapshot and position[1]:
+            subscription.cluster_id = self.history.state.cluster_id
+        # Guards against sending the same again and again to one who does not take it.
+        if position != expected and was_snapshot:
+            subscription.rejected_snapshot = expected[:2]
+            self._event("whole_refused", broker=subscription.name, theirs=position[:2], ours=expected[:2])
+        elif position[:2] <= subscription.position[:2] and not was_snapshot:
+            subscription.needs_snapshot = True
+        subscription.position = position
+
+    def _clear_in_flight(self, subscription: Subscription) -> None:
+        subscription.expected_position = None
+        if subscription.is_snapshot_in_flight:
+            subscription.is_snapshot_in_flight = False
+            self.throttle.end(subscription.connection)
+
+    def _send_next(self, now: int, subscription: Subscription) -> None:
+        """Send a broker what follows what it holds, unless it is busy."""
         state = self.history.state
-        if f.sent is not None or f.queued or f.conn not in self.followers:
-            return None
-        if f.lineage and state.cluster_id and f.lineage != state.cluster_id:
-            return self._end(f, Disconnect("lineage", self.limits.unfit_after_ms))
-        if self._ahead(now, f) or not state.version or f.refused == state.position:
-            return None
+        if subscription.is_busy or subscription.connection not in self.subscriptions:
+            return
+        if subscription.cluster_id and state.cluster_id and subscription.cluster_id != state.cluster_id:
+            self._disconnect(subscription, Disconnect("lineage", self.limits.mismatch_retry_after_ms))
+            return
+        if self._is_ahead(now, subscription) or not state.version:
+            return
+        if subscription.rejected_snapshot == state.position:
+            return
         changes = None
-        if f.lineage and not f.wants_whole:
-            self._compare(f)
-            changes = self.history.since(*f.position)
+        if subscription.cluster_id and not subscription.needs_snapshot:
+            self._compare_digests(subscription)
+            changes = self.history.since(*subscription.position)
         if changes is None:
-            f.wants_whole = f.queued = True
-            self.waiting.append(f.conn)
-            self._wholes(now)
-            return None
-        if changes:
+            subscription.needs_snapshot = subscription.is_queued = True
+            self.snapshot_queue.append(subscription.connection)
+            self._send_queued_snapshots(now)
+        elif changes:
             last = changes[-1]
-            self._send(now, f, Deltas(changes), (last.epoch, last.version, last.digest))
-            return None
-        return None
+            self._send(now, subscription, Deltas(changes), (last.epoch, last.version, last.digest))
 
-    def _ahead(self, now: int, f: _Follower) -> bool:
+    def _is_ahead(self, now: int, subscription: Subscription) -> bool:
         """Whether a broker holds what we have not heard of yet: a standby may be a moment behind."""
         state = self.history.state
-        if f.position[1] <= state.version and f.position[0] <= state.epoch:
-            f.ahead_since, f.ahead_told = None, False
+        if subscription.position[1] <= state.version and subscription.position[0] <= state.epoch:
+            subscription.ahead_since, subscription.is_ahead_reported = None, False
             return False
-        if f.ahead_since is None:
-            f.ahead_since = now
+        if subscription.ahead_since is None:
+            subscription.ahead_since = now
         return True
 
-    def _compare(self, f: _Follower) -> None:
-        ours = self.history.at(f.position[1])
-        if ours is not None and ours != f.position:
-            self.event("digest_differs", broker=f.name, theirs=f.position[:2], ours=ours[:2])
+    def _compare_digests(self, subscription: Subscription) -> None:
+        theirs, ours = subscription.position, self.history.at(subscription.position[1])
+        if ours is not None and ours != theirs:
+            self._event("digest_differs", broker=subscription.name, theirs=theirs[:2], ours=ours[:2])
 
-    def _wholes(self, now: int) -> None:
-        """Begin the snapshots that the ration allows."""
-        while self.waiting and self.ration.free_at(now) == now:
-            f = self.followers.get(self.waiting.popleft())
-            if f is None or not f.queued:
+    def _send_queued_snapshots(self, now: int) -> None:
+        """Send the snapshots that the throttle allows."""
+        while self.snapshot_queue and self.throttle.free_at(now) == now:
+            subscription = self.subscriptions.get(self.snapshot_queue.popleft())
+            if subscription is None or not subscription.is_queued:
                 continue
-            f.queued = f.wants_whole = False
+            subscription.is_queued = subscription.needs_snapshot = False
             # Guards against a history that was put back behind the broker while it stood in line.
-            if self._ahead(now, f) or not self.history.state.version:
+            if self._is_ahead(now, subscription) or not self.history.state.version:
                 continue
-            self.ration.begin(now, f.conn)
-            state, f.whole_out = self.history.state, True
+            self.throttle.begin(now, subscription.connection)
+            state, subscription.is_snapshot_in_flight = self.history.state, True
             self._send(
-                now, f, CompleteSnapshot(self.history.packed()), (state.epoch, state.version, state.digest)
+                now,
+                subscription,
+                CompleteSnapshot(self.history.packed()),
+                (state.epoch, state.version, state.digest),
             )
 
-    def _send(self, now: int, f: _Follower, message: Message, after: Position) -> None:
-        self.counters.invariant(f.sent is None, "one_message_out")
-        f.sent, f.answer_by = after, now + round(self.limits.answer_s * 1e6)
-        self.out(f.conn, message)
-
-    def _refuse(self, conn: int, name: str, goodbye: Disconnect) -> None:
-        if conn in self.followers:
-            return self._end(self.followers[conn], goodbye)
-        self.event(f"ended_{goodbye.reason}", broker=name[:64])
-        self.end(conn, goodbye)
-        return None
+    def _send(self, now: int, subscription: Subscription, message: Message, after: Position) -> None:
+        """Send a message; `after`: what the broker holds once it has taken it."""
+        self.counters.invariant(subscription.expected_position is None, "one_message_out")
+        subscription.expected_position = after
+        subscription.answer_deadline = now + round(self.limits.answer_timeout_s * 1e6)
+        self._send_message(subscription.connection, message)
 
-    def _end(self, f: _Follower, goodbye: Disconnect) -> None:
-        self._forget(f)
-        self.event(f"ended_{goodbye.reason}", broker=f.name)
-        self.end(f.conn, goodbye)
+    # What the leader is told
 
-    def _forget(self, f: _Follower) -> None:
-        self._answered(f)
-        del self.followers[f.conn], self.names[f.name]
-        if f.queued:
-            self.waiting.remove(f.conn)
-        self._changes(f.name)
-
-    def _changes(self, name: str) -> None:
-        """Guards against names without end where nobody asks for `seen`."""
+    def _mark_changed(self, name: str) -> None:
+        """Guards against names without end where nobody asks for a report."""
         self._changed.add(name)
-        if len(self._changed) > 4 * self.limits.followers_most:
-            self._all = True
+        if len(self._changed) > MAX_NAMED_CHANGES * self.limits.max_subscribers:
+            self._is_complete_report_due = True
             self._changed.clear()
 
-    def _register(self, hello: Hello) -> Op | None:
+    def applied_versions(self) -> dict[str, tuple[int, int]]:
+        """(run, version) of each connected broker: in force there but for what `rejections` says."""
+        return {s.name: (s.run, s.position[1]) for s in self.subscriptions.values()}
+
+    def rejections(self, names: Iterable[str]) -> dict[str, str]:
+        """Who of them has rejected some of what it holds, and why, the latter for `MAX_REASONS`."""
+        found: dict[str, str] = {}
+        for name in names:
+            subscription = self.subscriptions.get(self._connections.get(name))
+            if subscription is not None and subscription.rejection_reason:
+                found[name] = subscription.rejection_reason if len(found) < MAX_REASONS else "refused"
+        return found
+
+    def report(self, is_complete: bool) -> AppliedReport | None:
+        """What has changed of `applied_versions` and `rejections` since the last call, or all of it; None:
+        nothing."""
+        is_complete = is_complete or self._is_complete_report_due
+        applied = self.applied_versions()
+        names = sorted(applied if is_complete else self._changed)
+        brokers = [(name, *applied.get(name, (0, -1))) for name in names]
+        self._changed.clear()
+        self._is_complete_report_due = False
+        return AppliedReport(is_complete, brokers, self.rejections(names)) if brokers or is_complete else None
+
+    def _registration(self, hello: Hello) -> Op | None:
         """What the state should say of a broker; none where it isn't to be registered, or can't be."""
         if not hello.address:
             return None
@@ -340,40 +359,20 @@
         try:
             place_of(op.key, op.value)
         except StateError as err:
-            self.event("bad_address", broker=hello.name, why=str(err)[:120])
+            self._event("bad_address", broker=hello.name, why=str(err)[:MAX_ERROR_CHARS])
             return None
         return op
 
-    def in_force(self) -> dict[str, tuple[int, int]]:
-        """(run, version) of each connected broker: in force there but for what `refusals` says."""
-        return {f.name: (f.run, f.position[1]) for f in self.followers.values()}
-
-    def refusals(self, names: Iterable[str]) -> dict[str, str]:
-        """Who of them has turned down some of what it holds, and why, the latter for `REASONS_MOST`."""
-        found = {}
-        for name in names:
-            f = self.followers.get(self.names.get(name))
-            if f is not None and f.refusal:
-                found[name] = f.refusal if len(found) < REASONS_MOST else "refused"
-        return found
-
-    def seen(self, all: bool) -> AppliedReport | None:
-        """What has changed of `in_force` and `refusals` since the last call, or all of it; None: nothing."""
-        now, all = self.in_force(), all or self._all
-        names = sorted(now if all else self._changed)
-        told = [(name, *now.get(name, (0, -1))) for name in names]
-        self._changed.clear()
-        self._all = False
-        return AppliedReport(all, told, self.refusals(names)) if told or all else None
-
     def registrations(self, state: FleetState) -> list[Op]:
         """Changes for connected brokers that the state has at another place, or not at all. Each should be
         tried alone: two brokers that say one address must not hold up the others."""
-        wanted = [f.register for f in self.followers.values() if f.register]
-        return [op for op in wanted if (e := state.entries.get(op.key)) is None or e.value != op.value]
+        ops = [s.registration for s in self.subscriptions.values() if s.registration]
+        return [op for op in ops if (entry := state.entries.get(op.key)) is None or entry.value != op.value]
 
 
-def _sound(hello: Hello) -> bool:
+def _is_valid(hello: Hello) -> bool:
     """Whether a Hello says a name and a position that can be."""
-    held = hello.version > 0 and hello.epoch >= 0 and len(hello.digest) == 16
-    return bool(KEY.fullmatch(f"broker/{hello.name}")) and (held if hello.cluster_id else hello.version == 0)
+    is_held = hello.version > 0 and hello.epoch >= 0 and len(hello.digest) == 16
+    if not KEY.fullmatch(f"broker/{hello.name}"):
+        return False
+    return is_held if hello.cluster_id else hello.version == 0
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -44,7 +44,7 @@
 )
 from cypressledge.controlplane.non_voting_replica import Learner
 from cypressledge.controlplane.operators import Asked, Operators, number
-from cypressledge.controlplane.publisher import Limits, Publisher
+from cypressledge.controlplane.publisher import Publisher, PublisherLimits
 from cypressledge.controlplane.replica import Clash, DiskError, NotPrimary, Replica, Ticket
 from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control
 from cypressledge.controlplane.sqlite_storage import Store, StoreError
@@ -119,7 +119,7 @@
         self.reported, self.report_due, self.report_all = ("", 0), 0, True
         self.register_due, self.registry = 0, Registry(round(settings.forget_s * 1e6))
         self.history = History(FleetState())
-        limits = Limits(followers_most=settings.brokers_most)
+        limits = PublisherLimits(max_subscribers=settings.brokers_most)
         self.publisher = Publisher(
             name, self.run_id, self.history, limits, self._to_broker, self._end_broker, self._event
         )
@@ -247,9 +247,9 @@
     def _sign(self, now: int) -> None:
         """Tell the publisher when a primary was heard last."""
         if self.leads:
-            self.publisher.primary(now, self.name)
+            self.publisher.leader_heard(now, self.name)
         elif self.replica.primary and self.replica.primary != self.name:
-            self.publisher.primary(self.replica.heard, self.replica.primary)
+            self.publisher.leader_heard(self.replica.heard, self.replica.primary)
 
     def _committed(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
         if snapshot is not None:
@@ -314,7 +314,7 @@
             self.reported, self.report_all = (primary, self.replica.epoch), True
         if not primary or primary != self.name and primary not in self.links:
             return self.report_due
-        seen = self.publisher.seen(self.report_all)
+        seen = self.publisher.report(self.report_all)
         self.report_all = False
         if seen is None:
             return self.report_due
@@ -649,7 +649,7 @@
             "match": told.match,
             "silent_ms": told.silent_ms,
             "joining": told.joining,
-            "brokers": len(self.publisher.followers),
+            "brokers": len(self.publisher.subscriptions),
             "peers": sorted(self.links),
             "keys": len(state.entries),
             "bytes": state.size,
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -13,7 +13,7 @@
 
 from cypressledge.controlplane import messages as m
 from cypressledge.controlplane.change_history import History, pack
-from cypressledge.controlplane.publisher import Limits, Publisher
+from cypressledge.controlplane.publisher import Publisher, PublisherLimits
 from cypressledge.controlplane.server_selection import Server, order
 from cypressledge.controlplane.state import Broker, Engine, FleetState, canonical
 from cypressledge.controlplane.subscriber import (
@@ -48,7 +48,7 @@
             "c1",
             7,
             self.history,
-            Limits(**limits),
+            PublisherLimits(**limits),
             lambda conn, msg: self.sent[conn].append(msg),
             self.ended.__setitem__,
             lambda name, **what: self.events.append(name),
@@ -93,7 +93,7 @@
     assert isinstance(desk.sent[2][4], m.CompleteSnapshot)
     assert "whole_wanted" in desk.events
     desk.have(2)
-    assert desk.publisher.in_force() == {"b1": (1, 0), "b2": (1, 5)}
+    assert desk.publisher.applied_versions() == {"b1": (1, 0), "b2": (1, 5)}
     assert len(desk.sent[2]) == 5
     assert len(desk.hello(3, where(desk.history.state))) == 2  # has all
     desk.history.compact()
@@ -135,7 +135,7 @@
     desk = Desk()
     desk.hello(1, **more)
     assert desk.ended[1].reason == why
-    assert not desk.publisher.followers
+    assert not desk.publisher.subscriptions
     assert f"ended_{why}" in desk.events
 
 
@@ -153,59 +153,59 @@
 
 
 def test_publisher_replaces_refuses_when_full_and_says_who_is_here():
-    desk = Desk(followers_most=2)
+    desk = Desk(max_subscribers=2)
     desk.hello(1)
     desk.hello(2)
-    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 0)])
+    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 0)])
     desk.hello(3)
     assert desk.ended[3].reason == "full"
     assert desk.ended[3].retry_after_ms > 0
     desk.hello(4, name="b1", instance_id=9)
     assert desk.ended[1].reason == "replaced"
-    assert desk.publisher.in_force()["b1"] == (9, 0)
+    assert desk.publisher.applied_versions()["b1"] == (9, 0)
     desk.have(2)
-    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 9, 0), ("b2", 1, 3)])
-    assert desk.publisher.seen(False) is None
+    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 9, 0), ("b2", 1, 3)])
+    assert desk.publisher.report(False) is None
     desk.publisher.gone(0, 2)
-    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b2", 0, -1)])
-    assert desk.publisher.seen(True) == m.AppliedReport(True, [("b1", 9, 0)])
+    assert desk.publisher.report(False) == m.AppliedReport(False, [("b2", 0, -1)])
+    assert desk.publisher.report(True) == m.AppliedReport(True, [("b1", 9, 0)])
     desk.publisher.stop()
     assert desk.ended[4].reason == "stopping"
-    assert desk.publisher.seen(True) == m.AppliedReport(True, [])
+    assert desk.publisher.report(True) == m.AppliedReport(True, [])
 
 
 def test_publisher_tells_who_turned_settings_down():
     desk, why = Desk(), "other classes need a restart"
     desk.hello(1)
     desk.hello(2, where(desk.history.state), rejection_reason=why)  # it was so before it came here
-    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 3)], {"b2": why})
+    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 3)], {"b2": why})
     desk.publisher.received(
         0, 1, m.AppliedPosition(*where(desk.history.state), "  a\nlong\x1b[2J" + "x" * 999)
     )
-    told = desk.publisher.seen(False).rejections["b1"]
+    told = desk.publisher.report(False).rejections["b1"]
     assert told.startswith("a long?[2Jxxx")
     assert len(told) == m.MAX_REJECTION_REASON_LENGTH == 200
     grow(desk.history)
     desk.publisher.committed(0)
     desk.publisher.received(0, 1, m.AppliedPosition(*where(desk.history.state), "b"))
     desk.have(2)
-    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 1, 4), ("b2", 1, 4)], {"b1": "b"})
-    assert desk.publisher.seen(True).rejections == {"b1": "b"}
+    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 1, 4), ("b2", 1, 4)], {"b1": "b"})
+    assert desk.publisher.report(True).rejections == {"b1": "b"}
     desk.publisher.gone(0, 1)
-    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b1", 0, -1)], {})
+    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 0, -1)], {})
     desk.hello(3, (1, 4, b"x" * 16))
-    desk.publisher.seen(False)
+    desk.publisher.report(False)
     desk.publisher.received(
         0, 3, m.AppliedPosition(*where(desk.history.state), why)
     )  # a snapshot of the same version
-    assert desk.publisher.seen(False) == m.AppliedReport(False, [("b3", 1, 4)], {"b3": why})
+    assert desk.publisher.report(False) == m.AppliedReport(False, [("b3", 1, 4)], {"b3": why})
 
 
 def test_refusals_of_a_whole_fleet_fit_in_a_frame():
-    desk, most = Desk(followers_most=20_000), 20_000
+    desk, most = Desk(max_subscribers=20_000), 20_000
     for conn in range(most):
         desk.hello(conn, where(desk.history.state), name=f"b{conn:063d}", rejection_reason="\u20ac" * 999)
-    seen = desk.publisher.seen(True)
+    seen = desk.publisher.report(True)
     assert len(m.encode(seen)) < m.MAX_FRAME_BYTES
     assert len(seen.rejections) == len(seen.brokers) == most
 
@@ -233,19 +233,19 @@
 
 
 def test_publisher_bounds_names_nobody_asks_for():
-    desk = Desk(followers_most=1)
+    desk = Desk(max_subscribers=1)
     for conn in range(20):
         desk.hello(conn)
         desk.publisher.gone(0, conn)
         assert len(desk.publisher._changed) <= 4
-    assert desk.publisher.seen(False) == m.AppliedReport(True, [])
+    assert desk.publisher.report(False) == m.AppliedReport(True, [])
 
 
 def test_publisher_ends_the_silent_and_beats():
     desk = Desk()
     desk.hello(1)
     desk.hello(2, where(desk.history.state))
-    desk.publisher.primary(S // 2, "c3")
+    desk.publisher.leader_heard(S // 2, "c3")
     now = 0
     while now < 11 * S:
         now = desk.publisher.tick(now)
@@ -255,11 +255,11 @@
     assert 10 <= len(beats) <= 12
     assert beats[-1].leader == "c3"
     assert beats[-1].leader_silence_ms >= 9_000
-    assert not desk.publisher.ration.out
+    assert not desk.publisher.throttle.in_flight
 
 
 def test_publisher_rations_snapshots_in_line():
-    desk = Desk(wholes_at_once=2, wholes_per_s=3)
+    desk = Desk(max_concurrent_snapshots=2, max_snapshots_per_s=3)
     for conn in range(6):
         desk.hello(conn)
     assert [desk.whole(conn) for conn in range(6)] == [True, True, False, False, False, False]
@@ -267,7 +267,7 @@
     desk.have(1)
     assert [desk.whole(conn) for conn in range(6)] == [True, True, True, False, False, False]
     desk.publisher.gone(0, 3)
-    assert list(desk.publisher.waiting) == [4, 5]
+    assert list(desk.publisher.snapshot_queue) == [4, 5]
     desk.publisher.tick(S - 1)
     assert not desk.whole(4)
     desk.publisher.tick(S)
@@ -275,11 +275,11 @@
     assert not desk.whole(5)
     desk.publisher.gone(S, 4)
     assert desk.whole(5)
-    assert not desk.publisher.waiting
+    assert not desk.publisher.snapshot_queue
 
 
 def test_publisher_lets_newcomers_past_those_that_never_answer():
-    desk = Desk(wholes_at_once=2, hold_s=1.0)
+    desk = Desk(max_concurrent_snapshots=2, snapshot_slot_timeout_s=1.0)
     for conn in range(3):
         desk.hello(conn)
     assert [desk.whole(conn) for conn in range(3)] == [True, True, False]
@@ -287,9 +287,9 @@
     assert not desk.whole(2)
     desk.publisher.tick(S)
     assert desk.whole(2)
-    assert len(desk.publisher.ration.out) == 3
+    assert len(desk.publisher.throttle.in_flight) == 3
     desk.publisher.tick(11 * S)
-    assert not desk.publisher.ration.out  # ended as silent, and counted once
+    assert not desk.publisher.throttle.in_flight  # ended as silent, and counted once
 
 
 def test_publisher_behind_a_broker_waits_and_says_so_once():
@@ -308,14 +308,14 @@
 
 
 def test_publisher_put_back_sends_nobody_in_line_an_older_snapshot():
-    desk, older = Desk(wholes_at_once=1), Desk(versions=1).history.state.snapshot()
+    desk, older = Desk(max_concurrent_snapshots=1), Desk(versions=1).history.state.snapshot()
     desk.hello(1)
     desk.hello(2, (1, 3, b"x" * 16))
     desk.history.reset(older)
     desk.publisher.committed(0)
     desk.publisher.gone(0, 1)
     assert not desk.whole(2)
-    assert not desk.publisher.waiting
+    assert not desk.publisher.snapshot_queue
 
 
 def test_publisher_registers_who_moved():
@@ -594,7 +594,13 @@
         self.events: set[str] = set()
 
     def _site(self, i: int, history: History) -> Publisher:
-        limits = Limits(answer_s=2.0, wholes_at_once=2, wholes_per_s=5, followers_most=3, full_after_ms=500)
+        limits = PublisherLimits(
+            answer_timeout_s=2.0,
+            max_concurrent_snapshots=2,
+            max_snapshots_per_s=5,
+            max_subscribers=3,
+            full_retry_after_ms=500,
+        )
         return Publisher(
             f"c{i}", next(self.ids), history, limits, self._to_broker, self._goodbye, self._event
         )
@@ -736,7 +742,7 @@
         site = self.sites[i]
         for change in self.log[site.history.state.version :][:most]:
             site.history.apply(change)
-        site.primary(self.now, "c0")
+        site.leader_heard(self.now, "c0")
         site.committed(self.now)
 
     def fault(self, kind: str, n: int) -> None:
@@ -793,9 +799,9 @@
     want = where(world.truth)
     assert [where(b.state) for b in world.brokers] == [want] * 4
     assert all(b.state.snapshot() == world.truth.snapshot() for b in world.brokers)
-    held = {name: v for site in world.sites for name, (_, v) in site.in_force().items()}
+    held = {name: v for site in world.sites for name, (_, v) in site.applied_versions().items()}
     assert held == {f"b{i}": want[1] for i in range(4)}
-    assert not any(site.ration.out for site in world.sites)
+    assert not any(site.throttle.in_flight for site in world.sites)
     assert max(b.stale_ms(world.now) for b in world.brokers) <= 42_000
 
 
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -31,7 +31,7 @@
     Op,
     SnapshotRequest,
 )
-from cypressledge.controlplane.publisher import Limits
+from cypressledge.controlplane.publisher import PublisherLimits
 from cypressledge.controlplane.state import FleetState, canonical
 from cypressledge.lab.processes import ROOT, until
 from cypressledge.lab.site import free_port, free_udp_ports
@@ -260,7 +260,7 @@
     new = plane.follow("new", only=(primary.name,))
     plane.wait(lambda: new.version, "one that comes while snapshots are out to those")
     most, longest, number = memory, time.monotonic() - new.dials[0], 0
-    until_all = time.monotonic() + Limits().answer_s + 6
+    until_all = time.monotonic() + PublisherLimits().answer_timeout_s + 6
     while primary.status()["brokers"] > 2 and time.monotonic() < until_all:
         number += 1
         began = time.monotonic()
@@ -388,7 +388,7 @@
         for moment, server, _, _, whole in agent.taken:
             if whole:
                 wholes.setdefault(server, []).append(moment)
-    limits = Limits()
+    limits = PublisherLimits()
     densest = max(sum(m <= n < m + 1 for n in moments) for moments in wholes.values() for m in moments)
     print(
         f"{dict(counts)}; {len(held)} lost, dialled again {again[0]:.3f} to {again[-1]:.3f} s after; all in"
@@ -396,7 +396,9 @@
     )
     assert len(held) > 15
     assert again[-1] - again[0] > 0.05
-    assert densest <= limits.wholes_per_s + limits.wholes_at_once  # begun in the second, and out before it
+    assert (
+        densest <= limits.max_snapshots_per_s + limits.max_concurrent_snapshots
+    )  # begun in the second, and out before it
     assert took < 15
     assert all(a.never_back() for a in agents)
     told = plane.primary().ask("lag")[1]
