--- a/cypressledge/controlplane/faults.py
+++ b/cypressledge/controlplane/faults.py
@@ -12,7 +12,7 @@
 import signal
 
 from cypressledge.config import ConfigError
-from cypressledge.controlplane.replica import DiskError
+from cypressledge.controlplane.replica import StorageError
 
 VARIABLE, ONCE = "CYPRESSLEDGE_LAB_FAULT", "CYPRESSLEDGE_LAB_ONCE"
 FORM = re.compile(r"(kill|stop)-(before|after)[:-]([a-z]+):(\d+)|(disk)-(full):([a-z]+):(\d+)")
@@ -56,4 +56,4 @@
             return
         self.count += 1
         if self.count >= self.number:
-            raise DiskError(f"{step}: no space left on the device, says the laboratory")
+            raise StorageError(f"{step}: no space left on the device, says the laboratory")
--- a/cypressledge/controlplane/framing.py
+++ b/cypressledge/controlplane/framing.py
@@ -14,20 +14,20 @@
 from cypressledge.net.buffer import Buffer, TooLong
 from cypressledge.net.stream import Writer, dial, end, shut
 
-HELLO_S = 5.0  # seconds from a connection's beginning to its first frame, whole
-PART_S = 30.0  # seconds from a frame's first byte to its last
-DIAL_S = 1.5  # seconds for a connection to come up
-PATIENCE = 8.0  # seconds that one send may take
-UNHEARD_MS = 10_000  # after which bytes that nobody acknowledges end a connection
-QUEUED_MOST = 16 << 20  # bytes that wait for one peer: a few of the largest frames
-HEAD = 4
+HELLO_TIMEOUT_S = 5.0  # seconds from a connection's beginning to its first frame, whole
+FRAME_TIMEOUT_S = 30.0  # seconds from a frame's first byte to its last
+CONNECT_TIMEOUT_S = 1.5  # seconds for a connection to come up
+SEND_TIMEOUT_S = 8.0  # seconds that one send may take
+UNACKNOWLEDGED_TIMEOUT_MS = 10_000  # after which bytes that nobody acknowledges end a connection
+MAX_QUEUED_BYTES = 16 << 20  # bytes that wait for one peer: a few of the largest frames
+LENGTH_PREFIX_BYTES = 4
 
 
-class Ended(Exception):
+class ConnectionEndedError(Exception):
     """The connection is at its end, and why: closed, nonsense, too long, too slow, or the system's words."""
 
 
-class Traffic:
+class TrafficCounters:
     """Frames and bytes, by kind and direction."""
 
     def __init__(self) -> None:
@@ -45,22 +45,22 @@
         return {k: {"frames": n, "bytes": self.bytes[k]} for k, n in sorted(self.frames.items())}
 
 
-class Frames:
+class FramedConnection:
     """One connection. Whoever calls `receive` is its only reader, and closes it in the end. `most`: bytes of
     the largest frame that is taken."""
 
-    def __init__(self, sock, traffic: Traffic, most: int = MAX_FRAME_BYTES) -> None:
-        self.sock, self.traffic, self.most = sock, traffic, most
-        self.buffer = Buffer(most + HEAD + 1)
+    def __init__(self, sock, traffic: TrafficCounters, most: int = MAX_FRAME_BYTES) -> None:
+        self.sock, self.traffic, self.max_frame_bytes = sock, traffic, most
+        self.buffer = Buffer(most + LENGTH_PREFIX_BYTES + 1)
         self.need, self.began = 0, 0.0  # bytes of the frame whose head has come; s when its first byte came
-        self.writer = Writer(sock, QUEUED_MOST, PATIENCE, self._given_up)
+        self.writer = Writer(sock, MAX_QUEUED_BYTES, SEND_TIMEOUT_S, self._given_up)
         self.why = ""  # it was given up here
-        self.finished = False
+        self.is_finishing = False
         tune(sock)
 
-    def allow(self, most: int) -> None:
+    def set_max_frame_bytes(self, most: int) -> None:
         """Frames of so many bytes from now on, as it is known who this is: the buffer's bound goes along."""
-        self.most, self.buffer.cap = most, most + HEAD + 1
+        self.max_frame_bytes, self.buffer.cap = most, most + LENGTH_PREFIX_BYTES + 1
 
     def send(self, message: Message, raw: bytes = b"") -> None:
         """Queue a frame; never blocks. `raw`: the same message, encoded before."""
@@ -78,8 +78,8 @@
             if message is not None:
                 return message
             now = time.monotonic()
-            if len(self.buffer) and now > self.began + PART_S:
-                raise Ended("too slow")
+            if len(self.buffer) and now > self.began + FRAME_TIMEOUT_S:
+                raise ConnectionEndedError("too slow")
             if now >= until:
                 return None
             self._fill(until - now)
@@ -88,12 +88,12 @@
         """A message that has come whole, taken out of the buffer."""
         buffer = self.buffer
         if self.need == 0:
-            head = buffer.take(HEAD)
+            head = buffer.take(LENGTH_PREFIX_BYTES)
             if head is None:
                 return None
             self.need = int.from_bytes(head, "big")
-            if not 0 < self.need <= self.most:
-                raise Ended(f"a frame of {self.need} bytes")
+            if not 0 < self.need <= self.max_frame_bytes:
+                raise ConnectionEndedError(f"a frame of {self.need} bytes")
         body = buffer.take(self.need)
         if body is None:
             return None
@@ -101,8 +101,8 @@
         try:
             message = decode(body)
         except InvalidFrameError as err:
-            raise Ended(f"nonsense: {err}") from None
-        self.traffic.add("in", message, len(body) + HEAD)
+            raise ConnectionEndedError(f"nonsense: {err}") from None
+        self.traffic.add("in", message, len(body) + LENGTH_PREFIX_BYTES)
         return message
 
     def _fill(self, seconds: float) -> None:
@@ -115,11 +115,11 @@
             with Timeout(seconds, False):
                 got = self.buffer.fill(self.sock)
         except TooLong as err:
-            raise Ended(str(err)) from None
+            raise ConnectionEndedError(str(err)) from None
         except OSError as err:
-            raise Ended(self.why or errno.errorcode.get(err.errno, str(err))) from None
+            raise ConnectionEndedError(self.why or errno.errorcode.get(err.errno, str(err))) from None
         if got == 0:
-            raise Ended(self.why or "closed")
+            raise ConnectionEndedError(self.why or "closed")
         if got and empty:
             self.began = time.monotonic()
 
@@ -128,10 +128,10 @@
         self.why = why
         end(self.sock)
 
-    def finish(self) -> None:
+    def finish_sending(self) -> None:
         """Nothing more is sent; what is queued goes out, then our side is shut. The reader goes on reading
         until the peer has closed, so that the last words aren't lost to a reset."""
-        self.finished = True
+        self.is_finishing = True
         self.writer.close(lambda: shut(self.sock))
 
     def close(self) -> None:
@@ -144,7 +144,7 @@
     """Small frames leave at once, and a peer whose machine is gone is found out."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNHEARD_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 5)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 2)
@@ -153,11 +153,11 @@
         pass  # the peer is gone already: the reader will find out
 
 
-def connect(address: tuple[str, int], traffic: Traffic) -> Frames:
+def connect(address: tuple[str, int], traffic: TrafficCounters) -> FramedConnection:
     """A connection to a numeric address, within `DIAL_S` seconds. Raises `Ended`."""
     try:
-        with Timeout(DIAL_S, TimeoutError("no answer")):
+        with Timeout(CONNECT_TIMEOUT_S, TimeoutError("no answer")):
             sock = dial(address)
     except OSError as err:  # TimeoutError is one
-        raise Ended(f"connect: {err}") from None
-    return Frames(sock, traffic)
+        raise ConnectionEndedError(f"connect: {err}") from None
+    return FramedConnection(sock, traffic)
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -9,19 +9,19 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import Change, Message, Snapshot
-from cypressledge.controlplane.replica import NEVER, NotPrimary, Status
+from cypressledge.controlplane.replica import NEVER, NotLeaderError, ReplicaStatus
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 
-TICK_US = 500_000
+TICK_INTERVAL_US = 500_000
 
 
-class Learner:
+class NonVotingReplica:
     """What `control_process.py` asks of a `Replica`. `committed` as there."""
 
-    role, joining, until, epoch = "standby", False, NEVER, 0
+    role, joining, lease_until, epoch = "standby", False, NEVER, 0
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         log,
         committed: Callable[[list[Change] | None, Snapshot | None], None],
     ) -> None:
-        self.name, self.committed, self.primary, self.heard = name, committed, "", NEVER
+        self.name, self.committed, self.leader, self.leader_heard_at = name, committed, "", NEVER
         voters = msgspec.structs.replace(settings, servers=[s for s in settings.servers if s.votes])
         self.agent = SubscriberClient(
             BrokerIdentity(name, run, zone, region),
@@ -68,28 +68,28 @@
 
     def propose_own(self, now: int, *_) -> None:
         """Never here."""
-        raise NotPrimary(self.primary)
+        raise NotLeaderError(self.leader)
 
     def tick(self, now: int) -> int:
         """Learn when a primary was heard last, by whom is followed; the moment of the next tick, µs."""
         told = self.agent.status()
         if told.primary:
-            self.primary, self.heard = told.primary, now - told.stale_ms * 1_000
+            self.leader, self.leader_heard_at = told.primary, now - told.stale_ms * 1_000
         self.epoch = told.epoch
-        return now + TICK_US
+        return now + TICK_INTERVAL_US
 
-    def status(self, now: int) -> Status:
+    def status(self, now: int) -> ReplicaStatus:
         """As of now (µs)."""
         state = self.agent.state
-        silent = -1 if self.heard == NEVER else (now - self.heard) // 1_000
-        return Status(
+        silent = -1 if self.leader_heard_at == NEVER else (now - self.leader_heard_at) // 1_000
+        return ReplicaStatus(
             "learner",
             state.epoch,
             state.version,
             state.version,
             {},
             silent,
-            self.primary,
+            self.leader,
             state.cluster_id,
             False,
         )
--- a/cypressledge/controlplane/operators.py
+++ b/cypressledge/controlplane/operators.py
@@ -9,7 +9,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import Op
-from cypressledge.controlplane.state import StateError, canonical
+from cypressledge.controlplane.state import StateError, encode_value
 from cypressledge.net.http import Exchange, HttpRequest, HttpServer
 
 BODY_MOST = 2 << 20  # bytes of a change in JSON
@@ -59,7 +59,7 @@
     if not all(isinstance(key, str) for key in removed):
         raise BadRequest("a key to remove is no text")
     try:
-        return [Op(key, canonical(value)) for key, value in values.items()] + [Op(key) for key in removed]
+        return [Op(key, encode_value(value)) for key, value in values.items()] + [Op(key) for key in removed]
     except StateError as err:
         raise BadRequest(str(err)) from None
 
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.controlplane.change_history import History
+from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.messages import (
     FORMAT,
     AppliedPosition,
@@ -28,7 +28,14 @@
     to_printable_line,
 )
 from cypressledge.controlplane.snapshot_throttle import SnapshotThrottle
-from cypressledge.controlplane.state import KEY, Broker, FleetState, StateError, canonical, place_of
+from cypressledge.controlplane.state import (
+    KEY_PATTERN,
+    Broker,
+    FleetState,
+    StateError,
+    address_of,
+    encode_value,
+)
 from cypressledge.controlplane.subscription import Position, Subscription
 
 MAX_REASONS = 500  # rejections in one report that say why: guards against more than a frame holds
@@ -63,7 +70,7 @@
         self,
         name: str,
         run: int,
-        history: History,
+        history: ChangeHistory,
         limits: PublisherLimits,
         send: Callable[[int, Message], None],
         end: Callable[[int, Disconnect], None],
@@ -268,7 +275,7 @@
         changes = None
         if subscription.cluster_id and not subscription.needs_snapshot:
             self._compare_digests(subscription)
-            changes = self.history.since(*subscription.position)
+            changes = self.history.changes_since(*subscription.position)
         if changes is None:
             subscription.needs_snapshot = subscription.is_queued = True
             self.snapshot_queue.append(subscription.connection)
@@ -288,7 +295,7 @@
         return True
 
     def _compare_digests(self, subscription: Subscription) -> None:
-        theirs, ours = subscription.position, self.history.at(subscription.position[1])
+        theirs, ours = subscription.position, self.history.position_at(subscription.position[1])
         if ours is not None and ours != theirs:
             self._event("digest_differs", broker=subscription.name, theirs=theirs[:2], ours=ours[:2])
 
@@ -307,7 +314,7 @@
             self._send(
                 now,
                 subscription,
-                CompleteSnapshot(self.history.packed()),
+                CompleteSnapshot(self.history.compressed_snapshot()),
                 (state.epoch, state.version, state.digest),
             )
 
@@ -355,9 +362,9 @@
         """What the state should say of a broker; none where it isn't to be registered, or can't be."""
         if not hello.address:
             return None
-        op = Op(f"broker/{hello.name}", canonical(Broker(hello.address, hello.zone, hello.region)))
+        op = Op(f"broker/{hello.name}", encode_value(Broker(hello.address, hello.zone, hello.region)))
         try:
-            place_of(op.key, op.value)
+            address_of(op.key, op.value)
         except StateError as err:
             self._event("bad_address", broker=hello.name, why=str(err)[:MAX_ERROR_CHARS])
             return None
@@ -373,6 +380,6 @@
 def _is_valid(hello: Hello) -> bool:
     """Whether a Hello says a name and a position that can be."""
     is_held = hello.version > 0 and hello.epoch >= 0 and len(hello.digest) == 16
-    if not KEY.fullmatch(f"broker/{hello.name}"):
+    if not KEY_PATTERN.fullmatch(f"broker/{hello.name}"):
         return False
     return is_held if hello.cluster_id else hello.version == 0
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from cypressledge.controlplane.change_history import pack, unpack
+from cypressledge.controlplane.change_history import compress_snapshot, decompress_snapshot
 from cypressledge.controlplane.messages import (
     MAX_BATCH_BYTES,
     AppendEntries,
@@ -29,38 +29,44 @@
     Promise,
     Snapshot,
 )
-from cypressledge.controlplane.state import FleetState, StateError, check, clashes
+from cypressledge.controlplane.state import FleetState, StateError, find_conflicts, validate_change
 
 NEVER = -(1 << 62)  # µs: a moment before all others
-BEAT_US = 500_000  # between a primary's signs of life, and between repeats of a candidate's questions
+HEARTBEAT_INTERVAL_US = (
+    500_000  # between a primary's signs of life, and between repeats of a candidate's questions
+)
 RESEND_US = 1_000_000  # an AppendEntries that wasn't answered for so long is sent again
-INSTALL_RESEND_US = 5_000_000  # as long for a snapshot, which takes longer on its way
-ALONE_US = 10_000_000  # without an answer from a majority for so long, another should try
-FETCH_TRIES = 5  # questions to one voter before a candidate begins again without it
-OPEN_MOST = 1_000  # changes that wait for a majority: guards against memory that grows while there is none
-KEPT_MOST = 1_024  # changes kept in memory when the disk has been compacted, for voters a little behind
-KEPT_BYTES = 2 << 20  # of those
+SNAPSHOT_RESEND_US = 5_000_000  # as long for a snapshot, which takes longer on its way
+QUORUM_TIMEOUT_US = 10_000_000  # without an answer from a majority for so long, another should try
+MAX_FETCH_ATTEMPTS = 5  # questions to one voter before a candidate begins again without it
+MAX_PENDING_PROPOSALS = (
+    1_000  # changes that wait for a majority: guards against memory that grows while there is none
+)
+MAX_KEPT_ENTRIES = (
+    1_024  # changes kept in memory when the disk has been compacted, for voters a little behind
+)
+MAX_KEPT_BYTES = 2 << 20  # of those
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class DiskError(Exception):
+class StorageError(Exception):
     """The disk did not take or give something: full, damaged."""
 
 
-class HistoryError(Exception):
+class LogInvariantError(Exception):
     """What must not be: a committed entry would be dropped or changed. The process has to stop."""
 
 
-class NotPrimary(Exception):
+class NotLeaderError(Exception):
     """Not here. `primary`: who it is, as far as is known; empty where it isn't."""
 
     def __init__(self, primary: str) -> None:
         super().__init__(f"the primary is {primary or 'not known'}")
-        self.primary = primary
+        self.leader = primary
 
 
-class Clash(Exception):
+class VersionConflictError(Exception):
     """`keys` have changed since the version that a request was made on."""
 
     def __init__(self, keys: list[str]) -> None:
@@ -69,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class StoredLog:
     """All that a disk holds. `base`: none before there is any history; `changes` follow it, without a gap."""
 
     base: Snapshot | None = None
@@ -79,12 +85,12 @@
     joining: bool = False
 
 
-class Disk(Protocol):
+class LogStorage(Protocol):
     """What a replica keeps. Each call is durable when it returns, whole or not at all; raises `DiskError`."""
 
-    bulky: bool  # it holds so many changes that a `compact` is due
+    needs_compaction: bool  # it holds so many changes that a `compact` is due
 
-    def load(self) -> Loaded:
+    def load(self) -> StoredLog:
         """Everything."""
 
     def promise(self, epoch: int, run: int) -> None:
@@ -110,7 +116,7 @@
 
 
 @dataclass(slots=True)
-class Ticket:
+class PendingProposal:
     """What becomes of a proposed change. `unknown`: the primary stepped down; it may or may not be committed
     later, and asking again under the same request name tells."""
 
@@ -120,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Status:
+class ReplicaStatus:
     """For pages and counters. `match`: by voter, the version known to be on its disk (-1: none known), while
     primary. `silent_ms`: since a primary was last heard of; -1: never."""
 
@@ -129,13 +135,13 @@
     last: int
     commit: int
     match: dict[str, int]
-    silent_ms: int
-    primary: str
+    leader_silence_ms: int
+    leader: str
     cluster_id: str
     joining: bool
 
 
-class Log:
+class LogEntries:
     """The entries in memory, behind the position `base` = (epoch, version); version -1: no history at all."""
 
     def __init__(self, base: tuple[int, int] = (0, -1), changes: list[Change] = ()) -> None:
@@ -182,7 +188,7 @@
         """Keep the last committed ones only, `KEPT_MOST` of them and `KEPT_BYTES`, and all that aren't."""
         count = commit - self.base[1]
         keep, total = 0, 0
-        while keep < min(count, KEPT_MOST) and total + self.sizes[count - keep - 1] <= KEPT_BYTES:
+        while keep < min(count, MAX_KEPT_ENTRIES) and total + self.sizes[count - keep - 1] <= MAX_KEPT_BYTES:
             total += self.sizes[count - keep - 1]
             keep += 1
         if drop := count - keep:
@@ -191,7 +197,7 @@
 
 
 @dataclass(slots=True)
-class Progress:
+class PeerProgress:
     """How far a voter is, as its primary knows."""
 
     next: int  # the version that the next AppendEntries begins behind
@@ -216,7 +222,7 @@
         name: str,
         run: int,
         voters: tuple[str, ...],
-        disk: Disk,
+        disk: LogStorage,
         now: int,
         out: Callable[[str, Message], None],
         committed: Callable[[list[Change] | None, Snapshot | None], None],
@@ -230,12 +236,12 @@
         self.now = now
         self.role: Literal["standby", "recovering", "primary"] = "standby"
         self.phase = ""  # of a recovery: prepare, fetch, open
-        self.primary, self.heard = "", NEVER
-        self.until = NEVER  # of the lease
+        self.leader, self.leader_heard_at = "", NEVER
+        self.lease_until = NEVER  # of the lease
         self.genesis: tuple[str, list[Op]] | None = None
         self.promises: dict[str, Promise] = {}
-        self.progress: dict[str, Progress] = {}
-        self.tickets: dict[int, Ticket] = {}
+        self.progress: dict[str, PeerProgress] = {}
+        self.tickets: dict[int, PendingProposal] = {}
         self.source, self.tries, self.asked = "", 0, NEVER
         self.contact: dict[str, int] = {}  # when a peer last answered in the own epoch
         self.opened = 0  # the first version of the own epoch
@@ -255,33 +261,33 @@
         self.promised, self.joining = loaded.promised, loaded.joining
         handed = self.commit
         if loaded.base is None:
-            self.log, self.commit = Log(), -1
-            self.state = self.tail = None
+            self.log, self.commit = LogEntries(), -1
+            self.state = self.latest_state = None
             return
         try:
             self.state = FleetState.restore(loaded.base)
-            self.log = Log(self.state.position, loaded.changes)
+            self.log = LogEntries(self.state.position, loaded.changes)
             self.commit = loaded.commit
             for change in self.log.between(self.state.version, self.commit):
                 self.state.apply(change)
             self._rebuild_tail()
         except StateError as err:
-            raise DiskError(f"the history kept does not fit together: {err}") from None
+            raise StorageError(f"the history kept does not fit together: {err}") from None
         if self.commit > max(handed, 0):
             self.committed(None, self.state.snapshot())
 
     def _rebuild_tail(self) -> None:
         """The state with what isn't committed yet: kept up change by change, made anew after a truncation."""
-        self.tail = self.state.copy()
+        self.latest_state = self.state.copy()
         for change in self.log.between(self.commit, self.log.last[1]):
-            self.tail.apply(change)
+            self.latest_state.apply(change)
 
     def _durable(self, step: str, *args: object) -> bool:
         """One step on the disk; whether it is there. If not, what the disk holds is no longer certain."""
         try:
             getattr(self.disk, step)(*args)
             return True
-        except DiskError as err:
+        except StorageError as err:
             self.dirty = True
             self.event("disk_error", step=step, why=str(err))
             self._step_down("disk")
@@ -294,7 +300,7 @@
         joining = self.joining
         try:
             self._load()
-        except DiskError as err:
+        except StorageError as err:
             self.event("disk_error", step="load", why=str(err))
             return False
         self.joining = joining  # guards against an end that the disk may or may not have taken
@@ -323,14 +329,14 @@
             self.committed(None, self.state.snapshot())
         else:
             self.committed(changes, None)
-        if self.disk.bulky and self._durable("compact", self.state.snapshot()):
+        if self.disk.needs_compaction and self._durable("compact", self.state.snapshot()):
             self.log.trim(self.commit)
         return not self.dirty
 
     def _cut(self, after: int) -> bool:
         """Drop entries that were never committed."""
         if not self._droppable(after):
-            raise HistoryError(f"entries after {after} would be dropped, committed up to {self.commit}")
+            raise LogInvariantError(f"entries after {after} would be dropped, committed up to {self.commit}")
         if not self._durable("truncate", after):
             return False
         self.event("truncated", after=after, last=self.log.last[1])
@@ -349,7 +355,7 @@
             return False
         try:
             for change in new:
-                self.tail.apply(change)
+                self.latest_state.apply(change)
         except StateError as err:
             self.event("unfit", why=str(err))
             self._rebuild_tail()
@@ -376,7 +382,7 @@
             return False
         if not self._durable("install", snapshot):
             return False
-        self.state, self.tail, self.log = state, state.copy(), Log(state.position)
+        self.state, self.latest_state, self.log = state, state.copy(), LogEntries(state.position)
         self.commit = state.version
         if self.commit >= 1:
             self.committed(None, snapshot)
@@ -419,7 +425,7 @@
 
     def _leased(self, now: int) -> bool:
         """Guards against a word from one who may no longer be the primary."""
-        return now < self.until
+        return now < self.lease_until
 
     def _counted(self) -> dict[str, Promise]:
         """Guards against a majority of those who have forgotten what they promised or held. Empty ones count
@@ -452,7 +458,7 @@
     def _has_lost_quorum(self, now: int) -> bool:
         """Guards against a lease that is of no use to whoever has it and is missing elsewhere."""
         answered = sorted((now, *self.contact.values()), reverse=True)
-        return now >= answered[len(self.voters) // 2] + ALONE_US
+        return now >= answered[len(self.voters) // 2] + QUORUM_TIMEOUT_US
 
     def _muted(self, now: int) -> bool:
         """Guards against a promise that was lost with the disk, until whoever had it has lost the lease."""
@@ -460,7 +466,7 @@
 
     def _known(self, request: str) -> int | None:
         """Guards against a request that comes into force twice."""
-        return self.tail.requested(request)
+        return self.latest_state.version_of_request(request)
 
     def _differs(self, version: int, ops: list[Op]) -> bool:
         """Guards against "done" for a change that never was made: its name was another one's. Told as long as
@@ -481,15 +487,15 @@
             self.state is not None or self.genesis is not None
         )
 
-    def begin(self, lineage: str, ops: list[Op]) -> None:
+    def permit_first_version(self, lineage: str, ops: list[Op]) -> None:
         """Leave to begin a new history, should a majority be empty. Raises `StateError`."""
-        check(FleetState(lineage), ops)
+        validate_change(FleetState(lineage), ops)
         self.genesis = (lineage, ops)
 
     def lease(self, now: int, token: int | None, until: int) -> bool:
         """What is known of the lease `primary` now: the token, where it is held here, and until when (µs).
         Whether it is of use: one that isn't should be given back, to be had again with a higher token."""
-        self.now, self.until = now, until if token is not None else NEVER
+        self.now, self.lease_until = now, until if token is not None else NEVER
         if self.role != "standby" and (token != self.epoch or not self._leased(now)):
             self._step_down("lease")
         if token is None:
@@ -512,7 +518,7 @@
         self.tickets.clear()
         self.progress.clear()
         self.promises.clear()
-        self.role, self.phase, self.primary = "standby", "", ""
+        self.role, self.phase, self.leader = "standby", "", ""
 
     def _take_over(self, token: int) -> bool:
         if not self._promise(token, self.instance_id):
@@ -577,11 +583,11 @@
         last = self.log.last[1]
         if not last and self.genesis:  # a first history whose beginning got no further than its name
             ops, why = self.genesis[1], "the first version"
-        self.progress = {peer: Progress(next=last) for peer in self.peers}
+        self.progress = {peer: PeerProgress(next=last) for peer in self.peers}
         change = self._write(ops, why=why)
         if change is None:
             return
-        self.opened, self.primary = change.version, self.name
+        self.opened, self.leader = change.version, self.name
         self._beat_all()
         self._spread()
 
@@ -610,7 +616,7 @@
             return
         at = self.fetching[1]
         try:
-            snapshot = unpack(m.compressed) if m.compressed else None
+            snapshot = decompress_snapshot(m.compressed) if m.compressed else None
         except StateError as err:
             self.event("unfit", why=str(err))
             return
@@ -677,11 +683,11 @@
             self._deny(sender)
             return False
         if self.role != "standby" and epoch == self.epoch and self.phase != "prepare":
-            raise HistoryError(f"two primaries of epoch {epoch}: {sender} and {self.name}")
+            raise LogInvariantError(f"two primaries of epoch {epoch}: {sender} and {self.name}")
         self._step_down("another")
         if epoch > self.epoch and not self._promise(epoch, 0):
             return False
-        self.primary, self.heard = sender, self.now
+        self.leader, self.leader_heard_at = sender, self.now
         return True
 
     def _on_append(self, sender: str, m: AppendEntries) -> None:
@@ -706,7 +712,7 @@
             return
         held = self.log.epoch_at(m.prev_version)
         if held is not None and m.prev_version <= self.commit and self.commit >= 1:
-            raise HistoryError(
+            raise LogInvariantError(
                 f"version {m.prev_version}, committed, is of epoch {held} here, of "
                 f"{m.prev_epoch} at {sender}"
             )
@@ -719,7 +725,7 @@
         if not self._follow(sender, m.epoch):
             return
         try:
-            snapshot = unpack(m.compressed)
+            snapshot = decompress_snapshot(m.compressed)
         except StateError as err:
             self.event("unfit", why=str(err))
             return
@@ -741,16 +747,16 @@
         self, ops: list[Op], request: str = "", who: str = "", why: str = "", at: int = 0
     ) -> Change | None:
         """The next entry, on the own disk. None: the disk refused, and this is no primary any more."""
-        change = self.tail.draft(self.epoch, ops, request, who, why, at)
+        change = self.latest_state.draft_change(self.epoch, ops, request, who, why, at)
         if not self._durable("append", [change]):
             return None
-        self.tail.apply(change)
+        self.latest_state.apply(change)
         self.log.extend([change])
         return change
 
     def propose(
         self, now: int, ops: list[Op], base: int, request: str = "", who: str = "", why: str = "", at: int = 0
-    ) -> Ticket:
+    ) -> PendingProposal:
         """A change that someone asks for, who looked at version `base`; `at`: wall clock, ms. A repeated
         request is answered with what the first became. Raises `NotPrimary`, `StateError`, `Clash`."""
         self._must_lead(now)
@@ -761,16 +767,16 @@
                     f"request {request} became version {known}, with other contents: give this "
                     "one a name of its own"
                 )
-            return self.tickets.get(known) or Ticket(known, self.log.epoch_at(known) or 0, "done")
-        check(self.tail, ops)
-        if keys := clashes(self.tail, base, ops):
-            raise Clash(keys)
+            return self.tickets.get(known) or PendingProposal(known, self.log.epoch_at(known) or 0, "done")
+        validate_change(self.latest_state, ops)
+        if keys := find_conflicts(self.latest_state, base, ops):
+            raise VersionConflictError(keys)
         return self._propose(ops, request, who, why, at)
 
-    def propose_own(self, now: int, ops: list[Op], why: str = "", at: int = 0) -> Ticket:
+    def propose_own(self, now: int, ops: list[Op], why: str = "", at: int = 0) -> PendingProposal:
         """A change that the primary makes by itself. Raises `NotPrimary`, `StateError`."""
         self._must_lead(now)
-        check(self.tail, ops)
+        validate_change(self.latest_state, ops)
         return self._propose(ops, "", self.name, why, at)
 
     def _must_lead(self, now: int) -> None:
@@ -778,16 +784,16 @@
         if self.role != "standby" and not self._leased(now):
             self._step_down("lease")
         if self.role != "primary":
-            raise NotPrimary("" if self.primary == self.name else self.primary)
-        if len(self.tickets) >= OPEN_MOST:
-            raise StateError(f"{OPEN_MOST} changes wait for a majority of the control processes")
+            raise NotLeaderError("" if self.leader == self.name else self.leader)
+        if len(self.tickets) >= MAX_PENDING_PROPOSALS:
+            raise StateError(f"{MAX_PENDING_PROPOSALS} changes wait for a majority of the control processes")
 
-    def _propose(self, ops: list[Op], request: str, who: str, why: str, at: int) -> Ticket:
-        epoch, version = self.epoch, self.tail.version + 1
+    def _propose(self, ops: list[Op], request: str, who: str, why: str, at: int) -> PendingProposal:
+        epoch, version = self.epoch, self.latest_state.version + 1
         change = self._write(ops, request, who, why, at)
         if change is None:
-            return Ticket(version, epoch, "unknown")
-        ticket = self.tickets[version] = Ticket(version, epoch)
+            return PendingProposal(version, epoch, "unknown")
+        ticket = self.tickets[version] = PendingProposal(version, epoch)
         self._spread()
         return ticket
 
@@ -803,7 +809,7 @@
         if progress.end >= 0 and self.now < progress.resend:
             return
         if self.log.epoch_at(progress.next) is None:
-            progress.end, progress.resend = self.state.version, self.now + INSTALL_RESEND_US
+            progress.end, progress.resend = self.state.version, self.now + SNAPSHOT_RESEND_US
             self.out(peer, InstallSnapshot(self.epoch, self._packed(), self.commit))
         elif progress.next < self.log.last[1]:
             changes = self.log.after(progress.next)
@@ -813,7 +819,7 @@
     def _packed(self) -> bytes:
         """The committed state as it goes into a frame, made once a version."""
         if self.packed[0] != self.state.position:
-            self.packed = (self.state.position, pack(self.state.snapshot()))
+            self.packed = (self.state.position, compress_snapshot(self.state.snapshot()))
         return self.packed[1]
 
     def _append(self, peer: str, prev: int, changes: list[Change]) -> None:
@@ -909,22 +915,22 @@
         if self.role != "standby" and (not self._leased(now) or self._has_lost_quorum(now)):
             self._step_down("alone" if self._leased(now) else "lease")
         if self.role == "standby":
-            return now + BEAT_US
+            return now + HEARTBEAT_INTERVAL_US
         if self.phase == "open":
             self._tick_open()
-            return self.beat + BEAT_US
-        if now >= self.asked + BEAT_US:
+            return self.beat + HEARTBEAT_INTERVAL_US
+        if now >= self.asked + HEARTBEAT_INTERVAL_US:
             self._ask_again()
-        return self.asked + BEAT_US
+        return self.asked + HEARTBEAT_INTERVAL_US
 
     def _tick_open(self) -> None:
-        if self.now >= self.beat + BEAT_US:
+        if self.now >= self.beat + HEARTBEAT_INTERVAL_US:
             self._beat_all()
         for peer in self.peers:
             self._pump(peer)
 
     def _ask_again(self) -> None:
-        if self.phase == "fetch" and self.tries < FETCH_TRIES:
+        if self.phase == "fetch" and self.tries < MAX_FETCH_ATTEMPTS:
             self._fetch(self.fetching)
             return
         if self.phase == "fetch":
@@ -933,17 +939,23 @@
         self.promises[self.name] = self._own_promise()
         self._prepare()
 
-    def status(self, now: int) -> Status:
+    def status(self, now: int) -> ReplicaStatus:
         """As of now (µs)."""
-        silent = 0 if self.role == "primary" else -1 if self.heard == NEVER else (now - self.heard) // 1_000
-        return Status(
+        silent = (
+            0
+            if self.role == "primary"
+            else -1
+            if self.leader_heard_at == NEVER
+            else (now - self.leader_heard_at) // 1_000
+        )
+        return ReplicaStatus(
             self.role,
             self.epoch,
             self.log.last[1],
             max(self.commit, 0),
             {v: p.match for v, p in self.progress.items()},
             silent,
-            self.primary,
+            self.leader,
             self.cluster_id,
             self.joining,
         )
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -22,11 +22,17 @@
 
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.config import ConfigError, parse_address
-from cypressledge.controlplane.applied_versions import NAMES_MOST, InForce
-from cypressledge.controlplane.broker_registry import Registry
-from cypressledge.controlplane.change_history import History
+from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions
+from cypressledge.controlplane.broker_registry import BrokerRegistry
+from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.faults import ONCE, VARIABLE, Faults
-from cypressledge.controlplane.framing import HELLO_S, Ended, Frames, Traffic, connect
+from cypressledge.controlplane.framing import (
+    HELLO_TIMEOUT_S,
+    ConnectionEndedError,
+    FramedConnection,
+    TrafficCounters,
+    connect,
+)
 from cypressledge.controlplane.messages import (
     FORMAT,
     MAX_FRAME_BYTES,
@@ -42,13 +48,26 @@
     Snapshot,
     encode,
 )
-from cypressledge.controlplane.non_voting_replica import Learner
+from cypressledge.controlplane.non_voting_replica import NonVotingReplica
 from cypressledge.controlplane.operators import Asked, Operators, number
 from cypressledge.controlplane.publisher import Publisher, PublisherLimits
-from cypressledge.controlplane.replica import Clash, DiskError, NotPrimary, Replica, Ticket
+from cypressledge.controlplane.replica import (
+    NotLeaderError,
+    PendingProposal,
+    Replica,
+    StorageError,
+    VersionConflictError,
+)
 from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control
-from cypressledge.controlplane.sqlite_storage import Store, StoreError
-from cypressledge.controlplane.state import FleetState, StateError, canonical, check, clashes, plain
+from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
+from cypressledge.controlplane.state import (
+    FleetState,
+    StateError,
+    decode_value,
+    encode_value,
+    find_conflicts,
+    validate_change,
+)
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
 from cypressledge.fleet.keeper import Place
@@ -82,7 +101,7 @@
 class Waiting(msgspec.Struct):
     """An operator's change that waits for its majority, until a moment (µs)."""
 
-    ticket: Ticket
+    ticket: PendingProposal
     asked: Asked
     exchange: Exchange
     until: int
@@ -97,28 +116,28 @@
         self,
         settings: ControlSettings,
         name: str,
-        disk: Store | None,
+        disk: SqliteStorage | None,
         faults: Faults,
         seed: list[Op] | None = None,
         rejoin: bool = False,
     ) -> None:
         self.settings, self.spec, self.name = settings, settings.server(name), name
         self.run_id = new_run()
-        self.log, self.counters, self.traffic = logger(name, self.run_id), Counters(), Traffic()
+        self.log, self.counters, self.traffic = logger(name, self.run_id), Counters(), TrafficCounters()
         self.disk, self.faults = disk, faults
         self.clock = LeaseClock(settings.lab.clock_rate, round(settings.lab.clock_offset_s * 1e6))
         self.record = settings.lab.record and open(settings.lab.record, "a", buffering=1, encoding="utf-8")
         self.inbox, self.stopping, self.stopped = Queue(INBOX_MOST), Event(), False
-        self.brokers: dict[int, Frames] = {}
+        self.brokers: dict[int, FramedConnection] = {}
         self.numbers = itertools.count(1)  # of brokers' connections
-        self.links: dict[str, Frames] = {}  # to the other control processes, dialled here
-        self.heard: dict[str, Frames] = {}  # from them
+        self.links: dict[str, FramedConnection] = {}  # to the other control processes, dialled here
+        self.heard: dict[str, FramedConnection] = {}  # from them
         self.last: tuple[Message | None, bytes] = (None, b"")  # encoded last: one snapshot goes to many
         self.waiting: list[Waiting] = []
-        self.in_force, self.news, self.rest_until = InForce(), False, 0
+        self.in_force, self.news, self.rest_until = AppliedVersions(), False, 0
         self.reported, self.report_due, self.report_all = ("", 0), 0, True
-        self.register_due, self.registry = 0, Registry(round(settings.forget_s * 1e6))
-        self.history = History(FleetState())
+        self.register_due, self.registry = 0, BrokerRegistry(round(settings.forget_s * 1e6))
+        self.history = ChangeHistory(FleetState())
         limits = PublisherLimits(max_subscribers=settings.brokers_most)
         self.publisher = Publisher(
             name, self.run_id, self.history, limits, self._to_broker, self._end_broker, self._event
@@ -127,7 +146,7 @@
         self.node = self._node(now)
         self.replica = self._replica(now, rejoin)
         if seed is not None and self.spec.votes:
-            self.replica.begin(f"{name}-{self.run_id:x}", seed)
+            self.replica.permit_first_version(f"{name}-{self.run_id:x}", seed)
         self.listener = Listener(
             parse_address(self.spec.address), self.counters, "control", self._serve, Crowd()
         )
@@ -149,10 +168,10 @@
             *getattr(self.replica, "parts", ()),
         ]
 
-    def _replica(self, now: int, rejoin: bool) -> Replica | Learner:
+    def _replica(self, now: int, rejoin: bool) -> Replica | NonVotingReplica:
         told = self.settings
         if not self.spec.votes:
-            return Learner(
+            return NonVotingReplica(
                 self.name, self.run_id, told, self.spec.zone, self.spec.region, self.log, self._learned
             )
         return Replica(
@@ -237,19 +256,19 @@
     @property
     def leads(self) -> bool:
         """Whether this is the primary now."""
-        return self.replica.role == "primary" and self.clock.now() < self.replica.until
+        return self.replica.role == "primary" and self.clock.now() < self.replica.lease_until
 
     @property
     def primary(self) -> str:
         """Who is, as far as is known here."""
-        return self.name if self.leads else "" if self.replica.primary == self.name else self.replica.primary
+        return self.name if self.leads else "" if self.replica.leader == self.name else self.replica.leader
 
     def _sign(self, now: int) -> None:
         """Tell the publisher when a primary was heard last."""
         if self.leads:
             self.publisher.leader_heard(now, self.name)
-        elif self.replica.primary and self.replica.primary != self.name:
-            self.publisher.leader_heard(self.replica.heard, self.replica.primary)
+        elif self.replica.leader and self.replica.leader != self.name:
+            self.publisher.leader_heard(self.replica.leader_heard_at, self.replica.leader)
 
     def _committed(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
         if snapshot is not None:
@@ -330,39 +349,41 @@
             return self.register_due
         self.register_due = now + REGISTER_US
         primary, state = self.primary, self.history.state
-        self.registry.want(self.publisher.registrations(state))
-        ops = self.registry.take(now, state)
+        self.registry.request(self.publisher.registrations(state))
+        ops = self.registry.take_unsent(now, state)
         if primary == self.name:
             self._place(now, ops)
         elif ops and primary in self.links:
-            self.registry.said(now, ops)
+            self.registry.mark_sent(now, ops)
             self._to_peer(primary, RegisterBrokers(ops))
         return self.register_due
 
     def _place(self, now: int, ops: list[Op]) -> None:
         """As the primary: register brokers, and take out those that are gone."""
         registry = self.registry
-        if not ops and not registry.due(now):
+        if not ops and not registry.is_observation_due(now):
             return
-        registry.look(now, self.replica.tail, self._connected(), ops)
-        registry.said(now, ops)
-        change, refused = registry.fitting(now, self.replica.tail, ops)
+        registry.observe(now, self.replica.latest_state, self._connected(), ops)
+        registry.mark_sent(now, ops)
+        change, refused = registry.resolve(now, self.replica.latest_state, ops)
         for why in refused:
             self._event("not_registered", why=why)
         self._propose_own(now, change, "brokers' places", "not_registered")
-        self._propose_own(now, registry.forgotten(now, self.replica.tail), "brokers gone", "not_removed")
+        self._propose_own(
+            now, registry.expired(now, self.replica.latest_state), "brokers gone", "not_removed"
+        )
 
     def _propose_own(self, now: int, ops: list[Op], what: str, failed: str) -> None:
         if not ops:
             return
         try:
             self.replica.propose_own(now, ops, what, time.time_ns() // 1_000_000)
-        except (NotPrimary, StateError) as err:
+        except (NotLeaderError, StateError) as err:
             self._event(failed, why=str(err))
             return
         removed = [op.key for op in ops if op.value is None]
         if removed:
-            self._event("brokers_removed", count=len(removed), keys=removed[:NAMES_MOST])
+            self._event("brokers_removed", count=len(removed), keys=removed[:MAX_NAMES])
 
     def _connected(self) -> set[str] | None:
         """Names of all connected brokers; none while a control process of the settings is out of sight."""
@@ -373,34 +394,34 @@
 
     def _serve(self, sock) -> None:
         """A greenlet for each connection that is accepted: its only reader, and its end."""
-        frames = Frames(sock, self.traffic, HELLO_MOST)
+        frames = FramedConnection(sock, self.traffic, HELLO_MOST)
         try:
-            hello = frames.receive(HELLO_S)
+            hello = frames.receive(HELLO_TIMEOUT_S)
             if not isinstance(hello, Hello):
-                raise Ended("no hello")
+                raise ConnectionEndedError("no hello")
             if hello.role == "control":
                 self._serve_peer(hello, frames)
             else:
                 self._serve_broker(hello, frames)
-        except Ended as err:
+        except ConnectionEndedError as err:
             self.counters.add(f"control.ended.{str(err).partition(':')[0][:24]}")
         finally:
             frames.close()
 
-    def _serve_broker(self, hello: Hello, frames: Frames) -> None:
+    def _serve_broker(self, hello: Hello, frames: FramedConnection) -> None:
         if self.stopped or self.clock.now() < self.rest_until:
             frames.send(Disconnect("stopping", REST_MS))
-            frames.finish()
+            frames.finish_sending()
             frames.receive(1.0)
             return
-        frames.allow(BROKER_MOST)
+        frames.set_max_frame_bytes(BROKER_MOST)
         conn = next(self.numbers)
         self.brokers[conn] = frames
         self.inbox.put((self.publisher.connected, conn, hello))
         try:
             while True:
                 message = frames.receive(SILENT_S)
-                if message is not None and not frames.finished:
+                if message is not None and not frames.is_finishing:
                     self.inbox.put((self.publisher.received, conn, message))
         finally:
             if self.brokers.pop(conn, None) is not None:
@@ -419,7 +440,7 @@
         frames = self.brokers.pop(conn, None)
         if frames is not None:
             frames.send(goodbye)
-            frames.finish()
+            frames.finish_sending()
             gevent.spawn_later(stream.DRAIN, frames.close)
 
     # The other control processes
@@ -446,20 +467,20 @@
         own = self.replica.cluster_id
         return "lineage" if own and hello.cluster_id and hello.cluster_id != own else ""
 
-    def _serve_peer(self, hello: Hello, frames: Frames) -> None:
+    def _serve_peer(self, hello: Hello, frames: FramedConnection) -> None:
         """What another control process says, for as long as it is connected."""
         why = self._refusal(hello)
         if why:
             self._event("peer_refused", peer=hello.name, why=why, lineage=hello.cluster_id)
             frames.send(Disconnect(why, 1_000))
-            frames.finish()
+            frames.finish_sending()
             frames.receive(1.0)
             return
         former = self.heard.get(hello.name)
         if former is not None:
             former.close()
         self.heard[hello.name] = frames
-        frames.allow(MAX_FRAME_BYTES)
+        frames.set_max_frame_bytes(MAX_FRAME_BYTES)
         frames.send(HelloAccepted(self.name, self.run_id, self.replica.cluster_id))
         try:
             while True:
@@ -477,7 +498,7 @@
                 self.in_force.report(now, name, message)
         elif isinstance(message, RegisterBrokers):
             if self.replica.role != "standby":
-                self.registry.want(message.ops)
+                self.registry.request(message.ops)
         else:
             self.replica.receive(now, name, message)
 
@@ -508,13 +529,13 @@
             try:
                 frames = connect(parse_address(spec.address), self.traffic)
                 frames.send(self._hello())
-                self._greeted(spec, frames.receive(HELLO_S))
+                self._greeted(spec, frames.receive(HELLO_TIMEOUT_S))
                 pause = BACK_OFF[0]
                 self.links[spec.name] = frames
                 self.inbox.put((self._linked, spec.name))
                 while True:
                     frames.receive(SILENT_S)
-            except Ended as err:
+            except ConnectionEndedError as err:
                 self.counters.add("control.link_ended")
                 if self.links.get(spec.name) is frames and frames is not None:
                     self.log.info("peer_link_ended", peer=spec.name, why=str(err))
@@ -529,19 +550,19 @@
     def _greeted(self, spec: ServerSpec, message: Message | None) -> None:
         """Raises `Ended` unless the other one is who it should be."""
         if isinstance(message, Disconnect):
-            raise Ended(f"goodbye {message.reason}")
+            raise ConnectionEndedError(f"goodbye {message.reason}")
         if not isinstance(message, HelloAccepted) or message.name != spec.name:
-            raise Ended("no welcome")
+            raise ConnectionEndedError("no welcome")
         own = self.replica.cluster_id
         if own and message.cluster_id and own != message.cluster_id:
             self._event("peer_refused", peer=spec.name, why="lineage", lineage=message.cluster_id)
-            raise Ended("lineage")
+            raise ConnectionEndedError("lineage")
 
     def _linked(self, now: int, name: str) -> None:
         """A new connection: what was said over the former one may be lost."""
         if name == self.primary:
             self.report_all = True
-            self.registry.ask_anew()
+            self.registry.resend_all()
 
     # Operators
 
@@ -556,20 +577,26 @@
         replica = self.replica
         try:
             if not self.leads:
-                raise NotPrimary(self.primary)
-            base = replica.tail.version if asked.base is None else asked.base
-            check_new(replica.tail, asked)
+                raise NotLeaderError(self.primary)
+            base = replica.latest_state.version if asked.base is None else asked.base
+            check_new(replica.latest_state, asked)
             if asked.dry_run:
                 self._try(asked, base, exchange)
                 return
             ticket = replica.propose(
                 now, asked.ops, base, asked.request, asked.who, asked.why, time.time_ns() // 1_000_000
             )
-        except NotPrimary:
+        except NotLeaderError:
             exchange.json(421, {"answer": "not primary"} | self._where())
-        except Clash as err:
+        except VersionConflictError as err:
             exchange.json(
-                409, {"answer": "clash", "why": str(err), "keys": err.keys, "version": replica.tail.version}
+                409,
+                {
+                    "answer": "clash",
+                    "why": str(err),
+                    "keys": err.keys,
+                    "version": replica.latest_state.version,
+                },
             )
         except StateError as err:
             exchange.json(400, {"answer": "bad", "why": str(err)})
@@ -578,10 +605,10 @@
 
     def _try(self, asked: Asked, base: int, exchange: Exchange) -> None:
         """What would come of a change. Raises as `propose` does."""
-        tail = self.replica.tail
-        check(tail, asked.ops)
-        if keys := clashes(tail, base, asked.ops):
-            raise Clash(keys)
+        tail = self.replica.latest_state
+        validate_change(tail, asked.ops)
+        if keys := find_conflicts(tail, base, asked.ops):
+            raise VersionConflictError(keys)
         exchange.json(
             200, {"answer": "would do", "version": tail.version + 1, "keys": len(asked.ops)} | self._where()
         )
@@ -647,7 +674,7 @@
             "last": told.last,
             "commit": told.commit,
             "match": told.match,
-            "silent_ms": told.silent_ms,
+            "silent_ms": told.leader_silence_ms,
             "joining": told.joining,
             "brokers": len(self.publisher.subscriptions),
             "peers": sorted(self.links),
@@ -677,7 +704,7 @@
             "digest": state.digest.hex(),
             "lineage": state.cluster_id,
             "entries": {
-                k: {"value": plain(e.value), "version": e.version}
+                k: {"value": decode_value(e.value), "version": e.version}
                 for k, e in sorted(state.entries.items())
                 if k.startswith(prefix)
             },
@@ -728,7 +755,7 @@
         self._answer(now)
         self.publisher.stop()
         for frames in [*self.links.values(), *self.heard.values()]:
-            frames.finish()
+            frames.finish_sending()
         gevent.sleep(LAST_WORDS)
         if self.disk is not None:
             self.disk.close()
@@ -742,7 +769,7 @@
 def check_new(state: FleetState, asked: Asked) -> None:
     """What holds for a change that isn't known yet. Guards against "refused" for a repeat that was taken.
     Raises `StateError`."""
-    if asked.dry_run or state.requested(asked.request) is None:
+    if asked.dry_run or state.version_of_request(asked.request) is None:
         check_classes(state, asked.ops)
 
 
@@ -754,7 +781,7 @@
         return
     names = [
         [k.get("Name") for k in classes if isinstance(k, dict)] if isinstance(classes, list) else []
-        for classes in map(plain, (held.value, new))
+        for classes in map(decode_value, (held.value, new))
     ]
     if names[0] != names[1]:
         raise StateError(
@@ -785,10 +812,10 @@
         disk = None
         if settings.server(name).votes:
             os.makedirs(folder, exist_ok=True)
-            disk = Store(os.path.join(folder, STORE), name, create, faults.disk)
-        ops = None if seed is None else [Op(k, canonical(v)) for k, v in seed["set"].items()]
+            disk = SqliteStorage(os.path.join(folder, STORE), name, create, faults.disk)
+        ops = None if seed is None else [Op(k, encode_value(v)) for k, v in seed["set"].items()]
         process = ControlProcess(settings, name, disk, faults, ops, rejoin)
-    except (ConfigError, StateError, StoreError, DiskError) as err:
+    except (ConfigError, StateError, StorageUnusableError, StorageError) as err:
         log(f"cypressledge: {err}")
         return 2
     except OSError as err:
--- a/cypressledge/controlplane/sqlite_storage.py
+++ b/cypressledge/controlplane/sqlite_storage.py
@@ -19,23 +19,23 @@
 import msgspec
 
 from cypressledge.controlplane.messages import Change, Snapshot
-from cypressledge.controlplane.replica import DiskError, Loaded
+from cypressledge.controlplane.replica import StorageError, StoredLog
 
 FORMAT = 1  # of the file
-COMPACT_CHANGES = 8_192  # changes behind the snapshot from which a compaction is due
-COMPACT_BYTES = 16 << 20  # or so many bytes of them
-WAL_MOST = 4 << 20  # bytes that the write-ahead log keeps once it has been copied back
+COMPACTION_CHANGES = 8_192  # changes behind the snapshot from which a compaction is due
+COMPACTION_BYTES = 16 << 20  # or so many bytes of them
+MAX_WAL_BYTES = 4 << 20  # bytes that the write-ahead log keeps once it has been copied back
 
 _encode = msgspec.msgpack.Encoder().encode
 _change = msgspec.msgpack.Decoder(Change).decode
 _snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
-class StoreError(Exception):
+class StorageUnusableError(Exception):
     """The file can't be used: one plain line that says what to do."""
 
 
-class Mark(msgspec.Struct, frozen=True, array_like=True):
+class StorageHeader(msgspec.Struct, frozen=True, array_like=True):
     """The row that says what the others must be."""
 
     format: int
@@ -47,7 +47,7 @@
     last: int = -1  # the newest version; -1: no history
 
 
-_mark = msgspec.msgpack.Decoder(Mark).decode
+_mark = msgspec.msgpack.Decoder(StorageHeader).decode
 
 
 def _digest(body: bytes) -> bytes:
@@ -89,7 +89,7 @@
     pass
 
 
-class Store:
+class SqliteStorage:
     """A `replica.Disk`. `create`: "" opens a file that holds a history (or joins one); "first" also makes an
     empty one; "rejoin" makes one, or takes one that was put back: it joins. `faults(step)`: called before
     each durable step, for tests. Raises `StoreError`; its calls raise `DiskError` and work again once the
@@ -106,23 +106,25 @@
         self.count = self.bytes = 0  # of the changes behind the snapshot
         new = not self.path.exists() or not self.path.stat().st_size
         if new and not create:
-            raise StoreError(
+            raise StorageUnusableError(
                 f"{path}: there is no store. Start with --rejoin if this disk was lost, with "
                 "--first if there has never been a history."
             )
         if new and any(Path(f"{path}{end}").exists() for end in ("-wal", "-journal")):
             # Guards against a log that belonged to the file that is lost: sqlite would take or drop it.
-            raise StoreError(f"{path}: only a log of it is left. Move that away and start with --rejoin.")
+            raise StorageUnusableError(
+                f"{path}: only a log of it is left. Move that away and start with --rejoin."
+            )
         log = Path(f"{path}-wal")
         if log.exists() and steps_behind_damage(log.read_bytes()) > 1:
-            raise StoreError(self._damaged("its log is garbled"))
+            raise StorageUnusableError(self._damaged("its log is garbled"))
         try:
             self._open(new, bool(create))
             self._load()
-        except (sqlite3.Error, DiskError) as err:
+        except (sqlite3.Error, StorageError) as err:
             self._shut()
-            raise StoreError(self._damaged(err)) from None
-        except StoreError:
+            raise StorageUnusableError(self._damaged(err)) from None
+        except StorageUnusableError:
             self._shut()
             raise
         self._admit(create)
@@ -143,7 +145,7 @@
             run("PRAGMA auto_vacuum=INCREMENTAL")
         run("PRAGMA journal_mode=WAL")
         run("PRAGMA synchronous=FULL")
-        run(f"PRAGMA journal_size_limit={WAL_MOST}")
+        run(f"PRAGMA journal_size_limit={MAX_WAL_BYTES}")
         # One that was stopped before its tables were there is new too.
         if create and not run("SELECT COUNT(*) FROM sqlite_master").fetchone()[0]:
             with self._step("create"):
@@ -152,10 +154,10 @@
                     "CREATE TABLE changes (version INTEGER PRIMARY KEY, body BLOB NOT NULL, "
                     "digest BLOB NOT NULL)"
                 )
-                self._put("mark", _encode(Mark(FORMAT, self.name)))
+                self._put("mark", _encode(StorageHeader(FORMAT, self.name)))
         found = [row[0] for row in run("PRAGMA quick_check(1)")]
         if found != ["ok"]:
-            raise DiskError(found[0].splitlines()[-1])
+            raise StorageError(found[0].splitlines()[-1])
 
     def _shut(self) -> None:
         with contextlib.suppress(sqlite3.Error, AttributeError):  # it never opened
@@ -168,7 +170,7 @@
                 self._change_mark("rejoin", joining=True)
         elif self.mark.last < 0 and not self.mark.joining and create != "first":
             self._shut()
-            raise StoreError(
+            raise StorageUnusableError(
                 f"{self.path}: it holds no history. Start with --rejoin if there is one "
                 "elsewhere, with --first if there has never been one."
             )
@@ -189,7 +191,7 @@
             self.db.execute("COMMIT")
         except sqlite3.Error as err:
             self._roll_back()
-            raise DiskError(f"{step}: {err}") from None
+            raise StorageError(f"{step}: {err}") from None
         except BaseException:
             self._roll_back()
             raise
@@ -209,7 +211,7 @@
         if row is None:
             return None
         if _digest(row[0]) != row[1]:
-            raise DiskError(f"the digest of its {name} differs")
+            raise StorageError(f"the digest of its {name} differs")
         return row[0]
 
     def _change_mark(self, step: str, **fields: object) -> None:
@@ -220,37 +222,37 @@
 
     # Loading
 
-    def load(self) -> Loaded:
+    def load(self) -> StoredLog:
         """All of it, read from the file and checked. Raises `DiskError`."""
         try:
             return self._load()
-        except (sqlite3.Error, StoreError) as err:
-            raise DiskError(str(err)) from None
+        except (sqlite3.Error, StorageUnusableError) as err:
+            raise StorageError(str(err)) from None
 
-    def _load(self) -> Loaded:
+    def _load(self) -> StoredLog:
         try:
             body = self._get("mark")
             if body is None:
-                raise DiskError("a row is lost")
+                raise StorageError("a row is lost")
             self.mark = _mark(body)
             self._check_owner()
             base = self._get("base")
             snapshot = None if base is None else _snapshot(base)
             changes = list(self._changes(-1 if snapshot is None else snapshot.version))
         except (msgspec.MsgspecError, RecursionError, TypeError, ValueError) as err:
-            raise DiskError(f"a row can't be read: {err}") from None
+            raise StorageError(f"a row can't be read: {err}") from None
         self._check_whole(snapshot, changes)
         mark = self.mark
-        return Loaded(snapshot, changes, mark.commit, (mark.epoch, mark.instance_id), mark.joining)
+        return StoredLog(snapshot, changes, mark.commit, (mark.epoch, mark.instance_id), mark.joining)
 
     def _check_owner(self) -> None:
         if self.mark.format != FORMAT:
-            raise StoreError(
+            raise StorageUnusableError(
                 f"{self.path}: of format {self.mark.format}, this program's is {FORMAT}. Start "
                 "the program that wrote it."
             )
         if self.mark.name != self.name:
-            raise StoreError(
+            raise StorageUnusableError(
                 f"{self.path}: it is the store of {self.mark.name}, not of {self.name}. Give " "each its own."
             )
 
@@ -259,10 +261,10 @@
         for version, body, digest in self.db.execute("SELECT * FROM changes ORDER BY version"):
             after += 1
             if _digest(body) != digest:
-                raise DiskError(f"the digest of change {version} differs")
+                raise StorageError(f"the digest of change {version} differs")
             change = _change(body)
             if not version == change.version == after:
-                raise DiskError(f"change {after} is lost")
+                raise StorageError(f"change {after} is lost")
             self.count += 1
             self.bytes += len(body)
             yield change
@@ -271,18 +273,18 @@
         base = -1 if snapshot is None else snapshot.version
         last = base + len(changes)
         if snapshot is None and changes:
-            raise DiskError("its snapshot is lost")
+            raise StorageError("its snapshot is lost")
         if self.mark.last != last:
-            raise DiskError(f"its last change is {last}, not {self.mark.last}")
+            raise StorageError(f"its last change is {last}, not {self.mark.last}")
         if not max(base, 0) <= self.mark.commit <= max(last, 0):
-            raise DiskError("its committed version is not among its changes")
+            raise StorageError("its committed version is not among its changes")
 
     # Durable steps
 
     @property
-    def bulky(self) -> bool:
+    def needs_compaction(self) -> bool:
         """Whether a compaction is due."""
-        return self.count > COMPACT_CHANGES or self.bytes > COMPACT_BYTES
+        return self.count > COMPACTION_CHANGES or self.bytes > COMPACTION_BYTES
 
     def promise(self, epoch: int, run: int) -> None:
         """See `Disk`."""
@@ -301,7 +303,7 @@
         bodies = [_encode(c) for c in changes]
         rows = [(c.version, b, _digest(b)) for c, b in zip(changes, bodies, strict=True)]
         if [row[0] for row in rows] != list(range(self.mark.last + 1, self.mark.last + 1 + len(rows))):
-            raise DiskError(f"append: the changes don't follow {self.mark.last}")
+            raise StorageError(f"append: the changes don't follow {self.mark.last}")
         mark = msgspec.structs.replace(self.mark, last=self.mark.last + len(rows))
         with self._step("append"):
             self.db.executemany("INSERT INTO changes VALUES (?, ?, ?)", rows)
@@ -328,7 +330,7 @@
         """See `Disk`."""
         self._rebase("compact", snapshot, self.mark, snapshot.version)
 
-    def _rebase(self, step: str, snapshot: Snapshot, mark: Mark, to: int) -> None:
+    def _rebase(self, step: str, snapshot: Snapshot, mark: StorageHeader, to: int) -> None:
         with self._step(step):
             self.db.execute("DELETE FROM changes WHERE version <= ?", (to,))
             self._put("base", _encode(snapshot))
@@ -341,7 +343,7 @@
         try:
             row = self.db.execute("SELECT COUNT(*), COALESCE(SUM(LENGTH(body)), 0) FROM changes").fetchone()
         except sqlite3.Error as err:
-            raise DiskError(f"count: {err}") from None
+            raise StorageError(f"count: {err}") from None
         self.count, self.bytes = row
 
     def _shrink(self) -> None:
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -24,16 +24,18 @@
 )
 from cypressledge.settings import SettingsError, parse_settings
 
-KEY = re.compile(r"(config|engine|broker)/[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")  # names as in fleet.settings.Name
-STATE_MOST = 3 << 20  # bytes of all keys and values: guards against a snapshot that fits in no frame
-REQUESTS_MOST = 512  # requests whose repeat is known
-REMOVED_MOST = 4_096  # removed keys whose version is still known
-TEXT_MOST = 512  # characters of a request's name, of who and of why
-ENTRY_OVERHEAD = 32  # bytes that an entry takes in a snapshot beside key and value, at most
+KEY_PATTERN = re.compile(
+    r"(config|engine|broker)/[A-Za-z0-9][A-Za-z0-9_.-]{0,63}"
+)  # names as in fleet.settings.Name
+MAX_STATE_BYTES = 3 << 20  # bytes of all keys and values: guards against a snapshot that fits in no frame
+MAX_REMEMBERED_REQUESTS = 512  # requests whose repeat is known
+MAX_REMEMBERED_REMOVALS = 4_096  # removed keys whose version is still known
+MAX_TEXT_LENGTH = 512  # characters of a request's name, of who and of why
+ENTRY_OVERHEAD_BYTES = 32  # bytes that an entry takes in a snapshot beside key and value, at most
 BASE_TOO_OLD = "base too old"
 BASE_NOT_YET = "base not yet reached"
 
-Short = Annotated[str, msgspec.Meta(max_length=64)]
+ShortText = Annotated[str, msgspec.Meta(max_length=64)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
 
 
@@ -46,8 +48,8 @@
     of its start, ms, 0 where it isn't known."""
 
     address: str
-    kind: Short = ""
-    zone: Short = ""
+    kind: ShortText = ""
+    zone: ShortText = ""
     cell: Count = 0
     state: Literal["ready", "draining"] = "ready"
     born_ms: Count = 0
@@ -57,8 +59,8 @@
     """One broker. `address`: HOST:PORT of its fleet socket."""
 
     address: str
-    zone: Short = ""
-    region: Short = ""
+    zone: ShortText = ""
+    region: ShortText = ""
 
 
 _encode = msgspec.msgpack.Encoder(order="sorted").encode
@@ -66,7 +68,7 @@
 _typed = {"engine": msgspec.msgpack.Decoder(Engine).decode, "broker": msgspec.msgpack.Decoder(Broker).decode}
 
 
-def canonical(value: object) -> bytes:
+def encode_value(value: object) -> bytes:
     """The one encoding of plain data (or of an `Engine` or `Broker`): MessagePack, keys sorted. Raises
     `StateError`."""
     try:
@@ -75,7 +77,7 @@
         raise StateError(f"not plain data: {err}") from None
 
 
-def plain(raw: bytes) -> object:
+def decode_value(raw: bytes) -> object:
     """What `canonical` encoded. Raises `StateError`."""
     try:
         return _decode(raw)
@@ -92,7 +94,7 @@
     return sum(_term(e.key, e.value, e.version) for e in entries) % (1 << 128)
 
 
-def place_of(key: str, value: bytes) -> tuple[str, str, int] | None:
+def address_of(key: str, value: bytes) -> tuple[str, str, int] | None:
     """(kind, host, port) of an engine's or broker's key; none for the others. Raises `StateError`."""
     kind = key.partition("/")[0]
     if kind not in _typed:
@@ -120,8 +122,10 @@
         self.removed_since = 0  # removals of later versions are all in `removed`
         self.size = 0  # bytes of all entries
         self._sum = 0
-        self._places: dict[tuple[str, str, int], str] | None = None  # who is where, from the first check on
-        self._place_of: dict[str, tuple[str, str, int]] = {}
+        self._addresses: dict[tuple[str, str, int], str] | None = (
+            None  # who is where, from the first check on
+        )
+        self._address_of: dict[str, tuple[str, str, int]] = {}
 
     @property
     def position(self) -> tuple[int, int]:
@@ -133,11 +137,11 @@
         """Of all keys, values and versions that set them; 16 bytes."""
         return self._sum.to_bytes(16, "big")
 
-    def requested(self, request: str) -> int | None:
+    def version_of_request(self, request: str) -> int | None:
         """The version that a named request became; none where it isn't among the last `REQUESTS_MOST`."""
         return self.requests.get(request) if request else None
 
-    def draft(
+    def draft_change(
         self, epoch: int, ops: list[Op], request: str = "", who: str = "", why: str = "", at: int = 0
     ) -> Change:
         """The next change under an epoch, with the digest after it; the state stays as it is. Looks at the
@@ -166,8 +170,8 @@
             raise StateError(f"version {change.version} does not follow {self.version}")
         if change.epoch < self.epoch:
             raise StateError(f"epoch {change.epoch} is below {self.epoch}")
-        if max(len(change.request_id), len(change.author), len(change.reason)) > TEXT_MOST:
-            raise StateError(f"a request's name, who or why is over {TEXT_MOST} characters")
+        if max(len(change.request_id), len(change.author), len(change.reason)) > MAX_TEXT_LENGTH:
+            raise StateError(f"a request's name, who or why is over {MAX_TEXT_LENGTH} characters")
         _sizes(change.ops)
         keys = {op.key for op in change.ops}
         if len(keys) < len(change.ops):
@@ -193,40 +197,40 @@
         elif old:
             self.removed[op.key] = version
             self._bound_removed()
-        if self._places is not None:
+        if self._addresses is not None:
             self._index(op.key, op.value)
 
     def _bound_removed(self) -> None:
         """Guards against memory that grows with each key ever removed."""
-        while len(self.removed) > REMOVED_MOST:
+        while len(self.removed) > MAX_REMEMBERED_REMOVALS:
             oldest = next(iter(self.removed))
             self.removed_since = self.removed.pop(oldest)
 
     def _remember(self, request: str, version: int) -> None:
         self.requests.pop(request, None)
         self.requests[request] = version
-        while len(self.requests) > REQUESTS_MOST:
+        while len(self.requests) > MAX_REMEMBERED_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
     def _index(self, key: str, value: bytes | None) -> None:
         """Keep `_places` up. A committed value that can't be read holds no place: replicas stay equal."""
-        was = self._place_of.pop(key, None)
-        if was and self._places.get(was) == key:
-            del self._places[was]
+        was = self._address_of.pop(key, None)
+        if was and self._addresses.get(was) == key:
+            del self._addresses[was]
         try:
-            place = None if value is None else place_of(key, value)
+            place = None if value is None else address_of(key, value)
         except StateError:
             return
         if place:
-            self._places[place], self._place_of[key] = key, place
+            self._addresses[place], self._address_of[key] = key, place
 
-    def places(self) -> dict[tuple[str, str, int], str]:
+    def addresses(self) -> dict[tuple[str, str, int], str]:
         """Whose key is at which (kind, host, port)."""
-        if self._places is None:
-            self._places = {}
+        if self._addresses is None:
+            self._addresses = {}
             for entry in self.entries.values():
                 self._index(entry.key, entry.value)
-        return self._places
+        return self._addresses
 
     def snapshot(self) -> Snapshot:
         """The whole, keys sorted: equal states make equal snapshots."""
@@ -247,7 +251,7 @@
         state.entries = {e.key: e for e in snapshot.entries}
         if len(state.entries) < len(snapshot.entries):
             raise StateError("snapshot: a key is there twice")
-        if min(snapshot.epoch, snapshot.version) < 0 or len(snapshot.requests) > REQUESTS_MOST:
+        if min(snapshot.epoch, snapshot.version) < 0 or len(snapshot.requests) > MAX_REMEMBERED_REQUESTS:
             raise StateError("snapshot: no position of a history, or too many requests")
         if not all(0 < e.version <= snapshot.version for e in snapshot.entries):
             raise StateError("snapshot: a key is newer than the whole")
@@ -273,7 +277,9 @@
 
     def config(self) -> dict:
         """The sections of the brokers' settings, by name."""
-        return {key[7:]: plain(e.value) for key, e in self.entries.items() if key.startswith("config/")}
+        return {
+            key[7:]: decode_value(e.value) for key, e in self.entries.items() if key.startswith("config/")
+        }
 
     def engines(self) -> dict[str, Engine]:
         """By name. Raises `StateError` where one can't be read."""
@@ -294,7 +300,7 @@
 
 
 def _size(key: str, value: bytes) -> int:
-    return len(key) + len(value) + ENTRY_OVERHEAD
+    return len(key) + len(value) + ENTRY_OVERHEAD_BYTES
 
 
 def _sizes(ops: list[Op]) -> None:
@@ -306,7 +312,7 @@
         raise StateError(f"a change of {size} bytes; {MAX_CHANGE_BYTES} can be")
 
 
-def check(state: FleetState, ops: list[Op]) -> None:
+def validate_change(state: FleetState, ops: list[Op]) -> None:
     """The whole state after a change, looked at before it is taken. Raises `StateError` with what is wrong:
     keys, sizes, values, two engines or two brokers at one address, settings that aren't complete."""
     _sizes(ops)
@@ -316,10 +322,10 @@
         old = state.entries.get(op.key)
         size -= _size(old.key, old.value) if old else 0
         size += _size(op.key, op.value) if op.value is not None else 0
-        if op.value is not None and canonical(plain(op.value)) != op.value:
+        if op.value is not None and encode_value(decode_value(op.value)) != op.value:
             raise StateError(f"{op.key}: its value is not in the canonical encoding")
-    if size > STATE_MOST:
-        raise StateError(f"the state would have {size} bytes; {STATE_MOST} can be")
+    if size > MAX_STATE_BYTES:
+        raise StateError(f"the state would have {size} bytes; {MAX_STATE_BYTES} can be")
     _check_places(state, ops)
     if any(op.key.startswith("config/") for op in ops):
         _check_config(state, ops)
@@ -328,7 +334,7 @@
 def _check_keys(ops: list[Op]) -> None:
     seen = set()
     for op in ops:
-        if not KEY.fullmatch(op.key):
+        if not KEY_PATTERN.fullmatch(op.key):
             raise StateError(f"no key of the state: {op.key[:80]!r}")
         if op.key in seen:
             raise StateError(f"{op.key} is named twice in one change")
@@ -336,9 +342,9 @@
 
 
 def _check_places(state: FleetState, ops: list[Op]) -> None:
-    touched, places, new = {op.key for op in ops}, state.places(), {}
+    touched, places, new = {op.key for op in ops}, state.addresses(), {}
     for op in ops:
-        place = None if op.value is None else place_of(op.key, op.value)
+        place = None if op.value is None else address_of(op.key, op.value)
         if place is None:
             continue
         other = new.get(place) or places.get(place)
@@ -352,7 +358,7 @@
     """Raises `StateError` unless the sections are complete settings, as a broker reads them, or none."""
     raw = {key: e.value for key, e in state.entries.items() if key.startswith("config/")}
     raw |= {op.key: op.value for op in ops if op.key.startswith("config/")}
-    s = {key[7:]: plain(value) for key, value in raw.items() if value is not None}
+    s = {key[7:]: decode_value(value) for key, value in raw.items() if value is not None}
     if not s:
         return
     try:
@@ -394,7 +400,7 @@
         return key not in self.state.entries and self.base < self.state.removed_since
 
 
-def clashes(state: FleetState, base_version: int, ops: list[Op]) -> list[str]:
+def find_conflicts(state: FleetState, base_version: int, ops: list[Op]) -> list[str]:
     """The touched keys that were set or removed after the version that a request was made on; for a config
     key, any config key: sections are checked together. `BASE_TOO_OLD` where the state no longer knows,
     `BASE_NOT_YET` for a version it hasn't. Empty: none."""
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.controlplane.change_history import unpack
+from cypressledge.controlplane.change_history import decompress_snapshot
 from cypressledge.controlplane.messages import (
     FORMAT,
     AppliedPosition,
@@ -289,7 +289,7 @@
 
     def _on_snapshot(self, now: int, compressed: bytes) -> None:
         try:
-            snapshot = unpack(compressed)
+            snapshot = decompress_snapshot(compressed)
             state = FleetState.restore(snapshot)
         except StateError as err:
             self._report("bad_whole", why=str(err))
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -13,7 +13,7 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import parse_address
 from cypressledge.controlplane.activity_record import ActivityRecord
-from cypressledge.controlplane.framing import Ended, Frames, Traffic, connect
+from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters, connect
 from cypressledge.controlplane.messages import Change, Message
 from cypressledge.controlplane.server_selection import Server
 from cypressledge.controlplane.settings import ControlSettings
@@ -62,10 +62,10 @@
     ) -> None:
         options = options or SubscriberOptions()
         self.changed, self.settled, self.counters = changed, settled, counters
-        self.clock, self.traffic = LeaseClock(), Traffic()
+        self.clock, self.traffic = LeaseClock(), TrafficCounters()
         self._log = options.log or logger(identity.name, identity.run)
         self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.run})
-        self._frames: Frames | None = None
+        self._frames: FramedConnection | None = None
         self._to_dial: Server | None = None
         self._woken, self._is_stopped = Event(), False
         servers = [Server(s.name, s.address, s.zone, s.region) for s in settings.servers]
@@ -115,7 +115,7 @@
         server, self._to_dial = self._to_dial, None
         try:
             self._frames = connect(parse_address(server.address), self.traffic)
-        except Ended as err:
+        except ConnectionEndedError as err:
             self.subscriber.disconnected(self.clock.now(), str(err))
             return
         self.subscriber.connected(self.clock.now())
@@ -135,7 +135,7 @@
                 if self._frames is not frames:
                     break  # the subscriber has ended it
                 seconds = 0.0
-        except Ended as err:
+        except ConnectionEndedError as err:
             frames.close()
             if self._frames is frames:
                 self._frames = None
--- a/tests/recordings/test_control_messages_recording.py
+++ b/tests/recordings/test_control_messages_recording.py
@@ -13,8 +13,8 @@
 from gevent import socket
 
 from cypressledge.controlplane import messages
-from cypressledge.controlplane.change_history import pack, unpack
-from cypressledge.controlplane.framing import Frames, Traffic
+from cypressledge.controlplane.change_history import compress_snapshot, decompress_snapshot
+from cypressledge.controlplane.framing import FramedConnection, TrafficCounters
 from cypressledge.controlplane.messages import Change, Message, Op, Snapshot, StateEntry
 
 RECORDED = json.loads((Path(__file__).parent / "control_messages.json").read_text())
@@ -129,13 +129,17 @@
 
 
 def test_a_packed_snapshot_recorded_is_unpacked():
-    assert unpack(bytes.fromhex(RECORDED["packed"])) == SNAPSHOT == unpack(pack(SNAPSHOT))
+    assert (
+        decompress_snapshot(bytes.fromhex(RECORDED["packed"]))
+        == SNAPSHOT
+        == decompress_snapshot(compress_snapshot(SNAPSHOT))
+    )
 
 
 def test_frames_on_a_socket_are_the_bytes_recorded():
     """Sent and received by a connection, all messages one after another."""
     ours, theirs = socket.socketpair()
-    connection, traffic = Frames(ours, Traffic()), Traffic()
+    connection, traffic = FramedConnection(ours, TrafficCounters()), TrafficCounters()
     stream = b"".join(bytes.fromhex(frame) for frame in RECORDED["messages"].values())
     connection.traffic = traffic
     for tag in RECORDED["messages"]:
--- a/tests/recordings/test_control_store_recording.py
+++ b/tests/recordings/test_control_store_recording.py
@@ -9,8 +9,8 @@
 
 from cypressledge.controlplane.messages import Change, Op, Snapshot
 from cypressledge.controlplane.replica import Replica
-from cypressledge.controlplane.sqlite_storage import Store
-from cypressledge.controlplane.state import Broker, Engine, StateError, canonical
+from cypressledge.controlplane.sqlite_storage import SqliteStorage
+from cypressledge.controlplane.state import Broker, Engine, StateError, encode_value
 
 RECORDING = Path(__file__).parent / "control_store_9c5e980"
 EXPECTED = json.loads((RECORDING / "expected.json").read_text())
@@ -31,7 +31,7 @@
 @pytest.fixture
 def store(tmp_path):
     shutil.copy(RECORDING / "store.sqlite", tmp_path / "store.sqlite")
-    store = Store(tmp_path / "store.sqlite", "control-1")
+    store = SqliteStorage(tmp_path / "store.sqlite", "control-1")
     yield store
     store.close()
 
@@ -90,7 +90,7 @@
 def test_values_are_encoded_to_the_bytes_of_then(replica):
     for name, value in {**replica.state.engines(), **replica.state.brokers()}.items():
         key = f"engine/{name}" if isinstance(value, Engine) else f"broker/{name}"
-        assert canonical(value) == replica.state.entries[key].value
+        assert encode_value(value) == replica.state.entries[key].value
 
 
 def test_a_request_of_then_is_known_when_repeated_and_the_history_goes_on(replica):
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -4,8 +4,14 @@
 from dataclasses import replace
 
 from cypressledge.controlplane.messages import Op
-from cypressledge.controlplane.replica import DiskError, HistoryError, Loaded, NotPrimary, Replica
-from cypressledge.controlplane.state import Engine, StateError, canonical
+from cypressledge.controlplane.replica import (
+    LogInvariantError,
+    NotLeaderError,
+    Replica,
+    StorageError,
+    StoredLog,
+)
+from cypressledge.controlplane.state import Engine, StateError, encode_value
 
 SECOND = 1_000_000
 
@@ -23,10 +29,10 @@
     full."""
 
     def __init__(self):
-        self.kept, self.plan, self.most = Loaded(), [], 12
+        self.kept, self.plan, self.most = StoredLog(), [], 12
 
     @property
-    def bulky(self):
+    def needs_compaction(self):
         return len(self.kept.changes) > self.most
 
     def load(self):
@@ -35,7 +41,7 @@
     def _step(self, **fields):
         plan = self.plan.pop(0) if self.plan else ""
         if plan == "full":
-            raise DiskError("full")
+            raise StorageError("full")
         if plan == "before":
             raise Crash
         self.kept = replace(self.kept, **fields)
@@ -66,7 +72,9 @@
 
 def engine(name, size=1):
     """Ops that place so many engines."""
-    return [Op(f"engine/{name}-{i}", canonical(Engine(f"{name}-{i}:80", zone="z" * 60))) for i in range(size)]
+    return [
+        Op(f"engine/{name}-{i}", encode_value(Engine(f"{name}-{i}:80", zone="z" * 60))) for i in range(size)
+    ]
 
 
 class World:
@@ -102,14 +110,14 @@
             ),
         )
         if name in self.up:
-            self.up[name].begin(f"of {name}", [])
+            self.up[name].permit_first_version(f"of {name}", [])
 
     def call(self, name, do):
         try:
             return do()
         except Crash:
             self.crash(name)
-        except HistoryError as err:
+        except LogInvariantError as err:
             raise Fault(f"{name} stops: {err}") from err
         finally:
             self.look()
@@ -121,7 +129,7 @@
     def lose_disk(self, name):
         self.crash(name)
         self.disks[name] = MemoryDisk()
-        self.disks[name].kept = Loaded(joining=True)
+        self.disks[name].kept = StoredLog(joining=True)
         self.start(name)
 
     def handed(self, changes, snapshot):
@@ -144,7 +152,7 @@
         for name, request, ticket in self.open:
             if ticket.state == "done":
                 self.acked[request] = ticket.version
-                if name in self.up and self.now >= self.up[name].until:
+                if name in self.up and self.now >= self.up[name].lease_until:
                     raise Fault(f"{name} acknowledged {request} without the lease")
         self.open = [o for o in self.open if o[2].state == "open"]
 
@@ -156,7 +164,7 @@
     def propose(self, name, request, ops=None):
         def do():
             replica = self.up[name]
-            base = replica.tail.version if replica.tail else 0
+            base = replica.latest_state.version if replica.latest_state else 0
             ops_ = engine(request) if ops is None else ops
             ticket = replica.propose(self.now, ops_, base, request, "someone", "a test", 0)
             self.open.append((name, request, ticket))
@@ -164,7 +172,7 @@
 
         try:
             return self.call(name, do) if name in self.up else None
-        except (NotPrimary, StateError):
+        except (NotLeaderError, StateError):
             return None
 
     def deliver(self, index, keep=False):
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from cypressledge.controlplane import messages as m
-from cypressledge.controlplane.change_history import History, pack
+from cypressledge.controlplane.change_history import ChangeHistory, compress_snapshot
 from cypressledge.controlplane.publisher import Publisher, PublisherLimits
 from cypressledge.controlplane.server_selection import Server, order
-from cypressledge.controlplane.state import Broker, Engine, FleetState, canonical
+from cypressledge.controlplane.state import Broker, Engine, FleetState, encode_value
 from cypressledge.controlplane.subscriber import (
     SILENCE_TIMEOUT,
     BrokerIdentity,
@@ -26,11 +26,11 @@
 S = 1_000_000  # µs
 
 
-def grow(history: History, count: int = 1, epoch: int = 1) -> None:
+def grow(history: ChangeHistory, count: int = 1, epoch: int = 1) -> None:
     for _ in range(count):
         n = history.state.version + 1
-        ops = [m.Op(f"engine/e{n % 7}", canonical(Engine(f"h{n}:1")) if n % 5 else None)]
-        history.apply(history.state.draft(epoch, ops, request=f"r{n}"))
+        ops = [m.Op(f"engine/e{n % 7}", encode_value(Engine(f"h{n}:1")) if n % 5 else None)]
+        history.apply(history.state.draft_change(epoch, ops, request=f"r{n}"))
 
 
 def where(state: FleetState) -> tuple:
@@ -41,7 +41,7 @@
     """A publisher and what it says."""
 
     def __init__(self, versions: int = 3, **limits) -> None:
-        self.history = History(FleetState("line"))
+        self.history = ChangeHistory(FleetState("line"))
         grow(self.history, versions)
         self.sent, self.ended, self.events = defaultdict(list), {}, []
         self.publisher = Publisher(
@@ -82,12 +82,12 @@
     assert welcome == m.HelloAccepted("c1", 7, "line")
     assert beat.leader_silence_ms == -1
     assert isinstance(whole, m.CompleteSnapshot)
-    welcome, beat, deltas = desk.hello(2, desk.history.at(1))
+    welcome, beat, deltas = desk.hello(2, desk.history.position_at(1))
     assert [c.version for c in deltas.changes] == [2, 3]
     grow(desk.history, 2)
     desk.publisher.committed(0)
     assert len(desk.sent[2]) == 3  # the first is still out
-    desk.have(2, position=desk.history.at(3))
+    desk.have(2, position=desk.history.position_at(3))
     assert [c.version for c in desk.sent[2][3].changes] == [4, 5]
     desk.publisher.received(0, 2, m.SnapshotRequest("digest"))
     assert isinstance(desk.sent[2][4], m.CompleteSnapshot)
@@ -106,7 +106,7 @@
 
 def test_publisher_does_not_repeat_what_was_turned_down():
     desk = Desk()
-    first = desk.history.at(1)
+    first = desk.history.position_at(1)
     desk.hello(1, first)
     desk.have(1, position=first)  # changes not taken: a snapshot
     assert isinstance(desk.sent[1][-1], m.CompleteSnapshot)
@@ -222,7 +222,7 @@
 def test_follower_says_what_was_turned_down_until_it_is_taken():
     desk, seat, why = Desk(), Seat().greet(), [""]
     seat.subscriber.callbacks.changed = lambda state, change: why[0]
-    assert seat.take(m.CompleteSnapshot(desk.history.packed())).rejection_reason == ""
+    assert seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot())).rejection_reason == ""
     for why[0] in ("other classes need a restart", ""):
         held = desk.history.state.version
         grow(desk.history)
@@ -326,7 +326,9 @@
     ops = desk.publisher.registrations(state)
     assert [op.key for op in ops] == ["broker/b0", "broker/b1"]
     assert "bad_address" in desk.events
-    desk.history.apply(state.draft(1, [ops[0], m.Op("broker/b1", canonical(Broker("h:2", "y", "r")))]))
+    desk.history.apply(
+        state.draft_change(1, [ops[0], m.Op("broker/b1", encode_value(Broker("h:2", "y", "r")))])
+    )
     assert [op.key for op in desk.publisher.registrations(state)] == ["broker/b1"]
 
 
@@ -369,8 +371,8 @@
         return self.subscriber.counters.counts[name]
 
 
-def after(history: History, version: int) -> list:
-    return history.since(*history.at(version))
+def after(history: ChangeHistory, version: int) -> list:
+    return history.changes_since(*history.position_at(version))
 
 
 def test_order_is_zone_region_then_by_hash():
@@ -383,7 +385,7 @@
 def test_follower_takes_a_snapshot_and_what_follows():
     desk, seat = Desk(), Seat().greet()
     assert seat.said[0] == m.Hello(m.FORMAT, "broker", "b1", 3, address="b1:1", zone="z", region="r")
-    whole = m.CompleteSnapshot(desk.history.packed())
+    whole = m.CompleteSnapshot(desk.history.compressed_snapshot())
     assert seat.take(whole) == m.AppliedPosition(*where(desk.history.state))
     assert seat.took == [None]
     grow(desk.history, 2)
@@ -402,18 +404,18 @@
 def test_follower_never_goes_back():
     desk, seat = Desk(versions=4), Seat().greet()
     old = Desk(versions=2)
-    seat.take(m.CompleteSnapshot(desk.history.packed()))
+    seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot()))
     held = m.AppliedPosition(*where(desk.history.state))
     assert seat.take(m.Deltas(after(desk.history, 2))) == held
     assert seat.counts("turned_down") == 2
-    assert seat.take(m.CompleteSnapshot(old.history.packed())) == held
+    assert seat.take(m.CompleteSnapshot(old.history.compressed_snapshot())) == held
     assert seat.counts("turned_down") == 3
     below = desk.history.state.copy()
-    change = below.draft(1, [])
+    change = below.draft_change(1, [])
     low = m.Change(0, 5, [], change.digest)
     assert seat.take(m.Deltas([low])) == held
     assert seat.counts("turned_down") == 4
-    assert seat.take(m.CompleteSnapshot(desk.history.packed())) == held
+    assert seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot())) == held
     assert seat.took == [None]
     assert seat.take(m.Deltas([m.Change(1, 6, [], change.digest)])) == m.SnapshotRequest("gap")
     assert where(seat.subscriber.state) == where(desk.history.state)
@@ -422,38 +424,44 @@
 def test_follower_keeps_what_it_had_where_a_digest_differs():
     desk, seat = Desk(), Seat().greet()
     assert seat.take(m.Deltas(after(desk.history, 0))) == m.SnapshotRequest("gap")  # holds nothing
-    seat.take(m.CompleteSnapshot(desk.history.packed()))
+    seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot()))
     held = where(seat.subscriber.state)
     grow(desk.history)
     good = desk.history.changes[-1][0]
     assert seat.take(m.Deltas([m.Change(1, 4, good.ops, b"x" * 16)])) == m.SnapshotRequest("digest")
     assert where(seat.subscriber.state) == held
     assert seat.counts("delta_differs") == 1
-    assert seat.take(m.CompleteSnapshot(desk.history.packed())).version == 4
+    assert seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot())).version == 4
 
 
 def other_at(epoch: int, version: int) -> FleetState:
     state = FleetState("line")
     for n in range(version):
-        state.apply(state.draft(epoch, [m.Op("config/Other", canonical(n))]))
+        state.apply(state.draft_change(epoch, [m.Op("config/Other", encode_value(n))]))
     return state
 
 
 def test_follower_at_one_version_with_two_digests():
     desk, seat = Desk(), Seat().greet()
-    seat.take(m.CompleteSnapshot(desk.history.packed()))
+    seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot()))
     held = where(desk.history.state)
-    assert seat.take(m.CompleteSnapshot(pack(other_at(1, 3).snapshot()))) == m.AppliedPosition(
+    assert seat.take(m.CompleteSnapshot(compress_snapshot(other_at(1, 3).snapshot()))) == m.AppliedPosition(
         *held
     )  # who is right isn't known
     assert seat.counts("digest_differs") == 1
     assert seat.counts("turned_down") == 1
-    assert seat.take(m.CompleteSnapshot(pack(other_at(0, 3).snapshot()))) == m.AppliedPosition(*held)  # below
+    assert seat.take(m.CompleteSnapshot(compress_snapshot(other_at(0, 3).snapshot()))) == m.AppliedPosition(
+        *held
+    )  # below
     above = other_at(2, 3)
-    assert seat.take(m.CompleteSnapshot(pack(above.snapshot()))) == m.AppliedPosition(*where(above))
+    assert seat.take(m.CompleteSnapshot(compress_snapshot(above.snapshot()))) == m.AppliedPosition(
+        *where(above)
+    )
     seat.subscriber.state.entries.clear()  # memory spoilt
     same = other_at(2, 3)
-    assert seat.take(m.CompleteSnapshot(pack(same.snapshot()))) == m.AppliedPosition(*where(same))
+    assert seat.take(m.CompleteSnapshot(compress_snapshot(same.snapshot()))) == m.AppliedPosition(
+        *where(same)
+    )
     assert seat.counts("own_state_spoilt") == 1
     assert seat.subscriber.state.verify()
     for _ in range(2):
@@ -466,7 +474,10 @@
     bad = m.Snapshot("line", 1, 3, b"x" * 16, good.entries, [])
     other = Desk().history.state.copy()
     other.cluster_id = "other"
-    wholes = [m.CompleteSnapshot(packed) for packed in (b"x", pack(bad), pack(other.snapshot()))]
+    wholes = [
+        m.CompleteSnapshot(packed)
+        for packed in (b"x", compress_snapshot(bad), compress_snapshot(other.snapshot()))
+    ]
     for message in (
         *wholes,
         m.HelloAccepted("c", 1, "line"),
@@ -481,7 +492,7 @@
     seat = Seat(servers=2, cluster_id="line").greet(lineage="other")
     assert seat.ended == ["lineage"]
     seat = Seat().greet()
-    seat.take(m.CompleteSnapshot(pack(good)))
+    seat.take(m.CompleteSnapshot(compress_snapshot(good)))
     seat.subscriber.disconnected(seat.now, "x")
     seat.greet(seat.now, "other")
     assert seat.ended == ["lineage"]
@@ -589,11 +600,11 @@
         self.conns: dict[int, dict] = {}  # id -> site, broker, the last arrival each way, what is out
         self.ids = itertools.count(1)
         self.spoil = 0
-        self.sites = [self._site(i, History(FleetState("line"))) for i in range(sites)]
+        self.sites = [self._site(i, ChangeHistory(FleetState("line"))) for i in range(sites)]
         self.brokers = [self._broker(i, 0) for i in range(brokers)]
         self.events: set[str] = set()
 
-    def _site(self, i: int, history: History) -> Publisher:
+    def _site(self, i: int, history: ChangeHistory) -> Publisher:
         limits = PublisherLimits(
             answer_timeout_s=2.0,
             max_concurrent_snapshots=2,
@@ -731,8 +742,8 @@
         """The history grows; each control process learns of it when it catches up."""
         for _ in range(n):
             v = self.truth.version + 1
-            ops = [m.Op(f"engine/e{v % 5}", canonical(Engine(f"h{v}:1")) if v % 4 else None)]
-            change = self.truth.draft(self.truth.epoch + epoch_step, ops, request=f"r{v}")
+            ops = [m.Op(f"engine/e{v % 5}", encode_value(Engine(f"h{v}:1")) if v % 4 else None)]
+            change = self.truth.draft_change(self.truth.epoch + epoch_step, ops, request=f"r{v}")
             epoch_step = 0
             self.truth.apply(change)
             self.log.append(change)
@@ -759,7 +770,7 @@
         elif kind == "new site":
             for c in [c for c, held in self.conns.items() if held["site"] == site]:
                 self._down(c)
-            history = History(FleetState.restore(self.sites[site].history.state.snapshot()))
+            history = ChangeHistory(FleetState.restore(self.sites[site].history.state.snapshot()))
             self.sites[site] = self._site(site, history)
         elif kind == "compact":
             self.sites[site].history.compact(keep=n % 3)
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -20,8 +20,8 @@
 from gevent import subprocess
 from gevent.server import StreamServer
 
-from cypressledge.controlplane.change_history import pack
-from cypressledge.controlplane.framing import Ended, Frames, Traffic
+from cypressledge.controlplane.change_history import compress_snapshot
+from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters
 from cypressledge.controlplane.messages import (
     AppliedPosition,
     CompleteSnapshot,
@@ -32,7 +32,7 @@
     SnapshotRequest,
 )
 from cypressledge.controlplane.publisher import PublisherLimits
-from cypressledge.controlplane.state import FleetState, canonical
+from cypressledge.controlplane.state import FleetState, encode_value
 from cypressledge.lab.processes import ROOT, until
 from cypressledge.lab.site import free_port, free_udp_ports
 
@@ -299,28 +299,30 @@
 
     def __init__(self):
         self.heard, self.held = [], FleetState("liar-1")
-        self.held.apply(self.held.draft(5, [Op("engine/e1", canonical({"address": "127.0.0.1:7001"}))]))
+        self.held.apply(
+            self.held.draft_change(5, [Op("engine/e1", encode_value({"address": "127.0.0.1:7001"}))])
+        )
         self.server = StreamServer(("127.0.0.1", 0), self.serve)
         self.server.start()
 
     def serve(self, sock, _):
-        frames = Frames(sock, Traffic())
+        frames = FramedConnection(sock, TrafficCounters())
         try:
             self.heard.append(frames.receive(WAIT))
             frames.send(HelloAccepted("c1", 1, "liar-1"))
-            frames.send(CompleteSnapshot(pack(self.held.snapshot())))
+            frames.send(CompleteSnapshot(compress_snapshot(self.held.snapshot())))
             self.heard.append(frames.receive(WAIT))
-            right = self.held.draft(5, [Op("engine/e1", canonical({"address": "127.0.0.1:7002"}))])
-            wrong = self.held.draft(5, [Op("engine/e1", canonical({"address": "127.0.0.1:7003"}))])
+            right = self.held.draft_change(5, [Op("engine/e1", encode_value({"address": "127.0.0.1:7002"}))])
+            wrong = self.held.draft_change(5, [Op("engine/e1", encode_value({"address": "127.0.0.1:7003"}))])
             self.held.apply(right)
             # The value of one, the digest of the other.
             frames.send(Deltas([type(right)(5, 2, wrong.ops, right.digest)]))
             self.heard.append(frames.receive(WAIT))
-            frames.send(CompleteSnapshot(pack(self.held.snapshot())))
+            frames.send(CompleteSnapshot(compress_snapshot(self.held.snapshot())))
             self.heard.append(frames.receive(WAIT))
             while True:
                 frames.receive(WAIT)
-        except Ended:
+        except ConnectionEndedError:
             pass
         finally:
             frames.close()
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -12,11 +12,11 @@
 from cypressledge.config import ConfigError
 from cypressledge.controlplane import cli
 from cypressledge.controlplane import framing as frames_module
-from cypressledge.controlplane.applied_versions import NAMES_MOST, InForce
+from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions
 from cypressledge.controlplane.broker_integration import BrokerIntegration
-from cypressledge.controlplane.change_history import History
+from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.faults import Faults
-from cypressledge.controlplane.framing import Ended, Frames, Traffic
+from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters
 from cypressledge.controlplane.messages import (
     MAX_FRAME_BYTES,
     AppliedPosition,
@@ -29,9 +29,9 @@
     encode,
 )
 from cypressledge.controlplane.operators import Asked, BadRequest, read_change
-from cypressledge.controlplane.replica import DiskError
+from cypressledge.controlplane.replica import StorageError
 from cypressledge.controlplane.server import check_new
-from cypressledge.controlplane.state import FleetState, StateError, canonical, plain
+from cypressledge.controlplane.state import FleetState, StateError, decode_value, encode_value
 
 ONE, TWO = AppliedPosition(7, 3, bytes(16)), Disconnect("stopping", 5)
 
@@ -50,7 +50,7 @@
 @pytest.fixture
 def ends():
     near, far = pair()
-    frames = Frames(near, Traffic())
+    frames = FramedConnection(near, TrafficCounters())
     yield frames, far
     frames.close()
     far.close()
@@ -75,17 +75,17 @@
     sending.join()
     assert frames.traffic.show()["in.have"] == {"frames": 1, "bytes": len(encode(ONE))}
     far.close()
-    with pytest.raises(Ended, match="closed"):
+    with pytest.raises(ConnectionEndedError, match="closed"):
         frames.receive(2)
 
 
 def test_after_the_first_frame_larger_ones_are_taken():
     near, far = pair()
-    frames, peer = Frames(near, Traffic(), 4096), Frames(far, Traffic())
+    frames, peer = FramedConnection(near, TrafficCounters(), 4096), FramedConnection(far, TrafficCounters())
     peer.send(ONE)
     peer.send(CompleteSnapshot(bytes(3_000_000)))
     assert frames.receive(2) == ONE
-    frames.allow(MAX_FRAME_BYTES)
+    frames.set_max_frame_bytes(MAX_FRAME_BYTES)
     assert len(frames.receive(5).compressed) == 3_000_000
     frames.close()
     peer.close()
@@ -103,31 +103,31 @@
 def test_what_is_no_frame_ends_the_connection(ends, raw, why):
     frames, far = ends
     far.sendall(raw)
-    with pytest.raises(Ended, match=why):
+    with pytest.raises(ConnectionEndedError, match=why):
         frames.receive(2)
 
 
 def test_a_frame_that_does_not_end_is_given_up(ends, monkeypatch):
-    monkeypatch.setattr(frames_module, "PART_S", 0.3)
+    monkeypatch.setattr(frames_module, "FRAME_TIMEOUT_S", 0.3)
     frames, far = ends
     far.sendall(encode(ONE) + b"\x00\x00\x00\x40half")
     assert frames.receive(1) == ONE
     began = time.monotonic()
-    with pytest.raises(Ended, match="too slow"):
+    with pytest.raises(ConnectionEndedError, match="too slow"):
         while True:
             assert frames.receive(0.05) is None
     assert 0.2 < time.monotonic() - began < 2
 
 
 def test_one_that_does_not_read_is_given_up_and_nobody_waits(ends, monkeypatch):
-    monkeypatch.setattr(frames_module, "QUEUED_MOST", 1 << 20)
+    monkeypatch.setattr(frames_module, "MAX_QUEUED_BYTES", 1 << 20)
     near, far = pair()
-    frames = Frames(near, Traffic())
+    frames = FramedConnection(near, TrafficCounters())
     began = time.monotonic()
     for _ in range(100):
         frames.send(CompleteSnapshot(bytes(100_000)))
     assert time.monotonic() - began < 1
-    with pytest.raises(Ended, match="peer does not read"):
+    with pytest.raises(ConnectionEndedError, match="peer does not read"):
         frames.receive(2)
     far.close()
 
@@ -136,15 +136,15 @@
     frames, far = ends
     far.sendall(encode(ONE) * 3)  # never read here: a close over them would reset the connection
     frames.send(TWO)
-    frames.finish()
-    reader = Frames(far, Traffic())
+    frames.finish_sending()
+    reader = FramedConnection(far, TrafficCounters())
     assert reader.receive(2) == TWO
-    with pytest.raises(Ended, match="closed"):
+    with pytest.raises(ConnectionEndedError, match="closed"):
         reader.receive(2)
 
 
 def test_who_lags_is_said_by_those_who_know():
-    table = InForce()
+    table = AppliedVersions()
     table.report(1, "c1", AppliedReport(True, [("b1", 11, 5), ("b2", 12, 4)]))
     told = table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"})
     assert (told["connected"], told["in_force"], told["names"]) == (2, 1, ["b2"])
@@ -154,16 +154,16 @@
     table.report(3, "c2", AppliedReport(True, [("b2", 12, 5)]))  # b2 has moved
     assert table.lag(5, (), {"c1", "c2"})["lagging"] == 0
     table.report(4, "c1", AppliedReport(False, [("b2", 12, -1)]))
-    assert table.newest()["b2"].version == 5
+    assert table.latest()["b2"].version == 5
     table.drop("c2")
     assert table.lag(5, {"b2"}, {"c1"})["unreachable_names"] == ["b2"]
     table.report(5, "c1", AppliedReport(True, [(f"x{i}", 1, 0) for i in range(200)]))
     told = table.lag(1, (), {"c1"})
-    assert (told["lagging"], len(told["names"])) == (200, NAMES_MOST)
+    assert (told["lagging"], len(told["names"])) == (200, MAX_NAMES)
 
 
 def test_who_turned_a_version_down_has_it_not_in_force():
-    table = InForce()
+    table = AppliedVersions()
     why = "other classes need a restart"
     table.report(
         1, "c1", AppliedReport(True, [("b1", 1, 5), ("b2", 1, 4), ("b3", 1, 5)], {"b3": why, "b2": "older"})
@@ -177,7 +177,7 @@
     many = [(f"x{i}", 1, 9) for i in range(200)]
     table.report(3, "c1", AppliedReport(True, many, {f"x{i}": why for i in range(99)}))
     told = table.lag(9, (), {"c1"})
-    assert (told["in_force"], told["refused"], len(told["refused_by"])) == (101, 99, NAMES_MOST)
+    assert (told["in_force"], told["refused"], len(told["refused_by"])) == (101, 99, MAX_NAMES)
 
 
 @pytest.mark.parametrize(
@@ -223,7 +223,7 @@
         ).encode()
     )
     assert (asked.base, asked.request, asked.who, asked.why, asked.dry_run) == (3, "r", "me", "so", False)
-    assert [(op.key, op.value and plain(op.value)) for op in asked.ops] == [
+    assert [(op.key, op.value and decode_value(op.value)) for op in asked.ops] == [
         ("config/Step", 5000),
         ("engine/s-1", None),
     ]
@@ -267,7 +267,7 @@
     full.disk("promise")
     full.disk("append")
     for _ in range(2):
-        with pytest.raises(DiskError):
+        with pytest.raises(StorageError):
             full.disk("append")
     assert not full.due("append")
     assert not Faults("").due("")
@@ -314,29 +314,29 @@
     follower.received(now, HelloAccepted("c", 1, "line"))
 
     def engine(i):
-        return Op(f"engine/e{i:03}", canonical({"address": f"e:{i + 1}"}))
+        return Op(f"engine/e{i:03}", encode_value({"address": f"e:{i + 1}"}))
 
-    history = History(FleetState("line"))
-    history.apply(history.state.draft(1, [engine(0)]))
-    follower.received(now, CompleteSnapshot(history.packed()))
+    history = ChangeHistory(FleetState("line"))
+    history.apply(history.state.draft_change(1, [engine(0)]))
+    follower.received(now, CompleteSnapshot(history.compressed_snapshot()))
     for i in range(1, 300):
-        history.apply(history.state.draft(1, [engine(i)]))
-    history.apply(history.state.draft(1, [Op("config/Bad", canonical(1))]))
+        history.apply(history.state.draft_change(1, [engine(i)]))
+    history.apply(history.state.draft_change(1, [Op("config/Bad", encode_value(1))]))
     follower.received(now, Deltas([c for c, _ in history.changes][1:]))
     assert [len(names) for names in broker.lists] == [1, 300]
     assert part.refused == follower.refused == "not these"
     in_force = [told for told in map(json.loads, record.read_text().splitlines()) if "version" in told]
     assert [told["version"] for told in in_force] == [1, 301]  # nothing is said to be in force before it is
-    spoilt = history.state.draft(1, [engine(301)])
-    follower.received(now, Deltas([history.state.draft(1, [engine(300)]), spoilt]))
+    spoilt = history.state.draft_change(1, [engine(301)])
+    follower.received(now, Deltas([history.state.draft_change(1, [engine(300)]), spoilt]))
     assert len(broker.lists[-1]) == 301  # what came before a gap is in force
 
 
 def test_other_classes_are_refused_but_a_repeat_is_told_what_it_became():
     state = FleetState("line")
-    first, other = ([Op("config/Classes", canonical([{"Name": name}]))] for name in ("slow", "fast"))
+    first, other = ([Op("config/Classes", encode_value([{"Name": name}]))] for name in ("slow", "fast"))
     for ops, request in ((first, "r"), ([Op("config/Classes")], ""), (other, "s")):
-        state.apply(state.draft(1, ops, request))
+        state.apply(state.draft_change(1, ops, request))
     check_new(state, Asked(None, "r", "", "", first, False))  # taken once, as version 1
     for request, dry in (("t", False), ("", False), ("r", True)):
         with pytest.raises(StateError, match="only at a restart"):
--- a/tests/test_controlplane_registry.py
+++ b/tests/test_controlplane_registry.py
@@ -3,46 +3,52 @@
 import pytest
 
 from cypressledge.config import ConfigError
-from cypressledge.controlplane.applied_versions import InForce
-from cypressledge.controlplane.broker_registry import AGAIN, LOOK, REGISTER_MOST, SETTLED, Registry
+from cypressledge.controlplane.applied_versions import AppliedVersions
+from cypressledge.controlplane.broker_registry import (
+    DISPLACEABLE_AFTER_US,
+    MAX_REGISTRATIONS,
+    OBSERVATION_INTERVAL_US,
+    RETRY_INTERVAL_US,
+    BrokerRegistry,
+)
 from cypressledge.controlplane.messages import MAX_OPS_PER_CHANGE, AppliedReport, Op
 from cypressledge.controlplane.settings import read_control
-from cypressledge.controlplane.state import Broker, FleetState, canonical, check
+from cypressledge.controlplane.state import Broker, FleetState, encode_value, validate_change
 
 S = 1_000_000  # µs
 FORGET = 3_600 * S
 
 
 def at(name: str, place: str) -> Op:
-    return Op(f"broker/{name}", canonical(Broker(place)))
+    return Op(f"broker/{name}", encode_value(Broker(place)))
 
 
 class Primary:
     """A registry, the state that its changes become, and who is connected (none: not all can be seen)."""
 
     def __init__(self, forget: int = FORGET, **brokers: str) -> None:
-        self.registry, self.state, self.now = Registry(forget), FleetState("line"), 0
+        self.registry, self.state, self.now = BrokerRegistry(forget), FleetState("line"), 0
         self.connected: set[str] | None = set()
         self.take([at(name, place) for name, place in brokers.items()] + [Op("engine/e", b"\x80")])
 
     def take(self, ops: list[Op]) -> None:
-        self.state.apply(self.state.draft(1, ops))
+        self.state.apply(self.state.draft_change(1, ops))
 
     def turn(self, *ops: Op, after: int = 0) -> tuple[list[str], list[str]]:
         """As `server.py` does it, so long later: what the change sets and removes, and why some can't be."""
         registry = self.registry
         self.now += after
-        registry.want(ops)
-        ops = registry.take(self.now, self.state)
-        if not ops and not registry.due(self.now):
+        registry.request(ops)
+        ops = registry.take_unsent(self.now, self.state)
+        if not ops and not registry.is_observation_due(self.now):
             return [], []
-        registry.look(self.now, self.state, self.connected, ops)
-        registry.said(self.now, ops)
-        change, refused = registry.fitting(self.now, self.state, ops)
+        registry.observe(self.now, self.state, self.connected, ops)
+        registry.mark_sent(self.now, ops)
+        change, refused = registry.resolve(self.now, self.state, ops)
         told = []
-        for part in (change, registry.forgotten(self.now, self.state)):
+        for part in (change, registry.expired(self.now, self.state)):
             if part:
-                check(self.state, part)
+                validate_change(self.state, part)
                 self.take(part)
                 told += [("+" if op.value else "-") + op.key.partition("/")[2] for op in part]
         return told, refused
@@ -80,10 +86,13 @@
     told = p.turn(after=S)[0]
     assert len(told) == MAX_OPS_PER_CHANGE
     assert len(p.names) == 8
-    assert p.turn(at("new", "y:1"), after=AGAIN // 2) == (["+new"], [])  # a registration doesn't wait
+    assert p.turn(at("new", "y:1"), after=RETRY_INTERVAL_US // 2) == (
+        ["+new"],
+        [],
+    )  # a registration doesn't wait
     assert len(p.names) == 9
     p.connected = {"new"}
-    p.turn(after=LOOK)
+    p.turn(after=OBSERVATION_INTERVAL_US)
     assert p.names == {"new"}
 
 
@@ -115,7 +124,7 @@
     told, refused = p.turn(at("new", "h:1"), after=S)  # it may only be on its way to another control process
     assert told == []
     assert refused == ["broker/new is at the address of broker/old"]
-    p.rest(SETTLED - 2 * S)
+    p.rest(DISPLACEABLE_AFTER_US - 2 * S)
     assert p.turn(at("new", "h:1"), after=S)[0] == []
     before = p.state.version
     assert p.turn(at("new", "h:1"), after=S) == (["-old", "+new"], [])
@@ -175,28 +184,33 @@
 
 
 def test_a_registration_is_asked_once_a_second_until_it_is_so():
-    p, op = Registry(FORGET), at("a", "h:1")
+    p, op = BrokerRegistry(FORGET), at("a", "h:1")
     state = FleetState("line")
 
     def taken(now: int, *ops: Op) -> int:
-        p.want(ops)
-        got = p.take(now, state)
-        p.said(now, got)
+        p.request(ops)
+        got = p.take_unsent(now, state)
+        p.mark_sent(now, got)
         return len(got)
 
-    assert [taken(now, op) for now in (0, AGAIN - 1, AGAIN, AGAIN + 1)] == [1, 0, 1, 0]
-    assert taken(AGAIN + 2, at("a", "h:2")) == 1  # another one
-    p.ask_anew()
-    assert taken(AGAIN + 3, at("a", "h:2")) == 1
-    state.apply(state.draft(1, [op]))
-    assert taken(5 * AGAIN, op, Op("engine/e", b""), Op("broker/x")) == 0
+    assert [
+        taken(now, op) for now in (0, RETRY_INTERVAL_US - 1, RETRY_INTERVAL_US, RETRY_INTERVAL_US + 1)
+    ] == [1, 0, 1, 0]
+    assert taken(RETRY_INTERVAL_US + 2, at("a", "h:2")) == 1  # another one
+    p.resend_all()
+    assert taken(RETRY_INTERVAL_US + 3, at("a", "h:2")) == 1
+    state.apply(state.draft_change(1, [op]))
+    assert taken(5 * RETRY_INTERVAL_US, op, Op("engine/e", b""), Op("broker/x")) == 0
     for n in range(3):
-        assert taken((9 + n) * AGAIN, *(at(f"b{n}-{i}", "h:1") for i in range(2_000))) == REGISTER_MOST
-    assert len(p.asked) == REGISTER_MOST  # of the last second alone
+        assert (
+            taken((9 + n) * RETRY_INTERVAL_US, *(at(f"b{n}-{i}", "h:1") for i in range(2_000)))
+            == MAX_REGISTRATIONS
+        )
+    assert len(p.sent) == MAX_REGISTRATIONS  # of the last second alone
 
 
 def test_who_is_connected_is_known_only_where_all_have_spoken():
-    table, all = InForce(), ["c1", "c2"]
+    table, all = AppliedVersions(), ["c1", "c2"]
     table.report(1, "c1", AppliedReport(True, [("a", 1, 1)]))
     assert table.connected(all, all) is None
     table.report(1, "c2", AppliedReport(True, [("b", 1, 1)]))
--- a/tests/test_controlplane_replica.py
+++ b/tests/test_controlplane_replica.py
@@ -8,9 +8,15 @@
 from replicas import SECOND, Fault, World, engine
 
 from cypressledge.controlplane import replica as module
-from cypressledge.controlplane.change_history import pack
+from cypressledge.controlplane.change_history import compress_snapshot
 from cypressledge.controlplane.messages import AppendEntries, Denied, InstallSnapshot
-from cypressledge.controlplane.replica import Clash, HistoryError, Loaded, NotPrimary, Replica
+from cypressledge.controlplane.replica import (
+    LogInvariantError,
+    NotLeaderError,
+    Replica,
+    StoredLog,
+    VersionConflictError,
+)
 from cypressledge.controlplane.state import FleetState, StateError
 
 
@@ -125,7 +131,7 @@
     w.crash("a")
     w.lose_disk("b")
     w.crash("b")
-    w.disks["b"].kept = Loaded()
+    w.disks["b"].kept = StoredLog()
     w.start("b")
     w.lease("c", 2)
     w.pass_time(SECOND, "bc")
@@ -204,8 +210,10 @@
     w = begun(kind)
     other = FleetState("of another fleet")
     other.epoch = 5
-    other.apply(other.draft(5, engine("x")))
-    w.call("c", lambda: w.up["c"].receive(w.now, "b", InstallSnapshot(5, pack(other.snapshot()), 1)))
+    other.apply(other.draft_change(5, engine("x")))
+    w.call(
+        "c", lambda: w.up["c"].receive(w.now, "b", InstallSnapshot(5, compress_snapshot(other.snapshot()), 1))
+    )
     if w.up["c"].cluster_id != "of a":
         raise Fault("a history has been taken in place of another")
     assert ("c", "lineage") in w.events
@@ -304,8 +312,8 @@
     w.pass_time(SECOND, "abc")
     state = FleetState("of a")
     state.epoch, state.version = 1, 1
-    other = state.draft(9, engine("y"))
-    with pytest.raises(HistoryError):
+    other = state.draft_change(9, engine("y"))
+    with pytest.raises(LogInvariantError):
         w.up["b"].receive(w.now, "c", AppendEntries(9, 1, 1, [other], 1))
     unguarded = type("Without", (Replica,), {"_droppable": lambda self, after: True})
     w.crash("b")
@@ -317,12 +325,12 @@
 
 def test_refusals():
     w = begun(Replica)
-    with pytest.raises(NotPrimary) as found:
+    with pytest.raises(NotLeaderError) as found:
         w.up["b"].propose(w.now, engine("x"), 1, "r", "me", "", 0)
-    assert found.value.primary == "a"
+    assert found.value.leader == "a"
     a = w.up["a"]
     a.propose(w.now, engine("x"), 1, "r", "me", "", 0)
-    with pytest.raises(Clash) as clash:
+    with pytest.raises(VersionConflictError) as clash:
         a.propose(w.now, engine("x"), 1, "s", "me", "", 0)
     assert clash.value.keys == ["engine/x-0"]
     with pytest.raises(StateError):
@@ -342,7 +350,7 @@
     w.run("abc")
     with pytest.raises(StateError, match="with other contents"):  # a new primary knows it, too
         w.up["b"].propose(w.now, engine("x", 2), 1, "x", "me", "", 0)
-    assert w.up["b"].tail.entries.keys() == {"engine/x-0"}
+    assert w.up["b"].latest_state.entries.keys() == {"engine/x-0"}
 
 
 def test_a_full_disk_costs_the_lead_and_nothing_else():
@@ -375,7 +383,7 @@
 
 
 def test_a_voter_far_behind_gets_a_snapshot(monkeypatch):
-    monkeypatch.setattr(module, "KEPT_MOST", 4)
+    monkeypatch.setattr(module, "MAX_KEPT_ENTRIES", 4)
     w = begun(Replica)
     w.crash("c")
     for i in range(40):
--- a/tests/test_controlplane_state.py
+++ b/tests/test_controlplane_state.py
@@ -18,20 +18,20 @@
 )
 from cypressledge.lab.site import SETTINGS
 
-SECTIONS = [Op(f"config/{name}", s.canonical(value)) for name, value in SETTINGS.items()]
+SECTIONS = [Op(f"config/{name}", s.encode_value(value)) for name, value in SETTINGS.items()]
 
 
 def engine(name: str, address: str, **more) -> Op:
-    return Op(f"engine/{name}", s.canonical(s.Engine(address, **more)))
+    return Op(f"engine/{name}", s.encode_value(s.Engine(address, **more)))
 
 
 def broker(name: str, address: str) -> Op:
-    return Op(f"broker/{name}", s.canonical(s.Broker(address)))
+    return Op(f"broker/{name}", s.encode_value(s.Broker(address)))
 
 
 def grow(state, *ops, epoch=1, **more) -> Change:
-    s.check(state, list(ops))
-    change = state.draft(epoch, list(ops), **more)
+    s.validate_change(state, list(ops))
+    change = state.draft_change(epoch, list(ops), **more)
     state.apply(change)
     return change
 
@@ -44,15 +44,15 @@
 
 
 def test_one_encoding_for_equal_data():
-    assert s.canonical({"b": 1, "a": [2.5, None]}) == s.canonical({"a": [2.5, None], "b": 1})
+    assert s.encode_value({"b": 1, "a": [2.5, None]}) == s.encode_value({"a": [2.5, None], "b": 1})
     as_dict = {"zone": "", "state": "ready", "kind": "", "cell": 0, "born_ms": 0, "address": "a:1"}
-    assert s.canonical(s.Engine("a:1")) == s.canonical(as_dict)
-    assert s.plain(s.canonical({"a": [1, {"x": "y"}]})) == {"a": [1, {"x": "y"}]}
+    assert s.encode_value(s.Engine("a:1")) == s.encode_value(as_dict)
+    assert s.decode_value(s.encode_value({"a": [1, {"x": "y"}]})) == {"a": [1, {"x": "y"}]}
     for bad in (object(), 1 << 70, {1: 2, "a": 3}):
         with pytest.raises(s.StateError):
-            s.canonical(bad)
+            s.encode_value(bad)
     with pytest.raises(s.StateError):
-        s.plain(b"\xc1")
+        s.decode_value(b"\xc1")
 
 
 def test_reads_what_was_set():
@@ -65,7 +65,7 @@
 
 _ops = st.dictionaries(
     st.sampled_from([f"engine/{n}" for n in "abcdef"]),
-    st.one_of(st.none(), st.integers(0, 3).map(s.canonical)),
+    st.one_of(st.none(), st.integers(0, 3).map(s.encode_value)),
     max_size=4,
 )
 
@@ -75,19 +75,19 @@
     state = s.FleetState("line")
     for i, step in enumerate(steps):
         before = state.snapshot()
-        change = state.draft(i, [Op(k, v) for k, v in step.items()], request=f"r{i}")
+        change = state.draft_change(i, [Op(k, v) for k, v in step.items()], request=f"r{i}")
         assert state.snapshot() == before
         state.apply(change)
-        again = s.FleetState.restore(h.unpack(h.pack(state.snapshot())))
+        again = s.FleetState.restore(h.decompress_snapshot(h.compress_snapshot(state.snapshot())))
         assert again.snapshot() == state.snapshot()
         assert state.verify()
         assert state.size == again.size
-        assert again.requested(f"r{i}") == state.version
+        assert again.version_of_request(f"r{i}") == state.version
 
 
 def test_a_change_that_does_not_fit_changes_nothing():
     state = filled()
-    good = state.draft(2, [engine("e3", "10.0.0.3:9000")])
+    good = state.draft_change(2, [engine("e3", "10.0.0.3:9000")])
     before = state.snapshot()
     many = [Op(f"engine/n{i}", b"\x01") for i in range(MAX_OPS_PER_CHANGE + 1)]
     for bad in (
@@ -108,7 +108,7 @@
     state.apply(good)
     assert state.position == (2, 3)
     with pytest.raises(s.StateError):
-        state.draft(1, [])
+        state.draft_change(1, [])
 
 
 @pytest.mark.parametrize(
@@ -119,8 +119,8 @@
         ([Op("engine/x\n", None)], "no key"),
         ([Op("config/A", b"\x01"), Op("config/A", None)], "twice"),
         ([Op("engine/x", b"\xc1")], "not MessagePack"),
-        ([Op("engine/x", s.canonical({}))], "address"),
-        ([Op("engine/x", s.canonical({"address": "a:1", "colour": 1}))], "colour"),
+        ([Op("engine/x", s.encode_value({}))], "address"),
+        ([Op("engine/x", s.encode_value({"address": "a:1", "colour": 1}))], "colour"),
         ([engine("x", "nowhere")], "HOST:PORT"),
         ([engine("x", ":80")], "HOST:PORT"),
         ([engine("x", "a:0")], "HOST:PORT"),
@@ -132,24 +132,24 @@
         ([engine("x", "A:1"), engine("y", "a:1")], "at the address of engine/x"),
         ([broker("x", "10.0.1.1:7400")], "at the address of broker/b1"),
         ([Op("config/Rules", None)], "Rules"),
-        ([Op("config/Classes", s.canonical([]))], "config"),
-        ([Op("config/Rules", s.canonical(SETTINGS["Rules"] | {"StartCapacity": 2.0}))], "config"),
-        ([Op("config/Extra", s.canonical(float("nan")))], "config"),
-        ([Op("config/Dcs", s.canonical(["a", "a"]))], "twice"),
-        ([Op("config/Limits", s.canonical(SETTINGS["Limits"] | {"ConnIdle": 0}))], "limit"),
+        ([Op("config/Classes", s.encode_value([]))], "config"),
+        ([Op("config/Rules", s.encode_value(SETTINGS["Rules"] | {"StartCapacity": 2.0}))], "config"),
+        ([Op("config/Extra", s.encode_value(float("nan")))], "config"),
+        ([Op("config/Dcs", s.encode_value(["a", "a"]))], "twice"),
+        ([Op("config/Limits", s.encode_value(SETTINGS["Limits"] | {"ConnIdle": 0}))], "limit"),
         ([Op(f"engine/n{i}", None) for i in range(MAX_OPS_PER_CHANGE + 1)], "keys in one change"),
-        ([Op("config/Extra", s.canonical("x" * MAX_CHANGE_BYTES))], "bytes"),
+        ([Op("config/Extra", s.encode_value("x" * MAX_CHANGE_BYTES))], "bytes"),
     ],
 )
 def test_what_is_refused_before_it_is_taken(ops, says):
     with pytest.raises(s.StateError, match=says) as told:
-        s.check(filled(), ops)
+        s.validate_change(filled(), ops)
     assert "\n" not in str(told.value)
 
 
 def test_what_is_taken():
     state = filled()
-    s.check(state, [])
+    s.validate_change(state, [])
     grow(state, engine("e1", "10.0.0.2:9000"), engine("e2", "10.0.0.1:9000"))  # change places
     grow(state, Op("engine/e1", None), engine("e3", "10.0.0.2:9000"))
     grow(state, engine("e4", "10.0.1.1:7400"))  # engines and brokers don't share sockets
@@ -157,7 +157,7 @@
     grow(state, Op("engine/e5"))
     grow(state, engine("e6", "10.0.0.1:9000"))  # free since the change before
     with pytest.raises(s.StateError, match="engine/e3"):
-        s.check(state, [engine("e1", "10.0.0.2:9000")])
+        s.validate_change(state, [engine("e1", "10.0.0.2:9000")])
     other = state.copy()
     grow(other, engine("e9", "10.0.0.9:9000"))
     grow(state, engine("e8", "10.0.0.9:9000"))  # a copy's places are its own
@@ -169,48 +169,48 @@
 
 def test_a_state_too_large_for_a_frame_is_refused():
     state = s.FleetState("line")
-    value = s.canonical(s.Engine("a:1", kind="k" * 64))
+    value = s.encode_value(s.Engine("a:1", kind="k" * 64))
     state.entries = {f"engine/n{i}": StateEntry(f"engine/n{i}", value, 1) for i in range(10)}
-    state.size = s.STATE_MOST
+    state.size = s.MAX_STATE_BYTES
     with pytest.raises(s.StateError, match="the state would have"):
-        s.check(state, [engine("x", "b:1")])
+        s.validate_change(state, [engine("x", "b:1")])
 
 
 def test_clashes_see_sets_and_removals_and_any_section():
     state = filled()
     base = state.version
-    assert s.clashes(state, base, [engine("e1", "a:1")]) == []
+    assert s.find_conflicts(state, base, [engine("e1", "a:1")]) == []
     grow(state, Op("engine/e1"), engine("e2", "10.0.0.2:9001"))
-    grow(state, Op("config/Rules", s.canonical(SETTINGS["Rules"] | {"StartCapacity": 0.5})))
-    assert s.clashes(state, base, [engine("e1", "a:1"), engine("e2", "a:2"), engine("e3", "a:3")]) == [
+    grow(state, Op("config/Rules", s.encode_value(SETTINGS["Rules"] | {"StartCapacity": 0.5})))
+    assert s.find_conflicts(state, base, [engine("e1", "a:1"), engine("e2", "a:2"), engine("e3", "a:3")]) == [
         "engine/e1",
         "engine/e2",
     ]
-    assert s.clashes(state, base, [Op("config/Dcs", b"")]) == ["config/Rules"]
-    assert s.clashes(state, state.version, [Op("config/Dcs", b""), Op("engine/e1", b"")]) == []
-    assert s.clashes(state, state.version + 1, []) == [s.BASE_NOT_YET]
+    assert s.find_conflicts(state, base, [Op("config/Dcs", b"")]) == ["config/Rules"]
+    assert s.find_conflicts(state, state.version, [Op("config/Dcs", b""), Op("engine/e1", b"")]) == []
+    assert s.find_conflicts(state, state.version + 1, []) == [s.BASE_NOT_YET]
     again = s.FleetState.restore(state.snapshot())  # of keys that aren't there it knows nothing before
-    assert s.clashes(again, base, [engine("e1", "a:1")]) == [s.BASE_TOO_OLD]
-    assert s.clashes(again, base, [engine("e2", "a:1")]) == ["engine/e2"]
-    assert s.clashes(again, base, [Op("config/Dcs", b"")]) == ["config/Rules", s.BASE_TOO_OLD]
-    assert s.clashes(again, again.version, [engine("e1", "a:1"), Op("config/Dcs", b"")]) == []
+    assert s.find_conflicts(again, base, [engine("e1", "a:1")]) == [s.BASE_TOO_OLD]
+    assert s.find_conflicts(again, base, [engine("e2", "a:1")]) == ["engine/e2"]
+    assert s.find_conflicts(again, base, [Op("config/Dcs", b"")]) == ["config/Rules", s.BASE_TOO_OLD]
+    assert s.find_conflicts(again, again.version, [engine("e1", "a:1"), Op("config/Dcs", b"")]) == []
 
 
 def test_removals_and_requests_known_are_bounded(monkeypatch):
-    monkeypatch.setattr(s, "REMOVED_MOST", 2)
+    monkeypatch.setattr(s, "MAX_REMEMBERED_REMOVALS", 2)
     state = s.FleetState("line")
     grow(state, *(engine(f"e{i}", f"h:{i + 1}") for i in range(4)))
     for i in range(4):
         grow(state, Op(f"engine/e{i}"), request=f"a{i}")
     assert list(state.removed) == ["engine/e2", "engine/e3"]
     assert state.removed_since == 3
-    assert s.clashes(state, 1, [Op("engine/e0")]) == [s.BASE_TOO_OLD]
-    for i in range(s.REQUESTS_MOST):
+    assert s.find_conflicts(state, 1, [Op("engine/e0")]) == [s.BASE_TOO_OLD]
+    for i in range(s.MAX_REMEMBERED_REQUESTS):
         grow(state, request=f"b{i}")
-    assert len(state.requests) == s.REQUESTS_MOST
-    assert state.requested("a3") is None
-    assert state.requested("b0") == 6
-    assert state.requested("") is None
+    assert len(state.requests) == s.MAX_REMEMBERED_REQUESTS
+    assert state.version_of_request("a3") is None
+    assert state.version_of_request("b0") == 6
+    assert state.version_of_request("") is None
 
 
 def test_a_snapshot_that_does_not_verify_is_refused():
@@ -228,47 +228,49 @@
 
 
 def test_unpack_is_bounded_and_raises_one_error():
-    packed = h.pack(filled().snapshot())
-    assert h.unpack(packed) == filled().snapshot()
-    bomb = zlib.compress(b"\0" * (h.UNPACKED_MOST + 1))
+    packed = h.compress_snapshot(filled().snapshot())
+    assert h.decompress_snapshot(packed) == filled().snapshot()
+    bomb = zlib.compress(b"\0" * (h.MAX_SNAPSHOT_BYTES + 1))
     for bad in (b"", packed[:-5], packed + b"x", b"x" * 50, bomb, zlib.compress(b"\xc1")):
         with pytest.raises(s.StateError):
-            h.unpack(bad)
+            h.decompress_snapshot(bad)
 
 
 def test_history_sends_what_it_keeps_and_no_more():
-    history = h.History(s.FleetState("line"), changes_most=5)
+    history = h.ChangeHistory(s.FleetState("line"), changes_most=5)
     positions = [(0, 0, history.state.digest)]
     for i in range(8):
-        history.apply(history.state.draft(1 + i // 4, [engine(f"e{i}", f"h:{i + 1}")]))
+        history.apply(history.state.draft_change(1 + i // 4, [engine(f"e{i}", f"h:{i + 1}")]))
         positions.append((*history.state.position, history.state.digest))
-    assert [history.since(*p) is None for p in positions] == [True] * 3 + [False] * 6
-    assert [c.version for c in history.since(*positions[4])] == [5, 6, 7, 8]
-    assert [c.version for c in history.since(*positions[4], most_bytes=1)] == [5]
-    assert history.since(*positions[8]) == []
-    assert history.since(2, 9, b"\0" * 16) is None
-    assert history.since(1, 5, positions[5][2]) is None
-    assert history.since(2, 5, b"\0" * 16) is None
-    packed = history.packed()
-    assert history.packed() is packed
+    assert [history.changes_since(*p) is None for p in positions] == [True] * 3 + [False] * 6
+    assert [c.version for c in history.changes_since(*positions[4])] == [5, 6, 7, 8]
+    assert [c.version for c in history.changes_since(*positions[4], most_bytes=1)] == [5]
+    assert history.changes_since(*positions[8]) == []
+    assert history.changes_since(2, 9, b"\0" * 16) is None
+    assert history.changes_since(1, 5, positions[5][2]) is None
+    assert history.changes_since(2, 5, b"\0" * 16) is None
+    packed = history.compressed_snapshot()
+    assert history.compressed_snapshot() is packed
     history.compact(keep=1)
-    assert history.since(*positions[6]) is None
-    assert len(history.since(*positions[7])) == 1
+    assert history.changes_since(*positions[6]) is None
+    assert len(history.changes_since(*positions[7])) == 1
     with pytest.raises(s.StateError):
         history.apply(Change(2, 9, [], b"\0" * 16))
-    assert history.packed() is packed
-    assert history.at(8) == positions[8]
-    history.apply(history.state.draft(2, []))
-    assert h.unpack(history.packed()).version == 9
-    history.reset(h.unpack(packed))
+    assert history.compressed_snapshot() is packed
+    assert history.position_at(8) == positions[8]
+    history.apply(history.state.draft_change(2, []))
+    assert h.decompress_snapshot(history.compressed_snapshot()).version == 9
+    history.reset(h.decompress_snapshot(packed))
     assert history.state.version == 8
-    assert history.since(*positions[8]) == []
-    assert history.since(*positions[7]) is None
+    assert history.changes_since(*positions[8]) == []
+    assert history.changes_since(*positions[7]) is None
 
 
 def test_history_is_bounded_in_bytes():
-    history = h.History(s.FleetState("line"), bytes_most=10_000)
+    history = h.ChangeHistory(s.FleetState("line"), bytes_most=10_000)
     for i in range(50):
-        history.apply(history.state.draft(1, [Op("config/Extra", s.canonical("x" * 1000 + str(i)))]))
+        history.apply(
+            history.state.draft_change(1, [Op("config/Extra", s.encode_value("x" * 1000 + str(i)))])
+        )
     assert 0 < len(history.changes) < 10
     assert history.bytes <= 10_000
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -8,22 +8,22 @@
 
 from cypressledge.controlplane import sqlite_storage as module
 from cypressledge.controlplane.messages import Op
-from cypressledge.controlplane.replica import DiskError, Replica
-from cypressledge.controlplane.sqlite_storage import Store, StoreError
-from cypressledge.controlplane.state import Engine, FleetState, canonical
+from cypressledge.controlplane.replica import Replica, StorageError
+from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
+from cypressledge.controlplane.state import Engine, FleetState, encode_value
 
 
 class Writer:
     """A state and its store, change by change."""
 
     def __init__(self, path, **how):
-        self.store = Store(path, "a", "first", **how)
+        self.store = SqliteStorage(path, "a", "first", **how)
         self.state = FleetState("l")
         self.store.install(self.state.snapshot())
 
     def change(self, i=0, commit=True):
-        op = Op(f"engine/e{i % 490}", canonical(Engine(f"host-{i % 490}.example:80", zone="z", born_ms=i)))
-        change = self.state.draft(1, [op], f"request-{i}", "someone", "a test", i)
+        op = Op(f"engine/e{i % 490}", encode_value(Engine(f"host-{i % 490}.example:80", zone="z", born_ms=i)))
+        change = self.state.draft_change(1, [op], f"request-{i}", "someone", "a test", i)
         self.store.append([change])
         self.state.apply(change)
         if commit:
@@ -41,8 +41,8 @@
 def read(path, name="a"):
     """What is there, or the refusal's line."""
     try:
-        store = Store(path, name)
-    except StoreError as err:
+        store = SqliteStorage(path, name)
+    except StorageUnusableError as err:
         assert "\n" not in str(err) and "tart" in str(err) or "Give each" in str(err) or "Stop" in str(err)
         return str(err)
     try:
@@ -119,20 +119,20 @@
     files, _, path = kept
     assert "--rejoin" in read(path)  # nothing there
     put(path, {"-wal": files["-wal"]})
-    with pytest.raises(StoreError, match="only a log of it is left"):
-        Store(path, "a", "first")
+    with pytest.raises(StorageUnusableError, match="only a log of it is left"):
+        SqliteStorage(path, "a", "first")
     Path(f"{path}-wal").unlink()
-    Store(path, "a", "first").close()
+    SqliteStorage(path, "a", "first").close()
     assert "it holds no history" in read(path)
-    Store(path, "a", "rejoin").close()
-    again = Store(path, "a")  # it goes on joining without the flag
+    SqliteStorage(path, "a", "rejoin").close()
+    again = SqliteStorage(path, "a")  # it goes on joining without the flag
     assert again.load().joining
     again.joined()
     again.close()
     assert "it holds no history" in read(path)
     put(path, files)
     assert "the store of a, not of b" in read(path, "b")
-    held = Store(path, "a", "first")
+    held = SqliteStorage(path, "a", "first")
     assert "another process has it open" in read(path)
     held.close()
 
@@ -140,7 +140,7 @@
 def test_an_old_copy_joins(kept):
     files, _, path = kept
     put(path, files)
-    store = Store(path, "a", "rejoin")
+    store = SqliteStorage(path, "a", "rejoin")
     assert store.load().joining
     assert store.load().commit == 20
     replica = Replica("a", 1, ("a", "b", "c"), store, 0, None, lambda *_: None, None, mute_us=5)
@@ -175,11 +175,11 @@
     w = Writer(tmp_path / "full")
     run = w.store.db.execute
     run(f"PRAGMA max_page_count={run('PRAGMA page_count').fetchone()[0] + 8}")
-    with pytest.raises(DiskError, match="full"):
+    with pytest.raises(StorageError, match="full"):
         for i in range(1_000):
             w.change(i)
     before = (w.state.version, w.state.digest)
-    with pytest.raises(DiskError):
+    with pytest.raises(StorageError):
         w.change(1_000)
     assert state_of(w.store.load()) == before
     run("PRAGMA max_page_count=1000000")
@@ -201,9 +201,9 @@
         path = tmp_path / end
         Writer(path).store.close()
         steps.clear()
-        store = Store(path, "a", "rejoin", faults)
+        store = SqliteStorage(path, "a", "rejoin", faults)
         state = FleetState.restore(store.load().base)
-        change = state.draft(1, [])
+        change = state.draft_change(1, [])
         after = FleetState.restore(state.snapshot())
         after.apply(change)
         calls = [
@@ -223,7 +223,7 @@
                 found.append(store.load())
         store.close()
         assert steps[-1] == end
-        again = Store(path, "a")
+        again = SqliteStorage(path, "a")
         assert again.load() == found[-1]
         again.close()
 
@@ -237,12 +237,12 @@
         batch = []
         for j in range(100):
             n = i * 100 + j
-            op = Op(f"engine/e{n % 490}", canonical(Engine(f"host-{n % 490}.example:80", born_ms=n)))
-            batch.append(w.state.draft(1, [op], f"request-{n}", "someone", "a test", n))
+            op = Op(f"engine/e{n % 490}", encode_value(Engine(f"host-{n % 490}.example:80", born_ms=n)))
+            batch.append(w.state.draft_change(1, [op], f"request-{n}", "someone", "a test", n))
             w.state.apply(batch[-1])
         w.store.append(batch)
         w.store.commit(w.state.version)
-        if w.store.bulky:
+        if w.store.needs_compaction:
             w.store.compact(w.state.snapshot())
         if i % 60 == 59:  # as a kill would leave it, in many rounds of the log
             put(tmp_path / "killed", {end: Path(f"{path}{end}").read_bytes() for end in ("", "-wal")})
@@ -251,24 +251,24 @@
     print(f"largest {max(sizes):,} bytes, last {sizes[-1]:,}, file {path.stat().st_size:,}")
     assert max(sizes) < 10 << 20
     assert max(sizes[250:]) <= 1.2 * max(sizes[:250])
-    assert w.store.count <= module.COMPACT_CHANGES
+    assert w.store.count <= module.COMPACTION_CHANGES
     assert state_of(w.store.load()) == (50_000, w.state.digest)
     w.store.close()
 
 
 def test_many_bytes_are_compacted_too(tmp_path):
     w = Writer(tmp_path / "large")
-    ops = [Op(f"engine/e{i}", canonical(Engine(f"h{i}:80", zone="z" * 60))) for i in range(1_500)]
-    while not w.store.bulky:
-        change = w.state.draft(1, ops)
+    ops = [Op(f"engine/e{i}", encode_value(Engine(f"h{i}:80", zone="z" * 60))) for i in range(1_500)]
+    while not w.store.needs_compaction:
+        change = w.state.draft_change(1, ops)
         w.state.apply(change)
         w.store.append([change])
     assert w.store.count < 200
-    assert w.store.bytes > module.COMPACT_BYTES
+    assert w.store.bytes > module.COMPACTION_BYTES
     w.store.commit(w.state.version)
     before = (tmp_path / "large").stat().st_size
     w.store.compact(w.state.snapshot())
     assert before > 8 << 20
-    assert not w.store.bulky
+    assert not w.store.needs_compaction
     assert (tmp_path / "large").stat().st_size < 1 << 20
     w.store.close()
