--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -70,8 +70,8 @@
 )
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
-from cypressledge.fleet.keeper import Place
-from cypressledge.fleet.lease import Electorate
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.participation import LeaseSlot
 from cypressledge.fleet.node import FleetNode, new_run
 from cypressledge.net import buffer, stream
 from cypressledge.net.http import Exchange
@@ -200,7 +200,7 @@
             log=self.log,
             addresses={s.name: parse_address(s.fleet) for s in told.servers},
             counters=self.counters,
-            places=[Place(PRIMARY, PRIMARY, told.term, wanted=True)],
+            places=[LeaseSlot(PRIMARY, PRIMARY, told.term, on_demand=True)],
             drift_ppm=told.drift_ppm,
             ping_s=told.ping_s,
             clock=self.clock,
@@ -242,12 +242,12 @@
     def _lease(self, now: int) -> None:
         """What holds of the lease, for the replica; it is wanted only where that could lead."""
         willing = self.replica.is_eligible(now) and now >= self.rest_until and self.spec.votes
-        if willing != (PRIMARY in self.node.keeper.wants):
+        if willing != (PRIMARY in self.node.keeper.requested_groups):
             (self.node.want if willing else self.node.unwant)(PRIMARY)
         grant = self.node.grant(PRIMARY)
         if grant is None:
             self.replica.lease(now, None, 0)
-        elif not self.replica.lease(now, grant.token, grant.until):
+        elif not self.replica.lease(now, grant.token, grant.expires_at):
             if grant.token <= self.replica.epoch:
                 self.node.refused(PRIMARY, self.replica.epoch)
             else:
--- a/cypressledge/controlplane/server_selection.py
+++ b/cypressledge/controlplane/server_selection.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass
 
-from cypressledge.fleet.ranks import weight
+from cypressledge.fleet.leases.candidate_order import weight
 
 ATTEMPT_SPAN = 100_000  # a random part of it: between the attempts of one round of all servers
 MAX_ROUND_SPAN = 5_000_000  # a random part of it at the most: between rounds, doubling from ATTEMPT_SPAN
--- a/cypressledge/fleet/clock.py
+++ b/cypressledge/fleet/clock.py
@@ -9,6 +9,8 @@
 import time
 from dataclasses import dataclass
 
+NEVER = -(1 << 62)  # µs: before every other moment; a clock may begin anywhere
+
 
 @dataclass(frozen=True, slots=True)
 class LeaseClock:
--- /dev/null
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -0,0 +1,245 @@
+"""All leases as one broker sees them, and its vote in them where it is a voter. No I/O.
+
+Told the time in µs, on the clock that leases use. What is done about each lease is `participation.py`'s.
+"""
+
+import random
+from collections.abc import Callable, Iterable
+
+from msgspec import structs
+
+from cypressledge.fleet.leases.acquisition import LeaseAcquisition
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.participation import (
+    MS,
+    HeldLease,
+    LeaseParticipation,
+    LeaseSlot,
+    ParticipationContext,
+    ParticipationPhase,
+)
+from cypressledge.fleet.leases.voter import Voter
+from cypressledge.fleet.messages import (
+    Item,
+    LeaseItem,
+    LeaseStatus,
+    LeaseStatusRequest,
+    RejectionReason,
+    ReleaseLease,
+    VoteRejected,
+    VoteRequest,
+)
+
+TIMER_PHASES = 10_000 * MS  # brokers' timers are spread over this
+TOKEN_RECOVERY_DELAY = 20 * MS  # from a voter's start to its first questions
+MAX_TICK_INTERVAL = 1_000 * MS
+USUAL_REJECTIONS = (RejectionReason.HELD, RejectionReason.TOKEN)  # competition for a lease; no event
+
+
+class LeaseManager:
+    """A broker's participations in all leases, and its votes.
+
+    `send` gets (peer, item). `on_event` gets (event, lease, token, reason); events: acquired, lost,
+    given_back, not_won, voted_not."""
+
+    def __init__(
+        self,
+        name: str,
+        instance_id: int,
+        slots: Iterable[LeaseSlot],
+        electorate: Electorate,
+        drift_ppm: int,
+        now: int,
+        base_token: int,
+        seed: int,
+        send: Callable[[str, Item], None],
+        on_event: Callable[[str, str, int, str], None],
+    ) -> None:
+        self.name, self.instance_id, self.drift_ppm = name, instance_id, drift_ppm
+        self.electorate, self.voter = electorate, Voter(electorate, now, base_token)
+        generator = random.Random(seed)
+        self.context = ParticipationContext(
+            name=name,
+            instance_id=instance_id,
+            electorate=electorate,
+            voter=self.voter,
+            random=generator,
+            timer_phase=generator.randrange(TIMER_PHASES),
+            send=send,
+            on_event=on_event,
+            alive=frozenset({name}),
+        )
+        self.participations = self.context.participations
+        self.token_recovery_at = now + TOKEN_RECOVERY_DELAY
+        self.next_due_at = 0  # no participation is due before
+        self.set_slots(slots, now)
+
+    @property
+    def alive(self) -> frozenset[str]:
+        """The brokers that are alive, this one too, as last set."""
+        return self.context.alive
+
+    @property
+    def requested_groups(self) -> set[str]:
+        """The groups on demand that this broker requests."""
+        return self.context.requested_groups
+
+    def set_slots(self, slots: Iterable[LeaseSlot], now: int) -> None:
+        """Set the leases there are. One that is held and no longer among them is released."""
+        by_lease = {slot.lease: slot for slot in slots}
+        for lease in [name for name in self.participations if name not in by_lease]:
+            self.release(lease, now, "no such lease any more")
+            del self.participations[lease]
+        for lease, slot in by_lease.items():
+            if lease not in self.participations:
+                self.participations[lease] = LeaseParticipation(
+                    slot,
+                    LeaseAcquisition(lease, self.instance_id, slot.term, self.drift_ppm, self.electorate),
+                    self.context,
+                    due_at=now + self.context.jitter(200 * MS),
+                )
+        self.next_due_at = 0
+
+    def set_alive(self, alive: frozenset[str], now: int) -> None:
+        """Set who is alive: another set means other candidates for leases."""
+        context = self.context
+        if (
+            alive is context.alive or alive == context.alive
+        ):  # mostly the same object: comparing costs at size
+            return
+        context.alive, self.next_due_at = alive, 0
+        context.orders.clear()
+        for participation in self.participations.values():
+            if (
+                participation.phase is ParticipationPhase.IDLE
+                and not participation.slot.on_demand
+                and participation.known_holder not in alive
+            ):
+                participation.due_at = min(participation.due_at, now + context.jitter(100 * MS))
+
+    def stop(self) -> None:
+        """Request no lease from here on."""
+        self.context.stopping = True
+
+    # What operators and tasks ask
+
+    def candidates(self, lease: str) -> list[str]:
+        """The candidates for a lease among those alive, first to last."""
+        return self.context.candidates(self.participations[lease].slot)
+
+    def candidate_rank(self, lease: str) -> int | None:
+        """This broker's place among a lease's candidates; None where it is not one."""
+        return self.context.candidate_rank(self.participations[lease].slot)
+
+    def known_holder(self, lease: str, now: int) -> str:
+        """The holder of a lease as last heard of; empty where none is known."""
+        participation = self.participations[lease]
+        if participation.acquisition.is_held(now):
+            return self.name
+        state = self.voter.leases.get(lease)
+        if state is not None and state.vote is not None and now < state.vote.expires_at:
+            return state.vote.holder
+        return participation.known_holder if participation.known_holder != self.name else ""
+
+    def held_leases(self, now: int) -> list[HeldLease]:
+        """All leases that are held now."""
+        return [held for p in self.participations.values() if (held := p.held_lease(now)) is not None]
+
+    def held_lease(self, lease: str, now: int) -> HeldLease | None:
+        """A lease, if it is held now."""
+        participation = self.participations.get(lease)
+        return None if participation is None else participation.held_lease(now)
+
+    def request(self, group: str, now: int) -> bool:
+        """Request a lease on demand; whether there is one of this name."""
+        requested = [p for p in self.participations.values() if p.slot.group == group and p.slot.on_demand]
+        self.requested_groups.add(group)
+        for participation in requested:
+            participation.due_at = min(participation.due_at, now)
+        self.next_due_at = 0
+        return bool(requested)
+
+    def withdraw_request(self, group: str) -> None:
+        """Request a lease on demand no more; one that is held stays held."""
+        self.requested_groups.discard(group)
+
+    def release_group(self, group: str, now: int) -> None:
+        """Request a lease on demand no more, and release it where it is held."""
+        self.withdraw_request(group)
+        for participation in self.participations.values():
+            if participation.slot.group == group:
+                self.release(participation.slot.lease, now, "not wanted any more")
+
+    def release(self, lease: str, now: int, reason: str, rest: int = 0) -> bool:
+        """Release a lease; the next candidates are notified. Whatever was done under it must have ended.
+        `rest`: µs in which this broker does not request it again. Whether it was held."""
+        participation = self.participations.get(lease)
+        if participation is None or participation.phase is ParticipationPhase.IDLE:
+            return False
+        self.next_due_at = 0
+        return participation.release(now, reason, rest)
+
+    def token_rejected(self, lease: str, token: int, now: int) -> None:
+        """The resource acted on knows a higher token: release, and acquire under one above it."""
+        participation = self.participations.get(lease)
+        if participation is not None:
+            self.release(lease, now, f"turned down: token {token} is known there")
+            participation.acquisition.observe_token(token)
+            participation.due_at, self.next_due_at = now, 0
+
+    def is_requesting_votes(self) -> bool:
+        """Whether an attempt at a lease is under way."""
+        return any(p.phase is ParticipationPhase.REQUESTING_VOTES for p in self.participations.values())
+
+    # Messages
+
+    def receive(self, now: int, sender: str, item: LeaseItem) -> None:
+        """Handle one of the leases' messages, from a peer whose messages count."""
+        if isinstance(item, VoteRequest):
+            self._vote(now, sender, item)
+        elif isinstance(item, LeaseStatusRequest):
+            self.context.send(sender, self._status(now, item))
+        elif isinstance(item, ReleaseLease):
+            self.voter.release(item)
+        elif (participation := self.participations.get(item.lease)) is not None:
+            participation.receive(now, sender, item)
+            self.next_due_at = min(self.next_due_at, participation.due_at)
+
+    def _vote(self, now: int, sender: str, request: VoteRequest) -> None:
+        answer = self.voter.vote(now, sender, request)
+        if answer is None:
+            return
+        self.context.send(sender, answer)
+        if isinstance(answer, VoteRejected) and answer.reason not in USUAL_REJECTIONS:
+            self.context.on_event("voted_not", request.lease, request.token, answer.reason)
+
+    def _status(self, now: int, request: LeaseStatusRequest) -> LeaseStatus:
+        """The status of a lease here, with the highest token that this broker knows as voter or requester."""
+        status = self.voter.status(now, request)
+        participation = self.participations.get(request.lease)
+        if participation is None or participation.acquisition.highest_token <= status.token:
+            return status
+        return structs.replace(status, token=participation.acquisition.highest_token)
+
+    # What time brings
+
+    def tick(self, now: int) -> int:
+        """Do what is due; the moment of the next tick."""
+        self._recover_tokens(now)
+        if now < self.next_due_at:
+            return self.next_due_at
+        next_due_at = now + MAX_TICK_INTERVAL
+        for participation in self.participations.values():
+            next_due_at = min(next_due_at, participation.advance(now))
+        self.next_due_at = max(next_due_at, now + MS)
+        return self.next_due_at
+
+    def _recover_tokens(self, now: int) -> None:
+        """A voter that starts has forgotten all tokens: while in quarantine it asks everybody for them."""
+        remaining = self.voter.voting_quarantine(now)
+        if not remaining or self.name not in self.electorate.voters or now < self.token_recovery_at:
+            return
+        self.token_recovery_at = now + max(remaining // 3, 100 * MS)
+        for name in sorted(self.alive - {self.name}):
+            for lease in self.participations:
+                self.context.send(name, LeaseStatusRequest(lease))
--- /dev/null
+++ b/cypressledge/fleet/leases/participation.py
@@ -0,0 +1,375 @@
+"""One broker's participation in one lease: when to query, request votes, renew, stand by, release. No I/O.
+
+Safety rests on `voter.py` and `acquisition.py` alone; here only time can be lost. The first candidate
+(`candidate_order.py`) requests votes at once, the others stand by and request later, so that votes are seldom
+split. Told the time in µs, on the clock that leases use.
+"""
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum
+
+from cypressledge.fleet.leases.acquisition import LeaseAcquisition
+from cypressledge.fleet.leases.candidate_order import CANDIDATES, candidate_order
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.voter import Voter
+from cypressledge.fleet.messages import (
+    Item,
+    LeaseReleased,
+    LeaseStatus,
+    LeaseStatusRequest,
+    RejectionReason,
+    VoteGranted,
+    VoteRejected,
+)
+
+MS = 1_000
+FAST_RETRIES = 5  # attempts in quick succession after a hint that a lease is free
+MAX_SPLIT_VOTES = 4  # split votes in a row that lengthen the pause before the next attempt
+STATUS_TIMEOUT = 500 * MS  # the longest wait for answers to a status request or a vote request
+MAX_STAGGER = 100 * MS  # the longest lead that one candidate has over the next
+# Reasons that no attempt of this process can change before the voter itself changes.
+WAIT_FOR_VOTER = (
+    RejectionReason.VOTING_QUARANTINE,
+    RejectionReason.VOTERS_VERSION,
+    RejectionReason.CAPACITY,
+)
+
+
+class ParticipationPhase(Enum):
+    """What a broker does about one lease. Values as operators see them."""
+
+    IDLE = "idle"
+    QUERYING_STATUS = "looking"
+    REQUESTING_VOTES = "asking"
+    HELD = "held"
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseSlot:
+    """One thing to be held: a lease, or one slot of a counted lease (`group/0`, `group/1`, …). One that is
+    `on_demand` is acquired only by brokers that request it."""
+
+    lease: str
+    group: str
+    term: int
+    on_demand: bool
+    candidates: int = CANDIDATES  # that stand by: those that hold another slot of the group can't take it
+
+
+@dataclass(frozen=True, slots=True)
+class HeldLease:
+    """A lease that is held, with what acts under it need. `expires_at` is on the clock that leases use."""
+
+    lease: str
+    group: str
+    token: int
+    instance_id: int
+    expires_at: int
+
+
+def lease_slots(name: str, count: int, term: int, on_demand: bool) -> list[LeaseSlot]:
+    """The slots of a lease; one that is not counted is its own only slot."""
+    if count == 1:
+        return [LeaseSlot(name, name, term, on_demand)]
+    return [LeaseSlot(f"{name}/{i}", name, term, on_demand, CANDIDATES + count - 1) for i in range(count)]
+
+
+@dataclass(slots=True)
+class ParticipationContext:
+    """What all of a broker's participations share. `send` gets (peer, item), `on_event` (event, lease, token,
+    reason)."""
+
+    name: str
+    instance_id: int
+    electorate: Electorate
+    voter: Voter
+    random: random.Random
+    timer_phase: int  # µs: offset of this broker's timers, so that brokers' timers do not coincide
+    send: Callable[[str, Item], None]
+    on_event: Callable[[str, str, int, str], None]
+    alive: frozenset[str]
+    stopping: bool = False
+    requested_groups: set[str] = field(default_factory=set)  # groups on demand that this broker requests
+    participations: "dict[str, LeaseParticipation]" = field(default_factory=dict)
+    orders: dict[str, list[str]] = field(default_factory=dict)  # candidates by lease, of those alive
+
+    def jitter(self, limit: int) -> int:
+        """A random duration below `limit`, µs."""
+        return self.random.randrange(limit)
+
+    def candidates(self, slot: LeaseSlot) -> list[str]:
+        """The candidates for a lease among those alive, first to last."""
+        found = self.orders.get(slot.lease)
+        if found is None:
+            found = self.orders[slot.lease] = candidate_order(slot.lease, self.alive, slot.candidates)
+        return found
+
+    def candidate_rank(self, slot: LeaseSlot) -> int | None:
+        """This broker's place among a lease's candidates; None where it is not one."""
+        found = self.candidates(slot)
+        return found.index(self.name) if self.name in found else None
+
+    def align_timer(self, now: int, interval: int) -> int:
+        """The next of this broker's timer moments, `interval` µs from now at most: what is done on them, for
+        any lease, goes to each voter in one datagram."""
+        return now + interval - (now + self.timer_phase) % interval
+
+    def is_group_taken(self, participation: "LeaseParticipation") -> bool:
+        """Whether this broker holds another slot of a counted lease's group, or requests votes for one."""
+        slot = participation.slot
+        active = (ParticipationPhase.HELD, ParticipationPhase.REQUESTING_VOTES)
+        return slot.candidates > CANDIDATES and any(
+            p.slot.group == slot.group and p is not participation and p.phase in active
+            for p in self.participations.values()
+        )
+
+
+@dataclass(slots=True, eq=False)
+class LeaseParticipation:
+    """One broker's participation in one lease. `due_at`: when `advance` has something to do."""
+
+    slot: LeaseSlot
+    acquisition: LeaseAcquisition
+    context: ParticipationContext
+    due_at: int = 0
+    phase: ParticipationPhase = ParticipationPhase.IDLE
+    attempt_started_at: int = 0
+    fast_retries: int = 0
+    split_votes: int = 0  # attempts in a row that split the vote
+    statuses: dict[str, LeaseStatus] = field(default_factory=dict)  # by voter, of the query under way
+    known_holder: str = ""  # as last heard
+
+    # What operators and tasks ask
+
+    def held_lease(self, now: int) -> HeldLease | None:
+        """The lease, if it is held now."""
+        acquisition = self.acquisition
+        if self.phase is not ParticipationPhase.HELD or not acquisition.is_held(now):
+            return None
+        return HeldLease(
+            self.slot.lease,
+            self.slot.group,
+            acquisition.token,
+            self.context.instance_id,
+            acquisition.expires_at(),
+        )
+
+    def release(self, now: int, reason: str, rest: int = 0) -> bool:
+        """Release the lease, or an attempt at it; the next candidates are notified. Whatever was done under
+        it must have ended. `rest`: µs in which this broker does not request it again. Whether it was held."""
+        if self.phase is ParticipationPhase.IDLE:
+            return False
+        was_held, token = self.phase is ParticipationPhase.HELD, self.acquisition.token
+        self._send_release()
+        self.fast_retries = 0
+        self._rest(now, max(rest, self.slot.term))
+        if not was_held:
+            return False
+        context, lease = self.context, self.slot.lease
+        if not self.slot.on_demand:
+            others = context.alive - {context.name}
+            for name in candidate_order(lease, others, self.slot.candidates):
+                context.send(name, LeaseReleased(lease, token))
+        context.on_event("given_back", lease, token, reason)
+        return True
+
+    # Answers of voters, and hints
+
+    def receive(
+        self, now: int, sender: str, item: VoteGranted | VoteRejected | LeaseStatus | LeaseReleased
+    ) -> None:
+        """Handle a voter's answer, or a hint that the lease is free."""
+        if isinstance(item, VoteGranted):
+            self._receive_vote(now, sender, item)
+        elif isinstance(item, VoteRejected):
+            self.acquisition.record_rejection(sender, item)
+            requesting = self.phase is ParticipationPhase.REQUESTING_VOTES
+            if requesting and self.acquisition.cannot_win(self.context.alive):
+                self._end_attempt(now)
+        elif isinstance(item, LeaseStatus):
+            self._receive_status(now, sender, item)
+        else:
+            self.acquisition.observe_token(item.token)
+            if self.phase is ParticipationPhase.IDLE and self._may_request():
+                self.fast_retries = FAST_RETRIES
+                self.due_at = now + self._stagger()
+
+    def _receive_vote(self, now: int, sender: str, item: VoteGranted) -> None:
+        if self.phase not in (ParticipationPhase.REQUESTING_VOTES, ParticipationPhase.HELD):
+            return
+        if not self.acquisition.record_vote(now, sender, item):
+            return
+        if self.phase is ParticipationPhase.REQUESTING_VOTES and self.acquisition.is_held(now):
+            self.phase, self.known_holder = ParticipationPhase.HELD, self.context.name
+            self.fast_retries = self.split_votes = 0
+            self.due_at = self.context.align_timer(self.attempt_started_at, self.slot.term // 3)
+            self.context.on_event("acquired", self.slot.lease, self.acquisition.token, "a majority voted")
+
+    def _receive_status(self, now: int, sender: str, item: LeaseStatus) -> None:
+        context = self.context
+        self.acquisition.observe_token(item.token)
+        if context.voter.voting_quarantine(now):
+            context.voter.observe_token(item.lease, item.token)
+        if self.phase is ParticipationPhase.QUERYING_STATUS and sender in context.electorate.voters:
+            self.statuses[sender] = item
+            self._evaluate_statuses(now)
+
+    # What time brings
+
+    def advance(self, now: int) -> int:
+        """Do what is due; the moment at which something is due next."""
+        if self.phase is ParticipationPhase.HELD and not self.acquisition.is_held(now):
+            self._lose(now)
+        if now >= self.due_at:
+            self._do_what_is_due(now)
+        if self.phase is ParticipationPhase.HELD:
+            return min(self.due_at, self.acquisition.expires_at())
+        return self.due_at
+
+    def _do_what_is_due(self, now: int) -> None:
+        if self.phase is ParticipationPhase.HELD:
+            self._send_vote_requests(now)
+            self.due_at = self.context.align_timer(now, self.slot.term // 3)
+        elif self.phase is ParticipationPhase.REQUESTING_VOTES:
+            self._end_attempt(now)
+        elif not self._may_request():
+            self._rest(now, self.slot.term)
+        elif self.phase is ParticipationPhase.QUERYING_STATUS:
+            self._rest(now, self.slot.term // 2)
+            self._evaluate_statuses(now, timed_out=True)
+        elif self.fast_retries:
+            self._start_attempt(now)
+        else:
+            self._query_status(now)
+
+    def _may_request(self) -> bool:
+        """Whether this broker requests the lease at all."""
+        context = self.context
+        if context.stopping or not context.electorate.voters or context.is_group_taken(self):
+            return False
+        if self.slot.on_demand:
+            return self.slot.group in context.requested_groups
+        return context.candidate_rank(self.slot) is not None
+
+    def _query_status(self, now: int) -> None:
+        """Ask the voters for the lease's status. A broker whose own vote is in force knows enough to wait for
+        its end."""
+        context = self.context
+        state = context.voter.leases.get(self.slot.lease)
+        vote = state.vote if state is not None else None
+        if (
+            vote is not None
+            and vote.instance_id != context.instance_id
+            and now < vote.expires_at
+            and vote.holder in context.alive
+        ):
+            self.known_holder = vote.holder
+            self._wait_for_expiry(now, vote.expires_at - now)
+            return
+        self.phase = ParticipationPhase.QUERYING_STATUS
+        self.due_at = now + min(self.slot.term // 6, STATUS_TIMEOUT)
+        self.statuses.clear()
+        for voter in context.electorate.voters:
+            context.send(voter, LeaseStatusRequest(self.slot.lease))
+
+    def _evaluate_statuses(self, now: int, timed_out: bool = False) -> None:
+        """Request votes as soon as a majority is free; rest once all that are alive have answered, or the
+        query has
+        `timed_out`: a voter in quarantine may answer before those that are free."""
+        electorate, statuses = self.context.electorate, self.statuses
+        waits = sorted(map(self._wait_for_voter, statuses.values()))
+        if len(waits) < electorate.majority:
+            return
+        holders = [s.holder for s in statuses.values() if s.holder]
+        known = len(holders) >= electorate.majority
+        self.known_holder = max(sorted(set(holders)), key=holders.count) if known else ""
+        wait = waits[electorate.majority - 1]
+        if wait <= 0:
+            self._request_in_turn(now)
+        elif timed_out or all(v in statuses for v in electorate.voters if v in self.context.alive):
+            self._wait_for_expiry(now, wait)
+
+    def _wait_for_voter(self, status: LeaseStatus) -> int:
+        """µs until a voter may vote for this process. A vote for a former instance is another process's."""
+        own = status.holder == self.context.name and self.acquisition.round > 0
+        return max(0 if own else status.remaining, status.voting_quarantine)
+
+    def _wait_for_expiry(self, now: int, remaining: int) -> None:
+        """Query again when a vote in force may have expired."""
+        wait = min(remaining + self._stagger(), self.slot.term) + MS
+        # A far expiry is queried a little early, on a timer moment; the last query times the request.
+        interval = self.slot.term // 3
+        early = (now + wait + self.context.timer_phase) % interval
+        self._rest(now, wait - early if wait - early > interval // 2 else wait)
+
+    def _request_in_turn(self, now: int) -> None:
+        """Request votes at once if first candidate; the others leave the first a lead."""
+        stagger = self._stagger()
+        if self.slot.on_demand or not self.context.candidate_rank(self.slot) or self.fast_retries:
+            self._start_attempt(now)
+        else:
+            self.fast_retries = 1
+            self._rest(now, stagger)
+
+    def _stagger(self) -> int:
+        """µs that this broker leaves the candidates before it."""
+        rank = self.context.candidate_rank(self.slot) or 0
+        return rank * min(self.slot.term // 20, MAX_STAGGER)
+
+    def _start_attempt(self, now: int) -> None:
+        self.fast_retries = max(0, self.fast_retries - 1)
+        self.phase, self.attempt_started_at = ParticipationPhase.REQUESTING_VOTES, now
+        if self._send_vote_requests(now):
+            self.due_at = now + min(self.slot.term // 6, STATUS_TIMEOUT)
+        else:
+            self._rest(now, self.slot.term // 2)
+
+    def _send_vote_requests(self, now: int) -> bool:
+        request = self.acquisition.start_round(now)
+        if request is None:
+            return False
+        for voter in self.context.electorate.voters:
+            self.context.send(voter, request)
+        return True
+
+    def _end_attempt(self, now: int) -> None:
+        """An attempt that can't win: free the votes it has, and try again when that may help."""
+        context, acquisition = self.context, self.acquisition
+        rejections = list(acquisition.rejections.values())
+        reason = rejections[-1].reason if rejections else "no answer"
+        self._send_release()
+        context.on_event("not_won", self.slot.lease, acquisition.token, reason)
+        pause = self._pause_after(rejections, reason)
+        self._rest(now, pause + context.jitter(50 * MS))
+
+    def _pause_after(self, rejections: list[VoteRejected], reason: str) -> int:
+        """µs to rest after a lost attempt."""
+        term = self.slot.term
+        if rejections and all(r.reason == RejectionReason.TOKEN for r in rejections):
+            return 0  # a higher token is known now
+        if self.fast_retries:
+            return 10 * MS + self.context.jitter(30 * MS)
+        if reason in WAIT_FOR_VOTER:
+            return min(max(r.remaining for r in rejections) or term // 2, term)
+        if reason == RejectionReason.HELD:
+            # It was free when it was queried: a split vote. Query again soon, and not all at the same time.
+            self.split_votes = min(self.split_votes + 1, MAX_SPLIT_VOTES)
+            return 10 * MS + self.context.jitter(40 * MS << self.split_votes)
+        return term // 6
+
+    def _send_release(self) -> None:
+        release = self.acquisition.release()
+        for voter in self.context.electorate.voters:
+            self.context.send(voter, release)
+
+    def _lose(self, now: int) -> None:
+        token = self.acquisition.token
+        self._send_release()
+        self.known_holder = ""
+        self._rest(now, self.context.jitter(100 * MS))
+        self.context.on_event("lost", self.slot.lease, token, "no majority renewed it in time")
+
+    def _rest(self, now: int, pause: int) -> None:
+        self.phase, self.due_at = ParticipationPhase.IDLE, now + pause
--- a/cypressledge/fleet/members.py
+++ b/cypressledge/fleet/members.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cypressledge.fleet.lease import NEVER
+from cypressledge.fleet.clock import NEVER
 from cypressledge.fleet.messages import Ack, GossipUpdate, IndirectPing, Ping
 
 ALIVE, SUSPECT, GONE = 0, 1, 2
--- a/cypressledge/fleet/messages.py
+++ b/cypressledge/fleet/messages.py
@@ -221,17 +221,13 @@
     """Asks for the newest plan: from a broker that starts, or has received none for long."""
 
 
+LeaseItem = (
+    LeaseStatusRequest | VoteRequest | ReleaseLease | LeaseStatus | VoteGranted | VoteRejected | LeaseReleased
+)
+MembershipItem = Ping | Ack | IndirectPing
 AnyItem = (
-    LeaseStatusRequest
-    | VoteRequest
-    | ReleaseLease
-    | LeaseStatus
-    | VoteGranted
-    | VoteRejected
-    | LeaseReleased
-    | Ping
-    | Ack
-    | IndirectPing
+    LeaseItem
+    | MembershipItem
     | MetricsRequest
     | BrokerMetrics
     | FleetSummary
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -17,8 +17,9 @@
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
 from cypressledge.fleet.exchange import Exchange
-from cypressledge.fleet.keeper import Granted, Keeper, Place
-from cypressledge.fleet.lease import Electorate
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.lease_manager import LeaseManager
+from cypressledge.fleet.leases.participation import HeldLease, LeaseSlot
 from cypressledge.fleet.members import STATES, Member, Members
 from cypressledge.fleet.messages import (
     Ack,
@@ -80,7 +81,7 @@
         listen: tuple[str, int],
         addresses: Mapping[str, tuple[str, int]],
         electorate: Electorate,
-        places: Iterable[Place],
+        places: Iterable[LeaseSlot],
         drift_ppm: int,
         ping_s: float,
         counters: Counters,
@@ -112,7 +113,7 @@
             self.exchange.out,
             self._member_changed,
         )
-        self.keeper = Keeper(
+        self.keeper = LeaseManager(
             name,
             self.run_id,
             places,
@@ -139,7 +140,12 @@
 
     def _head(self) -> tuple[int, int, int, int]:
         now = self.clock.now()
-        return self.run_id, self.members.incarnation, self.electorate.version, self.electorate.floor(now)
+        return (
+            self.run_id,
+            self.members.incarnation,
+            self.electorate.version,
+            self.electorate.oldest_accepted(now),
+        )
 
     # What others ask
 
@@ -155,25 +161,25 @@
         """All others that can be counted on, in order."""
         return sorted(self.members.alive() - {self.name})
 
-    def grant(self, lease: str) -> Granted | None:
+    def grant(self, lease: str) -> HeldLease | None:
         """A lease, if it is held now."""
-        return self.keeper.grant(lease, self.clock.now())
+        return self.keeper.held_lease(lease, self.clock.now())
 
     def want(self, group: str) -> bool:
         """Ask for a lease that only those who want it ask for; whether there is one."""
-        found = self.keeper.want(group, self.clock.now())
+        found = self.keeper.request(group, self.clock.now())
         self.wake()
         return found
 
     def unwant(self, group: str) -> None:
         """Want it no more; give it back where it is held."""
-        self.keeper.unwant(group, self.clock.now())
+        self.keeper.release_group(group, self.clock.now())
         self._settle()
         self.wake()
 
     def refused(self, lease: str, token: int) -> None:
         """What was acted on knows of a higher token: give back, and ask under one above it."""
-        self.keeper.refused_by_resource(lease, token, self.clock.now())
+        self.keeper.token_rejected(lease, token, self.clock.now())
         self.wake()
 
     def out(self, peer: str, item: object) -> None:
@@ -197,7 +203,7 @@
             "fleet_joined",
             voters=list(self.electorate.voters),
             version=self.electorate.version,
-            mute_s=round(self.keeper.voter.mute(self.clock.now()) / 1e6, 2),
+            mute_s=round(self.keeper.voter.voting_quarantine(self.clock.now()) / 1e6, 2),
         )
         self.members.greet()
         while not self.stopped:
@@ -243,7 +249,7 @@
         """Whether a lease, or what the role names, is about to move: that does not wait for what else may
         come. Renewals and pings do."""
         items = (i for e in self.exchange.inbox for i in e.items)
-        return self.keeper.asking() or any(
+        return self.keeper.is_requesting_votes() or any(
             type(i) in self.urgent or (type(i) is VoteRequest and not i.renewal) for i in items
         )
 
@@ -253,7 +259,7 @@
             self.counters.add("fleet.former_self")
             self.members.refute(envelope.items)
             return
-        self.electorate.hear(now, envelope.sender, envelope.oldest_voters_version)
+        self.electorate.observe(now, envelope.sender, envelope.oldest_voters_version)
         self.versions[envelope.sender] = envelope.voters_version
         for item in envelope.items:
             kind = type(item)
@@ -296,15 +302,15 @@
         self.exchange.name_peers({p: a for p, a in addresses.items() if p != self.name})
         for peer in set(self.versions) - set(addresses):
             del self.versions[peer]
-        self.electorate.forget(addresses)
+        self.electorate.retain(addresses)
         self.wake()
 
-    def set_places(self, places: Iterable[Place]) -> None:
+    def set_places(self, places: Iterable[LeaseSlot]) -> None:
         """The leases there are now. One that is named no more is given back, once its work has ended."""
         places = list(places)
-        for lease in set(self.keeper.seats) - {p.lease for p in places}:
+        for lease in set(self.keeper.participations) - {p.lease for p in places}:
             self._end_work(lease)
-        self.keeper.set_places(places, self.clock.now())
+        self.keeper.set_slots(places, self.clock.now())
         self.wake()
 
     # Giving up
@@ -317,7 +323,7 @@
         again. Whether it was held, and has been given back."""
         if not self._end_work(lease):
             return False  # an act goes on: the lease has to run out with it
-        done = self.keeper.give_back(lease, self.clock.now(), why, round(rest_s * 1e6))
+        done = self.keeper.release(lease, self.clock.now(), why, round(rest_s * 1e6))
         self._settle()
         self.exchange.flush()
         return done
@@ -329,15 +335,15 @@
             return
         self.stopped = True
         now = self.clock.now()
-        for lease in [n for n in self.keeper.seats if n not in kept]:
+        for lease in [n for n in self.keeper.participations if n not in kept]:
             if self._end_work(lease):
-                self.keeper.give_back(lease, now, "stopping")
-        self.keeper.stopping = True
+                self.keeper.release(lease, now, "stopping")
+        self.keeper.stop()
         self.members.leave()
         self._settle()
         self.exchange.flush()
         self.wake()  # the owner ends
-        held = {g.lease for g in self.keeper.held(now)}
+        held = {g.lease for g in self.keeper.held_leases(now)}
         self.log.info("fleet_left", kept=sorted(held & set(kept)))
 
     def close(self) -> None:
--- a/cypressledge/fleet/part.py
+++ b/cypressledge/fleet/part.py
@@ -14,8 +14,9 @@
 from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.budget import Budget
 from cypressledge.fleet.clock import LeaseClock
-from cypressledge.fleet.keeper import Place, places
-from cypressledge.fleet.lease import Electorate, VoterSetError
+from cypressledge.fleet.leases.candidate_order import candidate_order
+from cypressledge.fleet.leases.electorate import Electorate, VoterSetError
+from cypressledge.fleet.leases.participation import LeaseSlot, lease_slots
 from cypressledge.fleet.members import STATES
 from cypressledge.fleet.messages import (
     BrokerMetrics,
@@ -27,7 +28,6 @@
     ZoneCommand,
 )
 from cypressledge.fleet.node import FleetNode, Handler
-from cypressledge.fleet.ranks import line
 from cypressledge.fleet.runner import Runner, Task
 from cypressledge.fleet.settings import FleetSettings, TaskSpec, Wish, read_fleet
 from cypressledge.fleet.summary import figures
@@ -117,9 +117,11 @@
         return {p.name: parse_address(p.address) for p in told.peers}
 
     @staticmethod
-    def _places(told: FleetSettings) -> list[Place]:
+    def _places(told: FleetSettings) -> list[LeaseSlot]:
         return [
-            p for spec in told.leases for p in places(spec.name, spec.places, told.term(spec), spec.wanted)
+            p
+            for spec in told.leases
+            for p in lease_slots(spec.name, spec.places, told.term(spec), spec.wanted)
         ]
 
     def _zones(self, told: FleetSettings, config: Config) -> Zones | None:
@@ -158,7 +160,7 @@
             self.node.now,
             self.node.out,
             self.node.others,
-            lambda: line(spec.lease, self.members.alive()),
+            lambda: candidate_order(spec.lease, self.members.alive()),
             self._event,
         )
 
@@ -184,7 +186,7 @@
     def _lease_told(self, event: str, lease: str, token: int, why: str) -> None:
         if event == "acquired":
             self._record(lease)
-            self.runner.begin(lease, self.keeper.seats[lease].place.group)
+            self.runner.begin(lease, self.keeper.participations[lease].slot.group)
         elif event == "lost":
             self.runner.call_off(lease)
         if event in ("lost", "given_back"):
@@ -197,15 +199,15 @@
         """For the laboratory: until when this process believes in a lease, on the machine's clock."""
         if self.record is None:
             return
-        grant = self.keeper.grant(lease, self.clock.now())
+        grant = self.keeper.held_lease(lease, self.clock.now())
         if grant is None:
             self.recorded.pop(lease, None)
             told = {"lease": lease, "until": 0}
-        elif self.recorded.get(lease) == grant.until:
+        elif self.recorded.get(lease) == grant.expires_at:
             return
         else:
-            self.recorded[lease] = grant.until
-            told = {"lease": lease, "token": grant.token, "until": self.clock.true(grant.until)}
+            self.recorded[lease] = grant.expires_at
+            told = {"lease": lease, "token": grant.token, "until": self.clock.true(grant.expires_at)}
         told |= {"broker": self.name, "run": self.node.run_id, "at": LeaseClock().now()}
         self.record.write(json.dumps(told) + "\n")
 
@@ -239,7 +241,9 @@
     def stop(self) -> None:
         """This broker stops: leases go back at once, and the peers are told. A turn to restart is kept: it
         runs out by itself, while the process starts anew."""
-        self.node.stop({s.place.lease for s in self.keeper.seats.values() if s.place.group in self.turns})
+        self.node.stop(
+            {s.slot.lease for s in self.keeper.participations.values() if s.slot.group in self.turns}
+        )
 
     def name_peers(self, named: dict[str, tuple[str, int]]) -> None:
         """Where the control plane has brokers, from now on; the file's others stay. Kept over a reload:
@@ -267,7 +271,7 @@
             for key in fixed:
                 if getattr(told, key) != getattr(self.told, key):
                     raise ConfigError(f"{self.path}: another {key} needs a restart of all brokers")
-            changed = self.electorate.take(self.clock.now(), max(told.sets), dict(told.sets))
+            changed = self.electorate.adopt(self.clock.now(), max(told.sets), dict(told.sets))
         except (ConfigError, VoterSetError) as err:
             self.counters.add("fleet.reload_failures")
             self.log.warning("fleet_reload_refused", why=str(err))
@@ -283,16 +287,16 @@
         """A wish for a turn is asked for only while fewer brokers are missing than may be at once: one that
         had its turn is missing until it is back, however long its start takes."""
         for group in self.turns:
-            count = sum(s.place.group == group for s in self.keeper.seats.values())
+            count = sum(s.slot.group == group for s in self.keeper.participations.values())
             away = sum(m.state != 0 and m.incarnation > 0 for m in self.members.members.values())
-            held = any(g.group == group for g in self.keeper.held(now))
+            held = any(g.group == group for g in self.keeper.held_leases(now))
             if held:
                 continue
             if away < count:
-                if group not in self.keeper.wants:
-                    self.keeper.want(group, now)
+                if group not in self.keeper.requested_groups:
+                    self.keeper.request(group, now)
             else:
-                self.keeper.wants.discard(group)
+                self.keeper.requested_groups.discard(group)
 
     def turn(self, group: str, ask: bool) -> dict:
         """Ask for a turn, or say that it is over; how it stands."""
@@ -304,7 +308,7 @@
             self.turns.discard(group)
             self.node.unwant(group)
         self.node.wake()
-        held = [g for g in self.keeper.held(now) if g.group == group]
+        held = [g for g in self.keeper.held_leases(now) if g.group == group]
         return {
             "lease": group,
             "wanted": group in self.turns,
@@ -345,23 +349,15 @@
             {
                 "lease": n,
                 "state": s.phase.value,
-                "holder": self._holder(s, now),
-                "token": s.claim.token,
-                "left_s": round(s.claim.left(now) / 1e6, 2),
-                "rank": self.keeper.rank(n),
-                "line": self.keeper.lines.get(n, []),
+                "holder": self.keeper.known_holder(n, now),
+                "token": s.acquisition.token,
+                "left_s": round(s.acquisition.remaining(now) / 1e6, 2),
+                "rank": self.keeper.candidate_rank(n),
+                "line": self.keeper.candidates(n),
             }
-            for n, s in sorted(self.keeper.seats.items())
+            for n, s in sorted(self.keeper.participations.items())
         ]
 
-    def _holder(self, seat, now: int) -> str:
-        standing = self.keeper.voter.leases.get(seat.place.lease)
-        if seat.claim.holds(now):
-            return self.name
-        if standing is not None and standing.vote is not None and now < standing.vote.until:
-            return standing.vote.holder
-        return seat.holder if seat.holder != self.name else ""
-
     def tasks(self) -> list[dict]:
         """Each task, and what it has taken."""
         return [
@@ -401,7 +397,7 @@
 
     def _give_back_call(self, request) -> tuple[int, bytes]:
         lease = request.body.decode("utf-8", "replace").strip()
-        if lease not in self.keeper.seats:
+        if lease not in self.keeper.participations:
             return 404, b"no such lease\n"
         if not self.node.give_back(lease, "by hand", rest_s=3 * self.told.longest / 1e6):
             return 409, b"not held here\n"
@@ -430,6 +426,6 @@
 
     def _turn_call(self, request, ask: bool) -> tuple[int, bytes]:
         group = request.body.decode("utf-8", "replace").strip()
-        if not any(s.place.group == group and s.place.wanted for s in self.keeper.seats.values()):
+        if not any(s.slot.group == group and s.slot.on_demand for s in self.keeper.participations.values()):
             return 404, b"no lease of this name that is asked for by wish\n"
         return 200, json.dumps(self.turn(group, ask)).encode() + b"\n"
--- a/cypressledge/fleet/runner.py
+++ b/cypressledge/fleet/runner.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 
 from cypressledge.fleet.budget import Budget, Lane
-from cypressledge.fleet.keeper import Granted
+from cypressledge.fleet.leases.participation import HeldLease
 
 KILL_S = 0.5  # seconds that an act has to end in once it is called off
 
@@ -29,7 +29,7 @@
 
     name: str
     lease: str  # the group
-    act: Callable[[Granted], Generator]
+    act: Callable[[HeldLease], Generator]
     every_s: float
     longest_s: float
     priority: int = 5
@@ -46,7 +46,7 @@
     def __init__(
         self,
         tasks: list[Task],
-        grant: Callable[[str], Granted | None],
+        grant: Callable[[str], HeldLease | None],
         now: Callable[[], int],
         budget: Budget,
         told: Callable[..., None],
@@ -87,7 +87,7 @@
     def _work(self, task: Task, lease: str) -> None:
         try:
             while (grant := self.grant(lease)) is not None:
-                if grant.until - self.now() < task.longest_s * 1e6:
+                if grant.expires_at - self.now() < task.longest_s * 1e6:
                     gevent.sleep(min(task.longest_s / 4, 0.05))  # a renewal is on its way, or the lease ends
                     continue
                 self._act(task, grant)
@@ -98,7 +98,7 @@
             if task.running.get(lease) is gevent.getcurrent():
                 del task.running[lease]
 
-    def _act(self, task: Task, grant: Granted) -> None:
+    def _act(self, task: Task, grant: HeldLease) -> None:
         task.acts += 1
         act = task.act(grant)
         limit = gevent.Timeout(task.longest_s)
@@ -121,7 +121,7 @@
             limit.close()
             act.close()
 
-    def _steps(self, task: Task, grant: Granted, act: Generator) -> None:
+    def _steps(self, task: Task, grant: HeldLease, act: Generator) -> None:
         result = None
         while True:
             self._my_turn(task)
--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -10,7 +10,7 @@
 import yaml
 
 from cypressledge.config import ConfigError, parse_address
-from cypressledge.fleet.lease import VoterSetError, check_sets
+from cypressledge.fleet.leases.electorate import VoterSetError, check_voter_sets
 
 T = TypeVar("T")
 PEERS_MOST = 1_000  # 460 brokers, those that replace them in a deployment, control machines
@@ -200,7 +200,7 @@
     for name in newest.names:
         if name not in names:
             raise ConfigError(f"voter {name} is not among the peers")
-    check_sets(told.sets)
+    check_voter_sets(told.sets)
 
 
 def _check_leases(told: FleetSettings) -> None:
--- a/cypressledge/fleet/tasks.py
+++ b/cypressledge/fleet/tasks.py
@@ -9,7 +9,7 @@
 
 from gevent import socket
 
-from cypressledge.fleet.keeper import Granted
+from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import BrokerMetrics, FleetSummary, MetricsRequest
 from cypressledge.fleet.runner import CalledOff
 from cypressledge.fleet.summary import Fence, Merge
@@ -39,14 +39,14 @@
         self.last_at = 0
         self.turned_down = 0
 
-    def act(self, grant: Granted) -> Generator:
+    def act(self, grant: HeldLease) -> Generator:
         """One round, under a grant."""
         peers = self.peers()
-        merge = self.merge = Merge(grant.token, grant.run, self.name)
+        merge = self.merge = Merge(grant.token, grant.instance_id, self.name)
         merge.add(self.name, self.own(grant.token))
         for at in range(0, len(peers), BATCH):
             for peer in peers[at : at + BATCH]:
-                self.out(peer, MetricsRequest(grant.lease, grant.token, grant.run))
+                self.out(peer, MetricsRequest(grant.lease, grant.token, grant.instance_id))
             yield None
         yield GATHER_S
         summary = merge.summary(self.everyone())
@@ -102,7 +102,7 @@
         self.name, self.at, self.steps, self.step_s, self.refused = name, at, steps, step_s, refused
         self.number = 0
 
-    def act(self, grant: Granted) -> Generator:
+    def act(self, grant: HeldLease) -> Generator:
         """One act: so many calls, with a pause between them."""
         self.number += 1
         number = self.number
@@ -110,7 +110,7 @@
             told = {
                 "lease": grant.lease,
                 "token": grant.token,
-                "run": grant.run,
+                "run": grant.instance_id,
                 "holder": self.name,
                 "act": number,
                 "step": step,
--- a/cypressledge/fleet/zones.py
+++ b/cypressledge/fleet/zones.py
@@ -14,7 +14,7 @@
 from cypressledge.decisions import contract as c
 from cypressledge.fleet.evidence import Evidence
 from cypressledge.fleet.judge import FADE, Judgement, Told, judge, judging
-from cypressledge.fleet.keeper import Granted
+from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import EngineObservations, FailoverPlan, PlanRequest, ZoneCommand
 from cypressledge.fleet.shed import SPAN_S, Arrivals, is_shed, over_part, over_shares, refused
 from cypressledge.fleet.zoneplan import FULL, Follower, Load, Pace, Planner, Stage, able
@@ -75,7 +75,7 @@
         self.sights: dict[str, tuple[int, EngineObservations]] = {}
         self.planner: Planner | None = None
         self.regions: Planner | None = None
-        self.grant: Granted | None = None
+        self.grant: HeldLease | None = None
         self.planner_name = ""
         self.noted: dict[Attempt, int] = {}
         self.due = self.sent_at = self.said_at = self.told_line = 0
@@ -224,7 +224,7 @@
 
     # The planner, under a lease
 
-    def act(self, grant: Granted) -> Generator:
+    def act(self, grant: HeldLease) -> Generator:
         """One step of the planner; begins where the newest plan stands."""
         now = self.now()
         if self.planner is None or self.grant is None or self.grant.token != grant.token:
@@ -250,7 +250,7 @@
             shed = refused(counts, over, self._excess(counts, loads, now))
             plan = FailoverPlan(
                 grant.token,
-                grant.run,
+                grant.instance_id,
                 self.planner.number + self.regions.number,
                 self.planner.stands(now),
                 self.regions.stands(now),
@@ -269,7 +269,7 @@
             if zone.stage is Stage.SERVING and others and alone >= max(2, len(fresh) / 2):
                 self.planner.adopt(name, now, f"{alone} of {len(fresh)} brokers left it without a planner")
 
-    def _take_over(self, grant: Granted, now: int) -> None:
+    def _take_over(self, grant: HeldLease, now: int) -> None:
         """Begin to plan, from where the newest plan stands."""
         self.planner = Planner(list(self.names), self.pace, now, self._zone_told)
         self.regions = Planner(self.site.regions, self.pace, now, self._region_told)
--- a/cypressledge/lab/guard_mutations.py
+++ b/cypressledge/lab/guard_mutations.py
@@ -6,7 +6,10 @@
 
 from dataclasses import dataclass
 
-from cypressledge.fleet.lease import NEVER, Claim, Electorate, Voter
+from cypressledge.fleet.clock import NEVER
+from cypressledge.fleet.leases.acquisition import LeaseAcquisition
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.voter import Voter
 from cypressledge.fleet.messages import ReleaseLease, VoteGranted, VoteRequest
 from cypressledge.lab.model_checker import Bounds, Made
 
@@ -62,34 +65,36 @@
 class NotMute(Voter):
     """Votes as soon as it has started."""
 
-    def mute(self, now: int) -> int:
+    def voting_quarantine(self, now: int) -> int:
         """Never."""
         return 0
 
 
-class NoMargin(Claim):
+class NoMargin(LeaseAcquisition):
     """Takes all clocks to run alike."""
 
-    def span(self) -> int:
+    def vote_duration(self) -> int:
         """The whole term."""
         return self.term
 
 
-class LateTimer(Claim):
+class LateTimer(LeaseAcquisition):
     """Counts a vote from when it hears of it."""
 
-    def granted(self, now: int, voter: str, grant: VoteGranted) -> bool:
+    def record_vote(self, now: int, voter: str, grant: VoteGranted) -> bool:
         """As if the round had begun just now."""
-        if not self.counts(grant):
+        if not self.answers_open_round(grant):
             return False
-        self.grants[voter] = max(now + self.span(), self.grants.get(voter, NEVER))
+        self.vote_expirations[voter] = max(
+            now + self.vote_duration(), self.vote_expirations.get(voter, NEVER)
+        )
         return True
 
 
 class AnyToken(Voter):
     """Grants under any token."""
 
-    def grows(self, standing, ask: VoteRequest) -> bool:
+    def is_token_acceptable(self, standing, ask: VoteRequest) -> bool:
         """Always."""
         return True
 
@@ -97,7 +102,7 @@
 class TwoVotes(Voter):
     """Votes for a second process while its vote is out."""
 
-    def free(self, now: int, vote, run: int) -> bool:
+    def is_free(self, now: int, vote, run: int) -> bool:
         """Always."""
         return True
 
@@ -107,29 +112,29 @@
 
     def covers(self, vote, back: ReleaseLease) -> bool:
         """Whatever the round."""
-        return vote.run == back.instance_id
+        return vote.instance_id == back.instance_id
 
 
-class AnyRenewal(Claim):
+class AnyRenewal(LeaseAcquisition):
     """Counts answers to a renewal that come when the lease has ended."""
 
-    def lapsed(self, now: int, round_: int) -> bool:
+    def is_late_renewal(self, now: int, round_: int) -> bool:
         """Never."""
         return False
 
 
-class OpenRounds(Claim):
+class OpenRounds(LeaseAcquisition):
     """Counts answers to rounds that were given back."""
 
-    def drop(self) -> None:
+    def discard_votes(self) -> None:
         """Forget the votes, but not the rounds."""
-        self.grants.clear()
+        self.vote_expirations.clear()
 
 
-class KeepsVotes(Claim):
+class KeepsVotes(LeaseAcquisition):
     """Goes on counting on votes that it gave back."""
 
-    def drop(self) -> None:
+    def discard_votes(self) -> None:
         """Forget nothing."""
 
 
@@ -145,7 +150,7 @@
 class Unsettled(Electorate):
     """Goes by a voter set while an earlier, far one may be in force still."""
 
-    def ready(self, now: int) -> bool:
+    def is_ready(self, now: int) -> bool:
         """Always."""
         return True
 
@@ -153,7 +158,7 @@
 class AnyVersion(Electorate):
     """Answers whatever voter set it is asked under, and says that it does not."""
 
-    def answers(self, now: int, version: int) -> bool:
+    def accepts(self, now: int, version: int) -> bool:
         """Always."""
         return True
 
--- a/cypressledge/lab/model_checker.py
+++ b/cypressledge/lab/model_checker.py
@@ -12,7 +12,10 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from cypressledge.fleet.lease import NEVER, Claim, Electorate, Voter, VoterSetError
+from cypressledge.fleet.clock import NEVER
+from cypressledge.fleet.leases.acquisition import LeaseAcquisition
+from cypressledge.fleet.leases.electorate import Electorate, VoterSetError
+from cypressledge.fleet.leases.voter import Voter
 from cypressledge.fleet.messages import ReleaseLease, VoteGranted, VoteRequest
 
 LEASE = "l"
@@ -49,7 +52,7 @@
     """The classes under the walk; mutants take the place of one."""
 
     voter: type[Voter] = Voter
-    claim: type[Claim] = Claim
+    claim: type[LeaseAcquisition] = LeaseAcquisition
     electorate: type[Electorate] = Electorate
     same_run: bool = False  # a claimant that starts anew is taken for its former self
     base: int = RESTARTED_BASE
@@ -94,12 +97,12 @@
             for i, n in enumerate(b.claimants)
         }
         for i, c in enumerate(self.claims.values()):
-            c.learn(b.floors[i] if b.floors else i)
+            c.observe_token(b.floors[i] if b.floors else i)
         self.alike = {n: n if b.tells else _part(b, n) for n in names}
         for n in (*names, *b.claimants):
             for voter in b.heard.get(n, ()):
                 part = self.voters.get(n) or self.claims[n]
-                part.electorate.hear(-10 * b.term, voter, b.versions.get(voter, min(b.sets)))
+                part.electorate.observe(-10 * b.term, voter, b.versions.get(voter, min(b.sets)))
         self.sent: frozenset = frozenset()
         self.asks = dict(b.asks) if isinstance(b.asks, dict) else dict.fromkeys(b.claimants, b.asks)
         self.backs, self.restarts, self.reborn = b.backs, b.restarts, b.reborn
@@ -126,7 +129,7 @@
         self.voters = self.voters | {n: _copy_voter(self.voters[n])}
         return self.voters[n]
 
-    def own_claim(self, n: str) -> Claim:
+    def own_claim(self, n: str) -> LeaseAcquisition:
         """A claim that this world alone has."""
         self.claims = self.claims | {n: _copy_claim(self.claims[n])}
         return self.claims[n]
@@ -142,7 +145,9 @@
                 by[to].append((0, source, _item_key(item)))
         each = []
         for n, v in self.voters.items():
-            votes = tuple(max(0, c.grants.get(n, NEVER) - self.now[who]) for who, c in self.claims.items())
+            votes = tuple(
+                max(0, c.vote_expirations.get(n, NEVER) - self.now[who]) for who, c in self.claims.items()
+            )
             state = _voter_key(v, self.now[n])
             each.append((self.alike[n], state, self.rereads.get(n, 0), votes, sorted(by[n])))
         each.sort()
@@ -160,13 +165,13 @@
 
     def fault(self) -> str:
         """What is wrong with this state; the ghost `top` remembers the highest token that was held."""
-        holders = [(n, c) for n, c in self.claims.items() if c.holds(self.now[n])]
+        holders = [(n, c) for n, c in self.claims.items() if c.is_held(self.now[n])]
         if len(holders) > 1:
             return "two holders: " + ", ".join(f"{n} with token {c.token}" for n, c in holders)
         for n, c in holders:
-            if (c.token, c.run) != self.top and c.token <= self.top[0]:
+            if (c.token, c.instance_id) != self.top and c.token <= self.top[0]:
                 return f"token {c.token} of {n} is not above {self.top[0]}, which was held before"
-            self.top = (c.token, c.run)
+            self.top = (c.token, c.instance_id)
         return ""
 
 
@@ -177,23 +182,33 @@
 
 def _copy_electorate(e: Electorate) -> Electorate:
     return type(e)(
-        e.name, e.longest, dict(e.sets), e.version, e.since, e.grace, {n: list(h) for n, h in e.heard.items()}
+        e.name,
+        e.max_term,
+        dict(e.voter_sets),
+        e.version,
+        e.adopted_at,
+        e.grace,
+        {n: list(h) for n, h in e.oldest_accepted_by.items()},
     )
 
 
 def _copy_voter(v: Voter) -> Voter:
     w = object.__new__(type(v))
-    w.electorate, w.started, w.base = _copy_electorate(v.electorate), v.started, v.base
+    w.electorate, w.started_at, w.base_token = _copy_electorate(v.electorate), v.started_at, v.base_token
     w.leases = {n: replace(s, vote=s.vote and replace(s.vote)) for n, s in v.leases.items()}
     return w
 
 
-def _copy_claim(c: Claim) -> Claim:
+def _copy_claim(c: LeaseAcquisition) -> LeaseAcquisition:
     d = object.__new__(type(c))
     d.__dict__.update(c.__dict__)
     d.electorate = _copy_electorate(c.electorate)
-    d.began, d.grants, d.refusals = dict(c.began), dict(c.grants), dict(c.refusals)
-    d.renewals = set(c.renewals)
+    d.open_rounds, d.vote_expirations, d.rejections = (
+        dict(c.open_rounds),
+        dict(c.vote_expirations),
+        dict(c.rejections),
+    )
+    d.renewal_rounds = set(c.renewal_rounds)
     return d
 
 
@@ -206,30 +221,42 @@
 
 
 def _electorate_key(e: Electorate, now: int) -> tuple:
-    if len(e.sets) == 1:
+    if len(e.voter_sets) == 1:
         return ()
-    most = 2 * e.longest
+    most = 2 * e.max_term
     return (
         e.version,
-        min(now - e.since, most),
-        tuple((n, tuple((f, min(now - at, most)) for f, at in h)) for n, h in sorted(e.heard.items())),
+        min(now - e.adopted_at, most),
+        tuple(
+            (n, tuple((f, min(now - at, most)) for f, at in h))
+            for n, h in sorted(e.oldest_accepted_by.items())
+        ),
     )
 
 
 def _voter_key(v: Voter, now: int) -> tuple:
     s = v.leases.get(LEASE)
     if s is None:
-        inner = (v.base, (0, 0), ())
+        inner = (v.base_token, (0, 0), ())
     else:
         x = s.vote
         # An ended vote still counts for its owner's token, so it stays in the key, with nothing left.
-        inner = (s.seen, s.shut, (x.run, x.round, x.token, max(0, x.until - now)) if x else ())
-    return inner, v.base, min(now - v.started, v.electorate.longest), _electorate_key(v.electorate, now)
+        inner = (
+            s.highest_token,
+            s.released,
+            (x.instance_id, x.round, x.token, max(0, x.expires_at - now)) if x else (),
+        )
+    return (
+        inner,
+        v.base_token,
+        min(now - v.started_at, v.electorate.max_term),
+        _electorate_key(v.electorate, now),
+    )
 
 
-def _claim_key(c: Claim, now: int) -> tuple:
-    began = tuple((r, min(now - at, c.term + 1), r in c.renewals) for r, at in c.began.items())
-    return c.run, c.round, c.token, c.floor, began, _electorate_key(c.electorate, now)
+def _claim_key(c: LeaseAcquisition, now: int) -> tuple:
+    began = tuple((r, min(now - at, c.term + 1), r in c.renewal_rounds) for r, at in c.open_rounds.items())
+    return c.instance_id, c.round, c.token, c.highest_token, began, _electorate_key(c.electorate, now)
 
 
 def _steps(w: World, b: Bounds, made: Made):
@@ -277,7 +304,7 @@
 def _ask(w: World, n: str) -> None:
     c, now = w.own_claim(n), w.now[n]
     w.asks = w.asks | {n: w.asks[n] - 1}
-    ask = c.ask(now)
+    ask = c.start_round(now)
     if ask is not None:
         for v in c.electorate.voters:
             _send(w, n, v, ask)
@@ -286,7 +313,7 @@
 def _back(w: World, n: str) -> None:
     c = w.own_claim(n)
     w.backs -= 1
-    back = c.give_back()
+    back = c.release()
     for v in c.electorate.voters:
         _send(w, n, v, back)
 
@@ -295,9 +322,13 @@
     w.reborn -= 1
     old = w.claims[n]
     fresh = made.claim(
-        LEASE, old.run if made.same_run else old.run + 10, b.term, DRIFT, _copy_electorate(old.electorate)
+        LEASE,
+        old.instance_id if made.same_run else old.instance_id + 10,
+        b.term,
+        DRIFT,
+        _copy_electorate(old.electorate),
     )
-    fresh.learn(w.top[0] if not made.same_run else old.floor - 1)
+    fresh.observe_token(w.top[0] if not made.same_run else old.highest_token - 1)
     w.claims = w.claims | {n: fresh}
 
 
@@ -305,21 +336,21 @@
     w.restarts -= 1
     old = w.voters[n]
     fresh = _copy_electorate(old.electorate)
-    fresh.heard.clear()
-    w.voters = w.voters | {n: made.voter(fresh, w.now[n], old.base + made.base)}
+    fresh.oldest_accepted_by.clear()
+    w.voters = w.voters | {n: made.voter(fresh, w.now[n], old.base_token + made.base)}
 
 
 def _reread(w: World, n: str, b: Bounds) -> None:
     w.rereads = w.rereads | {n: w.rereads[n] - 1}
     e = w.own_voter(n).electorate if n in w.voters else w.own_claim(n).electorate
     with contextlib.suppress(VoterSetError):
-        e.take(w.now[n], e.version + 1, {v: s for v, s in b.sets.items() if v <= e.version + 1})
+        e.adopt(w.now[n], e.version + 1, {v: s for v, s in b.sets.items() if v <= e.version + 1})
 
 
 def _tell(w: World, n: str, m: str) -> None:
     w.tells -= 1
     e = w.own_claim(m).electorate if m in w.claims else w.own_voter(m).electorate
-    e.hear(w.now[m], n, w.voters[n].electorate.floor(w.now[n]))
+    e.observe(w.now[m], n, w.voters[n].electorate.oldest_accepted(w.now[n]))
 
 
 def _deliver(w: World, message: tuple) -> None:
@@ -327,13 +358,13 @@
     now = w.now[to]
     if to in w.claims:
         c = w.own_claim(to)
-        c.granted(now, source, item)
+        c.record_vote(now, source, item)
         return
     voter = w.own_voter(to)
     if isinstance(item, ReleaseLease):
-        voter.give_back(item)
+        voter.release(item)
         return
-    answer = voter.ask(now, source, item)
+    answer = voter.vote(now, source, item)
     if isinstance(answer, VoteGranted):  # refusals only tell of tokens, which `floors` does here
         _send(w, to, source, answer)
 
--- a/cypressledge/lab/scaling.py
+++ b/cypressledge/lab/scaling.py
@@ -31,7 +31,7 @@
 from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
 from cypressledge.fleet import settings as fleet_settings
-from cypressledge.fleet.keeper import Granted
+from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import (
     VERSION,
     BrokerMetrics,
@@ -559,7 +559,7 @@
 def plan_step(brokers: int, engines: int, lost: bool, seed: int) -> tuple[float, float]:
     """ms of one act of the planner, and of its longest step, in which requests wait."""
     zones, _ = planner(brokers, engines, lost, seed)
-    grant = Granted("zones", "zones", 1, 1, 200 * S)
+    grant = HeldLease("zones", "zones", 1, 1, 200 * S)
     for _ in zones.act(grant):
         pass
     gc.collect()
@@ -664,7 +664,7 @@
         for name, what, unit, x, points in made
     ]
     zones, sent = planner(4, 60, True, seed)
-    for _ in zones.act(Granted("zones", "zones", 1, 1, 200 * S)):
+    for _ in zones.act(HeldLease("zones", "zones", 1, 1, 200 * S)):
         pass
     facts = [
         Fact("plan_bytes", "one plan of 4 zones and 2 regions", size(sent[0][1]), "bytes", told),
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -101,14 +101,14 @@
         return self.node.parts if self.node else []
 
     def _join(self) -> None:
-        from cypressledge.fleet.keeper import Place
-        from cypressledge.fleet.lease import Electorate
+        from cypressledge.fleet.leases.electorate import Electorate
+        from cypressledge.fleet.leases.participation import LeaseSlot
         from cypressledge.fleet.node import FleetNode
 
         told, clock = self.members, LeaseClock()
         term = round(told["term_s"] * 1e6)
         electorate = Electorate(self.name, term, {1: tuple(told["voters"])}, 1, clock.now(), 0)
-        places = [Place(lease, lease, term, False) for lease in told["leases"]]
+        places = [LeaseSlot(lease, lease, term, False) for lease in told["leases"]]
         self.node = FleetNode(
             self.name,
             listen=parse_address(self.address),
@@ -223,7 +223,10 @@
         """The fewest others that any broker here has for alive, itself too; leases held here."""
         nodes = [b.node for b in self.brokers.values() if b.node is not None]
         now = LeaseClock().now()
-        return (min((len(n.alive()) for n in nodes), default=0), sum(len(n.keeper.held(now)) for n in nodes))
+        return (
+            min((len(n.alive()) for n in nodes), default=0),
+            sum(len(n.keeper.held_leases(now)) for n in nodes),
+        )
 
     def watch(self) -> None:
         """A greenlet: how late this process is woken."""
--- a/cypressledge/lab/virtual.py
+++ b/cypressledge/lab/virtual.py
@@ -13,8 +13,9 @@
 
 from tabulate import tabulate
 
-from cypressledge.fleet.keeper import Keeper, places
-from cypressledge.fleet.lease import Electorate
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.lease_manager import LeaseManager
+from cypressledge.fleet.leases.participation import lease_slots
 from cypressledge.fleet.members import ALIVE, Members
 from cypressledge.fleet.messages import VERSION, Ack, Envelope, IndirectPing, Ping, encode
 
@@ -37,7 +38,7 @@
         self.members = Members(
             name, world.names, world.wall() // 1000, S // 2, run, self.out, lambda m, why: None
         )
-        self.keeper = Keeper(
+        self.keeper = LeaseManager(
             name,
             run,
             world.places,
@@ -68,7 +69,7 @@
             if sender != self.name and not self.members.hear(now, sender, incarnation):
                 self.members.refute(items)
                 continue
-            self.keeper.electorate.hear(now, sender, floor)
+            self.keeper.electorate.observe(now, sender, floor)
             for item in items:
                 if isinstance(item, Ping | Ack | IndirectPing):
                     self.members.receive(now, sender, item)
@@ -84,7 +85,7 @@
         queues, self.queues = self.queues, {}
         e = self.keeper.electorate
         for peer, items in queues.items():
-            floor = e.floor(self.now())
+            floor = e.oldest_accepted(self.now())
             raw = encode(
                 Envelope(
                     VERSION, self.name, peer, self.run, self.members.incarnation, e.version, floor, items
@@ -110,7 +111,7 @@
         self.names, self.term, self.drift, self.rates = names, term, drift, rates or {}
         self.random = random.Random(seed)
         self.sets = {1: tuple(voters)}
-        self.places = [p for i in range(leases) for p in places(f"lease-{i}", 1, term, False)]
+        self.places = [p for i in range(leases) for p in lease_slots(f"lease-{i}", 1, term, False)]
         self.at = 0
         self.numbers = itertools.count()
         self.events: list = []
@@ -190,7 +191,11 @@
 
     def holders(self, lease: str) -> list[str]:
         """Who believes in holding a lease now, by its own clock."""
-        return [n for n, node in self.nodes.items() if node.keeper.seats[lease].claim.holds(node.now())]
+        return [
+            n
+            for n, node in self.nodes.items()
+            if node.keeper.participations[lease].acquisition.is_held(node.now())
+        ]
 
 
 def report(brokers: int, leases: int, voters: int, seconds: float, seed: int, say: Callable) -> int:
--- a/cypressledge/lab/zonesize.py
+++ b/cypressledge/lab/zonesize.py
@@ -26,7 +26,7 @@
 from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
-from cypressledge.fleet.keeper import Granted
+from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.zoneplan import Pace
 from cypressledge.fleet.zones import Site, Zones
 
@@ -383,7 +383,7 @@
         self._arrivals()
         if self.on and self.now >= self.plan_from and self.now % PLAN_EVERY == 0:
             for _ in self.brokers[self.planner].zones.act(
-                Granted("zones", "zones", self.token, self.token, self.now + S)
+                HeldLease("zones", "zones", self.token, self.token, self.now + S)
             ):
                 pass
         late = self.now % 100_000 == 0
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -21,7 +21,7 @@
 from cypressledge.decisions.contract import EngineListEntry, EngineState, Outcome
 from cypressledge.fleet.evidence import Evidence
 from cypressledge.fleet.judge import Finding, Told, Verdict, judge
-from cypressledge.fleet.keeper import Granted
+from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import EngineObservation, EngineObservations, FailoverPlan, ZoneStatus
 from cypressledge.fleet.shed import Arrivals, is_shed, over_part, over_shares, refused
 from cypressledge.fleet.zoneplan import Follower, Load, Pace, Planner, able, is_open, ramp
@@ -285,7 +285,7 @@
             self._requests(name, self.cores[name], self.zones[name])
             self.out.add(self.zones[name].tick(self.now))
         if self.planner and self.now % 100_000 == 0:
-            grant = Granted("zones", "zones", self.token, 7, self.now + S)
+            grant = HeldLease("zones", "zones", self.token, 7, self.now + S)
             for asked in self.zones[self.planner].act(grant):
                 self.out.add(asked)
         mail, self.mail = self.mail, []
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -11,8 +11,8 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.exchange import ADDRESSES_MOST, BUCKET_IDLE, BURST, Exchange
-from cypressledge.fleet.keeper import places
-from cypressledge.fleet.lease import Electorate
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.participation import lease_slots
 from cypressledge.fleet.members import ALIVE, GONE, SUSPECT, Members
 from cypressledge.fleet.messages import EngineObservations, GossipUpdate, Ping
 from cypressledge.fleet.node import FleetNode
@@ -53,7 +53,7 @@
             "clock": clock,
             "electorate": Electorate(name, TERM, {1: NAMES}, 1, clock.now()),
             "log": Quiet(),
-            "places": [*places("one", 1, TERM, False), *places("wish", 1, TERM, True)],
+            "places": [*lease_slots("one", 1, TERM, False), *lease_slots("wish", 1, TERM, True)],
             "told": lambda *what: self.told.append((name, *what)),
             "member_changed": lambda m, why: self.changed.append((name, m.name, m.state)),
         }
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -11,8 +11,10 @@
 
 from cypressledge.config import ConfigError
 from cypressledge.fleet.budget import Budget, Lane
-from cypressledge.fleet.keeper import Keeper, Phase, places
-from cypressledge.fleet.lease import Electorate
+from cypressledge.fleet.leases.candidate_order import candidate_order
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.lease_manager import LeaseManager
+from cypressledge.fleet.leases.participation import ParticipationPhase, lease_slots
 from cypressledge.fleet.messages import (
     MAX_DATAGRAM_BYTES,
     VERSION,
@@ -28,7 +30,6 @@
     decode,
     encode,
 )
-from cypressledge.fleet.ranks import line
 from cypressledge.fleet.settings import read_fleet
 from cypressledge.fleet.summary import Fence, Merge
 from cypressledge.lab.virtual import S, World
@@ -134,10 +135,14 @@
 def test_a_dead_brokers_leases_spread_over_the_living():
     names = [f"n{i}" for i in range(10)]
     leases = [f"l{i}" for i in range(400)]
-    firsts = {lease: line(lease, names)[0] for lease in leases}
+    firsts = {lease: candidate_order(lease, names)[0] for lease in leases}
     dead = max(names, key=list(firsts.values()).count)
-    after = [line(lease, [n for n in names if n != dead])[0] for lease in leases if firsts[lease] == dead]
-    assert all(line(n, names)[0] == f for n, f in firsts.items())
+    after = [
+        candidate_order(lease, [n for n in names if n != dead])[0]
+        for lease in leases
+        if firsts[lease] == dead
+    ]
+    assert all(candidate_order(n, names)[0] == f for n, f in firsts.items())
     assert len(set(after)) == 9
     assert max(map(after.count, after)) < len(after) / 3
 
@@ -212,14 +217,20 @@
     assert max(waits) < 1.5
 
 
-def looker(seen, alive=5):
-    """A keeper that looks at a lease and has heard so of it; where its seat stands, and how long it rests."""
-    voters, sent = tuple(f"v{i}" for i in range(5)), []
-    keeper = Keeper(
-        "n9",
+VOTERS = tuple(f"v{i}" for i in range(5))
+# A broker that is the first candidate for lease "l", whichever of these voters are alive.
+FIRST = next(n for n in map("n{}".format, range(100)) if candidate_order("l", [n, *VOTERS])[0] == n)
+
+
+def after_statuses(statuses, alive=5):
+    """The first candidate's phase, and how long it rests (s), after it has queried a lease and got these
+    answers."""
+    sent = []
+    manager = LeaseManager(
+        FIRST,
         9,
-        places("l", 1, 3 * S, False),
-        Electorate("n9", 3 * S, {1: voters}, 1, 0),
+        lease_slots("l", 1, 3 * S, False),
+        Electorate(FIRST, 3 * S, {1: VOTERS}, 1, 0),
         0,
         0,
         0,
@@ -227,40 +238,38 @@
         lambda to, item: sent.append((to, item)),
         lambda *a: None,
     )
-    keeper.set_alive(frozenset(voters[:alive]) | {"n9"}, 4 * S)
-    keeper.rank = lambda lease: 0
-    keeper.tick(5 * S)
-    assert {to for to, item in sent if isinstance(item, LeaseStatusRequest)} == set(voters)
-    for voter, holder, left, mute in seen:
-        keeper.receive(5 * S, voter, LeaseStatus("l", holder, left, 7, mute))
-    seat = keeper.seats["l"]
-    return seat.phase, (seat.due - 5 * S) / S
+    manager.set_alive(frozenset(VOTERS[:alive]) | {FIRST}, 4 * S)
+    manager.tick(5 * S)
+    assert {to for to, item in sent if isinstance(item, LeaseStatusRequest)} == set(VOTERS)
+    for voter, holder, remaining, quarantine in statuses:
+        manager.receive(5 * S, voter, LeaseStatus("l", holder, remaining, 7, quarantine))
+    participation = manager.participations["l"]
+    return participation.phase, (participation.due_at - 5 * S) / S
 
 
 def test_a_mute_voter_that_answers_first_does_not_put_a_free_lease_off():
     mute, free = ("v0", "", 0, 2 * S), [(f"v{i}", "", 0, 0) for i in range(1, 4)]
-    assert looker([mute, *free])[0] is Phase.ASKING
-    assert looker(free)[0] is Phase.ASKING
+    assert after_statuses([mute, *free])[0] is ParticipationPhase.REQUESTING_VOTES
+    assert after_statuses(free)[0] is ParticipationPhase.REQUESTING_VOTES
     held = [(f"v{i}", "n1", 2 * S, 0) for i in range(4)]
-    phase, due = looker(held)  # a fifth answer is still out
-    assert phase is Phase.LOOKING
+    phase, due = after_statuses(held)  # a fifth answer is still out
+    assert phase is ParticipationPhase.QUERYING_STATUS
     assert due <= 0.5
-    phase, due = looker(held, alive=4)
-    assert phase is Phase.IDLE
+    phase, due = after_statuses(held, alive=4)
+    assert phase is ParticipationPhase.IDLE
     assert 1 < due <= 2.1
-    phase, due = looker([*held, ("v4", "", 0, 0)])
-    assert phase is Phase.IDLE
+    phase, due = after_statuses([*held, ("v4", "", 0, 0)])
+    assert phase is ParticipationPhase.IDLE
     assert 1 < due <= 2.1
 
 
 def test_a_try_that_cannot_win_without_the_dead_is_given_up_at_once():
-    voters = tuple(f"v{i}" for i in range(5))
-    for alive, given_up in ((voters, False), (voters[:4], True)):
-        keeper = Keeper(
+    for alive, given_up in ((VOTERS, False), (VOTERS[:4], True)):
+        manager = LeaseManager(
             "n9",
             9,
-            places("l", 1, 3 * S, True),
-            Electorate("n9", 3 * S, {1: voters}, 1, 0),
+            lease_slots("l", 1, 3 * S, True),
+            Electorate("n9", 3 * S, {1: VOTERS}, 1, 0),
             0,
             0,
             0,
@@ -268,28 +277,30 @@
             lambda *a: None,
             lambda *a: None,
         )
-        keeper.set_alive(frozenset(alive) | {"n9"}, 4 * S)
-        seat = keeper.seats["l"]
-        keeper.want("l", 4 * S)
-        seat.hurry = 5
-        keeper.tick(5 * S)
-        assert seat.phase is Phase.ASKING
+        manager.set_alive(frozenset(alive) | {"n9"}, 4 * S)
+        participation = manager.participations["l"]
+        manager.request("l", 4 * S)
+        participation.fast_retries = 5
+        manager.tick(5 * S)
+        assert participation.phase is ParticipationPhase.REQUESTING_VOTES
         for voter in ("v0", "v1"):
-            keeper.receive(5 * S, voter, VoteRejected("l", 9, seat.claim.round, "held", "n1", S, 1))
-        assert (seat.phase is not Phase.ASKING) is given_up
-        assert not given_up or seat.due - 5 * S < S // 5
+            manager.receive(
+                5 * S, voter, VoteRejected("l", 9, participation.acquisition.round, "held", "n1", S, 1)
+            )
+        assert (participation.phase is not ParticipationPhase.REQUESTING_VOTES) is given_up
+        assert not given_up or participation.due_at - 5 * S < S // 5
 
 
 def test_what_a_process_held_before_it_started_anew_is_not_its_own():
-    former = [(f"v{i}", "n9", 2 * S, 0) for i in range(5)]
-    assert looker(former)[0] is Phase.IDLE
+    former = [(voter, FIRST, 2 * S, 0) for voter in VOTERS]
+    assert after_statuses(former)[0] is ParticipationPhase.IDLE
 
 
 def test_a_give_back_hands_over_at_once():
     for seed in range(10):
         world = trio(seed)
         node = world.nodes[world.holders("lease-0")[0]]
-        node.keeper.give_back("lease-0", node.now(), "by hand", rest=9 * S)
+        node.keeper.release("lease-0", node.now(), "by hand", rest=9 * S)
         node.turn()
         world.run(S // 5)
         assert world.holders("lease-0") not in ([], [node.name])
@@ -365,7 +376,7 @@
     elif kind == 6 and name in world.nodes:
         node = world.nodes[name]
         for lease in world.places:
-            node.keeper.give_back(lease.lease, node.now(), "drawn")
+            node.keeper.release(lease.lease, node.now(), "drawn")
         node.turn()
     elif kind == 7:
         for voter in rng.sample(world.sets[1], 2):
@@ -381,7 +392,7 @@
     names = [f"n{i}" for i in range(6)]
     rates = {n: rng.choice((0.99, 1.0, 1.01)) for n in names}
     world = World(names, names[:3], 2, seed, rates=rates)
-    world.places += places("pool", 2, world.term, False)
+    world.places += lease_slots("pool", 2, world.term, False)
     for name in names:
         world.start(name)
     watch = Watch(world)
