--- /dev/null
+++ b/cypressledge/broker/attempt_dispatcher.py
@@ -0,0 +1,109 @@
+"""Starts, changes and calls off attempts at engines, as the decision module's actions say."""
+
+from collections.abc import Callable
+
+from cypressledge.broker.engine_registry import EngineRegistry
+from cypressledge.broker.event_loop import EventLoop
+from cypressledge.broker.metrics import Counters
+from cypressledge.broker.request_log import RequestLog
+from cypressledge.broker.requests import Attempt, EngineTransport, Request
+from cypressledge.clock import monotonic_us
+from cypressledge.decisions import contract as c
+
+
+class AttemptDispatcher:
+    """Hands attempts to the transport of their engine's wire. Runs on the event loop alone."""
+
+    def __init__(
+        self,
+        settings: c.Settings,
+        requests: dict[int, Request],
+        loop: EventLoop,
+        engines: EngineRegistry,
+        counters: Counters,
+        log: RequestLog,
+        report_ended: Callable[[Attempt, c.Outcome], None],
+    ) -> None:
+        self.settings = settings
+        self.transports: dict[str, EngineTransport] = {}  # by wire
+        self._requests = requests  # the ledger's, by number
+        self._loop = loop
+        self._engines = engines
+        self._counters = counters
+        self._log = log
+        self._report_ended = report_ended
+        loop.register_actions(
+            {
+                c.StartAttempt: self._start_attempt,
+                c.SetAttemptResources: self._set_resources,
+                c.CancelAttempt: self._cancel_attempt,
+            }
+        )
+
+    def cancel(self, attempt: Attempt, outcome: c.Outcome) -> None:
+        """Call an attempt off at its engine; its outcome reaches the module with the next batch."""
+        if attempt.is_open:
+            self.transports[attempt.endpoint.wire].cancel(attempt)
+            self._report_ended(attempt, outcome)
+
+    def _start_attempt(self, action: c.StartAttempt) -> None:
+        request = self._requests.get(action.request)
+        ready = self._engines.ready_endpoints.get(action.engine)
+        endpoint = ready or self._engines.endpoints.get(action.engine)
+        if request is None or endpoint is None:
+            self._counters.invariant(False, "send_of_nothing")
+            self._loop.pending_events.append(
+                c.AttemptEnded(action.request, 0, action.engine, c.Outcome.NOT_SENT, True, 0)
+            )
+            return
+        now = monotonic_us()
+        query = request.query
+        deadline = min(query.deadline, now + action.timeout) if action.timeout else query.deadline
+        attempt = Attempt(request, len(request.attempts), endpoint, now, deadline, self._loop.decided_at)
+        request.attempts.append(attempt)
+        request.open_attempts += 1
+        if ready is None or not self._may_send(attempt, now):
+            self._counters.add("moot_sends")
+            self._report_ended(attempt, c.Outcome.NOT_SENT)
+            return
+        self._counters.add("attempts.first" if attempt.number == 0 else "attempts.further")
+        if attempt.number:
+            self._counters.add(f"retry_after.{self._log.retried(attempt)}")
+        self._loop.timers.schedule(deadline, self._check_timeout, (request.number, attempt.number))
+        self.transports[endpoint.wire].send(attempt)
+
+    def _may_send(self, attempt: Attempt, now: int) -> bool:
+        """Whether an attempt at a ready engine is still of use, and allowed."""
+        return (
+            attempt.is_wanted
+            and attempt.request.streaming_attempt is None
+            and attempt.number < self.settings.max_attempts
+            and attempt.deadline > now
+        )
+
+    def _set_resources(self, action: c.SetAttemptResources) -> None:
+        if (request := self._requests.get(action.request)) is None:
+            return
+        request.grant_mb, request.priority = action.grant_mb, action.priority
+        for attempt in request.attempts:
+            if attempt.is_open:
+                self.transports[attempt.endpoint.wire].update_resources(attempt)
+
+    def _cancel_attempt(self, action: c.CancelAttempt) -> None:
+        request = self._requests.get(action.request)
+        if request is None or action.attempt >= len(request.attempts):
+            return
+        attempt = request.attempts[action.attempt]
+        if request.streaming_attempt is attempt and not request.is_concluded:
+            return
+        self._counters.add(f"cancelled.{action.reason}")
+        if attempt.is_open and action.reason is not c.Reason.REQUEST_FINISHED:
+            self._log.attempt_cancelled(attempt, action.reason)
+        self.cancel(attempt, c.Outcome.CANCELLED)
+
+    def _check_timeout(self, named: tuple[int, int]) -> None:
+        number, attempt_number = named
+        if (request := self._requests.get(number)) is not None:
+            attempt = request.attempts[attempt_number]
+            if request.streaming_attempt is not attempt:
+                self.cancel(attempt, c.Outcome.TIMEOUT)
--- /dev/null
+++ b/cypressledge/broker/engine_registry.py
@@ -0,0 +1,124 @@
+"""The engines as their lists name them, and how the decision module is to see them."""
+
+import re
+from collections.abc import Callable
+from dataclasses import replace
+
+from cypressledge.broker.event_log import EventKind, EventLog
+from cypressledge.broker.event_loop import EventLoop
+from cypressledge.broker.maintenance import Maintenance
+from cypressledge.broker.metrics import Counters, log
+from cypressledge.broker.requests import Endpoint
+from cypressledge.decisions import contract as c
+
+ENGINE_NUMBER = re.compile(r"\bengine ([0-9a-f]+)\b")  # as the module's log lines name engines
+
+ListedEngine = tuple[c.EngineListEntry, Endpoint]
+EngineProcess = tuple[c.EngineState, int]  # its state, and the start of its process in ms
+
+
+def _state_name(process: EngineProcess | None) -> str:
+    """How a log names an engine's state; None: no list names it."""
+    return "unlisted" if process is None else process[0].name.lower()
+
+
+class EngineRegistry:
+    """All engine lists, by their source, put together; and which engines take new work at this moment."""
+
+    def __init__(self, loop: EventLoop, counters: Counters, event_log: EventLog) -> None:
+        self.engine_lists: dict[str, list[ListedEngine]] = {}  # by source, as the source gave it last
+        self.endpoints: dict[int, Endpoint] = {}  # by engine, all that the module knows of
+        self.ready_endpoints: dict[int, Endpoint] = {}  # by engine, those that take new work
+        self.maintenance = Maintenance()
+        # Set where brokers act together: whether the failover plan closes an engine to this broker.
+        self.is_closed: Callable[[c.EngineListEntry], bool] | None = None
+        self._loop = loop
+        self._counters = counters
+        self._event_log = event_log
+        self._last_kind = c.EngineListKind.CACHED
+        self._processes: dict[str, EngineProcess] | None = (
+            None  # by engine's name; None before the first list
+        )
+        loop.register_actions({c.Log: self._log_for_module})
+        counters.gauge("ready_engines", lambda: len(self.ready_endpoints))
+
+    # Called by socket code
+
+    def update_list(self, source: str, kind: c.EngineListKind, engines: list[ListedEngine]) -> None:
+        """Take a source's complete list. Drain and loss count at once, also for attempts not yet sent."""
+        self.engine_lists[source] = engines
+        self._last_kind = kind
+        self._publish()
+
+    def set_maintenance(self, maintenance: Maintenance) -> None:
+        """Take which engines operators hold out of service, at once."""
+        self.maintenance = maintenance
+        self.refresh()
+
+    def refresh(self) -> None:
+        """Have the module see the lists anew, at once: what `is_closed` says has changed."""
+        if self.engine_lists:
+            self._publish()
+
+    def is_listed(self, name: str) -> bool:
+        """Whether a list names an engine of this name."""
+        return any(endpoint.name == name for listed in self.engine_lists.values() for _, endpoint in listed)
+
+    def is_current(self, endpoint: Endpoint) -> bool:
+        """Whether its engine takes new work, and is still the process that listened there."""
+        return self.ready_endpoints.get(endpoint.id) == endpoint
+
+    # How the module sees the lists
+
+    def _publish(self) -> None:
+        """Put the lists together, and have the loop hand them to the module."""
+        engines = [
+            (self._effective_entry(entry, endpoint), endpoint)
+            for listed in self.engine_lists.values()
+            for entry, endpoint in listed
+        ]
+        self._log_changes(engines)
+        self.ready_endpoints = {
+            entry.engine: endpoint for entry, endpoint in engines if entry.state is c.EngineState.READY
+        }
+        self._loop.post(self._hand_over, self._last_kind, engines)
+
+    def _effective_entry(self, entry: c.EngineListEntry, endpoint: Endpoint) -> c.EngineListEntry:
+        """A list's entry under maintenance and the failover plan."""
+        entry = self.maintenance.effective_entry(endpoint.name, entry)
+        if self.is_closed is not None and entry.state is c.EngineState.READY and self.is_closed(entry):
+            return replace(entry, state=c.EngineState.DRAINING)
+        return entry
+
+    def _hand_over(self, kind: c.EngineListKind, engines: list[ListedEngine]) -> None:
+        # Engines that are gone are forgotten: their endpoints would pile up.
+        self.endpoints = {endpoint.id: endpoint for _, endpoint in engines}
+        self._counters.add("lists")
+        self._loop.pending_events.append(c.EngineListReceived(kind, tuple(entry for entry, _ in engines)))
+
+    # What the log says of engines
+
+    def _log_changes(self, engines: list[ListedEngine]) -> None:
+        """Log which engines come, go, drain or run as a new process; not at the first list."""
+        processes = {endpoint.name: (entry.state, endpoint.started_at_ms) for entry, endpoint in engines}
+        before, self._processes = self._processes, processes
+        if before is None or before == processes:
+            return
+        for name in before.keys() | processes.keys():
+            if before.get(name) != processes.get(name):
+                self._log_change(name, before.get(name), processes.get(name))
+
+    def _log_change(self, name: str, old: EngineProcess | None, new: EngineProcess | None) -> None:
+        restarted = old is not None and new is not None and old[1] != new[1]
+        more = {"process": "new"} if restarted else {}
+        self._event_log.write(
+            EventKind.ENGINE_STATE, engine=name, from_=_state_name(old), to=_state_name(new), **more
+        )
+
+    def _log_for_module(self, action: c.Log) -> None:
+        """The module knows engines by number; whoever reads the log knows them by name."""
+        log("module: " + ENGINE_NUMBER.sub(self._with_name, action.text))
+
+    def _with_name(self, match: re.Match) -> str:
+        endpoint = self.endpoints.get(int(match[1], 16))
+        return f"engine {endpoint.name}" if endpoint else match[0]
--- /dev/null
+++ b/cypressledge/broker/request_log.py
@@ -0,0 +1,71 @@
+"""What the event log says of requests and their attempts."""
+
+from cypressledge.broker.event_log import EventKind, EventLog
+from cypressledge.broker.requests import Attempt, Query, Request
+from cypressledge.clock import monotonic_us
+from cypressledge.decisions import contract as c
+
+US_PER_MS = 1_000
+STILL_OUT = "out"  # in place of an outcome, where the attempt before a retry has not ended
+
+
+class RequestLog:
+    """Writes events of requests, each with the request's id, to the event log."""
+
+    __slots__ = ("_event_log",)
+
+    def __init__(self, event_log: EventLog) -> None:
+        self._event_log = event_log
+
+    def rejected_at_admission(self, query: Query, reason: str) -> None:
+        """A query was rejected that the decision module never heard of."""
+        self._event_log.write(EventKind.REJECTED, request=query.id, class_=query.class_name, reason=reason)
+
+    def unserved(self, kind: EventKind, request: Request, reason: c.Reason) -> None:
+        """A request ends rejected or failed (`kind`), without an engine's answer."""
+        query = request.query
+        self._event_log.write(
+            kind,
+            request=query.id,
+            class_=query.class_name,
+            reason=reason,
+            attempts=len(request.attempts),
+            left_ms=(query.deadline - monotonic_us()) // US_PER_MS,
+        )
+
+    def attempt_ended(self, attempt: Attempt, outcome: c.Outcome) -> None:
+        """An attempt ended with an outcome that is no answer."""
+        self._event_log.write(
+            EventKind.ATTEMPT_ENDED,
+            request=attempt.query.id,
+            attempt=attempt.number,
+            engine=attempt.endpoint.name,
+            outcome=outcome.name.lower(),
+            after_ms=(monotonic_us() - attempt.sent_at) // US_PER_MS,
+        )
+
+    def attempt_cancelled(self, attempt: Attempt, reason: c.Reason) -> None:
+        """The module called off an attempt that was open."""
+        self._event_log.write(
+            EventKind.ATTEMPT_CANCELLED,
+            request=attempt.query.id,
+            attempt=attempt.number,
+            engine=attempt.endpoint.name,
+            reason=reason,
+        )
+
+    def retried(self, attempt: Attempt) -> str:
+        """A further attempt starts; answers with what the one before it ended by."""
+        attempts = attempt.request.attempts
+        first, previous = attempts[0], attempts[attempt.number - 1]
+        outcome = previous.outcome.name.lower() if previous.outcome is not None else STILL_OUT
+        self._event_log.write(
+            EventKind.RETRY,
+            request=attempt.query.id,
+            class_=attempt.query.class_name,
+            attempt=attempt.number,
+            engine=attempt.endpoint.name,
+            after=outcome,
+            since_first_ms=(attempt.sent_at - first.sent_at) // US_PER_MS,
+        )
+        return outcome
--- a/cypressledge/broker/requests.py
+++ b/cypressledge/broker/requests.py
@@ -3,11 +3,13 @@
 No wire is known here, and no clock is read.
 """
 
+import re
 from dataclasses import dataclass, field
 from typing import Protocol
 
 from cypressledge.decisions import contract as c
 
+CLIENT_KEY = re.compile(r"[!-+\--~]{1,128}\Z", re.A)  # no commas or blanks: it may stand in a list
 MAX_SEND_DELAY = (
     500_000  # µs from its decision in which an attempt leaves, or never does: the module's margin
 )
--- a/cypressledge/broker_process.py
+++ b/cypressledge/broker_process.py
@@ -16,7 +16,7 @@
 import gevent
 from gevent.event import Event
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.event_log import EventKind
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.broker.requests import MAX_SEND_DELAY
@@ -69,14 +69,15 @@
         self.config = config
         self.counters = Counters()
         self.hello = f"{config.name}: listening on {config.listen[0]}:{config.listen[1]}"
-        self.core = Core(_settings(config, service), config.seed, self.counters)
-        self.lines = self.core.transports["lines"] = LineProtocolTransport(self.core, config.limits)
+        self.core = BrokerCore(_settings(config, service), config.seed, self.counters)
+        self.lines = LineProtocolTransport(self.core, config.limits)
+        self.core.add_transport("lines", self.lines)
         self.tenants = Tenants()
         self.front = JsonRpcFrontend(
             self.core, config.listen, config.classes, self.tenants, self.counters, config.inherited_socket_fd
         )
         self.fronts, self.links = [self.front], [self.lines]
-        self.parts = [self.core.run, self.front.listener.run, self._tend]
+        self.parts = [self.core.loop.run, self.front.listener.run, self._tend]
         if config.metrics_interval_s:
             self.parts.append(self._figures)
         self.management = None
@@ -127,9 +128,11 @@
     def _limit(self, config: Config) -> None:
         """Take what the configuration allows; at the start and at each reload."""
         limits, shared = config.limits, self.service is not None
-        self.core.max_retry_after = limits.max_retry_after
-        self.core.max_open_requests = min(MAX_OPEN_REQUESTS, limits.spare_memory // BYTES_PER_OPEN_REQUEST)
-        self.core.max_statement_bytes = limits.spare_memory // 8
+        self.core.ledger.max_retry_after = limits.max_retry_after
+        self.core.ledger.max_open_requests = min(
+            MAX_OPEN_REQUESTS, limits.spare_memory // BYTES_PER_OPEN_REQUEST
+        )
+        self.core.ledger.max_statement_bytes = limits.spare_memory // 8
         GROWN.most = QUEUED.most = limits.spare_memory // 4
         BUFFER_GROWTH.limit = QUEUED_BYTES.limit = limits.spare_memory // 4
         self.lines.limits, self.lines.max_connections = limits, limits.max_engine_connections(shared)
@@ -199,7 +202,7 @@
 
     def run(self, early: list[int]) -> None:
         """Serve until told to stop; then answer all that was taken. `early`: signals that came before."""
-        log(f"{self.hello}, {len(self.core.ready_endpoints)} engines ready")
+        log(f"{self.hello}, {len(self.core.engines.ready_endpoints)} engines ready")
         for part in map(gevent.spawn, self.parts):
             part.link_exception(self._broken)
         heeded = {
@@ -214,7 +217,7 @@
             heeded[signal.Signals(number)]()
         self.stopping.wait()
         log("stopping: no longer healthy, still serving")
-        self.core.start_shutdown(monotonic_us() + self._grace())
+        self.core.ledger.start_shutdown(monotonic_us() + self._grace())
         if self.fleet is not None:
             self.fleet.stop()
         if self.control is not None:
@@ -225,12 +228,13 @@
         gevent.sleep(ACCEPT_AFTER_STOP_S)
         for front in self.fronts:
             front.stop()
-        self.core.is_accepting = False
+        self.core.ledger.is_accepting = False
         self.front.drain()
-        while any(not r.is_concluded for r in self.core.requests.values()):
+        while any(not r.is_concluded for r in self.core.ledger.requests.values()):
             gevent.sleep(0.02)
         until = min(
-            FLUSH_S, (self.core.shutdown_deadline + GIVE_UP_MARGIN_US - monotonic_us()) / 1e6 - EXIT_MARGIN_S
+            FLUSH_S,
+            (self.core.ledger.shutdown_deadline + GIVE_UP_MARGIN_US - monotonic_us()) / 1e6 - EXIT_MARGIN_S,
         )
         for front in self.fronts:
             front.flush(max(until, 0.0))
@@ -244,7 +248,7 @@
 
     def _taking(self) -> bool:
         """Whether this process takes clients."""
-        return self.front.listener.accepting.is_set() and not self.core.is_stopping
+        return self.front.listener.accepting.is_set() and not self.core.ledger.is_stopping
 
     def _tend(self) -> None:
         tasks = [link.maintain for link in self.links] + [self._look_at_clock]
--- a/cypressledge/fleet/part.py
+++ b/cypressledge/fleet/part.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import Counters
 from cypressledge.clock import wall_us
 from cypressledge.config import Config, ConfigError, parse_address
@@ -45,7 +45,7 @@
 class FleetPart:
     """What one broker has to do with the others."""
 
-    def __init__(self, path: str, config: Config, core: Core, counters: Counters) -> None:
+    def __init__(self, path: str, config: Config, core: BrokerCore, counters: Counters) -> None:
         self.path, self.name, self.classes = path, config.name, config.classes
         self.core, self.counters = core, counters
         told = self.told = read_fleet(path)
@@ -216,14 +216,14 @@
         self.log.info(event, **what)
 
     def _figures(self, token: int) -> BrokerMetrics:
-        held = self.core.manager.engines
+        held = self.core.loop.manager.engines
         avoided = [
             p.name
-            for lst in self.core.engine_lists.values()
+            for lst in self.core.engines.engine_lists.values()
             for e, p in lst
             if e.state is not EngineState.REMOVED
             and (
-                self.core.maintenance.effective_entry(p.name, e).state is not EngineState.READY
+                self.core.engines.maintenance.effective_entry(p.name, e).state is not EngineState.READY
                 or (e.engine in held and held[e.engine].held_off)
             )
         ]
@@ -232,8 +232,8 @@
             self.core.counters.counts,
             self.classes,
             avoided,
-            len(self.core.ready_endpoints),
-            len(self.core.requests),
+            len(self.core.engines.ready_endpoints),
+            len(self.core.ledger.requests),
         )
 
     # Changes
--- a/cypressledge/fleet/zones.py
+++ b/cypressledge/fleet/zones.py
@@ -1,7 +1,7 @@
 """One broker's part in zone failover: evidence from the core, the plan under a lease, and where it binds.
 
 No sockets of its own: messages go through the part's exchange, and what the plan closes is closed in
-`Core._tell`, the one place that every list passes. Told the time in µs of the clock that leases use.
+`EngineRegistry._publish`, the one place that every list passes. Told the time in µs of the leases' clock.
 """
 
 from collections import Counter
@@ -9,7 +9,7 @@
 from copy import deepcopy
 from dataclasses import dataclass
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.requests import Attempt, Query
 from cypressledge.decisions import contract as c
 from cypressledge.fleet.evidence import Evidence
@@ -58,7 +58,7 @@
     def __init__(
         self,
         name: str,
-        core: Core,
+        core: BrokerCore,
         site: Site,
         pace: Pace,
         now: Callable[[], int],
@@ -83,7 +83,11 @@
         self.judgement = self.of_regions = Judgement({}, {})
         self.last_said: dict[str, str] = {}
         self.shed = self.said = 0
-        core.observer, core.is_closed, core.admission_filter = self, self.shut, self.admit
+        core.ledger.observer, core.engines.is_closed, core.ledger.admission_filter = (
+            self,
+            self.shut,
+            self.admit,
+        )
 
     # What the core tells
 
@@ -109,12 +113,12 @@
     def _expected(self, query) -> int:
         """µs that a query should take as engines answer its class now: if all are crowded, none is lost."""
         run = query.cost / max(1, self.core.settings.classes[query.class_index].threads)
-        return int(run * min(max(self.core.manager.class_slow[query.class_index], 1.0), CROWDED))
+        return int(run * min(max(self.core.loop.manager.class_slow[query.class_index], 1.0), CROWDED))
 
     def _look(self, now: int) -> None:
         """At the attempts that are out: which have been quiet for long."""
-        clock, open_ = self.core.now(), []
-        for request in self.core.requests.values():
+        clock, open_ = self.core.loop.now(), []
+        for request in self.core.ledger.requests.values():
             for attempt in request.attempts:
                 if attempt.is_open:
                     quiet = clock - attempt.sent_at
@@ -172,9 +176,9 @@
                 self.told(
                     "plan_taken", token=plan.token, number=plan.number, planner=sender, shares=self._shares()
                 )
-                self.core.refresh()
+                self.core.engines.refresh()
             elif alone:
-                self.core.refresh()
+                self.core.engines.refresh()
 
     def _shares(self) -> dict[str, int]:
         return {z: self.follower.share(z) for z in self.names}
@@ -209,7 +213,7 @@
                 zones=sorted(self.follower.alone),
                 why="; ".join(own.zones[z].why for z in sorted(self.follower.alone)),
             )
-            self.core.refresh()
+            self.core.engines.refresh()
         return self.due
 
     def _own(self, sight: EngineObservations) -> Told:
@@ -325,10 +329,10 @@
 
     def _views(self, told: list[Told], region: dict[str, str] | None = None) -> tuple:
         """What is to be judged: all zones; or all regions, of zones that are in one."""
-        engines, changing, clock = {}, set(), self.core.now()
+        engines, changing, clock = {}, set(), self.core.loop.now()
         if region:
             told = [Told(t.broker, region.get(t.zone, t.zone), t.age, t.sight) for t in told]
-        for held in self.core.engine_lists.values():
+        for held in self.core.engines.engine_lists.values():
             for entry, _ in held:
                 zone = self.site.zone_of(entry) if self.names else ""
                 if zone and not region:
@@ -348,7 +352,7 @@
         used = dict.fromkeys(self.names, 0.0)
         cores = dict.fromkeys(self.names, 0.0)
         zone_of = {}
-        for held in self.core.engine_lists.values():
+        for held in self.core.engines.engine_lists.values():
             for entry, _ in held:
                 zone = zone_of[entry.engine] = self.site.zone_of(entry)
                 if entry.state is c.EngineState.READY:
--- a/cypressledge/lab/scaling.py
+++ b/cypressledge/lab/scaling.py
@@ -24,9 +24,9 @@
 import dns.rrset
 import yaml
 
-from cypressledge.broker.core import stable_hash
 from cypressledge.broker.metrics import Counters
 from cypressledge.broker.requests import Endpoint
+from cypressledge.broker.stable_hash import stable_hash
 from cypressledge.config import ConfigError
 from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
@@ -320,7 +320,8 @@
 
 def reader() -> DirectoryPoller:
     """The program's reader with a stand-in for the core, which is told lists and does nothing."""
-    core = SimpleNamespace(counters=Counters(), update_list=lambda *told: None)
+    engines = SimpleNamespace(update_list=lambda *told: None)
+    core = SimpleNamespace(counters=Counters(), engines=engines)
     return DirectoryPoller(core, None, EngineNaming(("node-8c", "node-16c"), ZONES, "lines"), 0)
 
 
@@ -529,11 +530,13 @@
     names = [f"n{i:03d}" for i in range(brokers)]
     listed = entries(engines)
     core = SimpleNamespace(
-        now=lambda: 100 * S,
         settings=SimpleNamespace(kind_cores=(8, 16)),
-        requests={},
-        refresh=lambda: None,
-        engine_lists={"lines": [(e, Endpoint(e.engine, "", ("", 0), "lines")) for e in listed]},
+        loop=SimpleNamespace(now=lambda: 100 * S),
+        ledger=SimpleNamespace(requests={}),
+        engines=SimpleNamespace(
+            refresh=lambda: None,
+            engine_lists={"lines": [(e, Endpoint(e.engine, "", ("", 0), "lines")) for e in listed]},
+        ),
     )
     sent: list[tuple[str, object]] = []
     site = Site(ZONES, {n: ZONES[i % 4] for i, n in enumerate(names)}, REGION, {})
--- a/cypressledge/lab/zonesize.py
+++ b/cypressledge/lab/zonesize.py
@@ -22,7 +22,7 @@
 
 from tabulate import tabulate
 
-from cypressledge.broker.core import DEADLINE_GRACE_US
+from cypressledge.broker.request_ledger import DEADLINE_GRACE_US
 from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
@@ -96,6 +96,7 @@
     def __init__(self, world: "World", number: int) -> None:
         self.world, self.number, self.name = world, number, f"n{number}"
         self.settings = world.settings(number)
+        self.ledger = self.engines = self.loop = self  # one object stands for all of the core's parts
         self.manager = WorkloadManager(self.settings, world.seed * 1_000 + number)
         self.requests: dict[int, Request] = {}
         self.engine_lists: dict[str, list] = {}
--- a/cypressledge/net/admin.py
+++ b/cypressledge/net/admin.py
@@ -3,7 +3,7 @@
 import hmac
 import json
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import log
 from cypressledge.decisions.contract import EngineState
 from cypressledge.net.http import Exchange, HttpRequest, HttpServer
@@ -24,7 +24,7 @@
 class Admin:
     """Answers `/v1/tenants`, `/v1/tenants/NAME`, `/v1/engines`, `/v1/counters` to whoever holds the token."""
 
-    def __init__(self, core: Core, listen: tuple[str, int], tenants: Tenants) -> None:
+    def __init__(self, core: BrokerCore, listen: tuple[str, int], tenants: Tenants) -> None:
         self.core, self.token, self.tenants = core, "", tenants
         self.server = HttpServer(listen, core.counters, "admin", BODY_MOST, self._handle)
 
@@ -100,7 +100,7 @@
         return given
 
     def _engines(self) -> list[dict]:
-        out = {e.id: len(e.out) for e in self.core.manager.engines.values()}
+        out = {e.id: len(e.out) for e in self.core.loop.manager.engines.values()}
         return [
             {
                 "name": place.name,
@@ -109,6 +109,6 @@
                 "state": STATE_NAMES[entry.state],
                 "attempts": out.get(place.id, 0),
             }
-            for held in self.core.engine_lists.values()
+            for held in self.core.engines.engine_lists.values()
             for entry, place in held
         ]
--- a/cypressledge/net/clickhouse.py
+++ b/cypressledge/net/clickhouse.py
@@ -13,8 +13,16 @@
 import httptools
 from gevent import Timeout, select, sleep, socket, spawn
 
-from cypressledge.broker.core import CLIENT_KEY, Core
-from cypressledge.broker.requests import DEADLINE_FAULT, Attempt, Endpoint, EngineFault, Query, Request
+from cypressledge.broker.core import BrokerCore
+from cypressledge.broker.requests import (
+    CLIENT_KEY,
+    DEADLINE_FAULT,
+    Attempt,
+    Endpoint,
+    EngineFault,
+    Query,
+    Request,
+)
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
 from cypressledge.decisions.contract import Idempotency, Outcome, ProgressKind
@@ -99,7 +107,7 @@
     """Takes queries over HTTP into the core."""
 
     def __init__(
-        self, core: Core, listen: tuple[str, int], classes: tuple[str, ...], tenants: Tenants
+        self, core: BrokerCore, listen: tuple[str, int], classes: tuple[str, ...], tenants: Tenants
     ) -> None:
         self.core, self.tenants, self.counters = core, tenants, core.counters
         self.names = classes
@@ -118,7 +126,7 @@
         if r.method not in ("GET", "POST"):
             raise ChError(48, f"Method {r.method} is not supported")
         if r.path == "/ping":
-            healthy = self.core.is_serving()
+            healthy = self.core.ledger.is_serving()
             exchange.answer(
                 200 if healthy else 503,
                 {"Content-Type": "text/plain"},
@@ -134,16 +142,16 @@
     def _query(self, r: HttpRequest, exchange: Exchange) -> None:
         tenant = self._tenant(r)
         query = self._read(r, tenant)
-        if self.core.is_open(query.id):
+        if self.core.ledger.is_open(query.id):
             raise ChError(216, f"Query with id = {query.id} is already running")
         answer = ChReply(self, query, tenant, exchange)
         full = len(self.open) >= OPEN_MOST or 0 < tenant.max_open <= tenant.open_requests
         answer.begin()
         if full:
             self.counters.add("clickhouse.refused")
-            answer.reject(self.core.max_retry_after)
+            answer.reject(self.core.ledger.max_retry_after)
         else:
-            answer.request = self.core.submit(query, answer)
+            answer.request = self.core.ledger.submit(query, answer)
 
     def _tenant(self, r: HttpRequest) -> Tenant:
         """The tenant by headers, basic authentication or parameters; only one of them may be used."""
@@ -286,7 +294,7 @@
         self.front.counters.add("clickhouse.client_left")
         self._close()
         if self.request is not None:
-            self.front.core.client_disconnected(self.request)
+            self.front.core.ledger.client_disconnected(self.request)
 
     def _named(self) -> dict[str, str]:
         return {"X-ClickHouse-Query-Id": self.query.id}
@@ -340,7 +348,7 @@
 class ChLink:
     """Connections to engines that speak the HTTP interface: one exchange at a time on each."""
 
-    def __init__(self, core: Core, limits: Limits) -> None:
+    def __init__(self, core: BrokerCore, limits: Limits) -> None:
         self.core, self.limits, self.headers = core, limits, ""
         self.free: dict[Endpoint, deque[tuple[object, int]]] = {}
         self.held = 0
@@ -354,7 +362,7 @@
         """Run the attempt in a greenlet of its own."""
         if self.held >= self.limits.max_engine_connections(shared=True):
             self.core.counters.add("moot_sends")
-            self.core.attempt_ended(attempt, Outcome.NOT_SENT)
+            self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
             return
         attempt.transport_state = ChExchange(self, attempt)
         spawn(attempt.transport_state.run)
@@ -402,7 +410,7 @@
         """Close what has been idle for long or leads to an engine that takes nothing new."""
         limit = monotonic_us() - int(self.limits.idle_timeout_s * 1e6)
         for place, kept in list(self.free.items()):
-            while kept and (kept[0][1] < limit or not self.core.is_current(place)):
+            while kept and (kept[0][1] < limit or not self.core.engines.is_current(place)):
                 self.close(kept.popleft()[0])
             if not kept:
                 del self.free[place]
@@ -436,7 +444,7 @@
                 self.link.close(self.sock)
         if not self.cancelled:
             rows = b"".join(self.held) if outcome is Outcome.OK else b""
-            self.core.attempt_ended(self.attempt, outcome, rows, fault)
+            self.core.ledger.attempt_ended(self.attempt, outcome, rows, fault)
 
     def cancel(self) -> None:
         """Give it up: the engine sees the connection close; a write is killed by its id as well."""
@@ -469,7 +477,7 @@
         place = self.attempt.endpoint
         self.sock = self.link.idle_one(place) or self.link.connect(place)
         fresh = self.attempt.may_be_sent(monotonic_us())
-        if self.cancelled or not fresh or not self.core.is_current(place):
+        if self.cancelled or not fresh or not self.core.engines.is_current(place):
             return (
                 Outcome.NOT_SENT,
                 None,
@@ -556,7 +564,7 @@
         total = int(told.get("total_rows_to_read") or 0)
         if total > 0:
             share = min(int(told.get("read_rows") or 0) / total, 1.0)
-            self.core.attempt_progressed(self.attempt, ProgressKind.PROGRESS, share)
+            self.core.ledger.attempt_progressed(self.attempt, ProgressKind.PROGRESS, share)
 
     def on_headers_complete(self) -> None:
         """The status is known."""
@@ -586,7 +594,7 @@
         if not rows:
             return
         if self.attempt.request.reply.supports_streaming:
-            self.core.rows_received(self.attempt, rows)
+            self.core.ledger.rows_received(self.attempt, rows)
             return
         self.size += len(rows)
         if self.size > RESULT_MOST:
--- a/cypressledge/net/dns_discovery.py
+++ b/cypressledge/net/dns_discovery.py
@@ -12,10 +12,11 @@
 from gevent import Timeout, socket
 from gevent.event import Event
 
-from cypressledge.broker.core import Core, stable_hash
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.engine_start_times import EngineStartTimes
 from cypressledge.broker.metrics import log
 from cypressledge.broker.requests import Endpoint
+from cypressledge.broker.stable_hash import stable_hash
 from cypressledge.clock import monotonic_us, wall_offset_us
 from cypressledge.decisions.contract import EngineListEntry, EngineListKind, EngineState
 from cypressledge.net.socket_io import Address
@@ -67,20 +68,20 @@
         self.kinds = {name: index for index, name in enumerate(kinds)}
         self.zones = {name: index for index, name in enumerate(zones)}
 
-    def rename(self, core: Core, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
+    def rename(self, core: BrokerCore, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
         """The settings' names have changed. Guards against the last list being read by the former numbers."""
         before = self.kinds, self.zones
         self._set_names(kinds, zones)
         if self.published is not None and (self.kinds, self.zones) != before:
             self.publish(core, *self.published)
 
-    def publish(self, core: Core, kind: EngineListKind, engines: Iterable[DiscoveredEngine]) -> None:
+    def publish(self, core: BrokerCore, kind: EngineListKind, engines: Iterable[DiscoveredEngine]) -> None:
         """Hand a complete list to the core."""
         listed = list(engines)
         self.published = kind, listed
         start_times = {engine.name: engine.born_ms for engine in listed}
         self.starts.update(start_times, monotonic_us(), core.settings.slow_start_window // START_TIME_DOUBT)
-        core.update_list(self.wire, kind, list(map(self._entry_and_endpoint, listed)))
+        core.engines.update_list(self.wire, kind, list(map(self._entry_and_endpoint, listed)))
 
     def _entry_and_endpoint(self, engine: DiscoveredEngine) -> tuple[EngineListEntry, Endpoint]:
         """An engine as the decisions know it, and where it listens."""
@@ -124,7 +125,7 @@
 class NameServerPoller:
     """Polls a name server for good; one that is unreachable or answers nonsense changes nothing."""
 
-    def __init__(self, core: Core, server: Address | None, naming: EngineNaming, name: str) -> None:
+    def __init__(self, core: BrokerCore, server: Address | None, naming: EngineNaming, name: str) -> None:
         """`name`: of the poller, in log lines and counters."""
         self.core, self.server, self.naming, self.name = core, server, naming, name
         self.failed_polls = 0  # in a row
@@ -203,7 +204,7 @@
 class DirectoryPoller(NameServerPoller):
     """Polls the platform's directory: complete lists with a serial."""
 
-    def __init__(self, core: Core, server: Address | None, naming: EngineNaming, serial: int) -> None:
+    def __init__(self, core: BrokerCore, server: Address | None, naming: EngineNaming, serial: int) -> None:
         super().__init__(core, server, naming, "directory")
         self.serial = serial
         self.last_answer = b""  # without its id
--- a/cypressledge/net/dns_sd.py
+++ b/cypressledge/net/dns_sd.py
@@ -8,7 +8,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.decisions.contract import EngineListKind, EngineState
 from cypressledge.net.dns_discovery import (
     DiscoveredEngine,
@@ -29,7 +29,9 @@
 class DnsSdPoller(NameServerPoller):
     """Browses one service type."""
 
-    def __init__(self, core: Core, server: Address | None, service_type: str, naming: EngineNaming) -> None:
+    def __init__(
+        self, core: BrokerCore, server: Address | None, service_type: str, naming: EngineNaming
+    ) -> None:
         super().__init__(core, server, naming, "dns-sd")
         self.last_engines: list[DiscoveredEngine] | None = None
         self.browse(server, service_type)
--- a/cypressledge/net/jsonrpc/connection.py
+++ b/cypressledge/net/jsonrpc/connection.py
@@ -281,7 +281,7 @@
         if method == "withdraw":
             self._withdraw(call_id, params)
         elif method == "status":
-            self.send({"jsonrpc": "2.0", "id": call_id, "result": {"healthy": self.core.is_serving()}})
+            self.send({"jsonrpc": "2.0", "id": call_id, "result": {"healthy": self.core.ledger.is_serving()}})
         elif method not in self.frontend.query_parser.classes:
             raise JsonRpcError(ErrorCode.METHOD_NOT_FOUND, f"no method {method[:40]}")
         else:
@@ -293,14 +293,14 @@
         held_bytes = sum(len(c.request.query.statement) for c in self.open_calls.values() if c.request)
         is_full = (
             len(self.open_calls) >= MAX_OPEN_CALLS
-            or held_bytes > self.core.max_statement_bytes // STATEMENT_SHARE
+            or held_bytes > self.core.ledger.max_statement_bytes // STATEMENT_SHARE
         )
         self.open_calls[call.call_id] = call
         if is_full:  # no client that keeps to the protocol gets here
             self.error_count += 1
-            self.core.reject_at_admission(query, call, "connection_full")
+            self.core.ledger.reject_at_admission(query, call, "connection_full")
         else:
-            call.request = self.core.submit(query, call)
+            call.request = self.core.ledger.submit(query, call)
 
     def _withdraw(self, call_id: object, params: object) -> None:
         """The call is named by its id or its query's, whichever the client gives. It is not answered."""
--- a/cypressledge/net/jsonrpc/frontend.py
+++ b/cypressledge/net/jsonrpc/frontend.py
@@ -2,7 +2,7 @@
 
 from gevent import sleep
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
 from cypressledge.net.connection_registry import ConnectionRegistry
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: BrokerCore,
         address: Address,
         classes: tuple[str, ...],
         tenants: Tenants,
--- a/cypressledge/net/jsonrpc/pending_call.py
+++ b/cypressledge/net/jsonrpc/pending_call.py
@@ -23,7 +23,7 @@
         """The client waits no longer."""
         self.connection.open_calls.pop(self.call_id, None)
         if self.request is not None:
-            self.connection.core.client_disconnected(self.request)
+            self.connection.core.ledger.client_disconnected(self.request)
 
     def complete(self, rows: bytes) -> None:
         """Answer with all rows."""
--- a/cypressledge/net/jsonrpc/query_parser.py
+++ b/cypressledge/net/jsonrpc/query_parser.py
@@ -5,7 +5,7 @@
 import re
 from typing import Any
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.requests import Query
 from cypressledge.clock import monotonic_us
 from cypressledge.decisions.contract import Idempotency
@@ -23,7 +23,7 @@
 class QueryParser:
     """Turns the parameters of a call into a `Query`."""
 
-    def __init__(self, core: Core, classes: tuple[str, ...], tenants: Tenants) -> None:
+    def __init__(self, core: BrokerCore, classes: tuple[str, ...], tenants: Tenants) -> None:
         self.core, self.tenants = core, tenants
         self.classes = {name: index for index, name in enumerate(classes)}  # methods are named like classes
 
@@ -61,7 +61,7 @@
         query_id = params.get("id")
         if not isinstance(query_id, str) or not QUERY_ID.match(query_id):
             raise _invalid("id is not 16 hex digits")
-        if self.core.is_open(query_id):
+        if self.core.ledger.is_open(query_id):
             raise _invalid("id is that of an open request")
         return query_id
 
--- a/cypressledge/net/line_protocol/answers.py
+++ b/cypressledge/net/line_protocol/answers.py
@@ -55,7 +55,7 @@
         return
     value = parse_progress_value(fields)
     pending.has_run |= kind is not ProgressKind.WAITING and value > 0
-    connection.core.attempt_progressed(pending.attempt, kind, value)
+    connection.core.ledger.attempt_progressed(pending.attempt, kind, value)
 
 
 def _handle_first_page(
--- a/cypressledge/net/line_protocol/connection.py
+++ b/cypressledge/net/line_protocol/connection.py
@@ -185,12 +185,12 @@
         if pending.ended:
             return False
         attempt, now = pending.attempt, monotonic_us()
-        if not attempt.may_be_sent(now) or self.endpoint.id not in self.core.ready_endpoints:
+        if not attempt.may_be_sent(now) or self.endpoint.id not in self.core.engines.ready_endpoints:
             self._settle(pending)
             self.core.counters.add("moot_sends")
-            self.core.attempt_ended(attempt, Outcome.NOT_SENT)
+            self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
             return False
-        if not self.core.is_current(self.endpoint) or self._engine_may_have_closed():
+        if not self.core.engines.is_current(self.endpoint) or self._engine_may_have_closed():
             self._settle(pending)
             self.transport.reassign(attempt, Outcome.NOT_SENT)
             return False
@@ -236,7 +236,7 @@
     ) -> None:
         """End an attempt here, and report how."""
         self._settle(pending, quarantine)
-        self.core.attempt_ended(pending.attempt, outcome, rows)
+        self.core.ledger.attempt_ended(pending.attempt, outcome, rows)
 
     def close(self, reason: str, outcome: Outcome = Outcome.RESET) -> None:
         """Close the connection; attempts that were sent end with `outcome`. `reason` may have a detail behind
--- a/cypressledge/net/line_protocol/transport.py
+++ b/cypressledge/net/line_protocol/transport.py
@@ -1,6 +1,6 @@
 """The pool of connections to engines that speak the line protocol: which attempt uses which connection."""
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.requests import Attempt
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
@@ -20,7 +20,7 @@
 class LineProtocolTransport:
     """Connections to every engine, and the attempts on them."""
 
-    def __init__(self, core: Core, limits: Limits) -> None:
+    def __init__(self, core: BrokerCore, limits: Limits) -> None:
         self.core, self.limits = core, limits
         self.max_connections = 0  # to all engines together, until the configuration is known
         self.connections: dict[int, list[EngineConnection]] = {}  # by engine
@@ -60,7 +60,7 @@
             self.connections.setdefault(endpoint.id, []).append(connection)
         if connection is None:
             self.core.counters.add("moot_sends")
-            self.core.attempt_ended(attempt, Outcome.NOT_SENT)
+            self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
         else:
             connection.assign(attempt, query_id)
 
@@ -81,13 +81,13 @@
         Guards against connections that are reset when new: nothing has run, so no attempt is used up."""
         attempt.connections_tried += 1
         attempt.transport_state = None
-        endpoint = self.core.ready_endpoints.get(attempt.endpoint.id)
+        endpoint = self.core.engines.ready_endpoints.get(attempt.endpoint.id)
         if attempt.connections_tried < MAX_CONNECTIONS_TRIED and endpoint is not None and attempt.is_wanted:
             self.core.counters.add("attempts_reassigned")
             attempt.endpoint = endpoint
             self.send(attempt)
         else:
-            self.core.attempt_ended(attempt, outcome)
+            self.core.ledger.attempt_ended(attempt, outcome)
 
     def handle_connect_timeout(self, connection: EngineConnection, attempts: list[Attempt]) -> None:
         """A connection is not up in time, and these attempts waited for it.
@@ -108,7 +108,7 @@
             if is_alive:
                 self.reassign(attempt, outcome)
             else:
-                self.core.attempt_ended(attempt, outcome)
+                self.core.ledger.attempt_ended(attempt, outcome)
 
     def cancel(self, attempt: Attempt) -> None:
         """Give the attempt up at its engine."""
@@ -134,14 +134,14 @@
         """Close connections that are idle for long, whose engine takes no new work, or that lost an
         answer."""
         now, idle_limit = monotonic_us(), int(self.limits.idle_timeout_s * IDLE_TIME_SHARE * 1e6)
-        ready = self.core.ready_endpoints
+        ready = self.core.engines.ready_endpoints
         self.connect_timeouts = {engine: n for engine, n in self.connect_timeouts.items() if engine in ready}
         for connections in list(self.connections.values()):
             last_heard = max(connection.last_heard for connection in connections)
             for connection in list(connections):
                 if connection.has_lost_answer(last_heard):
                     connection.close(CloseReason.ANSWER_LOST)
-                is_unusable = not self.core.is_current(connection.endpoint) or connection.is_silent()
+                is_unusable = not self.core.engines.is_current(connection.endpoint) or connection.is_silent()
                 is_idle = not connection.pending and not connection.has_unread_bytes()
                 if is_idle and (is_unusable or now - connection.last_used > idle_limit):
                     connection.close(CloseReason.IDLE)
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -13,7 +13,7 @@
 
 from gevent import sleep
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.maintenance import Maintenance, MaintenanceError
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.clock import monotonic_us
@@ -61,7 +61,7 @@
         return (200, b"taking clients\n") if self.taking() else (503, b"not taking clients\n")
 
 
-def figures(core: Core, classes: tuple[str, ...]) -> bytes:
+def figures(core: BrokerCore, classes: tuple[str, ...]) -> bytes:
     """`GET /status/metrics`: statsd lines, counts from the start of this process and gauges as they are."""
     counts = core.counters.counts
     lines = [
@@ -73,7 +73,7 @@
     targets, disabled = engines(core)
     lines += [
         f"{PREFIX}.dispatches:{dispatches}|c",
-        f"{PREFIX}.concurrent:{len(core.requests)}|g",
+        f"{PREFIX}.concurrent:{len(core.ledger.requests)}|g",
         f"{PREFIX}.targets:{targets}|g",
         f"{PREFIX}.targets_disabled:{disabled}|g",
         f"{PREFIX}.reload_success:{counts['reloads']}|c",
@@ -82,12 +82,12 @@
     return "\n".join(lines).encode() + b"\n"
 
 
-def engines(core: Core) -> tuple[int, int]:
+def engines(core: BrokerCore) -> tuple[int, int]:
     """Engines that the lists name, and those of them the broker avoids: out by hand, draining, held off."""
-    held = core.manager.engines
+    held = core.loop.manager.engines
     listed = [
-        (core.maintenance.effective_entry(p.name, e), p)
-        for lst in core.engine_lists.values()
+        (core.engines.maintenance.effective_entry(p.name, e), p)
+        for lst in core.engines.engine_lists.values()
         for e, p in lst
         if e.state is not EngineState.REMOVED
     ]
@@ -103,7 +103,7 @@
     Guards against a ban that ends with the process: the file is written whole, by rename, on each change,
     and read at the start and whenever it has changed since."""
 
-    def __init__(self, core: Core, name: str, directory: str | None = None) -> None:
+    def __init__(self, core: BrokerCore, name: str, directory: str | None = None) -> None:
         self.core = core
         safe = "".join(ch if ch.isalnum() or ch in "-_." else "_" for ch in name)
         self.path = Path(directory or tempfile.gettempdir()) / f"cypressledge-{safe}-maintenance.json"
@@ -122,11 +122,11 @@
         self.seen = stamp
         kept = Maintenance.from_json(raw, monotonic_us())
         if (kept.out_of_service, kept.returned_at) != (
-            self.core.maintenance.out_of_service,
-            self.core.maintenance.returned_at,
+            self.core.engines.maintenance.out_of_service,
+            self.core.engines.maintenance.returned_at,
         ):
             log(f"maintenance: out by hand {sorted(kept.out_of_service)}")
-            self.core.set_maintenance(kept)
+            self.core.engines.set_maintenance(kept)
 
     def call(self, request: HttpRequest, enter: bool) -> tuple[int, bytes]:
         """`POST /maintenance/enter` or `exit` with an engine's id as the body."""
@@ -169,7 +169,7 @@
             name = request.body.decode("utf-8").strip()
         except UnicodeDecodeError:
             return 400, b"no engine id\n"
-        held, known = self.core.maintenance, self.core.is_listed(name)
+        held, known = self.core.engines.maintenance, self.core.engines.is_listed(name)
         try:
             changed = held.take_out(name, known) if enter else held.put_back(name, known, monotonic_us())
         except MaintenanceError as err:
@@ -177,7 +177,7 @@
             return status, text.encode() + b"\n"
         if changed:
             self._save(held)
-            self.core.set_maintenance(held)
+            self.core.engines.set_maintenance(held)
             log(f"maintenance: {name} {'out' if enter else 'back'}")
         return 200, f"{name} {'out' if name in held.out_of_service else 'in'}\n".encode()
 
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -7,7 +7,7 @@
 import tomllib
 from dataclasses import dataclass, field
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.config import Config, ConfigError, Limits, parse_address
 from cypressledge.net.admin import Admin
 from cypressledge.net.clickhouse import ChFront, ChLink
@@ -74,9 +74,10 @@
 class Service:
     """The parts of the hosted service round one core."""
 
-    def __init__(self, told: ServiceConfig, core: Core, config: Config, tenants: Tenants) -> None:
+    def __init__(self, told: ServiceConfig, core: BrokerCore, config: Config, tenants: Tenants) -> None:
         self.told, self.tenants, self.core = told, tenants, core
-        self.link = core.transports[WIRE] = ChLink(core, config.limits)
+        self.link = ChLink(core, config.limits)
+        core.add_transport(WIRE, self.link)
         self.front = ChFront(core, told.listen, config.classes, tenants)
         self.servers = [self.front.server]
         self.parts = []
--- a/tests/recordings/test_ledger_recording.py
+++ b/tests/recordings/test_ledger_recording.py
@@ -19,7 +19,7 @@
 from gevent import socket
 
 from cypressledge import clock
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.maintenance import Maintenance
 from cypressledge.broker.metrics import Counters
 from cypressledge.broker.requests import Endpoint, EngineFault, Query
@@ -178,13 +178,13 @@
         self.beginning = clock.monotonic_us()
         self.settings = dataclasses.replace(parse_settings(SETTINGS), timer_resolution=1)
         self.counters = ReleaseCounters()
-        self.core = Core(self.settings, 1, self.counters)
-        self.core.max_retry_after = 250 * MS
-        self.decisions = self.core.manager = FakeDecisions(self)
-        self.transport = self.core.transports["lines"] = FakeTransport(self)
+        self.core = BrokerCore(self.settings, 1, self.counters)
+        self.core.ledger.max_retry_after = 250 * MS
+        self.decisions = self.core.loop.manager = FakeDecisions(self)
+        self.core.add_transport("lines", FakeTransport(self))
         self.replies = {}
         self.list_engines(c.EngineState.READY, c.EngineState.READY)
-        self.loop = gevent.spawn(self.core.run)
+        self.loop = gevent.spawn(self.core.loop.run)
         self.turn()
 
     def row(self, *fields, at=None):
@@ -197,22 +197,22 @@
         """Let time pass and the loop take what has come; the module answers its next events so."""
         self.decisions.actions += actions
         self.elapsed += ms * MS
-        self.core.woken.set()
+        self.core.loop.wake()
         quiet = 0
         while quiet < 3:
             gevent.sleep(0.001)
-            quiet = 0 if self.core.inbox else quiet + 1
+            quiet = quiet + 1 if self.core.loop.is_idle() else 0
 
     def list_engines(self, *states, kind=c.EngineListKind.FULL, born=0):
         entries = []
         for number, state in zip((ENGINE_1, ENGINE_2), states, strict=False):
             entry = c.EngineListEntry(number, state, 0, number % 2, 0, 0)
             entries.append((entry, Endpoint(number, f"s-{number}", ("127.0.0.1", number), "lines", born)))
-        self.core.update_list("lines", kind, entries)
+        self.core.engines.update_list("lines", kind, entries)
 
     def submit(self, name="00000000000000aa", wait_ms=3_000, **more):
         query = Query(name, 0, "lookup", "sahel", b"SELECT 1", clock.monotonic_us() + wait_ms * MS, **more)
-        request = self.core.submit(query, FakeReply(self, f"client {name[-2:]}"))
+        request = self.core.ledger.submit(query, FakeReply(self, f"client {name[-2:]}"))
         self.row("submitted", name[-2:], None if request is None else request.number)
         return request
 
@@ -223,11 +223,11 @@
         return request, *request.attempts
 
     def end(self, attempt, outcome, rows=b"", fault=None):
-        self.core.attempt_ended(attempt, outcome, rows, fault)
+        self.core.ledger.attempt_ended(attempt, outcome, rows, fault)
 
     def close(self):
         self.loop.kill()
-        self.row("open", len(self.core.requests), self.core.statement_bytes)
+        self.row("open", len(self.core.ledger.requests), self.core.ledger.statement_bytes)
         self.row(
             "replies",
             {
@@ -298,17 +298,17 @@
 
 def client_left_before_send(s):
     request = s.submit()
-    s.core.client_disconnected(request)
+    s.core.ledger.client_disconnected(request)
     s.turn()
     request = s.submit("00000000000000bb")
     s.turn()
-    s.core.client_disconnected(request)
+    s.core.ledger.client_disconnected(request)
     s.turn(c.StartAttempt(request.number, ENGINE_1))
 
 
 def client_left_after_send(s):
     request, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.client_disconnected(request)
+    s.core.ledger.client_disconnected(request)
     s.turn(c.CancelAttempt(request.number, 0, c.Reason.REQUEST_FINISHED), ms=4)
     s.turn()
     s.end(second, c.Outcome.OK, ROWS)
@@ -317,20 +317,20 @@
 
 def client_left_a_streamed_answer(s):
     request, first = s.sent((ENGINE_1, 0))
-    s.core.rows_received(first, ROWS)
+    s.core.ledger.rows_received(first, ROWS)
     s.turn()
-    s.core.client_disconnected(request)
+    s.core.ledger.client_disconnected(request)
     s.turn()
-    s.core.rows_received(first, ROWS)
+    s.core.ledger.rows_received(first, ROWS)
     s.turn()
 
 
 def streamed_then_served(s):
     _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.rows_received(first, ROWS)
+    s.core.ledger.rows_received(first, ROWS)
     s.turn()
-    s.core.rows_received(second, ROWS)
-    s.core.rows_received(first, ROWS)
+    s.core.ledger.rows_received(second, ROWS)
+    s.core.ledger.rows_received(first, ROWS)
     s.end(second, c.Outcome.OK, ROWS)
     s.end(first, c.Outcome.OK)
     s.turn()
@@ -338,7 +338,7 @@
 
 def streamed_then_failed(s):
     _, first = s.sent((ENGINE_1, 0))
-    s.core.rows_received(first, ROWS)
+    s.core.ledger.rows_received(first, ROWS)
     s.turn()
     s.end(first, c.Outcome.RESET)
     s.turn()
@@ -346,10 +346,10 @@
 
 def streamed_then_refused(s):
     request, first = s.sent((ENGINE_1, 0))
-    s.core.rows_received(first, ROWS)
+    s.core.ledger.rows_received(first, ROWS)
     s.turn()
     s.turn(c.CancelAttempt(request.number, 0, c.Reason.RUNAWAY))
-    s.core.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.25)
+    s.core.ledger.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.25)
     s.turn(c.RejectRequest(request.number, c.Reason.OBJECTIVE_MISSED))
 
 
@@ -363,7 +363,7 @@
 
 def streamed_attempt_does_not_time_out(s):
     _, attempt = s.sent((ENGINE_1, 40 * MS))
-    s.core.rows_received(attempt, ROWS)
+    s.core.ledger.rows_received(attempt, ROWS)
     s.turn(ms=50)
     s.end(attempt, c.Outcome.OK)
     s.turn()
@@ -379,7 +379,7 @@
 def deadline_of_a_streamed_answer(s):
     request = s.submit(wait_ms=100)
     s.turn(c.StartAttempt(request.number, ENGINE_1))
-    s.core.rows_received(request.attempts[0], ROWS)
+    s.core.ledger.rows_received(request.attempts[0], ROWS)
     s.turn(ms=120)
     s.turn()
 
@@ -395,7 +395,7 @@
 
 
 def send_that_raises(s):
-    s.core.transports["lines"] = FakeTransport(s, refuses=True)
+    s.core.add_transport("lines", FakeTransport(s, refuses=True))
     request, attempt = s.sent((ENGINE_1, 0))
     s.turn(ms=2_999)
     s.turn(ms=12)
@@ -404,7 +404,7 @@
 
 def cancelled(s):
     request, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.attempt_progressed(second, c.ProgressKind.SPILLING, 3.0)
+    s.core.ledger.attempt_progressed(second, c.ProgressKind.SPILLING, 3.0)
     s.turn(c.CancelAttempt(request.number, 1, c.Reason.ENGINE_SILENT), c.CancelAttempt(request.number, 5))
     s.turn(c.CancelAttempt(request.number, 1))
     s.end(first, c.Outcome.OK, ROWS)
@@ -414,7 +414,7 @@
 def priority_and_grant_changed(s):
     request = s.submit()
     s.turn(c.SetAttemptResources(request.number, 64.0, 2), c.StartAttempt(request.number, ENGINE_1))
-    s.core.attempt_progressed(request.attempts[0], c.ProgressKind.WAITING, 2.0)
+    s.core.ledger.attempt_progressed(request.attempts[0], c.ProgressKind.WAITING, 2.0)
     s.turn(c.SetAttemptResources(request.number, 128.0, 3), c.SetAttemptResources(99, 1.0, 1))
     s.end(request.attempts[0], c.Outcome.OK, ROWS)
     s.turn()
@@ -422,12 +422,12 @@
 
 
 def observed(s):
-    s.core.observer = FakeObserver(s)
+    s.core.ledger.observer = FakeObserver(s)
     _, first, second = s.sent((ENGINE_1, 0), (ENGINE_2, 0))
-    s.core.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.5)
+    s.core.ledger.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.5)
     s.turn(ms=5)
     s.end(first, c.Outcome.OK, ROWS)
-    s.core.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.7)
+    s.core.ledger.attempt_progressed(first, c.ProgressKind.PROGRESS, 0.7)
     s.turn()
 
 
@@ -447,11 +447,11 @@
 
 def shutdown_with_open_requests(s):
     request, attempt = s.sent((ENGINE_1, 0))
-    s.core.start_shutdown(clock.monotonic_us() + 50 * MS)
-    s.row("healthy", s.core.is_serving(), s.core.is_stopping)
+    s.core.ledger.start_shutdown(clock.monotonic_us() + 50 * MS)
+    s.row("healthy", s.core.ledger.is_serving(), s.core.ledger.is_stopping)
     late = s.submit("00000000000000bb")
     s.turn(ms=20)
-    s.core.is_accepting = False
+    s.core.ledger.is_accepting = False
     s.submit("00000000000000cc")
     s.turn(ms=31)
     assert late is not None
@@ -473,31 +473,35 @@
 
 
 def engines_listed(s):
-    s.core.set_maintenance(Maintenance({"s-7"}, {"s-8": clock.monotonic_us()}))
+    s.core.engines.set_maintenance(Maintenance({"s-7"}, {"s-8": clock.monotonic_us()}))
     s.turn()
-    s.row("names", s.core.is_listed("s-7"), s.core.is_listed("s-9"), s.core.is_serving())
-    s.core.is_closed = lambda entry: entry.zone == 0
-    s.core.refresh()
+    s.row(
+        "names", s.core.engines.is_listed("s-7"), s.core.engines.is_listed("s-9"), s.core.ledger.is_serving()
+    )
+    s.core.engines.is_closed = lambda entry: entry.zone == 0
+    s.core.engines.refresh()
     s.turn()
-    s.row("names", s.core.is_listed("s-7"), s.core.is_listed("s-9"), s.core.is_serving())
-    s.core.is_closed = None
-    s.core.set_maintenance(Maintenance())
+    s.row(
+        "names", s.core.engines.is_listed("s-7"), s.core.engines.is_listed("s-9"), s.core.ledger.is_serving()
+    )
+    s.core.engines.is_closed = None
+    s.core.engines.set_maintenance(Maintenance())
     s.list_engines(c.EngineState.READY, c.EngineState.REMOVED, kind=c.EngineListKind.CACHED, born=5)
     s.turn()
     old, new = (Endpoint(ENGINE_1, "s-7", ("127.0.0.1", 7), "lines", born) for born in (0, 5))
-    s.row("current", s.core.is_current(old), s.core.is_current(new))
+    s.row("current", s.core.engines.is_current(old), s.core.engines.is_current(new))
 
 
 def refused_at_admission(s):
-    s.core.max_open_requests = 2
+    s.core.ledger.max_open_requests = 2
     for n in range(3):
         s.submit(f"{n:016x}")
-    s.core.max_open_requests, s.core.max_statement_bytes = 10, 15
+    s.core.ledger.max_open_requests, s.core.ledger.max_statement_bytes = 10, 15
     s.submit("00000000000000aa")
-    s.core.max_statement_bytes = 1_000
-    s.core.admission_filter = lambda query: query.tenant != "sahel"
+    s.core.ledger.max_statement_bytes = 1_000
+    s.core.ledger.admission_filter = lambda query: query.tenant != "sahel"
     s.submit("00000000000000bb")
-    s.row("knows", s.core.is_open(f"{0:016x}"), s.core.is_open("00000000000000bb"))
+    s.row("knows", s.core.ledger.is_open(f"{0:016x}"), s.core.ledger.is_open("00000000000000bb"))
     s.turn(c.RejectRequest(1), c.RejectRequest(2))
 
 
@@ -542,7 +546,7 @@
     """The operators' address: every answer, byte for byte."""
     taking = [True]
     calls = Management(("127.0.0.1", 0), s.counters, lambda: taking[0])
-    s.core.maintenance = Maintenance()
+    s.core.engines.maintenance = Maintenance()
     kept = Kept(s.core, "recording", s.directory)
     classes = ("lookup", "report")
     calls.add("/status/metrics", "GET", lambda r: (200, figures(s.core, classes)))
--- a/tests/recordings/test_wire_recording.py
+++ b/tests/recordings/test_wire_recording.py
@@ -16,7 +16,7 @@
 import gevent
 from gevent import socket as gsocket
 
-from cypressledge.broker.core import Core
+from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import Counters
 from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.clock import monotonic_us
@@ -132,12 +132,13 @@
 
 def lines_messages() -> dict[str, bytes]:
     """All commands to engines on lines."""
-    core = Core(parse_settings(SETTINGS), 1, Counters())
-    link = core.transports["lines"] = LineProtocolTransport(core, Limits(64, 64, 32, 5.0, 30.0, 0, 0))
+    core = BrokerCore(parse_settings(SETTINGS), 1, Counters())
+    link = LineProtocolTransport(core, Limits(64, 64, 32, 5.0, 30.0, 0, 0))
+    core.add_transport("lines", link)
     link.max_connections = 8
     peer = LinesPeer()
     place = Endpoint(7, "s-1", peer.listener.getsockname(), "lines")
-    core.ready_endpoints[7] = place
+    core.engines.ready_endpoints[7] = place
     messages = {}
 
     def attempt(name, number, **more):
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -231,6 +231,7 @@
     """What a broker's part in zone failover needs of the broker's core."""
 
     def __init__(self, clock):
+        self.ledger = self.engines = self.loop = self  # one object stands for all of the core's parts
         self.clock, self.requests, self.retold = clock, {}, 0
         self.settings = SimpleNamespace(classes=[SimpleNamespace(threads=2)], kind_cores=(8, 4))
         self.manager = SimpleNamespace(class_slow=[1.0])
@@ -306,7 +307,7 @@
                 cost=100_000,
             )
             admitted = zones.admit(query)
-            opened = [e for e, _ in core.engine_lists["one"] if not zones.shut(e)]
+            opened = [e for e, _ in core.engines.engine_lists["one"] if not zones.shut(e)]
             self.out.add(admitted, [e.engine for e in opened])
             if not admitted or not opened:
                 continue
@@ -315,14 +316,14 @@
             request.attempts.append(
                 Attempt(request, 0, self.places[engine], self.now, query.deadline, self.now)
             )
-            core.requests[request.number] = request
-        for number, request in list(core.requests.items()):
+            core.ledger.requests[request.number] = request
+        for number, request in list(core.ledger.requests.items()):
             attempt = request.attempts[0]
             ended = self._outcome(name, ENGINES[attempt.endpoint.id], self.now - attempt.sent_at)
             if ended is not None:
                 attempt.is_open = False
                 zones.attempt_ended(attempt, ended, self.now - attempt.sent_at)
-                del core.requests[number]
+                del core.ledger.requests[number]
             elif self.rng.random() < 0.1 and self.mood[ENGINES[attempt.endpoint.id]] == "slow":
                 zones.attempt_progressed(attempt)
 
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -650,7 +650,9 @@
         """Both came in one turn of the core, and the module took the new settings first: work that was safe
         to repeat was taken for unsafe, and the other way round."""
         engine = self.engine(lambda e, say, *a: (failing("500") if len(e.wants) == 1 else whole)(e, say, *a))
-        broker = self.broker(engine, env=FIGURES, hooks={"wait": "cypressledge.broker.core:Core._wait#1"})
+        broker = self.broker(
+            engine, env=FIGURES, hooks={"wait": "cypressledge.broker.event_loop:EventLoop._wait#1"}
+        )
         broker.reached("wait")  # the core takes nothing in
         client = self.client(broker)
         client.ask()
