--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -12,7 +12,7 @@
 from cypressledge.broker.metrics import log
 from cypressledge.config import ConfigError, parse_address
 from cypressledge.controlplane.messages import Change
-from cypressledge.controlplane.settings import read_control
+from cypressledge.controlplane.settings import read_control_settings
 from cypressledge.controlplane.state import Engine, FleetState, StateError
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
@@ -29,7 +29,7 @@
 
     def __init__(self, file: str, broker, env: Mapping[str, str]) -> None:
         self.broker, self.counters = broker, broker.counters
-        settings = read_control(file)
+        settings = read_control_settings(file)
         self.fleet = broker.fleet
         self.run = new_run() if self.fleet is None else self.fleet.node.run_id
         self._touched_kinds: set[str] = set()  # of which something has come that isn't in force yet
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -25,7 +25,7 @@
 from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions
 from cypressledge.controlplane.broker_registry import BrokerRegistry
 from cypressledge.controlplane.change_history import ChangeHistory
-from cypressledge.controlplane.faults import ONCE, VARIABLE, Faults
+from cypressledge.controlplane.faults import FAULT_VARIABLE, ONCE_VARIABLE, FaultInjection
 from cypressledge.controlplane.framing import (
     HELLO_TIMEOUT_S,
     ConnectionEndedError,
@@ -58,7 +58,7 @@
     StorageError,
     VersionConflictError,
 )
-from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control
+from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control_settings
 from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
 from cypressledge.controlplane.state import (
     FleetState,
@@ -117,7 +117,7 @@
         settings: ControlSettings,
         name: str,
         disk: SqliteStorage | None,
-        faults: Faults,
+        faults: FaultInjection,
         seed: list[Op] | None = None,
         rejoin: bool = False,
     ) -> None:
@@ -513,7 +513,7 @@
             return
         step = message.__struct_config__.tag
         counts = not isinstance(message, AppendEntries) or any(c.request_id for c in message.changes)
-        due = counts and self.faults.due(step)
+        due = counts and self.faults.is_due(step)
         if due and self.faults.when == "before":
             self.faults.strike()
         frames.send(message)
@@ -621,7 +621,7 @@
                 left.append(w)
                 continue
             if w.ticket.state == "done":
-                if self.faults.due("answer"):
+                if self.faults.is_due("answer"):
                     self.faults.strike()
                 self._event(
                     "change_acknowledged",
@@ -805,14 +805,14 @@
     """Run one control process; what is wrong with its settings or its store is one plain line, and 2."""
     buffer.GROWN.most, stream.QUEUED.most = GROWN_MOST, QUEUED_MOST
     try:
-        settings = read_control(file)
+        settings = read_control_settings(file)
         allow_sockets(settings.brokers_most)
-        faults = Faults(os.environ.get(VARIABLE, ""), os.environ.get(ONCE, ""))
+        faults = FaultInjection(os.environ.get(FAULT_VARIABLE, ""), os.environ.get(ONCE_VARIABLE, ""))
         create = "rejoin" if rejoin else "" if seed is None else "first"
         disk = None
         if settings.server(name).votes:
             os.makedirs(folder, exist_ok=True)
-            disk = SqliteStorage(os.path.join(folder, STORE), name, create, faults.disk)
+            disk = SqliteStorage(os.path.join(folder, STORE), name, create, faults.check_disk)
         ops = None if seed is None else [Op(k, encode_value(v)) for k, v in seed["set"].items()]
         process = ControlProcess(settings, name, disk, faults, ops, rejoin)
     except (ConfigError, StateError, StorageUnusableError, StorageError) as err:
--- a/cypressledge/controlplane/settings.py
+++ b/cypressledge/controlplane/settings.py
@@ -1,6 +1,6 @@
 """Reads `deploy/control.yaml`: the control processes, which of them vote, and the leases' terms.
 
-Checked whole by msgspec's schema and then by the rules below; whatever is wrong is one plain line. Control
+Checked by msgspec's schema and then by the rules below; whatever is wrong is one plain line. Control
 processes, brokers and operators read the same file.
 """
 
@@ -11,8 +11,8 @@
 from cypressledge.config import ConfigError, parse_address
 from cypressledge.fleet.settings import Name, Seconds, Strict, once, read_yaml
 
-SERVERS_MOST = 8
-VOTERS = (3, 5, 7)
+MAX_SERVERS = 8
+VOTER_COUNTS = (3, 5, 7)
 
 
 class ServerSpec(Strict, frozen=True):
@@ -38,7 +38,7 @@
 
 
 class ControlSettings(Strict, frozen=True):
-    """The whole file. `version`: of the voter set, one higher whenever `votes` changes. `drift_ppm`: how far
+    """The file. `version`: of the voter set, one higher whenever `votes` changes. `drift_ppm`: how far
     any clock's rate may be from true, parts in a million. `brokers_most`: connections of brokers that one
     control process takes. `forget_s`: a broker that was connected nowhere for so long leaves the state (0:
     never)."""
@@ -71,20 +71,20 @@
         raise ConfigError(f"no control process {name} among {' '.join(s.name for s in self.servers)}")
 
 
-def read_control(path: str) -> ControlSettings:
+def read_control_settings(path: str) -> ControlSettings:
     """The file's settings. Raises `ConfigError` with one line that names the mistake."""
     return read_yaml(path, ControlSettings, check)
 
 
-def check(told: ControlSettings) -> None:
+def check(settings: ControlSettings) -> None:
     """The rules that a schema can't state. Raises `ConfigError`."""
-    if not 1 <= len(told.servers) <= SERVERS_MOST:
-        raise ConfigError(f"{len(told.servers)} control processes; 3 to {SERVERS_MOST} can be")
-    once([s.name for s in told.servers], "control process")
-    for spec in told.servers:
+    if not 1 <= len(settings.servers) <= MAX_SERVERS:
+        raise ConfigError(f"{len(settings.servers)} control processes; 3 to {MAX_SERVERS} can be")
+    once([s.name for s in settings.servers], "control process")
+    for spec in settings.servers:
         for text in (spec.address, spec.fleet, spec.management):
             parse_address(text)
-    once([s.address for s in told.servers] + [s.management for s in told.servers], "address")
-    once([s.fleet for s in told.servers], "fleet address")
-    if len(told.voters) not in VOTERS:
-        raise ConfigError(f"{len(told.voters)} control processes vote; 3, 5 or 7 can")
+    once([s.address for s in settings.servers] + [s.management for s in settings.servers], "address")
+    once([s.fleet for s in settings.servers], "fleet address")
+    if len(settings.voters) not in VOTER_COUNTS:
+        raise ConfigError(f"{len(settings.voters)} control processes vote; 3, 5 or 7 can")
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -18,7 +18,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import parse_address
-from cypressledge.controlplane.settings import ControlSettings, read_control
+from cypressledge.controlplane.settings import ControlSettings, read_control_settings
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.fleet.clock import LeaseClock
@@ -180,7 +180,7 @@
     def _start(self, told: dict) -> None:
         file = told["settings"]
         if file not in self.settings:
-            self.settings[file] = read_control(file)
+            self.settings[file] = read_control_settings(file)
         broker = self.brokers[told["broker"]] = Hollow(told, self.settings[file], self)
         self.say({"event": "started", "broker": broker.name, "run": broker.run, "at": LeaseClock().now()})
 
--- a/tests/control_stands.py
+++ b/tests/control_stands.py
@@ -18,7 +18,7 @@
 from gevent.server import StreamServer
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.controlplane.faults import VARIABLE
+from cypressledge.controlplane.faults import FAULT_VARIABLE
 from cypressledge.controlplane.messages import FORMAT, Hello, encode
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.subscriber import BrokerIdentity
@@ -66,7 +66,7 @@
         """Start it; its log goes on in the same file."""
         self.file.write_text(yaml.safe_dump(self.settings))
         env = {k: v for k, v in os.environ.items() if not k.startswith(("ROUTER_", "CYPRESSLEDGE_"))}
-        env |= {"TMPDIR": str(self.folder)} | ({VARIABLE: fault} if fault else {})
+        env |= {"TMPDIR": str(self.folder)} | ({FAULT_VARIABLE: fault} if fault else {})
         with open(self.log_file, "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
                 [
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -15,7 +15,7 @@
 from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions
 from cypressledge.controlplane.broker_integration import BrokerIntegration
 from cypressledge.controlplane.change_history import ChangeHistory
-from cypressledge.controlplane.faults import Faults
+from cypressledge.controlplane.faults import FaultInjection
 from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters
 from cypressledge.controlplane.messages import (
     MAX_FRAME_BYTES,
@@ -254,25 +254,30 @@
 
 
 def test_faults_strike_at_their_step():
-    faults = Faults("kill-after:append:2")
-    assert [faults.due("promised"), faults.due("append"), faults.due("append"), faults.due("append")] == [
+    faults = FaultInjection("kill-after:append:2")
+    assert [
+        faults.is_due("promised"),
+        faults.is_due("append"),
+        faults.is_due("append"),
+        faults.is_due("append"),
+    ] == [
         False,
         False,
         True,
         False,
     ]
     assert (faults.what, faults.when) == ("kill", "after")
-    assert Faults("kill-before-answer:1").due("answer")
-    full = Faults("disk-full:append:2")
-    full.disk("promise")
-    full.disk("append")
+    assert FaultInjection("kill-before-answer:1").is_due("answer")
+    full = FaultInjection("disk-full:append:2")
+    full.check_disk("promise")
+    full.check_disk("append")
     for _ in range(2):
         with pytest.raises(StorageError):
-            full.disk("append")
-    assert not full.due("append")
-    assert not Faults("").due("")
+            full.check_disk("append")
+    assert not full.is_due("append")
+    assert not FaultInjection("").is_due("")
     with pytest.raises(ConfigError):
-        Faults("kill-sometime")
+        FaultInjection("kill-sometime")
 
 
 class Listener:
--- a/tests/test_controlplane_processes.py
+++ b/tests/test_controlplane_processes.py
@@ -12,7 +12,7 @@
 
 from cypressledge.config import ConfigError
 from cypressledge.controlplane.server_selection import Server, order
-from cypressledge.controlplane.settings import read_control
+from cypressledge.controlplane.settings import read_control_settings
 from cypressledge.lab.demo import ask
 from cypressledge.lab.engines import LabEngine
 from cypressledge.lab.processes import until
@@ -430,10 +430,10 @@
     file = tmp_path / "control.yaml"
     file.write_text(yaml.safe_dump(told))
     with pytest.raises(ConfigError) as err:
-        read_control(str(file))
+        read_control_settings(str(file))
     assert str(err.value) == f"{file}: {why}"
 
 
 def test_the_file_that_is_deployed_is_good():
-    assert read_control("deploy/control.yaml").voters == ("c1", "c2", "c3")
+    assert read_control_settings("deploy/control.yaml").voters == ("c1", "c2", "c3")
     assert SETTINGS["Classes"]
--- a/tests/test_controlplane_registry.py
+++ b/tests/test_controlplane_registry.py
@@ -12,7 +12,7 @@
     BrokerRegistry,
 )
 from cypressledge.controlplane.messages import MAX_OPS_PER_CHANGE, AppliedReport, Op
-from cypressledge.controlplane.settings import read_control
+from cypressledge.controlplane.settings import read_control_settings
 from cypressledge.controlplane.state import Broker, FleetState, encode_value, validate_change
 
 S = 1_000_000  # µs
@@ -221,12 +221,12 @@
 
 
 def test_the_time_until_a_broker_is_forgotten_is_a_setting(tmp_path):
-    assert read_control("deploy/control.yaml").forget_s == 3_600
+    assert read_control_settings("deploy/control.yaml").forget_s == 3_600
     file = tmp_path / "control.yaml"
     with open("deploy/control.yaml", encoding="utf-8") as good:
         lines = [line for line in good if not line.startswith("forget_s")]
     file.write_text("".join(lines))
-    assert read_control(str(file)).forget_s == 3_600
+    assert read_control_settings(str(file)).forget_s == 3_600
     file.write_text("".join([*lines, "forget_s: -1\n"]))
     with pytest.raises(ConfigError, match="forget_s"):
-        read_control(str(file))
+        read_control_settings(str(file))
