--- /dev/null
+++ b/cypressledge/cli/fleet.py
@@ -0,0 +1,98 @@
+"""`cypressledge fleet …`: what brokers do together, as one of them sees it."""
+
+import json
+import time
+
+import click
+
+from cypressledge.cli.broker_client import at_broker, call
+from cypressledge.cli_support import as_json, show
+
+TURN_POLL_S = 0.1  # between two questions whether it is this broker's turn
+CLASS_COLUMNS = ("success", "overload", "error", "dispatches")
+
+
+@click.group()
+@at_broker
+@click.pass_context
+def fleet(ctx: click.Context, at: tuple[str, int]) -> None:
+    """What brokers do together, as one of them sees it."""
+    ctx.obj = at
+
+
+@fleet.command()
+@as_json
+@click.pass_obj
+def peers(at: tuple[str, int], as_json: bool) -> None:
+    """Which brokers are alive, suspect or gone; which vote."""
+    show(json.loads(call(at, "GET", "/fleet/peers")), as_json)
+
+
+@fleet.command()
+@as_json
+@click.pass_obj
+def leases(at: tuple[str, int], as_json: bool) -> None:
+    """Who holds what, and who is next in line."""
+    show(json.loads(call(at, "GET", "/fleet/leases")), as_json)
+
+
+@fleet.command()
+@as_json
+@click.pass_obj
+def tasks(at: tuple[str, int], as_json: bool) -> None:
+    """The tasks of this broker, and what they have taken."""
+    show(json.loads(call(at, "GET", "/fleet/tasks")), as_json)
+
+
+@fleet.command()
+@as_json
+@click.pass_obj
+def summary(at: tuple[str, int], as_json: bool) -> None:
+    """The whole fleet's figures, as last summed up."""
+    answer = json.loads(call(at, "GET", "/fleet/summary"))
+    if answer is None:
+        raise click.ClickException("no summary yet")
+    if as_json:
+        click.echo(json.dumps(answer, indent=2))
+        return
+    missing = " ".join(answer["missing"]) or "none"
+    click.echo(
+        f"summed up by {answer['holder']} (token {answer['token']}) {answer['age_s']} s ago: "
+        f"{answer['brokers']} brokers; missing: {missing}"
+    )
+    classes = sorted(answer["classes"].items())
+    show([{"class": name} | dict(zip(CLASS_COLUMNS, counts, strict=True)) for name, counts in classes], False)
+    avoided = answer["engines_avoided"].items()
+    show([{"engine": engine, "avoided by": brokers} for engine, brokers in avoided], False)
+
+
+@fleet.command("give-back")
+@click.argument("lease")
+@click.pass_obj
+def give_back(at: tuple[str, int], lease: str) -> None:
+    """Make this broker give a lease back; the next in line takes it."""
+    click.echo(call(at, "POST", "/fleet/give-back", lease).strip())
+
+
+@fleet.command("restart-turn")
+@click.option("--lease", default="restart", show_default=True, help="The lease that turns are taken under.")
+@click.option("--wait", "wait_s", default=60.0, show_default=True, help="Seconds to wait for the turn.")
+@click.option("--over", is_flag=True, help="Give the turn, or the wish for one, back.")
+@click.pass_obj
+def restart_turn(at: tuple[str, int], lease: str, wait_s: float, over: bool) -> None:
+    """Wait until this broker may be restarted; exit 0 when it is its turn, 1 when it was in vain."""
+    if over:
+        call(at, "POST", "/fleet/turn/over", lease)
+        click.echo("over")
+        return
+    deadline = time.monotonic() + wait_s
+    while True:
+        answer = json.loads(call(at, "POST", "/fleet/turn", lease))
+        if answer["yours"]:
+            click.echo(f"{lease}: your turn, token {answer['token']}")
+            return
+        if time.monotonic() >= deadline:
+            call(at, "POST", "/fleet/turn/over", lease)
+            missing = " ".join(answer["missing"]) or "none"
+            raise click.ClickException(f"no turn within {wait_s:g} s; brokers missing: {missing}")
+        time.sleep(TURN_POLL_S)
--- a/cypressledge/lab/scaling.py
+++ b/cypressledge/lab/scaling.py
@@ -732,7 +732,7 @@
     """Measure all slopes, one after the other, and write them. 0, whatever the figures are."""
     from cypressledge.lab.scaling_process import process
 
-    command = f"python -m cypressledge lab slopes --json {path} --seed {seed}{' --quick' if quick else ''}"
+    command = f"python -m cypressledge lab scaling --json {path} --seed {seed}{' --quick' if quick else ''}"
     results = Results(quick)
     for part in (decisions, directory, together, planning, fleet_yaml, process):
         began = time.monotonic()
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -124,3 +124,13 @@
     assert one.at(2.0) == (4.0, "measured")
     assert one.at(1.5) == (3.0, "interpolated")
     assert one.at(3.0) == (pytest.approx(6.0), "extrapolated")
+
+
+def test_the_former_name_of_the_scaling_command_is_accepted_and_hidden():
+    former = CliRunner().invoke(cli, ["lab", "slopes", "--help"])
+    assert former.exit_code == 0
+    assert (
+        former.output.replace("lab slopes", "lab scaling")
+        == CliRunner().invoke(cli, ["lab", "scaling", "--help"]).output
+    )
+    assert "slopes " not in CliRunner().invoke(cli, ["lab", "--help"]).output
