--- a/cypressledge/controlplane/faults.py
+++ b/cypressledge/controlplane/faults.py
@@ -12,7 +12,7 @@
 import signal
 
 from cypressledge.config import ConfigError
-from cypressledge.controlplane.replica import StorageError
+from cypressledge.controlplane.log_storage import StorageError
 
 FAULT_VARIABLE, ONCE_VARIABLE = "CYPRESSLEDGE_LAB_FAULT", "CYPRESSLEDGE_LAB_ONCE"
 FAULT_FORM = re.compile(r"(kill|stop)-(before|after)[:-]([a-z]+):(\d+)|(disk)-(full):([a-z]+):(\d+)")
--- /dev/null
+++ b/cypressledge/controlplane/log_replication.py
@@ -0,0 +1,290 @@
+"""Replication of a leader's log: what the leader sends and counts, and how a voter takes it.
+
+The method is Raft's (Ongaro and Ousterhout, 2014): entries follow a position that both hold, a mismatch takes
+the leader back, a snapshot replaces entries that are no longer kept, and what a majority has on disk in the
+leader's own epoch is committed. Guards are methods of their own, so that the tests can take each of them out.
+"""
+
+from typing import Protocol
+
+from cypressledge.controlplane.change_history import decompress_snapshot
+from cypressledge.controlplane.errors import LogInvariantError, VersionConflictError
+from cypressledge.controlplane.messages import (
+    AppendEntries,
+    Change,
+    Denied,
+    EntriesAppended,
+    InstallSnapshot,
+    Mismatch,
+    Op,
+)
+from cypressledge.controlplane.peer_progress import PeerProgress
+from cypressledge.controlplane.proposals import PendingProposal, ProposalState
+from cypressledge.controlplane.replica_context import HEARTBEAT_INTERVAL_US, NEVER, ReplicaContext, Role
+from cypressledge.controlplane.replicated_log import ReplicatedLog
+from cypressledge.controlplane.state import StateError, find_conflicts, validate_change
+
+RESEND_US = 1_000_000  # an AppendEntries that wasn't answered for so long is sent again
+SNAPSHOT_RESEND_US = 5_000_000  # the same for a snapshot, which takes longer on its way
+MAX_PENDING_PROPOSALS = 1_000  # guards against memory that grows while there is no majority
+FIRST_ENTRY_REASON = "a new primary"  # kept in the log: the same words as in earlier versions
+FIRST_VERSION_REASON = "the first version"
+
+
+class Leadership(Protocol):
+    """What decides whether this replica still leads."""
+
+    def is_leased(self, now: int) -> bool:
+        """Whether the lease is held at a moment (µs)."""
+
+    def step_down(self, reason: str) -> None:
+        """Lead no more."""
+
+
+class LeaderReplication:
+    """A leader's part, from its first entry until it steps down."""
+
+    def __init__(self, context: ReplicaContext, log: ReplicatedLog, leadership: Leadership) -> None:
+        self._context = context
+        self._log = log
+        self._leadership = leadership
+        self.is_active = True
+        self.progress = {peer: PeerProgress(next_version=log.last.version) for peer in context.peers}
+        self.heartbeat_at = NEVER  # µs, when the last heartbeat was sent
+        self._proposals: dict[int, PendingProposal] = {}  # by version
+        self._first_version = 0  # the first version of the own epoch
+
+    def write_first_entry(self) -> bool:
+        """The first entry of the own epoch, which commits all before it; whether it could be written."""
+        ops, reason, first = [], FIRST_ENTRY_REASON, self._context.first_version
+        if not self._log.last.version and first:  # a first log of which only the empty version 0 was written
+            ops, reason = first.ops, FIRST_VERSION_REASON
+        change = self._log.append_own(ops, "", "", reason, 0)
+        if change is None:
+            return False
+        self._first_version = change.version
+        return True
+
+    def start(self) -> None:
+        """Send the first entry to all."""
+        self._send_heartbeats()
+        self._replicate()
+
+    def stop(self) -> None:
+        """This replica leads no more: it is not known what becomes of the proposals."""
+        self.is_active = False
+        for proposal in self._proposals.values():
+            proposal.state = ProposalState.UNKNOWN
+        self._proposals.clear()
+
+    def tick(self) -> int:
+        """Send what is due; when to be called again, µs."""
+        if self._context.now >= self.heartbeat_at + HEARTBEAT_INTERVAL_US:
+            self._send_heartbeats()
+        for peer in self._context.peers:
+            self._send_entries(peer)
+        return self.heartbeat_at + HEARTBEAT_INTERVAL_US
+
+    # Proposals
+
+    def propose(
+        self, ops: list[Op], base_version: int, request_id: str, author: str, reason: str, created_at_ms: int
+    ) -> PendingProposal:
+        """A change that someone asks for, who looked at `base_version`; see `Replica.propose`."""
+        known = self._log.version_of_request(request_id)
+        if known is not None:
+            return self._known_proposal(known, request_id, ops)
+        validate_change(self._log.latest_state, ops)
+        if keys := find_conflicts(self._log.latest_state, base_version, ops):
+            raise VersionConflictError(keys)
+        return self._propose(ops, request_id, author, reason, created_at_ms)
+
+    def _known_proposal(self, version: int, request_id: str, ops: list[Op]) -> PendingProposal:
+        if self._log.differs_from(version, ops):
+            raise StateError(
+                f"request {request_id} became version {version}, with other contents: give this "
+                "one a name of its own"
+            )
+        pending = self._proposals.get(version)
+        epoch = self._log.entries.epoch_at(version) or 0
+        return pending or PendingProposal(version, epoch, ProposalState.DONE)
+
+    def propose_own(self, ops: list[Op], reason: str, created_at_ms: int) -> PendingProposal:
+        """A change that the leader makes by itself. Raises `StateError`."""
+        validate_change(self._log.latest_state, ops)
+        return self._propose(ops, "", self._context.name, reason, created_at_ms)
+
+    def check_capacity(self) -> None:
+        """Raises `StateError` while too many proposals wait for a majority."""
+        if len(self._proposals) >= MAX_PENDING_PROPOSALS:
+            raise StateError(f"{MAX_PENDING_PROPOSALS} changes wait for a majority of the control processes")
+
+    def _propose(
+        self, ops: list[Op], request_id: str, author: str, reason: str, created_at_ms: int
+    ) -> PendingProposal:
+        proposal = PendingProposal(self._log.latest_state.version + 1, self._log.epoch)
+        if self._log.append_own(ops, request_id, author, reason, created_at_ms) is None:
+            proposal.state = ProposalState.UNKNOWN
+            return proposal
+        self._proposals[proposal.version] = proposal
+        self._replicate()
+        return proposal
+
+    # Sending
+
+    def _replicate(self) -> None:
+        """Send what is new, and see what is committed."""
+        for peer in self._context.peers:
+            self._send_entries(peer)
+        self._advance_commit()
+
+    def _send_entries(self, peer: str) -> None:
+        """The next entries to a voter, unless some are in flight: one message is at a time."""
+        progress, log, now = self.progress[peer], self._log, self._context.now
+        if progress.in_flight_end >= 0 and now < progress.resend_at:
+            return
+        if log.entries.epoch_at(progress.next_version) is None:
+            progress.sent(log.committed_state.version, now + SNAPSHOT_RESEND_US)
+            self._context.send(peer, InstallSnapshot(log.epoch, log.compressed_snapshot(), log.commit))
+        elif progress.next_version < log.last.version:
+            changes = log.entries.batch_after(progress.next_version)
+            progress.sent(changes[-1].version, now + RESEND_US)
+            self._append(peer, progress.next_version, changes)
+
+    def _append(self, peer: str, after_version: int, changes: list[Change]) -> None:
+        progress, log = self.progress[peer], self._log
+        known = min(log.commit, after_version + len(changes))
+        progress.notified_commit = max(progress.notified_commit, known)
+        epoch = log.entries.epoch_at(after_version) or 0
+        self._context.send(peer, AppendEntries(log.epoch, epoch, after_version, changes, log.commit))
+
+    def _send_heartbeats(self) -> None:
+        """A sign of life, which also finds out where a voter is."""
+        self.heartbeat_at = self._context.now
+        for peer, progress in self.progress.items():
+            if self._log.entries.epoch_at(progress.next_version) is not None:
+                self._append(peer, progress.next_version, [])
+
+    def _notify_commit(self, peer: str) -> None:
+        """What is committed, at once, to a voter that holds it."""
+        progress, log = self.progress[peer], self._log
+        if (
+            progress.notified_commit < min(log.commit, progress.match_version)
+            and log.entries.epoch_at(progress.match_version) is not None
+        ):
+            self._append(peer, progress.match_version, [])
+
+    # Answers
+
+    def on_entries_appended(self, sender: str, message: EntriesAppended) -> None:
+        """A voter has everything up to a version on its disk."""
+        if message.version > self._log.last.version:
+            return
+        self.progress[sender].acknowledged(message.version, message.joining)
+        self._send_entries(sender)
+        self._advance_commit()
+        if self.is_active:
+            self._notify_commit(sender)
+
+    def on_mismatch(self, sender: str, message: Mismatch) -> None:
+        """A voter has no such entry: go on behind a version that it may have."""
+        progress = self.progress[sender]
+        if message.version < 0 and progress.next_version < 0:
+            return  # guards against a snapshot for each repeat
+        progress.go_back(min(message.version, self._log.last.version))
+        self._send_entries(sender)
+
+    def _acknowledged_version(self, voter: str) -> int:
+        """The version that counts as being on a voter's disk.
+
+        Guards against counting one that has forgotten what it promised or held.
+        """
+        if voter == self._context.name:
+            return self._log.last.version
+        progress = self.progress[voter]
+        return -1 if progress.joining else progress.match_version
+
+    def _advance_commit(self) -> None:
+        """What a majority has on disk is committed, if it is of the own epoch."""
+        voters, now = self._context.voters, self._context.now
+        version = sorted(map(self._acknowledged_version, voters), reverse=True)[len(voters) // 2]
+        if version <= self._log.commit or not self._log.is_of_own_epoch(version):
+            return
+        if not self._leadership.is_leased(now):
+            self._leadership.step_down("lease")
+            return
+        if not self._log.advance_commit(version):
+            return
+        for done in [pending for pending in self._proposals if pending <= version]:
+            self._proposals.pop(done).state = ProposalState.DONE
+        if self._context.role is Role.CANDIDATE and version >= self._first_version:
+            self._context.role = Role.LEADER
+            self._context.report("primary", epoch=self._log.epoch, version=version)
+        for peer in self.progress:
+            self._notify_commit(peer)
+
+
+class FollowerReplication:
+    """A voter's part: it takes what the leader of its epoch sends, and answers."""
+
+    def __init__(self, context: ReplicaContext, log: ReplicatedLog) -> None:
+        self._context = context
+        self._log = log
+
+    def on_append_entries(self, sender: str, message: AppendEntries) -> None:
+        """Entries, a heartbeat or news of a commit from the leader."""
+        log = self._log
+        if not log.contains(message.prev_epoch, message.prev_version):
+            self._answer_mismatch(sender, message)
+            return
+        matching = message.prev_version + len(message.changes)
+        versions = [change.version for change in message.changes]
+        in_order = versions == list(range(message.prev_version + 1, matching + 1))
+        if not in_order or not log.append(message.changes):
+            if not log.is_uncertain:
+                self._context.send(sender, Denied(log.epoch, "state"))
+            return
+        if log.advance_commit(log.committed_here(message.commit, matching)):
+            self._answer_appended(sender, message.epoch, message.commit, matching)
+
+    def _answer_mismatch(self, sender: str, message: AppendEntries) -> None:
+        """Where the leader may begin again: everything committed is the same there."""
+        log = self._log
+        if not log.has_history:
+            self._context.send(sender, Mismatch(message.epoch, -1))
+            return
+        prev_version = message.prev_version
+        held_epoch = log.entries.epoch_at(prev_version)
+        if held_epoch is not None and prev_version <= log.commit and log.commit >= 1:
+            raise LogInvariantError(
+                f"version {prev_version}, committed, is of epoch {held_epoch} here, of "
+                f"{message.prev_epoch} at {sender}"
+            )
+        # Guards against a first log that was never committed: version 0 is of another epoch there.
+        is_other_first_log = log.commit < 1 and held_epoch is not None and not prev_version
+        if is_other_first_log:
+            version = -1
+        elif prev_version > log.last.version:
+            version = log.last.version
+        else:
+            version = max(log.commit, log.entries.base.version)
+        self._context.send(sender, Mismatch(message.epoch, version))
+
+    def on_install_snapshot(self, sender: str, message: InstallSnapshot) -> None:
+        """A snapshot from the leader, in place of entries that it no longer keeps."""
+        try:
+            snapshot = decompress_snapshot(message.compressed)
+        except StateError as err:
+            self._context.report("unfit", why=str(err))
+            return
+        if self._log.install(snapshot):
+            self._answer_appended(sender, message.epoch, message.commit, snapshot.version)
+        elif not self._log.is_uncertain:
+            self._context.send(sender, Denied(self._log.epoch, "lineage"))
+
+    def _answer_appended(self, sender: str, epoch: int, leader_commit: int, version: int) -> None:
+        log = self._log
+        if log.finish_joining(epoch, leader_commit):
+            self._context.report("joined", version=log.last.version)
+        if not log.is_uncertain:
+            self._context.send(sender, EntriesAppended(epoch, version, log.joining))
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -8,8 +8,10 @@
 import msgspec
 
 from cypressledge.broker.metrics import Counters
+from cypressledge.controlplane.errors import NotLeaderError
 from cypressledge.controlplane.messages import Change, Message, Snapshot
-from cypressledge.controlplane.replica import NEVER, NotLeaderError, ReplicaStatus
+from cypressledge.controlplane.replica_context import NEVER
+from cypressledge.controlplane.replica_status import ReplicaStatus
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.subscriber import BrokerIdentity
--- /dev/null
+++ b/cypressledge/controlplane/replica_context.py
@@ -0,0 +1,54 @@
+"""What the parts of one replica share: its name and voters, the time, its role, and the ways out."""
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import StrEnum
+
+from cypressledge.controlplane.messages import Message, Op
+
+NEVER = -(1 << 62)  # µs: a moment before all others
+HEARTBEAT_INTERVAL_US = (
+    500_000  # between a leader's signs of life, and between repeats of a candidate's requests
+)
+
+
+class Role(StrEnum):
+    """Raft's roles; the values are the words of operators' calls and events."""
+
+    FOLLOWER = "standby"
+    CANDIDATE = "recovering"
+    LEADER = "primary"
+
+
+@dataclass(frozen=True, slots=True)
+class FirstVersion:
+    """Permission to start a new replicated log, should a majority be empty: its name and first changes."""
+
+    cluster_id: str
+    ops: list[Op]
+
+
+@dataclass(slots=True)
+class ReplicaContext:
+    """Shared by the parts of one replica, which alone changes `now`, `role` and `first_version`.
+
+    `send(peer, message)` and `report(event, **fields)` must not call back into the replica. `now` is µs on
+    the process's own clock, set at each call from outside.
+    """
+
+    name: str
+    instance_id: int
+    voters: tuple[str, ...]
+    send: Callable[[str, Message], None]
+    report: Callable[..., None]
+    now: int
+    role: Role = Role.FOLLOWER
+    first_version: FirstVersion | None = None
+    peers: tuple[str, ...] = field(init=False)
+
+    def __post_init__(self) -> None:
+        self.peers = tuple(voter for voter in self.voters if voter != self.name)
+
+    def is_majority(self, count: int) -> bool:
+        """Guards against two halves of the voters that have nobody in common."""
+        return count > len(self.voters) // 2
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -25,6 +25,7 @@
 from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions
 from cypressledge.controlplane.broker_registry import BrokerRegistry
 from cypressledge.controlplane.change_history import ChangeHistory
+from cypressledge.controlplane.errors import NotLeaderError, VersionConflictError
 from cypressledge.controlplane.faults import FAULT_VARIABLE, ONCE_VARIABLE, FaultInjection
 from cypressledge.controlplane.framing import (
     HELLO_TIMEOUT_S,
@@ -33,6 +34,7 @@
     TrafficCounters,
     connect,
 )
+from cypressledge.controlplane.log_storage import StorageError
 from cypressledge.controlplane.messages import (
     FORMAT,
     MAX_FRAME_BYTES,
@@ -50,14 +52,9 @@
 )
 from cypressledge.controlplane.non_voting_replica import NonVotingReplica
 from cypressledge.controlplane.operators import Asked, Operators, number
+from cypressledge.controlplane.proposals import PendingProposal
 from cypressledge.controlplane.publisher import Publisher, PublisherLimits
-from cypressledge.controlplane.replica import (
-    NotLeaderError,
-    PendingProposal,
-    Replica,
-    StorageError,
-    VersionConflictError,
-)
+from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control_settings
 from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
 from cypressledge.controlplane.state import (
--- a/cypressledge/controlplane/sqlite_storage.py
+++ b/cypressledge/controlplane/sqlite_storage.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
+from cypressledge.controlplane.log_storage import StorageError, StoredLog
 from cypressledge.controlplane.messages import Change, Snapshot
-from cypressledge.controlplane.replica import StorageError, StoredLog
 
 FORMAT = 1  # of the file
 COMPACTION_CHANGES = 8_192  # changes behind the snapshot from which a compaction is due
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from hashlib import blake2b
-from typing import Annotated, Literal
+from typing import Annotated, Literal, NamedTuple
 
 import msgspec
 
@@ -39,6 +39,13 @@
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
 
 
+class Position(NamedTuple):
+    """A position of the replicated log: its version, and the epoch that version was written in."""
+
+    epoch: int
+    version: int
+
+
 class StateError(ValueError):
     """A change, value or snapshot that can't be taken: one plain line."""
 
@@ -128,9 +135,9 @@
         self._address_of: dict[str, tuple[str, str, int]] = {}
 
     @property
-    def position(self) -> tuple[int, int]:
-        """(epoch, version)."""
-        return self.epoch, self.version
+    def position(self) -> Position:
+        """Epoch and version of the last change applied."""
+        return Position(self.epoch, self.version)
 
     @property
     def digest(self) -> bytes:
--- a/tests/recordings/test_control_store_recording.py
+++ b/tests/recordings/test_control_store_recording.py
@@ -68,29 +68,32 @@
 
 
 def test_the_state_and_the_versions_of_its_keys_are_those_of_then(replica, handed):
-    assert plain(replica.state.snapshot()) == EXPECTED["state"]
+    assert plain(replica.log.committed_state.snapshot()) == EXPECTED["state"]
     assert [(changes, plain(snapshot)) for changes, snapshot in handed] == [(None, EXPECTED["state"])]
-    assert {key: entry.version for key, entry in replica.state.entries.items()} == {
+    assert {key: entry.version for key, entry in replica.log.committed_state.entries.items()} == {
         "engine/e1": 2,
         "broker/b1": 3,
         "broker/b2": 3,
         "engine/e2": 6,
     }
-    assert replica.state.removed == {"engine/e0": 4}
-    assert replica.state.engines() == {
+    assert replica.log.committed_state.removed == {"engine/e0": 4}
+    assert replica.log.committed_state.engines() == {
         "e1": Engine("e1.example:8123", "small", "z2", 3, "draining", 1_700_000_000_000),
         "e2": Engine("e2.example:8123"),
     }
-    assert replica.state.brokers() == {
+    assert replica.log.committed_state.brokers() == {
         "b1": Broker("b1.example:7000", "z1", "north"),
         "b2": Broker("b2.example:7000"),
     }
 
 
 def test_values_are_encoded_to_the_bytes_of_then(replica):
-    for name, value in {**replica.state.engines(), **replica.state.brokers()}.items():
+    for name, value in {
+        **replica.log.committed_state.engines(),
+        **replica.log.committed_state.brokers(),
+    }.items():
         key = f"engine/{name}" if isinstance(value, Engine) else f"broker/{name}"
-        assert encode_value(value) == replica.state.entries[key].value
+        assert encode_value(value) == replica.log.committed_state.entries[key].value
 
 
 def test_a_request_of_then_is_known_when_repeated_and_the_history_goes_on(replica):
@@ -104,7 +107,7 @@
         replica.propose(3 * SECOND, [Op("engine/e2")], 0, "request-3")
     new = replica.propose(3 * SECOND, [Op("engine/e2")], 7, "request-4")
     assert (new.version, new.epoch, new.state) == (8, 7, "done")
-    assert replica.state.removed == {"engine/e0": 4, "engine/e2": 8}
+    assert replica.log.committed_state.removed == {"engine/e0": 4, "engine/e2": 8}
 
 
 def test_a_promise_of_then_binds(replica):
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -3,14 +3,10 @@
 
 from dataclasses import replace
 
+from cypressledge.controlplane.errors import LogInvariantError, NotLeaderError
+from cypressledge.controlplane.log_storage import StorageError, StoredLog
 from cypressledge.controlplane.messages import Op
-from cypressledge.controlplane.replica import (
-    LogInvariantError,
-    NotLeaderError,
-    Replica,
-    StorageError,
-    StoredLog,
-)
+from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.state import Engine, StateError, encode_value
 
 SECOND = 1_000_000
@@ -164,7 +160,7 @@
     def propose(self, name, request, ops=None):
         def do():
             replica = self.up[name]
-            base = replica.latest_state.version if replica.latest_state else 0
+            base = replica.latest_state.version if replica.log.has_history else 0
             ops_ = engine(request) if ops is None else ops
             ticket = replica.propose(self.now, ops_, base, request, "someone", "a test", 0)
             self.open.append((name, request, ticket))
@@ -215,7 +211,7 @@
             self.lease(name, None)
         done = self.propose(name, "last")
         self.pass_time(10 * SECOND, self.names)
-        states = [r.state for r in self.up.values()]
+        states = [r.log.committed_state for r in self.up.values()]
         if not done or done.state != "done" or len({(s.epoch, s.version, s.digest) for s in states}) != 1:
             raise Fault(f"no one history: {[r.status(self.now) for r in self.up.values()]}")
         if len({s.cluster_id for s in states}) != 1 or len({tuple(s.requests.items()) for s in states}) != 1:
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -17,6 +17,7 @@
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.faults import FaultInjection
 from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters
+from cypressledge.controlplane.log_storage import StorageError
 from cypressledge.controlplane.messages import (
     MAX_FRAME_BYTES,
     AppliedPosition,
@@ -29,7 +30,6 @@
     encode,
 )
 from cypressledge.controlplane.operators import Asked, BadRequest, read_change
-from cypressledge.controlplane.replica import StorageError
 from cypressledge.controlplane.server import check_new
 from cypressledge.controlplane.state import FleetState, StateError, decode_value, encode_value
 
--- a/tests/test_controlplane_replica.py
+++ b/tests/test_controlplane_replica.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 from replicas import SECOND, Fault, World, engine
 
-from cypressledge.controlplane import replica as module
+from cypressledge.controlplane import log_entries
 from cypressledge.controlplane.change_history import compress_snapshot
+from cypressledge.controlplane.errors import LogInvariantError, NotLeaderError, VersionConflictError
+from cypressledge.controlplane.leader_recovery import LeaderRecovery
+from cypressledge.controlplane.log_replication import LeaderReplication
+from cypressledge.controlplane.log_storage import PromisedEpoch, StoredLog
 from cypressledge.controlplane.messages import AppendEntries, Denied, InstallSnapshot
-from cypressledge.controlplane.replica import (
-    LogInvariantError,
-    NotLeaderError,
-    Replica,
-    StoredLog,
-    VersionConflictError,
-)
+from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.replica_context import ReplicaContext, Role
+from cypressledge.controlplane.replicated_log import ReplicatedLog
 from cypressledge.controlplane.state import FleetState, StateError
 
 
@@ -77,8 +77,8 @@
     w.lease("b", 2)
     w.run("bc")
     w.start("a")
-    w.up["b"].progress["a"].end = 2  # an AppendEntries to a is out: only signs of life go there
-    w.up["b"].progress["a"].resend = 1 << 60
+    w.up["b"].progress["a"].in_flight_end = 2  # an AppendEntries to a is out: only signs of life go there
+    w.up["b"].progress["a"].resend_at = 1 << 60
     w.pass_time(SECOND, "abc")
 
 
@@ -254,58 +254,79 @@
     w.run("bc")
 
 
-def memory_promise(self, epoch, run):
-    self.promised = (epoch, run)
+def memory_promise(self, epoch, instance_id):
+    self.promised = PromisedEpoch(epoch, instance_id)
     return True
 
 
+persist = ReplicatedLog._persist
+
+
 def memory_entries(self, step, *args):
-    return step in ("append", "commit") and self.role == "standby" or Replica._durable(self, step, *args)
+    is_follower = self._context.role is Role.FOLLOWER
+    return step in ("append", "commit") and is_follower or persist(self, step, *args)
 
 
 def counts_all(self):
-    return self.promises
+    return self._promises
 
 
 def counts_empty(self):
-    return {v: p for v, p in self.promises.items() if not p.joining}
+    return {v: p for v, p in self._promises.items() if not p.joining}
+
+
+def counts_joining(self, voter):
+    return self._log.last.version if voter == self._context.name else self.progress[voter].match_version
 
 
 # What happens, and the guard without which it goes wrong.
 GUARDS = [
-    (one_epoch_two_runs, "_may_promise", lambda self, epoch, run: True),
-    (an_old_primary_speaks, "_stale", lambda self, epoch: False),
-    (a_tail_of_an_old_epoch, "_fits", lambda self, epoch, version: self.log.epoch_at(version) is not None),
-    (committed_behind_a_tail, "_covered", lambda self, commit, held: min(commit, self.log.last[1])),
-    (an_older_epoch_counted, "_own", lambda self, version: True),
-    (a_word_after_the_lease, "_leased", lambda self, now: True),
-    (a_lost_disk_counted_for_a_promise, "_counted", counts_all),
-    (an_empty_disk_counted, "_counted", counts_empty),
+    (one_epoch_two_runs, ReplicatedLog, "may_promise", lambda self, epoch, instance_id: True),
+    (an_old_primary_speaks, ReplicatedLog, "is_stale", lambda self, epoch: False),
+    (
+        a_tail_of_an_old_epoch,
+        ReplicatedLog,
+        "contains",
+        lambda self, epoch, version: self.entries.epoch_at(version) is not None,
+    ),
+    (
+        committed_behind_a_tail,
+        ReplicatedLog,
+        "committed_here",
+        lambda self, commit, matching: min(commit, self.last.version),
+    ),
+    (an_older_epoch_counted, ReplicatedLog, "is_of_own_epoch", lambda self, version: True),
+    (a_word_after_the_lease, Replica, "is_leased", lambda self, now: True),
+    (a_lost_disk_counted_for_a_promise, LeaderRecovery, "_counted_promises", counts_all),
+    (an_empty_disk_counted, LeaderRecovery, "_counted_promises", counts_empty),
+    (a_lost_disk_counted_for_an_entry, LeaderReplication, "_acknowledged_version", counts_joining),
     (
-        a_lost_disk_counted_for_an_entry,
-        "_held",
-        lambda self, v: self.log.last[1] if v == self.name else self.progress[v].match,
+        full_again_too_early,
+        ReplicatedLog,
+        "_has_caught_up",
+        lambda self, epoch, leader_commit: leader_commit <= self.commit,
     ),
-    (full_again_too_early, "_caught_up", lambda self, epoch, commit: commit <= self.commit),
-    (a_lost_promise, "_muted", lambda self, now: False),
-    (disks_put_back, "_behind", lambda self, newest: False),
-    (less_than_a_majority, "_enough", lambda self, count: True),
-    (another_history, "_is_same_cluster", lambda self, lineage: True),
-    (a_request_repeated, "_known", lambda self, request: None),
-    (a_promise_not_kept, "_promise", memory_promise),
-    (an_entry_not_kept, "_durable", memory_entries),
+    (a_lost_promise, Replica, "_is_muted", lambda self, now: False),
+    (disks_put_back, LeaderRecovery, "_is_behind_commit", lambda self, newest: False),
+    (less_than_a_majority, ReplicaContext, "is_majority", lambda self, count: True),
+    (another_history, ReplicatedLog, "_is_same_cluster", lambda self, cluster_id: True),
+    (a_request_repeated, ReplicatedLog, "version_of_request", lambda self, request_id: None),
+    (a_promise_not_kept, ReplicatedLog, "promise", memory_promise),
+    (an_entry_not_kept, ReplicatedLog, "_persist", memory_entries),
 ]
 
 
-@pytest.mark.parametrize(("scene", "guard", "without"), GUARDS, ids=[g[0].__name__ for g in GUARDS])
-def test_guard_holds_and_is_needed(scene, guard, without):
+@pytest.mark.parametrize(("scene", "owner", "guard", "without"), GUARDS, ids=[g[0].__name__ for g in GUARDS])
+def test_guard_holds_and_is_needed(scene, owner, guard, without, monkeypatch):
     scene(Replica)
+    assert guard in vars(owner)
+    monkeypatch.setattr(owner, guard, without)
     with pytest.raises(Fault) as found:
-        scene(type("Without", (Replica,), {guard: without}))
+        scene(Replica)
     print(f"without {guard}: {found.value}")
 
 
-def test_what_is_committed_is_never_dropped():
+def test_what_is_committed_is_never_dropped(monkeypatch):
     w = begun(Replica)
     w.propose("a", "x")
     w.run("abc")
@@ -315,12 +336,11 @@
     other = state.draft_change(9, engine("y"))
     with pytest.raises(LogInvariantError):
         w.up["b"].receive(w.now, "c", AppendEntries(9, 1, 1, [other], 1))
-    unguarded = type("Without", (Replica,), {"_droppable": lambda self, after: True})
+    monkeypatch.setattr(ReplicatedLog, "_may_truncate", lambda self, after_version: True)
     w.crash("b")
-    w.kind = unguarded
     w.start("b")
     w.up["b"].receive(w.now, "c", AppendEntries(9, 1, 1, [other], 1))
-    assert w.up["b"].log.last[1] < w.up["b"].commit  # without the guard: gone, unnoticed
+    assert w.up["b"].log.last.version < w.up["b"].log.commit  # without the guard: gone, unnoticed
 
 
 def test_refusals():
@@ -383,7 +403,7 @@
 
 
 def test_a_voter_far_behind_gets_a_snapshot(monkeypatch):
-    monkeypatch.setattr(module, "MAX_KEPT_ENTRIES", 4)
+    monkeypatch.setattr(log_entries, "MAX_KEPT_ENTRIES", 4)
     w = begun(Replica)
     w.crash("c")
     for i in range(40):
@@ -391,9 +411,9 @@
         w.run("ab")
     w.start("c")
     w.pass_time(8 * SECOND, "abc")
-    assert w.up["c"].state.digest == w.up["a"].state.digest
-    assert w.up["c"].commit == 41
-    assert w.up["a"].log.base[1] > 20
+    assert w.up["c"].log.committed_state.digest == w.up["a"].log.committed_state.digest
+    assert w.up["c"].log.commit == 41
+    assert w.up["a"].log.entries.base.version > 20
 
 
 def test_a_lost_disk_comes_back():
@@ -401,7 +421,7 @@
     w.lose_disk("b")
     w.propose("a", "x")
     w.pass_time(4 * SECOND, "ab")
-    assert w.up["a"].commit == 1
+    assert w.up["a"].log.commit == 1
     assert not w.up["b"].is_eligible(w.now)
     w.pass_time(8 * SECOND, "ab")
     assert w.acked == {"x": 2}
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -7,8 +7,9 @@
 import pytest
 
 from cypressledge.controlplane import sqlite_storage as module
+from cypressledge.controlplane.log_storage import StorageError
 from cypressledge.controlplane.messages import Op
-from cypressledge.controlplane.replica import Replica, StorageError
+from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
 from cypressledge.controlplane.state import Engine, FleetState, encode_value
 
@@ -145,7 +146,7 @@
     assert store.load().commit == 20
     replica = Replica("a", 1, ("a", "b", "c"), store, 0, None, lambda *_: None, None, mute_us=5)
     assert replica.joining
-    assert replica.mute_until == 5
+    assert replica.tick(4) == 5  # until then it says nothing
     assert not replica.is_eligible(9)
 
 
