--- a/tests/recordings/test_wire_recording.py
+++ b/tests/recordings/test_wire_recording.py
@@ -502,8 +502,8 @@
         until(lambda: b"clickhouse" in self.api("GET", "/v1/engines"), "the engine by DNS-SD")
         # From here on only engines of the second wire: the first ones' list is empty.
         self.process.dns.engines.clear()
-        until(lambda: b'"lines"' not in self.api("GET", "/v1/engines"), "the first list to be empty")
         self.process.relist(2)
+        until(lambda: b'"lines"' not in self.api("GET", "/v1/engines"), "the first list to be empty")
         messages |= self.administration()
         messages |= self.clickhouse()
         messages |= self.clickhouse_engine()
