--- a/cypressledge/__main__.py
+++ b/cypressledge/__main__.py
@@ -20,7 +20,7 @@
     early: list[int] = []
     for number in EARLY:
         signal.signal(number, lambda got, _: early.append(got))
-    from cypressledge.broker_process import main as run
+    from cypressledge.broker.process import main as run
 
     return run(early)
 
--- /dev/null
+++ b/cypressledge/broker/process.py
@@ -0,0 +1,214 @@
+"""One real broker as a process: reads its configuration, starts the parts, heeds signals, and shuts down.
+
+ROUTER_CONFIG names the configuration. `--service FILE` adds the hosted service's frontend, `--fleet FILE`
+what brokers do together, `--control FILE` the control plane that it takes settings and engines from.
+"""
+
+import argparse
+import gc
+import os
+import signal
+import sys
+from collections.abc import Callable, Mapping
+from functools import partial
+from typing import TYPE_CHECKING
+
+import gevent
+from gevent.event import Event
+
+from cypressledge.broker.assembly import assemble_parts
+from cypressledge.broker.metrics import log
+from cypressledge.broker.periodic_tasks import WallClockWatch, log_counters, run_maintenance
+from cypressledge.broker.reconfiguration import ConfigReader, Reconfiguration
+from cypressledge.clock import monotonic_us
+from cypressledge.config import Config, ConfigError, read_config
+from cypressledge.service import ServiceConfig, read_service
+
+if TYPE_CHECKING:
+    from cypressledge.controlplane.broker_integration import BrokerIntegration
+    from cypressledge.fleet.part import FleetPart
+
+ACCEPT_AFTER_STOP_S = 0.72  # a stopping broker goes on taking requests; what came later might meet SIGKILL
+FLUSH_S = 0.5  # for the last answers to leave
+MAX_COUNTED_DEADLINE_US = 3_000_000  # of the longest deadline, this much counts towards the time for a stop
+KILL_MARGIN_US = 700_000  # beyond that deadline, after which SIGKILL may come
+EXIT_MARGIN_S = 0.1  # before SIGKILL the process has ended
+GIVE_UP_MARGIN_US = 400_000  # before SIGKILL, from when on whatever is open is given up, and answered so
+SHUTDOWN_POLL_S = 0.02  # between looks whether all requests have been answered
+US_PER_SECOND = 1e6
+EXIT_OK = 0
+EXIT_BAD_CONFIGURATION = 2
+EXIT_PART_FAILED = 3
+
+
+class BrokerProcess:
+    """One broker, from its start to its end."""
+
+    def __init__(
+        self, read: ConfigReader, fleet_file: str | None = None, control_file: str | None = None
+    ) -> None:
+        config, service = read({})
+        self.parts = assemble_parts(config, service)
+        self.core, self.counters = self.parts.core, self.parts.counters
+        self.management = self.parts.management
+        self.configuration = Reconfiguration(read, config, self.parts)
+        self._greenlets = self._main_loops(config)
+        self.fleet = self._join_fleet(fleet_file) if fleet_file else None
+        self.control = self._follow_control_plane(control_file) if control_file else None
+        self.configuration.apply_limits(config)
+        self._clock_watch = WallClockWatch(self.core)
+        self._stopping = Event()
+
+    @property
+    def config(self) -> Config:
+        """The configuration in force."""
+        return self.configuration.config
+
+    def _main_loops(self, config: Config) -> list[Callable[[], None]]:
+        """The functions that run for as long as the process does, each on a greenlet of its own."""
+        parts = self.parts
+        loops = [parts.core.loop.run, parts.frontend.listener.run, self._maintain]
+        if config.metrics_interval_s:
+            loops.append(partial(log_counters, self.counters, lambda: self.config.metrics_interval_s))
+        if parts.management is not None:
+            loops.append(parts.management.server.listener.run)
+        loops.append(parts.directory.run)
+        if parts.service is not None:
+            loops += parts.service.main_loops()
+        return loops
+
+    def _join_fleet(self, file: str) -> "FleetPart":
+        """What brokers do together. Imported here alone: `run` without it must not load it."""
+        from cypressledge.fleet.part import FleetPart
+
+        fleet = FleetPart(file, self.config, self.core, self.counters)
+        self._greenlets += fleet.parts
+        if self.management is not None:
+            fleet.calls(self.management)
+        return fleet
+
+    def _follow_control_plane(self, file: str) -> "BrokerIntegration":
+        """The control plane. Imported here alone: `run` without it must not load it."""
+        from cypressledge.controlplane.broker_integration import follow
+
+        control = follow(file, self)
+        self._greenlets += control.parts
+        return control
+
+    def reload(self) -> None:
+        """Take the configuration file as it is now (SIGHUP)."""
+        if self.configuration.reload():
+            if self.fleet is not None:
+                self.fleet.reload()
+            log("reload: the new configuration is in force")
+
+    def run(self, early: list[int]) -> None:
+        """Serve until told to stop; then answer all that was taken. `early`: signals that came before."""
+        host, port = self.config.listen
+        ready = len(self.core.engines.ready_endpoints)
+        log(f"{self.config.name}: listening on {host}:{port}, {ready} engines ready")
+        for greenlet in map(gevent.spawn, self._greenlets):
+            greenlet.link_exception(self._exit_failed)
+        self._install_signal_handlers(early)
+        self._stopping.wait()
+        self._shut_down()
+        self.counters.print("exit")
+
+    def _install_signal_handlers(self, early: list[int]) -> None:
+        handlers: dict[int, Callable[[], None]] = {
+            signal.SIGTERM: self._stopping.set,
+            signal.SIGINT: self._stopping.set,
+            signal.SIGHUP: self.reload,
+            signal.SIGUSR1: lambda: self.counters.print("asked"),
+        }
+        for number, handler in handlers.items():
+            gevent.signal_handler(number, handler)
+        for number in early:
+            handlers[number]()
+
+    # Shutdown
+
+    def _shut_down(self) -> None:
+        """Go on serving for a moment while reporting unhealthy; then answer whatever is open, and flush."""
+        log("stopping: no longer healthy, still serving")
+        self.core.ledger.start_shutdown(monotonic_us() + self._shutdown_span())
+        if self.fleet is not None:
+            self.fleet.stop()
+        if self.control is not None:
+            self.control.stop()
+        frontend = self.parts.frontend
+        if frontend.listener.inherited:  # the socket's queue and the clients are the next process's
+            frontend.stop()
+            frontend.drain()
+        gevent.sleep(ACCEPT_AFTER_STOP_S)
+        for each in self.parts.frontends():
+            each.stop()
+        self.core.ledger.is_accepting = False
+        frontend.drain()
+        while any(not request.is_concluded for request in self.core.ledger.requests.values()):
+            gevent.sleep(SHUTDOWN_POLL_S)
+        flush_s = self._flush_span()
+        for each in self.parts.frontends():
+            each.flush(flush_s)
+
+    def _shutdown_span(self) -> int:
+        """µs that a stopping broker has for its answers. By the deployment's rule SIGKILL comes no earlier
+        than the longest deadline, of which 3 s count, and 0.7 s after SIGTERM."""
+        longest = max(k.deadline for k in self.core.settings.classes)
+        return min(longest, MAX_COUNTED_DEADLINE_US) + KILL_MARGIN_US - GIVE_UP_MARGIN_US
+
+    def _flush_span(self) -> float:
+        """Seconds for the last answers to leave, so that the process ends before SIGKILL comes."""
+        kill_at = self.core.ledger.shutdown_deadline + GIVE_UP_MARGIN_US
+        left = (kill_at - monotonic_us()) / US_PER_SECOND - EXIT_MARGIN_S
+        return max(min(FLUSH_S, left), 0.0)
+
+    # Periodic tasks
+
+    def _maintain(self) -> None:
+        parts = self.parts
+        tasks = [parts.transport.maintain]
+        if parts.service is not None:
+            tasks.append(parts.service.transport.maintain)
+        tasks.append(self._clock_watch.check)
+        if parts.maintenance_file is not None:
+            tasks.append(parts.maintenance_file.look)
+        run_maintenance(tasks, self.counters)
+
+    def _exit_failed(self, greenlet: gevent.Greenlet) -> None:
+        """A loop that ended by an exception can't be done without: end, so that the platform starts anew."""
+        log(f"a part of the broker failed: {greenlet.exception!r}")
+        os._exit(EXIT_PART_FAILED)
+
+
+def assemble(args: list[str], environment: Mapping[str, str]) -> BrokerProcess:
+    """The broker that arguments and environment describe. Raises `ConfigError`."""
+    parser = argparse.ArgumentParser(prog="cypressledge", description="a query broker")
+    parser.add_argument("--service", metavar="FILE", help="settings of the hosted service's front")
+    parser.add_argument("--fleet", metavar="FILE", help="what brokers do together (deploy/fleet.yaml)")
+    parser.add_argument("--control", metavar="FILE", help="the control plane to follow (deploy/control.yaml)")
+    arguments = parser.parse_args(args)
+
+    def read(sections: dict) -> tuple[Config, ServiceConfig | None]:
+        service = read_service(arguments.service, environment) if arguments.service else None
+        return read_config(environment, sections), service
+
+    try:
+        return BrokerProcess(read, arguments.fleet, arguments.control)
+    except OSError as err:
+        raise ConfigError(f"cannot listen: {err}") from None
+
+
+def main(early: list[int]) -> int:
+    """Run one broker; a bad configuration is one plain line. `early`: signals that came before."""
+    if signal.SIGTERM in early or signal.SIGINT in early:
+        return EXIT_OK  # nobody has met this process yet
+    try:
+        broker = assemble(sys.argv[1:], os.environ)
+    except ConfigError as err:
+        log(f"cypressledge: {err}")
+        return EXIT_BAD_CONFIGURATION
+    gc.collect()
+    gc.freeze()  # what is there at the start is never garbage: no collection looks at it again
+    broker.run(early)
+    return EXIT_OK
--- /dev/null
+++ b/cypressledge/broker/reconfiguration.py
@@ -0,0 +1,115 @@
+"""The configuration in force, and what changes it while the broker runs."""
+
+from collections.abc import Callable
+
+from cypressledge.broker.assembly import BrokerParts, decision_settings
+from cypressledge.broker.metrics import log
+from cypressledge.config import Config, ConfigError
+from cypressledge.decisions.contract import EngineListKind
+from cypressledge.net.buffer import GROWN
+from cypressledge.net.dns_discovery import DiscoveredEngine
+from cypressledge.net.management import CALLERS_LEAST, CALLERS_MOST
+from cypressledge.net.receive_buffer import BUFFER_GROWTH
+from cypressledge.net.socket_writer import QUEUED_BYTES
+from cypressledge.net.stream import QUEUED
+from cypressledge.service import ServiceConfig
+
+MAX_OPEN_REQUESTS = 4_000  # at once, where memory allows as many
+BYTES_PER_OPEN_REQUEST = 10_000  # of memory, its statement aside
+MEMORY_SHARE_OF_STATEMENTS = 8  # one part in so many of the spare memory
+MEMORY_SHARE_OF_BUFFERS = 4
+DESCRIPTORS_PER_SPARE_CLIENT = 32
+DESCRIPTORS_PER_OPERATOR = 32
+
+# The settings' sections that stand in place of the file's -> the configurations read with them.
+ConfigReader = Callable[[dict], tuple[Config, ServiceConfig | None]]
+
+
+class Reconfiguration:
+    """Keeps the configuration in force, and applies a new one to all parts at once, or not at all."""
+
+    def __init__(self, read: ConfigReader, config: Config, parts: BrokerParts) -> None:
+        self.config = config
+        self.sections: dict = {}  # of the settings, in place of the file's
+        self.has_external_engine_list = False  # the list is neither the file's nor the directory's
+        self._read = read
+        self._parts = parts
+
+    def reload(self) -> bool:
+        """Take the configuration as its file is now, and answer whether it is in force.
+
+        Guards against a bad file, or one that names what only a restart can change: the old configuration
+        stays in force as a whole. The listener, the ledger, connections and the serial live on."""
+        try:
+            self._apply(self.sections)
+        except ConfigError as err:
+            log(f"reload: the old configuration stays in force: {err}")
+            return False
+        return True
+
+    def apply_sections(self, sections: dict) -> None:
+        """Take sections of the settings, by name, in place of the file's from now on.
+
+        Raises `ConfigError` where what is in force stays."""
+        self._apply(sections)
+        log(f"control: new settings are in force: {' '.join(sorted(sections))}")
+
+    def apply_engine_list(self, engines: list[DiscoveredEngine]) -> None:
+        """Take a complete list, from now on in place of the file's and the directory's.
+
+        The directory is polled no more."""
+        if not self.has_external_engine_list:
+            self.has_external_engine_list = True
+            self._parts.directory.set_server(None)
+        self._parts.engine_naming.publish(self._parts.core, EngineListKind.FULL, engines)
+
+    def apply_limits(self, config: Config) -> None:
+        """Give each part its limits; at the start and at each reload."""
+        parts, limits = self._parts, config.limits
+        is_shared = parts.service is not None
+        ledger = parts.core.ledger
+        ledger.max_retry_after = limits.max_retry_after
+        ledger.max_open_requests = min(MAX_OPEN_REQUESTS, limits.spare_memory // BYTES_PER_OPEN_REQUEST)
+        ledger.max_statement_bytes = limits.spare_memory // MEMORY_SHARE_OF_STATEMENTS
+        buffers = limits.spare_memory // MEMORY_SHARE_OF_BUFFERS
+        GROWN.most = QUEUED.most = buffers
+        BUFFER_GROWTH.limit = QUEUED_BYTES.limit = buffers
+        parts.transport.limits = limits
+        parts.transport.max_connections = limits.max_engine_connections(is_shared)
+        parts.tenants.site_tenants = config.tenants
+        parts.frontend.listener.max_connections = limits.max_clients(is_shared)
+        parts.frontend.listener.max_closing = limits.max_sockets // DESCRIPTORS_PER_SPARE_CLIENT
+        if parts.service is not None:
+            parts.service.apply_limits(limits)
+        if parts.management is not None:
+            operators = max(limits.max_sockets // DESCRIPTORS_PER_OPERATOR, CALLERS_LEAST)
+            parts.management.server.listener.most = min(CALLERS_MOST, operators)
+
+    def _apply(self, sections: dict) -> None:
+        """Raises `ConfigError` where the old configuration stays in force."""
+        parts = self._parts
+        try:
+            config, service = self._read(sections)
+            self._check_applicable(config, service)
+        except ConfigError:
+            parts.counters.add("reload_failures")
+            raise
+        self.config, self.sections = config, sections
+        self.apply_limits(config)
+        parts.core.reconfigure(decision_settings(config, service))
+        parts.engine_naming.rename(parts.core, config.kinds, config.zones)
+        if not self.has_external_engine_list:
+            parts.directory.update(config.serial, config.engines)
+            parts.directory.set_server(config.dns_server)
+        if parts.service is not None and service is not None:
+            parts.service.reload(service, config)
+        parts.counters.add("reloads")
+
+    def _check_applicable(self, config: Config, service: ServiceConfig | None) -> None:
+        """Raise `ConfigError` for what can't be taken without a restart."""
+        if config.classes != self.config.classes:
+            raise ConfigError("other classes need a restart")
+        if (config.listen, config.management) != (self.config.listen, self.config.management):
+            raise ConfigError("another address to listen on needs a restart")
+        if self._parts.service is not None and service is not None:
+            self._parts.service.check_applicable(service)
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -70,8 +70,8 @@
         status = asdict(self.client.status()) | {
             "run": f"{self.run:x}",
             "refused": self.refused,
-            "engines_from_here": self.broker.engines_told,
-            "sections": sorted(self.broker.sections),
+            "engines_from_here": self.broker.configuration.has_external_engine_list,
+            "sections": sorted(self.broker.configuration.sections),
             "traffic": self.client.traffic.show(),
         }
         return json.dumps(status).encode() + b"\n"
@@ -112,14 +112,16 @@
 
     def _apply_settings(self, sections: dict[str, object]) -> None:
         """Raises `ConfigError` where the broker's process rejects them."""
-        if sections != self.broker.sections:
-            self.broker.take_sections(sections)
+        if sections != self.broker.configuration.sections:
+            self.broker.configuration.apply_sections(sections)
 
     def _apply_engines(self, engines: dict[str, Engine]) -> None:
         """The list is the control plane's from the first engine on that it names."""
-        if not engines and not self.broker.engines_told:
+        if not engines and not self.broker.configuration.has_external_engine_list:
             return
-        self.broker.take_engines([_listed(name, engine) for name, engine in sorted(engines.items())])
+        self.broker.configuration.apply_engine_list(
+            [_listed(name, engine) for name, engine in sorted(engines.items())]
+        )
         self.counters.add("control.lists")
 
     def name_peers(self) -> None:
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -1,11 +1,13 @@
-"""The hosted service beside the platform's front: ClickHouse HTTP, DNS-SD and the administration API.
+"""The hosted service beside the platform's frontend: ClickHouse HTTP, DNS-SD and the administration API.
 
 Off unless `--service FILE` names its settings (`deploy/clickhouse.toml` is one).
 """
 
 import os
 import tomllib
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
+from typing import Any
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.config import Config, ConfigError, Limits, parse_address
@@ -18,12 +20,16 @@
 
 WIRE = "clickhouse"
 MAX_ADMIN_CONNECTIONS = 16
-MAX_CLIENT_CONNECTIONS = 128  # client connections over HTTP, where the descriptors allow as many
+MAX_CLIENT_CONNECTIONS = 128  # over HTTP, where the descriptors allow as many
+DESCRIPTORS_PER_ADMIN = 32
+DESCRIPTORS_PER_CLIENT = 10
+MEMORY_SHARE_OF_BODIES = 8  # one part in so many of the spare memory
+MIN_TOKEN_LENGTH = 16  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """What the service's file says."""
+    """What the service's file says; whatever can be wrong with it has been found by now."""
 
     listen: tuple[str, int]
     dns_server: tuple[str, int] | None
@@ -32,33 +38,17 @@
     admin_token: str
     engine_user: str
     engine_key: str
-    tenants: list[dict] = field(default_factory=list)
+    tenants: tuple[Mapping[str, Any], ...]  # as `Tenants.update` takes them
 
 
-def read_service(path: str, env=os.environ) -> ServiceConfig:
-    """The settings of the file; secrets come from the environment variables that it names."""
+def read_service(path: str, environment: Mapping[str, str] = os.environ) -> ServiceConfig:
+    """The settings of the file; secrets come from the environment variables that it names.
+
+    Raises `ConfigError`."""
     try:
         with open(path, "rb") as file:
             raw = tomllib.load(file)
-        front, admin, sd = raw["clickhouse"], raw.get("admin"), raw.get("dns_sd")
-        engines = raw.get("engines", {})
-        token = env.get(admin.get("token_env", ""), "") if admin else ""
-        if admin and len(token) < 16:
-            named = admin.get("token_env")
-            raise ConfigError(f"{path}: the admin API needs a token of 16 characters in {named}")
-        scratch = Tenants()
-        for given in raw.get("tenant", ()):
-            scratch.update(given.get("name"), given)
-        return ServiceConfig(
-            listen=parse_address(front["listen"]),
-            dns_server=parse_address(sd["server"]) if sd else None,
-            dns_service=sd["service"] if sd else "",
-            admin_listen=parse_address(admin["listen"]) if admin else None,
-            admin_token=token,
-            engine_user=engines.get("user", ""),
-            engine_key=env.get(engines.get("key_env", ""), ""),
-            tenants=raw.get("tenant", []),
-        )
+        return _service_config(path, raw, environment)
     except OSError as err:
         raise ConfigError(f"{path}: {err.strerror}") from None
     except tomllib.TOMLDecodeError as err:
@@ -71,61 +61,101 @@
         raise ConfigError(f"{path} is of the wrong form: {err}") from None
 
 
-class Service:
+def _service_config(path: str, raw: dict, environment: Mapping[str, str]) -> ServiceConfig:
+    frontend, admin, dns_sd = raw["clickhouse"], raw.get("admin"), raw.get("dns_sd")
+    engines = raw.get("engines", {})
+    token = environment.get(admin.get("token_env", ""), "") if admin else ""
+    if admin and len(token) < MIN_TOKEN_LENGTH:
+        variable = admin.get("token_env")
+        raise ConfigError(
+            f"{path}: the admin API needs a token of {MIN_TOKEN_LENGTH} characters in {variable}"
+        )
+    return ServiceConfig(
+        listen=parse_address(frontend["listen"]),
+        dns_server=parse_address(dns_sd["server"]) if dns_sd else None,
+        dns_service=dns_sd["service"] if dns_sd else "",
+        admin_listen=parse_address(admin["listen"]) if admin else None,
+        admin_token=token,
+        engine_user=engines.get("user", ""),
+        engine_key=environment.get(engines.get("key_env", ""), ""),
+        tenants=_checked_tenants(raw.get("tenant", ())),
+    )
+
+
+def _checked_tenants(listed: Iterable[dict]) -> tuple[Mapping[str, Any], ...]:
+    """The tenants as given. Raises `TenantError` for one that could not be taken."""
+    scratch, checked = Tenants(), tuple(listed)
+    for given in checked:
+        scratch.update(given.get("name", ""), given)
+    return checked
+
+
+def _names(tenants: Iterable[Mapping[str, Any]]) -> set[str]:
+    return {given["name"] for given in tenants}
+
+
+class HostedService:
     """The parts of the hosted service round one core."""
 
-    def __init__(self, told: ServiceConfig, core: BrokerCore, config: Config, tenants: Tenants) -> None:
-        self.told, self.tenants, self.core = told, tenants, core
-        self.link = ChLink(core, config.limits)
-        core.add_transport(WIRE, self.link)
-        self.front = ChFront(core, told.listen, config.classes, tenants)
-        self.servers = [self.front.server]
-        self.parts = []
-        self.admin = None
-        if told.admin_listen:
-            self.admin = Admin(core, told.admin_listen, tenants)
-            self.servers.append(self.admin.server)
-        self.engine_naming = EngineNaming(config.kinds, config.zones, WIRE)
-        self.names = DnsSdPoller(core, told.dns_server, told.dns_service, self.engine_naming)
-        self.parts += [self.names.run, *(server.listener.run for server in self.servers)]
-        self._take(told)
-
-    def _take(self, told: ServiceConfig) -> None:
+    def __init__(self, settings: ServiceConfig, core: BrokerCore, config: Config, tenants: Tenants) -> None:
+        self._settings = settings
+        self._tenants = tenants
+        self._core = core
+        self.transport = ChLink(core, config.limits)
+        core.add_transport(WIRE, self.transport)
+        self._frontend = ChFront(core, settings.listen, config.classes, tenants)
+        self._servers = [self._frontend.server]
+        self._admin: Admin | None = None
+        if settings.admin_listen:
+            self._admin = Admin(core, settings.admin_listen, tenants)
+            self._servers.append(self._admin.server)
+        self._engine_naming = EngineNaming(config.kinds, config.zones, WIRE)
+        self._discovery = DnsSdPoller(core, settings.dns_server, settings.dns_service, self._engine_naming)
+        self._apply(settings)
+
+    def main_loops(self) -> list[Callable[[], None]]:
+        """The functions that run for as long as the process does, each on a greenlet of its own."""
+        return [self._discovery.run, *(server.listener.run for server in self._servers)]
+
+    def _apply(self, settings: ServiceConfig) -> None:
         """Tenants that the file no longer names are gone; those that the API has added stay."""
-        for name in {t["name"] for t in self.told.tenants} - {t["name"] for t in told.tenants}:
-            self.tenants.remove(name)
-        for given in told.tenants:
-            self.tenants.update(given["name"], given)
-        self.told = told
-        self.link.login(told.engine_user, told.engine_key)
-        if self.admin is not None:
-            self.admin.token = told.admin_token
-
-    def limit(self, limits: Limits) -> None:
+        for name in _names(self._settings.tenants) - _names(settings.tenants):
+            self._tenants.remove(name)
+        for given in settings.tenants:
+            self._tenants.update(given["name"], given)
+        self._settings = settings
+        self.transport.login(settings.engine_user, settings.engine_key)
+        if self._admin is not None:
+            self._admin.token = settings.admin_token
+
+    def apply_limits(self, limits: Limits) -> None:
         """Take what the deployment allows."""
-        self.link.limits = limits
-        self.front.server.listener.most = min(MAX_CLIENT_CONNECTIONS, limits.max_sockets // 10)
-        if self.admin is not None:
-            self.admin.server.listener.most = min(MAX_ADMIN_CONNECTIONS, limits.max_sockets // 32)
-        BODIES.most = limits.spare_memory // 8
-
-    def check(self, told: ServiceConfig) -> None:
-        """Whether this can be taken without a restart."""
-        if (told.listen, told.admin_listen) != (self.told.listen, self.told.admin_listen):
+        self.transport.limits = limits
+        clients = limits.max_sockets // DESCRIPTORS_PER_CLIENT
+        self._frontend.server.listener.most = min(MAX_CLIENT_CONNECTIONS, clients)
+        if self._admin is not None:
+            admins = limits.max_sockets // DESCRIPTORS_PER_ADMIN
+            self._admin.server.listener.most = min(MAX_ADMIN_CONNECTIONS, admins)
+        BODIES.most = limits.spare_memory // MEMORY_SHARE_OF_BODIES
+
+    def check_applicable(self, settings: ServiceConfig) -> None:
+        """Raise `ConfigError` for what can't be taken without a restart."""
+        old = self._settings
+        if (settings.listen, settings.admin_listen) != (old.listen, old.admin_listen):
             raise ConfigError("other addresses to listen on need a restart")
 
-    def reload(self, told: ServiceConfig, config: Config) -> None:
+    def reload(self, settings: ServiceConfig, config: Config) -> None:
         """Take what its file says now."""
-        self._take(told)
-        self.engine_naming.rename(self.core, config.kinds, config.zones)
-        self.names.browse(told.dns_server, told.dns_service)
+        self._apply(settings)
+        self._engine_naming.rename(self._core, config.kinds, config.zones)
+        self._discovery.browse(settings.dns_server, settings.dns_service)
 
     def stop(self) -> None:
         """Accept nobody any more."""
-        for server in self.servers:
+        for server in self._servers:
             server.listener.stop()
 
     def flush(self, seconds: float) -> None:
         """Let the last answers go out."""
-        for server in self.servers:
+        for server in self._servers:
             server.flush(seconds)
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -372,7 +372,9 @@
         engine = self.engine()
         for number in (signal.SIGHUP, signal.SIGTERM):
             with self.subTest(number):
-                broker = self.broker(hooks={"limit": "cypressledge.broker_process:Broker._limit!"})
+                broker = self.broker(
+                    hooks={"limit": "cypressledge.broker.reconfiguration:Reconfiguration.apply_limits!"}
+                )
                 broker.reached("limit")  # the configuration has been read, and nobody hears of signals yet
                 broker.dns.engines[engine.name] = (engine.port, 0)
                 broker.path.write_text(json.dumps(broker.config | {"dns": f"127.0.0.1:{free_port()}"}))
@@ -390,7 +392,9 @@
         """Harmless: signals are heeded one after the other, each by a greenlet of its own."""
         engine = self.engine(held)
         engine.released = False
-        broker = self.broker(engine, hooks={"check": "cypressledge.broker_process:Broker._check!"})
+        broker = self.broker(
+            engine, hooks={"check": "cypressledge.broker.reconfiguration:Reconfiguration._check_applicable!"}
+        )
         client = self.client(broker)
         client.ask()
         until(lambda: engine.wants, "the query")
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -286,16 +286,17 @@
     def __init__(self):
         self.config, self.counters = SimpleNamespace(name="b1"), Counters()
         self.fleet = self.management = None
-        self.sections, self.engines_told, self.lists = {}, False, []
+        self.configuration = self
+        self.sections, self.has_external_engine_list, self.lists = {}, False, []
 
-    def take_sections(self, sections):
+    def apply_sections(self, sections):
         if "Bad" in sections:
             raise ConfigError("not these")
         self.sections = sections
 
-    def take_engines(self, engines):
+    def apply_engine_list(self, engines):
         self.lists.append([e.name for e in engines])
-        self.engines_told = True
+        self.has_external_engine_list = True
 
 
 def test_changes_that_come_together_make_one_list(tmp_path):
