--- a/cypressledge/broker/assembly.py
+++ b/cypressledge/broker/assembly.py
@@ -10,7 +10,8 @@
 from cypressledge.net.dns_discovery import DirectoryPoller, EngineNaming
 from cypressledge.net.jsonrpc.frontend import JsonRpcFrontend
 from cypressledge.net.line_protocol.transport import LineProtocolTransport
-from cypressledge.net.management import Kept, Management, figures
+from cypressledge.net.maintenance_file import MaintenanceFile
+from cypressledge.net.management import ManagementServer, metrics
 from cypressledge.service import HostedService, ServiceConfig
 from cypressledge.tenants import Tenants
 
@@ -28,8 +29,8 @@
     frontend: JsonRpcFrontend
     engine_naming: EngineNaming
     directory: DirectoryPoller
-    management: Management | None = None
-    maintenance_file: Kept | None = None
+    management: ManagementServer | None = None
+    maintenance_file: MaintenanceFile | None = None
     service: HostedService | None = None
 
     def is_taking_clients(self) -> bool:
@@ -73,9 +74,9 @@
 
 def _add_management(parts: BrokerParts, config: Config, address: tuple[str, int]) -> None:
     """The operators' address and its calls."""
-    management = Management(address, parts.counters, parts.is_taking_clients)
-    maintenance_file = Kept(parts.core, config.name)
-    management.add("/status/metrics", "GET", lambda request: (200, figures(parts.core, config.classes)))
-    management.add("/maintenance/enter", "POST", lambda request: maintenance_file.call(request, True))
-    management.add("/maintenance/exit", "POST", lambda request: maintenance_file.call(request, False))
+    management = ManagementServer(address, parts.counters, parts.is_taking_clients)
+    maintenance_file = MaintenanceFile(parts.core, config.name)
+    management.add("/status/metrics", "GET", lambda request: (200, metrics(parts.core, config.classes)))
+    management.add("/maintenance/enter", "POST", lambda request: maintenance_file.handle_call(request, True))
+    management.add("/maintenance/exit", "POST", lambda request: maintenance_file.handle_call(request, False))
     parts.management, parts.maintenance_file = management, maintenance_file
--- a/cypressledge/broker/process.py
+++ b/cypressledge/broker/process.py
@@ -172,7 +172,7 @@
             tasks.append(parts.service.transport.maintain)
         tasks.append(self._clock_watch.check)
         if parts.maintenance_file is not None:
-            tasks.append(parts.maintenance_file.look)
+            tasks.append(parts.maintenance_file.refresh)
         run_maintenance(tasks, self.counters)
 
     def _exit_failed(self, greenlet: gevent.Greenlet) -> None:
--- a/cypressledge/broker/reconfiguration.py
+++ b/cypressledge/broker/reconfiguration.py
@@ -6,12 +6,10 @@
 from cypressledge.broker.metrics import log
 from cypressledge.config import Config, ConfigError
 from cypressledge.decisions.contract import EngineListKind
-from cypressledge.net.buffer import GROWN
 from cypressledge.net.dns_discovery import DiscoveredEngine
-from cypressledge.net.management import CALLERS_LEAST, CALLERS_MOST
+from cypressledge.net.management import MAX_CALLERS, MIN_CALLERS
 from cypressledge.net.receive_buffer import BUFFER_GROWTH
 from cypressledge.net.socket_writer import QUEUED_BYTES
-from cypressledge.net.stream import QUEUED
 from cypressledge.service import ServiceConfig
 
 MAX_OPEN_REQUESTS = 4_000  # at once, where memory allows as many
@@ -72,7 +70,6 @@
         ledger.max_open_requests = min(MAX_OPEN_REQUESTS, limits.spare_memory // BYTES_PER_OPEN_REQUEST)
         ledger.max_statement_bytes = limits.spare_memory // MEMORY_SHARE_OF_STATEMENTS
         buffers = limits.spare_memory // MEMORY_SHARE_OF_BUFFERS
-        GROWN.most = QUEUED.most = buffers
         BUFFER_GROWTH.limit = QUEUED_BYTES.limit = buffers
         parts.transport.limits = limits
         parts.transport.max_connections = limits.max_engine_connections(is_shared)
@@ -82,8 +79,8 @@
         if parts.service is not None:
             parts.service.apply_limits(limits)
         if parts.management is not None:
-            operators = max(limits.max_sockets // DESCRIPTORS_PER_OPERATOR, CALLERS_LEAST)
-            parts.management.server.listener.most = min(CALLERS_MOST, operators)
+            operators = max(limits.max_sockets // DESCRIPTORS_PER_OPERATOR, MIN_CALLERS)
+            parts.management.server.listener.max_connections = min(MAX_CALLERS, operators)
 
     def _apply(self, sections: dict) -> None:
         """Raises `ConfigError` where the old configuration stays in force."""
--- a/cypressledge/controlplane/framing.py
+++ b/cypressledge/controlplane/framing.py
@@ -11,8 +11,10 @@
 from gevent import Timeout, sleep, socket
 
 from cypressledge.controlplane.messages import MAX_FRAME_BYTES, InvalidFrameError, Message, decode, encode
-from cypressledge.net.buffer import Buffer, TooLong
-from cypressledge.net.stream import Writer, dial, end, shut
+from cypressledge.net import socket_io
+from cypressledge.net.receive_buffer import BufferLimitError, ReceiveBuffer
+from cypressledge.net.socket_io import close_socket, shutdown_write
+from cypressledge.net.socket_writer import SocketWriter
 
 HELLO_TIMEOUT_S = 5.0  # seconds from a connection's beginning to its first frame, whole
 FRAME_TIMEOUT_S = 30.0  # seconds from a frame's first byte to its last
@@ -51,23 +53,23 @@
 
     def __init__(self, sock, traffic: TrafficCounters, most: int = MAX_FRAME_BYTES) -> None:
         self.sock, self.traffic, self.max_frame_bytes = sock, traffic, most
-        self.buffer = Buffer(most + LENGTH_PREFIX_BYTES + 1)
+        self.buffer = ReceiveBuffer(most + LENGTH_PREFIX_BYTES + 1)
         self.need, self.began = 0, 0.0  # bytes of the frame whose head has come; s when its first byte came
-        self.writer = Writer(sock, MAX_QUEUED_BYTES, SEND_TIMEOUT_S, self._given_up)
+        self.writer = SocketWriter(sock, MAX_QUEUED_BYTES, SEND_TIMEOUT_S, self._given_up)
         self.why = ""  # it was given up here
         self.is_finishing = False
         tune(sock)
 
     def set_max_frame_bytes(self, most: int) -> None:
         """Frames of so many bytes from now on, as it is known who this is: the buffer's bound goes along."""
-        self.max_frame_bytes, self.buffer.cap = most, most + LENGTH_PREFIX_BYTES + 1
+        self.max_frame_bytes, self.buffer.limit = most, most + LENGTH_PREFIX_BYTES + 1
 
     def send(self, message: Message, raw: bytes = b"") -> None:
         """Queue a frame; never blocks. `raw`: the same message, encoded before."""
         raw = raw or encode(message)
         if not self.writer.closed:
             self.traffic.add("out", message, len(raw))
-            self.writer.put(raw)
+            self.writer.write(raw)
 
     def receive(self, seconds: float) -> Message | None:
         """The next message; None where it isn't whole within so many seconds: it may still become so. Raises
@@ -107,14 +109,14 @@
 
     def _fill(self, seconds: float) -> None:
         """Read once, within so many seconds. A peer that always has more keeps nobody from their turn."""
-        if self.buffer.full:
+        if self.buffer.was_filled:
             sleep(0)
         empty = not len(self.buffer) and not self.need
         got = None
         try:
             with Timeout(seconds, False):
-                got = self.buffer.fill(self.sock)
-        except TooLong as err:
+                got = self.buffer.receive(self.sock)
+        except BufferLimitError as err:
             raise ConnectionEndedError(str(err)) from None
         except OSError as err:
             raise ConnectionEndedError(self.why or errno.errorcode.get(err.errno, str(err))) from None
@@ -126,18 +128,18 @@
     def _given_up(self, why: str) -> None:
         """The writer has: the reader is woken, and ends the connection."""
         self.why = why
-        end(self.sock)
+        close_socket(self.sock)
 
     def finish_sending(self) -> None:
         """Nothing more is sent; what is queued goes out, then our side is shut. The reader goes on reading
         until the peer has closed, so that the last words aren't lost to a reset."""
         self.is_finishing = True
-        self.writer.close(lambda: shut(self.sock))
+        self.writer.close(lambda: shutdown_write(self.sock))
 
     def close(self) -> None:
         """For good, at once."""
         self.writer.close()
-        end(self.sock)
+        close_socket(self.sock)
 
 
 def tune(sock) -> None:
@@ -157,7 +159,7 @@
     """A connection to a numeric address, within `DIAL_S` seconds. Raises `Ended`."""
     try:
         with Timeout(CONNECT_TIMEOUT_S, TimeoutError("no answer")):
-            sock = dial(address)
+            sock = socket_io.connect(address)
     except OSError as err:  # TimeoutError is one
         raise ConnectionEndedError(f"connect: {err}") from None
     return FramedConnection(sock, traffic)
--- a/cypressledge/controlplane/operators.py
+++ b/cypressledge/controlplane/operators.py
@@ -10,7 +10,7 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import Op
 from cypressledge.controlplane.state import StateError, encode_value
-from cypressledge.net.http import Exchange, HttpRequest, HttpServer
+from cypressledge.net.http_server import HttpExchange, HttpRequest, HttpServer
 
 BODY_MOST = 2 << 20  # bytes of a change in JSON
 CALLERS_MOST = 64
@@ -71,19 +71,19 @@
     """The control process's HTTP address. `change(asked, exchange)` answers by `exchange.json`, later."""
 
     def __init__(
-        self, listen: tuple[str, int], counters: Counters, change: Callable[[Asked, Exchange], None]
+        self, listen: tuple[str, int], counters: Counters, change: Callable[[Asked, HttpExchange], None]
     ) -> None:
         self.counters, self.change = counters, change
         self.calls: dict[str, Call] = {}
         self.server = HttpServer(listen, counters, "management", BODY_MOST, self._handle)
-        self.server.listener.most = CALLERS_MOST
+        self.server.listener.max_connections = CALLERS_MOST
 
     def add(self, path: str, call: Call) -> None:
         """One more call, by GET: an HTTP status and what is shown as JSON."""
         self.calls[path] = call
 
-    def _handle(self, request: HttpRequest, exchange: Exchange) -> None:
-        request.keep = False  # one call a connection
+    def _handle(self, request: HttpRequest, exchange: HttpExchange) -> None:
+        request.keep_alive = False  # one call a connection
         self.counters.add("management.calls")
         try:
             if request.path == "/control/change":
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -70,9 +70,10 @@
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.participation import LeaseSlot
 from cypressledge.fleet.node import FleetNode, new_run
-from cypressledge.net import buffer, stream
-from cypressledge.net.http import Exchange
-from cypressledge.net.stream import Crowd, Listener
+from cypressledge.net import receive_buffer, socket_io, socket_writer
+from cypressledge.net.connection_registry import ConnectionRegistry
+from cypressledge.net.http_server import HttpExchange
+from cypressledge.net.listener import Listener
 
 PRIMARY = "primary"  # the lease
 INBOX_MOST = 512  # messages that wait for the owner
@@ -100,7 +101,7 @@
 
     ticket: PendingProposal
     asked: Asked
-    exchange: Exchange
+    exchange: HttpExchange
     until: int
 
 
@@ -145,9 +146,9 @@
         if seed is not None and self.spec.votes:
             self.replica.permit_first_version(f"{name}-{self.run_id:x}", seed)
         self.listener = Listener(
-            parse_address(self.spec.address), self.counters, "control", self._serve, Crowd()
+            parse_address(self.spec.address), self.counters, "control", self._serve, ConnectionRegistry()
         )
-        self.listener.most = settings.brokers_most + SPARE
+        self.listener.max_connections = settings.brokers_most + SPARE
         self.operators = Operators(parse_address(self.spec.management), self.counters, self._change)
         for path, call in (
             ("status", self._status),
@@ -438,7 +439,7 @@
         if frames is not None:
             frames.send(goodbye)
             frames.finish_sending()
-            gevent.spawn_later(stream.DRAIN, frames.close)
+            gevent.spawn_later(socket_io.LINGER_TIMEOUT, frames.close)
 
     # The other control processes
 
@@ -563,14 +564,14 @@
 
     # Operators
 
-    def _change(self, asked: Asked, exchange: Exchange) -> None:
+    def _change(self, asked: Asked, exchange: HttpExchange) -> None:
         """From a caller's greenlet: the owner decides."""
         try:
             self.inbox.put_nowait((self._propose, asked, exchange))
         except Full:
             exchange.json(503, {"answer": "unknown", "why": "busy"} | self._where())
 
-    def _propose(self, now: int, asked: Asked, exchange: Exchange) -> None:
+    def _propose(self, now: int, asked: Asked, exchange: HttpExchange) -> None:
         replica = self.replica
         try:
             if not self.leads:
@@ -600,7 +601,7 @@
         else:
             self.waiting.append(Waiting(ticket, asked, exchange, now + WAIT_US))
 
-    def _try(self, asked: Asked, base: int, exchange: Exchange) -> None:
+    def _try(self, asked: Asked, base: int, exchange: HttpExchange) -> None:
         """What would come of a change. Raises as `propose` does."""
         tail = self.replica.latest_state
         validate_change(tail, asked.ops)
@@ -800,7 +801,7 @@
 
 def main(file: str, name: str, folder: str, seed: dict | None, rejoin: bool) -> int:
     """Run one control process; what is wrong with its settings or its store is one plain line, and 2."""
-    buffer.GROWN.most, stream.QUEUED.most = GROWN_MOST, QUEUED_MOST
+    receive_buffer.BUFFER_GROWTH.limit, socket_writer.QUEUED_BYTES.limit = GROWN_MOST, QUEUED_MOST
     try:
         settings = read_control_settings(file)
         allow_sockets(settings.brokers_most)
--- a/cypressledge/lab/capacity/requirements.py
+++ b/cypressledge/lab/capacity/requirements.py
@@ -18,7 +18,7 @@
 CONFIG_A_DAY, PRIMARIES_A_DAY, RESTARTS_A_DAY = 450, 2, 220
 
 # The program's own
-POLLS = 2.5  # a second: net/directory.py's period
+POLLS = 2.5  # a second: net/dns_discovery.py's interval
 ANSWER = 8_000  # bytes of a directory's answer
 SIGHTS, SIGHTS_BAD, PLANS, SUMMARY_S = 2.0, 5.0, 1.0, 2.0  # fleet/zones.py; deploy/fleet.yaml
 ACT_MS = 20.0  # processor time of an act: task_share 2% of a core for longest_s, 1 s; then it is cut off
--- /dev/null
+++ b/cypressledge/net/clickhouse/engine_exchange.py
@@ -0,0 +1,140 @@
+"""One attempt at one engine: the request, the response, and how the attempt ends."""
+
+import contextlib
+from typing import TYPE_CHECKING
+from urllib.parse import urlencode
+
+from gevent import Timeout, sleep, socket, spawn
+
+from cypressledge.broker.requests import Attempt, EngineFault
+from cypressledge.clock import monotonic_us
+from cypressledge.decisions.contract import Outcome
+from cypressledge.net.clickhouse.engine_response import EngineResponse
+from cypressledge.net.clickhouse.errors import ErrorCode
+from cypressledge.net.clickhouse.statements import WRITE_STATEMENT, quote
+from cypressledge.net.receive_buffer import ReceiveBuffer
+
+if TYPE_CHECKING:
+    from cypressledge.net.clickhouse.transport import ClickHouseTransport
+
+READ_SIZE = 64 << 10  # bytes
+MAX_KILL_ANSWER = 4096  # bytes of the answer to a kill that are read
+PACE_INTERVAL = 0.001  # seconds between looks whether the core has taken the rows
+MIN_REMAINING = 1000  # µs: the least time that an engine is given
+PRIORITIES = {0: 4, 1: 3, 2: 2, 3: 1}  # the decisions' priority as ClickHouse's: 1 is the highest
+
+
+class EngineExchange:
+    """One attempt on one connection, in a greenlet of its own."""
+
+    def __init__(self, transport: "ClickHouseTransport", attempt: Attempt) -> None:
+        self.transport, self.attempt, self.core = transport, attempt, transport.core
+        self.sock: socket.socket | None = None
+        self.cancelled = self.sent = False
+        self.response = EngineResponse(transport.core, attempt)
+
+    def run(self) -> None:
+        """Send, read and report the outcome, exactly once unless cancelled."""
+        try:
+            outcome, fault = self._exchange()
+        except (Exception, Timeout) as err:  # whatever an engine sends, its attempt has an end
+            self.core.counters.add("clickhouse.connection_errors")
+            text = f"engine connection broke: {type(err).__name__}"
+            outcome, fault = Outcome.RESET, EngineFault(text, ErrorCode.NETWORK_ERROR)
+            if not self.sent:
+                outcome = Outcome.CONNECT_FAILED if self.sock is None else Outcome.NOT_SENT
+        if self.sock is not None:
+            if not self.cancelled and self.response.allows_reuse():
+                self.transport.keep_idle(self.attempt.endpoint, self.sock)
+            else:
+                self.transport.close(self.sock)
+        if not self.cancelled:
+            rows = b"".join(self.response.held) if outcome is Outcome.OK else b""
+            self.core.ledger.attempt_ended(self.attempt, outcome, rows, fault)
+
+    def cancel(self) -> None:
+        """Give it up: the engine sees the connection close; a write is killed by its id as well."""
+        if self.cancelled:
+            return
+        self.cancelled = True
+        if self.sock is not None:
+            with contextlib.suppress(OSError):
+                self.sock.shutdown(socket.SHUT_RDWR)
+        is_running = self.sent and not self.response.is_complete
+        if is_running and WRITE_STATEMENT.match(self.attempt.query.statement.decode("latin-1")):
+            spawn(self._kill)
+
+    def _kill(self) -> None:
+        query = f"KILL QUERY WHERE query_id = '{quote(self.attempt.query.id)}' ASYNC"
+        try:
+            sock = self.transport.connect(self.attempt.endpoint)
+        except (OSError, Timeout):
+            return
+        try:
+            with Timeout(self.transport.limits.connect_timeout_s):
+                sock.sendall(self._encode_request({}, query.encode()))
+                sock.recv(MAX_KILL_ANSWER)
+            self.core.counters.add("clickhouse.kills")
+        except (OSError, Timeout):
+            pass
+        finally:
+            self.transport.close(sock)
+
+    def _exchange(self) -> tuple[Outcome, EngineFault | None]:
+        attempt, response = self.attempt, self.response
+        endpoint = attempt.endpoint
+        self.sock = self.transport.take_idle(endpoint) or self.transport.connect(endpoint)
+        may_send = attempt.may_be_sent(monotonic_us())
+        if self.cancelled or not may_send or not self.core.engines.is_current(endpoint):
+            return Outcome.NOT_SENT, None  # not sent: a drain, a cancel or the client's close came before it
+        self.sent = True
+        with Timeout(max((attempt.deadline - monotonic_us()) / 1e6, MIN_REMAINING / 1e6)):
+            self.sock.sendall(self._encode_request(self._settings(), attempt.query.statement))
+        self.core.counters.reply(attempt.query.class_name, "dispatches")
+        buffer = ReceiveBuffer(READ_SIZE, initial_size=READ_SIZE)
+        while not response.is_complete and not self.cancelled:
+            if not buffer.receive(self.sock):
+                raise ConnectionResetError("closed before the end of the answer")
+            if buffer.was_filled:
+                sleep(0)
+            response.parser.feed_data(buffer.take_all())
+            self._pace()
+        return response.result()
+
+    def _pace(self) -> None:
+        """Read no faster than the core and the client take the rows."""
+        while self.attempt.unread_bytes > READ_SIZE and not self.cancelled:
+            sleep(PACE_INTERVAL)
+        while (
+            self.attempt.request.streaming_attempt
+            and not self.cancelled
+            and not self.attempt.request.reply.wait_until_drained()
+        ):
+            pass
+
+    def _settings(self) -> dict[str, str]:
+        attempt, query = self.attempt, self.attempt.query
+        remaining = max(attempt.deadline - monotonic_us(), MIN_REMAINING) / 1e6
+        settings = {
+            "query_id": query.id,
+            "workload": query.class_name,
+            "max_execution_time": f"{remaining:.3f}",
+            "priority": str(PRIORITIES[attempt.request.priority]),
+            "default_format": "TabSeparated",
+            "cancel_http_readonly_queries_on_client_close": "1",
+            "send_progress_in_http_headers": "1",
+            "http_headers_progress_interval_ms": "1000",
+        }
+        if query.key:
+            settings["insert_deduplication_token"] = query.key
+        if attempt.request.grant_mb >= 1:
+            settings["max_memory_usage"] = str(int(attempt.request.grant_mb) << 20)
+        return settings
+
+    def _encode_request(self, settings: dict[str, str], statement: bytes) -> bytes:
+        host, port = self.attempt.endpoint.address
+        head = (
+            f"POST /?{urlencode(settings)} HTTP/1.1\r\nHost: {host}:{port}\r\n"
+            f"{self.transport.login_headers}Content-Length: {len(statement)}\r\n\r\n"
+        )
+        return head.encode() + statement
--- /dev/null
+++ b/cypressledge/net/clickhouse/query_parser.py
@@ -0,0 +1,148 @@
+"""Reads a query from an HTTP request, and rejects what this interface does not support."""
+
+import math
+import re
+import secrets
+
+from cypressledge.broker.core import BrokerCore
+from cypressledge.broker.requests import CLIENT_KEY, Query
+from cypressledge.clock import monotonic_us
+from cypressledge.decisions.contract import Idempotency
+from cypressledge.net.clickhouse.errors import ClickHouseError, ErrorCode
+from cypressledge.net.clickhouse.statements import FORMAT_CLAUSE, SUPPORTED_FORMATS, WRITE_STATEMENT
+from cypressledge.net.http_server import HttpRequest
+from cypressledge.sql import table_group
+
+QUERY_ID = re.compile(r"[!-~]{1,128}\Z", re.A)
+MAX_NUMBER = 1e9  # of any numeric parameter
+MAX_SHOWN_NAME = 64  # characters of a name in an error
+UNSUPPORTED_PARAMETERS = (
+    "session_id",
+    "compress",
+    "decompress",
+    "database",
+    "role",
+    "quota_key",
+)
+SUPPORTED_PARAMETERS = frozenset(
+    (
+        "query",
+        "query_id",
+        "user",
+        "password",
+        "workload",
+        "max_execution_time",
+        "default_format",
+        "insert_deduplication_token",
+        "wait_end_of_query",
+        "cancel_http_readonly_queries_on_client_close",
+        "cost_ms",
+        "memory_mb",
+        "client_retry",
+    )
+)
+
+
+class QueryParser:
+    """Turns an HTTP request into a `Query`."""
+
+    def __init__(self, core: BrokerCore, classes: tuple[str, ...]) -> None:
+        self.core, self.class_names = core, classes
+        self.classes = {name: index for index, name in enumerate(classes)}
+
+    def parse(self, request: HttpRequest, tenant: str) -> Query:
+        """The query of a request. Raises `ClickHouseError`."""
+        _check_supported(request)
+        now = monotonic_us()
+        statement = _statement(request)
+        text = statement.decode("utf-8", "replace")
+        if request.method == "GET" and WRITE_STATEMENT.match(text):
+            raise ClickHouseError(ErrorCode.READONLY, "Cannot execute query in readonly mode: use POST")
+        class_index = self._class_index(request, text)
+        class_settings = self.core.settings.classes[class_index]
+        query_id, key = _query_id_and_key(request)
+        if class_settings.idempotency is Idempotency.WITH_KEY and not key:
+            key = query_id  # engines must recognise our own repeats, also where the client gives no token
+        seconds = _number(request, "max_execution_time")
+        longest = class_settings.deadline
+        return Query(
+            id=query_id,
+            class_index=class_index,
+            class_name=self.class_names[class_index],
+            tenant=tenant,
+            statement=statement,
+            deadline=now + (min(int(seconds * 1e6), longest) if seconds else longest),
+            key=key,
+            cost=int(_number(request, "cost_ms") * 1000),
+            memory_mb=_number(request, "memory_mb"),
+            table_group=table_group(text, escapes=True),
+            is_client_retry=request.params.get("client_retry") == "1",
+        )
+
+    def _class_index(self, request: HttpRequest, text: str) -> int:
+        """The class named by `workload`; without it, loads are recognised by their statement."""
+        name = request.params.get("workload")
+        if name is None:
+            loads = [index for index, spec in enumerate(self.core.settings.classes) if spec.is_load]
+            return loads[0] if loads and WRITE_STATEMENT.match(text) else 0
+        if name not in self.classes:
+            raise ClickHouseError(ErrorCode.BAD_ARGUMENTS, f"Unknown workload {name[:MAX_SHOWN_NAME]}")
+        return self.classes[name]
+
+
+def _query_id_and_key(request: HttpRequest) -> tuple[str, str]:
+    query_id = request.params.get("query_id") or secrets.token_hex(8)
+    key = request.params.get("insert_deduplication_token", "")
+    if not QUERY_ID.match(query_id) or key and not CLIENT_KEY.match(key):
+        text = "query_id and insert_deduplication_token are words of at most 128 characters"
+        raise ClickHouseError(ErrorCode.BAD_ARGUMENTS, text)
+    return query_id, key
+
+
+def _check_supported(request: HttpRequest) -> None:
+    """Reject what this interface does not do, rather than ignore it silently."""
+    params, headers = request.params, request.headers
+    database = params.get("database") or headers.get("x-clickhouse-database", "")
+    for name, value in (params | {"database": database}).items():
+        shown = name[:MAX_SHOWN_NAME]
+        if name in UNSUPPORTED_PARAMETERS and value not in ("", "0", "default") or name.startswith("param_"):
+            raise ClickHouseError(ErrorCode.NOT_IMPLEMENTED, f"Parameter {shown} is not supported")
+        if name not in SUPPORTED_PARAMETERS and name not in UNSUPPORTED_PARAMETERS:
+            raise ClickHouseError(ErrorCode.UNKNOWN_SETTING, f"Unknown setting {shown}")
+    if headers.get("content-encoding", "identity") != "identity":
+        raise ClickHouseError(ErrorCode.NOT_IMPLEMENTED, "Compressed requests are not supported")
+    if headers.get("content-type", "").startswith("multipart/"):
+        raise ClickHouseError(ErrorCode.NOT_IMPLEMENTED, "External data is not supported")
+    if request.method == "POST" and not request.has_length:
+        text = "The Transfer-Encoding is not chunked and there is no Content-Length header"
+        raise ClickHouseError(ErrorCode.HTTP_LENGTH_REQUIRED, text)
+    _check_format(params.get("default_format") or headers.get("x-clickhouse-format") or "TSV")
+
+
+def _check_format(name: str) -> None:
+    if name not in SUPPORTED_FORMATS:
+        text = f"Unknown format {name[:MAX_SHOWN_NAME]}: only TabSeparated is supported"
+        raise ClickHouseError(ErrorCode.UNKNOWN_FORMAT, text)
+
+
+def _statement(request: HttpRequest) -> bytes:
+    """The `query` parameter and the body behind it are one statement, as in ClickHouse."""
+    query = request.params.get("query", "").encode()
+    statement = query + b"\n" + request.body if query and request.body else query or request.body
+    if not statement.strip():
+        raise ClickHouseError(ErrorCode.SYNTAX_ERROR, "Syntax error: empty query")
+    text = (query or request.body).decode("utf-8", "replace")
+    format_clause = FORMAT_CLAUSE.search(text)
+    if format_clause and not WRITE_STATEMENT.match(text):
+        _check_format(format_clause[1])
+    return statement
+
+
+def _number(request: HttpRequest, name: str) -> float:
+    try:
+        value = float(request.params.get(name) or 0)
+    except ValueError:
+        value = -1.0
+    if not math.isfinite(value) or not 0 <= value <= MAX_NUMBER:
+        raise ClickHouseError(ErrorCode.BAD_ARGUMENTS, f"{name} is no figure in range")
+    return value
--- /dev/null
+++ b/cypressledge/net/clickhouse/reply.py
@@ -0,0 +1,92 @@
+"""One query's answer over HTTP: what the core answers to."""
+
+import math
+from typing import TYPE_CHECKING
+
+from cypressledge.broker.requests import EngineFault, Query, Request
+from cypressledge.net.clickhouse.errors import ErrorCode, answer_error
+from cypressledge.net.http_server import HttpExchange
+from cypressledge.tenants import Tenant
+
+if TYPE_CHECKING:
+    from cypressledge.net.clickhouse.frontend import ClickHouseFrontend
+
+ROWS_HEADERS = {
+    "Content-Type": "text/tab-separated-values; charset=UTF-8",
+    "X-ClickHouse-Format": "TabSeparated",
+}
+MAX_PACE_WAIT = 1.0  # seconds
+
+
+class ClickHouseReply:
+    """The core's `ReplyHandler` for one request over HTTP."""
+
+    def __init__(
+        self, frontend: "ClickHouseFrontend", query: Query, tenant: Tenant, exchange: HttpExchange
+    ) -> None:
+        self.frontend, self.query, self.tenant, self.exchange = frontend, query, tenant, exchange
+        waits_for_end = exchange.request.params.get("wait_end_of_query", "0") != "0"
+        self.supports_streaming = exchange.supports_chunks and not waits_for_end
+        self.request: Request | None = None
+
+    def open(self) -> None:
+        """Count the query as open from here to its answer."""
+        self.frontend.open_queries.add(self.query.id)
+        self.tenant.open_requests += 1
+        self.exchange.on_disconnect = self._handle_disconnect
+
+    def _close(self) -> None:
+        self.frontend.open_queries.discard(self.query.id)
+        self.tenant.open_requests -= 1
+
+    def _handle_disconnect(self) -> None:
+        """Guards against work for a client that has closed its connection, also halfway through rows."""
+        self.frontend.counters.add("clickhouse.client_disconnected")
+        self._close()
+        if self.request is not None:
+            self.frontend.core.ledger.client_disconnected(self.request)
+
+    def _id_header(self) -> dict[str, str]:
+        return {"X-ClickHouse-Query-Id": self.query.id}
+
+    def send_rows(self, rows: bytes) -> None:
+        """Send the next rows of an answer in chunks."""
+        if self.exchange.is_over:
+            return
+        if not self.exchange.has_begun:
+            self.exchange.begin(self._id_header() | ROWS_HEADERS)
+        self.exchange.chunk(rows)
+
+    def wait_until_drained(self) -> bool:
+        """Wait for the client to read, a second at most; whether it did."""
+        return self.exchange.is_over or self.exchange.connection.writer.below_low_water.wait(MAX_PACE_WAIT)
+
+    def complete(self, rows: bytes) -> None:
+        """Answer with all rows, or those behind the ones of `send_rows`."""
+        if not self.exchange.is_over:
+            self._close()
+            if self.supports_streaming:
+                self.send_rows(rows)
+                self.exchange.finish()
+            else:
+                self.exchange.answer(200, self._id_header() | ROWS_HEADERS, rows)
+
+    def reject(self, after: int) -> None:
+        """Answer that trying again is harmless after so many µs."""
+        if not self.exchange.is_over:
+            self._close()
+            headers = self._id_header() | {"Retry-After": str(max(math.ceil(after / 1e6), 1))}
+            code = ErrorCode.TOO_MANY_SIMULTANEOUS_QUERIES
+            answer_error(self.exchange, code, 503, "Too many simultaneous queries", headers)
+
+    def fail(self, fault: EngineFault) -> None:
+        """Answer that it may have run; an answer that has begun is left recognisably incomplete."""
+        if self.exchange.is_over:
+            return
+        self._close()
+        if self.exchange.has_begun:
+            self.frontend.counters.add("clickhouse.broken_streams")
+            self.exchange.abort()
+        else:
+            code = fault.code or ErrorCode.NETWORK_ERROR
+            answer_error(self.exchange, code, fault.status, fault.text, self._id_header())
--- /dev/null
+++ b/cypressledge/net/http_server.py
@@ -0,0 +1,313 @@
+"""HTTP/1.1 for the servers that speak it: one exchange at a time on each connection, parsed by httptools."""
+
+import json
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from http import HTTPStatus
+from urllib.parse import parse_qsl, unquote, urlsplit
+
+import httptools
+from gevent import socket
+
+from cypressledge.broker.metrics import Counters
+from cypressledge.clock import monotonic_us
+from cypressledge.net.connection_registry import ConnectionRegistry, eviction_priority
+from cypressledge.net.listener import Listener
+from cypressledge.net.receive_buffer import ByteBudget, ReceiveBuffer
+from cypressledge.net.socket_io import (
+    FIRST_MESSAGE_TIMEOUT,
+    LINGER_TIMEOUT,
+    Address,
+    IdleTimeoutError,
+    close_socket,
+    discard_until_closed,
+    flush_connections,
+    receive,
+    remaining_seconds,
+    shutdown_write,
+)
+from cypressledge.net.socket_writer import SocketWriter
+
+READ_SIZE = 16 << 10  # bytes read at once; the parser takes them all
+MAX_HEAD_SIZE = 64 << 10  # bytes of the target and all header fields
+MAX_PIPELINED = 4  # requests that wait on one connection
+REQUEST_BODIES = ByteBudget(8 << 20)  # bytes of requests not handled yet, until the configuration is known
+SEND_QUEUE_LIMIT = 8 << 20  # bytes
+SEND_TIMEOUT = 60.0  # seconds that one send may take
+IDLE_TIMEOUT = 30.0  # seconds
+REQUEST_TIMEOUT = 5.0  # seconds from the first byte of a request to its last
+
+
+class RequestLimitError(Exception):
+    """A request over a limit."""
+
+    def __init__(self, status: HTTPStatus) -> None:
+        super().__init__(str(status.value))
+        self.status = status
+
+
+@dataclass(slots=True)
+class HttpRequest:
+    """One complete request."""
+
+    method: str = ""
+    path: str = ""
+    params: dict[str, str] = field(default_factory=dict)
+    headers: dict[str, str] = field(default_factory=dict)  # names in lower case
+    body: bytes = b""
+    version: str = "1.1"
+    keep_alive: bool = True
+    has_length: bool = False  # by Content-Length or Transfer-Encoding
+
+
+class HttpServer:
+    """Listens, and hands each complete request to `handle(request, exchange)`, which must not block."""
+
+    def __init__(
+        self,
+        address: Address,
+        counters: Counters,
+        name: str,
+        max_body_size: int,
+        handle: Callable[[HttpRequest, "HttpExchange"], None],
+    ) -> None:
+        """`name`: of the server, in counters. `max_body_size`: bytes."""
+        self.handle, self.max_body_size, self.counters, self.name = handle, max_body_size, counters, name
+        self.connections: ConnectionRegistry[HttpConnection] = ConnectionRegistry()
+        self.listener = Listener(
+            address, counters, name, lambda sock: HttpConnection(self, sock).run(), self.connections
+        )
+
+    def flush(self, seconds: float) -> None:
+        """Send what was answered, and wait for the clients to close their connections."""
+        flush_connections(self.connections, seconds)
+
+
+class HttpConnection:
+    """One client's connection: requests wait here for their turn. httptools calls the `on_` methods."""
+
+    def __init__(self, server: HttpServer, sock: socket.socket) -> None:
+        self.server, self.sock = server, sock
+        self.waiting: deque[HttpRequest] = deque()
+        self.current: HttpExchange | None = None
+        self.closing = False
+        self.held_bytes = 0  # of `REQUEST_BODIES`
+        self.connected_at = self.last_heard = monotonic_us()
+        self.request_began_at = 0  # of a request that is not complete yet; 0: there is none
+        self.has_requested = False
+        self.writer = SocketWriter(sock, SEND_QUEUE_LIMIT, SEND_TIMEOUT, lambda reason: close_socket(sock))
+        self.parser = httptools.HttpRequestParser(self)
+        self._start_request()
+        server.connections.add(self)
+
+    def run(self) -> None:
+        """Read until the client closes; the exchange that is open then is given up."""
+        buffer = ReceiveBuffer(READ_SIZE, initial_size=READ_SIZE)
+        try:
+            while not self.closing and receive(buffer, self.sock, self._read_timeout):
+                self._mark_active()
+                self.parser.feed_data(buffer.take_all())
+                self._handle_next()
+        except httptools.HttpParserCallbackError as err:
+            # The parser wraps what its callbacks raise: unwrapped, a size limit keeps its own status.
+            cause = err.__context__
+            status = cause.status if isinstance(cause, RequestLimitError) else HTTPStatus.BAD_REQUEST
+            self._reject_unreadable(status)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError):
+            self._reject_unreadable(HTTPStatus.BAD_REQUEST)
+        except IdleTimeoutError:
+            self.server.counters.add(f"{self.server.name}.idle")
+            if self.request_began_at:
+                self._reject_unreadable(HTTPStatus.REQUEST_TIMEOUT)
+        except OSError:
+            pass
+        finally:
+            self._close()
+
+    def _read_timeout(self) -> float:
+        """Seconds until the client must have sent more: none occupies a connection with nothing or half."""
+        if self.request_began_at:
+            return remaining_seconds(self.request_began_at, REQUEST_TIMEOUT)
+        if self.current is not None:
+            return IDLE_TIMEOUT
+        if self.has_requested:
+            return remaining_seconds(self.last_heard, IDLE_TIMEOUT)
+        return remaining_seconds(self.connected_at, FIRST_MESSAGE_TIMEOUT)
+
+    def _mark_active(self) -> None:
+        self.last_heard = monotonic_us()
+        self.server.connections.mark_active(self)
+
+    def eviction_priority(self, now: int) -> tuple[int, int]:
+        """See `ClientConnection`: busy is one with an exchange open, or an answer on its way out."""
+        is_busy = bool(self.current or self.request_began_at or self.writer.sending)
+        return eviction_priority(now, self.connected_at, self.last_heard, self.has_requested, is_busy)
+
+    def close_idle(self) -> None:
+        """Make room for another client: shut down our side, and read nothing more."""
+        self.server.connections.mark_closing(self)
+        self.closing = True
+        self.writer.close(lambda: shutdown_write(self.sock))
+
+    def _reject_unreadable(self, status: HTTPStatus) -> None:
+        """End the connection; an exchange that is open keeps the form of its own answer."""
+        self.server.counters.add(f"{self.server.name}.bad_http")
+        if self.current is None:
+            self.closing = True
+            self.current = HttpExchange(self, HttpRequest(keep_alive=False))
+            self.current.answer(status, {}, status.phrase.encode() + b"\n")
+            self.writer.close(lambda: shutdown_write(self.sock))
+            since = monotonic_us()
+            discard_until_closed(self.sock, lambda: remaining_seconds(since, LINGER_TIMEOUT))
+
+    def _release(self, size: int) -> None:
+        self.held_bytes -= size
+        REQUEST_BODIES.release(size)
+
+    def _close(self) -> None:
+        if self.current is not None:
+            self.current.handle_disconnect()
+        self.server.connections.discard(self)
+        self._release(self.held_bytes)
+        self.writer.close()
+        self.writer.flushed.wait(SEND_TIMEOUT)
+        close_socket(self.sock)
+
+    # Called by httptools
+
+    def _start_request(self) -> None:
+        self.request, self.url = HttpRequest(), b""
+        self.body_parts: list[bytes] = []
+        self.body_size = self.head_size = 0
+
+    def on_message_begin(self) -> None:
+        """A request begins."""
+        self.request_began_at = monotonic_us()
+        self._start_request()
+
+    def on_url(self, url: bytes) -> None:
+        """A part of the target. Raises `RequestLimitError`."""
+        self.url += url
+        self._count_head(len(url))
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """One header field. Raises `RequestLimitError`."""
+        self._count_head(len(name) + len(value))
+        self.request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
+
+    def _count_head(self, size: int) -> None:
+        self.head_size += size
+        if self.head_size > MAX_HEAD_SIZE:
+            raise RequestLimitError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+
+    def on_headers_complete(self) -> None:
+        """The head is complete. Raises `RequestLimitError`, `ValueError`."""
+        headers = self.request.headers
+        self.request.has_length = "content-length" in headers or "transfer-encoding" in headers
+        if int(headers.get("content-length") or 0) > self.server.max_body_size:
+            raise RequestLimitError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+        if headers.get("expect", "").lower() == "100-continue" and self.current is None:
+            self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def on_body(self, body: bytes) -> None:
+        """A part of the body. Raises `RequestLimitError`."""
+        self.body_size += len(body)
+        if self.body_size > self.server.max_body_size:
+            raise RequestLimitError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+        if not REQUEST_BODIES.reserve(len(body)):
+            raise RequestLimitError(HTTPStatus.SERVICE_UNAVAILABLE)
+        self.held_bytes += len(body)
+        self.body_parts.append(body)
+
+    def on_message_complete(self) -> None:
+        """The request is complete. Raises `RequestLimitError`."""
+        self.request_began_at, self.has_requested = 0, True
+        request, target = self.request, urlsplit(self.url.decode("latin-1"))
+        request.method, request.version = self.parser.get_method().decode(), self.parser.get_http_version()
+        request.keep_alive, request.body = self.parser.should_keep_alive(), b"".join(self.body_parts)
+        request.path = unquote(target.path)
+        request.params = dict(parse_qsl(target.query, keep_blank_values=True))
+        self.waiting.append(request)
+        if len(self.waiting) > MAX_PIPELINED:
+            raise RequestLimitError(HTTPStatus.TOO_MANY_REQUESTS)
+
+    # One exchange after the other
+
+    def _handle_next(self) -> None:
+        if self.current is None and self.waiting and not self.closing:
+            self.current = HttpExchange(self, self.waiting.popleft())
+            self._release(len(self.current.request.body))
+            self.server.handle(self.current.request, self.current)
+
+    def finish_exchange(self, keep_alive: bool) -> None:
+        """The current exchange is answered, completely or not."""
+        self.current = None
+        self._mark_active()
+        if keep_alive:
+            self._handle_next()
+        else:
+            on_drained = None if self.closing else lambda: close_socket(self.sock)
+            self.closing = True
+            self.writer.close(on_drained)
+
+
+class HttpExchange:
+    """One request's answer: complete by `answer`, or in chunks from `begin` to `finish` or `abort`."""
+
+    def __init__(self, connection: HttpConnection, request: HttpRequest) -> None:
+        self.connection, self.request = connection, request
+        self.on_disconnect: Callable[[], None] | None = None
+        self.has_begun = self.is_over = False
+        self.supports_chunks = request.version != "1.0"
+
+    def answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
+        """The complete answer."""
+        if not self.is_over and not self.has_begun:
+            self._write_head(status, headers | {"Content-Length": str(len(body))})
+            self.connection.writer.write(body)
+            self._finish(self.request.keep_alive)
+
+    def json(self, status: int, value: object) -> None:
+        """A complete answer in JSON; None is an empty body."""
+        body = json.dumps(value).encode() + b"\n" if value is not None else b""
+        self.answer(status, {"Content-Type": "application/json"}, body)
+
+    def begin(self, headers: dict[str, str]) -> None:
+        """The head of an answer in chunks; not for HTTP/1.0, where a broken one could not be recognised."""
+        self.has_begun = True
+        self._write_head(200, headers | {"Transfer-Encoding": "chunked"})
+
+    def chunk(self, data: bytes) -> None:
+        """The next bytes."""
+        if data and not self.is_over:
+            self.connection.writer.write(b"%x\r\n" % len(data), data, b"\r\n")
+
+    def finish(self) -> None:
+        """All chunks have been written."""
+        if not self.is_over:
+            self.connection.writer.write(b"0\r\n\r\n")
+            self._finish(self.request.keep_alive)
+
+    def abort(self) -> None:
+        """Leave the answer recognisably incomplete: no last chunk, and the connection is closed."""
+        if not self.is_over:
+            self._finish(False)
+
+    def handle_disconnect(self) -> None:
+        """The client has closed its connection."""
+        if not self.is_over:
+            self.is_over = True
+            if self.on_disconnect is not None:
+                self.on_disconnect()
+
+    def _write_head(self, status: int, headers: dict[str, str]) -> None:
+        if not self.request.keep_alive:
+            headers = headers | {"Connection": "close"}
+        status_line = f"HTTP/1.1 {int(status)} {HTTPStatus(status).phrase}"
+        lines = [status_line, *(f"{name}: {value}" for name, value in headers.items())]
+        self.connection.writer.write("\r\n".join(lines).encode("latin-1"), b"\r\n\r\n")
+
+    def _finish(self, keep_alive: bool) -> None:
+        self.is_over = True
+        self.connection.finish_exchange(keep_alive)
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -11,11 +11,12 @@
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.config import Config, ConfigError, Limits, parse_address
-from cypressledge.net.admin import Admin
-from cypressledge.net.clickhouse import ChFront, ChLink
+from cypressledge.net.admin_api import AdminApi
+from cypressledge.net.clickhouse.frontend import ClickHouseFrontend
+from cypressledge.net.clickhouse.transport import ClickHouseTransport
 from cypressledge.net.dns_discovery import EngineNaming
 from cypressledge.net.dns_sd import DnsSdPoller
-from cypressledge.net.http import BODIES
+from cypressledge.net.http_server import REQUEST_BODIES
 from cypressledge.tenants import TenantError, Tenants
 
 WIRE = "clickhouse"
@@ -101,13 +102,13 @@
         self._settings = settings
         self._tenants = tenants
         self._core = core
-        self.transport = ChLink(core, config.limits)
+        self.transport = ClickHouseTransport(core, config.limits)
         core.add_transport(WIRE, self.transport)
-        self._frontend = ChFront(core, settings.listen, config.classes, tenants)
+        self._frontend = ClickHouseFrontend(core, settings.listen, config.classes, tenants)
         self._servers = [self._frontend.server]
-        self._admin: Admin | None = None
+        self._admin: AdminApi | None = None
         if settings.admin_listen:
-            self._admin = Admin(core, settings.admin_listen, tenants)
+            self._admin = AdminApi(core, settings.admin_listen, tenants)
             self._servers.append(self._admin.server)
         self._engine_naming = EngineNaming(config.kinds, config.zones, WIRE)
         self._discovery = DnsSdPoller(core, settings.dns_server, settings.dns_service, self._engine_naming)
@@ -124,7 +125,7 @@
         for given in settings.tenants:
             self._tenants.update(given["name"], given)
         self._settings = settings
-        self.transport.login(settings.engine_user, settings.engine_key)
+        self.transport.set_login(settings.engine_user, settings.engine_key)
         if self._admin is not None:
             self._admin.token = settings.admin_token
 
@@ -132,11 +133,11 @@
         """Take what the deployment allows."""
         self.transport.limits = limits
         clients = limits.max_sockets // DESCRIPTORS_PER_CLIENT
-        self._frontend.server.listener.most = min(MAX_CLIENT_CONNECTIONS, clients)
+        self._frontend.server.listener.max_connections = min(MAX_CLIENT_CONNECTIONS, clients)
         if self._admin is not None:
             admins = limits.max_sockets // DESCRIPTORS_PER_ADMIN
-            self._admin.server.listener.most = min(MAX_ADMIN_CONNECTIONS, admins)
-        BODIES.most = limits.spare_memory // MEMORY_SHARE_OF_BODIES
+            self._admin.server.listener.max_connections = min(MAX_ADMIN_CONNECTIONS, admins)
+        REQUEST_BODIES.limit = limits.spare_memory // MEMORY_SHARE_OF_BODIES
 
     def check_applicable(self, settings: ServiceConfig) -> None:
         """Raise `ConfigError` for what can't be taken without a restart."""
--- a/tests/recordings/test_ledger_recording.py
+++ b/tests/recordings/test_ledger_recording.py
@@ -24,7 +24,8 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.broker.requests import Endpoint, EngineFault, Query
 from cypressledge.decisions import contract as c
-from cypressledge.net.management import Kept, Management, figures
+from cypressledge.net.maintenance_file import MaintenanceFile
+from cypressledge.net.management import ManagementServer, metrics
 from cypressledge.settings import parse_settings
 from tests.stands import SETTINGS
 
@@ -545,13 +546,13 @@
 def management(s):
     """The operators' address: every answer, byte for byte."""
     taking = [True]
-    calls = Management(("127.0.0.1", 0), s.counters, lambda: taking[0])
+    calls = ManagementServer(("127.0.0.1", 0), s.counters, lambda: taking[0])
     s.core.engines.maintenance = Maintenance()
-    kept = Kept(s.core, "recording", s.directory)
+    kept = MaintenanceFile(s.core, "recording", s.directory)
     classes = ("lookup", "report")
-    calls.add("/status/metrics", "GET", lambda r: (200, figures(s.core, classes)))
-    calls.add("/maintenance/enter", "POST", lambda r: kept.call(r, True))
-    calls.add("/maintenance/exit", "POST", lambda r: kept.call(r, False))
+    calls.add("/status/metrics", "GET", lambda r: (200, metrics(s.core, classes)))
+    calls.add("/maintenance/enter", "POST", lambda r: kept.handle_call(r, True))
+    calls.add("/maintenance/exit", "POST", lambda r: kept.handle_call(r, False))
     listener = calls.server.listener
     accepting = gevent.spawn(listener.run)
     request, attempt = s.sent((ENGINE_1, 0))
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -725,7 +725,7 @@
                 self.broker(
                     *engines,
                     env={"ROUTER_MANAGEMENT": f"127.0.0.1:{ports[-1]}", "TMPDIR": shared},
-                    hooks={"save": "cypressledge.net.management:Kept._save"},
+                    hooks={"save": "cypressledge.net.maintenance_file:MaintenanceFile._save"},
                 )
             )
 
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from cypressledge.net.clickhouse import FORMAT, WRITES
+from cypressledge.net.clickhouse.statements import FORMAT_CLAUSE, WRITE_STATEMENT
 from cypressledge.sql import table_group
 from tests.stands import (
     ROOT,
@@ -447,7 +447,7 @@
         values = "(1,'abc',2.5)," * 300_000
         assert table_group(f"INSERT INTO plain.t VALUES {values}") == 0
         assert table_group(f"INSERT INTO sales_3.t VALUES {values}") == 3
-        assert WRITES.match("/**/" * 10000 + "x") is None
-        assert WRITES.match("/**/ /* a */ -- b\n insert")
-        assert FORMAT.search("SELECT 1 FORMAT x" + " " * 300000 + "y") is None
-        assert FORMAT.search("SELECT 1 FORMAT TSV ; ")[1] == "TSV"
+        assert WRITE_STATEMENT.match("/**/" * 10000 + "x") is None
+        assert WRITE_STATEMENT.match("/**/ /* a */ -- b\n insert")
+        assert FORMAT_CLAUSE.search("SELECT 1 FORMAT x" + " " * 300000 + "y") is None
+        assert FORMAT_CLAUSE.search("SELECT 1 FORMAT TSV ; ")[1] == "TSV"
--- a/tests/test_clickhouse.py
+++ b/tests/test_clickhouse.py
@@ -327,8 +327,8 @@
                 self.service(engine, self.engine(play, kind=ChEngine))
                 with pytest.raises(http.client.IncompleteRead) as caught:
                     self.ask()
-                assert caught.exception.partial.startswith(ROW[:5])
-                assert b"__exception__" not in caught.exception.partial
+                assert caught.value.partial.startswith(ROW[:5])
+                assert b"__exception__" not in caught.value.partial
                 assert self.count("attempts.first") == 1
                 assert self.count("attempts.further") == 0
 
