--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -13,7 +13,8 @@
 from cypressledge.config import ConfigError, parse_address
 from cypressledge.controlplane.messages import Change
 from cypressledge.controlplane.settings import read_control_settings
-from cypressledge.controlplane.state import Engine, FleetState, StateError
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import Engine, StateError
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.decisions.contract import EngineState
@@ -135,7 +136,14 @@
 def _listed(name: str, engine: Engine) -> DiscoveredEngine:
     host, port = parse_address(engine.address)
     return DiscoveredEngine(
-        name, host, port, ENGINE_STATES[engine.state], engine.kind, engine.zone, engine.cell, engine.born_ms
+        name,
+        host,
+        port,
+        ENGINE_STATES[engine.state],
+        engine.kind,
+        engine.zone,
+        engine.cell,
+        engine.start_time_ms,
     )
 
 
--- a/cypressledge/controlplane/broker_registry.py
+++ b/cypressledge/controlplane/broker_registry.py
@@ -9,7 +9,9 @@
 from collections.abc import Collection, Iterable
 
 from cypressledge.controlplane.messages import MAX_OPS_PER_CHANGE, Op
-from cypressledge.controlplane.state import FleetState, StateError, address_of, validate_change
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_validation import validate_change
+from cypressledge.controlplane.state_values import StateError, address_of
 
 RETRY_INTERVAL_US = 1_000_000  # after which a registration is sent, or proposed, once more
 MAX_REGISTRATIONS = MAX_OPS_PER_CHANGE // 2  # registrations in one change: each may take another key out
--- a/cypressledge/controlplane/change_history.py
+++ b/cypressledge/controlplane/change_history.py
@@ -8,7 +8,8 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import MAX_BATCH_BYTES, MAX_FRAME_BYTES, Change, Snapshot
-from cypressledge.controlplane.state import FleetState, StateError
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import StateError
 
 MAX_KEPT_CHANGES = 4_096  # changes kept
 MAX_KEPT_BYTES = 4 << 20  # of changes kept
--- a/cypressledge/controlplane/leader_recovery.py
+++ b/cypressledge/controlplane/leader_recovery.py
@@ -19,7 +19,8 @@
 )
 from cypressledge.controlplane.replica_context import NEVER, ReplicaContext
 from cypressledge.controlplane.replicated_log import ReplicatedLog
-from cypressledge.controlplane.state import FleetState, Position, StateError
+from cypressledge.controlplane.state import FleetState, Position
+from cypressledge.controlplane.state_values import StateError
 
 MAX_FETCH_ATTEMPTS = 5  # requests to one voter before a candidate begins again without it
 
--- a/cypressledge/controlplane/log_replication.py
+++ b/cypressledge/controlplane/log_replication.py
@@ -22,7 +22,8 @@
 from cypressledge.controlplane.proposals import PendingProposal, ProposalState
 from cypressledge.controlplane.replica_context import HEARTBEAT_INTERVAL_US, NEVER, ReplicaContext, Role
 from cypressledge.controlplane.replicated_log import ReplicatedLog
-from cypressledge.controlplane.state import StateError, find_conflicts, validate_change
+from cypressledge.controlplane.state_validation import find_conflicts, validate_change
+from cypressledge.controlplane.state_values import StateError
 
 RESEND_US = 1_000_000  # an AppendEntries that wasn't answered for so long is sent again
 SNAPSHOT_RESEND_US = 5_000_000  # the same for a snapshot, which takes longer on its way
--- a/cypressledge/controlplane/operators.py
+++ b/cypressledge/controlplane/operators.py
@@ -9,7 +9,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import Op
-from cypressledge.controlplane.state import StateError, encode_value
+from cypressledge.controlplane.state_values import StateError, encode_value
 from cypressledge.net.http_server import HttpExchange, HttpRequest, HttpServer
 
 BODY_MOST = 2 << 20  # bytes of a change in JSON
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -28,14 +28,8 @@
     to_printable_line,
 )
 from cypressledge.controlplane.snapshot_throttle import SnapshotThrottle
-from cypressledge.controlplane.state import (
-    KEY_PATTERN,
-    Broker,
-    FleetState,
-    StateError,
-    address_of,
-    encode_value,
-)
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import KEY_PATTERN, Broker, StateError, address_of, encode_value
 from cypressledge.controlplane.subscription import Position, Subscription
 
 MAX_REASONS = 500  # rejections in one report that say why: guards against more than a frame holds
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -40,7 +40,8 @@
 )
 from cypressledge.controlplane.replica_status import ReplicaStatus
 from cypressledge.controlplane.replicated_log import CommitHandler, ReplicatedLog
-from cypressledge.controlplane.state import FleetState, validate_change
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_validation import validate_change
 
 QUORUM_TIMEOUT_US = 10_000_000  # without an answer from a majority for so long, another should try
 
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -13,7 +13,8 @@
 from cypressledge.controlplane.log_storage import NOTHING_PROMISED, LogStorage, PromisedEpoch, StorageError
 from cypressledge.controlplane.messages import Change, Op, Promise, Snapshot
 from cypressledge.controlplane.replica_context import ReplicaContext
-from cypressledge.controlplane.state import FleetState, Position, StateError
+from cypressledge.controlplane.state import FleetState, Position
+from cypressledge.controlplane.state_values import StateError
 
 CommitHandler = Callable[[list[Change] | None, Snapshot | None], None]
 
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -57,14 +57,9 @@
 from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control_settings
 from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
-from cypressledge.controlplane.state import (
-    FleetState,
-    StateError,
-    decode_value,
-    encode_value,
-    find_conflicts,
-    validate_change,
-)
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_validation import find_conflicts, validate_change
+from cypressledge.controlplane.state_values import StateError, decode_value, encode_value
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.events import logger
 from cypressledge.fleet.leases.electorate import Electorate
@@ -677,7 +672,7 @@
             "brokers": len(self.publisher.subscriptions),
             "peers": sorted(self.links),
             "keys": len(state.entries),
-            "bytes": state.size,
+            "bytes": state.size_bytes,
             "waiting": len(self.waiting),
             "traffic": self.traffic.show(),
             "counters": self.counters.show(),
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -29,7 +29,8 @@
     to_printable_line,
 )
 from cypressledge.controlplane.server_selection import Server, ServerSelector, order
-from cypressledge.controlplane.state import FleetState, StateError
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import StateError
 
 CONNECT_TIMEOUT = 1_500_000  # for a TCP connection
 SILENCE_TIMEOUT = 3_500_000  # without a frame, after which another server is followed
@@ -318,7 +319,7 @@
             self._report("digest_differs", epoch=snapshot.epoch, version=snapshot.version)
         if snapshot.epoch > own.epoch:
             return True
-        if not own.verify():
+        if not own.digest_matches():
             self._report("own_state_spoilt", version=own.version)
             return True
         self._reject(snapshot.epoch, snapshot.version)
--- a/tests/recordings/test_control_store_recording.py
+++ b/tests/recordings/test_control_store_recording.py
@@ -10,7 +10,7 @@
 from cypressledge.controlplane.messages import Change, Op, Snapshot
 from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.sqlite_storage import SqliteStorage
-from cypressledge.controlplane.state import Broker, Engine, StateError, encode_value
+from cypressledge.controlplane.state_values import Broker, Engine, StateError, encode_value
 
 RECORDING = Path(__file__).parent / "control_store_9c5e980"
 EXPECTED = json.loads((RECORDING / "expected.json").read_text())
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -7,7 +7,7 @@
 from cypressledge.controlplane.log_storage import StorageError, StoredLog
 from cypressledge.controlplane.messages import Op
 from cypressledge.controlplane.replica import Replica
-from cypressledge.controlplane.state import Engine, StateError, encode_value
+from cypressledge.controlplane.state_values import Engine, StateError, encode_value
 
 SECOND = 1_000_000
 
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -15,7 +15,8 @@
 from cypressledge.controlplane.change_history import ChangeHistory, compress_snapshot
 from cypressledge.controlplane.publisher import Publisher, PublisherLimits
 from cypressledge.controlplane.server_selection import Server, order
-from cypressledge.controlplane.state import Broker, Engine, FleetState, encode_value
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import Broker, Engine, encode_value
 from cypressledge.controlplane.subscriber import (
     SILENCE_TIMEOUT,
     BrokerIdentity,
@@ -30,7 +31,7 @@
     for _ in range(count):
         n = history.state.version + 1
         ops = [m.Op(f"engine/e{n % 7}", encode_value(Engine(f"h{n}:1")) if n % 5 else None)]
-        history.apply(history.state.draft_change(epoch, ops, request=f"r{n}"))
+        history.apply(history.state.draft_change(epoch, ops, request_id=f"r{n}"))
 
 
 def where(state: FleetState) -> tuple:
@@ -463,7 +464,7 @@
         *where(same)
     )
     assert seat.counts("own_state_spoilt") == 1
-    assert seat.subscriber.state.verify()
+    assert seat.subscriber.state.digest_matches()
     for _ in range(2):
         seat.take(m.Heartbeat(2, 3, b"x" * 16, "c", 0))
     assert seat.counts("digest_differs") == 3  # a beat that differs: once a version
@@ -627,7 +628,7 @@
             assert state.epoch >= seen[-1][0], "went back"
             assert state.version > seen[-1][1], "went back"
             assert state.digest == self.digests[state.version], "not the history's"
-            assert state.verify(), "not the history's"
+            assert state.digest_matches(), "not the history's"
             seen.append(state.position)
 
         def end(why: str) -> None:
@@ -743,7 +744,7 @@
         for _ in range(n):
             v = self.truth.version + 1
             ops = [m.Op(f"engine/e{v % 5}", encode_value(Engine(f"h{v}:1")) if v % 4 else None)]
-            change = self.truth.draft_change(self.truth.epoch + epoch_step, ops, request=f"r{v}")
+            change = self.truth.draft_change(self.truth.epoch + epoch_step, ops, request_id=f"r{v}")
             epoch_step = 0
             self.truth.apply(change)
             self.log.append(change)
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -32,7 +32,8 @@
     SnapshotRequest,
 )
 from cypressledge.controlplane.publisher import PublisherLimits
-from cypressledge.controlplane.state import FleetState, encode_value
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import encode_value
 from cypressledge.lab.processes import ROOT, until
 from cypressledge.lab.site import free_port, free_udp_ports
 
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -31,7 +31,8 @@
 )
 from cypressledge.controlplane.operators import Asked, BadRequest, read_change
 from cypressledge.controlplane.server import check_new
-from cypressledge.controlplane.state import FleetState, StateError, decode_value, encode_value
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import StateError, decode_value, encode_value
 
 ONE, TWO = AppliedPosition(7, 3, bytes(16)), Disconnect("stopping", 5)
 
--- a/tests/test_controlplane_registry.py
+++ b/tests/test_controlplane_registry.py
@@ -13,7 +13,9 @@
 )
 from cypressledge.controlplane.messages import MAX_OPS_PER_CHANGE, AppliedReport, Op
 from cypressledge.controlplane.settings import read_control_settings
-from cypressledge.controlplane.state import Broker, FleetState, encode_value, validate_change
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_validation import validate_change
+from cypressledge.controlplane.state_values import Broker, encode_value
 
 S = 1_000_000  # µs
 FORGET = 3_600 * S
--- a/tests/test_controlplane_replica.py
+++ b/tests/test_controlplane_replica.py
@@ -17,7 +17,8 @@
 from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.replica_context import ReplicaContext, Role
 from cypressledge.controlplane.replicated_log import ReplicatedLog
-from cypressledge.controlplane.state import FleetState, StateError
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import StateError
 
 
 def begun(kind, among="abc", names="abc", mute=0):
--- a/tests/test_controlplane_state.py
+++ b/tests/test_controlplane_state.py
@@ -16,21 +16,29 @@
     Snapshot,
     StateEntry,
 )
+from cypressledge.controlplane.state_validation import (
+    BASE_NOT_YET,
+    BASE_TOO_OLD,
+    MAX_STATE_BYTES,
+    find_conflicts,
+    validate_change,
+)
+from cypressledge.controlplane.state_values import Broker, Engine, StateError, decode_value, encode_value
 from cypressledge.lab.site import SETTINGS
 
-SECTIONS = [Op(f"config/{name}", s.encode_value(value)) for name, value in SETTINGS.items()]
+SECTIONS = [Op(f"config/{name}", encode_value(value)) for name, value in SETTINGS.items()]
 
 
 def engine(name: str, address: str, **more) -> Op:
-    return Op(f"engine/{name}", s.encode_value(s.Engine(address, **more)))
+    return Op(f"engine/{name}", encode_value(Engine(address, **more)))
 
 
 def broker(name: str, address: str) -> Op:
-    return Op(f"broker/{name}", s.encode_value(s.Broker(address)))
+    return Op(f"broker/{name}", encode_value(Broker(address)))
 
 
 def grow(state, *ops, epoch=1, **more) -> Change:
-    s.validate_change(state, list(ops))
+    validate_change(state, list(ops))
     change = state.draft_change(epoch, list(ops), **more)
     state.apply(change)
     return change
@@ -44,28 +52,28 @@
 
 
 def test_one_encoding_for_equal_data():
-    assert s.encode_value({"b": 1, "a": [2.5, None]}) == s.encode_value({"a": [2.5, None], "b": 1})
+    assert encode_value({"b": 1, "a": [2.5, None]}) == encode_value({"a": [2.5, None], "b": 1})
     as_dict = {"zone": "", "state": "ready", "kind": "", "cell": 0, "born_ms": 0, "address": "a:1"}
-    assert s.encode_value(s.Engine("a:1")) == s.encode_value(as_dict)
-    assert s.decode_value(s.encode_value({"a": [1, {"x": "y"}]})) == {"a": [1, {"x": "y"}]}
+    assert encode_value(Engine("a:1")) == encode_value(as_dict)
+    assert decode_value(encode_value({"a": [1, {"x": "y"}]})) == {"a": [1, {"x": "y"}]}
     for bad in (object(), 1 << 70, {1: 2, "a": 3}):
-        with pytest.raises(s.StateError):
-            s.encode_value(bad)
-    with pytest.raises(s.StateError):
-        s.decode_value(b"\xc1")
+        with pytest.raises(StateError):
+            encode_value(bad)
+    with pytest.raises(StateError):
+        decode_value(b"\xc1")
 
 
 def test_reads_what_was_set():
     state = filled()
     assert state.config() == SETTINGS
     assert state.position == (1, 2)
-    assert state.engines()["e2"] == s.Engine("10.0.0.2:9000")
-    assert state.brokers() == {"b1": s.Broker("10.0.1.1:7400")}
+    assert state.engines()["e2"] == Engine("10.0.0.2:9000")
+    assert state.brokers() == {"b1": Broker("10.0.1.1:7400")}
 
 
 _ops = st.dictionaries(
     st.sampled_from([f"engine/{n}" for n in "abcdef"]),
-    st.one_of(st.none(), st.integers(0, 3).map(s.encode_value)),
+    st.one_of(st.none(), st.integers(0, 3).map(encode_value)),
     max_size=4,
 )
 
@@ -75,13 +83,13 @@
     state = s.FleetState("line")
     for i, step in enumerate(steps):
         before = state.snapshot()
-        change = state.draft_change(i, [Op(k, v) for k, v in step.items()], request=f"r{i}")
+        change = state.draft_change(i, [Op(k, v) for k, v in step.items()], request_id=f"r{i}")
         assert state.snapshot() == before
         state.apply(change)
         again = s.FleetState.restore(h.decompress_snapshot(h.compress_snapshot(state.snapshot())))
         assert again.snapshot() == state.snapshot()
-        assert state.verify()
-        assert state.size == again.size
+        assert state.digest_matches()
+        assert state.size_bytes == again.size_bytes
         assert again.version_of_request(f"r{i}") == state.version
 
 
@@ -101,13 +109,13 @@
         Change(2, 3, good.ops * 2, good.digest),
         Change(2, 3, good.ops, good.digest, "r" * 600),
     ):
-        with pytest.raises(s.StateError) as told:
+        with pytest.raises(StateError) as told:
             state.apply(bad)
         assert "\n" not in str(told.value)
         assert state.snapshot() == before
     state.apply(good)
     assert state.position == (2, 3)
-    with pytest.raises(s.StateError):
+    with pytest.raises(StateError):
         state.draft_change(1, [])
 
 
@@ -119,8 +127,8 @@
         ([Op("engine/x\n", None)], "no key"),
         ([Op("config/A", b"\x01"), Op("config/A", None)], "twice"),
         ([Op("engine/x", b"\xc1")], "not MessagePack"),
-        ([Op("engine/x", s.encode_value({}))], "address"),
-        ([Op("engine/x", s.encode_value({"address": "a:1", "colour": 1}))], "colour"),
+        ([Op("engine/x", encode_value({}))], "address"),
+        ([Op("engine/x", encode_value({"address": "a:1", "colour": 1}))], "colour"),
         ([engine("x", "nowhere")], "HOST:PORT"),
         ([engine("x", ":80")], "HOST:PORT"),
         ([engine("x", "a:0")], "HOST:PORT"),
@@ -132,68 +140,68 @@
         ([engine("x", "A:1"), engine("y", "a:1")], "at the address of engine/x"),
         ([broker("x", "10.0.1.1:7400")], "at the address of broker/b1"),
         ([Op("config/Rules", None)], "Rules"),
-        ([Op("config/Classes", s.encode_value([]))], "config"),
-        ([Op("config/Rules", s.encode_value(SETTINGS["Rules"] | {"StartCapacity": 2.0}))], "config"),
-        ([Op("config/Extra", s.encode_value(float("nan")))], "config"),
-        ([Op("config/Dcs", s.encode_value(["a", "a"]))], "twice"),
-        ([Op("config/Limits", s.encode_value(SETTINGS["Limits"] | {"ConnIdle": 0}))], "limit"),
+        ([Op("config/Classes", encode_value([]))], "config"),
+        ([Op("config/Rules", encode_value(SETTINGS["Rules"] | {"StartCapacity": 2.0}))], "config"),
+        ([Op("config/Extra", encode_value(float("nan")))], "config"),
+        ([Op("config/Dcs", encode_value(["a", "a"]))], "twice"),
+        ([Op("config/Limits", encode_value(SETTINGS["Limits"] | {"ConnIdle": 0}))], "limit"),
         ([Op(f"engine/n{i}", None) for i in range(MAX_OPS_PER_CHANGE + 1)], "keys in one change"),
-        ([Op("config/Extra", s.encode_value("x" * MAX_CHANGE_BYTES))], "bytes"),
+        ([Op("config/Extra", encode_value("x" * MAX_CHANGE_BYTES))], "bytes"),
     ],
 )
 def test_what_is_refused_before_it_is_taken(ops, says):
-    with pytest.raises(s.StateError, match=says) as told:
-        s.validate_change(filled(), ops)
+    with pytest.raises(StateError, match=says) as told:
+        validate_change(filled(), ops)
     assert "\n" not in str(told.value)
 
 
 def test_what_is_taken():
     state = filled()
-    s.validate_change(state, [])
+    validate_change(state, [])
     grow(state, engine("e1", "10.0.0.2:9000"), engine("e2", "10.0.0.1:9000"))  # change places
     grow(state, Op("engine/e1", None), engine("e3", "10.0.0.2:9000"))
     grow(state, engine("e4", "10.0.1.1:7400"))  # engines and brokers don't share sockets
     grow(state, engine("e5", "10.0.0.1:9000", zone="z"), Op("engine/e2"))
     grow(state, Op("engine/e5"))
     grow(state, engine("e6", "10.0.0.1:9000"))  # free since the change before
-    with pytest.raises(s.StateError, match="engine/e3"):
-        s.validate_change(state, [engine("e1", "10.0.0.2:9000")])
+    with pytest.raises(StateError, match="engine/e3"):
+        validate_change(state, [engine("e1", "10.0.0.2:9000")])
     other = state.copy()
     grow(other, engine("e9", "10.0.0.9:9000"))
     grow(state, engine("e8", "10.0.0.9:9000"))  # a copy's places are its own
     grow(state, *(Op(op.key) for op in SECTIONS))
     assert state.config() == {}
-    assert state.verify()
-    assert other.verify()
+    assert state.digest_matches()
+    assert other.digest_matches()
 
 
 def test_a_state_too_large_for_a_frame_is_refused():
     state = s.FleetState("line")
-    value = s.encode_value(s.Engine("a:1", kind="k" * 64))
+    value = encode_value(Engine("a:1", kind="k" * 64))
     state.entries = {f"engine/n{i}": StateEntry(f"engine/n{i}", value, 1) for i in range(10)}
-    state.size = s.MAX_STATE_BYTES
-    with pytest.raises(s.StateError, match="the state would have"):
-        s.validate_change(state, [engine("x", "b:1")])
+    state.size_bytes = MAX_STATE_BYTES
+    with pytest.raises(StateError, match="the state would have"):
+        validate_change(state, [engine("x", "b:1")])
 
 
 def test_clashes_see_sets_and_removals_and_any_section():
     state = filled()
     base = state.version
-    assert s.find_conflicts(state, base, [engine("e1", "a:1")]) == []
+    assert find_conflicts(state, base, [engine("e1", "a:1")]) == []
     grow(state, Op("engine/e1"), engine("e2", "10.0.0.2:9001"))
-    grow(state, Op("config/Rules", s.encode_value(SETTINGS["Rules"] | {"StartCapacity": 0.5})))
-    assert s.find_conflicts(state, base, [engine("e1", "a:1"), engine("e2", "a:2"), engine("e3", "a:3")]) == [
+    grow(state, Op("config/Rules", encode_value(SETTINGS["Rules"] | {"StartCapacity": 0.5})))
+    assert find_conflicts(state, base, [engine("e1", "a:1"), engine("e2", "a:2"), engine("e3", "a:3")]) == [
         "engine/e1",
         "engine/e2",
     ]
-    assert s.find_conflicts(state, base, [Op("config/Dcs", b"")]) == ["config/Rules"]
-    assert s.find_conflicts(state, state.version, [Op("config/Dcs", b""), Op("engine/e1", b"")]) == []
-    assert s.find_conflicts(state, state.version + 1, []) == [s.BASE_NOT_YET]
+    assert find_conflicts(state, base, [Op("config/Dcs", b"")]) == ["config/Rules"]
+    assert find_conflicts(state, state.version, [Op("config/Dcs", b""), Op("engine/e1", b"")]) == []
+    assert find_conflicts(state, state.version + 1, []) == [BASE_NOT_YET]
     again = s.FleetState.restore(state.snapshot())  # of keys that aren't there it knows nothing before
-    assert s.find_conflicts(again, base, [engine("e1", "a:1")]) == [s.BASE_TOO_OLD]
-    assert s.find_conflicts(again, base, [engine("e2", "a:1")]) == ["engine/e2"]
-    assert s.find_conflicts(again, base, [Op("config/Dcs", b"")]) == ["config/Rules", s.BASE_TOO_OLD]
-    assert s.find_conflicts(again, again.version, [engine("e1", "a:1"), Op("config/Dcs", b"")]) == []
+    assert find_conflicts(again, base, [engine("e1", "a:1")]) == [BASE_TOO_OLD]
+    assert find_conflicts(again, base, [engine("e2", "a:1")]) == ["engine/e2"]
+    assert find_conflicts(again, base, [Op("config/Dcs", b"")]) == ["config/Rules", BASE_TOO_OLD]
+    assert find_conflicts(again, again.version, [engine("e1", "a:1"), Op("config/Dcs", b"")]) == []
 
 
 def test_removals_and_requests_known_are_bounded(monkeypatch):
@@ -201,12 +209,12 @@
     state = s.FleetState("line")
     grow(state, *(engine(f"e{i}", f"h:{i + 1}") for i in range(4)))
     for i in range(4):
-        grow(state, Op(f"engine/e{i}"), request=f"a{i}")
+        grow(state, Op(f"engine/e{i}"), request_id=f"a{i}")
     assert list(state.removed) == ["engine/e2", "engine/e3"]
     assert state.removed_since == 3
-    assert s.find_conflicts(state, 1, [Op("engine/e0")]) == [s.BASE_TOO_OLD]
+    assert find_conflicts(state, 1, [Op("engine/e0")]) == [BASE_TOO_OLD]
     for i in range(s.MAX_REMEMBERED_REQUESTS):
-        grow(state, request=f"b{i}")
+        grow(state, request_id=f"b{i}")
     assert len(state.requests) == s.MAX_REMEMBERED_REQUESTS
     assert state.version_of_request("a3") is None
     assert state.version_of_request("b0") == 6
@@ -223,7 +231,7 @@
         [StateEntry(entry.key, entry.value, 9), *rest],
         [StateEntry(entry.key, b"\x01", entry.version), *rest],
     ):
-        with pytest.raises(s.StateError):
+        with pytest.raises(StateError):
             s.FleetState.restore(Snapshot("line", 1, 2, good.digest, entries, []))
 
 
@@ -232,7 +240,7 @@
     assert h.decompress_snapshot(packed) == filled().snapshot()
     bomb = zlib.compress(b"\0" * (h.MAX_SNAPSHOT_BYTES + 1))
     for bad in (b"", packed[:-5], packed + b"x", b"x" * 50, bomb, zlib.compress(b"\xc1")):
-        with pytest.raises(s.StateError):
+        with pytest.raises(StateError):
             h.decompress_snapshot(bad)
 
 
@@ -254,7 +262,7 @@
     history.compact(keep=1)
     assert history.changes_since(*positions[6]) is None
     assert len(history.changes_since(*positions[7])) == 1
-    with pytest.raises(s.StateError):
+    with pytest.raises(StateError):
         history.apply(Change(2, 9, [], b"\0" * 16))
     assert history.compressed_snapshot() is packed
     assert history.position_at(8) == positions[8]
@@ -269,8 +277,6 @@
 def test_history_is_bounded_in_bytes():
     history = h.ChangeHistory(s.FleetState("line"), bytes_most=10_000)
     for i in range(50):
-        history.apply(
-            history.state.draft_change(1, [Op("config/Extra", s.encode_value("x" * 1000 + str(i)))])
-        )
+        history.apply(history.state.draft_change(1, [Op("config/Extra", encode_value("x" * 1000 + str(i)))]))
     assert 0 < len(history.changes) < 10
     assert history.bytes <= 10_000
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -11,7 +11,8 @@
 from cypressledge.controlplane.messages import Op
 from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
-from cypressledge.controlplane.state import Engine, FleetState, encode_value
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import Engine, encode_value
 
 
 class Writer:
@@ -23,7 +24,10 @@
         self.store.install(self.state.snapshot())
 
     def change(self, i=0, commit=True):
-        op = Op(f"engine/e{i % 490}", encode_value(Engine(f"host-{i % 490}.example:80", zone="z", born_ms=i)))
+        op = Op(
+            f"engine/e{i % 490}",
+            encode_value(Engine(f"host-{i % 490}.example:80", zone="z", start_time_ms=i)),
+        )
         change = self.state.draft_change(1, [op], f"request-{i}", "someone", "a test", i)
         self.store.append([change])
         self.state.apply(change)
@@ -238,7 +242,7 @@
         batch = []
         for j in range(100):
             n = i * 100 + j
-            op = Op(f"engine/e{n % 490}", encode_value(Engine(f"host-{n % 490}.example:80", born_ms=n)))
+            op = Op(f"engine/e{n % 490}", encode_value(Engine(f"host-{n % 490}.example:80", start_time_ms=n)))
             batch.append(w.state.draft_change(1, [op], f"request-{n}", "someone", "a test", n))
             w.state.apply(batch[-1])
         w.store.append(batch)
