--- a/cypressledge/broker/attempt_dispatcher.py
+++ b/cypressledge/broker/attempt_dispatcher.py
@@ -51,7 +51,7 @@
         ready = self._engines.ready_endpoints.get(action.engine)
         endpoint = ready or self._engines.endpoints.get(action.engine)
         if request is None or endpoint is None:
-            self._counters.invariant(False, "send_of_nothing")
+            self._counters.invariant(False, "unknown_request_or_engine")
             self._loop.pending_events.append(
                 c.AttemptEnded(action.request, 0, action.engine, c.Outcome.NOT_SENT, True, 0)
             )
@@ -63,10 +63,10 @@
         request.attempts.append(attempt)
         request.open_attempts += 1
         if ready is None or not self._may_send(attempt, now):
-            self._counters.add("moot_sends")
+            self._counters.add("attempts.not_sent")
             self._report_ended(attempt, c.Outcome.NOT_SENT)
             return
-        self._counters.add("attempts.first" if attempt.number == 0 else "attempts.further")
+        self._counters.add("attempts.first" if attempt.number == 0 else "attempts.retry")
         if attempt.number:
             self._counters.add(f"retry_after.{self._log.retried(attempt)}")
         self._loop.timers.schedule(deadline, self._check_timeout, (request.number, attempt.number))
--- a/cypressledge/broker/event_log.py
+++ b/cypressledge/broker/event_log.py
@@ -10,9 +10,7 @@
 from cypressledge.clock import monotonic_us
 
 SECOND_US = 1_000_000  # µs
-MAX_LINES_PER_SECOND = (
-    10  # lines a second of one kind of event; what is beyond is counted, and told with the next line
-)
+MAX_LINES_PER_SECOND = 10  # of one kind of event; what is beyond is counted, and told with the next line
 
 
 class EventKind(StrEnum):
@@ -25,17 +23,17 @@
     ENGINE_CLOSED = "engine-connection-closed"
     ENGINE_STATE = "engine-state"
     FAILED = "request-failed"
-    REJECTED = "request-refused"
+    REJECTED = "request-rejected"
     RETRY = "retry"
 
 
-class _Rate:
+class _RateLimit:
     """Lines of one kind in the running second."""
 
-    __slots__ = ("since", "lines", "held_back")
+    __slots__ = ("since", "lines", "suppressed")
 
     def __init__(self) -> None:
-        self.since = self.lines = self.held_back = 0
+        self.since = self.lines = self.suppressed = 0
 
     def admits(self, now: int) -> bool:
         """Whether one more line fits."""
@@ -43,29 +41,30 @@
             self.since, self.lines = now, 0
         self.lines += 1
         if self.lines > MAX_LINES_PER_SECOND:
-            self.held_back += 1
+            self.suppressed += 1
             return False
         return True
 
 
 class EventLog:
-    """Writes events to the log, and counts those that it holds back as `events.held_back`."""
+    """Writes events to the log, and counts those beyond the rate limit as `events.suppressed`."""
 
     def __init__(self, counters: Counters) -> None:
-        self.counters = counters
-        self.started = monotonic_us()
-        self.rates = {kind: _Rate() for kind in EventKind}
+        self._counters = counters
+        self._started = monotonic_us()
+        self._rates = {kind: _RateLimit() for kind in EventKind}
 
     def write(self, kind: EventKind, **fields: object) -> None:
-        """One event; a field's value must hold no blanks. A field named like a word of Python's has an
-        underscore behind it, which is not written."""
+        """Write one event; a field's value must hold no blanks.
+
+        A field named like a keyword of Python has an underscore behind it, which is not written."""
         now = monotonic_us()
-        rate = self.rates[kind]
+        rate = self._rates[kind]
         if not rate.admits(now):
-            self.counters.add("events.held_back")
+            self._counters.add("events.suppressed")
             return
-        if rate.held_back:
-            fields["held_back"] = rate.held_back
-            rate.held_back = 0
-        told = " ".join(f"{name.rstrip('_')}={value}" for name, value in fields.items())
-        log(f"{kind} at={(now - self.started) / SECOND_US:.3f} {told}")
+        if rate.suppressed:
+            fields["suppressed"] = rate.suppressed
+            rate.suppressed = 0
+        values = " ".join(f"{name.rstrip('_')}={value}" for name, value in fields.items())
+        log(f"{kind} at={(now - self._started) / SECOND_US:.3f} {values}")
--- a/cypressledge/broker/metrics.py
+++ b/cypressledge/broker/metrics.py
@@ -2,6 +2,7 @@
 
 import sys
 from collections import Counter
+from collections.abc import Callable
 
 
 class Counters:
@@ -9,15 +10,15 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.gauges: dict[str, object] = {}
+        self._gauges: dict[str, Callable[[], int]] = {}
 
-    def add(self, name: str, n: int = 1) -> None:
-        """Count one more of a name."""
-        self.counts[name] += n
+    def add(self, name: str, count: int = 1) -> None:
+        """Count one more of a name, or so many."""
+        self.counts[name] += count
 
-    def reply(self, cls: str, outcome: str) -> None:
-        """One more final answer, or attempt written whole (`dispatches`), of a class."""
-        self.counts[f"replies.{cls}.{outcome}"] += 1
+    def reply(self, class_name: str, outcome: str) -> None:
+        """Count a final answer of a class, or an attempt that has been sent (`dispatches`)."""
+        self.counts[f"replies.{class_name}.{outcome}"] += 1
 
     def invariant(self, holds: bool, name: str) -> bool:
         """State what must hold: a debug build stops here, a release build counts it."""
@@ -26,21 +27,22 @@
             self.counts[f"broken.{name}"] += 1
         return holds
 
-    def gauge(self, name: str, read) -> None:
-        """A figure read when the counters are shown."""
-        self.gauges[name] = read
+    def gauge(self, name: str, read: Callable[[], int]) -> None:
+        """Have a figure read whenever the counters are shown."""
+        self._gauges[name] = read
 
     def show(self) -> dict[str, int]:
         """All counts and gauges, by name."""
-        now = {name: read() for name, read in self.gauges.items()}
-        return dict(sorted((now | self.counts).items()))
+        gauges = {name: read() for name, read in self._gauges.items()}
+        return dict(sorted((gauges | self.counts).items()))
 
     def print(self, why: str) -> None:
-        """One line on standard error with all of them."""
-        log(f"counters ({why}): " + " ".join(f"{k}={v}" for k, v in self.show().items()))
+        """Write all of them as one line of the log."""
+        figures = " ".join(f"{name}={value}" for name, value in self.show().items())
+        log(f"counters ({why}): {figures}")
 
 
 def log(text: str) -> None:
-    """A line of the broker's log."""
+    """Write a line of the broker's log, on standard error."""
     sys.stderr.write(text + "\n")
     sys.stderr.flush()
--- a/cypressledge/broker/periodic_tasks.py
+++ b/cypressledge/broker/periodic_tasks.py
@@ -39,8 +39,8 @@
             try:
                 task()
             except Exception:
-                log("tending failed:\n" + traceback.format_exc())
-                counters.invariant(False, "tending")
+                log("periodic task failed:\n" + traceback.format_exc())
+                counters.invariant(False, "periodic_task")
 
 
 def log_counters(counters: Counters, interval_s: Callable[[], float]) -> NoReturn:
--- a/cypressledge/broker/request_ledger.py
+++ b/cypressledge/broker/request_ledger.py
@@ -82,10 +82,10 @@
             or len(self.requests) >= self.max_open_requests
             or self.statement_bytes > self.max_statement_bytes
         ):
-            self.reject_at_admission(query, reply, "no_room")
+            self.reject_at_admission(query, reply, "no_capacity")
             return None
         if self.admission_filter is not None and not self.admission_filter(query):
-            self.reject_at_admission(query, reply, "over_share")
+            self.reject_at_admission(query, reply, "over_quota")
             return None
         if self.is_stopping:  # work that would not end in time is rejected, so that the client asks elsewhere
             query.deadline = min(query.deadline, self.shutdown_deadline)
@@ -93,13 +93,13 @@
         self.requests[request.number] = request
         self._query_ids.add(query.id)
         self.statement_bytes += len(query.statement)
-        self._counters.add(f"taken.{query.class_name}")
+        self._counters.add(f"accepted.{query.class_name}")
         self._loop.post(self._handle_submitted, request)
         return request
 
     def reject_at_admission(self, query: Query, reply: ReplyHandler, reason: str) -> None:
         """Reject a query that the module never hears of, at a frontend's limits or the ledger's."""
-        self._counters.add(f"refused.{reason}")
+        self._counters.add(f"rejected.{reason}")
         self._counters.reply(query.class_name, "overload")
         self._log.rejected_at_admission(query, reason)
         reply.reject(self.max_retry_after)
@@ -167,7 +167,7 @@
     def _handle_client_disconnected(self, request: Request) -> None:
         if request.is_concluded:
             return
-        self._counters.add("withdrawn")
+        self._counters.add("client_disconnects")
         if request.streaming_attempt is not None:
             self.attempts.cancel(request.streaming_attempt, c.Outcome.CANCELLED)
         self._conclude(request)
@@ -269,7 +269,7 @@
         """Reject a request that the module has given up, and of which nothing ran."""
         self._counters.add(f"{EventKind.REJECTED}.{reason}")
         self._log.unserved(EventKind.REJECTED, request, reason)
-        if self._claim_answer(request, "refused", "overload"):
+        if self._claim_answer(request, "rejected", "overload"):
             request.reply.reject(self.max_retry_after)
             self._conclude(request)
 
--- a/cypressledge/config.py
+++ b/cypressledge/config.py
@@ -1,8 +1,10 @@
-"""What a broker is told by its configuration file, read whole at the start and again at SIGHUP."""
+"""A broker's configuration file, read at the start and again at SIGHUP."""
 
 import json
 import resource
+from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import Any
 
 from cypressledge.decisions import contract as c
 from cypressledge.net.dns_discovery import DiscoveredEngine, configured_engines
@@ -11,6 +13,11 @@
 DEFAULT_MEMORY_MB = 192  # where the configuration names no limit
 RESERVED_SOCKETS = 16  # descriptors that are no client's and no engine's
 BASE_MEMORY_MB = 28  # what a broker takes on a calm day, with room to work
+MIN_SPARE_MEMORY_MB = 4  # also where the limit is below what a broker takes
+MAX_PORT = 65_535
+ANY_ADDRESS = "0.0.0.0"
+HEXADECIMAL = 16
+US_PER_SECOND = 1e6
 
 
 class ConfigError(Exception):
@@ -18,9 +25,9 @@
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """HOST:PORT as a pair."""
+    """HOST:PORT as a pair. Raises `ConfigError`."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not colon or not port.isdigit() or int(port) > 65535:
+    if not colon or not port.isdigit() or int(port) > MAX_PORT:
         raise ConfigError(f"no HOST:PORT: {text!r}")
     return host.strip("[]"), int(port)
 
@@ -29,16 +36,16 @@
 class Limits:
     """What the deployment allows this process and its connections."""
 
-    max_sockets: int
+    max_sockets: int  # descriptors of the process
     memory_mb: int
-    max_streams: int
+    max_streams: int  # attempts on one connection to an engine
     connect_timeout_s: float
-    idle_timeout_s: float
-    max_retry_after: int
-    progress_interval_us: int
+    idle_timeout_s: float  # after which an engine closes a connection that rests
+    max_retry_after: int  # µs that a rejection asks the client to wait
+    progress_interval_us: int  # between an engine's notifications of an attempt; 0: there are none
 
     def max_clients(self, shared: bool) -> int:
-        """JSON-RPC clients held at once; fewer where the service's fronts share the descriptors."""
+        """JSON-RPC clients connected at once; fewer where the service's frontends share the descriptors."""
         return (self.max_sockets - RESERVED_SOCKETS) * (2 if shared else 3) // 5
 
     def max_engine_connections(self, shared: bool) -> int:
@@ -48,12 +55,12 @@
     @property
     def spare_memory(self) -> int:
         """Bytes of memory beyond what the program itself takes."""
-        return max(self.memory_mb - BASE_MEMORY_MB, 4) << 20
+        return max(self.memory_mb - BASE_MEMORY_MB, MIN_SPARE_MEMORY_MB) << 20
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the file says, in the broker's terms: whatever can be wrong with it has been found by now."""
+    """All that the file says, checked, in the broker's terms."""
 
     name: str
     listen: tuple[str, int]
@@ -73,16 +80,18 @@
     engines: tuple[DiscoveredEngine, ...]
 
 
-def read_config(env, sections: dict | None = None) -> Config:
-    """The configuration named by the environment; `sections` of its settings in place of the file's."""
-    path = env.get("ROUTER_CONFIG")
+def read_config(environment: Mapping[str, str], sections: Mapping[str, object] | None = None) -> Config:
+    """The configuration that the environment names; `sections` of its settings in place of the file's.
+
+    Raises `ConfigError`."""
+    path = environment.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
         raw["settings"] |= sections or {}
-        return _config(raw, env)
+        return _config(raw, environment)
     except OSError as err:
         raise ConfigError(f"{path}: {err.strerror}") from None
     except KeyError as err:
@@ -91,31 +100,33 @@
         raise ConfigError(f"{path}: {err}") from None
 
 
-def _config(raw: dict, env) -> Config:
-    s, seed = raw["settings"], raw["seed"]
-    limits = _limits(raw["limits"], s)
+def _config(raw: dict, environment: Mapping[str, str]) -> Config:
+    """The file's values; the environment's stand above them."""
+    settings, seed = raw["settings"], raw["seed"]
+    limits = _limits(raw["limits"], settings)
     serial, engines = configured_engines(raw["known"])
+    customers = settings.get("Customers", ())
     return Config(
-        name=env.get("ROUTER_NAME") or raw["name"],
-        listen=parse_address(env.get("ROUTER_LISTEN") or raw["listen"]),
-        inherited_socket_fd=_descriptor(env.get("ROUTER_SOCKET_FD")),
-        management=_management(env.get("ROUTER_MANAGEMENT") or raw.get("management")),
-        metrics_interval_s=_seconds(env.get("ROUTER_FIGURES_S")),
+        name=environment.get("ROUTER_NAME") or raw["name"],
+        listen=parse_address(environment.get("ROUTER_LISTEN") or raw["listen"]),
+        inherited_socket_fd=_parse_descriptor(environment.get("ROUTER_SOCKET_FD")),
+        management=_parse_management(environment.get("ROUTER_MANAGEMENT") or raw.get("management")),
+        metrics_interval_s=_parse_seconds(environment.get("ROUTER_FIGURES_S")),
         dns_server=parse_address(raw["dns"]) if raw.get("dns") else None,
-        seed=int(seed, 16) if isinstance(seed, str) else int(seed),
+        seed=int(seed, HEXADECIMAL) if isinstance(seed, str) else int(seed),
         limits=limits,
-        settings=parse_settings(s),
-        classes=tuple(k["Name"] for k in s["Classes"]),
-        kinds=tuple(s["Skus"]),
-        zones=tuple(s["Dcs"]),
-        tenants=frozenset(t["Name"] for t in s.get("Customers", ())),
-        quotas={t["Name"]: float(t.get("QuotaRps", 0)) for t in s.get("Customers", ())},
+        settings=parse_settings(settings),
+        classes=tuple(each["Name"] for each in settings["Classes"]),
+        kinds=tuple(settings["Skus"]),
+        zones=tuple(settings["Dcs"]),
+        tenants=frozenset(customer["Name"] for customer in customers),
+        quotas={customer["Name"]: float(customer.get("QuotaRps", 0)) for customer in customers},
         serial=serial,
         engines=tuple(engines),
     )
 
 
-def _seconds(text: str | None) -> float:
+def _parse_seconds(text: str | None) -> float:
     """A period in seconds; none, or nonsense, is off."""
     try:
         return max(float(text or 0), 0.0)
@@ -123,7 +134,8 @@
         return 0.0
 
 
-def _descriptor(text: str | None) -> int | None:
+def _parse_descriptor(text: str | None) -> int | None:
+    """The number of an inherited socket; None where there is none."""
     if not text:
         return None
     if not text.isdigit():
@@ -131,36 +143,35 @@
     return int(text)
 
 
-def _management(text: object) -> tuple[str, int] | None:
-    """The second address; a bare port is on every address."""
+def _parse_management(text: object) -> tuple[str, int] | None:
+    """The operators' address; a bare port is on every address, nothing is none."""
     if text is None or text == "":
         return None
     if isinstance(text, int) or (isinstance(text, str) and text.isdigit()):
-        return "0.0.0.0", int(text)
+        return ANY_ADDRESS, int(text)
     return parse_address(text)
 
 
-def _limits(raw: dict, s: dict) -> Limits:
-    site = s["Limits"]
+def _limits(raw: Mapping[str, Any], settings: Mapping[str, Any]) -> Limits:
+    """What the deployment allows; none of its figures may be 0 but the last two."""
+    site = settings["Limits"]
     limits = Limits(
         # Guards against a process that is allowed fewer descriptors than its file says.
         max_sockets=min(int(raw["sockets"]), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         memory_mb=int(raw.get("memory_mb", DEFAULT_MEMORY_MB)),
         max_streams=int(site["StreamsPerConn"]),
-        connect_timeout_s=site["ConnectTimeout"] / 1e6,
-        idle_timeout_s=site["ConnIdle"] / 1e6,
+        connect_timeout_s=site["ConnectTimeout"] / US_PER_SECOND,
+        idle_timeout_s=site["ConnIdle"] / US_PER_SECOND,
         max_retry_after=int(site.get("MaxRetryAfter", 0)),
-        progress_interval_us=int(s.get("FamilyInfo", {}).get("TellsEvery", 0)),
+        progress_interval_us=int(settings.get("FamilyInfo", {}).get("TellsEvery", 0)),
+    )
+    positive = (
+        limits.max_sockets,
+        limits.memory_mb,
+        limits.max_streams,
+        limits.connect_timeout_s,
+        limits.idle_timeout_s,
     )
-    if (
-        min(
-            limits.max_sockets,
-            limits.memory_mb,
-            limits.max_streams,
-            limits.connect_timeout_s,
-            limits.idle_timeout_s,
-        )
-        <= 0
-    ):
+    if min(positive) <= 0:
         raise ValueError("a limit is not above 0")
     return limits
--- a/cypressledge/net/line_protocol/connection.py
+++ b/cypressledge/net/line_protocol/connection.py
@@ -187,7 +187,7 @@
         attempt, now = pending.attempt, monotonic_us()
         if not attempt.may_be_sent(now) or self.endpoint.id not in self.core.engines.ready_endpoints:
             self._settle(pending)
-            self.core.counters.add("moot_sends")
+            self.core.counters.add("attempts.not_sent")
             self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
             return False
         if not self.core.engines.is_current(self.endpoint) or self._engine_may_have_closed():
--- a/cypressledge/net/line_protocol/transport.py
+++ b/cypressledge/net/line_protocol/transport.py
@@ -59,7 +59,7 @@
             connection = EngineConnection(self, endpoint)
             self.connections.setdefault(endpoint.id, []).append(connection)
         if connection is None:
-            self.core.counters.add("moot_sends")
+            self.core.counters.add("attempts.not_sent")
             self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
         else:
             connection.assign(attempt, query_id)
--- a/cypressledge/settings.py
+++ b/cypressledge/settings.py
@@ -1,6 +1,8 @@
 """An instance's JSON settings in the contract's names, for the simulator's adapter and the broker."""
 
 import json
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any, TypeVar
 
 from cypressledge.decisions import contract as c
 
@@ -14,77 +16,89 @@
     "zone": c.DeduplicationScope.ZONE,
     "cell": c.DeduplicationScope.CELL,
 }
+ON_REQUEST = "on_request"  # the registry mode in which an engine list comes only to who subscribes
+_Item = TypeVar("_Item")
 
 
 class SettingsError(Exception):
     """Settings that can't be read."""
 
 
-def _indices(wanted: list | None) -> frozenset[int] | None:
-    """Kinds or zones by index, as list entries spell them; absent sets no bound."""
-    return None if wanted is None else frozenset(int(i) for i in wanted)
-
-
 def parse_settings_json(text: bytes) -> c.Settings:
-    """JSON settings of the wire in the contract's names; unknown keys are skipped."""
+    """Settings as JSON text, in the contract's names; unknown keys are skipped. Raises `SettingsError`."""
     try:
-        s = json.loads(text)
+        raw = json.loads(text)
     except json.JSONDecodeError as err:
         raise SettingsError(f"settings are not JSON: {err}") from None
-    return parse_settings(s)
+    return parse_settings(raw)
 
 
-def parse_settings(s: dict) -> c.Settings:
-    """The same from JSON that is read already."""
+def parse_settings(raw: Mapping[str, Any]) -> c.Settings:
+    """The same from JSON that has been read. Raises `SettingsError`, and `ValueError` out of range."""
     try:
-        limits, rules, fam = s["Limits"], s["Rules"], s.get("FamilyInfo", {})
-        threads = fam.get("ThreadsByClass", [])
-        loads, waits = fam.get("IsLoad", []), fam.get("ClassWaits", [])
-        classes = tuple(
-            c.ClassSettings(
-                latency_objective=k["Objective"],
-                deadline=k["Deadline"],
-                priority_weight=k.get("Worth", 1.0),
-                late_priority_weight=k.get("LateWorth", 0.0),
-                latency_objective_stretch=k.get("AimStretch", 0.0),
-                idempotency=IDEMPOTENCY_NAMES[k["Idempotency"]],
-                deduplication_scope=DEDUPLICATION_SCOPE_NAMES[k.get("Group") or "all"],
-                deduplication_window=k.get("MemorySpan", 0),
-                ordered=bool(k.get("OneAtATime", False)),
-                threads=threads[i] if i < len(threads) else 1,
-                is_load=bool(loads[i]) if i < len(loads) else False,
-                blocked_by_loads=bool(waits[i]) if i < len(waits) else False,
-                required_kinds=_indices(k.get("SkusAllowed")),
-                required_zones=_indices(k.get("DcsOpen")),
-            )
-            for i, k in enumerate(s["Classes"])
-        )
-        return c.Settings(
-            classes=classes,
-            kind_cores=tuple(fam.get("CoresByKind") or [1] * len(s["Skus"])),
-            kind_memory_mb=tuple(fam.get("KindMemoryMb", ())),
-            timer_resolution=s["Step"],
-            broker_index=s["SlotNo"],
-            broker_count=s["PeersTotal"],
-            supports_memory_grants=bool(fam.get("TakesGrants", False)),
-            supports_priorities=bool(fam.get("Priorities", False)),
-            reports_cost=bool(fam.get("CostInAnswers", False)),
-            progress_interval=fam.get("TellsEvery", 0),
-            max_memory_grant=fam.get("LargestShare", 1.0),
-            supports_cancel=bool(limits["MayCancel"]),
-            max_attempts=limits["MaxAttempts"],
-            list_on_request=s["RegistryMode"] == "on_request",
-            slow_start_capacity=rules["StartCapacity"],
-            slow_start_window=rules["WarmWithin"],
-            overload_multiple=rules["FallMultiple"],
-            overload_window=rules["Fall"],
-            ordering_key_cooldown=rules.get("KeyQuiet", 0),
-            load_report_fields=tuple(s.get("Report", {}).get("Names", ())),
-            retry_budget_ratio=rules.get("ResendRatio"),
-            retry_budget_floor=rules.get("MinExtra", 0.0),
-            retry_budget_window=rules.get("RatioSpan", 0),
-        )
+        return _settings(raw, raw["Limits"], raw["Rules"], raw.get("FamilyInfo", {}))
     except KeyError as err:
         raise SettingsError(f"settings lack or misname {err}") from None
     except (TypeError, AttributeError, IndexError) as err:
         raise SettingsError(f"settings are of the wrong form: {err}") from None
+
+
+def _settings(
+    raw: Mapping[str, Any], limits: Mapping[str, Any], rules: Mapping[str, Any], family: Mapping[str, Any]
+) -> c.Settings:
+    """All settings; `family` is what the engines' family can do."""
+    return c.Settings(
+        classes=tuple(_class_settings(k, i, family) for i, k in enumerate(raw["Classes"])),
+        kind_cores=tuple(family.get("CoresByKind") or [1] * len(raw["Skus"])),
+        kind_memory_mb=tuple(family.get("KindMemoryMb", ())),
+        timer_resolution=raw["Step"],
+        broker_index=raw["SlotNo"],
+        broker_count=raw["PeersTotal"],
+        supports_memory_grants=bool(family.get("TakesGrants", False)),
+        supports_priorities=bool(family.get("Priorities", False)),
+        reports_cost=bool(family.get("CostInAnswers", False)),
+        progress_interval=family.get("TellsEvery", 0),
+        max_memory_grant=family.get("LargestShare", 1.0),
+        supports_cancel=bool(limits["MayCancel"]),
+        max_attempts=limits["MaxAttempts"],
+        list_on_request=raw["RegistryMode"] == ON_REQUEST,
+        slow_start_capacity=rules["StartCapacity"],
+        slow_start_window=rules["WarmWithin"],
+        overload_multiple=rules["FallMultiple"],
+        overload_window=rules["Fall"],
+        ordering_key_cooldown=rules.get("KeyQuiet", 0),
+        load_report_fields=tuple(raw.get("Report", {}).get("Names", ())),
+        retry_budget_ratio=rules.get("ResendRatio"),
+        retry_budget_floor=rules.get("MinExtra", 0.0),
+        retry_budget_window=rules.get("RatioSpan", 0),
+    )
+
+
+def _class_settings(raw: Mapping[str, Any], index: int, family: Mapping[str, Any]) -> c.ClassSettings:
+    """One class; the family lists some of its settings by the class's index."""
+    return c.ClassSettings(
+        latency_objective=raw["Objective"],
+        deadline=raw["Deadline"],
+        priority_weight=raw.get("Worth", 1.0),
+        late_priority_weight=raw.get("LateWorth", 0.0),
+        latency_objective_stretch=raw.get("AimStretch", 0.0),
+        idempotency=IDEMPOTENCY_NAMES[raw["Idempotency"]],
+        deduplication_scope=DEDUPLICATION_SCOPE_NAMES[raw.get("Group") or "all"],
+        deduplication_window=raw.get("MemorySpan", 0),
+        ordered=bool(raw.get("OneAtATime", False)),
+        threads=_item(family.get("ThreadsByClass", []), index, 1),
+        is_load=bool(_item(family.get("IsLoad", []), index, False)),
+        blocked_by_loads=bool(_item(family.get("ClassWaits", []), index, False)),
+        required_kinds=_indices(raw.get("SkusAllowed")),
+        required_zones=_indices(raw.get("DcsOpen")),
+    )
+
+
+def _item(items: Sequence[_Item], index: int, default: _Item) -> _Item:
+    """One of a list that may be shorter than the classes."""
+    return items[index] if index < len(items) else default
+
+
+def _indices(listed: Iterable[Any] | None) -> frozenset[int] | None:
+    """Kinds or zones by index, as list entries spell them; absent sets no bound."""
+    return None if listed is None else frozenset(int(i) for i in listed)
--- a/cypressledge/simulator_adapter.py
+++ b/cypressledge/simulator_adapter.py
@@ -1,227 +1,156 @@
-"""The wire: frames of events on standard input, frames of actions on standard output.
+"""The decision module on the simulator's wire: events on standard input, actions on standard output.
 
 Run with `python -m cypressledge.simulator_adapter`. It hosts one WorkloadManager per instance and decides
 nothing.
 """
 
-import struct
 import sys
 import traceback
+from collections.abc import Callable
+from typing import BinaryIO
 
+from cypressledge import simulator_wire as wire
 from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
 from cypressledge.settings import SettingsError, parse_settings_json
+from cypressledge.simulator_wire import EventCode, WireError
 
-HEAD = struct.Struct("<IQII")
-REPLY = struct.Struct("<III")
-EVENT_BYTES, ACTION_BYTES, ENTRY_BYTES = 48, 24, 24
-U32 = struct.Struct("<I")
-ENTRY = struct.Struct("<HHQBB6sf")
-START = struct.Struct("<xIQII")
-LIST = struct.Struct("<xHII")
-MEMBERS = struct.Struct("<xIBQH")
-REQUEST = struct.Struct("<xIIBHQQIffH")
-ENDED = struct.Struct("<xIIBIH6sIBB4f")
-NOTE = struct.Struct("<xIIH6sfB")
-GONE = struct.Struct("<xII")
-ALARM = struct.Struct("<xIQ")
-PONG = struct.Struct("<xI6sBIB4f")
-SUBMIT = struct.Struct("<BII6sI5x")
-TERMS = struct.Struct("<BIIfB10x")
-CANCEL = struct.Struct("<BIIH13x")
-REFUSE = struct.Struct("<BIII11x")
-FAIL = struct.Struct("<BII15x")
-TIMER = struct.Struct("<BIIQ7x")
-WATCH = struct.Struct("<BIB18x")
-TEXT = struct.Struct("<BIII11x")
-U32_MAX = 0xFFFFFFFF
-OUTCOMES = {o.value: o for o in c.Outcome}
-STATES = {s.value: s for s in c.EngineState}
-NOTES = {n.value: n for n in c.ProgressKind}
-LISTS = {k.value: k for k in c.EngineListKind}
-
-
-class WireError(Exception):
-    """Input that breaks the wire's rules."""
-
-
-def engine_id(raw: bytes) -> int:
-    """An engine's six bytes as one number."""
-    return int.from_bytes(raw, "big")
-
-
-class Host:
-    """The instances of one process and the numbered lists they are told of."""
+EXIT_BAD_INPUT = 2
+_BATCH_NUMBER_AT = wire.FRAME_HEAD.size - 2 * wire.LENGTH.size  # in a frame without its length
+
+Decoder = Callable[[bytes, int], c.Event | None]
+
+_DECODERS: dict[int, Decoder] = {
+    EventCode.ANSWER: wire.decode_answer,
+    EventCode.REQUEST: wire.decode_request,
+    EventCode.ALARM: wire.decode_alarm,
+    EventCode.HINT: wire.decode_hint,
+    EventCode.CLIENT_LEFT: wire.decode_client_left,
+    EventCode.PONG: wire.decode_pong,
+}
+
+
+class Batch:
+    """One frame of events while it is read: what each instance is to be told, and the reply so far."""
+
+    __slots__ = ("frame", "now", "tail", "events", "reply")
+
+    def __init__(self, frame: bytes, now: int, tail: int) -> None:
+        self.frame = frame
+        self.now = now
+        self.tail = tail  # where the content without fixed size begins
+        self.events: dict[int, list[c.Event]] = {}
+        self.reply = wire.Reply()
+
+
+class SimulatorAdapter:
+    """The instances of one process, and the numbered catalogues of engines that they share."""
 
     def __init__(self) -> None:
         self.managers: dict[int, WorkloadManager] = {}
-        self.lists: dict[int, tuple[c.EngineListEntry, ...]] = {}
+        self._catalogues: dict[int, tuple[c.EngineListEntry, ...]] = {}
 
-    def batch(self, frame: bytes) -> bytes:
+    def handle_batch(self, frame: bytes) -> bytes:
         """Answer one frame of events."""
-        _, now, count, seq = HEAD.unpack_from(frame)
-        tail = HEAD.size + EVENT_BYTES * count
+        _, now, count, number = wire.FRAME_HEAD.unpack_from(frame)
+        tail = wire.FRAME_HEAD.size + wire.EVENT_BYTES * count
         if tail > len(frame):
             raise WireError(f"{count} records do not fit into {len(frame)} bytes")
-        told: dict[int, list[c.Event]] = {}
-        records: list[bytes] = []
-        texts = bytearray()
-        for at in range(HEAD.size, tail, EVENT_BYTES):
-            self._event(frame, at, tail, told, now, records, texts)
-        for who, events in told.items():
-            self._run(who, now, events, records, texts)
-        size = REPLY.size + ACTION_BYTES * len(records) + len(texts)
-        return REPLY.pack(size, len(records), seq) + b"".join(records) + bytes(texts)
-
-    def _run(self, who, now, events, records, texts) -> None:
+        batch = Batch(frame, now, tail)
+        for at in range(wire.FRAME_HEAD.size, tail, wire.EVENT_BYTES):
+            self._read_record(batch, at)
+        for instance, events in batch.events.items():
+            self._run(batch, instance, events)
+        return batch.reply.encode(number)
+
+    def _run(self, batch: Batch, instance: int, events: list[c.Event]) -> None:
+        """Hand an instance its events; an exception of its module becomes a record that ends its day."""
         try:
-            actions = self.managers[who].handle(now, events) if who in self.managers else ()
+            manager = self.managers.get(instance)
+            actions = manager.handle(batch.now, events) if manager is not None else ()
         except Exception as err:
             traceback.print_exc()
-            self._text(69, who, f"{type(err).__name__}: {err}", records, texts)
+            batch.reply.add_crash(instance, f"{type(err).__name__}: {err}")
             return
         for action in actions:
-            self._action(who, action, records, texts)
+            batch.reply.add(instance, action)
 
-    def _event(self, frame, at, tail, told, now, records, texts) -> None:
+    def _read_record(self, batch: Batch, at: int) -> None:
+        """Take one event; those that concern no decision are checked and skipped."""
+        frame = batch.frame
         code = frame[at]
-        if code == 11:
-            number, offset, n = LIST.unpack_from(frame, at)
-            self.lists[number] = self._entries(_part(frame, tail, offset, n * ENTRY_BYTES))
-            return
-        if code == 0:
-            who, seed, offset, size = START.unpack_from(frame, at)
-            told[who] = []
-            try:
-                settings = parse_settings_json(_part(frame, tail, offset, size))
-                self.managers[who] = WorkloadManager(settings, seed)
-            except ValueError as err:
-                self.managers.pop(who, None)
-                traceback.print_exc()
-                self._text(69, who, f"ValueError: {err}", records, texts)
-            return
-        who = U32.unpack_from(frame, at + 1)[0]
-        if code == 9:
-            self.managers.pop(who, None)
-            told.pop(who, None)
+        decode = _DECODERS.get(code)
+        if decode is not None:
+            event = decode(frame, at)
+        elif code == EventCode.DIRECTORY_UPDATE:
+            event = wire.decode_directory_update(frame, at, self._catalogues)
+        else:
+            self._read_control_record(batch, at, code)
             return
-        event = self._decode(code, frame, at, now, tail)
         if event is not None:
-            told.setdefault(who, []).append(event)
-
-    def _decode(self, code, frame, at, now, tail):
-        if code == 4:
-            _, req, final, took, hop, eng, bill, end, n, *load = ENDED.unpack_from(frame, at)
-            return c.AttemptEnded(
-                req,
-                hop,
-                engine_id(eng),
-                _of(OUTCOMES, end, "outcome"),
-                final != 0,
-                took,
-                (bill >> 12) * 1000,
-                (bill & 4095) * 4.0,
-                tuple(load[:n]),
+            batch.events.setdefault(wire.INSTANCE.unpack_from(frame, at)[0], []).append(event)
+
+    def _read_control_record(self, batch: Batch, at: int, code: int) -> None:
+        """Take a record that is no event of the decision module."""
+        frame = batch.frame
+        if code == EventCode.CATALOG:
+            number, offset, count = wire.CATALOG.unpack_from(frame, at)
+            raw = wire.tail_part(frame, batch.tail, offset, count * wire.CATALOG_ENTRY.size)
+            self._catalogues[number] = wire.decode_entries(raw)
+        elif code == EventCode.START:
+            self._start(batch, at)
+        elif code == EventCode.SHUTDOWN:
+            instance = wire.INSTANCE.unpack_from(frame, at)[0]
+            self.managers.pop(instance, None)
+            batch.events.pop(instance, None)
+        elif code == EventCode.PEER_MESSAGE:
+            wire.tail_part(
+                frame, batch.tail, *wire.PEER_MESSAGE.unpack_from(frame, at + wire.PEER_MESSAGE_AT)
             )
-        if code == 2:
-            _, req, cls, _, key, due, cost, mb, group, flags = REQUEST.unpack_from(frame, at)
-            return c.RequestReceived(
-                req, cls, due, key, cost if flags & 1 else 0, mb, int(group), bool(flags & 2)
-            )
-        if code == 6:
-            return c.TimerFired(ALARM.unpack_from(frame, at)[1])
-        if code == 10:
-            _, req, hop, eng, value, sort = NOTE.unpack_from(frame, at)
-            return c.AttemptProgress(req, hop, engine_id(eng), NOTES[sort], value) if sort in NOTES else None
-        if code == 5:
-            return c.ClientDisconnected(GONE.unpack_from(frame, at)[1])
-        if code == 1:
-            _, kind, _, number = MEMBERS.unpack_from(frame, at)
-            kind = _of(LISTS, kind, "list kind")
-            if kind is c.EngineListKind.FAILED:
-                return c.EngineListReceived(kind)
-            return c.EngineListReceived(kind, _of(self.lists, number, "list"))
-        if code == 7:
-            _, eng, end, took, n, *load = PONG.unpack_from(frame, at)
-            return c.HealthCheckEnded(engine_id(eng), _of(OUTCOMES, end, "outcome"), took, tuple(load[:n]))
-        if code == 8:
-            _part(frame, tail, *struct.unpack_from("<II", frame, at + 9))
-            return None
-        if code == 3:
-            return None
-        raise WireError(f"unknown event code {code}")
-
-    @staticmethod
-    def _entries(raw: bytes) -> tuple[c.EngineListEntry, ...]:
-        return tuple(
-            c.EngineListEntry(engine_id(eng), _of(STATES, state, "engine state"), kind, zone, cell, born)
-            for zone, cell, born, state, kind, eng, _ in ENTRY.iter_unpack(raw)
-        )
-
-    @staticmethod
-    def _text(code, who, text, records, texts) -> None:
-        raw = text.encode()
-        records.append(TEXT.pack(code, who, len(texts), len(raw)))
-        texts += raw
-
-    def _action(self, who, a, records, texts) -> None:
-        kind = type(a)
-        if kind is c.StartAttempt:
-            engine = a.engine.to_bytes(6, "big")
-            records.append(SUBMIT.pack(68, who, a.request, engine, min(a.timeout, U32_MAX)))
-        elif kind is c.StartTimer:
-            records.append(TIMER.pack(72, who, min(a.after, U32_MAX), a.token))
-        elif kind is c.SetAttemptResources:
-            records.append(TERMS.pack(67, who, a.request, a.grant_mb, a.priority))
-        elif kind is c.CancelAttempt:
-            records.append(CANCEL.pack(76, who, a.request, a.attempt))
-        elif kind is c.RejectRequest:
-            records.append(REFUSE.pack(71, who, a.request, 0))
-        elif kind is c.FailRequest:
-            records.append(FAIL.pack(74, who, a.request))
-        elif kind is c.Subscribe:
-            records.append(WATCH.pack(75, who, 1))
-        elif kind is c.Log:
-            self._text(66, who, a.text, records, texts)
-        else:
-            raise TypeError(f"no wire form for {kind.__name__}")
+        elif code != EventCode.STREAM_STARTED:
+            raise WireError(f"unknown event code {code}")
 
-
-def _of(table, value, what):
-    try:
-        return table[value]
-    except KeyError:
-        raise WireError(f"unknown {what} {value}") from None
+    def _start(self, batch: Batch, at: int) -> None:
+        """An instance starts with no state; settings that no site can mean are its crash."""
+        instance, seed, offset, size = wire.START.unpack_from(batch.frame, at)
+        batch.events[instance] = []
+        try:
+            settings = parse_settings_json(wire.tail_part(batch.frame, batch.tail, offset, size))
+            self.managers[instance] = WorkloadManager(settings, seed)
+        except ValueError as err:
+            self.managers.pop(instance, None)
+            traceback.print_exc()
+            batch.reply.add_crash(instance, f"ValueError: {err}")
 
 
-def _part(frame: bytes, tail: int, offset: int, size: int) -> bytes:
-    if tail + offset + size > len(frame):
-        raise WireError(f"tail offset {offset} with length {size} lies outside the frame")
-    return frame[tail + offset : tail + offset + size]
+def _read_frame(source: BinaryIO, head: bytes) -> bytes:
+    """The rest of a frame whose length has come."""
+    if len(head) < wire.LENGTH.size:
+        raise WireError("frame is cut short")
+    size = wire.LENGTH.unpack(head)[0]
+    if size < wire.FRAME_HEAD.size:
+        raise WireError(f"frame length {size} is under a header's")
+    rest = source.read(size - wire.LENGTH.size)
+    if len(rest) < size - wire.LENGTH.size:
+        raise WireError(f"frame is cut short: {len(rest) + wire.LENGTH.size} of {size} bytes")
+    return rest
 
 
 def main() -> int:
     """Answer frames until the input ends."""
-    host, source, sink = Host(), sys.stdin.buffer, sys.stdout.buffer
+    adapter, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
     number = 0
     try:
-        while head := source.read(4):
+        while head := source.read(wire.LENGTH.size):
             where = f"batch {number} of this run"
-            if len(head) < 4:
-                raise WireError("frame is cut short")
-            size = U32.unpack(head)[0]
-            if size < HEAD.size:
-                raise WireError(f"frame length {size} is under a header's")
-            rest = source.read(size - 4)
-            if len(rest) < size - 4:
-                raise WireError(f"frame is cut short: {len(rest) + 4} of {size} bytes")
-            where = f"batch {U32.unpack_from(rest, 12)[0]}"
-            sink.write(host.batch(head + rest))
+            rest = _read_frame(source, head)
+            where = f"batch {wire.LENGTH.unpack_from(rest, _BATCH_NUMBER_AT)[0]}"
+            sink.write(adapter.handle_batch(head + rest))
             sink.flush()
             number += 1
     except (WireError, SettingsError) as err:
         print(f"cypressledge.simulator_adapter: {where}: {err}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     return 0
 
 
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -75,7 +75,7 @@
                     client.ask(statement=b"SELECT gone")
                     broker.reached("dial")
                     leave(client)
-                    broker.counted("withdrawn")
+                    broker.counted("client_disconnects")
                     broker.go("dial")
                     other.ask(statement=b"SELECT stays")
                     assert "result" in other.get()
@@ -99,7 +99,7 @@
         last = self.client(broker)
         last.ask(statement=b"SELECT last")
         assert "result" in last.get()
-        assert broker.count("withdrawn") == 300
+        assert broker.count("client_disconnects") == 300
         broker.counted("replies.lookup.dispatches")
         until(lambda: len(engine.wants) >= sent + 1, "what was sent")  # some may still be read
         assert len(engine.wants) == sent + 1
@@ -113,7 +113,7 @@
         client.ask(statement=b"SELECT gone")
         broker.counted("attempt.rejected")
         client.close()
-        broker.counted("withdrawn")
+        broker.counted("client_disconnects")
         engine.play = whole
         other.ask(statement=b"SELECT stays")
         assert "result" in other.get()
@@ -660,7 +660,7 @@
         broker.reached("wait")  # the core takes nothing in
         client = self.client(broker)
         client.ask()
-        broker.counted("taken.lookup")
+        broker.counted("accepted.lookup")
         broker.reload(**site(UNSAFE))
         broker.go("wait")
         assert content(client.get()) == ROW
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -320,7 +320,7 @@
         client.get()
         broker.process.send_signal(signal.SIGUSR1)
         until(lambda: "counters (asked):" in broker.words(), "the counters")
-        assert re.search("attempts.first=1 .*served.lookup=1 .*taken.lookup=1", broker.words())
+        assert re.search("accepted.lookup=1 .*attempts.first=1 .*served.lookup=1", broker.words())
         assert "broken." not in broker.words()
 
     def test_debug_build_serves_too(self):
--- a/tests/test_clickhouse.py
+++ b/tests/test_clickhouse.py
@@ -300,7 +300,7 @@
         assert engine.closed.wait(WAIT), "the engine's work goes on"
         until(lambda: self.count("open_requests") == 0, "an empty ledger")
         until(lambda: self.count("clickhouse.engine_connections") == 0, "closed connections")
-        assert (self.count("withdrawn"), len(engine.asked)) == (1, 1)
+        assert (self.count("client_disconnects"), len(engine.asked)) == (1, 1)
         assert self.api("GET", "/v1/tenants/sales")[1]["open"] == 0
 
     def test_load_whose_client_closes_is_killed_by_its_id(self):
@@ -330,7 +330,7 @@
                 assert caught.value.partial.startswith(ROW[:5])
                 assert b"__exception__" not in caught.value.partial
                 assert self.count("attempts.first") == 1
-                assert self.count("attempts.further") == 0
+                assert self.count("attempts.retry") == 0
 
     def test_slow_reader_does_not_make_the_broker_hold_the_result(self):
         part = b"0123456789\tx\ty\n" * 4096
@@ -417,7 +417,7 @@
         assert total("taken") == 2 * each
         assert total("served") + total("refused") + total("failed") == 2 * each
         assert total("broken") == 0
-        assert counts["attempts.further"] <= 3 + 0.1 * 2 * each
+        assert counts["attempts.retry"] <= 3 + 0.1 * 2 * each
         assert lines.wants
         assert any(e.asked for e in hosts)
         client.ask(tenant="sales")  # a tenant with a key can't be named where none is asked for
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -92,7 +92,7 @@
     for _ in range(3):
         client.ask()
         assert "result" in client.get()
-    assert "request-refused" not in broker.words()
+    assert "request-rejected" not in broker.words()
 
 
 @pytest.mark.parametrize("step", FAR_STEPS)
@@ -154,7 +154,7 @@
         assert "result" in client.get()
     assert len(engine.wants) == sent
     assert broker.count("clients_closed.idle") == broker.count("clients.send_failed") == 0
-    assert broker.count("attempts.further") == 0
+    assert broker.count("attempts.retry") == 0
 
 
 @pytest.mark.parametrize("step", FAR_STEPS)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -47,7 +47,7 @@
         client = self.client(broker)
         client.ask(wait=400)
         assert client.get()["error"]["code"] == -32066
-        (refused,) = self.events(broker, "request-refused")
+        (refused,) = self.events(broker, "request-rejected")
         assert re.search("\\A[0-9a-f]{16}\\Z", refused["request"])
         assert refused["reason"] in ("objective-missed", "no-capacity", "no-time-for-retry")
 
@@ -60,7 +60,7 @@
         assert changes == {"s-1": ("ready", "draining"), "s-2": ("unlisted", "ready")}
 
 
-def test_a_burst_of_one_kind_is_held_back_and_counted(capsys, monkeypatch):
+def test_a_burst_of_one_kind_is_suppressed_and_counted(capsys, monkeypatch):
     now = 5_000_000
     monkeypatch.setattr("cypressledge.broker.event_log.monotonic_us", lambda: now)
     counters = Counters()
@@ -72,6 +72,6 @@
     events.write(EventKind.RETRY, request="later")
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == MAX_LINES_PER_SECOND + 2
-    assert counters.counts["events.held_back"] == 2 * MAX_LINES_PER_SECOND
-    assert lines[-2] == "request-refused at=0.000 request=other"
-    assert lines[-1] == f"retry at=1.000 request=later held_back={2 * MAX_LINES_PER_SECOND}"
+    assert counters.counts["events.suppressed"] == 2 * MAX_LINES_PER_SECOND
+    assert lines[-2] == "request-rejected at=0.000 request=other"
+    assert lines[-1] == f"retry at=1.000 request=later suppressed={2 * MAX_LINES_PER_SECOND}"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,9 @@
 import pytest
 
 from cypressledge.decisions import contract as c
-from cypressledge.simulator_adapter import Host, engine_id, parse_settings_json
+from cypressledge.settings import parse_settings_json
+from cypressledge.simulator_adapter import SimulatorAdapter
+from cypressledge.simulator_wire import decode_answer, engine_number
 
 ROOT = Path(__file__).parent.parent
 ENGINE = bytes([10, 18, 74, 7, 0x5B, 0x1B])
@@ -59,29 +61,29 @@
 
 
 def test_empty_batch_as_the_wire_page_shows_it():
-    assert Host().batch(bytes.fromhex("140000005a5c80000000000000000000" "01000000")).hex() == (
-        "0c0000000000000001000000"
-    )
+    assert SimulatorAdapter().handle_batch(
+        bytes.fromhex("140000005a5c80000000000000000000" "01000000")
+    ).hex() == ("0c0000000000000001000000")
 
 
 def test_a_request_is_sent_to_the_listed_engine():
-    host = Host()
-    host.batch(start())
-    sent = [a for a in actions(host.batch(frame([request()]))) if a[0] == 68]
+    adapter = SimulatorAdapter()
+    adapter.handle_batch(start())
+    sent = [a for a in actions(adapter.handle_batch(frame([request()]))) if a[0] == 68]
     assert [struct.unpack_from("<II6s", a, 1) for a in sent] == [(3, 77, ENGINE)]
     bill = 20 * 4096 + 3
     done = struct.pack("<BIIBIH6sIBB4f", 4, 3, 77, 1, 9000, 0, ENGINE, bill, 0, 0, 0, 0, 0, 0)
-    host.batch(frame([done]))
-    assert not host.managers[3].requests
-    host.batch(frame([struct.pack("<BI", 9, 3)]))
-    assert not host.managers
+    adapter.handle_batch(frame([done]))
+    assert not adapter.managers[3].requests
+    adapter.handle_batch(frame([struct.pack("<BI", 9, 3)]))
+    assert not adapter.managers
 
 
 def test_outcome_is_decoded_field_by_field():
     bill = 20 * 4096 + 3
     record = struct.pack("<BIIBIH6sIBB4f", 4, 3, 9, 0, 18500, 2, ENGINE, bill, 253, 2, 3.0, 0.6, 0, 0)
-    got = Host()._decode(4, record.ljust(48, b"\0"), 0, 0, 48)
-    assert (got.request, got.attempt, got.engine, got.final) == (9, 2, engine_id(ENGINE), False)
+    got = decode_answer(record.ljust(48, b"\0"), 0)
+    assert (got.request, got.attempt, got.engine, got.final) == (9, 2, engine_number(ENGINE), False)
     assert (got.outcome, got.work, got.memory_mb, len(got.load_report)) == (
         c.Outcome.TIMEOUT,
         20_000,
@@ -123,13 +125,13 @@
         c.Settings(**(plain | change))
 
 
-def simhost(raw):
+def run_adapter(raw):
     command = [sys.executable, "-m", "cypressledge.simulator_adapter"]
     return subprocess.run(command, input=raw, cwd=ROOT, capture_output=True)
 
 
 def test_input_that_ends_between_frames():
-    run = simhost(start())
+    run = run_adapter(start())
     assert run.returncode == 0
     assert run.stderr == b""
     assert len(run.stdout) >= 12
@@ -149,7 +151,7 @@
     ],
 )
 def test_bad_input_gets_one_plain_line(raw, word):
-    run = simhost(raw)
+    run = run_adapter(raw)
     lines = run.stderr.decode().splitlines()
     assert run.returncode == 2
     assert run.stdout == b""
@@ -159,10 +161,10 @@
 
 
 def test_exception_in_the_module_becomes_a_crash_record(monkeypatch, capsys):
-    host = Host()
-    host.batch(start())
-    monkeypatch.setattr(host.managers[3], "handle", lambda now, events: 1 / 0)
-    record = host.batch(frame([request()]))[12:36]
+    adapter = SimulatorAdapter()
+    adapter.handle_batch(start())
+    monkeypatch.setattr(adapter.managers[3], "handle", lambda now, events: 1 / 0)
+    record = adapter.handle_batch(frame([request()]))[12:36]
     assert record[0] == 69
     assert "ZeroDivisionError" in capsys.readouterr().err
 
