--- a/cypressledge/net/clickhouse/transport.py
+++ b/cypressledge/net/clickhouse/transport.py
@@ -32,7 +32,7 @@
     def send(self, attempt: Attempt) -> None:
         """Run the attempt in a greenlet of its own."""
         if self.connection_count >= self.limits.max_engine_connections(shared=True):
-            self.core.counters.add("moot_sends")
+            self.core.counters.add("attempts.not_sent")
             self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
             return
         exchange = attempt.transport_state = EngineExchange(self, attempt)
