--- a/cypressledge/controlplane/applied_versions.py
+++ b/cypressledge/controlplane/applied_versions.py
@@ -1,7 +1,7 @@
-"""Which broker has what in force, as the control processes tell the primary. No I/O.
+"""Which version each broker has applied, as the control processes report it to the leader. No I/O.
 
-Only what was said is counted: a broker whose control process has gone silent is not taken for one that has
-the newest.
+Only what was reported counts: a broker whose control process has gone silent is not taken for one that has
+the newest version.
 """
 
 from collections.abc import Collection
@@ -10,85 +10,115 @@
 
 from cypressledge.controlplane.messages import AppliedReport
 
-MAX_NAMES = 50  # that an answer names
+MAX_NAMES = 50  # of brokers that an answer lists
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class AppliedVersion:
-    """What one broker holds, said at a moment (µs); `refused`: why some of it is not in force there."""
+    """What one broker holds, reported at a moment (µs); `rejection`: why some of it is not applied there."""
 
     instance_id: int
     version: int
     at: int
-    refused: str = ""
+    rejection: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class LagReport:
+    """How far connected brokers are behind a version.
+
+    `behind`: those that have not reached it; `rejections`: those that hold it but have rejected some of it,
+    and why; `unreachable`: those that are registered but connected nowhere; `unheard`: control processes that
+    are alive but have not reported yet: until they have, nobody knows who lags.
+    """
+
+    version: int
+    connected: int
+    behind: list[str]
+    rejections: dict[str, str]
+    registered: int
+    unreachable: list[str]
+    unheard: list[str]
+
+    def to_json(self) -> dict[str, object]:
+        """As the operators' call answers it, with `MAX_NAMES` names of a kind at the most."""
+        return {
+            "version": self.version,
+            "connected": self.connected,
+            "in_force": self.connected - len(self.behind) - len(self.rejections),
+            "refused": len(self.rejections),
+            "refused_by": dict(islice(self.rejections.items(), MAX_NAMES)),
+            "lagging": len(self.behind),
+            "names": self.behind[:MAX_NAMES],
+            "registered": self.registered,
+            "unreachable": len(self.unreachable),
+            "unreachable_names": self.unreachable[:MAX_NAMES],
+            "unheard": self.unheard,
+        }
 
 
 class AppliedVersions:
-    """The newest words of all control processes about their brokers."""
+    """The newest reports of all control processes about their brokers."""
 
     def __init__(self) -> None:
-        self.reports: dict[str, dict[str, AppliedVersion]] = {}  # by control process, by broker
+        self._reports: dict[str, dict[str, AppliedVersion]] = {}  # by control process, by broker
 
-    def report(self, now: int, sender: str, seen: AppliedReport) -> None:
-        """Take what one control process says. Changes alone tell nothing: what they change isn't known."""
-        if seen.is_complete:
-            self.reports[sender] = {}
-        brokers = self.reports.get(sender)
+    def report(self, now: int, sender: str, report: AppliedReport) -> None:
+        """Take a report. One of changes alone says nothing without a complete one before it."""
+        if report.is_complete:
+            self._reports[sender] = {}
+        brokers = self._reports.get(sender)
         if brokers is None:
             return
-        for name, run, version in seen.brokers:
+        for name, instance_id, version in report.brokers:
             if version < 0:
                 brokers.pop(name, None)
             else:
-                brokers[name] = AppliedVersion(run, version, now, seen.rejections.get(name, ""))
+                rejection = report.rejections.get(name, "")
+                brokers[name] = AppliedVersion(instance_id, version, now, rejection)
 
     def drop(self, sender: str) -> None:
-        """A control process can't be heard: what it said may no longer be so."""
-        self.reports.pop(sender, None)
+        """A control process can't be heard: what it reported may no longer be so."""
+        self._reports.pop(sender, None)
 
     def clear(self) -> None:
-        """This process is not the primary any more."""
-        self.reports.clear()
+        """This process leads no more."""
+        self._reports.clear()
 
     def latest(self) -> dict[str, AppliedVersion]:
-        """Each connected broker, as last spoken of."""
-        found: dict[str, AppliedVersion] = {}
-        for brokers in self.reports.values():
-            for name, sight in brokers.items():
-                if name not in found or found[name].at < sight.at:
-                    found[name] = sight
-        return found
+        """Each connected broker, as last reported."""
+        latest: dict[str, AppliedVersion] = {}
+        for brokers in self._reports.values():
+            for name, applied in brokers.items():
+                if name not in latest or latest[name].at < applied.at:
+                    latest[name] = applied
+        return latest
 
     def connected(self, listed: Collection[str], linked: Collection[str]) -> set[str] | None:
-        """Names of all connected brokers; none unless each listed control process is linked and has spoken:
-        nobody else knows who is connected to it."""
-        if not set(listed) <= set(linked) or not set(listed) <= set(self.reports):
+        """Names of all connected brokers; none unless each listed control process is linked and has reported.
+
+        Nobody else knows who is connected to it.
+        """
+        if not set(listed) <= set(linked) or not set(listed) <= set(self._reports):
             return None
         return set(self.latest())
 
-    def lag(self, version: int, registered: Collection[str], alive: Collection[str]) -> dict:
-        """How many connected brokers have not that version yet, and their names, `NAMES_MOST` at most; apart
-        from them those that hold it but have turned some of it down, and why, and those that are registered
-        but connected nowhere. `unheard`: control processes that are alive but have not yet said who is
-        connected to them: until they have, nobody knows who lags."""
-        newest = self.latest()
-        behind = sorted(name for name, sight in newest.items() if sight.version < version)
-        refused = {
-            name: sight.refused
-            for name, sight in sorted(newest.items())
-            if sight.refused and sight.version >= version
-        }
-        away = sorted(name for name in registered if name not in newest)
-        return {
-            "version": version,
-            "connected": len(newest),
-            "in_force": len(newest) - len(behind) - len(refused),
-            "refused": len(refused),
-            "refused_by": dict(islice(refused.items(), MAX_NAMES)),
-            "lagging": len(behind),
-            "names": behind[:MAX_NAMES],
-            "registered": len(registered),
-            "unreachable": len(away),
-            "unreachable_names": away[:MAX_NAMES],
-            "unheard": sorted(set(alive) - set(self.reports)),
-        }
+    def lag(self, version: int, registered: Collection[str], alive: Collection[str]) -> LagReport:
+        """Which connected brokers have not applied a version.
+
+        `registered`: names of all registered brokers; `alive`: names of the control processes that are alive.
+        """
+        latest = self.latest()
+        return LagReport(
+            version=version,
+            connected=len(latest),
+            behind=sorted(name for name, applied in latest.items() if applied.version < version),
+            rejections={
+                name: applied.rejection
+                for name, applied in sorted(latest.items())
+                if applied.rejection and applied.version >= version
+            },
+            registered=len(registered),
+            unreachable=sorted(name for name in registered if name not in latest),
+            unheard=sorted(set(alive) - set(self._reports)),
+        )
--- a/cypressledge/controlplane/change_history.py
+++ b/cypressledge/controlplane/change_history.py
@@ -1,8 +1,9 @@
-"""The committed state with the last changes that made it: what followers are sent from. No I/O."""
+"""The committed state and the last changes that made it: what brokers are sent. No I/O."""
 
 import zlib
 from collections import deque
 from itertools import islice
+from typing import NamedTuple
 
 import msgspec
 
@@ -11,102 +12,124 @@
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError
 
-MAX_KEPT_CHANGES = 4_096  # changes kept
-MAX_KEPT_BYTES = 4 << 20  # of changes kept
-MAX_SNAPSHOT_BYTES = 64 << 20  # bytes of a snapshot before packing
+MAX_KEPT_CHANGES = 4_096
+MAX_KEPT_BYTES = 4 << 20  # of the changes kept, encoded
+MAX_SNAPSHOT_BYTES = 64 << 20  # of a snapshot before compression
+COMPRESSION_LEVEL = 6  # zlib's
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Snapshot).decode
+_decode_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
+
+
+class DigestPosition(NamedTuple):
+    """A position and the digest of the state there: equal ones are of one history."""
+
+    epoch: int
+    version: int
+    digest: bytes
+
+
+class _KeptChange(NamedTuple):
+    change: Change
+    size: int  # encoded bytes
 
 
 def compress_snapshot(snapshot: Snapshot) -> bytes:
-    """As it goes into a frame: zlib over the encoded snapshot."""
-    return zlib.compress(_encode(snapshot), 6)
+    """The snapshot as it goes into a message: zlib over its encoding."""
+    return zlib.compress(_encode(snapshot), COMPRESSION_LEVEL)
 
 
-def decompress_snapshot(packed: bytes) -> Snapshot:
-    """A snapshot from a frame; its digest is checked by `FleetState.restore`. Raises `StateError`."""
+def decompress_snapshot(compressed: bytes) -> Snapshot:
+    """A snapshot from a message; its digest is checked by `FleetState.restore`. Raises `StateError`."""
     reader = zlib.decompressobj()
     try:
-        # Guards against a few bytes that unpack into all memory.
-        body = reader.decompress(packed, MAX_SNAPSHOT_BYTES)
-        if not reader.eof or reader.unused_data or len(packed) > MAX_FRAME_BYTES:
+        # Guards against a few bytes that decompress into all memory.
+        body = reader.decompress(compressed, MAX_SNAPSHOT_BYTES)
+        if not reader.eof or reader.unused_data or len(compressed) > MAX_FRAME_BYTES:
             raise StateError("snapshot: cut short, or too large")
-        return _decode(body)
+        return _decode_snapshot(body)
     except (zlib.error, msgspec.MsgspecError, ValueError, RecursionError) as err:
         raise StateError(f"snapshot: {err}") from None
 
 
 class ChangeHistory:
-    """Versions `base` to `state.version`: all that can be sent as changes."""
+    """The state at its newest version, and the changes from version `base` on that can be sent."""
 
     def __init__(
-        self, state: FleetState, changes_most: int = MAX_KEPT_CHANGES, bytes_most: int = MAX_KEPT_BYTES
+        self, state: FleetState, max_changes: int = MAX_KEPT_CHANGES, max_bytes: int = MAX_KEPT_BYTES
     ) -> None:
-        self.changes_most, self.bytes_most = changes_most, bytes_most
         self.counters = Counters()
-        self._begin(state)
+        self._max_changes, self._max_bytes = max_changes, max_bytes
+        self._start_from(state)
 
-    def _begin(self, state: FleetState) -> None:
+    def _start_from(self, state: FleetState) -> None:
         self.state = state
-        self.base = (state.epoch, state.version, state.digest)  # what the first change kept follows
-        self.changes: deque[tuple[Change, int]] = deque()  # and their bytes
-        self.bytes = 0
-        self._compressed: tuple[tuple[int, int, bytes], bytes] | None = None
+        self.base = DigestPosition(state.epoch, state.version, state.digest)  # the changes kept follow it
+        self._kept: deque[_KeptChange] = deque()
+        self.kept_bytes = 0  # encoded
+        self._compressed: tuple[DigestPosition, bytes] | None = None
+
+    @property
+    def changes(self) -> list[Change]:
+        """The changes kept, oldest first."""
+        return [kept.change for kept in self._kept]
 
     def apply(self, change: Change) -> None:
         """Take the next committed change. Raises `StateError`, and changes nothing, where it doesn't fit."""
         self.state.apply(change)
         size = len(_encode(change))
-        self.changes.append((change, size))
-        self.bytes += size
-        while len(self.changes) > self.changes_most or self.bytes > self.bytes_most:
-            self._drop()
-        self.counters.invariant(self.base[1] + len(self.changes) == self.state.version, "history_whole")
+        self._kept.append(_KeptChange(change, size))
+        self.kept_bytes += size
+        while len(self._kept) > self._max_changes or self.kept_bytes > self._max_bytes:
+            self._drop_oldest()
+        self.counters.invariant(self.base.version + len(self._kept) == self.state.version, "history_whole")
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Begin again from a snapshot. Raises `StateError`, and changes nothing, where it doesn't verify."""
-        self._begin(FleetState.restore(snapshot))
+        """Start again from a snapshot. Raises `StateError`, and changes nothing, where it isn't sound."""
+        self._start_from(FleetState.restore(snapshot))
 
     def compact(self, keep: int = 0) -> None:
         """Drop all changes but the last `keep`."""
-        while len(self.changes) > keep:
-            self._drop()
-
-    def _drop(self) -> None:
-        change, size = self.changes.popleft()
-        self.bytes -= size
-        self.base = (change.epoch, change.version, change.digest)
-
-    def position_at(self, version: int) -> tuple[int, int, bytes] | None:
-        """(epoch, version, digest) at a version; none where it is no longer or not yet known."""
-        index = version - self.base[1]
-        if not 0 <= index <= len(self.changes):
+        while len(self._kept) > keep:
+            self._drop_oldest()
+
+    def _drop_oldest(self) -> None:
+        change, size = self._kept.popleft()
+        self.kept_bytes -= size
+        self.base = DigestPosition(change.epoch, change.version, change.digest)
+
+    def position_at(self, version: int) -> DigestPosition | None:
+        """The position and digest of a version; none where it is no longer or not yet known."""
+        index = version - self.base.version
+        if not 0 <= index <= len(self._kept):
             return None
         if not index:
             return self.base
-        change = self.changes[index - 1][0]
-        return change.epoch, change.version, change.digest
+        change = self._kept[index - 1].change
+        return DigestPosition(change.epoch, change.version, change.digest)
 
     def changes_since(
-        self, epoch: int, version: int, digest: bytes, most_bytes: int = MAX_BATCH_BYTES
+        self, epoch: int, version: int, digest: bytes, max_bytes: int = MAX_BATCH_BYTES
     ) -> list[Change] | None:
-        """The changes after a position, up to `most_bytes` of them but one at least; empty where there are
-        none. None: only a snapshot can follow it (too old, not yet here, or not of this history)."""
+        """The changes after a position, up to `max_bytes` of them but at least one; empty if there are none.
+
+        None: only a snapshot can follow it, as it is too old, not yet reached, or not of this history.
+        """
         if self.position_at(version) != (epoch, version, digest):
             return None
-        found, total = [], 0
-        for change, size in islice(self.changes, version - self.base[1], None):
+        changes: list[Change] = []
+        total = 0
+        for change, size in islice(self._kept, version - self.base.version, None):
             total += size
-            if found and total > most_bytes:
+            if changes and total > max_bytes:
                 break
-            found.append(change)
-        return found
+            changes.append(change)
+        return changes
 
     def compressed_snapshot(self) -> bytes:
-        """The snapshot of now as it goes into a frame; made once a version."""
+        """The snapshot of the newest version as it goes into a message; made once a version."""
         state = self.state
-        position = (state.epoch, state.version, state.digest)
+        position = DigestPosition(state.epoch, state.version, state.digest)
         if self._compressed is None or self._compressed[0] != position:
             self._compressed = position, compress_snapshot(state.snapshot())
         return self._compressed[1]
--- a/cypressledge/controlplane/framing.py
+++ b/cypressledge/controlplane/framing.py
@@ -1,12 +1,14 @@
-"""Frames over TCP (`messages.py`) on a gevent socket: one reader, a writer that nobody waits for.
+"""Messages (`messages.py`) framed over TCP, on a gevent socket: one reader, and a writer nobody waits for.
+for.
 
-Guards against peers that say nothing, a byte a second, too much, or nonsense, and against those that don't
+Guards against peers that send nothing, a byte a second, too much or nonsense, and against those that don't
 read: each is bounded in time and in bytes, and costs its own connection alone.
 """
 
 import errno
 import time
 from collections import Counter
+from typing import Literal
 
 from gevent import Timeout, sleep, socket
 
@@ -16,90 +18,104 @@
 from cypressledge.net.socket_io import close_socket, shutdown_write
 from cypressledge.net.socket_writer import SocketWriter
 
-HELLO_TIMEOUT_S = 5.0  # seconds from a connection's beginning to its first frame, whole
+HELLO_TIMEOUT_S = 5.0  # seconds from a connection's beginning to the end of its first frame
 FRAME_TIMEOUT_S = 30.0  # seconds from a frame's first byte to its last
 CONNECT_TIMEOUT_S = 1.5  # seconds for a connection to come up
 SEND_TIMEOUT_S = 8.0  # seconds that one send may take
 UNACKNOWLEDGED_TIMEOUT_MS = 10_000  # after which bytes that nobody acknowledges end a connection
+KEEPALIVE_IDLE_S = 5  # seconds of silence before the first keepalive probe
+KEEPALIVE_INTERVAL_S = 2  # seconds between probes
+KEEPALIVE_PROBES = 3  # probes without an answer that end a connection
 MAX_QUEUED_BYTES = 16 << 20  # bytes that wait for one peer: a few of the largest frames
 LENGTH_PREFIX_BYTES = 4
 
 
 class ConnectionEndedError(Exception):
-    """The connection is at its end, and why: closed, nonsense, too long, too slow, or the system's words."""
+    """The connection has ended, and why: closed, nonsense, too long, too slow, or the system's words."""
 
 
 class TrafficCounters:
-    """Frames and bytes, by kind and direction."""
+    """Frames and bytes, by tag and direction."""
 
     def __init__(self) -> None:
         self.frames: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
 
-    def add(self, way: str, message: Message, size: int) -> None:
-        """One more frame; `way` is `in` or `out`."""
-        key = f"{way}.{message.__struct_config__.tag}"
+    def add(self, direction: Literal["in", "out"], message: Message, size: int) -> None:
+        """Count one more frame of `size` bytes, its length prefix included."""
+        key = f"{direction}.{message.__struct_config__.tag}"
         self.frames[key] += 1
         self.bytes[key] += size
 
     def show(self) -> dict[str, dict[str, int]]:
-        """By kind and direction."""
-        return {k: {"frames": n, "bytes": self.bytes[k]} for k, n in sorted(self.frames.items())}
+        """By direction and tag, as operators' calls answer it."""
+        return {
+            key: {"frames": count, "bytes": self.bytes[key]} for key, count in sorted(self.frames.items())
+        }
 
 
 class FramedConnection:
-    """One connection. Whoever calls `receive` is its only reader, and closes it in the end. `most`: bytes of
-    the largest frame that is taken."""
-
-    def __init__(self, sock, traffic: TrafficCounters, most: int = MAX_FRAME_BYTES) -> None:
-        self.sock, self.traffic, self.max_frame_bytes = sock, traffic, most
-        self.buffer = ReceiveBuffer(most + LENGTH_PREFIX_BYTES + 1)
-        self.need, self.began = 0, 0.0  # bytes of the frame whose head has come; s when its first byte came
-        self.writer = SocketWriter(sock, MAX_QUEUED_BYTES, SEND_TIMEOUT_S, self._given_up)
-        self.why = ""  # it was given up here
-        self.is_finishing = False
-        tune(sock)
-
-    def set_max_frame_bytes(self, most: int) -> None:
-        """Frames of so many bytes from now on, as it is known who this is: the buffer's bound goes along."""
-        self.max_frame_bytes, self.buffer.limit = most, most + LENGTH_PREFIX_BYTES + 1
-
-    def send(self, message: Message, raw: bytes = b"") -> None:
-        """Queue a frame; never blocks. `raw`: the same message, encoded before."""
-        raw = raw or encode(message)
+    """One connection. Whoever calls `receive` is its only reader, and closes it in the end.
+
+    `max_frame_bytes` bounds the frames that are accepted.
+    """
+
+    def __init__(
+        self, sock: socket.socket, traffic: TrafficCounters, max_frame_bytes: int = MAX_FRAME_BYTES
+    ) -> None:
+        self.sock, self.traffic = sock, traffic
+        self.writer = SocketWriter(sock, MAX_QUEUED_BYTES, SEND_TIMEOUT_S, self._on_send_failure)
+        self.is_finishing = False  # nothing more is sent
+        self._max_frame_bytes = max_frame_bytes
+        self._buffer = ReceiveBuffer(max_frame_bytes + LENGTH_PREFIX_BYTES + 1)
+        self._body_bytes = 0  # of the frame whose length prefix has come; 0: none has
+        self._frame_began = 0.0  # s, monotonic: when the first byte of the unfinished frame came
+        self._send_failure = ""  # why the writer gave the connection up
+        set_socket_options(sock)
+
+    def set_max_frame_bytes(self, limit: int) -> None:
+        """Accept frames up to another size, now that it is known who this is; the buffer's limit follows."""
+        self._max_frame_bytes = limit
+        self._buffer.limit = limit + LENGTH_PREFIX_BYTES + 1
+
+    def send(self, message: Message, encoded: bytes = b"") -> None:
+        """Queue a frame; never blocks. `encoded`: the same message, encoded before."""
+        encoded = encoded or encode(message)
         if not self.writer.closed:
-            self.traffic.add("out", message, len(raw))
-            self.writer.write(raw)
+            self.traffic.add("out", message, len(encoded))
+            self.writer.write(encoded)
 
     def receive(self, seconds: float) -> Message | None:
-        """The next message; None where it isn't whole within so many seconds: it may still become so. Raises
-        `Ended`."""
-        until = time.monotonic() + seconds
+        """The next message; none where it isn't complete within so many seconds, and may still become so.
+
+        Raises `ConnectionEndedError`.
+        """
+        deadline = time.monotonic() + seconds
         while True:
-            message = self._whole()
+            message = self._take_message()
             if message is not None:
                 return message
             now = time.monotonic()
-            if len(self.buffer) and now > self.began + FRAME_TIMEOUT_S:
+            if len(self._buffer) and now > self._frame_began + FRAME_TIMEOUT_S:
                 raise ConnectionEndedError("too slow")
-            if now >= until:
+            if now >= deadline:
                 return None
-            self._fill(until - now)
-
-    def _whole(self) -> Message | None:
-        """A message that has come whole, taken out of the buffer."""
-        buffer = self.buffer
-        if self.need == 0:
-            head = buffer.take(LENGTH_PREFIX_BYTES)
-            if head is None:
+            self._read(deadline - now)
+
+    def _take_message(self) -> Message | None:
+        """A message that is complete, taken out of the buffer."""
+        buffer = self._buffer
+        if self._body_bytes == 0:
+            prefix = buffer.take(LENGTH_PREFIX_BYTES)
+            if prefix is None:
                 return None
-            self.need = int.from_bytes(head, "big")
-            if not 0 < self.need <= self.max_frame_bytes:
-                raise ConnectionEndedError(f"a frame of {self.need} bytes")
-        body = buffer.take(self.need)
+            self._body_bytes = int.from_bytes(prefix, "big")
+            if not 0 < self._body_bytes <= self._max_frame_bytes:
+                raise ConnectionEndedError(f"a frame of {self._body_bytes} bytes")
+        body = buffer.take(self._body_bytes)
         if body is None:
             return None
-        self.need, self.began = 0, time.monotonic()
+        self._body_bytes, self._frame_began = 0, time.monotonic()
         try:
             message = decode(body)
         except InvalidFrameError as err:
@@ -107,56 +123,59 @@
         self.traffic.add("in", message, len(body) + LENGTH_PREFIX_BYTES)
         return message
 
-    def _fill(self, seconds: float) -> None:
-        """Read once, within so many seconds. A peer that always has more keeps nobody from their turn."""
-        if self.buffer.was_filled:
+    def _read(self, seconds: float) -> None:
+        """Read once, within so many seconds. Yields first to others where the peer always has more."""
+        if self._buffer.was_filled:
             sleep(0)
-        empty = not len(self.buffer) and not self.need
-        got = None
+        is_new_frame = not len(self._buffer) and not self._body_bytes
+        received = None
         try:
             with Timeout(seconds, False):
-                got = self.buffer.receive(self.sock)
+                received = self._buffer.receive(self.sock)
         except BufferLimitError as err:
             raise ConnectionEndedError(str(err)) from None
         except OSError as err:
-            raise ConnectionEndedError(self.why or errno.errorcode.get(err.errno, str(err))) from None
-        if got == 0:
-            raise ConnectionEndedError(self.why or "closed")
-        if got and empty:
-            self.began = time.monotonic()
-
-    def _given_up(self, why: str) -> None:
-        """The writer has: the reader is woken, and ends the connection."""
-        self.why = why
+            reason = errno.errorcode.get(err.errno or 0, str(err))
+            raise ConnectionEndedError(self._send_failure or reason) from None
+        if received == 0:
+            raise ConnectionEndedError(self._send_failure or "closed")
+        if received and is_new_frame:
+            self._frame_began = time.monotonic()
+
+    def _on_send_failure(self, reason: str) -> None:
+        """The writer gave the connection up: the reader is woken, and ends it."""
+        self._send_failure = reason
         close_socket(self.sock)
 
     def finish_sending(self) -> None:
-        """Nothing more is sent; what is queued goes out, then our side is shut. The reader goes on reading
-        until the peer has closed, so that the last words aren't lost to a reset."""
+        """Send what is queued, then shut our side; nothing more is sent.
+
+        The reader goes on until the peer has closed, so that what was sent last isn't lost to a reset.
+        """
         self.is_finishing = True
         self.writer.close(lambda: shutdown_write(self.sock))
 
     def close(self) -> None:
-        """For good, at once."""
+        """Close at once, for good."""
         self.writer.close()
         close_socket(self.sock)
 
 
-def tune(sock) -> None:
-    """Small frames leave at once, and a peer whose machine is gone is found out."""
+def set_socket_options(sock: socket.socket) -> None:
+    """Small frames leave at once, and a peer whose machine is gone is noticed."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 5)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 2)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     except OSError:
         pass  # the peer is gone already: the reader will find out
 
 
 def connect(address: tuple[str, int], traffic: TrafficCounters) -> FramedConnection:
-    """A connection to a numeric address, within `DIAL_S` seconds. Raises `Ended`."""
+    """A connection to a numeric address, within `CONNECT_TIMEOUT_S`. Raises `ConnectionEndedError`."""
     try:
         with Timeout(CONNECT_TIMEOUT_S, TimeoutError("no answer")):
             sock = socket_io.connect(address)
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -1,17 +1,19 @@
-"""In a voter's replica's place, for a control process that doesn't vote: it follows a voter as a broker does.
+"""What a control process that doesn't vote has in place of a `Replica`: it follows a voter, as a broker does.
 
-It keeps nothing on a disk, promises nothing, never leads; what it hands on was committed when it came.
+It keeps nothing on a disk, promises nothing and never leads; what it hands on was committed when it came.
 """
 
-from collections.abc import Callable
+from typing import Any
 
 import msgspec
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.errors import NotLeaderError
-from cypressledge.controlplane.messages import Change, Message, Snapshot
-from cypressledge.controlplane.replica_context import NEVER
+from cypressledge.controlplane.messages import Change, Message, Op
+from cypressledge.controlplane.proposals import PendingProposal
+from cypressledge.controlplane.replica_context import NEVER, Role
 from cypressledge.controlplane.replica_status import ReplicaStatus
+from cypressledge.controlplane.replicated_log import CommitHandler
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.subscriber import BrokerIdentity
@@ -21,77 +23,85 @@
 
 
 class NonVotingReplica:
-    """What `control_process.py` asks of a `Replica`. `committed` as there."""
+    """Answers what is asked of a `Replica`. `on_commit` as there; `log`: a structured logger."""
 
-    role, joining, lease_until, epoch = "standby", False, NEVER, 0
+    role = Role.FOLLOWER
+    joining = False
+    lease_until = NEVER
 
     def __init__(
         self,
         name: str,
-        run: int,
+        instance_id: int,
         settings: ControlSettings,
         zone: str,
         region: str,
-        log,
-        committed: Callable[[list[Change] | None, Snapshot | None], None],
+        log: Any,
+        on_commit: CommitHandler,
     ) -> None:
-        self.name, self.committed, self.leader, self.leader_heard_at = name, committed, "", NEVER
+        self.epoch = 0
+        self.leader = ""  # the last one known; empty: none
+        self.leader_heard_at = NEVER  # µs
+        self._on_commit = on_commit
         voters = msgspec.structs.replace(settings, servers=[s for s in settings.servers if s.votes])
-        self.agent = SubscriberClient(
-            BrokerIdentity(name, run, zone, region),
+        self._subscriber = SubscriberClient(
+            BrokerIdentity(name, instance_id, zone, region),
             voters,
             Counters(),
-            self._changed,
+            self._on_state,
             options=SubscriberOptions(log=log),
         )
-        self.parts = self.agent.parts
+        self.parts = self._subscriber.parts
 
-    def _changed(self, state: FleetState, change: Change | None) -> None:
+    def _on_state(self, state: FleetState, change: Change | None) -> None:
         if change is None:
-            self.committed(None, state.snapshot())
+            self._on_commit(None, state.snapshot())
         else:
-            self.committed([change], None)
+            self._on_commit([change], None)
 
     @property
     def cluster_id(self) -> str:
         """Of the history held."""
-        return self.agent.state.cluster_id
+        return self._subscriber.state.cluster_id
 
     def is_eligible(self, now: int) -> bool:
-        """Never to lead."""
+        """Whether this replica could lead: never."""
         return False
 
     def lease(self, now: int, token: int | None, until: int) -> bool:
-        """Of no use here."""
+        """Whether the lease is of use here: never."""
         return False
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """Voters' words are not for this one."""
+        """Ignore what voters tell each other."""
 
-    def propose_own(self, now: int, *_) -> None:
-        """Never here."""
+    def propose_own(
+        self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
+    ) -> PendingProposal:
+        """Raises `NotLeaderError`."""
         raise NotLeaderError(self.leader)
 
     def tick(self, now: int) -> int:
-        """Learn when a primary was heard last, by whom is followed; the moment of the next tick, µs."""
-        told = self.agent.status()
-        if told.primary:
-            self.leader, self.leader_heard_at = told.primary, now - told.stale_ms * 1_000
-        self.epoch = told.epoch
+        """Learn from the voter that is followed when a leader was last heard; the next tick's moment, µs."""
+        status = self._subscriber.status()
+        if status.primary:
+            self.leader = status.primary
+            self.leader_heard_at = now - status.stale_ms * 1_000
+        self.epoch = status.epoch
         return now + TICK_INTERVAL_US
 
     def status(self, now: int) -> ReplicaStatus:
         """As of now (µs)."""
-        state = self.agent.state
-        silent = -1 if self.leader_heard_at == NEVER else (now - self.leader_heard_at) // 1_000
+        state = self._subscriber.state
+        heard_at = self.leader_heard_at
         return ReplicaStatus(
-            "learner",
-            state.epoch,
-            state.version,
-            state.version,
-            {},
-            silent,
-            self.leader,
-            state.cluster_id,
-            False,
+            role="learner",
+            epoch=state.epoch,
+            last=state.version,
+            commit=state.version,
+            match={},
+            leader_silence_ms=-1 if heard_at == NEVER else (now - heard_at) // 1_000,
+            leader=self.leader,
+            cluster_id=state.cluster_id,
+            joining=False,
         )
--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -687,7 +687,7 @@
         version = number(request, "version", 0) or state.version
         return 200, {"answer": "lag", "newest": state.version} | self.in_force.lag(
             version, registered, self.node.alive()
-        )
+        ).to_json()
 
     def _state(self, request) -> tuple[int, dict]:
         prefix, state = request.params.get("prefix", ""), self.history.state
@@ -705,9 +705,9 @@
 
     def _changes(self, request) -> tuple[int, dict]:
         since = number(request, "from", 0)
-        kept = [c for c, _ in self.history.changes if c.version >= since][:HISTORY_SHOWN]
+        kept = [c for c in self.history.changes if c.version >= since][:HISTORY_SHOWN]
         return 200, {
-            "from": self.history.base[1] + 1,
+            "from": self.history.base.version + 1,
             "to": self.history.state.version,
             "changes": [
                 {
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -428,7 +428,7 @@
     seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot()))
     held = where(seat.subscriber.state)
     grow(desk.history)
-    good = desk.history.changes[-1][0]
+    good = desk.history.changes[-1]
     assert seat.take(m.Deltas([m.Change(1, 4, good.ops, b"x" * 16)])) == m.SnapshotRequest("digest")
     assert where(seat.subscriber.state) == held
     assert seat.counts("delta_differs") == 1
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -147,19 +147,19 @@
 def test_who_lags_is_said_by_those_who_know():
     table = AppliedVersions()
     table.report(1, "c1", AppliedReport(True, [("b1", 11, 5), ("b2", 12, 4)]))
-    told = table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"})
+    told = table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"}).to_json()
     assert (told["connected"], told["in_force"], told["names"]) == (2, 1, ["b2"])
     assert (told["unreachable_names"], told["unheard"]) == (["b3"], ["c2"])
     table.report(2, "c2", AppliedReport(False, [("b3", 13, 5)]))  # changes of what isn't known here
-    assert table.lag(5, {"b3"}, {"c1", "c2"})["unheard"] == ["c2"]
+    assert table.lag(5, {"b3"}, {"c1", "c2"}).to_json()["unheard"] == ["c2"]
     table.report(3, "c2", AppliedReport(True, [("b2", 12, 5)]))  # b2 has moved
-    assert table.lag(5, (), {"c1", "c2"})["lagging"] == 0
+    assert table.lag(5, (), {"c1", "c2"}).to_json()["lagging"] == 0
     table.report(4, "c1", AppliedReport(False, [("b2", 12, -1)]))
     assert table.latest()["b2"].version == 5
     table.drop("c2")
-    assert table.lag(5, {"b2"}, {"c1"})["unreachable_names"] == ["b2"]
+    assert table.lag(5, {"b2"}, {"c1"}).to_json()["unreachable_names"] == ["b2"]
     table.report(5, "c1", AppliedReport(True, [(f"x{i}", 1, 0) for i in range(200)]))
-    told = table.lag(1, (), {"c1"})
+    told = table.lag(1, (), {"c1"}).to_json()
     assert (told["lagging"], len(told["names"])) == (200, MAX_NAMES)
 
 
@@ -169,15 +169,15 @@
     table.report(
         1, "c1", AppliedReport(True, [("b1", 1, 5), ("b2", 1, 4), ("b3", 1, 5)], {"b3": why, "b2": "older"})
     )
-    told = table.lag(5, (), {"c1"})
+    told = table.lag(5, (), {"c1"}).to_json()
     assert (told["connected"], told["in_force"], told["lagging"], told["refused"]) == (3, 1, 1, 1)
     assert told["refused_by"] == {"b3": why}  # b2 has yet to say what it does with this version
     table.report(2, "c1", AppliedReport(False, [("b3", 1, 6)]))
-    told = table.lag(5, (), {"c1"})
+    told = table.lag(5, (), {"c1"}).to_json()
     assert (told["in_force"], told["refused"], told["refused_by"]) == (2, 0, {})
     many = [(f"x{i}", 1, 9) for i in range(200)]
     table.report(3, "c1", AppliedReport(True, many, {f"x{i}": why for i in range(99)}))
-    told = table.lag(9, (), {"c1"})
+    told = table.lag(9, (), {"c1"}).to_json()
     assert (told["in_force"], told["refused"], len(told["refused_by"])) == (101, 99, MAX_NAMES)
 
 
@@ -329,7 +329,7 @@
     for i in range(1, 300):
         history.apply(history.state.draft_change(1, [engine(i)]))
     history.apply(history.state.draft_change(1, [Op("config/Bad", encode_value(1))]))
-    follower.received(now, Deltas([c for c, _ in history.changes][1:]))
+    follower.received(now, Deltas(history.changes[1:]))
     assert [len(names) for names in broker.lists] == [1, 300]
     assert part.refused == follower.refused == "not these"
     in_force = [told for told in map(json.loads, record.read_text().splitlines()) if "version" in told]
--- a/tests/test_controlplane_state.py
+++ b/tests/test_controlplane_state.py
@@ -245,14 +245,14 @@
 
 
 def test_history_sends_what_it_keeps_and_no_more():
-    history = h.ChangeHistory(s.FleetState("line"), changes_most=5)
+    history = h.ChangeHistory(s.FleetState("line"), max_changes=5)
     positions = [(0, 0, history.state.digest)]
     for i in range(8):
         history.apply(history.state.draft_change(1 + i // 4, [engine(f"e{i}", f"h:{i + 1}")]))
         positions.append((*history.state.position, history.state.digest))
     assert [history.changes_since(*p) is None for p in positions] == [True] * 3 + [False] * 6
     assert [c.version for c in history.changes_since(*positions[4])] == [5, 6, 7, 8]
-    assert [c.version for c in history.changes_since(*positions[4], most_bytes=1)] == [5]
+    assert [c.version for c in history.changes_since(*positions[4], max_bytes=1)] == [5]
     assert history.changes_since(*positions[8]) == []
     assert history.changes_since(2, 9, b"\0" * 16) is None
     assert history.changes_since(1, 5, positions[5][2]) is None
@@ -275,8 +275,8 @@
 
 
 def test_history_is_bounded_in_bytes():
-    history = h.ChangeHistory(s.FleetState("line"), bytes_most=10_000)
+    history = h.ChangeHistory(s.FleetState("line"), max_bytes=10_000)
     for i in range(50):
         history.apply(history.state.draft_change(1, [Op("config/Extra", encode_value("x" * 1000 + str(i)))]))
     assert 0 < len(history.changes) < 10
-    assert history.bytes <= 10_000
+    assert history.kept_bytes <= 10_000
