--- a/cypressledge/__init__.py
+++ b/cypressledge/__init__.py
@@ -1,1 +1,1 @@
-"""cypressledge: a query broker; its decisions are in control.py, the sockets round them in net."""
+"""cypressledge: a query broker; its decisions are in decisions/, the sockets round them in net."""
--- a/cypressledge/broker/event_loop.py
+++ b/cypressledge/broker/event_loop.py
@@ -15,8 +15,8 @@
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.broker.timers import TimerQueue
 from cypressledge.clock import monotonic_us
-from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
+from cypressledge.decisions.manager import WorkloadManager
 
 MAX_IDLE_WAIT_US = 1_000_000  # the loop looks at its clock so often even if nothing happens
 US_PER_SECOND = 1e6
--- /dev/null
+++ b/cypressledge/decisions/affinity.py
@@ -0,0 +1,133 @@
+"""Which engines a group's requests and loads keep to: ranks by hash, the same at every broker.
+
+Brokers tell each other nothing: equal ranks keep the tables of a group warm at a few engines, and loads apart
+from the queries that they block.
+"""
+
+from collections.abc import Collection
+from math import ceil
+
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.engines import Engine, EngineRegistry
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.request import Request
+from cypressledge.decisions.units import EWMA
+
+REQUEST_COUNT_FADE = 0.95  # weight that a group's count of requests keeps from period to period
+REQUEST_COUNT_MIN = 0.1  # a group with a lower count is forgotten
+GROUP_ENGINES_FACTOR = 1.5  # engines of a group, against its share of the traffic: room for its swings
+LOAD_ENGINES_FACTOR = 1.6  # engines for a group's loads, against how many of them run at once
+LOAD_FREE_SHARE = 0.2  # part of the engines that a group's loads are kept from
+LOADS_AHEAD_SHARE = 0.75  # part of a load's latency objective that the loads ahead of it may take
+MASK = 0xFFFFFFFFFFFFFFFF  # 64 bits
+
+
+def rank_hash(token: int, engine: int) -> int:
+    """A number of 64 bits that orders engines for a token, the same at every broker."""
+    x = (token * 0x9E3779B97F4A7C15 ^ engine * 0xBF58476D1CE4E5B9) & MASK
+    x = (x ^ x >> 31) * 0x94D049BB133111EB & MASK
+    return x ^ x >> 29
+
+
+class Affinity:
+    """Engines that the groups, their loads and this broker prefer or avoid."""
+
+    def __init__(self, context: DecisionContext, registry: EngineRegistry, estimates: ClassEstimates) -> None:
+        self._context = context
+        self._registry = registry
+        self._estimates = estimates
+        self._request_counts: dict[int, float] = {}  # by group, faded
+        self._ranks: dict[int, list[Engine]] = {}  # by token
+        self._running_loads = 0.0  # running mean of this broker's own
+
+    def record_request(self, group: int) -> None:
+        """A request of the group came."""
+        self._request_counts[group] = self._request_counts.get(group, 0.0) + 1.0
+
+    def record_running_loads(self) -> None:
+        """Take the loads that run now into their mean."""
+        running = sum(sum(engine.loads_in_flight.values()) for engine in self._registry.ready)
+        self._running_loads += EWMA / 2 * (running - self._running_loads)
+
+    def end_period(self) -> None:
+        """Fade the counts of requests; forget groups of which hardly any came."""
+        self._request_counts = {
+            group: count * REQUEST_COUNT_FADE
+            for group, count in self._request_counts.items()
+            if count > REQUEST_COUNT_MIN
+        }
+
+    def engines_changed(self) -> None:
+        """The registry has taken a list: ranks are worked out anew."""
+        self._ranks.clear()
+
+    def ranked(self, token: int) -> list[Engine]:
+        """The engines that take requests in an order of the token's own, the same at every broker."""
+        ranks = self._ranks.get(token)
+        if ranks is None:
+            ranks = sorted(self._registry.ready, key=lambda engine: rank_hash(token, engine.id))
+            self._ranks[token] = ranks
+        return ranks
+
+    def group_engines(self, group: int) -> list[Engine]:
+        """Engines that all brokers take as a group's own: as many as its part of the traffic fills."""
+        ready_count = len(self._registry.ready)
+        return self.ranked(group)[: 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_share(group) * ready_count)]
+
+    def load_engines(self, group: int) -> list[Engine]:
+        """Engines that all brokers take for a group's loads: as many as its part of them keeps busy.
+
+        Guards against queries that are blocked by other brokers' loads, which nobody reports: queries go
+        elsewhere, as long as there is an engine left.
+        """
+        broker_count = self._context.settings.broker_count
+        needed = ceil(LOAD_ENGINES_FACTOR * broker_count * self._running_loads * self._traffic_share(group))
+        ready_count = len(self._registry.ready)
+        return self.ranked(group)[max(ready_count - needed, ceil(LOAD_FREE_SHARE * ready_count)) :]
+
+    def excluded_engines(self, request: Request) -> Collection[Engine]:
+        """Engines that a load leaves to its group's queries, or where such a query would be blocked.
+
+        Guards against queries of a group of which loads run everywhere, nearly all the time: they would be
+        blocked at every engine, and so would what is moved. With no other engine usable none is excluded.
+        """
+        ready, now = self._registry.ready, self._context.now
+        group = request.table_group
+        free = set(self.ranked(group)[: ceil(LOAD_FREE_SHARE * len(ready))])
+        others = [engine for engine in ready if engine not in free]
+        rest: Collection[Engine]
+        if request.class_settings.is_load:
+            excluded, rest = free, others
+        else:
+            excluded, rest = {engine for engine in others if blocks_queries(engine, group, now)}, free
+        return excluded if any(_is_usable(engine, now) for engine in rest) else ()
+
+    def load_would_start_soon(self, engine: Engine, load: Request) -> bool:
+        """Whether the loads of its group ahead of it at an engine, at all brokers together, leave it time.
+
+        Guards against loads that wait at an engine, in order of coming and in others' way, until they are
+        late: at the broker they wait shortest first, and take no capacity.
+        """
+        broker_count = self._context.settings.broker_count
+        work, threads = self._estimates.work[load.class_index], load.class_settings.threads
+        ahead = engine.loads_in_flight.get(load.table_group, 0) * broker_count * work / threads
+        return ahead <= LOADS_AHEAD_SHARE * (load.objective_at - load.received_at)
+
+    def distances_from_own(self, own_count: int) -> dict[Engine, float]:
+        """0.0 for this broker's own engines; the further in its order of engines the more for any other."""
+        ranks = self.ranked(-1 - self._context.settings.broker_index)
+        return {
+            engine: (i >= own_count) * (1.0 + (i - own_count) / own_count) for i, engine in enumerate(ranks)
+        }
+
+    def _traffic_share(self, group: int) -> float:
+        return self._request_counts.get(group, 0.0) / max(sum(self._request_counts.values()), 1.0)
+
+
+def blocks_queries(engine: Engine, group: int, now: int) -> bool:
+    """Whether a load of the group runs at the engine, as far as this broker knows."""
+    return bool(engine.loads_in_flight.get(group, 0)) or engine.blocked_until.get(group, 0) > now
+
+
+def _is_usable(engine: Engine, now: int) -> bool:
+    return not engine.ejected and now >= max(engine.warm_at, engine.rejected_until)
--- /dev/null
+++ b/cypressledge/decisions/attempt_resources.py
@@ -0,0 +1,41 @@
+"""Memory grants and priorities of attempts, where the engines heed them."""
+
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import SetAttemptResources
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.request import Request
+
+LATE_PRIORITY, USUAL_PRIORITY, RAISED_PRIORITY, URGENT_PRIORITY = range(4)
+RAISED_SHARE = 0.5  # of the time to its objective after which a request's priority is raised
+
+
+class AttemptResources:
+    """Short work and loads go first, work near its latency objective is raised, late work goes last."""
+
+    def __init__(self, context: DecisionContext, estimates: ClassEstimates) -> None:
+        self._context = context
+        self._estimates = estimates
+
+    def update(self, request: Request) -> None:
+        """Set the resources of a request's attempt, where they have changed."""
+        settings = self._context.settings
+        if not (settings.supports_priorities or settings.supports_memory_grants):
+            return
+        priority = self._priority(request) if settings.supports_priorities else USUAL_PRIORITY
+        grant_mb = self._estimates.memory_grant_mb(request) if settings.supports_memory_grants else 0.0
+        is_starting = request.sent_at == self._context.now
+        before = request.resources
+        if before is None or before[1] != priority or is_starting and before[0] != grant_mb:
+            request.resources = (grant_mb, priority)
+            self._context.actions.append(SetAttemptResources(request.id, grant_mb, priority))
+
+    def _priority(self, request: Request) -> int:
+        now = self._context.now
+        if request.class_settings.is_load:
+            return URGENT_PRIORITY  # however late it is: its group's queries are blocked by it
+        if now > request.objective_at:
+            return LATE_PRIORITY
+        if request.run_time <= self._estimates.mean_run_time:
+            return URGENT_PRIORITY
+        is_near = now - request.received_at > RAISED_SHARE * (request.objective_at - request.received_at)
+        return RAISED_PRIORITY if is_near else USUAL_PRIORITY
--- /dev/null
+++ b/cypressledge/decisions/concurrency_limits.py
@@ -0,0 +1,179 @@
+"""Limits on the threads and the memory that this broker has in flight, at each engine and in all.
+
+The limits bind under pressure only: answers that take much longer than their work, or a rejection. A limit
+grows while requests wait for it and answers meet their objectives, and shrinks as latency grows.
+"""
+
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.engines import THREADS_PER_CORE, Engine, EngineRegistry
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.pace import OVERLOAD_SLOWDOWN, FleetPace
+from cypressledge.decisions.request import Request
+from cypressledge.decisions.units import MS
+
+GROWTH_LIMIT = 3.0  # multiple of its initial bound that a bound grows to (design page)
+SHRINK_FACTOR = 0.8  # on the bound in a period whose answers are slow
+SHRINK_SLOWDOWN = 2.0  # slowdown from which the bound shrinks
+GROWTH_SLOWDOWN = 1.4  # slowdown under which it may grow: short work meets its objective longest
+GROWTH_MET_RATIO = 4  # answers that meet their objective for each that misses it, from which a bound may grow
+BURST_MULTIPLE = 1.25  # of the initial bound, past which the bound binds without pressure
+WIDE_QUERIES_ROOM = 2.0  # widest queries that the sum of bounds may be passed by: a small broker's swings
+REJECTION_PRESSURE = 2_000 * MS  # a rejection counts as pressure this long
+OVERFLOW_INTERVAL = 250 * MS  # between attempts past the threads an engine had when it last rejected
+SHORT_WORK_SHARE = 0.5  # of the mean run time, up to which work is short
+SHORT_WORK_ROOM = 0.3  # part of the initial bound kept beyond it for short work
+MEMORY_SWING_MAX = 0.25  # part of an engine's memory that one large query counts as, at most
+
+
+class ConcurrencyLimits:
+    """Threads and memory in flight of this broker, and whether one more request keeps within the limits."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        registry: EngineRegistry,
+        pace: FleetPace,
+        estimates: ClassEstimates,
+    ) -> None:
+        self._context = context
+        self._registry = registry
+        self._pace = pace
+        self._estimates = estimates
+        self.threads = 0  # in flight, of all attempts
+        self.reserved_memory_mb = 0.0  # of all attempts in flight
+        self.configure()
+
+    def configure(self) -> None:
+        """Take the context's settings."""
+        classes = self._context.settings.classes
+        self._narrowest = min(class_settings.threads for class_settings in classes)
+        self._widest = max(class_settings.threads for class_settings in classes)
+
+    def reserve(self, engine: Engine, request: Request) -> None:
+        """Count an attempt that starts, with the memory it is expected to take."""
+        now = self._context.now
+        request.reserved_memory_mb = self._estimates.memory_to_reserve_mb(request)
+        for pool in (engine, self):
+            pool.threads += request.class_settings.threads
+            pool.reserved_memory_mb += request.reserved_memory_mb
+        if now < engine.rejected_until and engine.threads > engine.threads_at_rejection:
+            engine.next_overflow_at = now + OVERFLOW_INTERVAL
+
+    def release(self, engine: Engine, request: Request) -> None:
+        """The attempt has ended."""
+        for pool in (engine, self):
+            pool.threads -= request.class_settings.threads
+            pool.reserved_memory_mb -= request.reserved_memory_mb
+
+    def record_answer(self, engine: Engine, request: Request, latency_objective: float) -> None:
+        """The engine answered: it bore what was in flight; whether the answer met its objective, in µs."""
+        threads = engine.threads + request.class_settings.threads
+        engine.threads_at_rejection = max(engine.threads_at_rejection, threads)
+        if self._context.now - request.received_at <= latency_objective:
+            engine.objectives_met += 1
+        else:
+            engine.objectives_missed += 1
+
+    def record_rejection(self, engine: Engine) -> None:
+        """The engine rejected an attempt for want of capacity: it gets no more than it has for a while."""
+        now = self._context.now
+        engine.rejected_until = now + REJECTION_PRESSURE
+        engine.next_overflow_at = now + OVERFLOW_INTERVAL
+        engine.threads_at_rejection = engine.threads
+        engine.bound = max(min(engine.bound, engine.threads), engine.initial_bound / 2)
+
+    def end_period(self) -> None:
+        """Bounds grow a thread a period while requests wait and answers meet objectives; else they shrink."""
+        for engine in self._registry.engines.values():
+            self._adjust_bound(engine)
+            engine.queue_waited, engine.objectives_met, engine.objectives_missed = False, 0, 0
+
+    @staticmethod
+    def _adjust_bound(engine: Engine) -> None:
+        slowdown = max(engine.slowdown, engine.overdue_ratio)
+        if slowdown > SHRINK_SLOWDOWN:
+            engine.bound = max(engine.bound * SHRINK_FACTOR, engine.initial_bound / 2)
+        elif not engine.queue_waited:
+            # threads that no request waits for are returned
+            engine.bound = max(engine.bound - 1, min(engine.bound, engine.initial_bound))
+        elif (
+            engine.objectives_met > GROWTH_MET_RATIO * engine.objectives_missed and slowdown < GROWTH_SLOWDOWN
+        ):
+            engine.bound = min(engine.bound + 1, GROWTH_LIMIT * engine.initial_bound)
+
+    def room_for_short_work(self, request: Request) -> float:
+        """Part of the bounds that the request may pass them by: short work finds room beside long work."""
+        is_short = request.run_time <= SHORT_WORK_SHARE * self._estimates.mean_run_time
+        return SHORT_WORK_ROOM if is_short else 0.0
+
+    def engine_has_room(self, engine: Engine, request: Request, room: float) -> bool:
+        """Whether the engine has threads and memory left for the request; `room` for short work beyond them.
+
+        Guards against sudden traffic, of which latency tells late: past BURST_MULTIPLE initial bounds a bound
+        binds at once. Hurts where this broker suddenly carries most of the traffic.
+        """
+        now = self._context.now
+        threads = engine.threads + request.class_settings.threads
+        bound = self._binding_bound(engine)
+        # Guards against an engine of few sessions, whose rejections would use up the retry budget.
+        is_full = (
+            now < engine.rejected_until
+            and threads > engine.threads_at_rejection
+            and now < engine.next_overflow_at
+        )
+        limit = max(bound, 2.0 * self._narrowest) + room * engine.initial_bound
+        if is_full or threads > limit and engine.in_flight:
+            engine.queue_waited = True
+            return False
+        if not engine.memory_mb or not engine.in_flight:
+            return True
+        needed = self._estimates.memory_to_reserve_mb(request)
+        share = min(1.0, bound / engine.initial_bound / self._context.settings.broker_count)
+        return engine.reserved_memory_mb + needed <= max(engine.memory_mb * share, 2.0 * needed)
+
+    def fleet_has_room(self, request: Request, room: float) -> bool:
+        """Whether this broker's work stays within the sum of the engines' bounds, and its part of all memory.
+
+        A share of less than a query limits nothing on its own engine; the sum does, to the nearest query.
+        What other brokers send scatters: a deviation of it stays free. Two wide queries more are room for
+        chance.
+        """
+        threads, memory_mb = self._fleet_limits()
+        wanted = self.threads + request.class_settings.threads / 2
+        has_threads = wanted <= threads * (1.0 + room) + WIDE_QUERIES_ROOM * self._widest
+        if not has_threads:
+            for engine in self._registry.ready:
+                engine.queue_waited = True
+        has_memory = (
+            not memory_mb
+            or request.run_time <= self._estimates.mean_run_time
+            or self.reserved_memory_mb + self._estimates.memory_to_reserve_mb(request) <= memory_mb
+        )
+        return not self.threads or has_threads and has_memory
+
+    def _fleet_limits(self) -> tuple[float, float]:
+        """Threads, and memory in MB, that this broker may have in flight over all engines."""
+        threads = memory_mb = 0.0
+        broker_count = self._context.settings.broker_count
+        others = 1.0 - 1.0 / broker_count
+        widest, large_memory_mb = self._widest, self._estimates.large_memory_mb
+        for engine in self._registry.ready:
+            bound = self._binding_bound(engine)
+            threads += bound * (1.0 - others * (widest / THREADS_PER_CORE / engine.cores) ** 0.5)
+            if engine.memory_mb:
+                swing = others * min(large_memory_mb / engine.memory_mb, MEMORY_SWING_MAX) ** 0.5
+                share = min(1.0, bound / engine.initial_bound / broker_count)
+                memory_mb += engine.memory_mb * share * (1.0 - swing)
+        return threads, memory_mb
+
+    def _binding_bound(self, engine: Engine) -> float:
+        """Threads in flight at which the engine's bound binds now."""
+        bound = engine.bound
+        if (
+            engine.slowdown > OVERLOAD_SLOWDOWN
+            or engine.overdue_ratio > OVERLOAD_SLOWDOWN
+            or self._context.now < engine.rejected_until
+        ):
+            return bound
+        burst = BURST_MULTIPLE * engine.initial_bound
+        return burst if burst > bound else bound
--- /dev/null
+++ b/cypressledge/decisions/engines.py
@@ -0,0 +1,116 @@
+"""Engines as this broker knows them, and the registry of those that engine lists name."""
+
+from collections import deque
+from dataclasses import dataclass, field
+
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import EngineListEntry, EngineListKind, EngineListReceived, EngineState
+from cypressledge.decisions.request import Request
+
+THREADS_PER_CORE = 2.0  # threads a core of the initial concurrency bound (design page)
+
+
+@dataclass(slots=True, eq=False)
+class Engine:
+    """State of one engine; moments and spans are in µs, compared by identity."""
+
+    id: int
+    started_at: int  # of its process; 0: unknown, and long ago
+    state: EngineState
+    kind: int
+    zone: int
+    cell: int
+    cores: int
+    memory_mb: float  # 0: not known
+    initial_bound: float  # threads: this broker's share of the bound that all start with
+    bound: float  # threads that this broker may have in flight there under pressure
+
+    in_flight: dict[int, Request] = field(default_factory=dict)  # attempts without an outcome, by request
+    threads: int = 0  # of the attempts in flight
+    reserved_memory_mb: float = 0.0  # of the attempts in flight
+
+    slowdown: float = 1.0  # latency over run time of recent answers
+    overdue_ratio: float = 1.0  # age over run time of the attempts in flight
+    latency_sum: float = 0.0  # µs, faded: latencies of recent answers
+    run_time_sum: float = 0.0  # µs, faded: run times of the same answers
+    objectives_met: int = 0  # answers of this period
+    objectives_missed: int = 0
+    queue_waited: bool = False  # a request was kept waiting by the bound in this period
+
+    heard_at: int = 0  # last answer or progress notification
+    ejected: bool = False  # only single trial requests go there
+    next_trial_at: int = 0
+    error_rate: float = 0.0  # running mean
+    consecutive_resets: int = 0
+
+    rejected_until: int = 0  # a rejection counts as pressure until then
+    threads_at_rejection: int = 0  # threads that it bore when it last rejected
+    next_overflow_at: int = 0  # next attempt past those threads
+
+    warm_at: int = 0  # end of the slow start
+    recent_sends: deque[tuple[int, float]] = field(default_factory=deque)  # moment and work in µs
+    recent_work: float = 0.0  # µs, sum of the work of recent sends
+
+    reported_load: float = 0.0  # threads a core, as its last load report tells
+    reported_at: int = 0
+
+    loads_in_flight: dict[int, int] = field(default_factory=dict)  # by group: this broker's own loads
+    blocked_until: dict[int, int] = field(default_factory=dict)  # by group: another broker's load seen
+
+
+class EngineRegistry:
+    """Engines by id, and in order of their ids those that take requests."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context = context
+        self.engines: dict[int, Engine] = {}
+        self.ready: list[Engine] = []
+
+    def update(self, received: EngineListReceived) -> None:
+        """Take an engine list; what is removed stays known while attempts run there."""
+        for entry in received.entries:
+            self._update_entry(entry)
+        if received.kind is not EngineListKind.DELTA:
+            listed = {entry.engine for entry in received.entries}
+            for engine in self.engines.values():
+                if engine.id not in listed:
+                    engine.state = EngineState.REMOVED
+        self.engines = {
+            number: engine
+            for number, engine in self.engines.items()
+            if engine.state is not EngineState.REMOVED or engine.in_flight
+        }
+        self.ready = [
+            self.engines[number]
+            for number in sorted(self.engines)
+            if self.engines[number].state is EngineState.READY
+        ]
+
+    def _update_entry(self, entry: EngineListEntry) -> None:
+        engine = self.engines.get(entry.engine)
+        if engine is None:
+            engine = self.engines[entry.engine] = self._new_engine(entry)
+        elif entry.started_at > engine.started_at:
+            engine.slowdown, engine.ejected = 1.0, False
+        engine.state, engine.started_at = entry.state, entry.started_at
+        engine.kind, engine.zone = entry.kind, entry.zone
+        if entry.started_at:
+            engine.warm_at = max(engine.warm_at, entry.started_at + self._context.settings.slow_start_window)
+
+    def _new_engine(self, entry: EngineListEntry) -> Engine:
+        settings = self._context.settings
+        cores = settings.kind_cores[entry.kind]
+        memory_mb = settings.kind_memory_mb[entry.kind] if settings.kind_memory_mb else 0.0
+        bound = THREADS_PER_CORE * cores / settings.broker_count
+        return Engine(
+            id=entry.engine,
+            started_at=entry.started_at,
+            state=entry.state,
+            kind=entry.kind,
+            zone=entry.zone,
+            cell=entry.cell,
+            cores=cores,
+            memory_mb=memory_mb,
+            initial_bound=bound,
+            bound=bound,
+        )
--- /dev/null
+++ b/cypressledge/decisions/estimates.py
@@ -0,0 +1,102 @@
+"""What requests of each class cost: work, memory and expected latency, learnt from answers."""
+
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import AttemptEnded, RequestReceived
+from cypressledge.decisions.request import Request
+from cypressledge.decisions.units import EWMA
+
+MEAN_RUN_TIME_WEIGHT = 0.01  # weight of one new request in the mean run time
+RATIO_LIMIT = 8.0  # largest actual over estimated work or memory that counts
+LATENCY_RATIO_LIMIT = 20.0  # largest latency over run time that counts
+GRANT_QUANTILE = 0.9  # share of needs that the corrected grant covers: a spill costs more than idle memory
+GRANT_STEP = 0.04  # step of that quantile's estimate, as a share of it
+INITIAL_GRANT_RATIO = 1.25  # of estimated memory, before answers tell
+LARGE_RUN_TIME = 5.0  # multiple of the mean run time beyond which a query weighs no more in large memory
+
+
+class ClassEstimates:
+    """Running means of each class, and of all requests."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context = context
+        class_count = len(context.settings.classes)
+        self.work = [0.0] * class_count  # µs, usual work of a request; 0: not known
+        self.answer_counts = [0] * class_count
+        self.latency_ratios = [1.0] * class_count  # latency over run time
+        self.cost_ratios = [1.0] * class_count  # actual over estimated work
+        self.grant_ratios = [INITIAL_GRANT_RATIO] * class_count  # quantile of used over estimated memory
+        self.memory_ratios = [1.0] * class_count  # mean of used over estimated memory
+        self.mean_run_time = 0.0  # µs, of all requests received
+        self.large_memory_mb = 0.0  # memory of an attempt, weighted by run time
+        self.has_cost_estimates = False  # whether any request came with an estimate
+
+    def corrected_cost(self, received: RequestReceived) -> float:
+        """Work of a new request, µs: its estimate as such estimates turn out, or the usual."""
+        c = received.class_index
+        return received.cost * self.cost_ratios[c] if received.cost else self.work[c]
+
+    def record_request(self, request: Request) -> None:
+        """Take a new request into the usual work and the mean run time."""
+        c = request.class_index
+        if not self.work[c]:
+            self.work[c] = request.cost
+        self.has_cost_estimates = self.has_cost_estimates or request.estimated_cost > 0
+        run_time = request.run_time
+        if self.mean_run_time:
+            self.mean_run_time += MEAN_RUN_TIME_WEIGHT * (run_time - self.mean_run_time)
+        else:
+            self.mean_run_time += run_time
+
+    def record_attempt(self, request: Request) -> None:
+        """Take an attempt's reserved memory into that of large queries."""
+        weight = min(request.run_time / max(self.mean_run_time, 1.0), LARGE_RUN_TIME)
+        self.large_memory_mb += EWMA * weight / 2 * (request.reserved_memory_mb - self.large_memory_mb)
+
+    def record_answer(self, request: Request, ended: AttemptEnded) -> float:
+        """Learn what an answered request cost; its run time in µs."""
+        c = request.class_index
+        threads = request.class_settings.threads
+        self.answer_counts[c] += 1
+        reports_cost = self._context.settings.reports_cost
+        work = ended.work if reports_cost and ended.work else request.cost or ended.latency * threads
+        self.work[c] += (EWMA if self.work[c] else 1.0) * (work - self.work[c])
+        if request.estimated_cost and ended.work:
+            ratio = min(ended.work / request.estimated_cost, RATIO_LIMIT)
+            self.cost_ratios[c] += EWMA * (ratio - self.cost_ratios[c])
+        if request.memory_mb and ended.memory_mb:
+            self._record_memory(c, request.memory_mb, ended.memory_mb)
+        run_time = max(work / threads, 1.0)
+        ratio = min(ended.latency / run_time, LATENCY_RATIO_LIMIT)
+        self.latency_ratios[c] += EWMA * (ratio - self.latency_ratios[c])
+        return run_time
+
+    def _record_memory(self, c: int, estimated_mb: float, used_mb: float) -> None:
+        ratio = min(used_mb / estimated_mb, RATIO_LIMIT)
+        self.memory_ratios[c] += EWMA / 2 * (ratio - self.memory_ratios[c])
+        was_short = used_mb > estimated_mb * self.grant_ratios[c]
+        self.grant_ratios[c] *= 1 + GRANT_STEP * (GRANT_QUANTILE if was_short else GRANT_QUANTILE - 1)
+
+    def memory_grant_mb(self, request: Request) -> float:
+        """Memory that covers what most requests of the class use."""
+        return request.memory_mb * self.grant_ratios[request.class_index]
+
+    def memory_to_reserve_mb(self, request: Request) -> float:
+        """Memory to count against an engine: between mean need and grant, as rough estimates scatter."""
+        c = request.class_index
+        return request.memory_mb * (self.memory_ratios[c] + self.grant_ratios[c]) / 2
+
+    def expected_latency(self, request: Request) -> float:
+        """µs that an attempt of the request should take, as the fleet answers its class now."""
+        run_time = max(request.run_time, self._context.settings.timer_resolution)
+        return run_time * max(self.latency_ratios[request.class_index], 1.0)
+
+    def delay_reference(self, class_index: int) -> float:
+        """Reference of a class's queueing delay: its latency objective, by work against priority weight."""
+        class_settings, work = self._context.settings.classes[class_index], self.work[class_index]
+        objective = class_settings.latency_objective
+        stretch = class_settings.latency_objective_stretch
+        return (
+            (objective + stretch * work / class_settings.threads)
+            * (work or 1.0)
+            / class_settings.priority_weight
+        )
--- /dev/null
+++ b/cypressledge/decisions/inspection.py
@@ -0,0 +1,78 @@
+"""The regular look at attempts that run: overdue, lost or silent ones, and priorities near objectives."""
+
+from cypressledge.decisions.affinity import Affinity
+from cypressledge.decisions.attempt_resources import AttemptResources
+from cypressledge.decisions.attempts import AttemptControl
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import Reason
+from cypressledge.decisions.engines import Engine, EngineRegistry
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.health import SILENCE_MIN, SILENCE_OF_ATTEMPT_MAX, HealthMonitor
+from cypressledge.decisions.lost_responses import LostResponses
+from cypressledge.decisions.units import MS
+
+INSPECTION_INTERVAL = 100 * MS  # short against the shortest latency objectives
+
+
+class Inspection:
+    """Looks at all attempts in flight, engine by engine."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        registry: EngineRegistry,
+        affinity: Affinity,
+        estimates: ClassEstimates,
+        resources: AttemptResources,
+        health: HealthMonitor,
+        lost_responses: LostResponses,
+        attempts: AttemptControl,
+    ) -> None:
+        self._context = context
+        self._registry = registry
+        self._affinity = affinity
+        self._estimates = estimates
+        self._resources = resources
+        self._health = health
+        self._lost_responses = lost_responses
+        self._attempts = attempts
+
+    def run(self) -> None:
+        """Look at what runs now."""
+        self._affinity.record_running_loads()
+        for engine in self._registry.ready:
+            if not engine.in_flight:
+                engine.overdue_ratio = 1.0
+                continue
+            missing_answers = self._inspect_attempts(engine)
+            self._health.record_silence(engine, missing_answers)
+            if engine.ejected:
+                self._move_from_ejected(engine)
+
+    def _inspect_attempts(self, engine: Engine) -> float:
+        """Update an engine's overdue ratio and priorities; the answers missing there, in expected times."""
+        now = self._context.now
+        ages, run_times, missing = 0.0, 1.0, 0.0
+        missing_by_group: dict[int, float] = {}
+        for request in list(engine.in_flight.values()):
+            if self._lost_responses.check(engine, request):
+                continue
+            age = now - request.sent_at
+            ages += max(age, request.run_time)
+            run_times += request.run_time
+            quiet = min(age, now - engine.heard_at)
+            lack = min(quiet / self._estimates.expected_latency(request), SILENCE_OF_ATTEMPT_MAX)
+            if request.class_settings.blocked_by_loads:
+                # those of one group may all be blocked by one load: they count once
+                group = request.table_group
+                missing_by_group[group] = max(missing_by_group.get(group, 0.0), lack)
+            else:
+                missing += lack
+            self._resources.update(request)
+        engine.overdue_ratio = ages / run_times
+        return missing + sum(missing_by_group.values())
+
+    def _move_from_ejected(self, engine: Engine) -> None:
+        for request in list(engine.in_flight.values()):
+            if self._context.now - request.sent_at > SILENCE_MIN and not request.finished:
+                self._attempts.move(request, Reason.ENGINE_SILENT)
--- /dev/null
+++ b/cypressledge/decisions/lifecycle.py
@@ -0,0 +1,154 @@
+"""Requests from their coming to their final answer."""
+
+from cypressledge.decisions.affinity import Affinity
+from cypressledge.decisions.attempts import AttemptControl
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import (
+    ClientDisconnected,
+    DeduplicationScope,
+    FailRequest,
+    Idempotency,
+    Reason,
+    RejectRequest,
+    RequestReceived,
+)
+from cypressledge.decisions.deadlines import DEADLINE_MARGIN, DeadlineQueue
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.odds import OddsController
+from cypressledge.decisions.ordering import KeyOrder
+from cypressledge.decisions.queues import ClassQueues
+from cypressledge.decisions.request import Request, new_request
+from cypressledge.decisions.retries import RetryBudget
+
+
+class RequestLifecycle:
+    """Requests that are owed an answer, or have an attempt whose outcome has not come yet."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        estimates: ClassEstimates,
+        affinity: Affinity,
+        retry_budget: RetryBudget,
+        attempts: AttemptControl,
+        odds: OddsController,
+        queues: ClassQueues,
+    ) -> None:
+        self._context = context
+        self._estimates = estimates
+        self._affinity = affinity
+        self._retry_budget = retry_budget
+        self._attempts = attempts
+        self._odds = odds
+        self._queues = queues
+        self.requests: dict[int, Request] = {}
+        self.deadlines = DeadlineQueue()
+        self.key_order = KeyOrder(context)
+
+    def receive(self, received: RequestReceived) -> None:
+        """Take a new request, and queue it unless another one of its key comes first."""
+        class_settings = self._context.settings.classes[received.class_index]
+        cost = self._estimates.corrected_cost(received)
+        request = new_request(received, class_settings, self._context.now, cost)
+        self._estimates.record_request(request)
+        self.requests[request.id] = request
+        self._affinity.record_request(request.table_group)
+        self._retry_budget.record_request()
+        self.deadlines.schedule(request.deadline - DEADLINE_MARGIN, request.id)
+        if not self.key_order.applies_to(request):
+            self._queues.enqueue(request)
+        elif self.key_order.join(request):
+            self._queue_first_of_key(request)
+
+    def client_disconnected(self, event: ClientDisconnected) -> None:
+        """The client waits no longer."""
+        request = self.requests.get(event.request)
+        if request is None or request.finished:
+            return
+        if not request.attempts:
+            self._retry_budget.withdraw_request(request.received_at)
+        self.finish(request)
+
+    def give_up(self, request: Request, reason: Reason) -> None:
+        """End the request unserved: rejected where it is harmless to send it again, else failed."""
+        if self._is_harmless_to_repeat(request):
+            self._context.actions.append(RejectRequest(request.id, reason))
+        else:
+            self._context.actions.append(FailRequest(request.id, reason))
+        self.finish(request)
+
+    @staticmethod
+    def _is_harmless_to_repeat(request: Request) -> bool:
+        """Whether the client may send the request again: it can't have an effect twice."""
+        class_settings = request.class_settings
+        if class_settings.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        if request.engine is not None:
+            return False
+        return request.may_have_executed_since is None or (
+            class_settings.idempotency is Idempotency.WITH_KEY
+            and class_settings.deduplication_scope is DeduplicationScope.ALL
+        )
+
+    def reject_late(self, request: Request) -> None:
+        """End a request that can't be answered in time."""
+        self.give_up(request, Reason.OBJECTIVE_MISSED)
+
+    def finish(self, request: Request) -> None:
+        """Nothing more is owed for the request; a running attempt keeps its capacity and its key."""
+        if request.attempts == 0:
+            self._odds.record_delay(request.class_index, self._context.now - request.received_at)
+        request.finished, request.queued = True, False
+        if request.engine is None:
+            self.forget(request)
+            return
+        may_cancel = self._context.settings.supports_cancel and not request.cancelling
+        if may_cancel and request.class_settings.idempotency is not Idempotency.NOT_IDEMPOTENT:
+            self._attempts.cancel(request, Reason.REQUEST_FINISHED)
+
+    def forget(self, request: Request) -> None:
+        """Drop a finished request without an attempt; the next one of its key may start."""
+        del self.requests[request.id]
+        if self.key_order.applies_to(request) and (following := self.key_order.leave(request)):
+            self._queue_first_of_key(following)
+
+    def expire(self) -> None:
+        """End requests whose time is over; queue those whose key's pause is over."""
+        now = self._context.now
+        for request_id in self.deadlines.expired(now):
+            request = self.requests.get(request_id)
+            if request is None or request.finished:
+                continue
+            if request.queued or now >= request.deadline - DEADLINE_MARGIN:
+                self.give_up(request, self._reason_expired(request))
+        for request_id in self.key_order.cooldowns.expired(now):
+            request = self.requests.get(request_id)
+            if request and self._waits_for_key(request):
+                self._queue_first_of_key(request)
+
+    def shut_down(self) -> None:
+        """The process is about to end: whatever is open is answered now."""
+        for request in list(self.requests.values()):
+            if not request.finished:
+                self.give_up(request, Reason.SHUTTING_DOWN)
+
+    def next_moment(self) -> int | None:
+        """The next moment, µs, at which a request expires or a key's pause ends; None without any."""
+        moments = (self.deadlines.next_moment(), self.key_order.cooldowns.next_moment())
+        return min((moment for moment in moments if moment is not None), default=None)
+
+    def _queue_first_of_key(self, request: Request) -> None:
+        if self.key_order.may_start(request):
+            self._queues.enqueue(request)
+
+    def _waits_for_key(self, request: Request) -> bool:
+        if request.finished or request.queued or request.engine is not None:
+            return False
+        return self.key_order.is_first(request)
+
+    def _reason_expired(self, request: Request) -> Reason:
+        """Why a request that has waited, or run, for too long ends."""
+        if not request.queued:
+            return Reason.DEADLINE
+        is_due = self._context.now >= request.deadline - DEADLINE_MARGIN
+        return Reason.NO_CAPACITY if is_due else Reason.DEDUPLICATION_WINDOW_OVER
--- /dev/null
+++ b/cypressledge/decisions/load_reports.py
@@ -0,0 +1,38 @@
+"""Engines' load reports: how busy they are with all brokers' work."""
+
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import AttemptEnded
+from cypressledge.decisions.engines import Engine
+from cypressledge.decisions.request import Request
+from cypressledge.decisions.units import EWMA
+
+INITIAL_LOAD = 0.5  # threads a core, before reports tell
+
+
+class LoadReports:
+    """The load of the reports, in threads a core, and how wide queries are."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context = context
+        self.mean_load = INITIAL_LOAD
+        self.load_spread = INITIAL_LOAD  # mean distance of a report from the mean
+        self._latency_sum = 0.0  # µs, running
+        self._thread_time_sum = 0.0  # µs of threads, running
+
+    def record_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
+        """Take an answer's report: busy cores, and threads a core beyond them."""
+        threads = request.class_settings.threads
+        self._latency_sum += ended.latency - EWMA * self._latency_sum
+        self._thread_time_sum += ended.latency * threads - EWMA * self._thread_time_sum
+        if not ended.load_report:
+            return
+        fields = self._context.settings.load_report_fields
+        report = dict(zip(fields, ended.load_report, strict=False))
+        load = report.get("util", 0.0)
+        queries_to_load = self._thread_time_sum / max(self._latency_sum, 1.0) / engine.cores
+        load += queries_to_load * report.get("queue", 0.0) + max(
+            queries_to_load * report.get("inflight", 0.0) - 1.0, 0.0
+        )
+        engine.reported_load, engine.reported_at = load, self._context.now
+        self.load_spread += EWMA * (abs(load - self.mean_load) - self.load_spread)
+        self.mean_load += EWMA * (load - self.mean_load)
--- /dev/null
+++ b/cypressledge/decisions/manager.py
@@ -0,0 +1,150 @@
+"""The workload manager: all decisions of one broker. Events come in, actions go out; it does no I/O.
+
+Requests wait in queues of their classes. Free capacity goes to the class that a weighted draw names, whose
+odds a PI loop tunes; a router chooses the engine. docs/design.md names each departure from the paper.
+"""
+
+from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from cypressledge.decisions.affinity import Affinity
+from cypressledge.decisions.attempt_resources import AttemptResources
+from cypressledge.decisions.attempts import AttemptControl
+from cypressledge.decisions.concurrency_limits import ConcurrencyLimits
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import (
+    Action,
+    AttemptEnded,
+    AttemptProgress,
+    ClientDisconnected,
+    EngineListReceived,
+    Event,
+    HealthCheckEnded,
+    RequestReceived,
+    Settings,
+    ShutdownStarted,
+    TimerFired,
+)
+from cypressledge.decisions.dispatch import AttemptStarter, Dispatcher
+from cypressledge.decisions.engines import Engine, EngineRegistry
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.health import HealthMonitor
+from cypressledge.decisions.housekeeping import Housekeeping
+from cypressledge.decisions.inspection import Inspection
+from cypressledge.decisions.lifecycle import RequestLifecycle
+from cypressledge.decisions.load_reports import LoadReports
+from cypressledge.decisions.lost_responses import LostResponses
+from cypressledge.decisions.odds import OddsController
+from cypressledge.decisions.outcomes import AnswerObservers, AttemptOutcomes
+from cypressledge.decisions.pace import FleetPace
+from cypressledge.decisions.progress import ProgressNotifications
+from cypressledge.decisions.queues import ClassQueues
+from cypressledge.decisions.request import Request
+from cypressledge.decisions.retries import RetryBudget, RetryPolicy
+from cypressledge.decisions.routing import Router
+from cypressledge.decisions.slow_start import SlowStart
+from cypressledge.decisions.subscription import SUBSCRIPTION_TIMER, EngineListSubscription
+
+
+class WorkloadManager:
+    """The decisions of one broker: `handle` takes what happened and returns what to do."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.context = context = DecisionContext(settings, Random(seed))
+        self.registry = registry = EngineRegistry(context)
+        self.estimates = estimates = ClassEstimates(context)
+        self.odds = odds = OddsController(len(settings.classes))
+        self.pace = pace = FleetPace(estimates)
+        self.affinity = affinity = Affinity(context, registry, estimates)
+        self.subscription = EngineListSubscription(context, registry, affinity)
+        self.queues = queues = ClassQueues(context, pace)
+        self.retry_budget = RetryBudget(context)
+        retry_policy = RetryPolicy(context, self.retry_budget)
+        attempts = AttemptControl(context, retry_policy)
+        self.lifecycle = lifecycle = RequestLifecycle(
+            context, estimates, affinity, self.retry_budget, attempts, odds, queues
+        )
+        self.limits = limits = ConcurrencyLimits(context, registry, pace, estimates)
+        slow_start = SlowStart(context, estimates)
+        health = HealthMonitor(context, registry, slow_start)
+        load_reports = LoadReports(context)
+        resources = AttemptResources(context, estimates)
+        self.lost_responses = LostResponses(context, estimates, attempts, lifecycle)
+        self.router = Router(context, registry, affinity, limits, slow_start, health, load_reports, pace)
+        starter = AttemptStarter(
+            context, odds, self.retry_budget, estimates, limits, slow_start, health, resources
+        )
+        self.dispatcher = Dispatcher(context, odds, queues, self.router, lifecycle, retry_policy, starter)
+        inspection = Inspection(
+            context, registry, affinity, estimates, resources, health, self.lost_responses, attempts
+        )
+        self.housekeeping = Housekeeping(
+            context, registry, estimates, odds, pace, affinity, queues, lifecycle, limits, inspection
+        )
+        observers = AnswerObservers(estimates, pace, limits, health, load_reports, self.lost_responses)
+        outcomes = AttemptOutcomes(context, registry, lifecycle, queues, retry_policy, observers)
+        progress = ProgressNotifications(context, estimates, attempts, lifecycle)
+        self._is_started = False
+        self._reactions = self._reactions_by_event(outcomes, progress)
+
+    def _reactions_by_event(
+        self, outcomes: AttemptOutcomes, progress: ProgressNotifications
+    ) -> dict[type, Callable[[Any], None]]:
+        return {
+            EngineListReceived: self.subscription.list_received,
+            RequestReceived: self.lifecycle.receive,
+            AttemptEnded: outcomes.attempt_ended,
+            AttemptProgress: progress.received,
+            ClientDisconnected: self.lifecycle.client_disconnected,
+            TimerFired: self._timer_fired,
+            HealthCheckEnded: lambda event: None,
+            ShutdownStarted: lambda event: self.lifecycle.shut_down(),
+        }
+
+    def configure(self, settings: Settings) -> None:
+        """Take changed settings; the classes are as many, in the same order."""
+        self.context.settings = settings
+        self.limits.configure()
+        self.router.configure()
+
+    @property
+    def settings(self) -> Settings:
+        """The settings in force."""
+        return self.context.settings
+
+    @property
+    def engines(self) -> dict[int, Engine]:
+        """Engines by id: those listed, and those removed where attempts still run."""
+        return self.registry.engines
+
+    @property
+    def latency_ratios(self) -> list[float]:
+        """By class: latency over run time of recent answers, over all engines."""
+        return self.estimates.latency_ratios
+
+    @property
+    def requests(self) -> dict[int, Request]:
+        """Open requests by id."""
+        return self.lifecycle.requests
+
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
+        """Take the events of one moment, µs; return the actions in order."""
+        context = self.context
+        context.now, context.actions = now, []
+        if not self._is_started:
+            self._is_started = True
+            self.housekeeping.start()
+            self.subscription.start()
+        for event in events:
+            self._reactions[type(event)](event)
+        self.housekeeping.run()
+        self.dispatcher.dispatch()
+        self.housekeeping.ask_for_timer()
+        return context.actions
+
+    def _timer_fired(self, event: TimerFired) -> None:
+        if event.token == SUBSCRIPTION_TIMER:
+            self.subscription.subscribe()
+        else:
+            self.lifecycle.expire()
--- /dev/null
+++ b/cypressledge/decisions/odds.py
@@ -0,0 +1,86 @@
+"""Odds of the classes: a proportional-integral (PI) loop, and the weighted draw of the next class.
+
+Proportional delay differentiation holds the ratios of the classes' mean queueing delays at references. For
+n classes there are n - 1 overlapping loops, one for each pair of neighbours j and j + 1. Each has the odds
+ratio x_j = P(j + 1) / P(j) as its output, and each period changes it by
+
+    e(k) = reference(j) / reference(j + 1) - delay(j) / delay(j + 1)
+    x(k + 1) = x(k) + K0 e(k) - K1 e(k - 1)
+
+Source: Pan et al., Feedback Control-based Database Connection Management for Proportional Delay
+Differentiation-enabled Web Application Servers, Equations 11 and 12. The clamps are departures, named in
+docs/design.md.
+"""
+
+from collections.abc import Callable, Sequence
+from random import Random
+
+from cypressledge.decisions.request import Request
+
+GAIN_CURRENT_ERROR = 0.42  # K0, on e(k) (Pan et al., Eq. 11)
+GAIN_PREVIOUS_ERROR = 0.1  # K1, on e(k - 1) (Pan et al., Eq. 11)
+RATIO_LIMIT = 16.0  # x stays within 1/16..16, so that no class starves and the integral can't run away
+ERROR_LIMIT = 2.0  # largest |e|: one unusual period moves x by less than one
+MIN_SAMPLES = 3  # delays a class needs in a period before the loop trusts their mean
+
+
+class OddsController:
+    """Odds of each class, from the delays that are recorded between two updates."""
+
+    def __init__(self, class_count: int) -> None:
+        self.odds = [1.0 / class_count] * class_count  # P: probabilities of the classes, which sum to one
+        self.ratios = [1.0] * (class_count - 1)  # x: one for each pair of neighbour classes
+        self.previous_errors = [0.0] * (class_count - 1)  # e(k - 1)
+        self.delay_sums = [0.0] * class_count  # µs, since the class last had enough samples
+        self.sample_counts = [0] * class_count
+
+    def record_delay(self, class_index: int, delay: int) -> None:
+        """A request of the class has waited this long, in µs, for its first attempt or in vain."""
+        self.delay_sums[class_index] += delay
+        self.sample_counts[class_index] += 1
+
+    def update(self, reference: Callable[[int], float], shortest_delay: int) -> None:
+        """One period of all loops; delays count as `shortest_delay` µs at least, and tell nothing there."""
+        class_count = len(self.odds)
+        means = [self.delay_sums[c] / max(self.sample_counts[c], 1) for c in range(class_count)]
+        delays = [max(mean, shortest_delay) for mean in means]
+        enough = [count >= MIN_SAMPLES for count in self.sample_counts]
+        for j in range(class_count - 1):
+            if not (enough[j] and enough[j + 1]) or max(delays[j], delays[j + 1]) <= shortest_delay:
+                continue  # too few delays to tell: hold the integral
+            error = reference(j) / reference(j + 1) - delays[j] / delays[j + 1]
+            self._step(j, max(-ERROR_LIMIT, min(ERROR_LIMIT, error)))
+        self._normalise()
+        for c in range(class_count):
+            if enough[c]:
+                self.delay_sums[c], self.sample_counts[c] = 0.0, 0
+
+    def _step(self, j: int, error: float) -> None:
+        """The incremental PI law for one pair of neighbours."""
+        ratio = self.ratios[j] + GAIN_CURRENT_ERROR * error - GAIN_PREVIOUS_ERROR * self.previous_errors[j]
+        self.ratios[j] = max(1 / RATIO_LIMIT, min(RATIO_LIMIT, ratio))
+        self.previous_errors[j] = error
+
+    def _normalise(self) -> None:
+        """Odds that have the ratios, and sum to one (Pan et al., Eq. 12)."""
+        weights = [1.0]
+        for ratio in self.ratios:
+            weights.append(weights[-1] * ratio)
+        total = sum(weights)
+        self.odds = [weight / total for weight in weights]
+
+    def draw(self, heads: Sequence[Request | None], random: Random) -> Request | None:
+        """One of the heads of the classes' queues, by the odds of those that have one; None without any."""
+        odds = self.odds
+        total = sum(odds[c] for c, head in enumerate(heads) if head)
+        if not total:
+            return None
+        remaining = random.random() * total
+        drawn = None
+        for c, head in enumerate(heads):
+            if head:
+                remaining -= odds[c]
+                drawn = head
+                if remaining <= 0:
+                    break
+        return drawn
--- /dev/null
+++ b/cypressledge/decisions/outcomes.py
@@ -0,0 +1,114 @@
+"""What the end of an attempt means for its request, its engine and the estimates."""
+
+from dataclasses import dataclass
+
+from cypressledge.decisions.concurrency_limits import ConcurrencyLimits
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import NEVER_EXECUTED, AttemptEnded, Idempotency, Outcome
+from cypressledge.decisions.engines import Engine, EngineRegistry
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.health import HealthMonitor
+from cypressledge.decisions.lifecycle import RequestLifecycle
+from cypressledge.decisions.load_reports import LoadReports
+from cypressledge.decisions.lost_responses import LostResponses
+from cypressledge.decisions.pace import FleetPace
+from cypressledge.decisions.queues import ClassQueues
+from cypressledge.decisions.request import Request
+from cypressledge.decisions.retries import RetryPolicy, window_end
+
+
+@dataclass(frozen=True, slots=True)
+class AnswerObservers:
+    """All that learns from an answer."""
+
+    estimates: ClassEstimates
+    pace: FleetPace
+    limits: ConcurrencyLimits
+    health: HealthMonitor
+    load_reports: LoadReports
+    lost_responses: LostResponses
+
+
+class AttemptOutcomes:
+    """Takes the ends of attempts."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        registry: EngineRegistry,
+        lifecycle: RequestLifecycle,
+        queues: ClassQueues,
+        retry_policy: RetryPolicy,
+        observers: AnswerObservers,
+    ) -> None:
+        self._context = context
+        self._registry = registry
+        self._lifecycle = lifecycle
+        self._queues = queues
+        self._retry_policy = retry_policy
+        self._observers = observers
+
+    def attempt_ended(self, ended: AttemptEnded) -> None:
+        """Take the end of an attempt: free its capacity, learn from it, then retry or end its request."""
+        engine = self._registry.engines.get(ended.engine)
+        if engine is None:
+            return
+        request = engine.in_flight.get(ended.request)
+        if request is None or request.attempts - 1 != ended.attempt:
+            return
+        self._release(engine, request)
+        self._learn(engine, request, ended)
+        request.engine, request.cancelling = None, False
+        if ended.outcome not in NEVER_EXECUTED and request.may_have_executed_since is None:
+            request.may_have_executed_since, request.may_have_executed_on = request.sent_at, engine
+        self._lifecycle.key_order.record_end(request, ended.outcome)
+        if request.finished:
+            self._lifecycle.forget(request)
+        elif ended.final:
+            self._lifecycle.finish(request)
+        else:
+            self._retry(request, engine)
+
+    def _release(self, engine: Engine, request: Request) -> None:
+        del engine.in_flight[request.id]
+        self._observers.limits.release(engine, request)
+        if request.class_settings.is_load:
+            engine.loads_in_flight[request.table_group] -= 1
+
+    def _retry(self, request: Request, failed_engine: Engine) -> None:
+        """Queue the request for another attempt, or give it up."""
+        reason = self._retry_policy.reason_against_retry(request)
+        if reason is not None:
+            self._lifecycle.give_up(request, reason)
+            return
+        request.avoided_engine = failed_engine
+        class_settings, may_have_executed_since = request.class_settings, request.may_have_executed_since
+        if class_settings.idempotency is Idempotency.WITH_KEY and may_have_executed_since is not None:
+            # it waits within its deduplication window only
+            end = window_end(class_settings, may_have_executed_since)
+            self._lifecycle.deadlines.schedule(end, request.id)
+        self._queues.enqueue(request)
+
+    def _learn(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
+        """Learn from one outcome: costs, needs, the engine's pace and health."""
+        outcome, observers = ended.outcome, self._observers
+        if outcome is Outcome.OK:
+            self._learn_from_answer(engine, request, ended)
+        elif outcome is Outcome.ERROR:
+            observers.health.record_error(engine)
+        elif outcome is Outcome.REJECTED:
+            observers.limits.record_rejection(engine)
+        elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
+            observers.health.record_connection_failure(engine, outcome)
+
+    def _learn_from_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
+        observers, class_settings = self._observers, request.class_settings
+        if class_settings.blocked_by_loads:
+            engine.blocked_until.pop(request.table_group, None)  # it ran: no load blocks the group now
+        observers.lost_responses.record_answer()
+        observers.health.record_answer(engine)
+        run_time = observers.estimates.record_answer(request, ended)
+        observers.pace.record_answer(engine, ended.latency, run_time)
+        observers.load_reports.record_answer(engine, request, ended)
+        stretch = class_settings.latency_objective_stretch * run_time
+        observers.limits.record_answer(engine, request, class_settings.latency_objective + stretch)
--- /dev/null
+++ b/cypressledge/decisions/queues.py
@@ -0,0 +1,107 @@
+"""Queues of the classes: shortest first among requests that can meet their latency objective, then late ones.
+
+A class's queue has a row for each group where loads can block it, so that a group without a free engine keeps
+no other group of the class waiting.
+"""
+
+from collections.abc import Callable, Container, Iterator
+from heapq import heappop, heappush
+from itertools import chain
+
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.pace import OVERLOAD_SLOWDOWN, FleetPace
+from cypressledge.decisions.request import Request
+
+Row = list[tuple[float, int, Request]]  # heap of run time in µs, order of queueing, request
+Rows = dict[int, Row]
+
+
+class ClassQueues:
+    """Requests that wait for an engine, by class and row."""
+
+    def __init__(self, context: DecisionContext, pace: FleetPace) -> None:
+        self._context = context
+        self._pace = pace
+        class_count = len(context.settings.classes)
+        self._on_time: list[Rows] = [{} for _ in range(class_count)]
+        self._late: list[Rows] = [{} for _ in range(class_count)]
+        self._queued = 0  # number of the last request queued: breaks ties in order of queueing
+
+    def enqueue(self, request: Request) -> None:
+        """Have the request wait for an engine."""
+        request.queued = True
+        self._push(self._on_time, request)
+
+    def waiting_for_first_attempt(self) -> Iterator[Request]:
+        """Requests that wait and have had no attempt yet."""
+        for rows in self._on_time + self._late:
+            for _, _, request in chain.from_iterable(rows.values()):
+                if request.queued and request.attempts == 0:
+                    yield request
+
+    def head(
+        self, class_index: int, blocked_rows: Container[int], reject_late: Callable[[Request], None]
+    ) -> Request | None:
+        """The next request of a class outside the blocked rows; late ones not worth serving are rejected."""
+
+        def postpone(request: Request) -> None:
+            if self._is_worth_serving_late(request):
+                self._push(self._late, request)
+            else:
+                reject_late(request)
+
+        head = None
+        if rows := self._on_time[class_index]:
+            head = self._head_of(rows, blocked_rows, self._can_meet_objective, postpone)
+        if head is None and (rows := self._late[class_index]):
+            head = self._head_of(rows, blocked_rows, self._can_meet_deadline, reject_late)
+        return head
+
+    @staticmethod
+    def _head_of(
+        rows: Rows,
+        blocked_rows: Container[int],
+        is_servable: Callable[[Request], bool],
+        discard: Callable[[Request], None],
+    ) -> Request | None:
+        """The shortest of the rows' heads, after those that can't be served any more were discarded."""
+        free = [row for row in rows if row not in blocked_rows]
+        for row in free:
+            _discard_unservable(rows, row, is_servable, discard)
+        if heads := [rows[row][0] for row in free if row in rows]:
+            return min(heads)[2]
+        return None
+
+    def _push(self, queues: list[Rows], request: Request) -> None:
+        self._queued += 1
+        row = queues[request.class_index].setdefault(request.queue_row, [])
+        heappush(row, (request.run_time, self._queued, request))
+
+    def _can_meet_objective(self, request: Request) -> bool:
+        return self._context.now + request.run_time <= request.objective_at
+
+    def _can_meet_deadline(self, request: Request) -> bool:
+        in_time = self._context.now + request.run_time <= request.deadline
+        return in_time and self._pace.slowdown <= OVERLOAD_SLOWDOWN
+
+    def _is_worth_serving_late(self, request: Request) -> bool:
+        if not request.class_settings.late_priority_weight:
+            return False
+        in_time = self._context.now + request.run_time < request.deadline
+        return in_time and self._pace.slowdown < OVERLOAD_SLOWDOWN
+
+
+def _discard_unservable(
+    rows: Rows, row: int, is_servable: Callable[[Request], bool], discard: Callable[[Request], None]
+) -> None:
+    """Take away heads of the row that left the queue another way, or can't be served in time any more."""
+    queue = rows[row]
+    while queue:
+        request = queue[0][2]
+        is_waiting = request.queued and request.engine is None
+        if is_waiting and is_servable(request):
+            return
+        heappop(queue)
+        if is_waiting:
+            discard(request)
+    del rows[row]
--- /dev/null
+++ b/cypressledge/decisions/request.py
@@ -0,0 +1,66 @@
+"""A request as the decisions see it: owed an answer, or with an attempt whose outcome has not come yet."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from cypressledge.decisions.contract import ClassSettings, RequestReceived
+
+if TYPE_CHECKING:
+    from cypressledge.decisions.engines import Engine
+
+
+@dataclass(slots=True, eq=False)
+class Request:
+    """State of one request; moments and spans are in µs, compared by identity."""
+
+    id: int
+    class_index: int
+    class_settings: ClassSettings
+    received_at: int
+    deadline: int  # the client waits no longer
+    key: int  # ordering or deduplication key; 0: none
+    table_group: int  # the tables that the request reads or loads
+    estimated_cost: int  # µs of work as the client or broker estimates it; 0: no estimate
+    cost: float  # µs of work, corrected by what such requests turned out to cost
+    run_time: float  # µs, the cost over the threads that it runs on
+    memory_mb: float  # estimated; 0: no estimate
+    queue_row: int  # row of the class's queue: its group where loads can block it, else 0
+    objective_at: int  # moment at which the latency objective of its class ends
+    attempts: int = 0  # attempts started
+    engine: Engine | None = None  # where an attempt runs
+    sent_at: int = 0  # moment of the last attempt's start
+    heard_at: int = 0  # last news of the attempt
+    reserved_memory_mb: float = 0.0  # counted against the engine while the attempt runs
+    resources: tuple[float, int] | None = None  # grant in MB and priority, as last set
+    may_have_executed_since: int | None = None  # start of the first attempt that may have been executed
+    may_have_executed_on: Engine | None = None  # engine of that attempt
+    avoided_engine: Engine | None = None  # engine of the last attempt that failed
+    queued: bool = False
+    finished: bool = False  # nothing more is owed to the client
+    cancelling: bool = False  # the attempt was cancelled; its outcome is still to come
+    blocked: bool = False  # the engine said that the attempt waits
+    response_lost: bool = False
+
+
+def new_request(received: RequestReceived, class_settings: ClassSettings, now: int, cost: float) -> Request:
+    """The state of a request that has just come, with its corrected cost in µs of work."""
+    run_time = cost / class_settings.threads
+    objective = class_settings.latency_objective + int(class_settings.latency_objective_stretch * run_time)
+    has_rows = class_settings.blocked_by_loads or class_settings.is_load
+    return Request(
+        id=received.request,
+        class_index=received.class_index,
+        class_settings=class_settings,
+        received_at=now,
+        deadline=received.deadline,
+        key=received.key,
+        table_group=received.table_group,
+        estimated_cost=received.cost,
+        cost=cost,
+        run_time=run_time,
+        memory_mb=received.memory_mb,
+        queue_row=received.table_group if has_rows else 0,
+        objective_at=now + min(objective, class_settings.deadline),
+    )
--- /dev/null
+++ b/cypressledge/decisions/retries.py
@@ -0,0 +1,112 @@
+"""Retries: the budget of further attempts, and when a request may be sent to an engine again."""
+
+from collections import deque
+
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import ClassSettings, DeduplicationScope, Idempotency, Reason
+from cypressledge.decisions.deadlines import DEADLINE_MARGIN
+from cypressledge.decisions.engines import Engine
+from cypressledge.decisions.request import Request
+from cypressledge.decisions.units import MS
+
+WINDOW_MARGIN = 600 * MS  # before a deduplication window ends: a send may wait 500 ms for its connection
+
+
+class RetryBudget:
+    """Retries allowed over a sliding window: a fixed number, and a part of the requests received in it."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context = context
+        self._received: deque[int] = deque()  # moments, µs
+        self._retries: deque[int] = deque()
+
+    def record_request(self) -> None:
+        """A request was received."""
+        if self._context.settings.retry_budget_ratio is not None:
+            self._received.append(self._context.now)
+
+    def withdraw_request(self, received_at: int) -> None:
+        """A request was never sent, and its client has left: it allows no retry.
+
+        Guards against clients that take back hundreds of requests at once.
+        """
+        if self._received and self._received[0] <= received_at:
+            self._received.remove(received_at)
+
+    def record_retry(self) -> None:
+        """A retry was started."""
+        if self._context.settings.retry_budget_ratio is not None:
+            self._retries.append(self._context.now)
+
+    def allows_retry(self) -> bool:
+        """Whether one more retry keeps within the budget, whenever it leaves."""
+        settings, now = self._context.settings, self._context.now
+        if settings.retry_budget_ratio is None:
+            return True
+        slack = settings.timer_resolution + settings.max_send_delay
+        _drop_until(self._received, now - settings.retry_budget_window + slack)
+        _drop_until(self._retries, now - settings.retry_budget_window - slack)
+        allowed = settings.retry_budget_floor + settings.retry_budget_ratio * len(self._received)
+        return len(self._retries) + 1 <= allowed
+
+
+class RetryPolicy:
+    """Whether a request gets another attempt: attempts, time, budget and the idempotency of its class."""
+
+    def __init__(self, context: DecisionContext, budget: RetryBudget) -> None:
+        self._context = context
+        self._budget = budget
+
+    def reason_against_retry(self, request: Request) -> Reason | None:
+        """What keeps the request from another attempt; None where nothing does."""
+        if request.attempts >= self._context.settings.max_attempts:
+            return Reason.ATTEMPTS_USED
+        if self._context.now + request.run_time > request.deadline - DEADLINE_MARGIN:
+            return Reason.NO_TIME
+        return self.reason_against_sending(request)
+
+    def reason_against_sending(self, request: Request) -> Reason | None:
+        """What keeps a retry from leaving now: asked again as an engine becomes free, which may be late."""
+        if not self._budget.allows_retry():
+            return Reason.RETRY_BUDGET
+        since = request.may_have_executed_since
+        return reason_against_repeat(request.class_settings, since, self._context.now)
+
+
+def _drop_until(moments: deque[int], last: int) -> None:
+    while moments and moments[0] <= last:
+        moments.popleft()
+
+
+def window_end(class_settings: ClassSettings, may_have_executed_since: int) -> int:
+    """Last moment, µs, at which a request with a key that may have been executed since then is sent again."""
+    return may_have_executed_since + class_settings.deduplication_window - WINDOW_MARGIN
+
+
+def reason_against_repeat(
+    class_settings: ClassSettings, may_have_executed_since: int | None, now: int
+) -> Reason | None:
+    """What keeps a request that may have been executed from being sent again now; None where nothing does.
+
+    `may_have_executed_since` is the start of the first attempt that may have been executed, None without any.
+    """
+    if may_have_executed_since is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
+        return None
+    if class_settings.idempotency is not Idempotency.WITH_KEY:
+        return Reason.MAY_HAVE_EXECUTED
+    if now < window_end(class_settings, may_have_executed_since):
+        return None
+    return Reason.DEDUPLICATION_WINDOW_OVER
+
+
+def deduplicates(class_settings: ClassSettings, first: Engine, engine: Engine) -> bool:
+    """Whether an engine drops the repeat of a request that may have been executed at the first one.
+
+    No engine is ruled out for classes that aren't idempotent by a key.
+    """
+    scope = class_settings.deduplication_scope
+    if class_settings.idempotency is not Idempotency.WITH_KEY or scope is DeduplicationScope.ALL:
+        return True
+    if scope is DeduplicationScope.ZONE:
+        return engine.zone == first.zone
+    return engine.cell == first.cell
--- /dev/null
+++ b/cypressledge/decisions/routing.py
@@ -0,0 +1,200 @@
+"""Routing: the engine for a request, the one of least cost among those that may take it; ties at random.
+
+A cost is in threads a core: own work in flight, and terms of the same unit for what speaks against an engine.
+"""
+
+from collections.abc import Collection, Sequence
+from dataclasses import dataclass
+
+from cypressledge.decisions.affinity import Affinity
+from cypressledge.decisions.concurrency_limits import ConcurrencyLimits
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.contract import ClassSettings
+from cypressledge.decisions.engines import Engine, EngineRegistry
+from cypressledge.decisions.health import HealthMonitor
+from cypressledge.decisions.load_reports import LoadReports
+from cypressledge.decisions.pace import FleetPace
+from cypressledge.decisions.request import Request
+from cypressledge.decisions.retries import deduplicates
+from cypressledge.decisions.slow_start import SlowStart
+from cypressledge.decisions.units import MS
+
+REPORT_WEIGHT = 2.0  # of others' reported load against own threads a core: own work is only a sample
+REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about as long as the dearer work runs
+OWN_ENGINES_MIN = 3  # engines that a broker keeps to at the least; one more for every two answers a second
+OTHER_ENGINE_COST = 1.0  # of any engine that is not the broker's own, in threads a core
+UNCACHED_COST = 0.25  # of engines that are not the group's own, in threads a core
+BLOCKED_COST = 2.0  # of an engine where a load blocks the group, in threads a core
+FAILED_COST = 2.0  # of an engine that just failed the request or rejects, in threads a core
+RESERVED_COST = 0.5  # to a class free to go anywhere, of engines that another class must use
+LOAD_ENGINE_COST = 2.0  # to what loads block, of engines that the group's loads go to
+NOT_LOAD_ENGINE_COST = 1.0  # to a load, of engines that its group's loads do not go to
+TIE = 1e-9  # difference of costs, in threads a core, up to which they are equal
+
+
+@dataclass(slots=True)
+class RoutingFacts:
+    """What the cost of an engine depends on besides the engine, worked out once for each choice."""
+
+    request: Request
+    threads: int  # that the request runs on
+    table_group: int
+    now: int  # µs
+    fleet_slowdown: float
+    mean_load: float  # threads a core, of load reports
+    load_spread: float
+    distances: dict[Engine, float]  # from the broker's own engines
+    group_engines: Collection[Engine]
+    load_engines: Collection[Engine]
+
+
+class Router:
+    """Chooses engines for requests."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        registry: EngineRegistry,
+        affinity: Affinity,
+        limits: ConcurrencyLimits,
+        slow_start: SlowStart,
+        health: HealthMonitor,
+        load_reports: LoadReports,
+        pace: FleetPace,
+    ) -> None:
+        self._context = context
+        self._registry = registry
+        self._affinity = affinity
+        self._limits = limits
+        self._slow_start = slow_start
+        self._health = health
+        self._load_reports = load_reports
+        self._pace = pace
+        self._random = context.random.random
+        self.configure()
+
+    def configure(self) -> None:
+        """Take the context's settings."""
+        settings = self._context.settings
+        self._reserved_kinds = frozenset().union(*(c.required_kinds or () for c in settings.classes))
+        self._reserved_zones = frozenset().union(*(c.required_zones or () for c in settings.classes))
+        self._reserves_engines = bool(self._reserved_kinds or self._reserved_zones)
+        self._report_weight = REPORT_WEIGHT * (1.0 - 1.0 / settings.broker_count)
+
+    def choose(self, request: Request) -> Engine | None:
+        """The allowed engine with capacity and the least cost; None without any."""
+        limits, slow_start, health = self._limits, self._slow_start, self._health
+        room = limits.room_for_short_work(request)
+        if not limits.fleet_has_room(request, room):
+            return None
+        facts = self._facts(request)
+        least = 0.0
+        ties: list[Engine] = []
+        for engine in self._candidates(request):
+            # The order counts: a limit that is met last marks its engine as one that a request waited for.
+            if engine.ejected and not health.allows_trial(engine, request):
+                continue
+            if not slow_start.has_budget(engine, request.class_index):
+                continue
+            if not limits.engine_has_room(engine, request, room):
+                continue
+            cost = self._cost(engine, facts)
+            if not ties or cost < least - TIE:
+                least, ties = cost, [engine]
+            elif cost < least + TIE:
+                ties.append(engine)
+        return self._context.random.choice(ties) if ties else None
+
+    def _candidates(self, request: Request) -> Sequence[Engine]:
+        """Engines that the rules on kinds, zones, repeats and loads leave for the request."""
+        class_settings = request.class_settings
+        engines = self._registry.ready
+        if (kinds := class_settings.required_kinds) is not None:
+            engines = [engine for engine in engines if engine.kind in kinds]
+        if (zones := class_settings.required_zones) is not None:
+            engines = [engine for engine in engines if engine.zone in zones]
+        if (first := request.may_have_executed_on) is not None:
+            engines = [engine for engine in engines if deduplicates(class_settings, first, engine)]
+        if class_settings.is_load or class_settings.blocked_by_loads:
+            excluded = self._affinity.excluded_engines(request)
+            engines = [engine for engine in engines if engine not in excluded]
+        if class_settings.is_load:
+            starts_soon = self._affinity.load_would_start_soon
+            engines = [engine for engine in engines if starts_soon(engine, request)]
+        return engines
+
+    def _facts(self, request: Request) -> RoutingFacts:
+        affinity, class_settings, group = self._affinity, request.class_settings, request.table_group
+        is_load = class_settings.is_load
+        has_load_engines = is_load or class_settings.blocked_by_loads
+        return RoutingFacts(
+            request=request,
+            threads=class_settings.threads,
+            table_group=group,
+            now=self._context.now,
+            fleet_slowdown=self._pace.slowdown,
+            mean_load=self._load_reports.mean_load,
+            load_spread=self._load_reports.load_spread,
+            distances=affinity.distances_from_own(OWN_ENGINES_MIN + int(self._pace.answer_rate / 2)),
+            group_engines=self._registry.ready if is_load else affinity.group_engines(group),
+            load_engines=affinity.load_engines(group) if has_load_engines else (),
+        )
+
+    # Cost terms, each in threads a core; they are added in this order.
+
+    def _cost(self, engine: Engine, facts: RoutingFacts) -> float:
+        request = facts.request
+        class_settings = request.class_settings
+        cost = _own_load_cost(engine, facts)
+        cost += self._reported_load_cost(engine, facts)
+        cost += _affinity_cost(engine, facts)
+        if class_settings.blocked_by_loads or class_settings.is_load:
+            cost += _blocked_cost(engine, facts)
+            cost += _load_placement_cost(engine, facts)
+        if engine is request.avoided_engine or facts.now < engine.rejected_until:
+            cost += FAILED_COST
+        if self._reserves_engines and self._is_reserved(engine, class_settings):
+            cost += RESERVED_COST
+        return cost
+
+    def _reported_load_cost(self, engine: Engine, facts: RoutingFacts) -> float:
+        """Others' load as the engine last reported it; the older a report, the more of it is guessed."""
+        known = 1.0 / (1.0 + (facts.now - engine.reported_at) / REPORT_HALF_LIFE)
+        deviation = 2.0 * self._random() - 1.0
+        guess = (1.0 - known) * facts.load_spread * deviation * (engine.reported_at > 0)
+        return self._report_weight * (known * (engine.reported_load - facts.mean_load) + guess)
+
+    def _is_reserved(self, engine: Engine, class_settings: ClassSettings) -> bool:
+        """Whether another class must use the engine, while the request's class may go anywhere."""
+        if class_settings.required_kinds is not None or class_settings.required_zones is not None:
+            return False
+        return engine.kind in self._reserved_kinds or engine.zone in self._reserved_zones
+
+
+def _own_load_cost(engine: Engine, facts: RoutingFacts) -> float:
+    """This broker's threads a core with the request, by how much slower than all the engine answers."""
+    load = (engine.threads + facts.threads) / engine.cores
+    relative_slowdown = engine.slowdown / facts.fleet_slowdown
+    return load * (relative_slowdown if relative_slowdown > 1.0 else 1.0)
+
+
+def _affinity_cost(engine: Engine, facts: RoutingFacts) -> float:
+    """Of engines that aren't the group's own, and of warm ones that aren't the broker's own."""
+    is_warm = facts.now >= engine.warm_at
+    return (
+        engine not in facts.group_engines
+    ) * UNCACHED_COST + is_warm * OTHER_ENGINE_COST * facts.distances[engine]
+
+
+def _blocked_cost(engine: Engine, facts: RoutingFacts) -> float:
+    """Of an engine where loads block the group."""
+    is_blocked = engine.blocked_until.get(facts.table_group, 0) > facts.now
+    return BLOCKED_COST * max(engine.loads_in_flight.get(facts.table_group, 0), is_blocked)
+
+
+def _load_placement_cost(engine: Engine, facts: RoutingFacts) -> float:
+    """Keeps loads to engines of their own, and what they block away from these."""
+    is_load_engine = engine in facts.load_engines
+    if facts.request.class_settings.is_load:
+        return (not is_load_engine) * NOT_LOAD_ENGINE_COST
+    return is_load_engine * LOAD_ENGINE_COST
--- /dev/null
+++ b/cypressledge/decisions/slow_start.py
@@ -0,0 +1,59 @@
+"""Slow start: the budget of work that an engine which warms up, or is on trial, gets from all brokers."""
+
+from cypressledge.decisions.affinity import rank_hash
+from cypressledge.decisions.context import DecisionContext
+from cypressledge.decisions.engines import Engine
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.request import Request
+
+FEW_REQUESTS = 8  # requests of a class that a budget must hold for a share of it to be drawn by chance
+SAFETY = 0.6  # part of the budget that is used: the engine's speed and the spread of work are not known
+RECENT_SENDS_MAX = 400  # sends that are remembered of each engine
+
+
+class SlowStart:
+    """This broker's share of the budgets of engines that warm up."""
+
+    def __init__(self, context: DecisionContext, estimates: ClassEstimates) -> None:
+        self._context = context
+        self._estimates = estimates
+
+    def restart(self, engine: Engine) -> None:
+        """The engine's process has ended: it warms up from now on."""
+        engine.warm_at = self._context.now + self._context.settings.slow_start_window
+
+    def record_send(self, engine: Engine, request: Request) -> None:
+        """An attempt was sent to the engine; those that it rejects count too."""
+        work = self._estimates.work[request.class_index]
+        engine.recent_sends.append((self._context.now, work))
+        engine.recent_work += work
+        if len(engine.recent_sends) > RECENT_SENDS_MAX:
+            engine.recent_work -= engine.recent_sends.popleft()[1]
+
+    def has_budget(self, engine: Engine, class_index: int) -> bool:
+        """Whether this broker's share of the engine's budget takes one more request of the class.
+
+        A share under one request is a chance of one, so that all brokers together send the budget but for
+        scatter. Work of which the whole budget holds few needs a whole share.
+        """
+        now = self._context.now
+        if now >= engine.warm_at and not engine.ejected:
+            return True
+        settings = self._context.settings
+        window = max(settings.overload_window, 1)
+        work = self._work_to_count(class_index)
+        sends = engine.recent_sends
+        while sends and sends[0][0] < now - window - settings.timer_resolution:
+            engine.recent_work -= sends.popleft()[1]
+        budget = settings.overload_multiple * settings.slow_start_capacity * engine.cores * window * SAFETY
+        if work * FEW_REQUESTS < budget:
+            turn = (now + settings.broker_index * window // settings.broker_count) // window
+            work *= rank_hash(settings.broker_index + turn, engine.id) / 2.0**64
+        return engine.recent_work + work <= budget / settings.broker_count
+
+    def _work_to_count(self, class_index: int) -> float:
+        """Usual work of the class, µs; without estimates and answers, what its latency objective allows."""
+        estimates, class_settings = self._estimates, self._context.settings.classes[class_index]
+        is_unknown = estimates.answer_counts[class_index] < FEW_REQUESTS and not estimates.has_cost_estimates
+        allowed = is_unknown * class_settings.latency_objective * class_settings.threads
+        return max(estimates.work[class_index], allowed)
--- a/cypressledge/fleet/part.py
+++ b/cypressledge/fleet/part.py
@@ -224,7 +224,7 @@
             if e.state is not EngineState.REMOVED
             and (
                 self.core.engines.maintenance.effective_entry(p.name, e).state is not EngineState.READY
-                or (e.engine in held and held[e.engine].held_off)
+                or (e.engine in held and held[e.engine].ejected)
             )
         ]
         return figures(
--- a/cypressledge/fleet/zones.py
+++ b/cypressledge/fleet/zones.py
@@ -113,7 +113,7 @@
     def _expected(self, query) -> int:
         """µs that a query should take as engines answer its class now: if all are crowded, none is lost."""
         run = query.cost / max(1, self.core.settings.classes[query.class_index].threads)
-        return int(run * min(max(self.core.loop.manager.class_slow[query.class_index], 1.0), CROWDED))
+        return int(run * min(max(self.core.loop.manager.latency_ratios[query.class_index], 1.0), CROWDED))
 
     def _look(self, now: int) -> None:
         """At the attempts that are out: which have been quiet for long."""
--- a/cypressledge/lab/scaling.py
+++ b/cypressledge/lab/scaling.py
@@ -28,8 +28,8 @@
 from cypressledge.broker.requests import Endpoint
 from cypressledge.broker.stable_hash import stable_hash
 from cypressledge.config import ConfigError
-from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
+from cypressledge.decisions.manager import WorkloadManager
 from cypressledge.fleet import settings as fleet_settings
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import (
@@ -95,7 +95,7 @@
     told = parse_settings(SETTINGS | {"PeersTotal": peers, "Dcs": list(ZONES)})
     manager = WorkloadManager(told, seed)
     manager.handle(S, [c.EngineListReceived(c.EngineListKind.FULL, entries(engines))])
-    manager.rate = RATE  # as after some periods: how many engines a broker keeps to follows from it
+    manager.pace.answer_rate = RATE  # as after some periods: it sets how many engines a broker keeps to
     return manager
 
 
@@ -115,7 +115,7 @@
         """Let time pass, tick by tick; how many statements came."""
         before, end = self.number, self.now + round(seconds * S)
         while self.now < end:
-            self.now += self.manager.s.timer_resolution
+            self.now += self.manager.settings.timer_resolution
             events = [*self._arrivals(), *self._ended(), *self._timers()]
             if not events:
                 continue
--- a/cypressledge/lab/zonesize.py
+++ b/cypressledge/lab/zonesize.py
@@ -24,8 +24,8 @@
 
 from cypressledge.broker.request_ledger import DEADLINE_GRACE_US
 from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
-from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
+from cypressledge.decisions.manager import WorkloadManager
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.zoneplan import Pace
 from cypressledge.fleet.zones import Site, Zones
--- a/cypressledge/net/admin_api.py
+++ b/cypressledge/net/admin_api.py
@@ -104,7 +104,7 @@
         return fields
 
     def _engines(self) -> list[dict]:
-        attempts = {engine.id: len(engine.out) for engine in self.core.loop.manager.engines.values()}
+        attempts = {engine.id: len(engine.in_flight) for engine in self.core.loop.manager.engines.values()}
         return [
             {
                 "name": endpoint.name,
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -86,7 +86,7 @@
         if entry.state is not EngineState.REMOVED
     ]
     avoided = sum(
-        entry.state is not EngineState.READY or (entry.engine in known and known[entry.engine].held_off)
+        entry.state is not EngineState.READY or (entry.engine in known and known[entry.engine].ejected)
         for entry in listed
     )
     return len(listed), avoided
--- a/cypressledge/simulator_adapter.py
+++ b/cypressledge/simulator_adapter.py
@@ -10,8 +10,8 @@
 from typing import BinaryIO
 
 from cypressledge import simulator_wire as wire
-from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract as c
+from cypressledge.decisions.manager import WorkloadManager
 from cypressledge.settings import SettingsError, parse_settings_json
 from cypressledge.simulator_wire import EventCode, WireError
 
--- a/tests/recordings/decisions_recorder.py
+++ b/tests/recordings/decisions_recorder.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field, fields
 from itertools import count
 
-from cypressledge.control import WorkloadManager
 from cypressledge.decisions import contract
 from cypressledge.decisions.contract import Settings
+from cypressledge.decisions.manager import WorkloadManager
 
 SECOND = 1_000_000  # microseconds
 TICK = 5_000  # microseconds; events of one tick are told together
--- a/tests/recordings/time_decisions.py
+++ b/tests/recordings/time_decisions.py
@@ -10,7 +10,7 @@
 import time
 from dataclasses import replace
 
-from cypressledge.control import WorkloadManager
+from cypressledge.decisions.manager import WorkloadManager
 from tests.recordings.decisions_recorder import ClosedLoop, Scenario, Traffic
 from tests.recordings.decisions_scenarios import PLAIN
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from cypressledge.control import WorkloadManager
 from cypressledge.decisions.contract import (
     AttemptEnded,
     ClassSettings,
@@ -23,6 +22,7 @@
     StartTimer,
     TimerFired,
 )
+from cypressledge.decisions.manager import WorkloadManager
 
 TICK, SECOND = 5_000, 1_000_000
 START = 1_700_000_000 * SECOND
