--- a/tests/test_clickhouse.py
+++ b/tests/test_clickhouse.py
@@ -414,8 +414,8 @@
         def total(word):
             return sum(n for name, n in counts.items() if name.startswith(word + "."))
 
-        assert total("taken") == 2 * each
-        assert total("served") + total("refused") + total("failed") == 2 * each
+        assert total("accepted") == 2 * each
+        assert total("served") + total("rejected") + total("failed") == 2 * each
         assert total("broken") == 0
         assert counts["attempts.retry"] <= 3 + 0.1 * 2 * each
         assert lines.wants
