--- a/cypressledge/controlplane/server.py
+++ b/cypressledge/controlplane/server.py
@@ -56,7 +56,7 @@
 from cypressledge.controlplane.publisher import Publisher, PublisherLimits
 from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.settings import ControlSettings, ServerSpec, read_control_settings
-from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
+from cypressledge.controlplane.sqlite_storage import OpenMode, SqliteStorage, StorageUnusableError
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_validation import find_conflicts, validate_change
 from cypressledge.controlplane.state_values import StateError, decode_value, encode_value
@@ -801,7 +801,7 @@
         settings = read_control_settings(file)
         allow_sockets(settings.brokers_most)
         faults = FaultInjection(os.environ.get(FAULT_VARIABLE, ""), os.environ.get(ONCE_VARIABLE, ""))
-        create = "rejoin" if rejoin else "" if seed is None else "first"
+        create = OpenMode.REJOIN if rejoin else OpenMode.EXISTING if seed is None else OpenMode.FIRST
         disk = None
         if settings.server(name).votes:
             os.makedirs(folder, exist_ok=True)
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -60,12 +60,12 @@
 @pytest.fixture
 def kept(tmp_path):
     """Files of a process that was killed: 20 changes; every complete state that there was on the way."""
-    w = Writer(tmp_path / "live", faults=lambda step: None)
+    w = Writer(tmp_path / "live", before_step=lambda step: None)
     w.store.promise(3, 5)
     states = {(0, w.state.digest, (3, 5), 0)}
     for i in range(20):
         if i == 10:  # a part is in the file, another in its log
-            w.store._shrink()
+            w.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchall()
         w.change(i, commit=False)
         states.add((w.state.version, w.state.digest, (3, 5), w.state.version - 1))
         w.store.commit(w.state.version)
