--- /dev/null
+++ b/cypressledge/lab/capacity/run_tables.py
@@ -0,0 +1,257 @@
+"""Tables of the capacity page that come of capacity runs."""
+
+import json
+from dataclasses import dataclass
+from numbers import Real
+from pathlib import Path
+
+from cypressledge.lab.capacity.markdown import markdown_table
+from cypressledge.lab.capacity.targets import (
+    CONTROL_CPU_PCT,
+    CONTROL_MACHINES,
+    CONTROL_MEMORY_MB,
+    CONTROL_NETWORK_KB_S,
+    CONTROL_PART,
+    LEADER,
+    TARGET_BROKERS,
+    TARGET_ENGINES,
+)
+from cypressledge.lab.curve_fit import best
+from cypressledge.lab.results import ResultsError
+
+SCALE_FILE = "scale.jsonl"  # beside the first results file: a run a line, as `lab capacity` appends them
+FIT_MIN_SIZES = 3  # sizes of a fleet from which a fit is shown
+BROKER_LIMITS = {
+    "broker_cpu_pct": CONTROL_CPU_PCT,
+    "broker_net_kb_s": CONTROL_NETWORK_KB_S,
+    "broker_rss_mb": CONTROL_MEMORY_MB,
+}
+SHOWN_FIGURES = (
+    "brokers",
+    "engines",
+    "seconds",
+    "seed",
+    "quiet",
+    "commit",
+    "changes",
+    "p99_s",
+    "most_s",
+    "all_most_s",
+    "primary_most_s",
+    "broker_cpu_pct",
+    "broker_net_kb_s",
+    "broker_rss_mb",
+    "control_cpu_pct",
+    "control_net_kb_s",
+    "control_rss_mb",
+    "lost",
+    "gone_back",
+    "wrong",
+    "snapshots",
+    "reconnects",
+    "late_ms_p99",
+    "load_average",
+    "exit",
+    "passed",
+)  # of a run; the file has the rest
+
+
+@dataclass(frozen=True, slots=True)
+class RunLimit:
+    """A figure of a run before its limit; `figure` is its key in the results file."""
+
+    role: str
+    what: str
+    figure: str
+    unit: str
+    limit: float | None
+    limit_source: str
+
+
+RUN_LIMITS = (  # the largest of all runs counts
+    RunLimit("all", "a change in force at every broker, quiet times, p99", "p99_s", "s", 2.0, "the aim"),
+    RunLimit(
+        "all", "a change in force at every broker, quiet times, most", "most_s", "s", 12.0, "the target"
+    ),
+    RunLimit("all", "the same, with every fault of the day counted", "all_most_s", "s", None, "none set"),
+    RunLimit(
+        LEADER, "from a primary's loss to the next one's word", "primary_most_s", "s", 8.0, "the target"
+    ),
+    RunLimit(
+        CONTROL_PART,
+        "processor time of a real broker, its starts with it",
+        "real_cpu_pct",
+        "% of a core",
+        CONTROL_CPU_PCT,
+        "the target",
+    ),
+    RunLimit(
+        CONTROL_PART,
+        "processor time of a hollow broker",
+        "hollow_cpu_pct",
+        "% of a core",
+        CONTROL_CPU_PCT,
+        "the target",
+    ),
+    RunLimit(
+        CONTROL_PART,
+        "members and distribution, payload in and out",
+        "broker_net_kb_s",
+        "KB/s",
+        CONTROL_NETWORK_KB_S,
+        "the target",
+    ),
+    RunLimit(
+        CONTROL_PART,
+        "memory of a real broker, all of it",
+        "broker_rss_mb",
+        "MB",
+        CONTROL_MEMORY_MB,
+        "the target",
+    ),
+    RunLimit(
+        CONTROL_MACHINES,
+        "processor time of a control process",
+        "control_cpu_pct",
+        "% of a core",
+        100.0,
+        "one core, one thread",
+    ),
+    RunLimit(
+        CONTROL_MACHINES,
+        "payload in and out of a control process",
+        "control_net_kb_s",
+        "KB/s",
+        125_000.0,
+        "a link of 1 Gbit/s, assumed",
+    ),
+    RunLimit(CONTROL_MACHINES, "memory of a control process", "control_rss_mb", "MB", None, "none set"),
+    RunLimit("all", "acknowledged changes that a broker in reach never had", "lost", "", 0, "the target"),
+    RunLimit("all", "brokers that went to an older version", "gone_back", "", 0, "the target"),
+    RunLimit("all", "brokers whose state differs from the primary's", "wrong", "", 0, "the target"),
+)
+FITTED_NAME_PARTS = ("cpu", "kb_s", "rss", "_mb")  # parts of names of figures that grow with the fleet
+
+
+Run = dict[str, object]  # a run's figures by name, as the results file has them
+
+
+def flatten(figures: Run, prefix: str = "") -> Run:
+    """Return an object's keys, those of objects within it joined with a dot; lists become JSON."""
+    found: Run = {}
+    for key, value in figures.items():
+        if isinstance(value, dict):
+            found |= flatten(value, f"{prefix}{key}.")
+        else:
+            found[prefix + key] = json.dumps(value) if isinstance(value, list) else value
+    return found
+
+
+def read_scale(path: str) -> list[Run]:
+    """Read runs from a file that holds a list, or a run a line. Raises `ResultsError` with one line."""
+    try:
+        raw = Path(path).read_bytes()
+        runs = list(map(json.loads, raw.splitlines())) if path.endswith("l") else json.loads(raw)
+    except OSError as err:
+        raise ResultsError(f"{path}: {err.strerror}") from None
+    except ValueError as err:
+        raise ResultsError(f"{path} is no JSON: {err}") from None
+    if not isinstance(runs, list) or not all(isinstance(run, dict) and "brokers" in run for run in runs):
+        raise ResultsError(f"{path} is no list of runs, each an object with `brokers`")
+    return [flatten(run) for run in runs]
+
+
+def runs_table(runs: list[Run]) -> str:
+    """Return the runs, a column each: there are more figures than runs."""
+    if not runs:
+        return f"No run yet: there is no `{SCALE_FILE}` beside the slopes."
+    keys = [key for key in SHOWN_FIGURES if any(key in run for run in runs)]
+    keys += [key for key in _all_keys(runs) if key.startswith("faults.")]
+    return markdown_table(
+        ["figure", *(f"run {i + 1}" for i in range(len(runs)))],
+        [[key, *(run.get(key) for run in runs)] for key in keys],
+    )
+
+
+def run_limits_table(runs: list[Run], quiet: bool = False) -> str:
+    """Return the largest figures of all runs at the target's size against their limits.
+
+    With `quiet` of those runs in which nothing was broken, else of the others.
+    """
+    at_target = [run for run in runs if _is_at_target(run) and run.get("quiet", False) is quiet]
+    if not at_target:
+        return f"No run yet with {TARGET_BROKERS} brokers and {TARGET_ENGINES} engines."
+    rows = []
+    for entry in RUN_LIMITS:
+        values = [run[entry.figure] for run in at_target if entry.figure in run]
+        if values:
+            rows.append(_run_limit_row(entry, values))
+    headers = ["role", "what", "most", "unit", "limit", "need/limit", "limit from", "basis"]
+    return markdown_table(headers, rows)
+
+
+def _is_at_target(run: Run) -> bool:
+    return run["brokers"] == TARGET_BROKERS and run.get("engines") == TARGET_ENGINES
+
+
+def _run_limit_row(entry: RunLimit, values: list[float]) -> list[object]:
+    largest = max(values)
+    return [
+        entry.role,
+        entry.what,
+        largest,
+        entry.unit,
+        "-" if entry.limit is None else entry.limit,
+        f"{largest / entry.limit:.2f}" if entry.limit else "-",
+        entry.limit_source,
+        f"measured, {len(values)} runs",
+    ]
+
+
+def control_fits_table(runs: list[Run]) -> str:
+    """Return fits over brokers of what a broker and a control process spend, where enough sizes were run."""
+    faulty = [run for run in runs if not run.get("quiet")]
+    rows = []
+    for key in _all_keys(faulty):
+        if not any(part in key for part in FITTED_NAME_PARTS):
+            continue
+        points = [(float(run["brokers"]), float(run[key])) for run in faulty if _is_number(run.get(key))]
+        if len({x for x, _ in points}) >= FIT_MIN_SIZES:
+            rows.append(_fit_row(key, points))
+    if not rows:
+        return f"No fit yet: fewer than {FIT_MIN_SIZES} sizes of fleet have been run."
+    headers = [
+        "figure",
+        "fit over brokers",
+        "residual",
+        f"at {TARGET_BROKERS}",
+        "basis",
+        "limit",
+        "need/limit",
+    ]
+    return markdown_table(headers, rows)
+
+
+def _fit_row(key: str, points: list[tuple[float, float]]) -> list[object]:
+    fit = best(points)
+    limit = BROKER_LIMITS.get(key)
+    at_target = fit.at(TARGET_BROKERS)
+    was_run = any(brokers == TARGET_BROKERS for brokers, _ in points)
+    return [
+        key,
+        f"{fit.kind}: {fit.words('x')}",
+        f"{fit.residual:.1%}",
+        at_target,
+        "within the sizes run" if was_run else "extrapolated",
+        "-" if limit is None else limit,
+        "-" if limit is None else f"{at_target / limit:.2f}",
+    ]
+
+
+def _all_keys(runs: list[Run]) -> list[str]:
+    """Return the figures' names in the order of their first appearance."""
+    return list(dict.fromkeys(key for run in runs for key in run))
+
+
+def _is_number(value: object) -> bool:
+    return isinstance(value, Real) and not isinstance(value, bool)
--- /dev/null
+++ b/cypressledge/lab/capacity/targets.py
@@ -0,0 +1,50 @@
+"""The target's size and limits, the program's constants that requirements follow from, and the roles."""
+
+from cypressledge.config import RESERVED_SOCKETS
+
+# The target, from the operators' letters
+TARGET_BROKERS = 460
+TARGET_ENGINES = 490
+TARGET_ZONES = 4
+TARGET_CLIENTS = 2_610  # connections of one broker
+STATEMENTS_PER_S = 500.0  # at one broker
+CONTROL_CPU_PCT = 3.2  # of a core, for the control part of one broker
+CONTROL_MEMORY_MB = 256.0  # likewise
+CONTROL_NETWORK_KB_S = 30.0  # likewise
+CONFIGURATION_CHANGES_A_DAY = 450
+RESTARTS_A_DAY = 220
+
+# The program's own
+POLLS_PER_S = 2.5  # of the list of engines: net/dns_discovery.py's interval
+DIRECTORY_ANSWER_BYTES = 8_000
+OBSERVATIONS_PER_S = 2.0  # of zones by each broker: fleet/zones.py, deploy/fleet.yaml
+OBSERVATIONS_PER_S_FAILING = 5.0  # the same while something fails
+PLANS_PER_S = 1.0
+SUMMARY_INTERVAL_S = 2.0
+PLANNER_RUN_CPU_MS = 20.0  # processor time: task_share 2% of a core for longest_s, 1 s; then it is cut off
+PLANNER_RUNS_PER_S = 10.0  # that the planner aims at: a tenth of a second between its runs
+ENGINES_PER_OBSERVATION = 64  # that one broker's observations name at most
+USUAL_SOCKETS = 1_024  # the sites' usual limit of descriptors
+REQUIRED_SOCKETS = TARGET_CLIENTS * 5 // 3 + RESERVED_SOCKETS + 1  # clients get three fifths of them
+
+# Assumed
+LINK_KB_S = 125_000.0  # of a machine's link of 1 Gbit/s
+BROKERS_PER_RACK = 20
+REMAINING_PART = (TARGET_ZONES - 1) / TARGET_ZONES  # of brokers and engines when a zone is lost
+
+# Roles
+REQUEST_PATH = "broker, request path"
+CONTROL_PART = "broker, control part"
+VOTER = "voter"
+PLANNER = "planner"
+LEADER = "primary of the configuration"
+CONTROL_MACHINES = "other control machines"
+DIRECTORY = "directory"
+ENGINE = "engine"
+FAILURES = "after a failure"
+ROLES = (REQUEST_PATH, CONTROL_PART, VOTER, PLANNER, LEADER, CONTROL_MACHINES, DIRECTORY, ENGINE)
+
+# What carries a requirement, as the page says it
+MISSING_ENGINE_SHARE = "missing: a broker's own share of the engines"
+MISSING_HISTORY = "was missing: the fleet's state as numbered changes; now the control plane"
+MISSING_PLANNER_MACHINE = "missing: the planner away from brokers, or sights summed up on the way"
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -8,8 +8,11 @@
 
 from cypressledge.cli import cli
 from cypressledge.lab import curve_fit, scaling
-from cypressledge.lab.capacity.page import control_table, now_table, rendered, scale_table, slope_limits
-from cypressledge.lab.capacity.requirements import NEEDS, ROLES, lines
+from cypressledge.lab.capacity.evaluation import REQUIREMENTS, evaluate
+from cypressledge.lab.capacity.page import render
+from cypressledge.lab.capacity.plots import slope_limits
+from cypressledge.lab.capacity.run_tables import control_fits_table, run_limits_table, runs_table
+from cypressledge.lab.capacity.targets import ROLES
 from cypressledge.lab.results import ResultsError, read, slope, source
 
 ROOT = Path(__file__).parent.parent
@@ -34,9 +37,9 @@
 
 
 def test_every_role_has_needs_and_all_come_from_the_committed_slopes():
-    found = lines(read([str(RESULTS)]))
-    assert len(found) == len(NEEDS)
-    assert {line.need.role for line in found} >= set(ROLES)
+    found = evaluate(read([str(RESULTS)]))
+    assert len(found) == len(REQUIREMENTS)
+    assert {line.requirement.role for line in found} >= set(ROLES)
     assert all(line.value >= 0 for line in found)
     assert all(line.basis == "given" or line.sources for line in found)
     assert slope_limits(read([str(RESULTS)]))["module_ms"] == pytest.approx(2.0)  # 500 of them are a second
@@ -97,21 +100,21 @@
 def test_a_mark_without_a_table_or_an_end_is_turned_down():
     for page in ("<!-- table:none -->\n<!-- end -->", "<!-- table:first -->\n", "no mark"):
         with pytest.raises(ResultsError):
-            rendered(page, {"first": lambda: ""})
+            render(page, {"first": lambda: ""})
 
 
 def test_runs_at_scale_are_shown_as_given_and_fitted_from_three_sizes():
     runs = [{"brokers": n, "broker_cpu_pct": 0.01 * n, "control": 5} for n in (60, 120, 240)]
-    assert "broker_cpu_pct" in scale_table(runs)
-    assert "| 2.4 " in scale_table(runs)
-    assert now_table(runs).startswith("No run yet with 460 brokers")
+    assert "broker_cpu_pct" in runs_table(runs)
+    assert "| 2.4 " in runs_table(runs)
+    assert run_limits_table(runs).startswith("No run yet with 460 brokers")
     at_size = [{"brokers": 460, "engines": 490, "most_s": s, "lost": 0} for s in (1.5, 3.0)]
-    assert " 0.25 " in now_table(at_size)
-    assert "measured, 2 runs" in now_table(at_size)
-    assert "4.6" in control_table(runs)
-    assert "1.44" in control_table(runs)
-    assert control_table(runs[:2]).startswith("No fit yet")
-    assert scale_table([]).startswith("No run yet")
+    assert " 0.25 " in run_limits_table(at_size)
+    assert "measured, 2 runs" in run_limits_table(at_size)
+    assert "4.6" in control_fits_table(runs)
+    assert "1.44" in control_fits_table(runs)
+    assert control_fits_table(runs[:2]).startswith("No fit yet")
+    assert runs_table([]).startswith("No run yet")
 
 
 def test_a_slope_says_where_it_comes_from():
@@ -129,8 +132,6 @@
 def test_the_former_name_of_the_scaling_command_is_accepted_and_hidden():
     former = CliRunner().invoke(cli, ["lab", "slopes", "--help"])
     assert former.exit_code == 0
-    assert (
-        former.output.replace("lab slopes", "lab scaling")
-        == CliRunner().invoke(cli, ["lab", "scaling", "--help"]).output
-    )
+    present = CliRunner().invoke(cli, ["lab", "scaling", "--help"])
+    assert former.output.replace("lab slopes", "lab scaling") == present.output
     assert "slopes " not in CliRunner().invoke(cli, ["lab", "--help"]).output
