--- a/cypressledge/broker/process.py
+++ b/cypressledge/broker/process.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from cypressledge.controlplane.broker_integration import BrokerIntegration
-    from cypressledge.fleet.part import FleetPart
+    from cypressledge.fleet.broker_integration import FleetIntegration
 
 ACCEPT_AFTER_STOP_S = 0.72  # a stopping broker goes on taking requests; what came later might meet SIGKILL
 FLUSH_S = 0.5  # for the last answers to leave
@@ -77,14 +77,14 @@
             loops += parts.service.main_loops()
         return loops
 
-    def _join_fleet(self, file: str) -> "FleetPart":
+    def _join_fleet(self, file: str) -> "FleetIntegration":
         """What brokers do together. Imported here alone: `run` without it must not load it."""
-        from cypressledge.fleet.part import FleetPart
+        from cypressledge.fleet.broker_integration import FleetIntegration
 
-        fleet = FleetPart(file, self.config, self.core, self.counters)
+        fleet = FleetIntegration(file, self.config, self.core, self.counters)
         self._greenlets += fleet.parts
         if self.management is not None:
-            fleet.calls(self.management)
+            fleet.add_operator_calls(self.management)
         return fleet
 
     def _follow_control_plane(self, file: str) -> "BrokerIntegration":
--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -76,7 +76,7 @@
 )
 def zone_loss(seed: int, runs: int, kind: str) -> None:
     """Lose a zone under several brokers, with the fleet's part off and on, and compare."""
-    from cypressledge.lab.zones import run
+    from cypressledge.lab.zone_processes.comparison import run
 
     sys.exit(run(seed, runs, kind, click.echo))
 
@@ -95,7 +95,7 @@
 @click.option("--plot", default="", help="Draw the first schedule into this file (needs matplotlib).")
 def zone_size(**options) -> None:
     """Lose a zone under many brokers' decision modules in virtual time, off and on, and compare."""
-    from cypressledge.lab.zonesize import run
+    from cypressledge.lab.zone_simulation.report import run
 
     sys.exit(run(**options, say=click.echo))
 
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -52,7 +52,7 @@
         name, zone, region = self.broker.config.name, env.get("ROUTER_ZONE", ""), env.get("ROUTER_REGION", "")
         if self.fleet is None:
             return BrokerIdentity(name, self.run, zone, region)
-        settings = self.fleet.told
+        settings = self.fleet.settings
         own = next(peer for peer in settings.peers if peer.name == name)
         zone = zone or own.zone
         regions = (r.name for r in settings.regions if zone in r.zones)
--- a/cypressledge/controlplane/settings.py
+++ b/cypressledge/controlplane/settings.py
@@ -9,13 +9,13 @@
 import msgspec
 
 from cypressledge.config import ConfigError, parse_address
-from cypressledge.fleet.settings import Name, Seconds, Strict, once, read_yaml
+from cypressledge.fleet.settings import Name, Seconds, StrictStruct, read_yaml_settings, require_unique
 
 MAX_SERVERS = 8
 VOTER_COUNTS = (3, 5, 7)
 
 
-class ServerSpec(Strict, frozen=True):
+class ServerSpec(StrictStruct, frozen=True):
     """One control process. `address`: HOST:PORT (TCP) for brokers and the other control processes; `fleet`:
     HOST:PORT (UDP) of its leases; `management`: HOST:PORT (HTTP) for operators. `votes`: it is one of those
     whose majority a change needs; the others only hold the history and hand it on."""
@@ -29,7 +29,7 @@
     votes: bool = True
 
 
-class Lab(Strict, frozen=True):
+class Lab(StrictStruct, frozen=True):
     """For the laboratory alone: a clock of another rate and offset, and a file of what was done when."""
 
     clock_rate: Annotated[float, msgspec.Meta(ge=0.5, le=2)] = 1.0
@@ -37,7 +37,7 @@
     record: str = ""
 
 
-class ControlSettings(Strict, frozen=True):
+class ControlSettings(StrictStruct, frozen=True):
     """The file. `version`: of the voter set, one higher whenever `votes` changes. `drift_ppm`: how far
     any clock's rate may be from true, parts in a million. `brokers_most`: connections of brokers that one
     control process takes. `forget_s`: a broker that was connected nowhere for so long leaves the state (0:
@@ -73,18 +73,20 @@
 
 def read_control_settings(path: str) -> ControlSettings:
     """The file's settings. Raises `ConfigError` with one line that names the mistake."""
-    return read_yaml(path, ControlSettings, check)
+    return read_yaml_settings(path, ControlSettings, check)
 
 
 def check(settings: ControlSettings) -> None:
     """The rules that a schema can't state. Raises `ConfigError`."""
     if not 1 <= len(settings.servers) <= MAX_SERVERS:
         raise ConfigError(f"{len(settings.servers)} control processes; 3 to {MAX_SERVERS} can be")
-    once([s.name for s in settings.servers], "control process")
+    require_unique([s.name for s in settings.servers], "control process")
     for spec in settings.servers:
         for text in (spec.address, spec.fleet, spec.management):
             parse_address(text)
-    once([s.address for s in settings.servers] + [s.management for s in settings.servers], "address")
-    once([s.fleet for s in settings.servers], "fleet address")
+    require_unique(
+        [s.address for s in settings.servers] + [s.management for s in settings.servers], "address"
+    )
+    require_unique([s.fleet for s in settings.servers], "fleet address")
     if len(settings.voters) not in VOTER_COUNTS:
         raise ConfigError(f"{len(settings.voters)} control processes vote; 3, 5 or 7 can")
--- /dev/null
+++ b/cypressledge/fleet/broker_integration.py
@@ -0,0 +1,304 @@
+"""The fleet's part of one broker: its node of the fleet, with tasks, zone failover, summaries, operators'
+calls.
+
+Nothing here is imported unless `--fleet FILE` asks for it.
+"""
+
+from typing import cast
+
+from cypressledge.broker.core import BrokerCore
+from cypressledge.broker.metrics import Counters
+from cypressledge.broker.requests import Endpoint
+from cypressledge.clock import wall_us
+from cypressledge.config import Config, ConfigError, parse_address
+from cypressledge.decisions.contract import EngineListEntry, EngineState
+from cypressledge.fleet.budget import Budget
+from cypressledge.fleet.clock import LeaseClock
+from cypressledge.fleet.lease_recorder import LeaseRecorder
+from cypressledge.fleet.leases.candidate_order import candidate_order
+from cypressledge.fleet.leases.electorate import Electorate, VoterSetError
+from cypressledge.fleet.leases.participation import LeaseSlot, lease_slots
+from cypressledge.fleet.messages import (
+    BrokerMetrics,
+    EngineObservations,
+    FailoverPlan,
+    FleetSummary,
+    MetricsRequest,
+    PlanRequest,
+    ZoneCommand,
+)
+from cypressledge.fleet.node import FleetNode, Handler
+from cypressledge.fleet.operator_api import FleetOperatorApi
+from cypressledge.fleet.restart_turns import RestartTurns
+from cypressledge.fleet.runner import Runner, Task
+from cypressledge.fleet.settings import FleetSettings, Peer, TaskSpec, read_fleet_settings
+from cypressledge.fleet.summary import figures
+from cypressledge.fleet.tasks import Call, Summaries
+from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.failover import PLANNER_STEP_S, ZoneFailover
+from cypressledge.fleet.zones.failover_plan import FailoverPace
+from cypressledge.fleet.zones.topology import SiteTopology
+from cypressledge.net.management import ManagementServer
+
+ZONE_MESSAGES = (EngineObservations, FailoverPlan, PlanRequest, ZoneCommand)
+SUMMARY_MESSAGES = (MetricsRequest, BrokerMetrics, FleetSummary)
+URGENT_MESSAGES = (FailoverPlan, ZoneCommand, PlanRequest)
+IDLE_TICK = 1_000_000  # µs between ticks where there is no zone failover: nothing else is due sooner
+KEPT_TURN_TIMES = 4_096  # of the node's turns: minutes, for a percentile that operators can go by
+ZONE_STEPS_WARM = 32  # steps of a share in the time that engines take to warm up, at the least
+
+# Keys of the file that only a restart of all brokers can change.
+FIXED_SETTINGS = (
+    "term_s",
+    "longest_term",
+    "drift_ppm",
+    "listen",
+    "lab",
+    "tasks",
+    "ping_s",
+    "task_share",
+    "zone_pace",
+    "regions",
+)
+
+
+class FleetIntegration:
+    """What one broker has to do with the others. `parts` are the greenlets that the broker runs.
+
+    Raises `ConfigError` where the file can't be used, and `OSError` where its address can't be bound.
+    """
+
+    def __init__(self, path: str, config: Config, core: BrokerCore, counters: Counters) -> None:
+        self.path = path
+        self.name = config.name
+        self.classes = config.classes
+        self.core = core
+        self.counters = counters
+        self.settings = read_fleet_settings(path)
+        own = self._own_peer(self.settings)
+        # Peers as the control plane has them; they go before the file's.
+        self.control_plane_peers: dict[str, tuple[str, int]] = {}
+        self.node = self._make_node(parse_address(self.settings.listen or own.address))
+        self.recorder = self._make_recorder()
+        self.turns = RestartTurns(self.node)
+        self.summaries = Summaries(
+            self.name,
+            self._own_figures,
+            self.node.others,
+            lambda: [peer.name for peer in self.settings.peers],
+            self.node.out,
+            self.node.now,
+        )
+        self.zones = self._make_zones(config)
+        self.node.handlers |= self._handlers()
+        tasks = [self._make_task(spec) for spec in self.settings.tasks]
+        budget = Budget(self.settings.task_share)
+        self.runner = Runner(tasks, self.node.grant, self.node.now, budget, self._log_event)
+        self.parts = [*self.node.parts, self.runner.turns]
+        counters.gauge("fleet.turn_p99_us", self.node.turn_p99)
+        counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest)
+
+    # Putting together
+
+    def _own_peer(self, settings: FleetSettings) -> Peer:
+        own = next((peer for peer in settings.peers if peer.name == self.name), None)
+        if own is None:
+            raise ConfigError(f"{self.path}: this broker, {self.name}, is not among the peers")
+        return own
+
+    def _make_node(self, listen: tuple[str, int]) -> FleetNode:
+        settings = self.settings
+        clock = LeaseClock(settings.lab.clock_rate, round(settings.lab.clock_offset_s * 1e6))
+        electorate = Electorate(
+            self.name,
+            settings.longest_term,
+            dict(settings.voter_sets),
+            max(settings.voter_sets),
+            clock.now(),
+            round(settings.grace_s * 1e6),
+        )
+        return FleetNode(
+            self.name,
+            listen=listen,
+            addresses=_addresses(settings),
+            electorate=electorate,
+            places=_lease_slots(settings),
+            drift_ppm=settings.drift_ppm,
+            ping_s=settings.ping_s,
+            counters=self.counters,
+            clock=clock,
+            wall=wall_us() + round(settings.lab.wall_step_s * 1e6),
+            told=self._lease_changed,
+            call_off=lambda lease: self.runner.call_off(lease),
+            tick=self._tick,
+            urgent=URGENT_MESSAGES,
+            turns_kept=KEPT_TURN_TIMES,
+        )
+
+    def _make_recorder(self) -> LeaseRecorder | None:
+        path = self.settings.lab.record
+        return LeaseRecorder(path, self.node) if path else None
+
+    def _handlers(self) -> dict[type, Handler]:
+        """Who takes what. Without zone failover others' messages about zones are only counted."""
+        handlers: dict[type, Handler] = dict.fromkeys(SUMMARY_MESSAGES, cast(Handler, self.summaries.receive))
+        if self.zones is not None:
+            handlers |= dict.fromkeys(ZONE_MESSAGES, cast(Handler, self.zones.receive))
+        return handlers
+
+    def _make_zones(self, config: Config) -> ZoneFailover | None:
+        """Zone failover, where a task asks for it."""
+        settings = self.settings
+        spec = next((task for task in settings.tasks if task.kind == "zones"), None)
+        if spec is None:
+            return None
+        self._check_regions(config)
+        topology = SiteTopology(
+            config.zones,
+            {peer.name: peer.zone for peer in settings.peers},
+            {zone: region.name for region in settings.regions for zone in region.zones},
+            config.quotas,
+        )
+        links = FleetLinks(
+            now=self.node.now,
+            send=self.node.out,
+            living_peers=self.node.others,
+            likely_planners=lambda: candidate_order(spec.lease, self.node.members.alive()),
+            log_event=self._log_event,
+        )
+        return ZoneFailover(self.name, self.core, topology, self._zone_pace(), links)
+
+    def _check_regions(self, config: Config) -> None:
+        for region in self.settings.regions:
+            for zone in region.zones:
+                if zone not in config.zones or region.name in config.zones:
+                    known = " ".join(config.zones)
+                    raise ConfigError(f"{self.path}: region {region.name}: the zones are {known}")
+
+    def _zone_pace(self) -> FailoverPace:
+        """The file's pace, and what engines bear as the site says it."""
+        site, pace = self.core.settings, self.settings.zone_pace
+        default = FailoverPace()
+        warm = site.slow_start_window or default.warm
+        return FailoverPace(
+            confirm=round(pace.confirm_s * 1e6),
+            hold=round(pace.hold_s * 1e6),
+            margin=pace.margin,
+            max_hold=round(pace.hold_most_s * 1e6),
+            bear=pace.bear,
+            start=site.slow_start_capacity,
+            warm=warm,
+            step=min(default.step, warm // ZONE_STEPS_WARM),
+        )
+
+    def _make_task(self, spec: TaskSpec) -> Task:
+        if spec.kind == "zones" and self.zones is not None:
+            return Task(spec.kind, spec.lease, self.zones.act, PLANNER_STEP_S, spec.longest_s, spec.priority)
+        if spec.kind == "summary":
+            act = self.summaries.act
+        else:
+            act = Call(self.name, parse_address(spec.at), spec.steps, spec.step_s, self.node.refused).act
+        return Task(spec.kind, spec.lease, act, spec.every_s, spec.longest_s, spec.priority)
+
+    def add_operator_calls(self, management: ManagementServer) -> None:
+        """Add the operators' calls to their address."""
+        FleetOperatorApi(self).register(management)
+
+    # Called by the node's owner
+
+    def _tick(self, now: int) -> int:
+        """What else time brings; the moment of the next tick."""
+        self.turns.tick(now)
+        if self.recorder is not None:
+            self.recorder.record_renewals()
+        return now + IDLE_TICK if self.zones is None else self.zones.tick(now)
+
+    def _lease_changed(self, event: str, lease: str, token: int, why: str) -> None:
+        if event == "acquired":
+            if self.recorder is not None:
+                self.recorder.record(lease)
+            self.runner.begin(lease, self.node.keeper.participations[lease].slot.group)
+        elif event == "lost":
+            self.runner.call_off(lease)
+        if event in ("lost", "given_back"):
+            if self.zones is not None:
+                self.zones.step_down_from(lease)
+            if self.recorder is not None:
+                self.recorder.record_end(lease)
+
+    def _log_event(self, event: str, **fields: object) -> None:
+        self.counters.add(f"fleet.{event}")
+        self.node.log.info(event, **fields)
+
+    def _own_figures(self, token: int) -> BrokerMetrics:
+        """This broker's counters for the fleet's summary, and the engines that it avoids."""
+        core = self.core
+        avoided = [
+            endpoint.name
+            for listed in core.engines.engine_lists.values()
+            for entry, endpoint in listed
+            if entry.state is not EngineState.REMOVED and self._avoids(entry, endpoint)
+        ]
+        return figures(
+            token,
+            core.counters.counts,
+            self.classes,
+            avoided,
+            len(core.engines.ready_endpoints),
+            len(core.ledger.requests),
+        )
+
+    def _avoids(self, entry: EngineListEntry, endpoint: Endpoint) -> bool:
+        core = self.core
+        if core.engines.maintenance.effective_entry(endpoint.name, entry).state is not EngineState.READY:
+            return True
+        engine = core.loop.manager.engines.get(entry.engine)
+        return engine is not None and engine.ejected
+
+    # Changes
+
+    def stop(self) -> None:
+        """This broker stops: leases go back at once, and the peers are notified. A turn to restart is kept:
+        it runs out by itself, while the process starts anew."""
+        self.node.stop(self.turns.held_leases())
+
+    def name_peers(self, peers: dict[str, tuple[str, int]]) -> None:
+        """Where the control plane has brokers, from now on; the file's others stay. Kept over a reload:
+        guards against taking all that the file doesn't name for gone until they are met again."""
+        self.control_plane_peers = peers
+        self.node.rename(_addresses(self.settings) | peers)
+
+    def reload(self) -> None:
+        """Read the file again. Guards against a bad one, and one that changes more than one voter: then the
+        old settings stay in force."""
+        electorate = self.node.electorate
+        try:
+            settings = read_fleet_settings(self.path)
+            self._own_peer(settings)
+            self._check_fixed(settings)
+            changed = electorate.adopt(self.node.now(), max(settings.voter_sets), dict(settings.voter_sets))
+        except (ConfigError, VoterSetError) as err:
+            self.counters.add("fleet.reload_failures")
+            self.node.log.warning("fleet_reload_refused", why=str(err))
+            return
+        self.settings = settings
+        self.node.rename(_addresses(settings) | self.control_plane_peers)
+        self.node.set_places(_lease_slots(settings))
+        self.node.log.info("fleet_reloaded", version=electorate.version, voters_changed=changed)
+
+    def _check_fixed(self, settings: FleetSettings) -> None:
+        for key in FIXED_SETTINGS:
+            if getattr(settings, key) != getattr(self.settings, key):
+                raise ConfigError(f"{self.path}: another {key} needs a restart of all brokers")
+
+
+def _addresses(settings: FleetSettings) -> dict[str, tuple[str, int]]:
+    return {peer.name: parse_address(peer.address) for peer in settings.peers}
+
+
+def _lease_slots(settings: FleetSettings) -> list[LeaseSlot]:
+    return [
+        slot
+        for spec in settings.leases
+        for slot in lease_slots(spec.name, spec.places, settings.term_of(spec), spec.wanted)
+    ]
--- /dev/null
+++ b/cypressledge/fleet/lease_recorder.py
@@ -0,0 +1,42 @@
+"""For the laboratory alone: a file of what leases this process believed it held, and until when."""
+
+import json
+
+from cypressledge.fleet.clock import LeaseClock
+from cypressledge.fleet.node import FleetNode
+
+
+class LeaseRecorder:
+    """Appends one JSON line for each change; moments are µs of the machine's clock, that all processes
+    share."""
+
+    def __init__(self, path: str, node: FleetNode) -> None:
+        self.node = node
+        self.file = open(path, "a", buffering=1, encoding="utf-8")
+        self.recorded_until: dict[str, int] = {}
+
+    def record_renewals(self) -> None:
+        """Record what has been renewed. An end is recorded once what is done under the lease has ended."""
+        for lease in list(self.recorded_until):
+            if self.node.grant(lease) is not None:
+                self.record(lease)
+
+    def record_end(self, lease: str) -> None:
+        """A lease that may have been recorded is lost."""
+        if lease in self.recorded_until:
+            self.record(lease)
+
+    def record(self, lease: str) -> None:
+        """Record until when this process believes in a lease, where that has changed."""
+        clock = self.node.clock
+        grant = self.node.keeper.held_lease(lease, clock.now())
+        if grant is None:
+            self.recorded_until.pop(lease, None)
+            line: dict[str, object] = {"lease": lease, "until": 0}
+        elif self.recorded_until.get(lease) == grant.expires_at:
+            return
+        else:
+            self.recorded_until[lease] = grant.expires_at
+            line = {"lease": lease, "token": grant.token, "until": clock.true(grant.expires_at)}
+        line |= {"broker": self.node.name, "run": self.node.run_id, "at": LeaseClock().now()}
+        self.file.write(json.dumps(line) + "\n")
--- /dev/null
+++ b/cypressledge/fleet/operator_api.py
@@ -0,0 +1,125 @@
+"""The operators' calls of the fleet, at a broker's management address: `/fleet/...`.
+
+The keys of the answers and the texts of errors are what operators' scripts read: they stay.
+"""
+
+import json
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from cypressledge.fleet.members import STATES
+from cypressledge.fleet.zones.operator_api import Answer, ZoneOperatorApi
+from cypressledge.net.http_server import HttpRequest
+from cypressledge.net.management import ManagementServer
+
+if TYPE_CHECKING:
+    from cypressledge.fleet.broker_integration import FleetIntegration
+
+GIVE_BACK_REST_TERMS = 3  # longest terms in which a lease given back by hand is not asked for again
+
+
+class FleetOperatorApi:
+    """Answers operators' calls about peers, leases, tasks and turns."""
+
+    def __init__(self, fleet: "FleetIntegration") -> None:
+        self.fleet = fleet
+
+    def register(self, management: ManagementServer) -> None:
+        """Add the calls to the management address."""
+        fleet = self.fleet
+        management.add("/fleet/peers", "GET", _shows(self.peers))
+        management.add("/fleet/leases", "GET", _shows(self.leases))
+        management.add("/fleet/tasks", "GET", _shows(self.tasks))
+        management.add("/fleet/summary", "GET", _shows(fleet.summaries.show))
+        management.add("/fleet/give-back", "POST", self._give_back)
+        management.add("/fleet/turn", "POST", lambda r: self._turn(r, fleet.turns.request))
+        management.add("/fleet/turn/over", "POST", lambda r: self._turn(r, fleet.turns.give_up))
+        if fleet.zones is not None:
+            ZoneOperatorApi(fleet.zones, fleet.node.log).register(management)
+
+    def peers(self) -> list[dict]:
+        """Each peer as seen from here."""
+        node = self.fleet.node
+        now = node.now()
+        zones = {peer.name: peer.zone for peer in self.fleet.settings.peers}
+
+        def row(name: str, state: str, incarnation: int, heard: float | None, version: int | None) -> dict:
+            return {
+                "name": name,
+                "zone": zones.get(name, ""),
+                "state": state,
+                "voter": name in node.electorate.voters,
+                "incarnation": incarnation,
+                "heard_s": heard,
+                "voters_version": version,
+                "here": name == node.name,
+            }
+
+        rows = [row(node.name, "alive", node.members.incarnation, 0.0, node.electorate.version)]
+        for member in node.members.members.values():
+            heard = round((now - member.heard) / 1e6, 2) if member.heard else None
+            version = node.versions.get(member.name)
+            rows.append(row(member.name, STATES[member.state], member.incarnation, heard, version))
+        return sorted(rows, key=lambda peer: peer["name"])
+
+    def leases(self) -> list[dict]:
+        """Each lease as seen from here; the holder is as last heard of."""
+        manager, now = self.fleet.node.keeper, self.fleet.node.now()
+        return [
+            {
+                "lease": name,
+                "state": participation.phase.value,
+                "holder": manager.known_holder(name, now),
+                "token": participation.acquisition.token,
+                "left_s": round(participation.acquisition.remaining(now) / 1e6, 2),
+                "rank": manager.candidate_rank(name),
+                "line": manager.candidates(name),
+            }
+            for name, participation in sorted(manager.participations.items())
+        ]
+
+    def tasks(self) -> list[dict]:
+        """Each task, and what it has taken."""
+        runner = self.fleet.runner
+        return [
+            {
+                "task": task.name,
+                "lease": task.lease,
+                "running_under": sorted(task.running),
+                "acts": task.acts,
+                "called_off": task.called_off,
+                "overdue": task.overdue,
+                "failed": task.failed,
+                "priority": task.priority,
+                "cpu_ms": round(runner.budget.spent / 1e3, 2),
+                "longest_step_ms": round(runner.budget.longest / 1e3, 3),
+                "turn_p99_ms": self.fleet.node.turn_p99() / 1e3,
+            }
+            for task in runner.tasks
+        ]
+
+    def _give_back(self, request: HttpRequest) -> Answer:
+        node = self.fleet.node
+        lease = _text(request)
+        if lease not in node.keeper.participations:
+            return 404, b"no such lease\n"
+        rest_s = GIVE_BACK_REST_TERMS * self.fleet.settings.longest_term / 1e6
+        if not node.give_back(lease, "by hand", rest_s=rest_s):
+            return 409, b"not held here\n"
+        return 200, f"{lease} given back\n".encode()
+
+    def _turn(self, request: HttpRequest, act: Callable[[str], dict]) -> Answer:
+        group = _text(request)
+        participations = self.fleet.node.keeper.participations.values()
+        if not any(p.slot.group == group and p.slot.on_demand for p in participations):
+            return 404, b"no lease of this name that is asked for by wish\n"
+        return 200, json.dumps(act(group)).encode() + b"\n"
+
+
+def _shows(read: Callable[[], object]) -> Callable[[HttpRequest], Answer]:
+    """A call that answers with a value as JSON."""
+    return lambda request: (200, json.dumps(read()).encode() + b"\n")
+
+
+def _text(request: HttpRequest) -> str:
+    return request.body.decode("utf-8", "replace").strip()
--- /dev/null
+++ b/cypressledge/fleet/restart_turns.py
@@ -0,0 +1,59 @@
+"""Turns at restarting: a broker restarts under a lease, and only while few enough others are missing."""
+
+from cypressledge.fleet.node import FleetNode
+
+
+class RestartTurns:
+    """The leases that operators have asked for turns under. Each of their slots is one broker that may be
+    missing at once."""
+
+    def __init__(self, node: FleetNode) -> None:
+        self.node = node
+        self.wanted: set[str] = set()
+
+    def tick(self, now: int) -> None:
+        """Ask for a wanted turn only while fewer brokers are missing than may be at once: one that had its
+        turn is missing until it is back, however long its start takes."""
+        keeper = self.node.keeper
+        for group in self.wanted:
+            if any(granted.group == group for granted in keeper.held_leases(now)):
+                continue
+            allowed = sum(p.slot.group == group for p in keeper.participations.values())
+            if self._missing_brokers() < allowed:
+                if group not in keeper.requested_groups:
+                    keeper.request(group, now)
+            else:
+                keeper.requested_groups.discard(group)
+
+    def request(self, group: str) -> dict:
+        """Ask for a turn; how it stands."""
+        self.wanted.add(group)
+        self.tick(self.node.now())
+        return self._status(group)
+
+    def give_up(self, group: str) -> dict:
+        """A turn, or the request for one, is over; how it stands."""
+        self.wanted.discard(group)
+        self.node.unwant(group)
+        return self._status(group)
+
+    def held_leases(self) -> set[str]:
+        """The leases that a stop of this process keeps, for the turn that it stops in."""
+        return {p.slot.lease for p in self.node.keeper.participations.values() if p.slot.group in self.wanted}
+
+    def _missing_brokers(self) -> int:
+        members = self.node.members.members.values()
+        return sum(member.state != 0 and member.incarnation > 0 for member in members)
+
+    def _status(self, group: str) -> dict:
+        self.node.wake()
+        held = [
+            granted for granted in self.node.keeper.held_leases(self.node.now()) if granted.group == group
+        ]
+        return {
+            "lease": group,
+            "wanted": group in self.wanted,
+            "yours": bool(held),
+            "token": held[0].token if held else 0,
+            "missing": self.node.members.missing(),
+        }
--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -13,20 +13,20 @@
 from cypressledge.fleet.leases.electorate import VoterSetError, check_voter_sets
 
 T = TypeVar("T")
-PEERS_MOST = 1_000  # 460 brokers, those that replace them in a deployment, control machines
-PLACES_MOST = 32
-LEASES_MOST = 256
-SIZES = range(3, 8)  # voters; 4 and 6 only on the way from one odd number to the next
+MAX_PEERS = 1_000  # 460 brokers, those that replace them in a deployment, control machines
+MAX_PLACES = 32
+MAX_LEASES = 256
+VOTER_SET_SIZES = range(3, 8)  # voters; 4 and 6 only on the way from one odd number to the next
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$")]
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=600)]
 
 
-class Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A part of the file: an unknown key is a mistake."""
+class StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A part of the file: an unknown key is an error."""
 
 
-class Peer(Strict, frozen=True):
+class Peer(StrictStruct, frozen=True):
     """One broker. `address`: HOST:PORT of its fleet socket (UDP)."""
 
     name: Name
@@ -34,23 +34,23 @@
     zone: str = ""
 
 
-class Voters(Strict, frozen=True):
+class Voters(StrictStruct, frozen=True):
     """One version of the voter set."""
 
     version: Annotated[int, msgspec.Meta(ge=1)]
     names: list[Name]
 
 
-class LeaseSpec(Strict, frozen=True):
-    """A lease. `places`: how many may hold it at once. `wanted`: only those told to ask for it do."""
+class LeaseSpec(StrictStruct, frozen=True):
+    """A lease. `places`: how many may hold it at once. `wanted`: only those asked to do so request it."""
 
     name: Name
-    places: Annotated[int, msgspec.Meta(ge=1, le=PLACES_MOST)] = 1
+    places: Annotated[int, msgspec.Meta(ge=1, le=MAX_PLACES)] = 1
     wanted: bool = False
     term_s: Seconds | None = None
 
 
-class TaskSpec(Strict, frozen=True):
+class TaskSpec(StrictStruct, frozen=True):
     """A task under a lease. `longest_s`: an act is not begun with less of the lease left. `at`: where a call
     goes to; `steps` and `step_s`: how many calls an act makes, and the time between them."""
 
@@ -64,7 +64,7 @@
     step_s: Annotated[float, msgspec.Meta(ge=0, le=60)] = 0.0
 
 
-class ZonePace(Strict, frozen=True):
+class ZonePace(StrictStruct, frozen=True):
     """How zones are left and returned to; seconds, and parts of one. What engines bear is the site's."""
 
     confirm_s: Seconds = 0.3
@@ -74,23 +74,31 @@
     bear: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.9
 
 
-class Region(Strict, frozen=True):
+class Region(StrictStruct, frozen=True):
     """Zones that are left and returned to together."""
 
     name: Name
     zones: Annotated[list[Name], msgspec.Meta(min_length=1)]
 
 
-class Wish(Strict, frozen=True):
-    """What an operator wants of a zone, and for how long."""
+class ZoneCommandRequest(StrictStruct, frozen=True):
+    """The body of an operator's call: what a zone is to do, and for how long. Keys as in the operators'
+    pages."""
 
     zone: str
-    what: Literal["leave", "practice", "hold", "return"]
-    span_s: Annotated[float, msgspec.Meta(gt=0, le=86_400)] = 600.0
-    why: Annotated[str, msgspec.Meta(min_length=1, max_length=120)] = "no reason given"
+    action: Literal["leave", "practice", "hold", "return"] = msgspec.field(name="what")
+    duration_s: Annotated[float, msgspec.Meta(gt=0, le=86_400)] = msgspec.field(default=600.0, name="span_s")
+    reason: Annotated[str, msgspec.Meta(min_length=1, max_length=120)] = msgspec.field(
+        default="no reason given", name="why"
+    )
+
+    @property
+    def duration(self) -> int:
+        """How long it holds, µs."""
+        return round(self.duration_s * 1e6)
 
 
-class Lab(Strict, frozen=True):
+class Lab(StrictStruct, frozen=True):
     """For the laboratory alone: clocks of another rate and offset, and a file of what was held when."""
 
     clock_rate: Annotated[float, msgspec.Meta(ge=0.5, le=2)] = 1.0
@@ -99,7 +107,7 @@
     record: str = ""
 
 
-class FleetSettings(Strict, frozen=True):
+class FleetSettings(StrictStruct, frozen=True):
     """The whole file. `drift_ppm`: how far any clock's rate may be from true, parts in a million."""
 
     peers: list[Peer]
@@ -118,26 +126,26 @@
     lab: Lab = Lab()
 
     @property
-    def longest(self) -> int:
-        """The longest term of any lease, µs: what a voter that starts is mute for."""
+    def longest_term(self) -> int:
+        """The longest term of any lease, µs: what a voter that starts does not vote for."""
         return round((self.longest_term_s or self.term_s) * 1e6)
 
     @property
-    def sets(self) -> dict[int, tuple[str, ...]]:
+    def voter_sets(self) -> dict[int, tuple[str, ...]]:
         """Voters by version."""
         return {v.version: tuple(v.names) for v in self.voters}
 
-    def term(self, spec: LeaseSpec) -> int:
+    def term_of(self, spec: LeaseSpec) -> int:
         """A lease's term, µs."""
         return round((spec.term_s or self.term_s) * 1e6)
 
 
-def read_fleet(path: str) -> FleetSettings:
+def read_fleet_settings(path: str) -> FleetSettings:
     """The file's settings. Raises `ConfigError` with one line that names the mistake."""
-    return read_yaml(path, FleetSettings, check)
+    return read_yaml_settings(path, FleetSettings, check_fleet_settings)
 
 
-def read_yaml(path: str, schema: type[T], check: Callable[[T], None]) -> T:
+def read_yaml_settings(path: str, schema: type[T], check: Callable[[T], None]) -> T:
     """A YAML file's settings by their schema, checked whole. Raises `ConfigError` with one line."""
     try:
         with open(path, encoding="utf-8") as file:
@@ -149,36 +157,36 @@
     except (yaml.YAMLError, RecursionError) as err:
         raise ConfigError(f"{path} is not YAML: {' '.join(str(err).split())}") from None
     try:
-        told = msgspec.convert(raw, schema, strict=True)
-        check(told)
+        settings = msgspec.convert(raw, schema, strict=True)
+        check(settings)
     except (msgspec.ValidationError, ConfigError, VoterSetError) as err:
         raise ConfigError(f"{path}: {err}") from None
-    return told
+    return settings
 
 
-def check(told: FleetSettings) -> None:
+def check_fleet_settings(settings: FleetSettings) -> None:
     """The rules that a schema can't state. Raises `ConfigError` or `VoterSetError`."""
-    names = [p.name for p in told.peers]
-    once(names, "peer")
-    once([p.address for p in told.peers], "address")
-    once([spec.name for spec in told.leases], "lease")
-    once([r.name for r in told.regions], "region")
-    once([zone for r in told.regions for zone in r.zones], "a region's zone")
-    once([(t.kind, t.lease) for t in told.tasks], "task")
-    if not 1 <= len(names) <= PEERS_MOST:
+    names = [p.name for p in settings.peers]
+    require_unique(names, "peer")
+    require_unique([p.address for p in settings.peers], "address")
+    require_unique([spec.name for spec in settings.leases], "lease")
+    require_unique([r.name for r in settings.regions], "region")
+    require_unique([zone for r in settings.regions for zone in r.zones], "a region's zone")
+    require_unique([(t.kind, t.lease) for t in settings.tasks], "task")
+    if not 1 <= len(names) <= MAX_PEERS:
         raise ConfigError(
-            f"{len(names)} peers; 1 to {PEERS_MOST} can be: 460 brokers, as many that replace "
+            f"{len(names)} peers; 1 to {MAX_PEERS} can be: 460 brokers, as many that replace "
             "them, and control machines"
         )
-    for peer in told.peers:
+    for peer in settings.peers:
         parse_address(peer.address)
-    if told.listen:
-        parse_address(told.listen)
-    _check_voters(told, set(names))
-    _check_leases(told)
+    if settings.listen:
+        parse_address(settings.listen)
+    _check_voters(settings, set(names))
+    _check_leases(settings)
 
 
-def once(values: list, what: str) -> None:
+def require_unique(values: list, what: str) -> None:
     """Raises `ConfigError` where a value is there twice."""
     seen = set()
     for value in values:
@@ -187,33 +195,33 @@
         seen.add(value)
 
 
-def _check_voters(told: FleetSettings, names: set[str]) -> None:
-    if not told.voters:
+def _check_voters(settings: FleetSettings, names: set[str]) -> None:
+    if not settings.voters:
         raise ConfigError("no voters")
-    once([v.version for v in told.voters], "voters version")
-    newest = max(told.voters, key=lambda v: v.version)
-    for voters in told.voters:
-        once(voters.names, f"in voters version {voters.version}, broker")
-        if len(voters.names) not in SIZES:
+    require_unique([v.version for v in settings.voters], "voters version")
+    newest = max(settings.voters, key=lambda v: v.version)
+    for voters in settings.voters:
+        require_unique(voters.names, f"in voters version {voters.version}, broker")
+        if len(voters.names) not in VOTER_SET_SIZES:
             count = len(voters.names)
             raise ConfigError(f"voters version {voters.version} has {count} voters; 3 to 7 can be")
     for name in newest.names:
         if name not in names:
             raise ConfigError(f"voter {name} is not among the peers")
-    check_voter_sets(told.sets)
+    check_voter_sets(settings.voter_sets)
 
 
-def _check_leases(told: FleetSettings) -> None:
-    known = {spec.name for spec in told.leases}
-    if sum(spec.places for spec in told.leases) > LEASES_MOST:
-        raise ConfigError(f"more than {LEASES_MOST} leases and places")
-    for spec in told.leases:
-        if told.term(spec) > told.longest:
+def _check_leases(settings: FleetSettings) -> None:
+    known = {spec.name for spec in settings.leases}
+    if sum(spec.places for spec in settings.leases) > MAX_LEASES:
+        raise ConfigError(f"more than {MAX_LEASES} leases and places")
+    for spec in settings.leases:
+        if settings.term_of(spec) > settings.longest_term:
             raise ConfigError(f"lease {spec.name}: its term is over longest_term_s")
-    for task in told.tasks:
+    for task in settings.tasks:
         if task.lease not in known:
             raise ConfigError(f"task {task.kind}: no lease {task.lease}")
-        term = next(told.term(s) for s in told.leases if s.name == task.lease)
+        term = next(settings.term_of(s) for s in settings.leases if s.name == task.lease)
         if task.longest_s * 1e6 * 2 > term:
             raise ConfigError(f"task {task.kind}: longest_s is over half the term of lease {task.lease}")
         if task.kind == "call":
--- /dev/null
+++ b/cypressledge/fleet/zones/failover.py
@@ -0,0 +1,176 @@
+"""One broker's part in zone failover: observes its engines, follows the plan, and plans under the lease.
+
+Has no sockets of its own: messages go through the fleet's transport. Engines are closed where the core takes
+its lists in, the one place that every list passes. Callers pass the time (µs of the clock that leases use).
+"""
+
+from collections.abc import Generator
+
+from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.messages import EngineObservations, FailoverPlan, PlanRequest, ZoneCommand
+from cypressledge.fleet.zones import operator_commands
+from cypressledge.fleet.zones.admission import ZoneAdmission
+from cypressledge.fleet.zones.environment import FleetLinks, ZoneCore
+from cypressledge.fleet.zones.failover_plan import FailoverPace
+from cypressledge.fleet.zones.fleet_view import FleetView
+from cypressledge.fleet.zones.health import assess
+from cypressledge.fleet.zones.observer import ZoneObserver
+from cypressledge.fleet.zones.plan_follower import PlanFollower
+from cypressledge.fleet.zones.planner_duty import PlannerDuty
+from cypressledge.fleet.zones.topology import SiteTopology
+
+TICK_INTERVAL = 200_000  # µs between ticks, and between reports that tell of failures
+IDLE_REPORT_INTERVAL = 500_000  # µs between reports that only say that all is well
+CANDIDATE_REPORT_INTERVAL = 1_000_000  # µs between reports to those that may follow the planner
+MAX_START_WAIT = 1_500_000  # µs that a broker that starts waits for a plan before it goes without
+START_PEERS = 5  # peers that it asks
+PLANNER_STEP_S = 0.1  # seconds between steps of the planner
+
+ZoneMessage = EngineObservations | FailoverPlan | PlanRequest | ZoneCommand
+
+
+class ZoneFailover:
+    """All parts of zone failover at one broker."""
+
+    def __init__(
+        self, broker: str, core: ZoneCore, topology: SiteTopology, pace: FailoverPace, links: FleetLinks
+    ) -> None:
+        self.broker = broker
+        self.core = core
+        self.topology = topology
+        self.links = links
+        self.started_at = links.now()
+        self.follower = PlanFollower(broker, topology.region_of)
+        self.follower.plan_heard_at = self.started_at
+        self.observer = ZoneObserver(core, links.now)
+        self.admission = ZoneAdmission(topology, self.follower, links.now)
+        self.view = FleetView(core, topology)
+        self.duty = PlannerDuty(self.view, pace, self.follower, links, self._publish)
+        self.planner_name = ""  # whose plan was taken last
+        self.next_tick = 0
+        self.reported_at = 0
+        self.reported_to_candidates_at = 0
+        core.ledger.observer = self.observer
+        core.engines.is_closed = self.admission.is_closed
+        core.ledger.admission_filter = self.admission.admits
+
+    def receive(self, sender: str, message: ZoneMessage) -> None:
+        """Take a peer's message about zones in."""
+        now = self.links.now()
+        if isinstance(message, EngineObservations):
+            self.view.record(sender, message, now)
+        elif isinstance(message, FailoverPlan):
+            self._accept(message, sender, now)
+        elif isinstance(message, ZoneCommand):
+            self._apply(message, now)
+        elif self.follower.plan is not None:
+            self.links.send(sender, self.follower.plan)
+
+    def tick(self, now: int) -> int:
+        """Observe, report to the planner, and act alone where there is none; the moment of the next tick."""
+        if now < self.next_tick:
+            return self.next_tick
+        self.next_tick = now + TICK_INTERVAL
+        engines = self.observer.snapshot(now)
+        observed = EngineObservations(
+            engines, self.admission.arrivals.counts(now), sorted(self.follower.locally_evacuated)
+        )
+        self._report(observed, now)
+        if self.admission.awaiting_plan:
+            self._ask_for_plan(now)
+        self._act_without_planner(observed, now)
+        return self.next_tick
+
+    def act(self, grant: HeldLease) -> Generator[None, None, None]:
+        """One step of the planner, under its lease."""
+        return self.duty.act(grant)
+
+    def step_down_from(self, lease: str) -> None:
+        """A lease is lost; if it is the planner's, this broker plans no more."""
+        self.duty.step_down_from(lease)
+
+    def command(self, zone: str, what: str, span: int, why: str) -> str:
+        """Take an operator's command, for `span` µs; the planner that it went to, or nothing."""
+        command = ZoneCommand(zone, what, span, why)
+        if self.duty.term is not None:
+            self._apply(command, self.links.now())
+            return self.broker
+        if self.planner_name:
+            self.links.send(self.planner_name, command)
+        return self.planner_name
+
+    def dry_run(self, zone: str, what: str, span: int, why: str) -> list[str] | None:
+        """What a command would lead to now; None where this broker is not the planner."""
+        return operator_commands.dry_run(self.duty, ZoneCommand(zone, what, span, why), self.links.now())
+
+    def status(self) -> dict:
+        """How the zones stand here, by the keys that operators' calls answer with."""
+        plan = self.follower.plan
+        heard_s = (self.links.now() - self.follower.plan_heard_at) / 1e6
+        return {
+            "planner": self.planner_name,
+            "token": plan.token if plan else 0,
+            "number": plan.number if plan else 0,
+            "heard_s": round(heard_s, 2),
+            "shed": plan.shed if plan else {},
+            "shed_here": self.admission.shed_requests,
+            "zones": operator_commands.zone_rows(self.duty),
+        }
+
+    def _apply(self, command: ZoneCommand, now: int) -> None:
+        if self.duty.term is not None:
+            operator_commands.apply_command(self.duty.term.planner_of(command.zone), command, now)
+
+    def _publish(self, plan: FailoverPlan, now: int) -> None:
+        self._accept(plan, self.broker, now)
+
+    def _accept(self, plan: FailoverPlan, sender: str, now: int) -> None:
+        """Take a plan over, and let the core see its lists anew where that closes or opens engines."""
+        shares_before = self._shares()
+        had_left_alone = bool(self.follower.locally_evacuated)
+        if not self.follower.accept(plan, now):
+            return
+        self.planner_name = sender
+        self.admission.awaiting_plan = False
+        shares = self._shares()
+        if shares != shares_before:
+            self.links.log_event(
+                "plan_taken", token=plan.token, number=plan.number, planner=sender, shares=shares
+            )
+            self.core.engines.refresh()
+        elif had_left_alone:
+            self.core.engines.refresh()
+
+    def _shares(self) -> dict[str, int]:
+        return {zone: self.follower.share(zone) for zone in self.topology.zones}
+
+    def _report(self, observed: EngineObservations, now: int) -> None:
+        """Send this broker's observations to the planner, and now and then to those that may follow it."""
+        has_trouble = any(engine.consecutive_failures or engine.late for engine in observed.engines)
+        if now - self.reported_at < (TICK_INTERVAL if has_trouble else IDLE_REPORT_INTERVAL):
+            return
+        self.reported_at = now
+        self.view.record(self.broker, observed, now)
+        recipients = {self.planner_name}
+        if now - self.reported_to_candidates_at >= CANDIDATE_REPORT_INTERVAL:
+            self.reported_to_candidates_at = now
+            recipients |= set(self.links.likely_planners())
+        for peer in recipients - {self.broker, ""}:
+            self.links.send(peer, observed)
+
+    def _ask_for_plan(self, now: int) -> None:
+        if now - self.started_at >= MAX_START_WAIT:
+            self.admission.awaiting_plan = False
+            return
+        for peer in self.links.living_peers()[:START_PEERS]:
+            self.links.send(peer, PlanRequest())
+
+    def _act_without_planner(self, observed: EngineObservations, now: int) -> None:
+        own = assess(*self.view.zone_input([self.view.report(self.broker, observed)]))
+        if not self.follower.observe(now, own.zones):
+            return
+        left = sorted(self.follower.locally_evacuated)
+        self.links.log_event(
+            "zones_left_alone", zones=left, why="; ".join(own.zones[zone].why for zone in left)
+        )
+        self.core.engines.refresh()
--- /dev/null
+++ b/cypressledge/fleet/zones/observer.py
@@ -0,0 +1,68 @@
+"""Observes the attempts of one broker's core for zone failover: the core's `AttemptObserver`."""
+
+from collections.abc import Callable
+
+from cypressledge.broker.requests import Attempt, Query
+from cypressledge.decisions import contract as c
+from cypressledge.fleet.messages import EngineObservation
+from cypressledge.fleet.zones.environment import ZoneCore
+from cypressledge.fleet.zones.observations import AttemptObservations, OpenAttempt
+
+MAX_SLOWDOWN = (
+    4.0  # the most that a slow class lengthens what is expected: guards against calling a crowd a loss
+)
+
+
+class ZoneObserver:
+    """What this broker's attempts show of the engines. Two clocks: the core's for attempts, and `now`, of
+    the fleet, for observations (both µs)."""
+
+    def __init__(self, core: ZoneCore, now: Callable[[], int]) -> None:
+        self.core = core
+        self.now = now
+        self.observations = AttemptObservations()
+        self.heard_at: dict[Attempt, int] = {}  # when an engine last reported progress of an open attempt
+
+    def attempt_ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
+        """An attempt has ended, after `latency` µs."""
+        silent = self.heard_at.pop(attempt, None) is None
+        query = attempt.request.query
+        self.observations.record_end(
+            self.now(),
+            attempt.endpoint.id,
+            attempt,
+            outcome,
+            latency,
+            self._expected_time(query),
+            query.cost,
+            silent,
+        )
+
+    def attempt_progressed(self, attempt: Attempt) -> None:
+        """An engine has reported progress of an attempt."""
+        self.heard_at[attempt] = self.now()
+
+    def snapshot(self, now: int) -> list[EngineObservation]:
+        """Look at the attempts that are open now, and sum up the last windows."""
+        self.observations.record_open(now, self._open_attempts(now))
+        return self.observations.snapshot(now)
+
+    def _open_attempts(self, now: int) -> list[OpenAttempt]:
+        core_now = self.core.loop.now()
+        found = []
+        for request in self.core.ledger.requests.values():
+            for attempt in request.attempts:
+                if not attempt.is_open:
+                    continue
+                silence = core_now - attempt.sent_at
+                if attempt in self.heard_at:
+                    silence = min(silence, now - self.heard_at[attempt])
+                expected = self._expected_time(request.query)
+                found.append(OpenAttempt(attempt, attempt.endpoint.id, silence, expected))
+        return found
+
+    def _expected_time(self, query: Query) -> int:
+        """µs that a query should take as engines answer its class now: if all are crowded, none is lost."""
+        run_time = query.cost / max(1, self.core.settings.classes[query.class_index].threads)
+        slowdown = self.core.loop.manager.latency_ratios[query.class_index]
+        return int(run_time * min(max(slowdown, 1.0), MAX_SLOWDOWN))
--- /dev/null
+++ b/cypressledge/fleet/zones/operator_commands.py
@@ -0,0 +1,71 @@
+"""What operators can ask of zone failover at a broker: commands for the planner, dry runs, and the status."""
+
+from cypressledge.fleet.messages import ZoneCommand
+from cypressledge.fleet.zones.failover_plan import FULL_SHARE, ZoneStage
+from cypressledge.fleet.zones.failover_planner import FailoverPlanner
+from cypressledge.fleet.zones.planner_duty import PlannerDuty
+
+MAX_DRY_RUN = 120_000_000  # µs that a dry run looks ahead
+DRY_RUN_STEP = 100_000  # µs between its steps
+
+
+def apply_command(planner: FailoverPlanner, command: ZoneCommand, now: int) -> None:
+    """Give a planner an operator's command; of a zone that it does not know it is dropped."""
+    if command.zone not in planner.zones:
+        return
+    until = now + command.duration
+    if command.action == "leave":
+        planner.leave(command.zone, now, until, f"by hand: {command.reason}")
+    elif command.action == "practice":
+        planner.leave(command.zone, now, until, f"practice: {command.reason}", practice=True)
+    elif command.action == "hold":
+        planner.hold(command.zone, now, until, f"held by hand: {command.reason}")
+    else:
+        planner.bring_back(command.zone, now, f"by hand: {command.reason}")
+
+
+def dry_run(duty: PlannerDuty, command: ZoneCommand, now: int) -> list[str] | None:
+    """What a command would lead to now, step by step; None where this broker is not the planner."""
+    term = duty.term
+    if term is None:
+        return None
+    lines: list[str] = []
+    elapsed = 0
+
+    def log_event(event: str, zone: str, why: str) -> None:
+        lines.append(f"after {elapsed / 1e6:g} s: {event} {zone}: {why}")
+
+    planner = term.planner_of(command.zone)
+    trial = planner.trial(log_event)
+    apply_command(trial, command, now)
+    loads, over = duty.planner_input(now)
+    findings = duty.zone_health.zones
+    if planner is term.regions:
+        loads, findings = duty.view.region_loads(loads), duty.region_health.zones
+    for elapsed in range(0, min(command.duration, MAX_DRY_RUN) + 1, DRY_RUN_STEP):
+        trial.step(now + elapsed, findings, loads, over)
+    return lines or ["nothing would change"]
+
+
+def zone_rows(duty: PlannerDuty) -> list[dict]:
+    """How each zone and region stands here, by the keys that operators' calls answer with."""
+    rows = []
+    follower, topology = duty.follower, duty.topology
+    for name in (*topology.zones, *topology.regions):
+        status = follower.statuses.get(name)
+        health = duty.region_health if name in topology.regions else duty.zone_health
+        finding = health.zones.get(name) if duty.term else None
+        rows.append(
+            {
+                "zone": name,
+                "region": topology.region_of.get(name, ""),
+                "stage": status.stage if status else ZoneStage.SERVING.value,
+                "share": follower.share(name) / FULL_SHARE,
+                "alone": name in follower.locally_evacuated,
+                "flaps": status.flaps if status else 0,
+                "by_hand": status.operator_override if status else "",
+                "finding": finding.verdict.value if finding else "",
+                "why": status.reason if status else "",
+            }
+        )
+    return rows
--- /dev/null
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -0,0 +1,198 @@
+"""The planner's work at the broker that holds its lease: assess the fleet, step the planners, publish the
+plan."""
+
+from collections.abc import Callable, Generator
+from dataclasses import dataclass
+
+from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.messages import FailoverPlan
+from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.failover_plan import FULL_SHARE, FailoverPace, ZoneLoad, ZoneStage
+from cypressledge.fleet.zones.failover_planner import FailoverPlanner
+from cypressledge.fleet.zones.fleet_view import FleetView
+from cypressledge.fleet.zones.health import MAX_AGE, BrokerObservations, FleetHealth, assess_in_steps
+from cypressledge.fleet.zones.load_shedding import (
+    COUNT_SECONDS,
+    over_quota,
+    over_quota_fraction,
+    shed_parts,
+)
+from cypressledge.fleet.zones.plan_follower import PlanFollower
+from cypressledge.fleet.zones.recovery_ramp import usable_fraction
+
+REPEAT_INTERVAL = 1_000_000  # µs between sendings of an unchanged plan,
+FIRST_REPEATS = {1: 100_000, 2: 200_000}  # but after the first and the second: a datagram may get lost
+MIN_ADOPTERS = 2  # brokers that have to have left a zone by themselves for the planner to adopt that
+
+
+@dataclass(slots=True)
+class PlannerTerm:
+    """The planners of zones and of regions, under one grant of the lease."""
+
+    grant: HeldLease
+    zones: FailoverPlanner
+    regions: FailoverPlanner
+
+    @property
+    def number(self) -> int:
+        """Of the plan."""
+        return self.zones.number + self.regions.number
+
+    @property
+    def sheds(self) -> bool:
+        """Whether the others can't bear what has been left."""
+        return self.zones.sheds or self.regions.sheds
+
+    def planner_of(self, name: str) -> FailoverPlanner:
+        """The planner of a zone, or of a region."""
+        return self.regions if name in self.regions.zones else self.zones
+
+
+class PlannerDuty:
+    """What the holder of the planner's lease does. `publish(plan, now)` takes a plan over at this broker."""
+
+    def __init__(
+        self,
+        view: FleetView,
+        pace: FailoverPace,
+        follower: PlanFollower,
+        links: FleetLinks,
+        publish: Callable[[FailoverPlan, int], None],
+    ) -> None:
+        self.view = view
+        self.topology = view.topology
+        self.pace = pace
+        self.follower = follower
+        self.links = links
+        self.publish = publish
+        self.term: PlannerTerm | None = None
+        self.zone_health = FleetHealth({}, {})
+        self.region_health = FleetHealth({}, {})
+        self.logged_isolated: dict[str, str] = {}
+        self.sent_at = 0  # µs when the plan was last sent,
+        self.times_sent = 0  # and how often since it last changed
+
+    def act(self, grant: HeldLease) -> Generator[None, None, None]:
+        """One step of the planner, in short steps of processor time."""
+        now = self.links.now()
+        if self.term is None or self.term.grant.token != grant.token:
+            self._begin_term(grant, now)
+        reports = self.view.reports(now)
+        self.zone_health = yield from assess_in_steps(*self.view.zone_input(reports))
+        if self.topology.region_of:
+            self.region_health = yield from assess_in_steps(*self.view.region_input(reports))
+        yield None
+        term = self.term
+        if term is None:  # guards against planning on after stepping down between two steps
+            return
+        now = self.links.now()
+        self._log_isolated()
+        self._adopt(term.zones, reports, now)
+        self._plan(term, grant, now)
+
+    def step_down_from(self, lease: str) -> None:
+        """A lease is lost; if it is the planner's, this broker plans no more."""
+        if self.term is not None and self.term.grant.lease == lease:
+            self.term = None
+
+    def planner_input(self, now: int) -> tuple[dict[str, ZoneLoad], float]:
+        """Each zone's load, and the part of all requests that is over its tenant's quota."""
+        counts = self.view.tenant_counts(now)
+        return self.view.zone_loads(now), over_quota_fraction(
+            counts, over_quota(counts, self.topology.quotas)
+        )
+
+    def _begin_term(self, grant: HeldLease, now: int) -> None:
+        """Begin to plan, from where the newest plan stands."""
+        zones = FailoverPlanner(list(self.topology.zones), self.pace, now, self._log_zone_event)
+        regions = FailoverPlanner(self.topology.regions, self.pace, now, self._log_region_event)
+        known = self.follower.plan
+        if known is not None:
+            heard_at = self.follower.plan_heard_at
+            zones.resume(known.number, known.zones, bool(known.shed), heard_at)
+            regions.resume(0, known.regions, False, heard_at)
+        self.term = PlannerTerm(grant, zones, regions)
+        self.sent_at = 0
+        self.links.log_event("planner", token=grant.token, number=zones.number)
+
+    def _adopt(self, planner: FailoverPlanner, reports: list[BrokerObservations], now: int) -> None:
+        """Take on what most brokers left by themselves, so that they do not come back all at once."""
+        fresh = [report for report in reports if report.age < MAX_AGE]
+        for name, zone in planner.zones.items():
+            alone = sum(name in report.observed.locally_evacuated_zones for report in fresh)
+            others = any(z.share == FULL_SHARE for z in planner.zones.values() if z is not zone)
+            enough = alone >= max(MIN_ADOPTERS, len(fresh) / 2)
+            if zone.stage is ZoneStage.SERVING and others and enough:
+                planner.adopt(name, now, f"{alone} of {len(fresh)} brokers left it without a planner")
+
+    def _plan(self, term: PlannerTerm, grant: HeldLease, now: int) -> None:
+        """Step both planners, and send the plan where it is due."""
+        loads, over = self.planner_input(now)
+        if term.sheds:
+            over = 0.0  # what is shed already is not in the loads
+        changed = term.zones.step(now, self.zone_health.zones, loads, over)
+        if self.topology.region_of:
+            region_loads = self.view.region_loads(loads)
+            changed |= term.regions.step(now, self.region_health.zones, region_loads, over)
+        if changed:
+            self.times_sent = 0
+        interval = FIRST_REPEATS.get(self.times_sent, REPEAT_INTERVAL)
+        if changed or now - self.sent_at >= interval:
+            self._send_plan(term, grant, loads, now)
+
+    def _send_plan(self, term: PlannerTerm, grant: HeldLease, loads: dict[str, ZoneLoad], now: int) -> None:
+        self.sent_at = now
+        self.times_sent += 1
+        zones, regions = term.zones.statuses(now), term.regions.statuses(now)
+        plan = FailoverPlan(
+            grant.token, grant.instance_id, term.number, zones, regions, self._shed_parts(term, loads, now)
+        )
+        self.publish(plan, now)
+        for peer in self.links.living_peers():
+            self.links.send(peer, plan)
+
+    def _shed_parts(self, term: PlannerTerm, loads: dict[str, ZoneLoad], now: int) -> dict[str, int]:
+        counts = self.view.tenant_counts(now)
+        over = over_quota(counts, self.topology.quotas)
+        return shed_parts(counts, over, self._excess(term, counts, loads, now))
+
+    def _excess(
+        self, term: PlannerTerm, counts: dict[str, int], loads: dict[str, ZoneLoad], now: int
+    ) -> float:
+        """The part of all work that comes, shed or not, which the zones can't bear while one is away: 0 to 1.
+
+        Guards against a decision module that sees few engines, lets ever more onto each, and answers nearly
+        all late.
+        """
+        serving = (ZoneStage.SERVING, ZoneStage.SUSPECT)
+        states = (*term.zones.zones.values(), *term.regions.zones.values())
+        work_per_answer = self.view.work_per_answer(now)
+        if all(zone.stage in serving for zone in states) or work_per_answer is None:
+            return 0.0
+        arriving = sum(counts.values()) / COUNT_SECONDS * work_per_answer
+        usable = sum(load.cores * self._usable_fraction(term, zone, now) for zone, load in loads.items())
+        bearable = usable * self.pace.bear
+        return max(0.0, 1 - bearable / arriving) if arriving else 0.0
+
+    def _usable_fraction(self, term: PlannerTerm, zone_name: str, now: int) -> float:
+        """The part of a zone's cores that may be reckoned with: no more than its region's."""
+        zone = term.zones.zones[zone_name]
+        region = term.regions.zones.get(self.topology.region_of.get(zone_name, ""))
+        states = [state for state in (zone, region) if state is not None]
+        return min(usable_fraction(state, now, self.pace) for state in states)
+
+    def _log_isolated(self) -> None:
+        """Log brokers that are isolated themselves, once each time."""
+        for broker, why in self.zone_health.isolated.items():
+            if broker not in self.logged_isolated:
+                self.links.log_event("broker_blind", peer=broker, why=why)
+        self.logged_isolated = dict(self.zone_health.isolated)
+
+    def _token(self) -> int:
+        return self.term.grant.token if self.term else 0
+
+    def _log_zone_event(self, event: str, zone: str, why: str) -> None:
+        self.links.log_event(event, zone=zone, why=why, token=self._token())
+
+    def _log_region_event(self, event: str, region: str, why: str) -> None:
+        self.links.log_event(event.replace("zone_", "region_"), region=region, why=why, token=self._token())
--- a/cypressledge/lab/capacity/targets.py
+++ b/cypressledge/lab/capacity/targets.py
@@ -17,7 +17,7 @@
 # The program's own
 POLLS_PER_S = 2.5  # of the list of engines: net/dns_discovery.py's interval
 DIRECTORY_ANSWER_BYTES = 8_000
-OBSERVATIONS_PER_S = 2.0  # of zones by each broker: fleet/zones.py, deploy/fleet.yaml
+OBSERVATIONS_PER_S = 2.0  # of zones by each broker: fleet/zones/failover.py, deploy/fleet.yaml
 OBSERVATIONS_PER_S_FAILING = 5.0  # the same while something fails
 PLANS_PER_S = 1.0
 SUMMARY_INTERVAL_S = 2.0
--- a/cypressledge/lab/scaling.py
+++ b/cypressledge/lab/scaling.py
@@ -42,8 +42,10 @@
     encode,
 )
 from cypressledge.fleet.summary import ENGINES_MOST, Merge
-from cypressledge.fleet.zoneplan import Pace
-from cypressledge.fleet.zones import Site, Zones
+from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.failover import ZoneFailover
+from cypressledge.fleet.zones.failover_plan import FailoverPace
+from cypressledge.fleet.zones.topology import SiteTopology
 from cypressledge.lab.results import Fact, Results, Slope, Source, slope, source, write
 from cypressledge.lab.site import SETTINGS
 from cypressledge.lab.virtual import World
@@ -515,7 +517,7 @@
 
 
 def sight(engines: list[int], bad: frozenset[int]) -> EngineObservations:
-    """What a broker tells of the engines it used: 64 at most, as `Evidence.sight` bounds it."""
+    """What a broker tells of the engines it used: 64 at most, as `AttemptObservations.snapshot` bounds it."""
 
     def seen(engine: int) -> EngineObservation:
         if engine in bad:
@@ -525,7 +527,9 @@
     return EngineObservations([seen(e) for e in engines[:64]], {"sahel": 1_000}, [])
 
 
-def planner(brokers: int, engines: int, lost: bool, seed: int) -> tuple[Zones, list[tuple[str, object]]]:
+def planner(
+    brokers: int, engines: int, lost: bool, seed: int
+) -> tuple[ZoneFailover, list[tuple[str, object]]]:
     """A planner with a sight of each broker; with a zone lost, or all well. The core is a stand-in."""
     names = [f"n{i:03d}" for i in range(brokers)]
     listed = entries(engines)
@@ -539,18 +543,15 @@
         ),
     )
     sent: list[tuple[str, object]] = []
-    site = Site(ZONES, {n: ZONES[i % 4] for i, n in enumerate(names)}, REGION, {})
-    zones = Zones(
-        names[0],
-        core,
-        site,
-        Pace(),
-        lambda: 100 * S,
-        lambda peer, item: sent.append((peer, item)),
-        lambda: names[1:],
-        lambda: names[:1],
-        lambda event, **what: None,
+    site = SiteTopology(ZONES, {n: ZONES[i % 4] for i, n in enumerate(names)}, REGION, {})
+    links = FleetLinks(
+        now=lambda: 100 * S,
+        send=lambda peer, item: sent.append((peer, item)),
+        living_peers=lambda: names[1:],
+        likely_planners=lambda: names[:1],
+        log_event=lambda event, **fields: None,
     )
+    zones = ZoneFailover(names[0], core, site, FailoverPace(), links)
     bad = frozenset(e.engine for e in listed if e.zone == 0) if lost else frozenset()
     rng = random.Random(seed)
     for name in names:
@@ -712,12 +713,12 @@
         points = []
         for n in sizes:
             path = fleet_file(Path(folder), n)
-            points.append((n, middle_ms(lambda path=path: fleet_settings.read_fleet(path), 3)))
+            points.append((n, middle_ms(lambda path=path: fleet_settings.read_fleet_settings(path), 3)))
         try:
-            fleet_settings.read_fleet(fleet_file(Path(folder), PEERS))
+            fleet_settings.read_fleet_settings(fleet_file(Path(folder), PEERS))
             most = PEERS
         except ConfigError:
-            most = fleet_settings.PEERS_MOST
+            most = fleet_settings.MAX_PEERS
     role, what = "broker, control part", "fleet.yaml read and checked"
     return (
         [slope("fleet_yaml_ms", role, what, "ms", "brokers", points, told)],
--- /dev/null
+++ b/cypressledge/lab/zone_processes/comparison.py
@@ -0,0 +1,201 @@
+"""Plays drawn schedules, each with zone failover off and on, and compares what came of them."""
+
+import random
+import time
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import gevent
+
+from cypressledge.lab.zone_processes.core_engine import CoreEngine
+from cypressledge.lab.zone_processes.testbed import ZONES, ZoneTestbed, logged_at
+
+FAILURES = ("silent", "reset", "slow")  # how a whole zone fails
+BROKERS = 10
+RATE = 0.55  # of all engines' cores
+SETTLE_S = 4  # before the zone is lost
+
+# The retry budget over all brokers: at most 3 a broker and a tenth of the queries, in any 5 s.
+BUDGET_WINDOW_S = 5
+BUDGET_FLOOR = 3
+BUDGET_RATIO = 0.1
+WINDOW_SLACK_S = 0.5  # queries up to that much before the window count as well: engines receive with a delay
+
+
+@dataclass(frozen=True, slots=True)
+class Schedule:
+    """How a zone fails, for how long, and how long it is watched after. `failure` none: a day without a
+    loss."""
+
+    seed: int
+    failure: str
+    zone: str
+    out_s: float
+    back_s: float
+
+    @property
+    def loses_zone(self) -> bool:
+        """Whether a whole zone is lost."""
+        return self.failure in FAILURES
+
+
+@dataclass(slots=True)
+class PlayResult:
+    """What came of one play of a schedule."""
+
+    last_send: float = 0.0  # s after the zone was lost, of the last new send into it
+    left_at: float | None = None  # s after it, when the last broker had taken the plan that leaves it
+    kept: float = 0.0  # percent of what was asked that was answered in time, from the loss on
+    fallen: int = 0  # engines
+    retries: int = 0
+    budget_violations: int = 0
+    back_s: float | None = None  # s after the zone came back, when its share was full
+    false_departures: int = 0
+    events: list[dict] = field(default_factory=list)
+
+
+def play(schedule: Schedule, failover: bool) -> PlayResult:
+    """Start, lose, bring back, end."""
+    testbed = ZoneTestbed(BROKERS, failover, schedule.seed, RATE)
+    result = PlayResult()
+    zone = schedule.zone
+    try:
+        load = testbed.start().load
+        gevent.sleep(SETTLE_S)
+        before = Counter(load.counts)
+        lost_at, lost_at_wall = time.monotonic(), time.time()
+        _fail(schedule, testbed)
+        if schedule.loses_zone:
+            result.last_send = max(0.0, testbed.last_received(zone) - lost_at)
+        for engine in testbed.engines:
+            engine.repair(cold=schedule.loses_zone and engine.zone == zone)
+        back_at_wall = time.time()
+        gevent.sleep(schedule.back_s)
+        asked = load.counts["asked"] - before["asked"]
+        result.kept = 100 * (load.counts["kept"] - before["kept"]) / max(1, asked)
+        result.fallen = sum(engine.falls for engine in testbed.engines)
+        _check_retry_budget(result, testbed.engines)
+        result.events = testbed.events("plan_taken", "zone_leaving", "zones_left_alone")
+        _read_times(result, zone, lost_at_wall, back_at_wall)
+        result.false_departures = _false_departures(schedule, result.events)
+    finally:
+        testbed.close()
+    return result
+
+
+def _fail(schedule: Schedule, testbed: ZoneTestbed) -> None:
+    """Let the zone fail for as long as the schedule says."""
+    lost = testbed.engines_in(schedule.zone)
+    end = time.monotonic() + schedule.out_s
+    if schedule.loses_zone:
+        for engine in lost:
+            engine.fail(schedule.failure)
+    elif schedule.failure == "cut":  # the path from the next zone's brokers to this one's engines
+        next_zone = (ZONES.index(schedule.zone) + 1) % len(ZONES)
+        cut_off = {name for i, name in enumerate(testbed.names) if i % len(ZONES) == next_zone}
+        for engine in lost:
+            engine.block(cut_off, "silent")
+    elif schedule.failure == "blind":  # one broker, to whom everything fails
+        for engine in testbed.engines:
+            engine.block({testbed.names[1]}, "reset")
+    elif schedule.failure == "release":
+        for engine in lost:
+            engine.fail("reset")
+            gevent.sleep(schedule.out_s / len(lost))
+            engine.repair()
+    gevent.sleep(max(0.0, end - time.monotonic()))
+
+
+def _false_departures(schedule: Schedule, events: list[dict]) -> int:
+    """How often a zone was left for nothing."""
+    departures = [event for event in events if event["event"] != "plan_taken"]
+    if not schedule.loses_zone:
+        return len(departures)
+    return sum(schedule.zone not in e.get("zone", e.get("zones", "")) for e in departures)
+
+
+def _read_times(result: PlayResult, zone: str, lost_at: float, back_at: float) -> None:
+    """When all had taken the plan that leaves the zone, and when its share was full again."""
+    left_at: dict[str, float] = {}
+    for event in result.events:
+        if event["event"] != "plan_taken":
+            continue
+        share, at = event["shares"].get(zone), logged_at(event)
+        if share == 0:
+            left_at.setdefault(event["broker"], at - lost_at)
+        elif share == 1000 and at > back_at:
+            result.back_s = at - back_at
+    if len(left_at) == BROKERS:
+        result.left_at = max(left_at.values())
+
+
+def _check_retry_budget(result: PlayResult, engines: list[CoreEngine]) -> None:
+    """Count attempts beyond each query's first, and those over the budget of all brokers together."""
+    received = sorted((q.received_at, q.broker, q.name) for engine in engines for q in engine.received)
+    seen: set[str] = set()
+    firsts: list[float] = []
+    retries: list[float] = []
+    for at, _, name in received:
+        query = name.partition(".")[0]
+        (retries if query in seen else firsts).append(at)
+        seen.add(query)
+    result.retries = len(retries)
+    for at in retries:
+        in_window = sum(at - BUDGET_WINDOW_S <= other <= at for other in retries)
+        queries = sum(at - BUDGET_WINDOW_S - WINDOW_SLACK_S <= other <= at for other in firsts)
+        result.budget_violations += in_window > BUDGET_FLOOR * BROKERS + BUDGET_RATIO * queries + 1
+
+
+def describe(schedule: Schedule, failover: bool, result: PlayResult) -> str:
+    """One play in one line."""
+    left = "" if result.left_at is None else f", left by all after {result.left_at:.2f} s"
+    back = "" if result.back_s is None else f", whole again after {result.back_s:.1f} s"
+    return (
+        f"seed {schedule.seed} {'on ' if failover else 'off'}: {schedule.zone} {schedule.failure} for "
+        f"{schedule.out_s:.1f} s: last send into it {result.last_send:.2f} s{left}, kept {result.kept:.1f}%, "
+        f"fallen over {result.fallen}, further attempts {result.retries}, "
+        f"false departures {result.false_departures}{back}"
+    )
+
+
+def draw_schedule(seed: int, failure: str) -> Schedule:
+    """The schedule of a seed; `failure` where it is not to be drawn."""
+    rng = random.Random(seed)
+    failure = failure or rng.choice(FAILURES)
+    zone = rng.choice(ZONES)
+    out_s, back_s = rng.uniform(6, 9), rng.uniform(20, 22)
+    return Schedule(seed, failure, zone, out_s, back_s)
+
+
+def run(seed: int, runs: int, kind: str, say: Callable[[str], None]) -> int:
+    """Play so many schedules, each twice. 1: the retry budget was broken, or a zone was left for nothing. 3:
+    nothing was in fact lost."""
+    offs: list[PlayResult] = []
+    ons: list[PlayResult] = []
+    for number in range(seed, seed + runs):
+        schedule = draw_schedule(number, kind)
+        offs.append(play(schedule, False))
+        ons.append(play(schedule, True))
+        say(describe(schedule, False, offs[-1]))
+        say(describe(schedule, True, ons[-1]))
+    violations = sum(result.budget_violations for result in offs + ons)
+    false_departures = sum(result.false_departures for result in ons)
+    say(
+        f"zones: seeds {runs}, last send into the lost zone off {_last_send(offs):.2f} s / "
+        f"on {_last_send(ons):.2f} s, worth kept off {_mean_kept(offs):.1f}% / on {_mean_kept(ons):.1f}%, "
+        f"engines fallen over off {sum(o.fallen for o in offs)} / on {sum(o.fallen for o in ons)}, "
+        f"ration broken {violations}, false departures {false_departures}"
+    )
+    if violations or false_departures:
+        return 1
+    was_to_lose = not kind or kind in FAILURES
+    return 3 if was_to_lose and not any(result.last_send for result in offs) else 0
+
+
+def _last_send(outcomes: list[PlayResult]) -> float:
+    return max(result.last_send for result in outcomes)
+
+
+def _mean_kept(outcomes: list[PlayResult]) -> float:
+    return sum(result.kept for result in outcomes) / len(outcomes)
--- /dev/null
+++ b/cypressledge/lab/zone_processes/core_engine.py
@@ -0,0 +1,188 @@
+"""A fake engine with cores: queries share them, it starts cold, and it falls over when pushed while cold."""
+
+import contextlib
+import re
+import time
+from collections import deque
+from dataclasses import dataclass
+from functools import partial
+from typing import cast
+
+import gevent
+from gevent import socket
+from gevent.server import StreamServer
+
+from cypressledge.lab.engines import ROW
+from cypressledge.lab.site import SETTINGS
+
+RULES = cast(dict[str, float], SETTINGS["Rules"])
+START_CAPACITY = RULES["StartCapacity"]
+WARM_S = RULES["WarmWithin"] / 1e6
+OVERLOAD_MULTIPLE = RULES["FallMultiple"]
+OVERLOAD_WINDOW_S = RULES["Fall"] / 1e6
+SLOW_CAPACITY = 0.1  # part of its cores that a slow engine has
+DEFAULT_WORK_S = 0.05  # of a statement that names none
+WORK_COMMENT = re.compile(rb"/\* (\d+) ms \*/")  # a statement's own word on how long it takes
+TICK_S = 0.01
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedQuery:
+    """When a query came (monotonic clock, s), of which broker, and the attempt's name."""
+
+    received_at: float
+    broker: str
+    name: str
+
+
+@dataclass(slots=True)
+class RunningQuery:
+    """Work that is left, s of one core, and the connection that waits for the answer."""
+
+    work_left: float
+    connection: socket.socket
+
+
+class CoreEngine:
+    """An engine with cores that its queries share. It starts at a part of what it can do and warms up; while
+    it does, work that comes at more than `OVERLOAD_MULTIPLE` times what it can do, for `OVERLOAD_WINDOW_S`,
+    makes it fall over. Each broker has an address of its own for it, so that paths can fail one by one."""
+
+    def __init__(self, name: str, zone: str, cores: int, brokers: list[str], warm_s: float = WARM_S) -> None:
+        self.name = name
+        self.zone = zone
+        self.cores = cores
+        self.warm_s = warm_s
+        self.started_at = time.monotonic() - 10 * warm_s  # warm since long
+        self.fallen = False
+        self.falls = 0
+        self.failure = ""  # silent, reset, slow, or none
+        self.running: dict[tuple[str, str], RunningQuery] = {}  # by broker and attempt
+        self.recent_work: deque[tuple[float, float]] = deque()  # when work came, and how much, s
+        self.received: list[ReceivedQuery] = []
+        self.connections: dict[socket.socket, str] = {}  # the broker of each
+        self.blocked: dict[str, str] = {}  # by broker: how the path to it fails
+        self.servers = {
+            broker: StreamServer(("127.0.0.1", 0), partial(self._serve, broker)) for broker in brokers
+        }
+        for server in self.servers.values():
+            server.start()
+        self.greenlet = gevent.spawn(self._run)
+
+    def member(self, broker: str) -> dict:
+        """As a directory lists it to a broker."""
+        return {
+            "id": self.name,
+            "host_port": f"127.0.0.1:{self.servers[broker].server_port}",
+            "locality": self.zone,
+            "cell": 0,
+            "flavor": "node-8c",
+            "phase": "Ready",
+            "size": 4,
+            "up_since_ms": 0,
+        }
+
+    def capacity(self) -> float:
+        """Cores that it has at the moment."""
+        age = time.monotonic() - self.started_at
+        warm = min(1.0, START_CAPACITY + (1 - START_CAPACITY) * age / self.warm_s)
+        return self.cores * warm * (SLOW_CAPACITY if self.failure == "slow" else 1.0)
+
+    def fail(self, failure: str) -> None:
+        """Fall silent, reset all, or slow down tenfold."""
+        self.failure = failure
+        if failure != "slow":
+            self.running.clear()
+        if failure == "reset":
+            self._close_connections(set(self.servers))
+
+    def block(self, brokers: set[str], failure: str) -> None:
+        """The paths to some brokers alone fail: silent or reset."""
+        self.blocked |= dict.fromkeys(brokers, failure)
+        if failure == "reset":
+            self._close_connections(brokers)
+
+    def repair(self, cold: bool = True) -> None:
+        """Back, cold where it was away."""
+        self.blocked.clear()
+        if cold:
+            self.failure = ""
+            self.fallen = False
+            self.started_at = time.monotonic()
+            self.recent_work.clear()
+            self.running.clear()
+
+    def close(self) -> None:
+        """It is gone."""
+        self.greenlet.kill()
+        for server in self.servers.values():
+            server.stop(timeout=0.1)
+
+    def _close_connections(self, brokers: set[str]) -> None:
+        for connection in [c for c, broker in self.connections.items() if broker in brokers]:
+            connection.close()
+
+    def _serve(self, broker: str, connection: socket.socket, _: object) -> None:
+        """A greenlet: the line protocol, as far as the laboratory needs it."""
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.connections[connection] = broker
+        file = connection.makefile("rb")
+        try:
+            while line := file.readline():
+                words = line.decode().split()
+                if words[0] == "want":
+                    self._receive(broker, connection, words[1], file.read(int(words[3]) + 2))
+                elif words[0] in ("stop", "drop", "cancel"):
+                    self.running.pop((broker, words[1]), None)
+        except (OSError, ValueError, IndexError):
+            pass  # the connection is broken, or closed here
+        finally:
+            self.connections.pop(connection, None)
+
+    def _receive(self, broker: str, connection: socket.socket, name: str, statement: bytes) -> None:
+        self.received.append(ReceivedQuery(time.monotonic(), broker, name))
+        failure = self.blocked.get(broker) or self.failure
+        if failure == "reset" or self.fallen:
+            connection.close()
+        elif failure != "silent":
+            found = WORK_COMMENT.search(statement)
+            work = int(found[1]) / 1000 if found else DEFAULT_WORK_S
+            self.running[broker, name] = RunningQuery(work, connection)
+            self.recent_work.append((time.monotonic(), work))
+
+    def _run(self) -> None:
+        """A greenlet: lets time work on what runs."""
+        last = time.monotonic()
+        while True:
+            gevent.sleep(TICK_S)
+            now = time.monotonic()
+            self._work(now - last)
+            self._check_overload(now)
+            last = now
+
+    def _work(self, span: float) -> None:
+        if not self.running or self.failure in ("silent", "reset"):
+            return
+        work_each = min(1.0, self.capacity() / len(self.running)) * span
+        done = []
+        for key, query in self.running.items():
+            query.work_left -= work_each
+            if query.work_left <= 0:
+                done.append(key)
+        for key in done:
+            self._answer(key[1], self.running.pop(key).connection)
+
+    @staticmethod
+    def _answer(name: str, connection: socket.socket) -> None:
+        with contextlib.suppress(OSError):  # the broker is gone
+            connection.sendall(f"{name} 200 count=1 {len(ROW)}\r\n".encode() + ROW + b"\r\n")
+
+    def _check_overload(self, now: float) -> None:
+        while self.recent_work and now - self.recent_work[0][0] > OVERLOAD_WINDOW_S:
+            self.recent_work.popleft()
+        is_cold = OVERLOAD_WINDOW_S < now - self.started_at < self.warm_s
+        bearable = OVERLOAD_MULTIPLE * self.capacity() * OVERLOAD_WINDOW_S
+        if is_cold and not self.failure and sum(work for _, work in self.recent_work) > bearable:
+            self.fallen = True
+            self.falls += 1
+            self.running.clear()
--- /dev/null
+++ b/cypressledge/lab/zone_processes/open_load.py
@@ -0,0 +1,89 @@
+"""An open load of lookups: queries come at a rate, whatever becomes of those before."""
+
+import base64
+import json
+import random
+import secrets
+import time
+from collections import Counter
+from typing import BinaryIO
+
+import gevent
+from gevent import socket
+from gevent.queue import Queue
+
+from cypressledge.lab.load import answer
+
+OBJECTIVE_S = 0.6  # the latency objective of a lookup, besides
+OBJECTIVE_STRETCH = 1.5  # times its work
+CLIENT_WAIT_S = 3.0
+MIN_WAIT_S = 0.01  # a query with less of its client's time left is not sent
+CLIENTS = 96
+TABLES = 20
+RECONNECT_S = 0.02
+
+
+class OpenLoad:
+    """Clients on connections of their own, spread over brokers. `counts`: asked, sent, kept (answered in
+    time), late and broken."""
+
+    def __init__(self, ports: list[int], rate: float, work_ms: int, seed: int) -> None:
+        self.ports = ports
+        self.rate = rate  # queries a second
+        self.work_ms = work_ms
+        self.random = random.Random(seed)
+        self.waiting: Queue[float] = Queue()  # when each query came, on the monotonic clock
+        self.counts: Counter[str] = Counter()
+        self.greenlets = [gevent.spawn(self._client, number) for number in range(CLIENTS)]
+        self.greenlets.append(gevent.spawn(self._arrivals))
+
+    def end(self) -> None:
+        """No more."""
+        gevent.killall(self.greenlets)
+
+    def _arrivals(self) -> None:
+        due = time.monotonic()
+        while True:
+            due += self.random.expovariate(self.rate)
+            gevent.sleep(max(0.0, due - time.monotonic()))
+            self.counts["asked"] += 1
+            self.waiting.put(time.monotonic())
+
+    def _client(self, number: int) -> None:
+        while True:
+            port = self.ports[number % len(self.ports)]
+            number += 1  # a front layer sends clients of a broker that is down to the next one
+            try:
+                with socket.create_connection(("127.0.0.1", port), 1.0) as connection:
+                    connection.settimeout(CLIENT_WAIT_S + 0.5)
+                    file = connection.makefile("rb")
+                    while True:
+                        self._ask(connection, file, self.waiting.get())
+            except (OSError, ValueError):
+                self.counts["broken"] += 1
+                gevent.sleep(RECONNECT_S)
+
+    def _ask(self, connection: socket.socket, file: BinaryIO, came: float) -> None:
+        time_left = CLIENT_WAIT_S - (time.monotonic() - came)
+        if time_left <= MIN_WAIT_S:
+            return
+        table = self.random.randrange(TABLES)
+        statement = base64.b64encode(b"SELECT a FROM sales_%d.orders /* %d ms */" % (table, self.work_ms))
+        self.counts["sent"] += 1
+        body = self._request(statement.decode(), time_left)
+        connection.sendall(b"Content-Length: %d\r\n\r\n" % len(body) + body)
+        if "result" in answer(file):
+            objective = OBJECTIVE_S + OBJECTIVE_STRETCH * self.work_ms / 1000
+            self.counts["late" if time.monotonic() - came > objective else "kept"] += 1
+
+    def _request(self, statement: str, time_left: float) -> bytes:
+        params = {
+            "id": secrets.token_hex(8),
+            "wait": int(time_left * 1000),
+            "tenant": "sahel",
+            "cost": float(self.work_ms),
+            "mem": 10,
+            "content": statement,
+        }
+        call = {"jsonrpc": "2.0", "id": self.counts["sent"], "method": "lookup", "params": params}
+        return json.dumps(call).encode()
--- /dev/null
+++ b/cypressledge/lab/zone_processes/testbed.py
@@ -0,0 +1,158 @@
+"""Brokers as processes, engines in three zones, and a load: what `lab zones` and tests play schedules on."""
+
+from datetime import datetime
+from typing import cast
+
+from cypressledge.lab.demo import ask
+from cypressledge.lab.processes import BrokerProcess, Brokers, until
+from cypressledge.lab.site import SETTINGS, free_udp_ports
+from cypressledge.lab.udp_proxy import UdpProxies
+from cypressledge.lab.zone_processes.core_engine import WARM_S, CoreEngine
+from cypressledge.lab.zone_processes.open_load import OpenLoad
+
+ZONES = ("room1", "room2", "room3")
+ENGINES_PER_ZONE = 3
+CORES = 4  # of an engine
+WORK_MS = 100  # of a lookup
+START_S = 30  # that brokers may take to listen,
+PLAN_S = 20  # and to have a plan
+
+
+class ZoneTestbed:
+    """Brokers, engines and a load. `failover`: whether the brokers have zone failover; `rate`: the load, part
+    of all engines' cores; `proxied`: proxies between every two brokers."""
+
+    def __init__(
+        self,
+        count: int,
+        failover: bool,
+        seed: int,
+        rate: float,
+        proxied: bool = False,
+        hold_s: float = 3.0,
+        warm_s: float = WARM_S,
+        regions: list[dict] | None = None,
+    ) -> None:
+        self.names = [f"n{i}" for i in range(count)]
+        self.failover = failover
+        self.seed = seed
+        self.rate = rate
+        self.hold_s = hold_s
+        self.warm_s = warm_s
+        self.regions = regions or []
+        self._load: OpenLoad | None = None
+        self.ports = free_udp_ports(self.names)
+        self.proxies = UdpProxies(self.ports, seed) if proxied else None
+        self.engines = [
+            CoreEngine(f"s-{zone[-1]}{number}", zone, CORES, self.names, warm_s)
+            for zone in ZONES
+            for number in range(ENGINES_PER_ZONE)
+        ]
+        self.brokers = Brokers()
+
+    def __getitem__(self, name: str) -> BrokerProcess:
+        return self.brokers.all[name]
+
+    @property
+    def load(self) -> OpenLoad:
+        """The load, once it has begun."""
+        if self._load is None:
+            raise RuntimeError("not started")
+        return self._load
+
+    def start(self) -> "ZoneTestbed":
+        """Start all; the load begins once they have a plan, where there is to be one. Raises `RuntimeError`
+        where that does not come about."""
+        for slot, name in enumerate(self.names):
+            self._add_broker(slot, name).start(self.failover)
+        brokers = self.brokers.all.values()
+        until(lambda: all("listening on" in b.words() or not b.running() for b in brokers), START_S)
+        if not all("listening on" in b.words() and b.running() for b in brokers):
+            raise RuntimeError("the brokers did not start: " + "".join(b.words()[-500:] for b in brokers))
+        if self.failover and not until(self._all_have_a_plan, PLAN_S):
+            raise RuntimeError("no planner")
+        total_cores = sum(engine.cores for engine in self.engines)
+        ports = [self[name].port for name in self.names]
+        self._load = OpenLoad(ports, self.rate * total_cores * 1000 / WORK_MS, WORK_MS, self.seed)
+        return self
+
+    def close(self) -> None:
+        """Nothing is left behind."""
+        if self._load is not None:
+            self._load.end()
+        self.brokers.end()
+        if self.proxies is not None:
+            self.proxies.close()
+        for engine in self.engines:
+            engine.close()
+
+    def engines_in(self, zone: str) -> list[CoreEngine]:
+        """A zone's engines."""
+        return [engine for engine in self.engines if engine.zone == zone]
+
+    def status(self, name: str) -> dict:
+        """How a broker sees the zones; empty where it does not answer."""
+        return cast(dict, ask(self[name], "/zone/status") or {})
+
+    def zone_row(self, name: str, zone: str) -> dict:
+        """One zone's row of it."""
+        return next((row for row in self.status(name).get("zones", ()) if row["zone"] == zone), {})
+
+    def shares(self, zone: str, among: list[str] | None = None) -> list[float | None]:
+        """A zone's share at each broker that runs."""
+        return [self.zone_row(n, zone).get("share") for n in among or self.names if self[n].running()]
+
+    def planner(self, but: str = "") -> str:
+        """Who plans, as those that run have it; nobody while they differ."""
+        planners = {self.status(name).get("planner") for name in self.names if self[name].running()}
+        name = planners.pop() if len(planners) == 1 else ""
+        return name if name and name != but and self[name].running() else ""
+
+    def events(self, *kinds: str) -> list[dict]:
+        """The brokers' log events of these kinds, in order of time."""
+        found = [e for broker in self.brokers.all.values() for e in broker.events() if e["event"] in kinds]
+        return sorted(found, key=logged_at)
+
+    def last_received(self, zone: str) -> float:
+        """When an engine of a zone last received a query, on the monotonic clock."""
+        return max((q.received_at for e in self.engines_in(zone) for q in e.received), default=0.0)
+
+    def _all_have_a_plan(self) -> bool:
+        return all(self.status(name).get("token") for name in self.names)
+
+    def _add_broker(self, slot: int, name: str) -> BrokerProcess:
+        site = {
+            "Rules": cast(dict, SETTINGS["Rules"]) | {"WarmWithin": round(self.warm_s * 1e6)},
+            "FamilyInfo": cast(dict, SETTINGS["FamilyInfo"]) | {"CoresByKind": [CORES, CORES]},
+            "SlotNo": slot,
+            "PeersTotal": len(self.names),
+        }
+        members = [engine.member(name) for engine in self.engines]
+        return self.brokers.add(name, self._fleet_file(name), members, site)
+
+    def _fleet_file(self, name: str) -> dict:
+        voters = self.names[: 3 if len(self.names) < 5 else 5]
+        return {
+            "peers": [
+                {"name": peer, "address": self._address(name, peer), "zone": ZONES[i % len(ZONES)]}
+                for i, peer in enumerate(self.names)
+            ],
+            "voters": [{"version": 1, "names": voters}],
+            "term_s": 1.5,
+            "ping_s": 0.2,
+            "zone_pace": {"hold_s": self.hold_s},
+            "leases": [{"name": "zones"}],
+            "regions": self.regions,
+            "tasks": [{"kind": "zones", "lease": "zones", "longest_s": 0.5, "priority": 0}],
+        }
+
+    def _address(self, name: str, peer: str) -> str:
+        """Where a broker sends what is meant for a peer."""
+        if self.proxies is None or peer == name:
+            return f"127.0.0.1:{self.ports[peer]}"
+        return self.proxies.address(name, peer)
+
+
+def logged_at(event: dict) -> float:
+    """When an event was logged, s of the wall clock."""
+    return datetime.fromisoformat(event["timestamp"]).timestamp()
--- /dev/null
+++ b/cypressledge/lab/zone_simulation/broker.py
@@ -0,0 +1,166 @@
+"""A modelled broker: the program's decision module, a small request ledger, and what zone failover needs."""
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Protocol, cast
+
+from cypressledge.broker.request_ledger import DEADLINE_GRACE_US
+from cypressledge.broker.requests import Attempt, AttemptObserver, Endpoint, Query, ReplyHandler, Request
+from cypressledge.decisions import contract as c
+from cypressledge.decisions.manager import WorkloadManager
+from cypressledge.fleet.zones.failover import ZoneFailover
+from cypressledge.lab.zone_simulation.engine import SECOND, WORK
+
+CLIENT_WAIT = 3 * SECOND
+LIST = "model"  # the name of the one engine list
+NO_REPLY = cast(ReplyHandler, None)  # answers are counted by the world
+
+
+class BrokerWorld(Protocol):
+    """What a broker needs of the world that it stands in. `now`: virtual µs."""
+
+    now: int
+    endpoints: dict[int, Endpoint]
+
+    def send(self, broker: "ModelBroker", attempt: Attempt) -> None:
+        """An attempt leaves a broker."""
+
+    def count_arrival(self) -> None:
+        """A client has asked."""
+
+    def count_answer(self, query: Query) -> None:
+        """A client has its answer."""
+
+
+class ModelBroker:
+    """One broker."""
+
+    def __init__(self, world: BrokerWorld, number: int, settings: c.Settings, seed: int) -> None:
+        self.world = world
+        self.number = number
+        self.name = f"n{number}"
+        self.settings = settings
+        self.manager = WorkloadManager(settings, seed)
+        self.requests: dict[int, Request] = {}
+        self.engine_lists: dict[str, list[tuple[c.EngineListEntry, Endpoint]]] = {}
+        self.observer: AttemptObserver | None = None
+        self.is_closed: Callable[[c.EngineListEntry], bool] | None = None
+        self.admission_filter: Callable[[Query], bool] | None = None
+        self.events: list[c.Event] = []
+        self.timers: list[tuple[int, int]] = []  # when they fire, and their tokens
+        self.last_request = 0
+        self.zones: ZoneFailover | None = None
+        self.alive = True
+
+    @property
+    def ledger(self) -> "ModelBroker":
+        """The part that keeps requests: this object stands for all of the core's parts."""
+        return self
+
+    @property
+    def engines(self) -> "ModelBroker":
+        """The part that keeps engine lists."""
+        return self
+
+    @property
+    def loop(self) -> "ModelBroker":
+        """The part that owns the decisions."""
+        return self
+
+    def now(self) -> int:
+        """The module's time, µs."""
+        return self.world.now
+
+    def refresh(self) -> None:
+        """Give the module the list anew, with the engines that are closed as draining."""
+        entries = tuple(self._seen_by_module(entry) for entry, _ in self.engine_lists[LIST])
+        self.events.append(c.EngineListReceived(c.EngineListKind.FULL, entries))
+
+    def _seen_by_module(self, entry: c.EngineListEntry) -> c.EngineListEntry:
+        if self.is_closed is None or not self.is_closed(entry):
+            return entry
+        return replace(entry, state=c.EngineState.DRAINING)
+
+    def receive_request(self) -> None:
+        """A client asks."""
+        self.last_request += 1
+        number = self.last_request
+        due = self.world.now + CLIENT_WAIT
+        query = Query(f"{self.name}.{number}", 0, "lookup", "sahel", b"", due, cost=WORK)
+        self.world.count_arrival()
+        if self.admission_filter is not None and not self.admission_filter(query):
+            return
+        self.requests[number] = Request(number, query, NO_REPLY)
+        self.events.append(c.RequestReceived(number, 0, due, 0, WORK))
+
+    def step(self) -> None:
+        """Hand the module what came, and do what it says."""
+        now = self.world.now
+        if self.zones is not None:
+            self.zones.tick(now)
+        due = [token for at, token in self.timers if at <= now]
+        if due:
+            self.timers = [timer for timer in self.timers if timer[0] > now]
+            self.events += [c.TimerFired(token) for token in due]
+        if not self.events:
+            return
+        events, self.events = self.events, []
+        for action in self.manager.handle(now, events):
+            self._do(action, now)
+
+    def _do(self, action: c.Action, now: int) -> None:
+        if isinstance(action, c.StartAttempt):
+            request = self.requests[action.request]
+            endpoint = self.world.endpoints[action.engine]
+            attempt = Attempt(request, len(request.attempts), endpoint, now, request.query.deadline, now)
+            request.attempts.append(attempt)
+            self.world.send(self, attempt)
+        elif isinstance(action, c.StartTimer):
+            self.timers.append((now + action.after, action.token))
+        elif isinstance(action, c.CancelAttempt):
+            self.end_attempt(action.request, action.attempt, c.Outcome.CANCELLED)
+        elif isinstance(action, c.RejectRequest | c.FailRequest):
+            self._close_request(self.requests[action.request])
+
+    def end_attempt(self, request_number: int, number: int, outcome: c.Outcome) -> None:
+        """An attempt has ended."""
+        request = self.requests.get(request_number)
+        if request is None or not request.attempts[number].is_open:
+            return
+        attempt = request.attempts[number]
+        attempt.is_open = False
+        latency = self.world.now - attempt.sent_at
+        if outcome is c.Outcome.OK and not request.is_concluded:
+            self.world.count_answer(request.query)
+            request.is_concluded = True
+        if self.observer is not None:
+            self.observer.attempt_ended(attempt, outcome, latency)
+        self.events.append(
+            c.AttemptEnded(
+                request_number, number, attempt.endpoint.id, outcome, request.is_concluded, latency
+            )
+        )
+        self._forget_if_done(request)
+
+    def drop_overdue(self, now: int) -> None:
+        """Clients that have waited long enough are gone."""
+        overdue = [
+            r
+            for r in self.requests.values()
+            if now > r.query.deadline + DEADLINE_GRACE_US and not r.is_concluded
+        ]
+        for request in overdue:
+            for attempt in request.attempts:
+                if attempt.is_open:
+                    self.end_attempt(request.number, attempt.number, c.Outcome.TIMEOUT)
+            if not request.is_concluded:
+                self.events.append(c.ClientDisconnected(request.number))
+                self._close_request(request)
+
+    def _close_request(self, request: Request) -> None:
+        request.is_concluded = True
+        self._forget_if_done(request)
+
+    def _forget_if_done(self, request: Request) -> None:
+        if request.is_concluded and not any(attempt.is_open for attempt in request.attempts):
+            self.requests.pop(request.number, None)
--- /dev/null
+++ b/cypressledge/lab/zone_simulation/schedules.py
@@ -0,0 +1,132 @@
+"""Schedules of faults, played in the modelled world, and what came of them."""
+
+import random
+from collections import Counter
+from dataclasses import dataclass
+
+from cypressledge.lab.zone_simulation.engine import SECOND
+from cypressledge.lab.zone_simulation.world import PlayResult, World
+
+SCHEDULES = ("silent", "reset", "slow", "cut", "blind", "release", "planner")
+LOSSES = ("silent", "reset", "slow", "planner")  # those that lose a zone
+BEFORE_S = 5  # as usual, before the fault
+AFTER_S = 24.0  # watched after it
+PLANNER_DEATH_S = 0.5  # after the loss
+
+
+@dataclass(frozen=True, slots=True)
+class Job:
+    """One schedule to be played off and on. `load`: of all engines' cores."""
+
+    seed: int
+    brokers: int
+    engines: int
+    zones: int
+    kind: str
+    load: float
+
+
+@dataclass(frozen=True, slots=True)
+class Comparison:
+    """One schedule with zone failover off and on."""
+
+    job: Job
+    off: PlayResult
+    on: PlayResult
+
+
+def play_both(job: Job) -> Comparison:
+    """Play a schedule off and on."""
+    off, on = (
+        play(job.seed, job.brokers, job.engines, job.zones, job.kind, failover, job.load)
+        for failover in (False, True)
+    )
+    return Comparison(job, off, on)
+
+
+def play(
+    seed: int, brokers: int, engines: int, zones: int, kind: str, failover: bool, load: float = 0.55
+) -> PlayResult:
+    """One schedule: 5 s as usual, a fault for some, then the return."""
+    world = World(seed, brokers, engines, zones, load, failover)
+    rng = random.Random(seed)
+    zone = rng.randrange(zones)
+    out_s = rng.uniform(6, 9)
+    world.run(BEFORE_S)
+    before = Counter(world.counts)
+    _fault(world, kind, zone, out_s)
+    world.blocked = set()
+    if kind in LOSSES:
+        world.bring_back()
+    if kind == "planner":
+        world.run(AFTER_S / 4)
+        world.kill_planner()
+        world.run(AFTER_S * 3 / 4)
+    else:
+        world.run(AFTER_S)
+    return _sum_up(world, before, kind)
+
+
+def _fault(world: World, kind: str, zone: int, out_s: float) -> None:
+    """Let the fault of a schedule happen for `out_s`."""
+    zones = len(world.zone_names)
+    if kind in LOSSES:
+        world.lose(zone, "silent" if kind == "planner" else kind)
+    elif kind == "cut":  # the path from the next zone's brokers
+        world.blocked = {(b, zone) for b in range(len(world.brokers)) if b % zones == (zone + 1) % zones}
+    elif kind == "blind":  # one broker, to whom everything fails
+        world.blocked = {(1, z) for z in range(zones)}
+    if kind == "release":
+        _release(world, zone, out_s)
+    elif kind == "planner":
+        world.run(PLANNER_DEATH_S)
+        world.kill_planner()
+        world.run(out_s - PLANNER_DEATH_S)
+    else:
+        world.run(out_s)
+
+
+def _release(world: World, zone: int, seconds: float) -> None:
+    """One engine after the other is away for a moment, and back cold."""
+    engines = world.engines_in(zone)
+    for engine in engines:
+        engine.fail("reset")
+        world.run(seconds / len(engines))
+        engine.failure = ""
+        engine.started_at = world.now
+
+
+def _sum_up(world: World, before: Counter[str], kind: str) -> PlayResult:
+    result = world.result
+    asked = world.counts["asked"] - before["asked"]
+    result.kept = 100 * (world.counts["kept"] - before["kept"]) / max(1, asked)
+    result.fallen = sum(engine.fallen for engine in world.engines)
+    result.false_departures = _false_departures(world, kind)
+    result.whole_at = _whole_again(world)
+    decided = next(iter(_times(world, "zone_leaving")), None)
+    if decided is not None and world.lost_at is not None and world.plan_taken_at:
+        result.left_at = (decided - world.lost_at) / SECOND
+        result.in_force = (max(world.plan_taken_at.values()) - decided) / SECOND
+    return result
+
+
+def _false_departures(world: World, kind: str) -> int:
+    """How often a zone was left for nothing."""
+    departures = [e for e in world.events if e.event in ("zone_leaving", "zones_left_alone")]
+    if kind not in LOSSES:
+        return len(departures)
+    return sum(event.zones != [world.lost_name()] for event in departures)
+
+
+def _whole_again(world: World) -> float | None:
+    """Seconds from the return until the zone's share was full."""
+    if world.back_at is None:
+        return None
+    times = (at for at in _times(world, "zone_serving") if at > world.back_at)
+    first = next(times, None)
+    return None if first is None else (first - world.back_at) / SECOND
+
+
+def _times(world: World, event: str) -> list[int]:
+    """When an event of the lost zone was logged."""
+    return [e.at for e in world.events if e.event == event and e.zones == [world.lost_name()]]
--- /dev/null
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -0,0 +1,315 @@
+"""The modelled world: so many brokers and engines, messages between them, and virtual time (µs)."""
+
+import random
+from collections import Counter, deque
+from dataclasses import dataclass, field
+from typing import Any, cast
+
+from cypressledge.broker.requests import Attempt, Endpoint, Query
+from cypressledge.decisions import contract as c
+from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.failover import ZoneFailover, ZoneMessage
+from cypressledge.fleet.zones.failover_plan import FailoverPace
+from cypressledge.fleet.zones.topology import SiteTopology
+from cypressledge.lab.zone_simulation.broker import CLIENT_WAIT, LIST, ModelBroker
+from cypressledge.lab.zone_simulation.engine import (
+    CORES,
+    OVERLOAD_MULTIPLE,
+    OVERLOAD_WINDOW,
+    SECOND,
+    START_CAPACITY,
+    STEP,
+    WARM,
+    WORK,
+    ModelEngine,
+)
+
+EPOCH = 1_000 * SECOND  # where virtual time begins: engines that started "at 0" are warm
+OBJECTIVE = 600_000  # µs: the latency objective of a lookup, besides
+OBJECTIVE_STRETCH = 1.5  # times its work
+LOOKUP = c.ClassSettings(
+    OBJECTIVE, CLIENT_WAIT, latency_objective_stretch=OBJECTIVE_STRETCH, late_priority_weight=0.1
+)
+SUCCESSION = 3 * SECOND  # from a planner's death until its successor acts
+PLAN_INTERVAL = 100_000
+OVERDUE_CHECK_INTERVAL = 100_000
+SAMPLE_INTERVAL = 250_000
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptResult:
+    """How an attempt ended, on its way to the broker."""
+
+    request: int
+    number: int
+    outcome: c.Outcome
+
+
+@dataclass(frozen=True, slots=True)
+class FleetMessage:
+    """A message of one broker to another."""
+
+    sender: str
+    message: ZoneMessage
+
+
+@dataclass(frozen=True, slots=True)
+class LoggedEvent:
+    """A log event of a broker: when, which, and of which zones."""
+
+    at: int
+    event: str
+    zones: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class Sample:
+    """The lost zone at one moment, s: its share, its load over what it can do, and what was kept so far."""
+
+    at: float
+    share: float
+    load: float
+    kept: float
+
+
+@dataclass(slots=True)
+class PlayResult:
+    """What came of one run."""
+
+    kept: float = 0.0  # percent of what was asked, answered in time
+    last_send: float = 0.0  # s after the loss
+    in_force: float | None = None  # s from the decision to leave, until all have its plan
+    left_at: float | None = None  # s from the loss
+    whole_at: float | None = None  # s from the return, until the share is full
+    fallen: int = 0  # engines
+    false_departures: int = 0
+    curve: list[Sample] = field(default_factory=list)
+
+
+class World:
+    """Brokers, engines, and what happens to them. `load`: part of all cores; `failover`: whether brokers have
+    zone failover; `loss`: part of the messages that is lost."""
+
+    def __init__(
+        self,
+        seed: int,
+        brokers: int,
+        engines: int,
+        zones: int,
+        load: float,
+        failover: bool,
+        loss: float = 0.01,
+    ) -> None:
+        self.failover = failover
+        self.loss = loss
+        self.random = random.Random(seed)
+        self.now = EPOCH
+        self.counts: Counter[str] = Counter()
+        self.zone_names = tuple(f"z{i}" for i in range(zones))
+        self.engines = [ModelEngine(i + 1, i % zones) for i in range(engines)]
+        self.engine_by_number = {engine.number: engine for engine in self.engines}
+        self.endpoints = {
+            engine.number: Endpoint(engine.number, f"e{engine.number}", ("", 0), LIST)
+            for engine in self.engines
+        }
+        self.brokers = [
+            ModelBroker(self, i, self._settings(i, brokers), seed * 1_000 + i) for i in range(brokers)
+        ]
+        self.weights = [self.random.uniform(0.4, 2.0) for _ in self.brokers]
+        self.rate = load * engines * CORES / (WORK / SECOND)  # requests a second, of all brokers
+        self.mail: list[tuple[int, AttemptResult | FleetMessage]] = []  # what arrives with the next step
+        self.blocked: set[tuple[int, int]] = set()  # paths that fail: (broker, zone)
+        self.lost_zone: int | None = None
+        self.lost_at: int | None = None
+        self.back_at: int | None = None
+        self.events: list[LoggedEvent] = []
+        self.plan_taken_at: dict[int, int] = {}  # by broker: the plan that leaves the lost zone
+        self.planner = 0
+        self.planner_acts_from = 0
+        self.token = 1
+        self.result = PlayResult()
+        for broker in self.brokers:
+            self._join(broker)
+
+    @staticmethod
+    def _settings(number: int, brokers: int) -> c.Settings:
+        """The site, as each module is given it."""
+        return c.Settings(
+            classes=(LOOKUP,),
+            kind_cores=(CORES,),
+            timer_resolution=STEP,
+            broker_index=number,
+            broker_count=brokers,
+            supports_cancel=True,
+            max_attempts=3,
+            slow_start_capacity=START_CAPACITY,
+            slow_start_window=WARM,
+            overload_multiple=OVERLOAD_MULTIPLE,
+            overload_window=OVERLOAD_WINDOW,
+            retry_budget_ratio=0.1,
+            retry_budget_floor=3.0,
+            retry_budget_window=5 * SECOND,
+        )
+
+    def _join(self, broker: ModelBroker) -> None:
+        if self.failover:
+            broker.zones = self._make_failover(broker)
+        broker.engine_lists[LIST] = [
+            (
+                c.EngineListEntry(engine.number, c.EngineState.READY, 0, engine.zone, 0, 0),
+                self.endpoints[engine.number],
+            )
+            for engine in self.engines
+        ]
+        broker.refresh()
+
+    def _make_failover(self, broker: ModelBroker) -> ZoneFailover:
+        names = [b.name for b in self.brokers]
+        peers = [name for name in names if name != broker.name]
+        broker_zones = {name: self.zone_names[i % len(self.zone_names)] for i, name in enumerate(names)}
+
+        def send(peer: str, message: object) -> None:
+            if self.random.random() >= self.loss:
+                self.mail.append((_number(peer), FleetMessage(broker.name, cast(ZoneMessage, message))))
+
+        def log_event(event: str, **fields: Any) -> None:
+            zones = fields["zones"] if "zones" in fields else [fields.get("zone", "")]
+            self.events.append(LoggedEvent(self.now, event, zones))
+            if event == "plan_taken" and fields["shares"].get(self.lost_name()) == 0:
+                self.plan_taken_at.setdefault(broker.number, self.now)
+
+        links = FleetLinks(
+            now=lambda: self.now,
+            send=send,
+            living_peers=lambda: [peer for peer in peers if self.brokers[_number(peer)].alive],
+            likely_planners=lambda: [f"n{self.planner}"],
+            log_event=log_event,
+        )
+        topology = SiteTopology(self.zone_names, broker_zones, {}, {})
+        pace = FailoverPace(start=START_CAPACITY, warm=WARM)
+        failover = ZoneFailover(broker.name, broker, topology, pace, links)
+        failover.admission.awaiting_plan = False  # starts are not modelled
+        failover.planner_name = f"n{self.planner}"
+        return failover
+
+    def lost_name(self) -> str:
+        """The lost zone; nothing where none has been lost."""
+        return self.zone_names[self.lost_zone] if self.lost_zone is not None else ""
+
+    def engines_in(self, zone: int) -> list[ModelEngine]:
+        """A zone's engines."""
+        return [engine for engine in self.engines if engine.zone == zone]
+
+    # Called by brokers
+
+    def send(self, broker: ModelBroker, attempt: Attempt) -> None:
+        """An attempt leaves a broker."""
+        engine = self.engine_by_number[attempt.endpoint.id]
+        if self.lost_at is not None and engine.zone == self.lost_zone and self.back_at is None:
+            self.result.last_send = (self.now - self.lost_at) / SECOND
+        if (broker.number, engine.zone) in self.blocked:
+            return
+        request = attempt.request.number
+        if not engine.receive(self.now, (broker.number, request, attempt.number)):
+            self.mail.append((broker.number, AttemptResult(request, attempt.number, c.Outcome.RESET)))
+
+    def count_arrival(self) -> None:
+        """A client has asked."""
+        self.counts["asked"] += 1
+
+    def count_answer(self, query: Query) -> None:
+        """A client has its answer."""
+        arrived = query.deadline - CLIENT_WAIT
+        in_time = self.now - arrived <= OBJECTIVE + OBJECTIVE_STRETCH * WORK
+        self.counts["kept" if in_time else "late"] += 1
+
+    # What a schedule does
+
+    def lose(self, zone: int, failure: str) -> None:
+        """A zone's engines all fail."""
+        self.lost_zone = zone
+        self.lost_at = self.now
+        for engine in self.engines_in(zone):
+            engine.fail(failure)
+
+    def bring_back(self) -> None:
+        """They are back, cold."""
+        self.back_at = self.now
+        for engine in self.engines_in(self.lost_zone or 0):
+            engine.failure = ""
+            engine.started_at = self.now
+            engine.received.clear()
+            engine.recent_work = 0.0
+            engine.running.clear()
+
+    def kill_planner(self) -> None:
+        """The planner dies; the next one acts after a while."""
+        self.brokers[self.planner].alive = False
+        self.planner += 1
+        self.planner_acts_from = self.now + SUCCESSION
+        self.token += 1
+
+    # Time
+
+    def run(self, seconds: float) -> None:
+        """Let time pass."""
+        for _ in range(round(seconds * SECOND / STEP)):
+            self.now += STEP
+            self._step()
+
+    def _step(self) -> None:
+        self._deliver()
+        for engine in self.engines:
+            for broker_number, request, number in engine.step(self.now):
+                self.brokers[broker_number].end_attempt(request, number, c.Outcome.OK)
+        self._arrivals()
+        if self.failover and self.now >= self.planner_acts_from and self.now % PLAN_INTERVAL == 0:
+            self._plan()
+        check_overdue = self.now % OVERDUE_CHECK_INTERVAL == 0
+        for broker in self.brokers:
+            if broker.alive:
+                if check_overdue:
+                    broker.drop_overdue(self.now)
+                broker.step()
+        if self.now % SAMPLE_INTERVAL == 0:
+            self._sample()
+
+    def _deliver(self) -> None:
+        mail, self.mail = self.mail, []
+        for number, item in mail:
+            broker = self.brokers[number]
+            if isinstance(item, AttemptResult):
+                broker.end_attempt(item.request, item.number, item.outcome)
+            elif broker.alive and broker.zones is not None:
+                broker.zones.receive(item.sender, item.message)
+
+    def _plan(self) -> None:
+        grant = HeldLease("zones", "zones", self.token, self.token, self.now + SECOND)
+        planner = self.brokers[self.planner].zones
+        if planner is not None:
+            deque(planner.act(grant), maxlen=0)  # all its steps at once
+
+    def _arrivals(self) -> None:
+        mean = self.rate * STEP / SECOND
+        count = int(mean) + (self.random.random() < mean - int(mean))
+        alive = [broker for broker in self.brokers if broker.alive]
+        weights = [self.weights[broker.number] for broker in alive]
+        for broker in self.random.choices(alive, weights, k=count):
+            broker.receive_request()
+
+    def _sample(self) -> None:
+        zone = self.lost_zone or 0
+        engines = self.engines_in(zone)
+        used = sum(min(len(engine.running), engine.capacity(self.now)) for engine in engines)
+        capacity = sum(engine.capacity(self.now) for engine in engines)
+        name = self.zone_names[zone]
+        shares = [b.zones.follower.share(name) / 1000 for b in self.brokers if b.zones and b.alive]
+        share = sum(shares) / len(shares) if shares else 1.0
+        kept = self.counts["kept"] / max(1, self.counts["asked"])
+        self.result.curve.append(Sample((self.now - EPOCH) / SECOND, share, used / capacity, kept))
+
+
+def _number(name: str) -> int:
+    """A broker's number, out of its name."""
+    return int(name[1:])
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -19,13 +19,28 @@
 
 from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.decisions.contract import EngineListEntry, EngineState, Outcome
-from cypressledge.fleet.evidence import Evidence
-from cypressledge.fleet.judge import Finding, Told, Verdict, judge
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import EngineObservation, EngineObservations, FailoverPlan, ZoneStatus
-from cypressledge.fleet.shed import Arrivals, is_shed, over_part, over_shares, refused
-from cypressledge.fleet.zoneplan import Follower, Load, Pace, Planner, able, is_open, ramp
-from cypressledge.fleet.zones import Site, Zones
+from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.failover import ZoneFailover
+from cypressledge.fleet.zones.failover_plan import (
+    FailoverPace,
+    ZoneLoad,
+    is_engine_open,
+)
+from cypressledge.fleet.zones.failover_planner import FailoverPlanner
+from cypressledge.fleet.zones.health import BrokerObservations, Verdict, ZoneFinding, assess
+from cypressledge.fleet.zones.load_shedding import (
+    TenantArrivals,
+    is_shed,
+    over_quota,
+    over_quota_fraction,
+    shed_parts,
+)
+from cypressledge.fleet.zones.observations import AttemptObservations
+from cypressledge.fleet.zones.plan_follower import PlanFollower
+from cypressledge.fleet.zones.recovery_ramp import recovery_share, usable_fraction
+from cypressledge.fleet.zones.topology import SiteTopology
 
 RECORDED = json.loads((Path(__file__).parent / "zone_decisions.json").read_text())
 S = 1_000_000
@@ -94,7 +109,7 @@
 
 
 def record_observations(out, rng):
-    evidence, now, open_ = Evidence(), 100 * S, {}
+    observations, now, open_ = AttemptObservations(), 100 * S, {}
     outcomes = [o for o in Outcome if o is not Outcome.OK]
     for number in range(4_000):
         now += rng.randrange(20_000)
@@ -103,15 +118,15 @@
         for name in rng.sample(sorted(open_), min(len(open_), rng.randrange(3))):
             engine, began, expected = open_.pop(name)
             outcome = Outcome.OK if rng.random() < 0.6 else rng.choice(outcomes)
-            evidence.ended(
+            observations.record_end(
                 now, engine, name, outcome, now - began, expected, rng.randrange(300_000), rng.random() < 0.5
             )
         if number % 10 == 0:
-            evidence.out(
+            observations.record_open(
                 now, [(name, e, now - began, expected) for name, (e, began, expected) in open_.items()]
             )
         if number % 25 == 0:
-            out.add(evidence.sight(now))
+            out.add(observations.snapshot(now))
         if number == 2_000:
             now += 5 * S
 
@@ -119,7 +134,7 @@
 def record_health(out, rng):
     for _ in range(600):
         told = [
-            Told(
+            BrokerObservations(
                 f"n{i}",
                 ZONES[i % 3],
                 rng.choice((0, 100_000, 600_000, 800_000, 2_900_000, 3_000_000)),
@@ -128,13 +143,13 @@
             for i in range(rng.randrange(12))
         ]
         changing = frozenset(rng.sample(sorted(ENGINES), rng.randrange(6)))
-        found = judge(told, ENGINES, changing)
-        out.add(found.zones, found.blind)
+        found = assess(told, ENGINES, changing)
+        out.add(found.zones, found.isolated)
 
 
 def record_planner(out, rng):
-    planner = Planner(list(ZONES), Pace(), 100 * S, out.event)
-    now, moods, heavy = 100 * S, dict.fromkeys(ZONES, Verdict.FINE), 4.0
+    planner = FailoverPlanner(list(ZONES), FailoverPace(), 100 * S, out.event)
+    now, moods, heavy = 100 * S, dict.fromkeys(ZONES, Verdict.HEALTHY), 4.0
     for number in range(6_000):
         now += 100_000
         if rng.random() < 0.02:
@@ -142,40 +157,40 @@
         if rng.random() < 0.03:
             moods[rng.choice(ZONES)] = rng.choice(list(Verdict))
         if rng.random() < 0.03:
-            moods = dict.fromkeys(ZONES, Verdict.FINE)
+            moods = dict.fromkeys(ZONES, Verdict.HEALTHY)
         zone, hand = rng.choice(ZONES), rng.random()
         if hand < 0.004:
             planner.leave(zone, now, now + rng.randrange(30 * S), "works", hand < 0.002)
         elif hand < 0.006:
             planner.hold(zone, now, now + rng.randrange(20 * S), "kept")
         elif hand < 0.008:
-            planner.back(zone, now, "done")
+            planner.bring_back(zone, now, "done")
         elif hand < 0.009:
             planner.adopt(zone, now, "left alone")
         findings = {
-            z: Finding(moods[z], rng.random(), f"finding {number}") for z in ZONES if rng.random() < 0.98
+            z: ZoneFinding(moods[z], rng.random(), f"finding {number}") for z in ZONES if rng.random() < 0.98
         }
-        loads = {z: Load(heavy * rng.uniform(0.8, 1.2), 32.0) for z in ZONES}
+        loads = {z: ZoneLoad(heavy * rng.uniform(0.8, 1.2), 32.0) for z in ZONES}
         changed = planner.step(now, findings, loads, rng.choice((0.0, 0.0, 0.1)))
         out.add(
             changed,
             planner.number,
-            planner.short,
+            planner.sheds,
             planner.use,
-            planner.stands(now),
-            [able(z, now, planner.pace) for z in planner.zones.values()],
+            planner.statuses(now),
+            [usable_fraction(z, now, planner.pace) for z in planner.zones.values()],
         )
         if number % 1_000 == 999:
-            stood, heir = planner.stands(now), Planner(list(ZONES), Pace(), 0, out.event)
+            stood, heir = planner.statuses(now), FailoverPlanner(list(ZONES), FailoverPace(), 0, out.event)
             now += 700 * S
-            heir.resume(planner.number, stood, planner.short, now)
+            heir.resume(planner.number, stood, planner.sheds, now)
             planner = heir
     for age in range(0, 20 * S, 500_000):
-        out.add([ramp(age, Pace(), use) for use in (0.4, 0.7, 1.0)])
+        out.add([recovery_share(age, FailoverPace(), use) for use in (0.4, 0.7, 1.0)])
 
 
 def record_follower(out, rng):
-    follower, now = Follower("n1", REGION), 0
+    follower, now = PlanFollower("n1", REGION), 0
     for number in range(3_000):
         now += rng.choice((300_000, 700_000, 700_000, 4_000_000))
         if rng.random() < 0.5:
@@ -200,30 +215,35 @@
                 rows[3:],
                 {},
             )
-            out.add(follower.take(plan, now), follower.turned_down)
-        own = {z: Finding(rng.choice((Verdict.FINE, Verdict.LOST, Verdict.PART)), 0.5, "") for z in ZONES}
+            out.add(follower.accept(plan, now), follower.rejected_plans)
+        own = {
+            z: ZoneFinding(rng.choice((Verdict.HEALTHY, Verdict.LOST, Verdict.DEGRADED)), 0.5, "")
+            for z in ZONES
+        }
         out.add(
-            follower.see(now, own),
-            sorted(follower.alone),
+            follower.observe(now, own),
+            sorted(follower.locally_evacuated),
             [follower.share(z) for z in ZONES],
-            [follower.opened(e, z) for e, z in ENGINES.items()],
-            follower.deserted(now),
+            [follower.is_open(e, z) for e, z in ENGINES.items()],
+            follower.planner_is_missing(now),
         )
     for engine in range(50):
-        out.add([is_open(engine, f"n{b}", share) for b in range(20) for share in (0, 63, 500, 937, 1000)])
+        out.add(
+            [is_engine_open(engine, f"n{b}", share) for b in range(20) for share in (0, 63, 500, 937, 1000)]
+        )
 
 
 def record_shedding(out, rng):
-    arrivals, now = Arrivals(), 0
+    arrivals, now = TenantArrivals(), 0
     tenants = [f"t{i}" for i in range(40)]
     for number in range(3_000):
         now += rng.randrange(15_000)
         arrivals.add(now, rng.choice(tenants[: rng.randrange(1, 41)]))
         if number % 20 == 0:
             counts = arrivals.counts(now)
-            over = over_shares(counts, {t: rng.uniform(0, 20) for t in tenants[:30]})
+            over = over_quota(counts, {t: rng.uniform(0, 20) for t in tenants[:30]})
             excess = rng.choice((0.0, 0.01, 0.1, 0.4, 1.0))
-            out.add(counts, over, over_part(counts, over), refused(counts, over, excess))
+            out.add(counts, over, over_quota_fraction(counts, over), shed_parts(counts, over, excess))
     out.add([is_shed(f"q{i}", part) for i in range(2_000) for part in (0, 20, 500, 1000)])
 
 
@@ -231,11 +251,11 @@
     """What a broker's part in zone failover needs of the broker's core."""
 
     def __init__(self, clock):
-        self.ledger = self.engines = self.loop = self  # one object stands for all of the core's parts
         self.clock, self.requests, self.retold = clock, {}, 0
         self.settings = SimpleNamespace(classes=[SimpleNamespace(threads=2)], kind_cores=(8, 4))
         self.manager = SimpleNamespace(latency_ratios=[1.0])
         self.observer = self.is_closed = self.admission_filter = None
+        self.ledger = self.engines = self.loop = self  # one object stands for all of the core's parts
         self.engine_lists = {
             "one": [
                 (EngineListEntry(e, EngineState.READY, e % 2, ZONES.index(z), 0, 0), None)
@@ -261,24 +281,21 @@
         self.cut_off = ""  # a broker to whom everything fails
         self.places = {e: Endpoint(e, f"e{e}", ("", 0), "model") for e in ENGINES}
         self.numbers = Counter()
-        site = Site(
+        site = SiteTopology(
             ZONES, {n: ZONES[i % 3] for i, n in enumerate(self.names)}, REGION, {"t0": 4.0, "t1": 4.0}
         )
         self.zones = {n: self._zones(n, site) for n in self.names}
 
     def _zones(self, name, site):
         others = [n for n in self.names if n != name]
-        return Zones(
-            name,
-            self.cores[name],
-            site,
-            Pace(hold=3 * S),
+        links = FleetLinks(
             lambda: self.now,
             lambda peer, item: self.mail.append((name, peer, item)),
             lambda: others,
             lambda: ["n0", "n1", "n2"],
-            lambda event, **told: self.out.event(event, *told.values()),
+            lambda event, **fields: self.out.event(event, *fields.values()),
         )
+        return ZoneFailover(name, self.cores[name], site, FailoverPace(hold=3 * S), links)
 
     def step(self):
         self.now += 50_000
@@ -306,8 +323,8 @@
                 self.now + 3 * S,
                 cost=100_000,
             )
-            admitted = zones.admit(query)
-            opened = [e for e, _ in core.engines.engine_lists["one"] if not zones.shut(e)]
+            admitted = zones.admission.admits(query)
+            opened = [e for e, _ in core.engines.engine_lists["one"] if not zones.admission.is_closed(e)]
             self.out.add(admitted, [e.engine for e in opened])
             if not admitted or not opened:
                 continue
@@ -322,10 +339,10 @@
             ended = self._outcome(name, ENGINES[attempt.endpoint.id], self.now - attempt.sent_at)
             if ended is not None:
                 attempt.is_open = False
-                zones.attempt_ended(attempt, ended, self.now - attempt.sent_at)
+                zones.observer.attempt_ended(attempt, ended, self.now - attempt.sent_at)
                 del core.ledger.requests[number]
             elif self.rng.random() < 0.1 and self.mood[ENGINES[attempt.endpoint.id]] == "slow":
-                zones.attempt_progressed(attempt)
+                zones.observer.attempt_progressed(attempt)
 
     def _outcome(self, name, zone, age):
         mood = "reset" if name == self.cut_off else self.mood[zone]
@@ -352,10 +369,10 @@
             fleet.zones["n1"].dry_run("south", "practice", 20 * S, "why"),
             fleet.zones["n2"].dry_run("a", "leave", 20 * S, "why"),
         ),
-        710: lambda: out.add(fleet.zones["n2"].wish("c", "practice", 8 * S, "the yearly one")),
-        900: lambda: out.add(fleet.zones["n1"].wish("north", "leave", 5 * S, "works")),
-        960: lambda: out.add(fleet.zones["n4"].wish("north", "return", 5 * S, "done")),
-        1_000: lambda: out.add(fleet.zones["n1"].wish("a", "hold", 5 * S, "kept")),
+        710: lambda: out.add(fleet.zones["n2"].command("c", "practice", 8 * S, "the yearly one")),
+        900: lambda: out.add(fleet.zones["n1"].command("north", "leave", 5 * S, "works")),
+        960: lambda: out.add(fleet.zones["n4"].command("north", "return", 5 * S, "done")),
+        1_000: lambda: out.add(fleet.zones["n1"].command("a", "hold", 5 * S, "kept")),
         860: lambda: setattr(fleet, "cut_off", "n3"),
         890: lambda: setattr(fleet, "cut_off", ""),
         1_040: lambda: fleet.zones["n1"].step_down_from("zones"),
@@ -366,7 +383,11 @@
         fleet.step()
         if step % 10 == 0:
             for name in fleet.names:
-                out.add(fleet.zones[name].show(), fleet.cores[name].retold, fleet.zones[name].loads())
+                out.add(
+                    fleet.zones[name].status(),
+                    fleet.cores[name].retold,
+                    fleet.zones[name].view.zone_loads(fleet.now),
+                )
 
 
 SCENARIOS = {
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -9,6 +9,7 @@
 import yaml
 
 from cypressledge.broker.metrics import Counters
+from cypressledge.fleet.broker_integration import FleetIntegration
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.exchange import ADDRESSES_MOST, BUCKET_IDLE, BURST, Exchange
 from cypressledge.fleet.leases.electorate import Electorate
@@ -16,8 +17,7 @@
 from cypressledge.fleet.members import ALIVE, GONE, SUSPECT, Members
 from cypressledge.fleet.messages import EngineObservations, GossipUpdate, Ping
 from cypressledge.fleet.node import FleetNode
-from cypressledge.fleet.part import FleetPart
-from cypressledge.fleet.settings import read_fleet
+from cypressledge.fleet.settings import read_fleet_settings
 from cypressledge.lab.processes import until
 from cypressledge.lab.site import free_udp_ports
 
@@ -252,7 +252,7 @@
     took = []
     for _ in range(3):
         began = time.process_time()
-        assert len(read_fleet(str(path)).peers) == 600
+        assert len(read_fleet_settings(str(path)).peers) == 600
         took.append(time.process_time() - began)
     assert min(took) < 0.5
 
@@ -270,11 +270,11 @@
             }
         )
     )
-    part = FleetPart(str(file), SimpleNamespace(name="a", classes=(), zones=()), None, Counters())
+    part = FleetIntegration(str(file), SimpleNamespace(name="a", classes=(), zones=()), None, Counters())
     try:
         part.name_peers({"b": ("127.0.0.1", 7), "d": ("127.0.0.1", 8)})
         for name in "bd":
-            part.members.hear(part.node.now(), name, 5)
+            part.node.members.hear(part.node.now(), name, 5)
         assert part.node.alive() == {"a", "b", "d"}
         part.reload()
         assert part.node.alive() == {"a", "b", "d"}
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -30,7 +30,7 @@
     decode,
     encode,
 )
-from cypressledge.fleet.settings import read_fleet
+from cypressledge.fleet.settings import read_fleet_settings
 from cypressledge.fleet.summary import Fence, Merge
 from cypressledge.lab.virtual import S, World
 
@@ -46,13 +46,13 @@
 def told(tmp_path, text):
     path = tmp_path / "fleet.yaml"
     path.write_text(text if isinstance(text, str) else yaml.safe_dump(text))
-    return read_fleet(str(path))
+    return read_fleet_settings(str(path))
 
 
 def test_a_good_file_is_taken(tmp_path):
     got = told(tmp_path, GOOD | {"voters": [*GOOD["voters"], FOUR]})
-    assert got.sets == {1: ("a", "b", "c"), 2: ("a", "b", "c", "d")}
-    assert got.longest == 3 * S
+    assert got.voter_sets == {1: ("a", "b", "c"), 2: ("a", "b", "c", "d")}
+    assert got.longest_term == 3 * S
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -11,7 +11,7 @@
 from gevent import subprocess
 
 from cypressledge.fleet.messages import VERSION, Envelope, VoteRequest, encode
-from cypressledge.fleet.settings import read_fleet
+from cypressledge.fleet.settings import read_fleet_settings
 from cypressledge.lab.demo import ask
 from cypressledge.lab.processes import ROOT, Brokers, until
 from cypressledge.lab.resource import Resource
@@ -374,4 +374,4 @@
 
 
 def test_the_file_that_is_shipped_is_good():
-    assert read_fleet(str(ROOT / "deploy" / "fleet.yaml")).sets == {1: ("n1", "n2", "n3")}
+    assert read_fleet_settings(str(ROOT / "deploy" / "fleet.yaml")).voter_sets == {1: ("n1", "n2", "n3")}
--- a/tests/test_zone_size.py
+++ b/tests/test_zone_size.py
@@ -2,48 +2,50 @@
 
 import pytest
 
-from cypressledge.lab import zonesize
-from cypressledge.lab.zonesize import LOSSES, Job, both, draw, play
+from cypressledge.lab.zone_simulation.engine import SECOND, WARM, ModelEngine
+from cypressledge.lab.zone_simulation.report import draw
+from cypressledge.lab.zone_simulation.schedules import LOSSES, Job, play, play_both
+from cypressledge.lab.zone_simulation.world import EPOCH
 
 SMALL = {"brokers": 12, "engines": 12, "zones": 3}
 
 
 @pytest.mark.parametrize("kind", LOSSES)
 def test_a_lost_zone_is_left_by_all_and_come_back_to_without_a_fall(kind):
-    off, on = (play(5, kind=kind, on=way, **SMALL) for way in (False, True))
+    off, on = (play(5, kind=kind, failover=way, **SMALL) for way in (False, True))
     print(off.kept, on.kept, on.left_at, on.last_send, on.whole_at)
     assert off.last_send > 5  # each broker goes on trying it for as long as it is gone
     assert on.last_send < {"silent": 2.0, "reset": 2.0, "slow": 3.5, "planner": 5.0}[kind]
     assert on.kept >= off.kept - 0.3
     assert on.fallen == 0
-    assert on.false == 0
+    assert on.false_departures == 0
     assert on.in_force is not None
     assert on.in_force <= 1.0
     assert on.whole_at is not None
-    assert on.whole_at <= 1.5 * zonesize.WARM / 1e6 + 6
+    assert on.whole_at <= 1.5 * WARM / 1e6 + 6
 
 
 @pytest.mark.parametrize("kind", ["cut", "blind", "release"])
 def test_on_days_that_are_no_zones_fault_nothing_is_left(kind):
-    assert play(3, kind=kind, on=True, **SMALL).false == 0
+    assert play(3, kind=kind, failover=True, **SMALL).false_departures == 0
 
 
 def test_a_cold_engine_falls_when_it_is_pushed_and_the_model_sees_it():
-    engine = zonesize.ModelEngine(1, 0, born=zonesize.EPOCH)
+    engine = ModelEngine(1, 0, started_at=EPOCH)
     for n in range(60):
-        assert engine.take(zonesize.EPOCH + n * 10_000, (0, n, 0)) or engine.fallen
-        engine.step(zonesize.EPOCH + n * 10_000)
+        assert engine.receive(EPOCH + n * 10_000, (0, n, 0)) or engine.fallen
+        engine.step(EPOCH + n * 10_000)
     assert engine.fallen
-    assert not engine.take(zonesize.EPOCH + zonesize.S, (0, 99, 0))
-    warm = zonesize.ModelEngine(2, 0)
+    assert not engine.receive(EPOCH + SECOND, (0, 99, 0))
+    warm = ModelEngine(2, 0)
     for n in range(60):
-        warm.take(n * 10_000, (0, n, 0))
+        warm.receive(n * 10_000, (0, n, 0))
         warm.step(n * 10_000)
     assert not warm.fallen
 
 
 def test_the_plot_is_drawn(tmp_path):
     pytest.importorskip("matplotlib")
-    done = both(Job(1, 6, 6, 2, "reset", 0.4))
+    done = play_both(Job(1, 6, 6, 2, "reset", 0.4))
     draw(done, str(tmp_path / "zones.png"))
     assert (tmp_path / "zones.png").read_bytes()[:4] == b"\x89PNG"
