--- /dev/null
+++ b/cypressledge/controlplane/change_proposals.py
@@ -0,0 +1,186 @@
+"""Operators' changes, from the call to the answer: the leader proposes them to a majority."""
+
+import time
+from dataclasses import dataclass, field
+from http import HTTPStatus
+
+from cypressledge.controlplane.activity_record import ActivityRecord
+from cypressledge.controlplane.errors import NotLeaderError, VersionConflictError
+from cypressledge.controlplane.faults import FaultInjection
+from cypressledge.controlplane.inbox import Inbox, InboxFullError
+from cypressledge.controlplane.leadership import Leadership
+from cypressledge.controlplane.messages import Op
+from cypressledge.controlplane.operator_calls import ChangeRequest, reject
+from cypressledge.controlplane.process_events import ProcessEvents
+from cypressledge.controlplane.proposals import PendingProposal
+from cypressledge.controlplane.settings import ServerSpec
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_validation import find_conflicts, validate_change
+from cypressledge.controlplane.state_values import StateError, decode_value
+from cypressledge.net.http_server import HttpExchange
+
+MAJORITY_TIMEOUT_US = 5_000_000  # for a change's majority
+CLASSES_KEY = "config/Classes"
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderLocator:
+    """Where operators find the leader."""
+
+    leadership: Leadership
+    servers: list[ServerSpec]
+
+    def locate(self) -> dict[str, object]:
+        """Part of most answers: the leader's name and address, empty where there is none, and the addresses
+        of all control processes."""
+        addresses = {server.name: server.management for server in self.servers}
+        leader = self.leadership.leader
+        return {"primary": leader, "at": addresses.get(leader, ""), "servers": list(addresses.values())}
+
+
+@dataclass(frozen=True, slots=True)
+class _WaitingChange:
+    """A change that waits for its majority, until a moment (µs)."""
+
+    ticket: PendingProposal
+    change: ChangeRequest
+    exchange: HttpExchange
+    deadline: int
+
+
+@dataclass(slots=True)
+class ChangeProposals:
+    """The changes of operators that this process is asked for."""
+
+    leadership: Leadership
+    locator: LeaderLocator
+    inbox: Inbox
+    events: ProcessEvents
+    record: ActivityRecord
+    faults: FaultInjection
+    _waiting: list[_WaitingChange] = field(default_factory=list)
+
+    @property
+    def waiting(self) -> int:
+        """How many wait for their majority."""
+        return len(self._waiting)
+
+    def submit(self, change: ChangeRequest, exchange: HttpExchange) -> None:
+        """From a caller's greenlet: the owner decides."""
+        try:
+            self.inbox.put_nowait(self._propose, change, exchange)
+        except InboxFullError:
+            self._answer(exchange, HTTPStatus.SERVICE_UNAVAILABLE, {"answer": "unknown", "why": "busy"})
+
+    def settle(self, now: int) -> int:
+        """Answer the changes of which it is known what became of them; when to call again, µs."""
+        still_waiting = []
+        for waiting in self._waiting:
+            if waiting.ticket.state == "open" and now < waiting.deadline:
+                still_waiting.append(waiting)
+            elif waiting.ticket.state == "done":
+                self._acknowledge(waiting)
+            else:
+                self._answer_unknown(waiting)
+        self._waiting = still_waiting
+        return min((waiting.deadline for waiting in still_waiting), default=now + MAJORITY_TIMEOUT_US)
+
+    def _propose(self, now: int, change: ChangeRequest, exchange: HttpExchange) -> None:
+        replica = self.leadership.replica
+        try:
+            if not self.leadership.is_leader:
+                raise NotLeaderError(self.leadership.leader)
+            base = replica.latest_state.version if change.base is None else change.base
+            check_new(replica.latest_state, change)
+            if change.dry_run:
+                self._answer_dry_run(change, base, exchange)
+                return
+            ticket = replica.propose(
+                now, change.ops, base, change.request, change.who, change.why, time.time_ns() // 1_000_000
+            )
+        except NotLeaderError:
+            self._answer(exchange, HTTPStatus.MISDIRECTED_REQUEST, {"answer": "not primary"})
+        except VersionConflictError as err:
+            exchange.json(
+                HTTPStatus.CONFLICT,
+                {
+                    "answer": "clash",
+                    "why": str(err),
+                    "keys": err.keys,
+                    "version": replica.latest_state.version,
+                },
+            )
+        except StateError as err:
+            reject(exchange, HTTPStatus.BAD_REQUEST, str(err))
+        else:
+            self._waiting.append(_WaitingChange(ticket, change, exchange, now + MAJORITY_TIMEOUT_US))
+
+    def _answer_dry_run(self, change: ChangeRequest, base: int, exchange: HttpExchange) -> None:
+        """What would come of a change. Raises as `Replica.propose` does."""
+        tail = self.leadership.replica.latest_state
+        validate_change(tail, change.ops)
+        if keys := find_conflicts(tail, base, change.ops):
+            raise VersionConflictError(keys)
+        self._answer(
+            exchange,
+            HTTPStatus.OK,
+            {"answer": "would do", "version": tail.version + 1, "keys": len(change.ops)},
+        )
+
+    def _acknowledge(self, waiting: _WaitingChange) -> None:
+        ticket, change = waiting.ticket, waiting.change
+        if self.faults.is_due("answer"):
+            self.faults.strike()
+        self.events.emit(
+            "change_acknowledged",
+            epoch=ticket.epoch,
+            version=ticket.version,
+            request=change.request,
+            who=change.who,
+            why=change.why,
+        )
+        self.record.write("acknowledged", epoch=ticket.epoch, version=ticket.version, request=change.request)
+        self._answer(
+            waiting.exchange,
+            HTTPStatus.OK,
+            {"answer": "done", "version": ticket.version, "epoch": ticket.epoch, "request": change.request},
+        )
+
+    def _answer_unknown(self, waiting: _WaitingChange) -> None:
+        version = waiting.ticket.version
+        self.events.emit("change_unknown", version=version, request=waiting.change.request)
+        self._answer(
+            waiting.exchange,
+            HTTPStatus.SERVICE_UNAVAILABLE,
+            {"answer": "unknown", "version": version, "why": "no majority in time"},
+        )
+
+    def _answer(self, exchange: HttpExchange, status: HTTPStatus, body: dict[str, object]) -> None:
+        """With where the leader is: the caller asks there next time."""
+        exchange.json(status, body | self.locator.locate())
+
+
+def check_new(state: FleetState, change: ChangeRequest) -> None:
+    """The rules for a change that isn't known yet. Guards against "refused" for a repeat that was taken.
+    Raises `StateError`."""
+    if change.dry_run or state.version_of_request(change.request) is None:
+        _check_class_names(state, change.ops)
+
+
+def _check_class_names(state: FleetState, ops: list[Op]) -> None:
+    """Guards against settings that no broker can take before its restart. Raises `StateError`."""
+    held = state.entries.get(CLASSES_KEY)
+    new = next((op.value for op in ops if op.key == CLASSES_KEY), None)
+    if held is not None and new is not None and _class_names(held.value) != _class_names(new):
+        raise StateError(
+            "config: brokers take other classes only at a restart: remove all of config, "
+            "restart them with files that hold the new classes, then set it again"
+        )
+
+
+def _class_names(raw: bytes) -> list[object]:
+    """Of a value of `CLASSES_KEY` that may not be checked yet."""
+    classes = decode_value(raw)
+    if not isinstance(classes, list):
+        return []
+    return [one.get("Name") for one in classes if isinstance(one, dict)]
--- a/cypressledge/controlplane/cli.py
+++ b/cypressledge/controlplane/cli.py
@@ -59,7 +59,7 @@
 @click.option("--rejoin", is_flag=True, help="The disk was lost: take the history from the others.")
 def serve(file: str, name: str, folder: str, seed: str, rejoin: bool) -> None:
     """Run one control process."""
-    from cypressledge.controlplane.server import main
+    from cypressledge.controlplane.control_process import main
 
     if seed and rejoin:
         raise click.UsageError("--first begins a new history, --rejoin takes the others': not both")
--- /dev/null
+++ b/cypressledge/controlplane/control_process.py
@@ -0,0 +1,364 @@
+"""One control process: put together, run, and stopped in good order. Uses gevent.
+
+One greenlet owns replica, history and publisher; sockets reach it through an inbox of bounded length.
+"""
+
+import gc
+import os
+import resource
+import signal
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+
+import gevent
+from gevent.event import Event
+
+from cypressledge.broker.metrics import Counters, log
+from cypressledge.config import ConfigError, parse_address
+from cypressledge.controlplane.activity_record import ActivityRecord
+from cypressledge.controlplane.applied_versions import AppliedVersions
+from cypressledge.controlplane.broker_connections import RETRY_AFTER_MS, BrokerConnections, turn_away
+from cypressledge.controlplane.broker_registry import BrokerRegistry
+from cypressledge.controlplane.change_history import ChangeHistory
+from cypressledge.controlplane.change_proposals import ChangeProposals, LeaderLocator
+from cypressledge.controlplane.committed_changes import CommittedChanges
+from cypressledge.controlplane.faults import FAULT_VARIABLE, ONCE_VARIABLE, FaultInjection
+from cypressledge.controlplane.framing import (
+    HELLO_TIMEOUT_S,
+    ConnectionEndedError,
+    FramedConnection,
+    TrafficCounters,
+)
+from cypressledge.controlplane.inbox import Inbox
+from cypressledge.controlplane.leader_reports import (
+    AppliedVersionReports,
+    BrokerRegistrations,
+    ConnectedBrokers,
+    PeerMessageRouter,
+)
+from cypressledge.controlplane.leadership import PRIMARY_LEASE, Leadership
+from cypressledge.controlplane.log_storage import StorageError
+from cypressledge.controlplane.messages import Disconnect, Hello, Op
+from cypressledge.controlplane.non_voting_replica import NonVotingReplica
+from cypressledge.controlplane.operator_api import OperatorApi, ProcessCounts
+from cypressledge.controlplane.operator_calls import OperatorServer
+from cypressledge.controlplane.peer_connections import PeerDialer, PeerHandshake, PeerReceiver, PeerSender
+from cypressledge.controlplane.process_events import ProcessEvents
+from cypressledge.controlplane.publisher import Publisher, PublisherLimits
+from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.settings import ControlSettings, read_control_settings
+from cypressledge.controlplane.sqlite_storage import OpenMode, SqliteStorage, StorageUnusableError
+from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state_values import StateError, encode_value
+from cypressledge.fleet.clock import LeaseClock
+from cypressledge.fleet.events import logger
+from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.participation import LeaseSlot
+from cypressledge.fleet.node import FleetNode, new_run
+from cypressledge.net import receive_buffer, socket_writer
+from cypressledge.net.connection_registry import ConnectionRegistry
+from cypressledge.net.listener import Listener
+
+MAX_HELLO_BYTES = 4 << 10  # of the first frame
+SPARE_CONNECTIONS = 64  # beyond the brokers': peers, and those that haven't said Hello
+OWN_DESCRIPTORS = 128  # that are nobody's connection, or an operator's
+MAX_QUEUED_BYTES = 256 << 20  # to all peers and brokers together
+MAX_BUFFERED_BYTES = 64 << 20  # from all of them
+STOP_DELAY_S = 0.5  # for the last frames to leave
+FAILED_EXIT_CODE = 3  # a part ended by an exception
+STORE_FILE = "history.sqlite"  # in the folder that a control process is given
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessOptions:
+    """How a control process is started. `disk`: its store, opened; none where it doesn't vote. `seed`: the
+    first changes of a new history, where this process may begin one. `rejoin`: its disk was lost."""
+
+    name: str
+    disk: SqliteStorage | None
+    faults: FaultInjection
+    seed: list[Op] | None = None
+    rejoin: bool = False
+
+
+class ControlProcess:
+    """All parts of one control process. Raises `ConfigError`, `StateError`, `DiskError`, `OSError`."""
+
+    def __init__(self, settings: ControlSettings, options: ProcessOptions) -> None:
+        self.settings, self.options, self.name = settings, options, options.name
+        self.server = settings.server(self.name)
+        self.run_id = new_run()
+        self._is_stopping, self._stop_asked = False, Event()
+        self.clock = LeaseClock(settings.lab.clock_rate, round(settings.lab.clock_offset_s * 1e6))
+        self.counters, self.traffic = Counters(), TrafficCounters()
+        self.log = logger(self.name, self.run_id)
+        self.record = ActivityRecord(settings.lab.record, {"who": self.name, "run": self.run_id})
+        self.events = ProcessEvents(self.counters, self.log)
+        self.inbox = Inbox(self.clock)
+        self.history, self.applied = ChangeHistory(FleetState()), AppliedVersions()
+        self.registry = BrokerRegistry(round(settings.forget_s * 1e6))
+        self.committed = CommittedChanges(self.history, self.record, self.inbox)
+        self.brokers = BrokerConnections(self.inbox)
+        self.publisher = Publisher(
+            self.name,
+            self.run_id,
+            self.history,
+            PublisherLimits(max_subscribers=settings.brokers_most),
+            self.brokers.send,
+            self.brokers.end,
+            self.events.emit,
+        )
+        self.sender = PeerSender(self.counters, options.faults)
+        now = self.clock.now()
+        self.node = self._make_node(now)
+        self.replica = self._make_replica(now)
+        self.leadership = Leadership(
+            self.name, self.server.votes, settings.term, self.clock, self.node, self.replica
+        )
+        self._subscribe()
+        if options.seed is not None and self.server.votes:
+            self.replica.permit_first_version(f"{self.name}-{self.run_id:x}", options.seed)
+        self._make_leader_reports()
+        peers = self._make_peer_connections()
+        self.listener = Listener(
+            parse_address(self.server.address), self.counters, "control", self._serve, ConnectionRegistry()
+        )
+        self.listener.max_connections = settings.brokers_most + SPARE_CONNECTIONS
+        self.operators = self._make_operator_server()
+        self.greenlets: list[Callable[[], None]] = [
+            *self.node.parts,
+            self.own,
+            self.listener.run,
+            self.operators.run,
+            *peers,
+            *getattr(self.replica, "parts", ()),
+        ]
+
+    # Assembly
+
+    def _make_node(self, now: int) -> FleetNode:
+        settings = self.settings
+        electorate = Electorate(
+            self.name,
+            settings.term,
+            {settings.version: settings.voters},
+            settings.version,
+            now,
+            round(settings.grace_s * 1e6),
+        )
+        return FleetNode(
+            self.name,
+            listen=parse_address(self.server.fleet),
+            electorate=electorate,
+            run=self.run_id,
+            log=self.log,
+            addresses={s.name: parse_address(s.fleet) for s in settings.servers},
+            counters=self.counters,
+            places=[LeaseSlot(PRIMARY_LEASE, PRIMARY_LEASE, settings.term, on_demand=True)],
+            drift_ppm=settings.drift_ppm,
+            ping_s=settings.ping_s,
+            clock=self.clock,
+            told=lambda *_: self.inbox.wake(),
+        )
+
+    def _make_replica(self, now: int) -> Replica | NonVotingReplica:
+        settings, options = self.settings, self.options
+        if not self.server.votes:
+            return NonVotingReplica(
+                self.name,
+                self.run_id,
+                settings,
+                self.server.zone,
+                self.server.region,
+                self.log,
+                self.committed.apply_elsewhere,
+            )
+        return Replica(
+            self.name,
+            self.run_id,
+            settings.voters,
+            options.disk,
+            now,
+            self.sender.send,
+            self.committed.apply,
+            self.events.emit,
+            options.rejoin,
+            settings.term,
+        )
+
+    def _subscribe(self) -> None:
+        """What the parts do at each other's events."""
+        for event in ("primary", "stepped_down"):
+            self.events.subscribe(event, partial(self._note_leadership, event))
+        for event in ("recovering", "stepped_down"):
+            self.events.subscribe(event, self._forget_reports)
+        self.events.subscribe("disk_error", self._suspend)
+
+    def _make_leader_reports(self) -> None:
+        server_names = frozenset(s.name for s in self.settings.servers)
+        connected = ConnectedBrokers(self.name, server_names, self.node, self.sender, self.applied)
+        self.reports = AppliedVersionReports(self.leadership, self.publisher, self.sender, self.applied)
+        self.registrations = BrokerRegistrations(
+            self.leadership, self.history, self.publisher, self.sender, self.registry, connected, self.events
+        )
+
+    def _make_peer_connections(self) -> list[Callable[[], None]]:
+        """The greenlets that keep connections to the other control processes."""
+        servers = self.settings.servers
+        handshake = PeerHandshake(
+            self.name,
+            self.run_id,
+            frozenset(s.name for s in servers),
+            self.history,
+            self.replica,
+            self.events,
+        )
+        router = PeerMessageRouter(self.leadership, self.applied, self.registry, self.reports)
+        self.receiver = PeerReceiver(handshake, router, self.inbox)
+        dialer = PeerDialer(handshake, self.sender, router, self.inbox, self.traffic, self.counters, self.log)
+        return [
+            partial(dialer.maintain, s, lambda: self._is_stopping) for s in servers if s.name != self.name
+        ]
+
+    def _make_operator_server(self) -> OperatorServer:
+        locator = LeaderLocator(self.leadership, self.settings.servers)
+        self.proposals = ChangeProposals(
+            self.leadership, locator, self.inbox, self.events, self.record, self.options.faults
+        )
+        counts = ProcessCounts(self.traffic, self.counters, self.publisher, self.sender, self.proposals)
+        api = OperatorApi(self.run_id, self.leadership, self.history, self.applied, locator, counts)
+        return OperatorServer(
+            parse_address(self.server.management), self.counters, self.proposals.submit, api.calls()
+        )
+
+    # Events
+
+    def _note_leadership(self, event: str, fields: dict[str, object]) -> None:
+        self.record.write(event, epoch=fields["epoch"], version=fields.get("version", 0))
+
+    def _forget_reports(self, fields: dict[str, object]) -> None:
+        """This process begins or ends as the leader: what it was told before counts no more."""
+        self.registry.clear()
+        self.applied.clear()
+
+    def _suspend(self, fields: dict[str, object]) -> None:
+        """The disk refuses: the brokers go to others."""
+        if self.leadership.suspend(self.clock.now()):
+            self.publisher.stop()
+
+    # The owner
+
+    def own(self) -> None:
+        """A greenlet: does what is due, and takes in what has come."""
+        while not self._is_stopping:
+            now = self.clock.now()
+            self.leadership.apply_lease(now)
+            due = min(self.replica.tick(now), self.reports.send(now), self.registrations.send(now))
+            if self.committed.take_unpublished():
+                self.publisher.committed(now)
+            self.leadership.report_contact(now, self.publisher)
+            due = min(due, self.publisher.tick(now), self.proposals.settle(now))
+            self.inbox.run_pending(due)
+
+    # Connections
+
+    def _serve(self, sock: gevent.socket.socket) -> None:
+        """A greenlet for each connection that is accepted: its only reader, and its end."""
+        frames = FramedConnection(sock, self.traffic, MAX_HELLO_BYTES)
+        try:
+            hello = frames.receive(HELLO_TIMEOUT_S)
+            if not isinstance(hello, Hello):
+                raise ConnectionEndedError("no hello")
+            if hello.role == "control":
+                self.receiver.serve(hello, frames)
+            elif self._is_stopping or self.leadership.is_suspended(self.clock.now()):
+                turn_away(frames, Disconnect("stopping", RETRY_AFTER_MS))
+            else:
+                self.brokers.serve(hello, frames, self.publisher)
+        except ConnectionEndedError as err:
+            self.counters.add(f"control.ended.{str(err).partition(':')[0][:24]}")
+        finally:
+            frames.close()
+
+    # From start to end
+
+    def run(self) -> None:
+        """Serve until a signal asks to stop; then give the lease back, and end the connections."""
+        log(f"{self.name}: control process, brokers at {self.server.address}")
+        for greenlet in map(gevent.spawn, self.greenlets):
+            greenlet.link_exception(self._exit_failed)
+        gevent.signal_handler(signal.SIGTERM, self._stop_asked.set)
+        gevent.signal_handler(signal.SIGINT, self._stop_asked.set)
+        gevent.signal_handler(signal.SIGUSR1, lambda: self.counters.print("asked"))
+        self._stop_asked.wait()
+        self.stop()
+        self.counters.print("exit")
+
+    def stop(self) -> None:
+        """In good order, within `STOP_DELAY_S` and a little: of changes that wait for a majority it is not
+        known whether they were taken."""
+        now = self.clock.now()
+        self._is_stopping = True
+        self.listener.stop()
+        self.replica.lease(now, None, 0)
+        self.node.stop()
+        self.proposals.settle(now)
+        self.publisher.stop()
+        self.sender.finish()
+        self.receiver.finish()
+        gevent.sleep(STOP_DELAY_S)
+        if self.options.disk is not None:
+            self.options.disk.close()
+
+    def _exit_failed(self, greenlet: gevent.Greenlet) -> None:
+        """A part that ended by an exception can't be done without: end, to be started anew."""
+        log(f"a part of the control process failed: {greenlet.exception!r}")
+        os._exit(FAILED_EXIT_CODE)
+
+
+def allow_descriptors(brokers: int) -> None:
+    """Raise this process's limit of descriptors as far as so many brokers need. Guards against brokers that
+    take the descriptors which the store and the other processes need. Raises `ConfigError`."""
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    needed = brokers + SPARE_CONNECTIONS + OWN_DESCRIPTORS
+    if soft < needed:
+        soft = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
+    if soft < needed:
+        raise ConfigError(f"brokers_most needs {needed} descriptors; this process may have {soft}")
+
+
+def main(file: str, name: str, folder: str, seed: dict | None, rejoin: bool) -> int:
+    """Run one control process; what is wrong with its settings or its store is one plain line, and 2."""
+    receive_buffer.BUFFER_GROWTH.limit, socket_writer.QUEUED_BYTES.limit = (
+        MAX_BUFFERED_BYTES,
+        MAX_QUEUED_BYTES,
+    )
+    try:
+        settings = read_control_settings(file)
+        allow_descriptors(settings.brokers_most)
+        process = ControlProcess(settings, _read_options(settings, name, folder, seed, rejoin))
+    except (ConfigError, StateError, StorageUnusableError, StorageError) as err:
+        log(f"cypressledge: {err}")
+        return 2
+    except OSError as err:
+        log(f"cypressledge: cannot begin: {err}")
+        return 2
+    gc.collect()
+    gc.freeze()
+    process.run()
+    return 0
+
+
+def _read_options(
+    settings: ControlSettings, name: str, folder: str, seed: dict | None, rejoin: bool
+) -> ProcessOptions:
+    faults = FaultInjection(os.environ.get(FAULT_VARIABLE, ""), os.environ.get(ONCE_VARIABLE, ""))
+    create = OpenMode.REJOIN if rejoin else OpenMode.EXISTING if seed is None else OpenMode.FIRST
+    disk = None
+    if settings.server(name).votes:
+        os.makedirs(folder, exist_ok=True)
+        disk = SqliteStorage(os.path.join(folder, STORE_FILE), name, create, faults.check_disk)
+    ops = None if seed is None else [Op(key, encode_value(value)) for key, value in seed["set"].items()]
+    return ProcessOptions(name, disk, faults, ops, rejoin)
--- /dev/null
+++ b/cypressledge/controlplane/leadership.py
@@ -0,0 +1,79 @@
+"""Who leads the control processes: the lease `primary`, handed to the replica that it allows to lead.
+
+The lease only decides who tries to lead; the safety of the history is the replica's alone.
+"""
+
+from cypressledge.controlplane.non_voting_replica import NonVotingReplica
+from cypressledge.controlplane.publisher import Publisher
+from cypressledge.controlplane.replica import Replica
+from cypressledge.fleet.clock import LeaseClock
+from cypressledge.fleet.node import FleetNode
+
+PRIMARY_LEASE = "primary"
+GIVE_BACK_REST_S = 1.0  # after a lease of no use here was given back, until it is asked for again
+
+
+class Leadership:
+    """The lease's state towards the replica of one control process. `term`: of the lease, µs; `is_voter`:
+    whether this process may lead at all."""
+
+    def __init__(
+        self,
+        name: str,
+        is_voter: bool,
+        term: int,
+        clock: LeaseClock,
+        node: FleetNode,
+        replica: Replica | NonVotingReplica,
+    ) -> None:
+        self.name, self.is_voter, self.term, self.clock = name, is_voter, term, clock
+        self.node, self.replica = node, replica
+        self.suspended_until = 0  # µs: the disk here refuses until then, as far as is known
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this process leads now."""
+        return self.replica.role == "primary" and self.clock.now() < self.replica.lease_until
+
+    @property
+    def leader(self) -> str:
+        """The name of who leads, as far as is known here; empty where nobody does."""
+        if self.is_leader:
+            return self.name
+        return "" if self.replica.leader == self.name else self.replica.leader
+
+    def is_suspended(self, now: int) -> bool:
+        """Whether this process neither leads nor takes brokers for now."""
+        return now < self.suspended_until
+
+    def suspend(self, now: int) -> bool:
+        """The disk has refused: stay away from the lease for two terms. Whether this begins now. Guards
+        against a process that takes the lease from the others again, and that keeps brokers while its
+        history stands still."""
+        begins = not self.is_suspended(now)
+        self.suspended_until = now + 2 * self.term
+        return begins
+
+    def apply_lease(self, now: int) -> None:
+        """Tell the replica what holds of the lease; it is asked for only where that could lead."""
+        self._ask_for_lease(now)
+        grant = self.node.grant(PRIMARY_LEASE)
+        if grant is None:
+            self.replica.lease(now, None, 0)
+        elif not self.replica.lease(now, grant.token, grant.expires_at):
+            if grant.token <= self.replica.epoch:
+                self.node.refused(PRIMARY_LEASE, self.replica.epoch)
+            else:
+                self.node.give_back(PRIMARY_LEASE, "of no use here", GIVE_BACK_REST_S)
+
+    def _ask_for_lease(self, now: int) -> None:
+        is_eligible = self.replica.is_eligible(now) and not self.is_suspended(now) and self.is_voter
+        if is_eligible != (PRIMARY_LEASE in self.node.keeper.requested_groups):
+            (self.node.want if is_eligible else self.node.unwant)(PRIMARY_LEASE)
+
+    def report_contact(self, now: int, publisher: Publisher) -> None:
+        """Tell the publisher when a leader was heard last."""
+        if self.is_leader:
+            publisher.leader_heard(now, self.name)
+        elif self.replica.leader and self.replica.leader != self.name:
+            publisher.leader_heard(self.replica.leader_heard_at, self.replica.leader)
--- a/tests/test_controlplane_parts.py
+++ b/tests/test_controlplane_parts.py
@@ -15,6 +15,7 @@
 from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions
 from cypressledge.controlplane.broker_integration import BrokerIntegration
 from cypressledge.controlplane.change_history import ChangeHistory
+from cypressledge.controlplane.change_proposals import check_new
 from cypressledge.controlplane.faults import FaultInjection
 from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters
 from cypressledge.controlplane.log_storage import StorageError
@@ -29,8 +30,7 @@
     Op,
     encode,
 )
-from cypressledge.controlplane.operators import Asked, BadRequest, read_change
-from cypressledge.controlplane.server import check_new
+from cypressledge.controlplane.operator_calls import BadRequestError, ChangeRequest, read_change
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError, decode_value, encode_value
 
@@ -250,7 +250,7 @@
     ],
 )
 def test_a_change_that_cannot_be_read_is_refused(body):
-    with pytest.raises(BadRequest):
+    with pytest.raises(BadRequestError):
         read_change(body)
 
 
@@ -344,7 +344,7 @@
     first, other = ([Op("config/Classes", encode_value([{"Name": name}]))] for name in ("slow", "fast"))
     for ops, request in ((first, "r"), ([Op("config/Classes")], ""), (other, "s")):
         state.apply(state.draft_change(1, ops, request))
-    check_new(state, Asked(None, "r", "", "", first, False))  # taken once, as version 1
+    check_new(state, ChangeRequest(None, "r", "", "", first, False))  # taken once, as version 1
     for request, dry in (("t", False), ("", False), ("r", True)):
         with pytest.raises(StateError, match="only at a restart"):
-            check_new(state, Asked(None, request, "", "", first, dry))
+            check_new(state, ChangeRequest(None, request, "", "", first, dry))
--- a/tests/test_controlplane_registry.py
+++ b/tests/test_controlplane_registry.py
@@ -37,7 +37,7 @@
         self.state.apply(self.state.draft_change(1, ops))
 
     def turn(self, *ops: Op, after: int = 0) -> tuple[list[str], list[str]]:
-        """As `server.py` does it, so long later: what the change sets and removes, and why some can't be."""
+        """As `leader_reports.py` does it, so long later: keys set or removed, and why some are not."""
         registry = self.registry
         self.now += after
         registry.request(ops)
