--- a/cypressledge/__main__.py
+++ b/cypressledge/__main__.py
@@ -1,4 +1,4 @@
-"""The program: `python -m cypressledge`. It heeds signals from its first line on, and imports the rest then.
+"""The program: `python -m cypressledge`. It handles signals from its first line on, then imports the rest.
 
 Guards against a signal that comes before the broker listens, with as much to import as there is: SIGHUP, by
 default, ends a process, and a planned restart that meets the start is no crash.
@@ -8,7 +8,7 @@
 import sys
 
 COMMANDS = ("fleet", "zone", "control", "lab")  # first words that are the command line's
-EARLY = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
 def main() -> int:
@@ -18,8 +18,8 @@
 
         cli(prog_name="cypressledge")
     early: list[int] = []
-    for number in EARLY:
-        signal.signal(number, lambda got, _: early.append(got))
+    for number in HANDLED_SIGNALS:
+        signal.signal(number, lambda received, _: early.append(received))
     from cypressledge.broker.process import main as run
 
     return run(early)
--- a/cypressledge/broker/requests.py
+++ b/cypressledge/broker/requests.py
@@ -1,6 +1,6 @@
-"""What a broker holds of its requests: the query, its attempts, and what fronts and links offer for them.
+"""Requests, their attempts, and what frontends and transports offer for them.
 
-No wire is known here, and no clock is read.
+No protocol is known here, and no clock is read. All times are µs of the monotonic clock.
 """
 
 import re
@@ -10,37 +10,34 @@
 from cypressledge.decisions import contract as c
 
 CLIENT_KEY = re.compile(r"[!-+\--~]{1,128}\Z", re.A)  # no commas or blanks: it may stand in a list
-MAX_SEND_DELAY = (
-    500_000  # µs from its decision in which an attempt leaves, or never does: the module's margin
-)
+MAX_SEND_DELAY = 500_000  # µs from its decision in which an attempt is sent, or never: the module's margin
 
 
 @dataclass(slots=True)
 class Query:
-    """What a client asks, whatever wire it came by. `due`: µs of the monotonic clock when it stops
-    waiting."""
+    """What a client asks, whatever protocol it came by."""
 
     id: str
     class_index: int
     class_name: str
     tenant: str
     statement: bytes
-    deadline: int
-    key: str = ""
-    cost: int = 0
-    memory_mb: float = 0.0
+    deadline: int  # when the client stops waiting
+    key: str = ""  # by which engines drop duplicates, and by which ordered classes run in turn
+    cost: int = 0  # estimated µs of work; 0: not known
+    memory_mb: float = 0.0  # estimated need; 0: not known
     table_group: int = 0
     is_client_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class EngineFault:
-    """Why an engine's answer is no result. `final`: the statement itself is at fault, no engine helps."""
+    """Why an engine's answer is no result, as the client is told it."""
 
     text: str
-    code: int = 0
-    status: int = 500
-    final: bool = False
+    code: int = 0  # in ClickHouse's numbers; 0: none
+    status: int = 500  # of HTTP
+    final: bool = False  # the statement itself is at fault, no engine helps
 
 
 DEADLINE_FAULT = EngineFault("not answered in time", 159, 408)
@@ -48,83 +45,87 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where an engine listens and which link speaks to it."""
+    """Where an engine listens, and which transport speaks to it.
+
+    A process that starts anew under its id is another endpoint: connections to the old one are dead."""
 
     id: int
     name: str
     address: tuple[str, int]
-    wire: str
-    started_at_ms: int = (
-        0  # ms; a process that starts anew under its id is another place: old connections are dead
-    )
+    wire: str  # the name of the transport
+    started_at_ms: int = 0  # Unix time as its list gives it; 0: long ago
 
 
 class ReplyHandler(Protocol):
-    """What a front offers for one taken request; none of these may block."""
+    """What a frontend offers for one request; none of the methods but `wait_until_drained` may block.
+
+    One of `complete`, `reject` and `fail` is called, once."""
 
     supports_streaming: bool
 
     def complete(self, rows: bytes) -> None:
-        """All rows (behind those of `part`, if any)."""
+        """Answer with these rows, or end the answer with them if some were sent before."""
 
     def send_rows(self, rows: bytes) -> None:
-        """The next rows of an answer that has begun; only where it `streams`."""
+        """Send the next rows of an answer that isn't complete; only where streaming is supported."""
 
     def wait_until_drained(self) -> bool:
-        """Called by a link's greenlet: wait, a second at most, for the client to read; whether it did."""
+        """Wait, a second at most, until the client has read what was sent; whether it has.
+
+        Called by a transport's greenlet, so that engines are read no faster than clients read."""
 
-    def reject(self, after: int) -> None:
-        """Trying again is harmless, best after so many µs."""
+    def reject(self, retry_after: int) -> None:
+        """Answer that trying again is harmless, best after so many µs."""
 
     def fail(self, fault: EngineFault) -> None:
-        """It may have run; an answer that has begun is left visibly broken."""
+        """Answer that it may have run; an answer that has begun is left visibly broken."""
 
 
 class EngineTransport(Protocol):
-    """What a wire to the engines offers; none of these may block."""
+    """What carries attempts to engines over one protocol; none of the methods may block."""
 
     def send(self, attempt: "Attempt") -> None:
-        """Carry the attempt to its engine."""
+        """Carry the attempt to its engine, and report on it to the ledger."""
 
     def cancel(self, attempt: "Attempt") -> None:
-        """Give it up; nothing is reported of it any more."""
+        """Call the attempt off at its engine; nothing is reported of it any more."""
 
     def update_resources(self, attempt: "Attempt") -> None:
-        """Its priority has changed."""
+        """Pass on the request's changed priority, if the protocol can."""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One line of the ledger."""
+    """One entry of the ledger: a query, its attempts and its one final answer."""
 
     number: int
     query: Query
     reply: ReplyHandler
     attempts: list["Attempt"] = field(default_factory=list)
-    grant_mb: float = 0.0
+    grant_mb: float = 0.0  # memory for further attempts; 0: the engine's choice
     priority: int = 1
     open_attempts: int = 0
-    is_concluded: bool = False
+    is_concluded: bool = False  # no answer is owed any more
     client_left: bool = False
-    streaming_attempt: "Attempt | None" = None
+    streaming_attempt: "Attempt | None" = None  # whose rows have begun to go out: the answer is its alone
     last_fault: EngineFault | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request to one engine. `carrier` belongs to the link."""
+    """One send of a request to one engine."""
 
     request: Request
-    number: int
+    number: int  # among the request's attempts, from 0
     endpoint: Endpoint
-    sent_at: int
-    deadline: int
+    sent_at: int  # when the transport was handed it
+    deadline: int  # its own time-out, or the client's deadline
     decided_at: int  # the module's time of the decision, on which windows and budgets were judged
-    is_open: bool = True
+    is_open: bool = True  # its end hasn't been reported
     outcome: c.Outcome | None = None
-    transport_state: object = None
-    connections_tried: int = 0  # connections it was put on in vain
-    unread_bytes: int = 0  # bytes of rows on their way to the core
+    transport_state: object = None  # what the transport keeps of it
+    connections_tried: int = 0  # on which it was put in vain
+    unread_bytes: int = 0  # of rows on their way to the event loop
 
     @property
     def is_wanted(self) -> bool:
@@ -132,8 +133,9 @@
         return self.is_open and not (self.request.is_concluded or self.request.client_left)
 
     def may_be_sent(self, now: int) -> bool:
-        """Whether it is still wanted, and as fresh as the module took it to be when it judged window and
-        budget. Guards against connections that come up late, and processes that stood still meanwhile."""
+        """Whether it is still wanted, and as fresh as the module took it to be when it judged its limits.
+
+        Guards against connections that come up late, and processes that stood still meanwhile."""
         return self.is_wanted and now - self.decided_at <= MAX_SEND_DELAY
 
     @property
@@ -143,10 +145,10 @@
 
 
 class AttemptObserver(Protocol):
-    """Whoever is told how attempts go; none of these may block."""
+    """Observes how attempts go; none of the methods may block."""
 
     def attempt_progressed(self, attempt: Attempt) -> None:
-        """The engine has said something of an attempt."""
+        """The engine has reported progress."""
 
     def attempt_ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
-        """An attempt has ended, after so many µs."""
+        """An attempt has ended, so many µs after it was sent."""
--- a/cypressledge/net/clickhouse/reply.py
+++ b/cypressledge/net/clickhouse/reply.py
@@ -71,11 +71,11 @@
             else:
                 self.exchange.answer(200, self._id_header() | ROWS_HEADERS, rows)
 
-    def reject(self, after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         """Answer that trying again is harmless after so many µs."""
         if not self.exchange.is_over:
             self._close()
-            headers = self._id_header() | {"Retry-After": str(max(math.ceil(after / 1e6), 1))}
+            headers = self._id_header() | {"Retry-After": str(max(math.ceil(retry_after / 1e6), 1))}
             code = ErrorCode.TOO_MANY_SIMULTANEOUS_QUERIES
             answer_error(self.exchange, code, 503, "Too many simultaneous queries", headers)
 
--- a/cypressledge/net/jsonrpc/pending_call.py
+++ b/cypressledge/net/jsonrpc/pending_call.py
@@ -40,10 +40,10 @@
         """Never waits: the rows are held until all are there."""
         return True
 
-    def reject(self, after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         """Answer that trying again is harmless after so many µs."""
         if self._close():  # a call withdrawn a moment ago is owed no answer either
-            data = {"after": after // 1000}
+            data = {"after": retry_after // 1000}
             self.connection.send_error(self.call_id, ErrorCode.REJECTED, "refused: try again", data)
 
     def fail(self, fault: EngineFault) -> None:
--- a/cypressledge/net/maintenance_file.py
+++ b/cypressledge/net/maintenance_file.py
@@ -101,8 +101,7 @@
             else:
                 changed = state.put_back(engine, is_listed, monotonic_us())
         except MaintenanceError as err:
-            status, text = err.args
-            return status, text.encode() + b"\n"
+            return err.status, str(err).encode() + b"\n"
         if changed:
             self._save(state)
             self.core.engines.set_maintenance(state)
--- a/cypressledge/sql.py
+++ b/cypressledge/sql.py
@@ -14,8 +14,8 @@
     ("where", "on", "group", "order", "having", "limit", "set", "select", "values", "union", "window")
 )
 _NUMBERED = re.compile(r".*?_(\d+)\Z", re.S)
-_SCANNED = 65536  # characters looked at: a long statement's rest is data, and reading it would stall the core
-_MOST = 2**24  # groups go to the module as small numbers
+_MAX_SCANNED = 65_536  # characters: a long statement's rest is data, and reading it would stall the broker
+_GROUP_COUNT = 2**24  # groups go to the module as small numbers
 
 
 def table_group(statement: str, escapes: bool = False) -> int:
@@ -25,7 +25,7 @@
     `escapes`: backslashes escape inside strings, as in ClickHouse's dialect.
     """
     other, in_tables = 0, False
-    for found in _TOKENS[escapes].finditer(statement, 0, _SCANNED):
+    for found in _TOKENS[escapes].finditer(statement, 0, _MAX_SCANNED):
         token = found[0]
         if token.startswith(_SKIPPED):
             continue
@@ -44,4 +44,4 @@
 def _group(name: str) -> int:
     parts = [p.strip().strip('"`') for p in name.split(".")]
     numbered = _NUMBERED.match(parts[-2]) if len(parts) > 1 else None
-    return int(numbered[1]) % _MOST if numbered else 0
+    return int(numbered[1]) % _GROUP_COUNT if numbered else 0
