--- a/cypressledge/net/connection_registry.py
+++ b/cypressledge/net/connection_registry.py
@@ -11,7 +11,7 @@
 EXAMINED = 8  # connections of each kind that one search for an idle one examines, and searches for one place
 REUSE_WINDOW = 4_500_000  # µs: clients close what was idle for 4 s, so what is idle for longer is not reused
 CONNECT_GRACE = 300_000  # µs in which a client that has just connected does not count as silent
-ACTIVE_WINDOW = 100_000  # µs in which a client that has just been heard is not closed
+ACTIVE_WINDOW = 100_000  # µs in which a client that has just been active is not closed
 
 # Eviction priorities: the connection with the least one is closed first.
 RANK_UNUSED, RANK_SILENT, RANK_IDLE = 0, 1, 2
@@ -24,7 +24,7 @@
     sock: socket.socket
     writer: SocketWriter
     has_requested: bool  # a complete request has been received
-    last_heard: int  # µs, monotonic: when bytes were last received or an answer was queued
+    last_active_at: int  # µs, monotonic: when bytes were last received or an answer was queued
 
     def eviction_priority(self, now: int) -> tuple[int, int]:
         """Rank and time; the least is closed first, `NOT_EVICTABLE` never."""
@@ -37,7 +37,7 @@
 
 
 class ConnectionRegistry(Generic[Connection]):
-    """The open connections, those with and without a request apart, each by when they were last heard.
+    """The open connections, those with and without a request apart, each in order of the last activity.
 
     Guards against examining all of them for each new client: of many connections that took a whole core."""
 
@@ -54,7 +54,7 @@
         return len(self.without_request) + len(self.with_request)
 
     def add(self, connection: Connection) -> None:
-        """Register a connection as the one last heard."""
+        """Register a connection as the one last active."""
         (self.with_request if connection.has_requested else self.without_request)[connection] = None
 
     def discard(self, connection: Connection) -> None:
@@ -69,13 +69,13 @@
         self.closing.add(connection)
 
     def mark_active(self, connection: Connection) -> None:
-        """The connection has just been heard or answered."""
+        """Bytes have just been received, or an answer queued, on the connection."""
         if connection in self.without_request or connection in self.with_request:
             self.discard(connection)
             self.add(connection)
 
     def eviction_candidate(self, now: int) -> Connection | None:
-        """Of those not heard for longest, the one with the least eviction priority; None if there is none.
+        """Of those inactive for longest, the one with the least eviction priority; None if there is none.
 
         Those that were examined in vain go to the end, so that the next search finds others."""
         oldest = [*islice(self.without_request, EXAMINED), *islice(self.with_request, EXAMINED)]
@@ -89,7 +89,7 @@
 
 
 def eviction_priority(
-    now: int, connected_at: int, last_heard: int, has_requested: bool, is_busy: bool
+    now: int, connected_at: int, last_active_at: int, has_requested: bool, is_busy: bool
 ) -> tuple[int, int]:
     """Rank and time (µs, monotonic) of a client's connection; where room is needed, the least is closed.
 
@@ -98,6 +98,6 @@
     client whose next request crosses such a close repeats it on a new connection."""
     if not has_requested and now - connected_at > CONNECT_GRACE:
         return RANK_SILENT, connected_at
-    if not has_requested or is_busy or now - last_heard < ACTIVE_WINDOW:
+    if not has_requested or is_busy or now - last_active_at < ACTIVE_WINDOW:
         return NOT_EVICTABLE
-    return (RANK_UNUSED if now - last_heard > REUSE_WINDOW else RANK_IDLE), last_heard
+    return (RANK_UNUSED if now - last_active_at > REUSE_WINDOW else RANK_IDLE), last_active_at
--- a/cypressledge/net/http_server.py
+++ b/cypressledge/net/http_server.py
@@ -93,7 +93,7 @@
         self.current: HttpExchange | None = None
         self.closing = False
         self.held_bytes = 0  # of `REQUEST_BODIES`
-        self.connected_at = self.last_heard = monotonic_us()
+        self.connected_at = self.last_active_at = monotonic_us()
         self.request_began_at = 0  # of a request that is not complete yet; 0: there is none
         self.has_requested = False
         self.writer = SocketWriter(sock, SEND_QUEUE_LIMIT, SEND_TIMEOUT, lambda reason: close_socket(sock))
@@ -132,17 +132,17 @@
         if self.current is not None:
             return IDLE_TIMEOUT
         if self.has_requested:
-            return remaining_seconds(self.last_heard, IDLE_TIMEOUT)
+            return remaining_seconds(self.last_active_at, IDLE_TIMEOUT)
         return remaining_seconds(self.connected_at, FIRST_MESSAGE_TIMEOUT)
 
     def _mark_active(self) -> None:
-        self.last_heard = monotonic_us()
+        self.last_active_at = monotonic_us()
         self.server.connections.mark_active(self)
 
     def eviction_priority(self, now: int) -> tuple[int, int]:
         """See `ClientConnection`: busy is one with an exchange open, or an answer on its way out."""
         is_busy = bool(self.current or self.request_began_at or self.writer.sending)
-        return eviction_priority(now, self.connected_at, self.last_heard, self.has_requested, is_busy)
+        return eviction_priority(now, self.connected_at, self.last_active_at, self.has_requested, is_busy)
 
     def close_idle(self) -> None:
         """Make room for another client: shut down our side, and read nothing more."""
--- a/cypressledge/net/jsonrpc/connection.py
+++ b/cypressledge/net/jsonrpc/connection.py
@@ -66,7 +66,7 @@
         self.used_ids = UsedRequestIds()
         self.open_calls: dict[int, PendingCall] = {}
         self.writer = SocketWriter(sock, SEND_QUEUE_LIMIT, SEND_TIMEOUT, self._handle_send_failure)
-        self.connected_at = self.last_heard = monotonic_us()
+        self.connected_at = self.last_active_at = monotonic_us()
         self.message_began_at = 0  # of a message that is not complete yet; 0: there is none
         self.error_count = 0
         self.has_requested = self.has_answered = False
@@ -145,7 +145,7 @@
         if not len(buffer):
             self.message_began_at = 0
         elif any_complete or not self.message_began_at:
-            self.message_began_at = self.last_heard
+            self.message_began_at = self.last_active_at
 
     def _read_timeout(self) -> float:
         """Seconds until the client must have sent more.
@@ -166,11 +166,11 @@
                 return remaining_seconds(self.shutdown_at, LINGER_TIMEOUT)
             return DRAIN_CHECK_INTERVAL
         if self.has_requested and self.has_answered:
-            return remaining_seconds(self.last_heard, IDLE_TIMEOUT)
+            return remaining_seconds(self.last_active_at, IDLE_TIMEOUT)
         return remaining_seconds(self.connected_at, FIRST_MESSAGE_TIMEOUT)
 
     def _mark_active(self) -> None:
-        self.last_heard = monotonic_us()
+        self.last_active_at = monotonic_us()
         self.frontend.connections.mark_active(self)
 
     # How a connection ends
@@ -178,7 +178,7 @@
     def eviction_priority(self, now: int) -> tuple[int, int]:
         """See `ClientConnection`: busy is one with an open call, or an answer on its way out."""
         is_busy = bool(self.open_calls or self.message_began_at or self.writer.sending)
-        return eviction_priority(now, self.connected_at, self.last_heard, self.has_requested, is_busy)
+        return eviction_priority(now, self.connected_at, self.last_active_at, self.has_requested, is_busy)
 
     def drain(self) -> None:
         """Close the connection once no answer is owed on it: the client's next call meets the next process.
--- a/cypressledge/net/line_protocol/connection.py
+++ b/cypressledge/net/line_protocol/connection.py
@@ -45,7 +45,9 @@
 MAX_ENCODING_AGE = 50_000  # µs from encoding a command to sending it; then it is encoded anew
 LATE_CONNECT_WINDOW = 2.0  # seconds beyond its timeout in which a connection may still come up
 LOST_ANSWER_INTERVALS = 1.7  # progress intervals without a message, from which an answer may be lost
-HEARD_INTERVALS = 0.8  # progress intervals within which the engine must have been heard elsewhere
+ALIVE_INTERVALS = (
+    0.8  # progress intervals within which the engine must have sent a message on another connection
+)
 # Errors of `connect` that say nothing about the engine.
 LOCAL_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
@@ -76,7 +78,7 @@
         self.quarantine: dict[bytes, int] = {}  # by query id: µs at which it may be sent here again
         self.quarantine_order: deque[bytes] = deque()
         self.last_used = monotonic_us()
-        self.last_heard = 0  # µs; 0: never
+        self.last_received_at = 0  # µs; 0: never
         self.silent_since = 0  # µs since which a message is owed; 0: none is
         self.message_began_at = 0  # µs, of a message that is not complete yet; 0: there is none
         self.sock: socket.socket | None = None  # once the connection is up, as is the writer
@@ -117,18 +119,18 @@
         connection, which proves within the connect timeout whether anybody is there."""
         return 0 < self.silent_since < monotonic_us() - self.transport.silence_limit
 
-    def has_lost_answer(self, engine_last_heard: int) -> bool:
-        """Whether an answer is lost, where the engine was last heard at this time on any connection.
+    def has_lost_answer(self, engine_last_received_at: int) -> bool:
+        """Whether an answer is lost, where this is when the engine last sent bytes on any connection.
 
         Guards against answers that never come: an engine that runs a query reports progress each interval.
-        Only a connection that is silent while its engine is heard on another one has lost something; an
+        Only a connection that is silent while its engine sends on another one has lost something; an
         engine that is silent altogether is for the decisions to judge."""
         interval, now = self.transport.limits.progress_interval_us, monotonic_us()
         return (
             bool(self.pending)
             and 0 < self.silent_since < now - int(interval * LOST_ANSWER_INTERVALS)
             and interval > 0
-            and engine_last_heard > now - int(interval * HEARD_INTERVALS)
+            and engine_last_received_at > now - int(interval * ALIVE_INTERVALS)
         )
 
     # Commands
@@ -190,7 +192,7 @@
             self.core.counters.add("attempts.not_sent")
             self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
             return False
-        if not self.core.engines.is_current(self.endpoint) or self._engine_may_have_closed():
+        if not self.core.engines.is_current(self.endpoint) or self._may_be_closed_by_engine():
             self._settle(pending)
             self.transport.reassign(attempt, Outcome.NOT_SENT)
             return False
@@ -202,7 +204,7 @@
         self.silent_since = self.silent_since or now
         return True
 
-    def _engine_may_have_closed(self) -> bool:
+    def _may_be_closed_by_engine(self) -> bool:
         """Guards against sending on a connection that the engine has closed: its end has been received but
         not read yet. On one that was idle any byte may be that; nothing is sent before it is read."""
         was_idle = not any(pending.sent for pending in self.pending.values())
@@ -330,12 +332,12 @@
         reason = str(CloseReason.CLOSED_BY_ENGINE)
         try:
             while receive(buffer, self.sock, self._read_timeout):
-                self.last_heard, self.may_be_closed = monotonic_us(), False
+                self.last_received_at, self.may_be_closed = monotonic_us(), False
                 while (message := take_message(buffer)) is not None:
                     handle_message(self, *message)
                     self.message_began_at = 0
-                self.message_began_at = (self.message_began_at or self.last_heard) if len(buffer) else 0
-                self.silent_since = self.last_heard if self.pending else 0
+                self.message_began_at = (self.message_began_at or self.last_received_at) if len(buffer) else 0
+                self.silent_since = self.last_received_at if self.pending else 0
         except OSError as err:
             reason = f"{CloseReason.RESET_BY_ENGINE}: {err}"
         except IdleTimeoutError:
--- a/cypressledge/net/line_protocol/transport.py
+++ b/cypressledge/net/line_protocol/transport.py
@@ -10,7 +10,7 @@
 
 PREFERRED_ATTEMPTS = 8  # on one connection before another is opened; more only once descriptors run out
 MAX_CONNECTIONS_TRIED = 3  # connections that an attempt may be assigned to before it is sent
-RECENTLY_HEARD = 1_500_000  # µs after an engine's message in which a slow connect is not the engine's fault
+ALIVE_WINDOW = 1_500_000  # µs after an engine's message in which a slow connect is not the engine's fault
 UNREACHABLE_TIMEOUTS = 2  # connects in a row that time out, from which their engine counts as unreachable
 IDLE_TIME_SHARE = 0.8  # of the site's idle time: we close first, so that no send crosses the engine's close
 SILENT_INTERVALS = 2.5  # progress intervals without a message, from which a connection is not trusted
@@ -54,7 +54,7 @@
             len(connection.pending) >= PREFERRED_ATTEMPTS and not prefer_connected
         )
         if wants_new and (
-            self.connection_count() < self.max_connections or connection is None and self._make_room()
+            self.connection_count() < self.max_connections or connection is None and self._close_idlest()
         ):
             connection = EngineConnection(self, endpoint)
             self.connections.setdefault(endpoint.id, []).append(connection)
@@ -64,7 +64,7 @@
         else:
             connection.assign(attempt, query_id)
 
-    def _make_room(self) -> bool:
+    def _close_idlest(self) -> bool:
         """Close the connection that has been idle for longest; False if none is.
 
         Guards against new engines getting none because idle connections to others use up the limit."""
@@ -92,15 +92,15 @@
     def handle_connect_timeout(self, connection: EngineConnection, attempts: list[Attempt]) -> None:
         """A connection is not up in time, and these attempts waited for it.
 
-        Guards against calling an engine faulty, and cold, over a path that is slow now and then: one that is
-        heard on another connection gets the attempts there, and a single timeout proves nothing about the
+        Guards against calling an engine faulty, and cold, over a path that is slow now and then: one that
+        sends on another connection gets the attempts there, and a single timeout proves nothing about the
         process (one that has ended refuses). The connection may still come up, one to each engine: somebody
         is there then."""
         engine, connections = connection.endpoint.id, self.connections.get(connection.endpoint.id, [])
         for other in [c for c in connections if c.is_late and c is not connection]:
             other.close(CloseReason.CONNECT_TIMEOUT)
-        last_heard = max((c.last_heard for c in connections), default=0)
-        is_alive = last_heard > monotonic_us() - RECENTLY_HEARD
+        last_received_at = max((c.last_received_at for c in connections), default=0)
+        is_alive = last_received_at > monotonic_us() - ALIVE_WINDOW
         self.connect_timeouts[engine] = self.connect_timeouts.get(engine, 0) + 1
         is_unreachable = self.connect_timeouts[engine] >= UNREACHABLE_TIMEOUTS
         outcome = Outcome.CONNECT_FAILED if is_unreachable else Outcome.NOT_SENT
@@ -137,9 +137,9 @@
         ready = self.core.engines.ready_endpoints
         self.connect_timeouts = {engine: n for engine, n in self.connect_timeouts.items() if engine in ready}
         for connections in list(self.connections.values()):
-            last_heard = max(connection.last_heard for connection in connections)
+            last_received_at = max(connection.last_received_at for connection in connections)
             for connection in list(connections):
-                if connection.has_lost_answer(last_heard):
+                if connection.has_lost_answer(last_received_at):
                     connection.close(CloseReason.ANSWER_LOST)
                 is_unusable = not self.core.engines.is_current(connection.endpoint) or connection.is_silent()
                 is_idle = not connection.pending and not connection.has_unread_bytes()
--- a/cypressledge/net/listener.py
+++ b/cypressledge/net/listener.py
@@ -57,7 +57,7 @@
                     return
                 self._handle_accept_error(err)
                 continue
-            if self._is_full() and not self._make_room():
+            if self._is_full() and not self._evict_idle():
                 self.counters.add(f"{self.name}.rejected")
                 close_socket(sock)
                 continue
@@ -68,14 +68,14 @@
     def _handle_accept_error(self, err: OSError) -> None:
         self.counters.add(f"{self.name}.accept_error.{err.errno}")
         if err.errno in EXHAUSTED:  # none can be accepted until some are free, so free one at once
-            self._make_room()
+            self._evict_idle()
             sleep(ACCEPT_PAUSE)
 
     def _is_full(self) -> bool:
         """Whether no further connection fits; of those that are closing, not too many count as closed."""
         return len(self.pool) - min(len(self.connections.closing), self.max_closing) >= self.max_connections
 
-    def _make_room(self) -> bool:
+    def _evict_idle(self) -> bool:
         """Close the connection with the least eviction priority; False if none is evictable."""
         now = monotonic_us()
         for _ in range(EXAMINED):
@@ -90,7 +90,7 @@
                     sleep(0)
                 return True
             # Guards against losing a request that has been received and is not read yet.
-            candidate.last_heard = now
+            candidate.last_active_at = now
             self.connections.mark_active(candidate)
         return False
 
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -245,7 +245,7 @@
         pairs = [socket.socketpair() for _ in range(4)]
         clients = [JsonRpcConnection(front, ours) for ours, _ in pairs]
         for n, client in enumerate(clients):
-            client.has_requested, client.connected_at, client.last_heard = (
+            client.has_requested, client.connected_at, client.last_active_at = (
                 True,
                 0,
                 monotonic_us() - 1_000_000 + n,
@@ -253,9 +253,9 @@
         pairs[0][1].send(b"a request that is not read yet")
         clients[1].writer.sending = True  # an answer has not left yet
         for left in (3, 2):
-            assert listener._make_room()
+            assert listener._evict_idle()
             assert len(front.connections) == left
-        assert not listener._make_room()
+        assert not listener._evict_idle()
         assert set(front.connections) == set(clients[:2])
         for ours, theirs in pairs:
             ours.close()
