--- /dev/null
+++ b/cypressledge/controlplane/leader_role.py
@@ -0,0 +1,145 @@
+"""What a replica does with the lease: it recovers the newest log, leads, and steps down."""
+
+from cypressledge.controlplane.errors import NotLeaderError
+from cypressledge.controlplane.leader_recovery import LeaderRecovery, RecoveryPhase
+from cypressledge.controlplane.log_replication import LeaderReplication
+from cypressledge.controlplane.messages import (
+    Denied,
+    EntriesAppended,
+    EntriesFetched,
+    Message,
+    Mismatch,
+    Promise,
+)
+from cypressledge.controlplane.peer_progress import PeerProgress
+from cypressledge.controlplane.replica_context import HEARTBEAT_INTERVAL_US, NEVER, ReplicaContext, Role
+from cypressledge.controlplane.replicated_log import ReplicatedLog
+
+QUORUM_TIMEOUT_US = 10_000_000  # without an answer from a majority for so long, another should try
+
+
+class LeaderRole:
+    """A replica as candidate and leader, between taking over and stepping down."""
+
+    def __init__(self, context: ReplicaContext, log: ReplicatedLog) -> None:
+        self._context = context
+        self._log = log
+        self._recovery: LeaderRecovery | None = None  # while a candidate gathers the newest log
+        self._leading: LeaderReplication | None = None  # from the first entry of the own epoch on
+        self._answered_at: dict[str, int] = {}  # µs, when a peer last answered in the own epoch
+        self.lease_until = NEVER  # µs
+
+    @property
+    def progress(self) -> dict[str, PeerProgress]:
+        """How far each other voter is, while this replica leads or is about to."""
+        return {} if self._leading is None else self._leading.progress
+
+    @property
+    def is_preparing(self) -> bool:
+        """Whether this is a candidate that waits for promises."""
+        return self._recovery is not None and self._recovery.phase is RecoveryPhase.PREPARE
+
+    # From the lease to stepping down
+
+    def is_leased(self, now: int) -> bool:
+        """Guards against a message from one who may no longer be the leader."""
+        return now < self.lease_until
+
+    def renew_lease(self, token: int | None, until: int) -> None:
+        """What is known of the lease now (see `Replica.lease`); steps down where it is not this epoch's."""
+        self.lease_until = until if token is not None else NEVER
+        if token != self._log.epoch or not self.is_leased(self._context.now):
+            self.step_down("lease")
+
+    def take_over(self, token: int) -> bool:
+        """Become a candidate in the lease's epoch; whether that could be promised."""
+        context = self._context
+        if not self._log.promise(token, context.instance_id):
+            return False
+        context.role = Role.CANDIDATE
+        context.report("recovering", epoch=token)
+        self._answered_at = dict.fromkeys(context.peers, context.now)
+        self._recovery = LeaderRecovery(context, self._log, self._begin_leading)
+        self._recovery.start()
+        return True
+
+    def _begin_leading(self) -> None:
+        """The newest log of a majority is held here: write and send the first entry of the own epoch."""
+        leading = self._leading = LeaderReplication(self._context, self._log, self)
+        self._recovery = None
+        if leading.write_first_entry():
+            self._context.leader = self._context.name
+            leading.start()
+
+    def step_down(self, reason: str) -> None:
+        """Be a follower again, without a known leader."""
+        context = self._context
+        if context.role is Role.FOLLOWER:
+            return
+        context.report("stepped_down", epoch=self._log.epoch, was=context.role.value, why=reason)
+        if self._leading is not None:
+            self._leading.stop()
+        self._recovery = self._leading = None
+        context.role = Role.FOLLOWER
+        context.leader = ""
+
+    def _has_lost_quorum(self, now: int) -> bool:
+        """Guards against a lease that is of no use to whoever has it and is missing elsewhere."""
+        answers = sorted((now, *self._answered_at.values()), reverse=True)
+        return now >= answers[len(self._context.voters) // 2] + QUORUM_TIMEOUT_US
+
+    # Messages
+
+    def on_answer(self, sender: str, message: Message) -> None:
+        """A voter's answer in this replica's epoch, to whatever part has asked, if it is still there."""
+        self._answered_at[sender] = self._context.now
+        recovery, leading = self._recovery, self._leading
+        if recovery is not None:
+            if isinstance(message, Promise):
+                recovery.on_promise(sender, message)
+            elif isinstance(message, EntriesFetched):
+                recovery.on_entries_fetched(sender, message)
+        elif leading is not None:
+            if isinstance(message, EntriesAppended):
+                leading.on_entries_appended(sender, message)
+            elif isinstance(message, Mismatch):
+                leading.on_mismatch(sender, message)
+
+    def on_denied(self, sender: str, message: Denied) -> None:
+        """A voter's refusal."""
+        if self._context.role is Role.FOLLOWER:
+            return
+        if message.reason != "epoch":
+            self._context.report("voter_refuses", voter=sender, why=message.reason)
+        # The same epoch: another instance has it at that voter. A leader has its majority, and goes on.
+        elif message.epoch > self._log.epoch or message.epoch == self._log.epoch and self.is_preparing:
+            self.step_down("denied")
+
+    # Changes and time
+
+    def require_leading(self) -> LeaderReplication:
+        """Raises `NotLeaderError`, and `StateError` while too many changes are pending."""
+        context = self._context
+        if context.role is not Role.FOLLOWER and not self.is_leased(context.now):
+            self.step_down("lease")
+        if context.role is not Role.LEADER or self._leading is None:
+            raise NotLeaderError("" if context.leader == context.name else context.leader)
+        self._leading.check_capacity()
+        return self._leading
+
+    def tick(self) -> int:
+        """Do what is due; when to be called again at the latest, µs."""
+        now = self._context.now
+        if self._context.role is not Role.FOLLOWER:
+            if not self.is_leased(now):
+                self.step_down("lease")
+            elif self._has_lost_quorum(now):
+                self.step_down("alone")
+        if self._leading is not None:
+            return self._leading.tick()
+        recovery = self._recovery
+        if recovery is None:
+            return now + HEARTBEAT_INTERVAL_US
+        if now >= recovery.requested_at + HEARTBEAT_INTERVAL_US:
+            recovery.retry()
+        return recovery.requested_at + HEARTBEAT_INTERVAL_US
--- a/cypressledge/controlplane/replica_context.py
+++ b/cypressledge/controlplane/replica_context.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class ReplicaContext:
-    """Shared by the parts of one replica, which alone changes `now`, `role` and `first_version`.
+    """Shared by the parts of one replica, which alone change what is not fixed at the start.
 
     `send(peer, message)` and `report(event, **fields)` must not call back into the replica. `now` is µs on
     the process's own clock, set at each call from outside.
@@ -43,6 +43,7 @@
     report: Callable[..., None]
     now: int
     role: Role = Role.FOLLOWER
+    leader: str = ""  # the last one known; empty: none
     first_version: FirstVersion | None = None
     peers: tuple[str, ...] = field(init=False)
 
--- a/tests/test_controlplane_replica.py
+++ b/tests/test_controlplane_replica.py
@@ -11,6 +11,7 @@
 from cypressledge.controlplane.change_history import compress_snapshot
 from cypressledge.controlplane.errors import LogInvariantError, NotLeaderError, VersionConflictError
 from cypressledge.controlplane.leader_recovery import LeaderRecovery
+from cypressledge.controlplane.leader_role import LeaderRole
 from cypressledge.controlplane.log_replication import LeaderReplication
 from cypressledge.controlplane.log_storage import PromisedEpoch, StoredLog
 from cypressledge.controlplane.messages import AppendEntries, Denied, InstallSnapshot
@@ -297,7 +298,7 @@
         lambda self, commit, matching: min(commit, self.last.version),
     ),
     (an_older_epoch_counted, ReplicatedLog, "is_of_own_epoch", lambda self, version: True),
-    (a_word_after_the_lease, Replica, "is_leased", lambda self, now: True),
+    (a_word_after_the_lease, LeaderRole, "is_leased", lambda self, now: True),
     (a_lost_disk_counted_for_a_promise, LeaderRecovery, "_counted_promises", counts_all),
     (an_empty_disk_counted, LeaderRecovery, "_counted_promises", counts_empty),
     (a_lost_disk_counted_for_an_entry, LeaderReplication, "_acknowledged_version", counts_joining),
