--- a/cypressledge/broker/assembly.py
+++ b/cypressledge/broker/assembly.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class BrokerParts:
+class BrokerComponents:
     """All parts of one broker that every other part may be needed by."""
 
     counters: Counters
@@ -51,7 +51,7 @@
     return replace(config.settings, progress_interval=progress_interval, max_send_delay=MAX_SEND_DELAY)
 
 
-def assemble_parts(config: Config, service: ServiceConfig | None) -> BrokerParts:
+def assemble_components(config: Config, service: ServiceConfig | None) -> BrokerComponents:
     """The parts of a broker, listening but not started."""
     counters = Counters()
     core = BrokerCore(decision_settings(config, service), config.seed, counters)
@@ -63,7 +63,7 @@
     )
     engine_naming = EngineNaming(config.kinds, config.zones, LINE_PROTOCOL)
     directory = DirectoryPoller(core, config.dns_server, engine_naming, config.serial)
-    parts = BrokerParts(counters, core, tenants, transport, frontend, engine_naming, directory)
+    parts = BrokerComponents(counters, core, tenants, transport, frontend, engine_naming, directory)
     if config.management is not None:
         _add_management(parts, config, config.management)
     engine_naming.publish(core, EngineListKind.CACHED, config.engines)
@@ -72,7 +72,7 @@
     return parts
 
 
-def _add_management(parts: BrokerParts, config: Config, address: tuple[str, int]) -> None:
+def _add_management(parts: BrokerComponents, config: Config, address: tuple[str, int]) -> None:
     """The operators' address and its calls."""
     management = ManagementServer(address, parts.counters, parts.is_taking_clients)
     maintenance_file = MaintenanceFile(parts.core, config.name)
--- a/cypressledge/broker/attempt_dispatcher.py
+++ b/cypressledge/broker/attempt_dispatcher.py
@@ -75,7 +75,7 @@
     def _may_send(self, attempt: Attempt, now: int) -> bool:
         """Whether an attempt at a ready engine is still of use, and allowed."""
         return (
-            attempt.is_wanted
+            attempt.is_awaited
             and attempt.request.streaming_attempt is None
             and attempt.number < self.settings.max_attempts
             and attempt.deadline > now
--- a/cypressledge/broker/process.py
+++ b/cypressledge/broker/process.py
@@ -16,13 +16,13 @@
 import gevent
 from gevent.event import Event
 
-from cypressledge.broker.assembly import assemble_parts
+from cypressledge.broker.assembly import assemble_components
 from cypressledge.broker.metrics import log
 from cypressledge.broker.periodic_tasks import WallClockWatch, log_counters, run_maintenance
-from cypressledge.broker.reconfiguration import ConfigReader, Reconfiguration
+from cypressledge.broker.reconfiguration import ConfigReader, ConfigurationFiles, Reconfiguration
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Config, ConfigError, read_config
-from cypressledge.service import ServiceConfig, read_service
+from cypressledge.service import read_service
 
 if TYPE_CHECKING:
     from cypressledge.controlplane.broker_integration import BrokerIntegration
@@ -47,8 +47,9 @@
     def __init__(
         self, read: ConfigReader, fleet_file: str | None = None, control_file: str | None = None
     ) -> None:
-        config, service = read({})
-        self.parts = assemble_parts(config, service)
+        files = read({})
+        config = files.broker
+        self.parts = assemble_components(config, files.service)
         self.core, self.counters = self.parts.core, self.parts.counters
         self.management = self.parts.management
         self.configuration = Reconfiguration(read, config, self.parts)
@@ -111,7 +112,7 @@
             greenlet.link_exception(self._exit_failed)
         self._install_signal_handlers(early)
         self._stopping.wait()
-        self._shut_down()
+        self._shutdown()
         self.counters.print("exit")
 
     def _install_signal_handlers(self, early: list[int]) -> None:
@@ -128,7 +129,7 @@
 
     # Shutdown
 
-    def _shut_down(self) -> None:
+    def _shutdown(self) -> None:
         """Go on serving for a moment while reporting unhealthy; then answer whatever is open, and flush."""
         log("stopping: no longer healthy, still serving")
         self.core.ledger.start_shutdown(monotonic_us() + self._shutdown_span())
@@ -189,9 +190,12 @@
     parser.add_argument("--control", metavar="FILE", help="the control plane to follow (deploy/control.yaml)")
     arguments = parser.parse_args(args)
 
-    def read(sections: dict) -> tuple[Config, ServiceConfig | None]:
-        service = read_service(arguments.service, environment) if arguments.service else None
-        return read_config(environment, sections), service
+    def read(sections: Mapping[str, object]) -> ConfigurationFiles:
+        """Both files, the broker's first: its faults are reported before the service's."""
+        config = read_config(environment, sections)
+        return ConfigurationFiles(
+            config, read_service(arguments.service, environment) if arguments.service else None
+        )
 
     try:
         return BrokerProcess(read, arguments.fleet, arguments.control)
--- a/cypressledge/broker/reconfiguration.py
+++ b/cypressledge/broker/reconfiguration.py
@@ -1,8 +1,9 @@
 """The configuration in force, and what changes it while the broker runs."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 
-from cypressledge.broker.assembly import BrokerParts, decision_settings
+from cypressledge.broker.assembly import BrokerComponents, decision_settings
 from cypressledge.broker.metrics import log
 from cypressledge.config import Config, ConfigError
 from cypressledge.decisions.contract import EngineListKind
@@ -19,14 +20,23 @@
 DESCRIPTORS_PER_SPARE_CLIENT = 32
 DESCRIPTORS_PER_OPERATOR = 32
 
-# The settings' sections that stand in place of the file's -> the configurations read with them.
-ConfigReader = Callable[[dict], tuple[Config, ServiceConfig | None]]
+
+@dataclass(frozen=True, slots=True)
+class ConfigurationFiles:
+    """What the broker's file and, where there is one, the hosted service's say at one moment."""
+
+    broker: Config
+    service: ServiceConfig | None
+
+
+# Reads the files; the argument's sections of the settings stand in place of the broker's file's.
+ConfigReader = Callable[[Mapping[str, object]], ConfigurationFiles]
 
 
 class Reconfiguration:
     """Keeps the configuration in force, and applies a new one to all parts at once, or not at all."""
 
-    def __init__(self, read: ConfigReader, config: Config, parts: BrokerParts) -> None:
+    def __init__(self, read: ConfigReader, config: Config, parts: BrokerComponents) -> None:
         self.config = config
         self.sections: dict = {}  # of the settings, in place of the file's
         self.has_external_engine_list = False  # the list is neither the file's nor the directory's
@@ -86,11 +96,12 @@
         """Raises `ConfigError` where the old configuration stays in force."""
         parts = self._parts
         try:
-            config, service = self._read(sections)
-            self._check_applicable(config, service)
+            files = self._read(sections)
+            self._check_applicable(files)
         except ConfigError:
             parts.counters.add("reload_failures")
             raise
+        config, service = files.broker, files.service
         self.config, self.sections = config, sections
         self.apply_limits(config)
         parts.core.reconfigure(decision_settings(config, service))
@@ -102,11 +113,12 @@
             parts.service.reload(service, config)
         parts.counters.add("reloads")
 
-    def _check_applicable(self, config: Config, service: ServiceConfig | None) -> None:
+    def _check_applicable(self, files: ConfigurationFiles) -> None:
         """Raise `ConfigError` for what can't be taken without a restart."""
+        config = files.broker
         if config.classes != self.config.classes:
             raise ConfigError("other classes need a restart")
         if (config.listen, config.management) != (self.config.listen, self.config.management):
             raise ConfigError("another address to listen on needs a restart")
-        if self._parts.service is not None and service is not None:
-            self._parts.service.check_applicable(service)
+        if self._parts.service is not None and files.service is not None:
+            self._parts.service.check_applicable(files.service)
--- a/cypressledge/broker/request_ledger.py
+++ b/cypressledge/broker/request_ledger.py
@@ -112,7 +112,7 @@
 
     def client_disconnected(self, request: Request) -> None:
         """The client stopped waiting: no answer is owed any more."""
-        request.client_left = True
+        request.client_disconnected = True
         self._loop.post(self._handle_client_disconnected, request)
 
     def is_serving(self) -> bool:
@@ -146,7 +146,9 @@
     # Messages, on the event loop
 
     def _handle_submitted(self, request: Request) -> None:
-        if request.is_concluded or request.client_left:  # withdrawn at once: not worth the module's time
+        if (
+            request.is_concluded or request.client_disconnected
+        ):  # withdrawn at once: not worth the module's time
             return
         query = request.query
         self._loop.timers.schedule(query.deadline + DEADLINE_GRACE_US, self._check_deadline, request.number)
--- a/cypressledge/broker/requests.py
+++ b/cypressledge/broker/requests.py
@@ -106,7 +106,7 @@
     priority: int = 1
     open_attempts: int = 0
     is_concluded: bool = False  # no answer is owed any more
-    client_left: bool = False
+    client_disconnected: bool = False
     streaming_attempt: "Attempt | None" = None  # whose rows have begun to go out: the answer is its alone
     last_fault: EngineFault | None = None
 
@@ -128,15 +128,15 @@
     unread_bytes: int = 0  # of rows on their way to the event loop
 
     @property
-    def is_wanted(self) -> bool:
+    def is_awaited(self) -> bool:
         """Whether anybody still waits for it."""
-        return self.is_open and not (self.request.is_concluded or self.request.client_left)
+        return self.is_open and not (self.request.is_concluded or self.request.client_disconnected)
 
     def may_be_sent(self, now: int) -> bool:
         """Whether it is still wanted, and as fresh as the module took it to be when it judged its limits.
 
         Guards against connections that come up late, and processes that stood still meanwhile."""
-        return self.is_wanted and now - self.decided_at <= MAX_SEND_DELAY
+        return self.is_awaited and now - self.decided_at <= MAX_SEND_DELAY
 
     @property
     def query(self) -> Query:
--- a/cypressledge/net/line_protocol/transport.py
+++ b/cypressledge/net/line_protocol/transport.py
@@ -82,7 +82,7 @@
         attempt.connections_tried += 1
         attempt.transport_state = None
         endpoint = self.core.engines.ready_endpoints.get(attempt.endpoint.id)
-        if attempt.connections_tried < MAX_CONNECTIONS_TRIED and endpoint is not None and attempt.is_wanted:
+        if attempt.connections_tried < MAX_CONNECTIONS_TRIED and endpoint is not None and attempt.is_awaited:
             self.core.counters.add("attempts_reassigned")
             attempt.endpoint = endpoint
             self.send(attempt)
--- a/cypressledge/simulator_adapter.py
+++ b/cypressledge/simulator_adapter.py
@@ -25,7 +25,7 @@
     EventCode.REQUEST: wire.decode_request,
     EventCode.ALARM: wire.decode_alarm,
     EventCode.HINT: wire.decode_hint,
-    EventCode.CLIENT_LEFT: wire.decode_client_left,
+    EventCode.CLIENT_DISCONNECTED: wire.decode_client_disconnected,
     EventCode.PONG: wire.decode_pong,
 }
 
@@ -95,7 +95,7 @@
         frame = batch.frame
         if code == EventCode.CATALOG:
             number, offset, count = wire.CATALOG.unpack_from(frame, at)
-            raw = wire.tail_part(frame, batch.tail, offset, count * wire.CATALOG_ENTRY.size)
+            raw = wire.tail_slice(frame, batch.tail, offset, count * wire.CATALOG_ENTRY.size)
             self._catalogues[number] = wire.decode_entries(raw)
         elif code == EventCode.START:
             self._start(batch, at)
@@ -104,7 +104,7 @@
             self.managers.pop(instance, None)
             batch.events.pop(instance, None)
         elif code == EventCode.PEER_MESSAGE:
-            wire.tail_part(
+            wire.tail_slice(
                 frame, batch.tail, *wire.PEER_MESSAGE.unpack_from(frame, at + wire.PEER_MESSAGE_AT)
             )
         elif code != EventCode.STREAM_STARTED:
@@ -115,7 +115,7 @@
         instance, seed, offset, size = wire.START.unpack_from(batch.frame, at)
         batch.events[instance] = []
         try:
-            settings = parse_settings_json(wire.tail_part(batch.frame, batch.tail, offset, size))
+            settings = parse_settings_json(wire.tail_slice(batch.frame, batch.tail, offset, size))
             self.managers[instance] = WorkloadManager(settings, seed)
         except ValueError as err:
             self.managers.pop(instance, None)
--- a/cypressledge/simulator_wire.py
+++ b/cypressledge/simulator_wire.py
@@ -28,7 +28,7 @@
 REQUEST = struct.Struct("<xIIBHQQIffH")
 ANSWER = struct.Struct("<xIIBIH6sIBB4f")
 HINT = struct.Struct("<xIIH6sfB")
-CLIENT_LEFT = struct.Struct("<xII")
+CLIENT_DISCONNECTED = struct.Struct("<xII")
 ALARM = struct.Struct("<xIQ")
 PONG = struct.Struct("<xI6sBIB4f")
 PEER_MESSAGE = struct.Struct("<II")  # of the tail: offset and length
@@ -52,7 +52,7 @@
     REQUEST = 2
     STREAM_STARTED = 3
     ANSWER = 4
-    CLIENT_LEFT = 5
+    CLIENT_DISCONNECTED = 5
     ALARM = 6
     PONG = 7
     PEER_MESSAGE = 8
@@ -94,7 +94,7 @@
         raise WireError(f"unknown {what} {number}") from None
 
 
-def tail_part(frame: bytes, tail: int, offset: int, size: int) -> bytes:
+def tail_slice(frame: bytes, tail: int, offset: int, size: int) -> bytes:
     """A piece of a frame's tail, which begins at `tail`."""
     if tail + offset + size > len(frame):
         raise WireError(f"tail offset {offset} with length {size} lies outside the frame")
@@ -163,9 +163,9 @@
     return c.AttemptProgress(request, attempt, engine_number(engine), _PROGRESS_KINDS[kind], value)
 
 
-def decode_client_left(frame: bytes, at: int) -> c.ClientDisconnected:
+def decode_client_disconnected(frame: bytes, at: int) -> c.ClientDisconnected:
     """Nobody waits for a request any more."""
-    return c.ClientDisconnected(CLIENT_LEFT.unpack_from(frame, at)[1])
+    return c.ClientDisconnected(CLIENT_DISCONNECTED.unpack_from(frame, at)[1])
 
 
 def decode_pong(frame: bytes, at: int) -> c.HealthCheckEnded:
