--- a/cypressledge/controlplane/leader_recovery.py
+++ b/cypressledge/controlplane/leader_recovery.py
@@ -114,7 +114,7 @@
         state = FleetState(first.cluster_id)
         state.epoch = self._log.epoch
         if self._log.install(state.snapshot()):
-            self._context.report("origin", lineage=first.cluster_id, epoch=self._log.epoch)
+            self._context.report("log_started", cluster_id=first.cluster_id, epoch=self._log.epoch)
             self._finish()
 
     def _finish(self) -> None:
@@ -166,7 +166,7 @@
         try:
             return decompress_snapshot(compressed)
         except StateError as err:
-            self._context.report("unfit", why=str(err))
+            self._context.report("invalid_log_data", why=str(err))
             return None
 
     def retry(self) -> None:
--- a/cypressledge/controlplane/leader_role.py
+++ b/cypressledge/controlplane/leader_role.py
@@ -110,7 +110,7 @@
         if self._context.role is Role.FOLLOWER:
             return
         if message.reason != "epoch":
-            self._context.report("voter_refuses", voter=sender, why=message.reason)
+            self._context.report("voter_denied", voter=sender, why=message.reason)
         # The same epoch: another instance has it at that voter. A leader has its majority, and goes on.
         elif message.epoch > self._log.epoch or message.epoch == self._log.epoch and self.is_preparing:
             self.step_down("denied")
@@ -134,7 +134,7 @@
             if not self.is_leased(now):
                 self.step_down("lease")
             elif self._has_lost_quorum(now):
-                self.step_down("alone")
+                self.step_down("quorum_lost")
         if self._leading is not None:
             return self._leading.tick()
         recovery = self._recovery
--- a/cypressledge/controlplane/log_replication.py
+++ b/cypressledge/controlplane/log_replication.py
@@ -276,7 +276,7 @@
         try:
             snapshot = decompress_snapshot(message.compressed)
         except StateError as err:
-            self._context.report("unfit", why=str(err))
+            self._context.report("invalid_log_data", why=str(err))
             return
         if self._log.install(snapshot):
             self._answer_appended(sender, message.epoch, message.commit, snapshot.version)
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -194,7 +194,7 @@
         if not self.log.may_promise(message.epoch, message.instance_id):
             self._deny(sender)
             return
-        self._leader_role.step_down("another")
+        self._leader_role.step_down("other_leader")
         if self.log.promise(message.epoch, message.instance_id):
             self._context.send(sender, self.log.promise_message())
 
@@ -206,7 +206,7 @@
         is_candidate_or_leader = self.role is not Role.FOLLOWER
         if is_candidate_or_leader and epoch == self.epoch and not self._leader_role.is_preparing:
             raise LogInvariantError(f"two primaries of epoch {epoch}: {sender} and {self._context.name}")
-        self._leader_role.step_down("another")
+        self._leader_role.step_down("other_leader")
         if epoch > self.epoch and not self.log.promise(epoch, 0):
             return False
         self._context.leader, self.leader_heard_at = sender, self._context.now
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -184,7 +184,7 @@
             for change in new:
                 self.latest_state.apply(change)
         except StateError as err:
-            self._context.report("unfit", why=str(err))
+            self._context.report("invalid_log_data", why=str(err))
             self._rebuild_latest_state()
             return False
         if not self._persist("append", new):
@@ -246,7 +246,7 @@
     def install(self, snapshot: Snapshot) -> bool:
         """Take a snapshot in place of what is held, unless it is held already; whether it is held now."""
         if not self._is_same_cluster(snapshot.cluster_id):
-            self._context.report("lineage", own=self.cluster_id, other=snapshot.cluster_id)
+            self._context.report("other_cluster", own=self.cluster_id, other=snapshot.cluster_id)
             return False
         if self.has_history and snapshot.cluster_id == self.committed_state.cluster_id:
             if snapshot.version <= self.commit:
@@ -256,7 +256,7 @@
         try:
             state = FleetState.restore(snapshot)
         except StateError as err:
-            self._context.report("unfit", why=str(err))
+            self._context.report("invalid_log_data", why=str(err))
             return False
         if not self._persist("install", snapshot):
             return False
--- a/cypressledge/controlplane/state_validation.py
+++ b/cypressledge/controlplane/state_validation.py
@@ -124,6 +124,7 @@
     version: int
 
     def has_changed(self, key: str) -> bool:
+        """Whether a key was set, or is known to have been removed, after the version."""
         entry = self.state.entries.get(key)
         changed_at = entry.version if entry else self.state.removed.get(key, 0)
         return changed_at > self.version
--- a/tests/recordings/test_control_replica_recording.py
+++ b/tests/recordings/test_control_replica_recording.py
@@ -1,6 +1,6 @@
 """What replicas say, report and hand on in seeded worlds, as recorded at 9c5e980: a digest of each world.
 
-Messages count by their bytes, so names of classes and fields are free; events by name (see RENAMED).
+Messages count by their bytes, so names of classes and fields are free; events by the names of then (RENAMED).
 """
 
 import json
@@ -16,7 +16,15 @@
 from cypressledge.controlplane.replica import Replica
 
 RECORDED = json.loads((Path(__file__).parent / "control_replica.json").read_text())
-RENAMED: dict[str, str] = {}  # events: name of today -> name as recorded
+# Events and reasons of stepping down: name of today -> name as recorded.
+RENAMED = {
+    "invalid_log_data": "unfit",
+    "other_cluster": "lineage",
+    "log_started": "origin",
+    "voter_denied": "voter_refuses",
+    "other_leader": "another",
+    "quorum_lost": "alone",
+}
 
 
 def recording_replica(digest):
@@ -35,7 +43,8 @@
                 committed(changes, snapshot)
 
             def report(event_name, **what):
-                digest.update(f"{name} {RENAMED.get(event_name, event_name)} {list(what.values())}".encode())
+                values = [RENAMED.get(value, value) if key == "why" else value for key, value in what.items()]
+                digest.update(f"{name} {RENAMED.get(event_name, event_name)} {values}".encode())
                 event(event_name, **what)
 
             super().__init__(name, run, voters, disk, now, say, hand_on, report, **more)
--- a/tests/test_controlplane_replica.py
+++ b/tests/test_controlplane_replica.py
@@ -218,7 +218,7 @@
     )
     if w.up["c"].cluster_id != "of a":
         raise Fault("a history has been taken in place of another")
-    assert ("c", "lineage") in w.events
+    assert ("c", "other_cluster") in w.events
     assert w.net.pop() == ("c", "b", Denied(5, "lineage"))
 
 
@@ -381,7 +381,7 @@
     ticket = w.propose("a", "x")
     w.run("abc")
     assert ticket.state == "done"
-    assert ("a", "voter_refuses") in w.events
+    assert ("a", "voter_denied") in w.events
     w.disks["a"].plan = ["full"]
     assert w.propose("a", "y").state == "unknown"
     assert w.up["a"].role == "standby"
