--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -47,6 +47,7 @@
 from cypressledge.controlplane.process_events import ProcessEvents
 from cypressledge.controlplane.publisher import Publisher, PublisherLimits
 from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.replica_context import ReplicaHandlers, ReplicaIdentity
 from cypressledge.controlplane.settings import ControlSettings, read_control_settings
 from cypressledge.controlplane.sqlite_storage import OpenMode, SqliteStorage, StorageUnusableError
 from cypressledge.controlplane.state import FleetState
@@ -175,14 +176,10 @@
                 self.committed.apply_elsewhere,
             )
         return Replica(
-            self.name,
-            self.run_id,
-            settings.voters,
+            ReplicaIdentity(self.name, self.run_id, settings.voters),
             options.disk,
             now,
-            self.sender.send,
-            self.committed.apply,
-            self.events.emit,
+            ReplicaHandlers(self.sender.send, self.committed.apply, self.events.emit),
             options.rejoin,
             settings.term,
         )
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -11,9 +11,8 @@
 from cypressledge.controlplane.errors import NotLeaderError
 from cypressledge.controlplane.messages import Change, Message, Op
 from cypressledge.controlplane.proposals import PendingProposal
-from cypressledge.controlplane.replica_context import NEVER, Role
+from cypressledge.controlplane.replica_context import NEVER, CommitHandler, Role
 from cypressledge.controlplane.replica_status import ReplicaStatus
-from cypressledge.controlplane.replicated_log import CommitHandler
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.subscriber import BrokerIdentity
@@ -64,6 +63,15 @@
         """Of the history held."""
         return self._subscriber.state.cluster_id
 
+    @property
+    def latest_state(self) -> FleetState:
+        """The newest state held; all of it is committed."""
+        return self._subscriber.state
+
+    def permit_first_version(self, cluster_id: str, ops: list[Op]) -> None:
+        """Raises `NotLeaderError`: only voters start a new log."""
+        raise NotLeaderError(self.leader)
+
     def is_eligible(self, now: int) -> bool:
         """Whether this replica could lead: never."""
         return False
@@ -75,6 +83,19 @@
     def receive(self, now: int, sender: str, message: Message) -> None:
         """Ignore what voters tell each other."""
 
+    def propose(
+        self,
+        now: int,
+        ops: list[Op],
+        base_version: int,
+        request_id: str = "",
+        author: str = "",
+        reason: str = "",
+        created_at_ms: int = 0,
+    ) -> PendingProposal:
+        """Raises `NotLeaderError`."""
+        raise NotLeaderError(self.leader)
+
     def propose_own(
         self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
     ) -> PendingProposal:
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -10,8 +10,6 @@
 way from a lease to the newest log, `log_replication.py` the way of an entry to a majority.
 """
 
-from collections.abc import Callable
-
 from cypressledge.controlplane.errors import LogInvariantError
 from cypressledge.controlplane.leader_recovery import answer_fetch
 from cypressledge.controlplane.leader_role import LeaderRole
@@ -32,9 +30,16 @@
 )
 from cypressledge.controlplane.peer_progress import PeerProgress
 from cypressledge.controlplane.proposals import PendingProposal
-from cypressledge.controlplane.replica_context import NEVER, FirstVersion, ReplicaContext, Role
+from cypressledge.controlplane.replica_context import (
+    NEVER,
+    FirstVersion,
+    ReplicaContext,
+    ReplicaHandlers,
+    ReplicaIdentity,
+    Role,
+)
 from cypressledge.controlplane.replica_status import ReplicaStatus
-from cypressledge.controlplane.replicated_log import CommitHandler, ReplicatedLog
+from cypressledge.controlplane.replicated_log import ReplicatedLog
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_validation import validate_change
 
@@ -45,26 +50,24 @@
 class Replica:
     """A voter, and the leader while it holds the lease.
 
-    `send(peer, message)`, `on_commit` (see `ReplicatedLog`) and `report(event, **fields)` must not call back
-    into here. `mute_us`: how long one that joins says nothing, the longest term of the lease. Raises
-    `StorageError` where the storage can't be read at the start, `LogInvariantError` at any call.
+    `joining`: this voter has lost its disk, or has an old one; `mute_us`: how long one that joins says
+    nothing, the longest term of the lease. Raises `StorageError` where the storage can't be read at the
+    start, `LogInvariantError` at any call.
     """
 
     def __init__(
         self,
-        name: str,
-        instance_id: int,
-        voters: tuple[str, ...],
+        identity: ReplicaIdentity,
         storage: LogStorage,
         now: int,
-        send: Callable[[str, Message], None],
-        on_commit: CommitHandler,
-        report: Callable[..., None],
+        handlers: ReplicaHandlers,
         joining: bool = False,
         mute_us: int = 0,
     ) -> None:
-        self._context = ReplicaContext(name, instance_id, voters, send, report, now)
-        self.log = ReplicatedLog(self._context, storage, on_commit, self._on_storage_failure)
+        self._context = ReplicaContext(
+            identity.name, identity.instance_id, identity.voters, handlers.send, handlers.report, now
+        )
+        self.log = ReplicatedLog(self._context, storage, handlers.on_commit, self._on_storage_failure)
         self.log.joining = self.log.joining or joining
         self._muted_until = now + mute_us if self.log.joining else NEVER
         self._leader_role = LeaderRole(self._context, self.log)
--- a/cypressledge/controlplane/replica_context.py
+++ b/cypressledge/controlplane/replica_context.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from cypressledge.controlplane.messages import Message, Op
+from cypressledge.controlplane.messages import Change, Message, Op, Snapshot
 
 NEVER = -(1 << 62)  # µs: a moment before all others
 HEARTBEAT_INTERVAL_US = (
@@ -20,6 +20,31 @@
     LEADER = "primary"
 
 
+@dataclass(frozen=True, slots=True)
+class ReplicaIdentity:
+    """Who a replica is, and the names of all voters, its own among them."""
+
+    name: str
+    instance_id: int
+    voters: tuple[str, ...]
+
+
+CommitHandler = Callable[[list[Change] | None, Snapshot | None], None]
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicaHandlers:
+    """The ways out of a replica; none may call back into it.
+
+    `on_commit(changes, None)` or `on_commit(None, snapshot)` is called as versions become committed here, at
+    the start too.
+    """
+
+    send: Callable[[str, Message], None]  # to a peer
+    on_commit: CommitHandler
+    report: Callable[..., None]  # an event by name, with its fields
+
+
 @dataclass(frozen=True, slots=True)
 class FirstVersion:
     """Permission to start a new replicated log, should a majority be empty: its name and first changes."""
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -12,12 +12,10 @@
 from cypressledge.controlplane.log_entries import LogEntries
 from cypressledge.controlplane.log_storage import NOTHING_PROMISED, LogStorage, PromisedEpoch, StorageError
 from cypressledge.controlplane.messages import Change, Op, Promise, Snapshot
-from cypressledge.controlplane.replica_context import ReplicaContext
+from cypressledge.controlplane.replica_context import CommitHandler, ReplicaContext
 from cypressledge.controlplane.state import FleetState, Position
 from cypressledge.controlplane.state_values import StateError
 
-CommitHandler = Callable[[list[Change] | None, Snapshot | None], None]
-
 
 class ReplicatedLog:
     """The log of one voter.
--- a/tests/recordings/test_control_replica_recording.py
+++ b/tests/recordings/test_control_replica_recording.py
@@ -14,6 +14,7 @@
 
 from cypressledge.controlplane.messages import encode
 from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.replica_context import ReplicaHandlers
 
 RECORDED = json.loads((Path(__file__).parent / "control_replica.json").read_text())
 # Events and reasons of stepping down: name of today -> name as recorded.
@@ -31,7 +32,10 @@
     """A replica class all of whose instances add what they say, in order, to one digest."""
 
     class Recording(Replica):
-        def __init__(self, name, run, voters, disk, now, out, committed, event, **more):
+        def __init__(self, identity, disk, now, handlers, **more):
+            name, out = identity.name, handlers.send
+            committed, event = handlers.on_commit, handlers.report
+
             def say(peer, message):
                 digest.update(b"%b>%b " % (name.encode(), peer.encode()) + encode(message))
                 out(peer, message)
@@ -47,7 +51,7 @@
                 digest.update(f"{name} {RENAMED.get(event_name, event_name)} {values}".encode())
                 event(event_name, **what)
 
-            super().__init__(name, run, voters, disk, now, say, hand_on, report, **more)
+            super().__init__(identity, disk, now, ReplicaHandlers(say, hand_on, report), **more)
 
     return Recording
 
--- a/tests/recordings/test_control_store_recording.py
+++ b/tests/recordings/test_control_store_recording.py
@@ -9,6 +9,7 @@
 
 from cypressledge.controlplane.messages import Change, Op, Snapshot
 from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.replica_context import ReplicaHandlers, ReplicaIdentity
 from cypressledge.controlplane.sqlite_storage import SqliteStorage
 from cypressledge.controlplane.state_values import Broker, Engine, StateError, encode_value
 
@@ -43,16 +44,13 @@
 
 @pytest.fixture
 def replica(store, handed):
-    return Replica(
-        "control-1",
-        78,
-        ("control-1",),
-        store,
-        SECOND,
+    identity = ReplicaIdentity("control-1", 78, ("control-1",))
+    handlers = ReplicaHandlers(
         lambda peer, message: None,
         lambda changes, snapshot: handed.append((changes, snapshot)),
         lambda name, **what: None,
     )
+    return Replica(identity, store, SECOND, handlers)
 
 
 def test_all_that_it_holds_is_read(store):
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -7,6 +7,7 @@
 from cypressledge.controlplane.log_storage import StorageError, StoredLog
 from cypressledge.controlplane.messages import Op
 from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.replica_context import ReplicaHandlers, ReplicaIdentity
 from cypressledge.controlplane.state_values import Engine, StateError, encode_value
 
 SECOND = 1_000_000
@@ -93,14 +94,14 @@
             lambda: self.up.__setitem__(
                 name,
                 self.kind(
-                    name,
-                    self.runs,
-                    self.names,
+                    ReplicaIdentity(name, self.runs, self.names),
                     self.disks[name],
                     self.now,
-                    lambda peer, message: self.net.append((name, peer, message)),
-                    self.handed,
-                    lambda event, **what: self.events.append((name, event)),
+                    ReplicaHandlers(
+                        lambda peer, message: self.net.append((name, peer, message)),
+                        self.handed,
+                        lambda event, **what: self.events.append((name, event)),
+                    ),
                     mute_us=self.mute,
                 ),
             ),
--- a/tests/test_controlplane_store.py
+++ b/tests/test_controlplane_store.py
@@ -10,6 +10,7 @@
 from cypressledge.controlplane.log_storage import StorageError
 from cypressledge.controlplane.messages import Op
 from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.replica_context import ReplicaHandlers, ReplicaIdentity
 from cypressledge.controlplane.sqlite_storage import SqliteStorage, StorageUnusableError
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import Engine, encode_value
@@ -148,7 +149,13 @@
     store = SqliteStorage(path, "a", "rejoin")
     assert store.load().joining
     assert store.load().commit == 20
-    replica = Replica("a", 1, ("a", "b", "c"), store, 0, None, lambda *_: None, None, mute_us=5)
+    replica = Replica(
+        ReplicaIdentity("a", 1, ("a", "b", "c")),
+        store,
+        0,
+        ReplicaHandlers(None, lambda *_: None, None),
+        mute_us=5,
+    )
     assert replica.joining
     assert replica.tick(4) == 5  # until then it says nothing
     assert not replica.is_eligible(9)
