--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -56,9 +56,11 @@
     assert function_lines <= 40
 
 
-def test_ruff_is_clean():
-    command = [sys.executable, "-m", "ruff", "check", "--no-cache", "."]
-    run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
+@pytest.mark.parametrize("command", [["check", "--no-cache"], ["format", "--check", "--no-cache"]])
+def test_ruff_is_clean(command):
+    run = subprocess.run(
+        [sys.executable, "-m", "ruff", *command, "."], cwd=ROOT, capture_output=True, text=True
+    )
     assert run.returncode == 0, run.stdout
 
 
