--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -18,7 +18,7 @@
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.decisions.contract import EngineState
-from cypressledge.fleet.node import new_run
+from cypressledge.fleet.node import new_instance_id
 from cypressledge.net.dns_discovery import DiscoveredEngine
 
 KINDS = ("config", "engine", "broker")  # of keys
@@ -32,7 +32,7 @@
         self.broker, self.counters = broker, broker.counters
         settings = read_control_settings(file)
         self.fleet = broker.fleet
-        self.run = new_run() if self.fleet is None else self.fleet.node.run_id
+        self.run = new_instance_id() if self.fleet is None else self.fleet.node.instance_id
         self._touched_kinds: set[str] = set()  # of which something has come that isn't in force yet
         self._rejections: dict[str, str] = {}  # by kind: why the newest of that kind is not in force
         self.client = SubscriberClient(
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -53,10 +53,10 @@
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError, encode_value
 from cypressledge.fleet.clock import LeaseClock
-from cypressledge.fleet.events import logger
+from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.participation import LeaseSlot
-from cypressledge.fleet.node import FleetNode, new_run
+from cypressledge.fleet.node import FleetNode, new_instance_id
 from cypressledge.net import receive_buffer, socket_writer
 from cypressledge.net.connection_registry import ConnectionRegistry
 from cypressledge.net.listener import Listener
@@ -89,11 +89,11 @@
     def __init__(self, settings: ControlSettings, options: ProcessOptions) -> None:
         self.settings, self.options, self.name = settings, options, options.name
         self.server = settings.server(self.name)
-        self.run_id = new_run()
+        self.run_id = new_instance_id()
         self._is_stopping, self._stop_asked = False, Event()
         self.clock = LeaseClock(settings.lab.clock_rate, round(settings.lab.clock_offset_s * 1e6))
         self.counters, self.traffic = Counters(), TrafficCounters()
-        self.log = logger(self.name, self.run_id)
+        self.log = event_logger(self.name, self.run_id)
         self.record = ActivityRecord(settings.lab.record, {"who": self.name, "run": self.run_id})
         self.events = ProcessEvents(self.counters, self.log)
         self.inbox = Inbox(self.clock)
@@ -128,7 +128,7 @@
         self.listener.max_connections = settings.brokers_most + SPARE_CONNECTIONS
         self.operators = self._make_operator_server()
         self.greenlets: list[Callable[[], None]] = [
-            *self.node.parts,
+            *self.node.loops,
             self.own,
             self.listener.run,
             self.operators.run,
@@ -152,15 +152,15 @@
             self.name,
             listen=parse_address(self.server.fleet),
             electorate=electorate,
-            run=self.run_id,
+            instance_id=self.run_id,
             log=self.log,
             addresses={s.name: parse_address(s.fleet) for s in settings.servers},
             counters=self.counters,
-            places=[LeaseSlot(PRIMARY_LEASE, PRIMARY_LEASE, settings.term, on_demand=True)],
+            slots=[LeaseSlot(PRIMARY_LEASE, PRIMARY_LEASE, settings.term, on_demand=True)],
             drift_ppm=settings.drift_ppm,
             ping_s=settings.ping_s,
             clock=self.clock,
-            told=lambda *_: self.inbox.wake(),
+            on_lease_event=lambda *_: self.inbox.wake(),
         )
 
     def _make_replica(self, now: int) -> Replica | NonVotingReplica:
--- a/cypressledge/controlplane/leadership.py
+++ b/cypressledge/controlplane/leadership.py
@@ -57,19 +57,19 @@
     def apply_lease(self, now: int) -> None:
         """Tell the replica what holds of the lease; it is asked for only where that could lead."""
         self._ask_for_lease(now)
-        grant = self.node.grant(PRIMARY_LEASE)
+        grant = self.node.held_lease(PRIMARY_LEASE)
         if grant is None:
             self.replica.lease(now, None, 0)
         elif not self.replica.lease(now, grant.token, grant.expires_at):
             if grant.token <= self.replica.epoch:
-                self.node.refused(PRIMARY_LEASE, self.replica.epoch)
+                self.node.token_rejected(PRIMARY_LEASE, self.replica.epoch)
             else:
-                self.node.give_back(PRIMARY_LEASE, "of no use here", GIVE_BACK_REST_S)
+                self.node.release(PRIMARY_LEASE, "of no use here", GIVE_BACK_REST_S)
 
     def _ask_for_lease(self, now: int) -> None:
         is_eligible = self.replica.is_eligible(now) and not self.is_suspended(now) and self.is_voter
-        if is_eligible != (PRIMARY_LEASE in self.node.keeper.requested_groups):
-            (self.node.want if is_eligible else self.node.unwant)(PRIMARY_LEASE)
+        if is_eligible != (PRIMARY_LEASE in self.node.lease_manager.requested_groups):
+            (self.node.request_lease if is_eligible else self.node.release_group)(PRIMARY_LEASE)
 
     def report_contact(self, now: int, publisher: Publisher) -> None:
         """Tell the publisher when a leader was heard last."""
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -25,7 +25,7 @@
     SubscriberStatus,
 )
 from cypressledge.fleet.clock import LeaseClock
-from cypressledge.fleet.events import logger
+from cypressledge.fleet.event_log import event_logger
 
 MAX_MESSAGES_PER_TURN = 16  # before other greenlets have their turn
 UNLOGGED_EVENTS = frozenset(("lost", "followed", "home_tried"))  # these are counted only
@@ -63,7 +63,7 @@
         options = options or SubscriberOptions()
         self.changed, self.settled, self.counters = changed, settled, counters
         self.clock, self.traffic = LeaseClock(), TrafficCounters()
-        self._log = options.log or logger(identity.name, identity.run)
+        self._log = options.log or event_logger(identity.name, identity.run)
         self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.run})
         self._frames: FramedConnection | None = None
         self._to_dial: Server | None = None
--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -86,15 +86,15 @@
             self._own_figures,
             self.node.others,
             lambda: [peer.name for peer in self.settings.peers],
-            self.node.out,
+            self.node.send,
             self.node.now,
         )
         self.zones = self._make_zones(config)
         self.node.handlers |= self._handlers()
         tasks = [self._make_task(spec) for spec in self.settings.tasks]
         budget = Budget(self.settings.task_share)
-        self.runner = Runner(tasks, self.node.grant, self.node.now, budget, self._log_event)
-        self.parts = [*self.node.parts, self.runner.turns]
+        self.runner = Runner(tasks, self.node.held_lease, self.node.now, budget, self._log_event)
+        self.parts = [*self.node.loops, self.runner.turns]
         counters.gauge("fleet.turn_p99_us", self.node.turn_p99)
         counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest)
 
@@ -122,17 +122,17 @@
             listen=listen,
             addresses=_addresses(settings),
             electorate=electorate,
-            places=_lease_slots(settings),
+            slots=_lease_slots(settings),
             drift_ppm=settings.drift_ppm,
             ping_s=settings.ping_s,
             counters=self.counters,
             clock=clock,
             wall=wall_us() + round(settings.lab.wall_step_s * 1e6),
-            told=self._lease_changed,
-            call_off=lambda lease: self.runner.call_off(lease),
+            on_lease_event=self._lease_changed,
+            end_work=lambda lease: self.runner.call_off(lease),
             tick=self._tick,
             urgent=URGENT_MESSAGES,
-            turns_kept=KEPT_TURN_TIMES,
+            turn_times_kept=KEPT_TURN_TIMES,
         )
 
     def _make_recorder(self) -> LeaseRecorder | None:
@@ -161,9 +161,9 @@
         )
         links = FleetLinks(
             now=self.node.now,
-            send=self.node.out,
+            send=self.node.send,
             living_peers=self.node.others,
-            likely_planners=lambda: candidate_order(spec.lease, self.node.members.alive()),
+            likely_planners=lambda: candidate_order(spec.lease, self.node.membership.alive()),
             log_event=self._log_event,
         )
         return ZoneFailover(self.name, self.core, topology, self._zone_pace(), links)
@@ -197,7 +197,9 @@
         if spec.kind == "summary":
             act = self.summaries.act
         else:
-            act = Call(self.name, parse_address(spec.at), spec.steps, spec.step_s, self.node.refused).act
+            act = Call(
+                self.name, parse_address(spec.at), spec.steps, spec.step_s, self.node.token_rejected
+            ).act
         return Task(spec.kind, spec.lease, act, spec.every_s, spec.longest_s, spec.priority)
 
     def add_operator_calls(self, management: ManagementServer) -> None:
@@ -217,7 +219,7 @@
         if event == "acquired":
             if self.recorder is not None:
                 self.recorder.record(lease)
-            self.runner.begin(lease, self.node.keeper.participations[lease].slot.group)
+            self.runner.begin(lease, self.node.lease_manager.participations[lease].slot.group)
         elif event == "lost":
             self.runner.call_off(lease)
         if event in ("lost", "given_back"):
@@ -266,7 +268,7 @@
         """Where the control plane has brokers, from now on; the file's others stay. Kept over a reload:
         guards against taking all that the file doesn't name for gone until they are met again."""
         self.control_plane_peers = peers
-        self.node.rename(_addresses(self.settings) | peers)
+        self.node.set_peers(_addresses(self.settings) | peers)
 
     def reload(self) -> None:
         """Read the file again. Guards against a bad one, and one that changes more than one voter: then the
@@ -282,8 +284,8 @@
             self.node.log.warning("fleet_reload_refused", why=str(err))
             return
         self.settings = settings
-        self.node.rename(_addresses(settings) | self.control_plane_peers)
-        self.node.set_places(_lease_slots(settings))
+        self.node.set_peers(_addresses(settings) | self.control_plane_peers)
+        self.node.set_slots(_lease_slots(settings))
         self.node.log.info("fleet_reloaded", version=electorate.version, voters_changed=changed)
 
     def _check_fixed(self, settings: FleetSettings) -> None:
--- /dev/null
+++ b/cypressledge/fleet/datagram_transport.py
@@ -0,0 +1,214 @@
+"""Datagrams between brokers: UDP on a gevent socket, with bounds on what any peer can cost. Does I/O only.
+
+Guards against peers that flood, send garbage or stop reading: what is received is limited by address before
+it is decoded, what is sent never blocks and is dropped where the system or a peer's queue is full. Everything
+that uses this expects datagrams to get lost.
+"""
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+import gevent
+from gevent import socket
+from gevent.event import Event
+from gevent.socket import wait_read
+
+from cypressledge.broker.metrics import Counters
+from cypressledge.fleet.messages import (
+    MAX_DATAGRAM_BYTES,
+    MAX_ITEMS,
+    VERSION,
+    AnyItem,
+    Envelope,
+    InvalidDatagramError,
+    decode,
+    encode,
+)
+
+Address = tuple[str, int]
+
+MAX_INBOX = 1_024  # envelopes that wait to be handled
+RATE = 400.0  # datagrams a second from one address, in the long run
+BURST = 800.0  # datagrams
+MAX_ADDRESSES = 512  # of no peer's; a peer's own has a bucket besides
+BUCKET_IDLE = 60_000_000  # µs after which a bucket may be freed: it is full again long before
+SWEEP_INTERVAL = 1_000_000  # µs between searches for such
+SHARED_ADDRESS = ("", 0)  # the key of the bucket that all further addresses share
+TARGET_DATAGRAM_BYTES = 1_200  # that a datagram is filled up to: under any path's MTU
+MAX_ITEMS_PER_DATAGRAM = 64
+MAX_DRAIN = 256  # datagrams received in one go
+RECEIVE_BUFFER_BYTES = 1 << 20
+
+
+class SenderState(NamedTuple):
+    """What each envelope says of its sender, beside the name."""
+
+    instance_id: int
+    incarnation: int
+    voters_version: int
+    oldest_voters_version: int
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """What one address may still send: refilled with time."""
+
+    level: float = BURST
+    refilled_at: int = 0
+
+    def admit(self, now: int) -> bool:
+        """Whether one more datagram is admitted at `now` (µs)."""
+        self.level = min(BURST, self.level + (now - self.refilled_at) * RATE / 1e6)
+        self.refilled_at = now
+        if self.level < 1:
+            return False
+        self.level -= 1
+        return True
+
+
+class DatagramTransport:
+    """The fleet socket: queues of items to send, an inbox of envelopes received."""
+
+    def __init__(
+        self,
+        name: str,
+        listen: Address,
+        counters: Counters,
+        now: Callable[[], int],
+        sender_state: Callable[[], SenderState],
+    ) -> None:
+        self.name, self.counters, self.now, self.sender_state = name, counters, now, sender_state
+        self.addresses: dict[str, Address] = {}
+        self.queues: dict[str, list[AnyItem]] = {}
+        self.peer_buckets: dict[Address, TokenBucket] = {}  # by the configured address of a peer
+        self.other_buckets: dict[Address, TokenBucket] = {}
+        self.swept_at = -SWEEP_INTERVAL
+        self.inbox: deque[Envelope] = deque()
+        self.received, self.drained = Event(), Event()
+        self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        self.sock.bind(listen)
+        self.reader: gevent.Greenlet | None = None
+
+    def close(self) -> None:
+        """End the greenlet that reads, then the socket."""
+        if self.reader is not None:
+            self.reader.kill()  # guards against a wait on a descriptor that another socket gets
+        self.sock.close()
+
+    def set_peers(self, addresses: dict[str, Address]) -> None:
+        """Set the peers' addresses; what is queued for one that is no longer among them is dropped."""
+        self.addresses = addresses
+        self.peer_buckets = {
+            a: self.peer_buckets.get(a) or TokenBucket(refilled_at=self.now()) for a in addresses.values()
+        }
+        self.queues = {n: q for n, q in self.queues.items() if n in addresses}
+
+    def send(self, peer: str, item: AnyItem) -> None:
+        """Queue an item; it is sent with the next `flush`."""
+        if peer not in self.addresses and peer != self.name:
+            self.counters.add("fleet.unknown_peer")
+            return
+        queue = self.queues.setdefault(peer, [])
+        if len(queue) >= MAX_ITEMS:
+            self.counters.add("fleet.queue_full")
+            return
+        queue.append(item)
+
+    def flush(self, yield_if_due: Callable[[], None] = lambda: None) -> None:
+        """Send what is queued; what is for this broker itself needs no socket. `yield_if_due` is called
+        between datagrams, and may let other greenlets run."""
+        queues, self.queues = self.queues, {}
+        if own := queues.pop(self.name, None):
+            self.inbox.append(Envelope(VERSION, self.name, self.name, *self.sender_state(), own))
+            self.received.set()
+        for peer, items in queues.items():
+            for at in range(0, len(items), MAX_ITEMS_PER_DATAGRAM):
+                self._send_datagram(peer, items[at : at + MAX_ITEMS_PER_DATAGRAM])
+                yield_if_due()
+
+    def _send_datagram(self, peer: str, items: list[AnyItem]) -> None:
+        address = self.addresses.get(peer)
+        if address is None:  # removed since this flush began, while other greenlets ran
+            return
+        raw = encode(Envelope(VERSION, self.name, peer, *self.sender_state(), items))
+        if len(raw) > TARGET_DATAGRAM_BYTES and len(items) > 1:
+            half = len(items) // 2
+            self._send_datagram(peer, items[:half])
+            self._send_datagram(peer, items[half:])
+            return
+        if len(raw) > MAX_DATAGRAM_BYTES:
+            self.counters.add("fleet.too_large")
+            return
+        try:
+            # Not gevent's sendto: that would wait where the socket's buffer is full.
+            self.sock._sock.sendto(raw, address)
+            self.counters.add("fleet.sent")
+        except OSError:
+            self.counters.add("fleet.not_sent")
+
+    def read(self) -> None:
+        """A greenlet: signals that datagrams have come, and again once those have been drained. The owner
+        drains them, many at a time: waking up costs a process more than all that a datagram asks for."""
+        self.reader = gevent.getcurrent()
+        while self.sock.fileno() >= 0:  # it may be closed before this has begun
+            wait_read(self.sock.fileno())
+            self.drained.clear()
+            self.received.set()
+            self.drained.wait()
+
+    def drain(self) -> int:
+        """Receive what has come, up to `MAX_DRAIN` datagrams; the number received."""
+        self.received.clear()
+        self.drained.set()
+        for count in range(MAX_DRAIN):
+            try:
+                raw, source = self.sock._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
+            except BlockingIOError:
+                return count
+            except OSError:
+                self.counters.add("fleet.read_errors")  # an ICMP answer to something sent, most likely
+                continue
+            self.receive(raw, source)
+        return MAX_DRAIN
+
+    def receive(self, raw: bytes, source: Address) -> None:
+        """Take one datagram into the inbox, or count why not."""
+        now = self.now()
+        if not self._bucket(source, now).admit(now):
+            self.counters.add("fleet.flooded")
+            return
+        if len(self.inbox) >= MAX_INBOX:
+            self.counters.add("fleet.inbox_full")
+            return
+        try:
+            envelope = decode(raw)
+        except InvalidDatagramError as err:
+            self.counters.add(f"fleet.bad_{err}")
+            return
+        if envelope.recipient != self.name or envelope.sender not in self.addresses:
+            self.counters.add("fleet.misdirected")
+            return
+        self.counters.add("fleet.received")
+        self.inbox.append(envelope)
+
+    def _bucket(self, source: Address, now: int) -> TokenBucket:
+        """The bucket of an address. Guards against spoofed addresses, which neither grow this without bound
+        nor lock out a peer: its own bucket waits for it."""
+        bucket = self.peer_buckets.get(source) or self.other_buckets.get(source)
+        if bucket is None:
+            if len(self.other_buckets) >= MAX_ADDRESSES and now - self.swept_at >= SWEEP_INTERVAL:
+                self._sweep(now)
+            if len(self.other_buckets) >= MAX_ADDRESSES:
+                source = SHARED_ADDRESS
+            bucket = self.other_buckets.setdefault(source, TokenBucket(refilled_at=now))
+        return bucket
+
+    def _sweep(self, now: int) -> None:
+        """Free the buckets of addresses long silent: machines that were replaced."""
+        self.swept_at = now
+        self.other_buckets = {
+            a: b for a, b in self.other_buckets.items() if now - b.refilled_at < BUCKET_IDLE
+        }
--- a/cypressledge/fleet/events.py
+++ b/cypressledge/fleet/event_log.py
@@ -3,14 +3,15 @@
 import sys
 
 import structlog
+from structlog.typing import FilteringBoundLogger
 
 
-def logger(broker: str, run: int):
-    """A logger whose every line names the broker and its run."""
+def event_logger(broker: str, instance_id: int) -> FilteringBoundLogger:
+    """A logger whose every line names the broker and its instance (`run`)."""
     return structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
         processors=[
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.JSONRenderer(sort_keys=False),
         ],
-    ).bind(broker=broker, run=f"{run:x}")
+    ).bind(broker=broker, run=f"{instance_id:x}")
--- a/cypressledge/fleet/lease_recorder.py
+++ b/cypressledge/fleet/lease_recorder.py
@@ -18,7 +18,7 @@
     def record_renewals(self) -> None:
         """Record what has been renewed. An end is recorded once what is done under the lease has ended."""
         for lease in list(self.recorded_until):
-            if self.node.grant(lease) is not None:
+            if self.node.held_lease(lease) is not None:
                 self.record(lease)
 
     def record_end(self, lease: str) -> None:
@@ -29,7 +29,7 @@
     def record(self, lease: str) -> None:
         """Record until when this process believes in a lease, where that has changed."""
         clock = self.node.clock
-        grant = self.node.keeper.held_lease(lease, clock.now())
+        grant = self.node.lease_manager.held_lease(lease, clock.now())
         if grant is None:
             self.recorded_until.pop(lease, None)
             line: dict[str, object] = {"lease": lease, "until": 0}
@@ -38,5 +38,5 @@
         else:
             self.recorded_until[lease] = grant.expires_at
             line = {"lease": lease, "token": grant.token, "until": clock.true(grant.expires_at)}
-        line |= {"broker": self.node.name, "run": self.node.run_id, "at": LeaseClock().now()}
+        line |= {"broker": self.node.name, "run": self.node.instance_id, "at": LeaseClock().now()}
         self.file.write(json.dumps(line) + "\n")
--- a/cypressledge/fleet/leases/lease_manager.py
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -20,7 +20,7 @@
 )
 from cypressledge.fleet.leases.voter import Voter
 from cypressledge.fleet.messages import (
-    Item,
+    AnyItem,
     LeaseItem,
     LeaseStatus,
     LeaseStatusRequest,
@@ -52,7 +52,7 @@
         now: int,
         base_token: int,
         seed: int,
-        send: Callable[[str, Item], None],
+        send: Callable[[str, AnyItem], None],
         on_event: Callable[[str, str, int, str], None],
     ) -> None:
         self.name, self.instance_id, self.drift_ppm = name, instance_id, drift_ppm
--- a/cypressledge/fleet/leases/participation.py
+++ b/cypressledge/fleet/leases/participation.py
@@ -15,7 +15,7 @@
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.voter import Voter
 from cypressledge.fleet.messages import (
-    Item,
+    AnyItem,
     LeaseReleased,
     LeaseStatus,
     LeaseStatusRequest,
@@ -87,7 +87,7 @@
     voter: Voter
     random: random.Random
     timer_phase: int  # µs: offset of this broker's timers, so that brokers' timers do not coincide
-    send: Callable[[str, Item], None]
+    send: Callable[[str, AnyItem], None]
     on_event: Callable[[str, str, int, str], None]
     alive: frozenset[str]
     stopping: bool = False
--- /dev/null
+++ b/cypressledge/fleet/membership.py
@@ -0,0 +1,308 @@
+"""Which peers are alive, suspect or gone, and under which incarnation. No I/O, told the time (µs).
+
+Method: SWIM (Das, Gupta, Motivala, 2002): each period one peer is pinged, in a shuffled round; a peer that
+does not answer is pinged through others, then suspect, then gone; updates ride on the pings as gossip. A
+broker's cost does not depend on the size of the fleet but for the size of the gossip. An incarnation only
+grows: a process that starts takes the wall clock's ms, and goes above whatever it hears of its former
+instance, so clocks need not be right.
+"""
+
+import math
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import IntEnum
+
+from cypressledge.fleet.clock import NEVER
+from cypressledge.fleet.messages import Ack, AnyItem, GossipUpdate, IndirectPing, Ping
+
+MAX_UPDATES = 24  # on one ping, but for the first to a broker that has just started
+MAX_FIRST_UPDATES = 96  # on that first one: under a datagram's bound whatever the names
+ANNOUNCE_TARGETS = 8  # peers that a process that starts pings at once, in fleets
+ANNOUNCE_FLEET_SIZE = 200  # of this size; in larger ones as many more
+LEAVE_TARGETS = 8  # peers that are notified when this broker leaves
+INDIRECT_PINGS = 3  # peers that are asked to ping another
+MAX_RELAYED_PINGS = 64  # pings on others' behalf whose answers are waited for
+
+
+class MemberState(IntEnum):
+    """What is held of a member; the numbers are the wire format."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    GONE = 2
+
+
+ALIVE, SUSPECT, GONE = (
+    MemberState  # an attribute of an enum costs at each access, and all members are looked at
+)
+STATES = frozenset(MemberState)
+
+
+@dataclass(slots=True)
+class Member:
+    """What is known of one peer."""
+
+    name: str
+    incarnation: int = 0
+    state: MemberState = GONE
+    state_since: int = 0
+    last_heard_at: int = 0  # when it last spoke itself
+    notified_at: int = NEVER  # when it was last told that its messages do not count
+
+
+@dataclass(slots=True)
+class PendingPing:
+    """A ping that is not answered yet."""
+
+    target: str
+    sent_at: int
+    is_indirect: bool = False  # others have been asked to ping the target as well
+
+
+@dataclass(slots=True)
+class RelayedPing:
+    """A ping on another's behalf: the answer goes to `requester` under the sequence number that it gave."""
+
+    requester: str
+    sequence: int
+    target: str
+
+
+class Membership:
+    """One broker's view of all. `send` gets (peer, item); `on_change` gets (member, reason) at each change of
+    a peer's state."""
+
+    def __init__(
+        self,
+        name: str,
+        peers: list[str],
+        incarnation: int,
+        period: int,
+        seed: int,
+        send: Callable[[str, AnyItem], None],
+        on_change: Callable[[Member, str], None],
+    ) -> None:
+        self.name, self.period, self.send, self.on_change = name, period, send, on_change
+        self.incarnation, self.random = incarnation, random.Random(seed)
+        self.members = {p: Member(p) for p in peers if p != name}
+        self.suspects: dict[str, Member] = {}
+        self.transmissions_left: dict[str, int] = {}  # of the newest update of each member, as gossip
+        self.ping_round: list[str] = []
+        self.pending_pings: dict[int, PendingPing] = {}
+        self.relayed_pings: dict[int, RelayedPing] = {}
+        self.sequence, self.next_ping_at, self.leaving = 0, 0, False
+        self._alive: frozenset[str] | None = None
+
+    def set_peers(self, peers: list[str]) -> None:
+        """Set the peers; those that stay keep what is known of them."""
+        before = self.members
+        self.members = {p: before.get(p) or Member(p) for p in peers if p != self.name}
+        for name in self.transmissions_left.keys() - self.members.keys():
+            del self.transmissions_left[name]
+        for name in self.suspects.keys() - self.members.keys():
+            del self.suspects[name]
+        self.ping_round = [name for name in self.ping_round if name in self.members]
+        # New peers are pinged in this round: it may take minutes.
+        for name in [n for n in self.members if n not in before]:
+            self.ping_round.insert(self.random.randint(0, len(self.ping_round)), name)
+        self._alive = None
+
+    def alive(self) -> frozenset[str]:
+        """All that can be counted on, this broker too."""
+        if self._alive is None:
+            names = {m.name for m in self.members.values() if m.state == ALIVE}
+            self._alive = frozenset(names | (set() if self.leaving else {self.name}))
+        return self._alive
+
+    def missing(self) -> list[str]:
+        """Peers that are not alive."""
+        return sorted(m.name for m in self.members.values() if m.state != ALIVE)
+
+    def observe(self, now: int, name: str, incarnation: int) -> bool:
+        """A peer has sent a message; whether it counts. Guards against messages of a former instance, and
+        against a peer held gone that does not know: it has to go above that incarnation."""
+        member = self.members.get(name)
+        if member is None:
+            return False
+        refutable = incarnation == member.incarnation and member.state == GONE and member.last_heard_at
+        if incarnation < member.incarnation or refutable:
+            # Not at each message: the peer may not accept the answer either.
+            if now - member.notified_at >= self.period:
+                member.notified_at = now
+                self.send(name, Ack(0, "", [self._update_of(member)]))
+            return False
+        member.last_heard_at = now
+        if incarnation > member.incarnation or member.state != ALIVE:
+            self._set_state(now, member, incarnation, ALIVE, "spoke")
+        return True
+
+    def refute(self, items: list[AnyItem]) -> None:
+        """Take from a message that does not count what its sender holds of this broker. Guards against
+        brokers that were all partitioned from each other, and would hold each other gone for good."""
+        for item in items:
+            if isinstance(item, Ping | Ack):
+                for update in item.updates:
+                    if update.name == self.name:
+                        self._refute_update(update)
+
+    def receive(self, now: int, sender: str, item: Ping | Ack | IndirectPing) -> None:
+        """Handle one of the membership's messages, from a peer whose messages count."""
+        if isinstance(item, Ping):
+            self._apply_updates(now, item.updates)
+            self.send(sender, Ack(item.sequence, "", self._updates_for(sender)))
+        elif isinstance(item, IndirectPing):
+            if item.target in self.members:
+                self._relay_ping(sender, item)
+        else:
+            self._apply_updates(now, item.updates)
+            if item.sequence in self.relayed_pings:
+                relayed = self.relayed_pings.pop(item.sequence)
+                self.send(relayed.requester, Ack(relayed.sequence, relayed.target, []))
+            elif item.sequence in self.pending_pings:
+                self._receive_ack(now, item)
+
+    def _relay_ping(self, requester: str, request: IndirectPing) -> None:
+        self.sequence += 1
+        self.relayed_pings[self.sequence] = RelayedPing(requester, request.sequence, request.target)
+        while len(self.relayed_pings) > MAX_RELAYED_PINGS:
+            del self.relayed_pings[min(self.relayed_pings)]
+        self.send(request.target, Ping(self.sequence, []))
+
+    def _receive_ack(self, now: int, ack: Ack) -> None:
+        ping = self.pending_pings.pop(ack.sequence)
+        member = self.members.get(ping.target)
+        if ack.target and member is not None and member.state == SUSPECT:
+            self._set_state(now, member, member.incarnation, ALIVE, "answers through others")
+
+    def tick(self, now: int) -> int:
+        """Ping, suspect and give up as time requires; the moment of the next tick."""
+        for sequence, ping in list(self.pending_pings.items()):
+            self._check_pending(now, sequence, ping)
+        for member in list(self.suspects.values()):
+            if now - member.state_since >= self.suspicion_timeout():
+                self._set_state(now, member, member.incarnation, GONE, "silent")
+        if now >= self.next_ping_at:
+            self.next_ping_at = now + self.period
+            self._ping(now)
+        if not self.pending_pings:
+            return self.next_ping_at
+        return min(self.next_ping_at, now + self.period // 4)
+
+    def suspicion_timeout(self) -> int:
+        """µs that a suspect has to refute: longer where gossip takes longer to spread."""
+        return self.period * (3 + math.ceil(math.log10(len(self.members) + 1)))
+
+    def _check_pending(self, now: int, sequence: int, ping: PendingPing) -> None:
+        waited = now - ping.sent_at
+        if not ping.is_indirect and waited >= self.period // 2:
+            ping.is_indirect = True
+            others = [n for n, m in self.members.items() if m.state == ALIVE and n != ping.target]
+            for name in self.random.sample(others, min(INDIRECT_PINGS, len(others))):
+                self.send(name, IndirectPing(sequence, ping.target))
+        elif waited >= 2 * self.period:
+            del self.pending_pings[sequence]
+            member = self.members.get(ping.target)
+            if member is not None and member.state == ALIVE and member.last_heard_at < ping.sent_at:
+                self._set_state(now, member, member.incarnation, SUSPECT, "no answer")
+
+    def _ping(self, now: int) -> None:
+        if not self.members:
+            return
+        if not self.ping_round:
+            self.ping_round = list(self.members)
+            self.random.shuffle(self.ping_round)
+        target = self.ping_round.pop()
+        targets = [target]
+        # Those that are gone are pinged too, but not in place of the others.
+        if self.members.get(target, Member("")).state == GONE:
+            others = [m.name for m in self.members.values() if m.state != GONE and m.name != target]
+            targets += [self.random.choice(others)] if others else []
+        for name in targets:
+            if name in self.members:
+                self.sequence += 1
+                self.pending_pings[self.sequence] = PendingPing(name, now)
+                self.send(name, Ping(self.sequence, self._updates_for(name)))
+
+    def announce(self) -> None:
+        """At the start: ping some peers at once, whose answers tell of all others: each of as many as an
+        answer has room for, so with more peers more are pinged."""
+        names = list(self.members)
+        count = max(ANNOUNCE_TARGETS, ANNOUNCE_TARGETS * len(names) // ANNOUNCE_FLEET_SIZE)
+        for name in self.random.sample(names, min(count, len(names))):
+            self.send(name, Ping(0, [self._own_update(ALIVE)]))
+
+    def leave(self) -> None:
+        """This broker stops: some peers are notified, and spread it."""
+        self.leaving, self._alive = True, None
+        update = [self._own_update(GONE)]
+        alive = [m.name for m in self.members.values() if m.state == ALIVE]
+        for name in self.random.sample(alive, min(LEAVE_TARGETS, len(alive))):
+            self.send(name, Ping(0, update))
+
+    # Gossip
+
+    def _own_update(self, state: MemberState) -> GossipUpdate:
+        return GossipUpdate(self.name, self.incarnation, state)
+
+    @staticmethod
+    def _update_of(member: Member) -> GossipUpdate:
+        return GossipUpdate(member.name, member.incarnation, member.state)
+
+    def _updates_for(self, recipient: str) -> list[GossipUpdate]:
+        """What rides on a message: the updates sent least often yet; to a peer that has just started, all
+        that is known."""
+        member = self.members.get(recipient)
+        own = self._own_update(GONE if self.leaving else ALIVE)
+        if (
+            member is None
+            or member.state != ALIVE
+            or member.last_heard_at - member.state_since < 2 * self.period
+        ):
+            known = [m for m in self.members.values() if m.incarnation]
+            sample = self.random.sample(known, min(MAX_FIRST_UPDATES, len(known)))
+            return [own, *map(self._update_of, sample)]
+        names = list(self.transmissions_left)
+        if len(names) > MAX_UPDATES:
+            names = sorted(names, key=self.transmissions_left.__getitem__, reverse=True)[:MAX_UPDATES]
+        for name in names:
+            self.transmissions_left[name] -= 1
+            if self.transmissions_left[name] <= 0:
+                del self.transmissions_left[name]
+        return [own, *(self._update_of(self.members[n]) for n in names if n in self.members)]
+
+    def _apply_updates(self, now: int, updates: list[GossipUpdate]) -> None:
+        for update in updates:
+            if update.name == self.name:
+                self._refute_update(update)
+            elif update.name in self.members and update.state in STATES:
+                self._apply_update(now, self.members[update.name], update)
+
+    def _refute_update(self, update: GossipUpdate) -> None:
+        """Go above what is said of this broker, unless it says no more than the truth."""
+        if update.incarnation > self.incarnation or (
+            update.incarnation == self.incarnation and update.state != ALIVE and not self.leaving
+        ):
+            self.incarnation = update.incarnation + 1
+
+    def _apply_update(self, now: int, member: Member, update: GossipUpdate) -> None:
+        newer = update.incarnation > member.incarnation
+        worse = update.incarnation == member.incarnation and update.state > member.state
+        # A rumour of suspicion does not outweigh having heard the peer itself just now.
+        recently_heard = now - member.last_heard_at < self.period
+        if worse and update.state == SUSPECT and recently_heard:
+            return
+        if newer or worse:
+            self._set_state(now, member, update.incarnation, MemberState(update.state), "told")
+
+    def _set_state(self, now: int, member: Member, incarnation: int, state: MemberState, reason: str) -> None:
+        restarted = 0 < member.incarnation < incarnation and state == ALIVE
+        member.incarnation = incarnation
+        if state != member.state or restarted:
+            member.state, member.state_since, self._alive = state, now, None
+            if state == SUSPECT:
+                self.suspects[member.name] = member
+            else:
+                self.suspects.pop(member.name, None)
+            self.on_change(member, "restarted" if restarted else reason)
+        self.transmissions_left[member.name] = 3 * math.ceil(math.log2(len(self.members) + 2))
--- a/cypressledge/fleet/operator_api.py
+++ b/cypressledge/fleet/operator_api.py
@@ -7,7 +7,6 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from cypressledge.fleet.members import STATES
 from cypressledge.fleet.zones.operator_api import Answer, ZoneOperatorApi
 from cypressledge.net.http_server import HttpRequest
 from cypressledge.net.management import ManagementServer
@@ -55,16 +54,16 @@
                 "here": name == node.name,
             }
 
-        rows = [row(node.name, "alive", node.members.incarnation, 0.0, node.electorate.version)]
-        for member in node.members.members.values():
-            heard = round((now - member.heard) / 1e6, 2) if member.heard else None
-            version = node.versions.get(member.name)
-            rows.append(row(member.name, STATES[member.state], member.incarnation, heard, version))
+        rows = [row(node.name, "alive", node.membership.incarnation, 0.0, node.electorate.version)]
+        for member in node.membership.members.values():
+            heard = round((now - member.last_heard_at) / 1e6, 2) if member.last_heard_at else None
+            version = node.voters_versions.get(member.name)
+            rows.append(row(member.name, member.state.name.lower(), member.incarnation, heard, version))
         return sorted(rows, key=lambda peer: peer["name"])
 
     def leases(self) -> list[dict]:
         """Each lease as seen from here; the holder is as last heard of."""
-        manager, now = self.fleet.node.keeper, self.fleet.node.now()
+        manager, now = self.fleet.node.lease_manager, self.fleet.node.now()
         return [
             {
                 "lease": name,
@@ -101,16 +100,16 @@
     def _give_back(self, request: HttpRequest) -> Answer:
         node = self.fleet.node
         lease = _text(request)
-        if lease not in node.keeper.participations:
+        if lease not in node.lease_manager.participations:
             return 404, b"no such lease\n"
         rest_s = GIVE_BACK_REST_TERMS * self.fleet.settings.longest_term / 1e6
-        if not node.give_back(lease, "by hand", rest_s=rest_s):
+        if not node.release(lease, "by hand", rest_s=rest_s):
             return 409, b"not held here\n"
         return 200, f"{lease} given back\n".encode()
 
     def _turn(self, request: HttpRequest, act: Callable[[str], dict]) -> Answer:
         group = _text(request)
-        participations = self.fleet.node.keeper.participations.values()
+        participations = self.fleet.node.lease_manager.participations.values()
         if not any(p.slot.group == group and p.slot.on_demand for p in participations):
             return 404, b"no lease of this name that is asked for by wish\n"
         return 200, json.dumps(act(group)).encode() + b"\n"
--- a/cypressledge/fleet/restart_turns.py
+++ b/cypressledge/fleet/restart_turns.py
@@ -14,7 +14,7 @@
     def tick(self, now: int) -> None:
         """Ask for a wanted turn only while fewer brokers are missing than may be at once: one that had its
         turn is missing until it is back, however long its start takes."""
-        keeper = self.node.keeper
+        keeper = self.node.lease_manager
         for group in self.wanted:
             if any(granted.group == group for granted in keeper.held_leases(now)):
                 continue
@@ -34,26 +34,32 @@
     def give_up(self, group: str) -> dict:
         """A turn, or the request for one, is over; how it stands."""
         self.wanted.discard(group)
-        self.node.unwant(group)
+        self.node.release_group(group)
         return self._status(group)
 
     def held_leases(self) -> set[str]:
         """The leases that a stop of this process keeps, for the turn that it stops in."""
-        return {p.slot.lease for p in self.node.keeper.participations.values() if p.slot.group in self.wanted}
+        return {
+            p.slot.lease
+            for p in self.node.lease_manager.participations.values()
+            if p.slot.group in self.wanted
+        }
 
     def _missing_brokers(self) -> int:
-        members = self.node.members.members.values()
+        members = self.node.membership.members.values()
         return sum(member.state != 0 and member.incarnation > 0 for member in members)
 
     def _status(self, group: str) -> dict:
         self.node.wake()
         held = [
-            granted for granted in self.node.keeper.held_leases(self.node.now()) if granted.group == group
+            granted
+            for granted in self.node.lease_manager.held_leases(self.node.now())
+            if granted.group == group
         ]
         return {
             "lease": group,
             "wanted": group in self.wanted,
             "yours": bool(held),
             "token": held[0].token if held else 0,
-            "missing": self.node.members.missing(),
+            "missing": self.node.membership.missing(),
         }
--- a/cypressledge/fleet/tasks.py
+++ b/cypressledge/fleet/tasks.py
@@ -10,7 +10,7 @@
 from gevent import socket
 
 from cypressledge.fleet.leases.participation import HeldLease
-from cypressledge.fleet.messages import BrokerMetrics, FleetSummary, MetricsRequest
+from cypressledge.fleet.messages import AnyItem, BrokerMetrics, FleetSummary, MetricsRequest
 from cypressledge.fleet.runner import CalledOff
 from cypressledge.fleet.summary import Fence, Merge
 
@@ -28,7 +28,7 @@
         own: Callable[[int], BrokerMetrics],
         peers: Callable[[], list[str]],
         everyone: Callable[[], list[str]],
-        out: Callable[[str, object], None],
+        out: Callable[[str, AnyItem], None],
         now: Callable[[], int],
     ) -> None:
         self.name, self.own, self.peers, self.out, self.now = name, own, peers, out, now
--- a/cypressledge/fleet/zones/environment.py
+++ b/cypressledge/fleet/zones/environment.py
@@ -7,6 +7,7 @@
 from cypressledge.broker.requests import AttemptObserver, Endpoint, Query, Request
 from cypressledge.decisions import contract as c
 from cypressledge.decisions.manager import WorkloadManager
+from cypressledge.fleet.messages import AnyItem
 
 
 class ZoneLedger(Protocol):
@@ -70,7 +71,7 @@
     planner's lease."""
 
     now: Callable[[], int]
-    send: Callable[[str, object], None]
+    send: Callable[[str, AnyItem], None]
     living_peers: Callable[[], list[str]]
     likely_planners: Callable[[], list[str]]
     log_event: LogEvent
--- a/cypressledge/lab/scaling.py
+++ b/cypressledge/lab/scaling.py
@@ -449,7 +449,7 @@
     noticed = held = LOSS_S
     for step in range(1, round(4 * LOSS_S) + 1):
         world.run(S // 4)
-        if noticed == LOSS_S and not any(dead & x.members.alive() for x in world.nodes.values()):
+        if noticed == LOSS_S and not any(dead & x.membership.alive() for x in world.nodes.values()):
             noticed = step / 4
         if held == LOSS_S and all(world.holders(f"lease-{i}") for i in range(50)):
             held = step / 4
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -22,7 +22,7 @@
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.fleet.clock import LeaseClock
-from cypressledge.fleet.events import logger
+from cypressledge.fleet.event_log import event_logger
 
 FIGURES_S = 1.0
 WAKE_S = 0.05  # how often the process looks at how late it is woken
@@ -84,7 +84,7 @@
         self.address, self.members = told["address"], told.get("members")
         self.run = int.from_bytes(os.urandom(7), "big") or 1
         self.counters = Counters()
-        self.log = logger(self.name, self.run)
+        self.log = event_logger(self.name, self.run)
         self.node, self.sock = None, None
         self.agent = SubscriberClient(
             BrokerIdentity(self.name, self.run, told["zone"], told["region"], self.address),
@@ -114,16 +114,16 @@
             listen=parse_address(self.address),
             addresses={self.name: parse_address(self.address)},
             electorate=electorate,
-            places=places,
+            slots=places,
             drift_ppm=DRIFT_PPM,
             ping_s=told["ping_s"],
             counters=self.counters,
             clock=clock,
-            run=self.run,
+            instance_id=self.run,
             log=self.log,
         )
-        self.node.exchange.inbox = Gate(self._beyond)
-        self.node.exchange.sock = self.sock = Both(self.node.exchange.sock)
+        self.node.transport.inbox = Gate(self._beyond)
+        self.node.transport.sock = self.sock = Both(self.node.transport.sock)
 
     def _beyond(self, sender: str) -> bool:
         return self.host.is_cut and self.host.regions.get(sender, self.region) != self.region
@@ -141,7 +141,7 @@
             self.host.regions[name] = broker.region
         if self.node is not None:
             addresses = {name: parse_address(broker.address) for name, broker in found.items()}
-            self.node.rename(addresses | {self.name: parse_address(self.address)})
+            self.node.set_peers(addresses | {self.name: parse_address(self.address)})
 
     def bytes(self) -> int:
         """That have come and gone, of both mechanisms."""
@@ -225,7 +225,7 @@
         now = LeaseClock().now()
         return (
             min((len(n.alive()) for n in nodes), default=0),
-            sum(len(n.keeper.held_leases(now)) for n in nodes),
+            sum(len(n.lease_manager.held_leases(now)) for n in nodes),
         )
 
     def watch(self) -> None:
--- a/cypressledge/lab/virtual.py
+++ b/cypressledge/lab/virtual.py
@@ -16,7 +16,7 @@
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.lease_manager import LeaseManager
 from cypressledge.fleet.leases.participation import lease_slots
-from cypressledge.fleet.members import ALIVE, Members
+from cypressledge.fleet.membership import ALIVE, Membership
 from cypressledge.fleet.messages import VERSION, Ack, Envelope, IndirectPing, Ping, encode
 
 S = 1_000_000
@@ -35,10 +35,10 @@
         self.cpu = self.sent = self.items = self.bytes = 0
         now = self.now()
         e = Electorate(name, world.term, dict(world.sets), max(world.sets), now)
-        self.members = Members(
-            name, world.names, world.wall() // 1000, S // 2, run, self.out, lambda m, why: None
+        self.membership = Membership(
+            name, world.names, world.wall() // 1000, S // 2, run, self.send, lambda m, why: None
         )
-        self.keeper = LeaseManager(
+        self.lease_manager = LeaseManager(
             name,
             run,
             world.places,
@@ -47,16 +47,16 @@
             now,
             world.wall(),
             run,
-            self.out,
+            self.send,
             lambda *told: world.told(self, *told),
         )
-        self.members.greet()
+        self.membership.announce()
 
     def now(self) -> int:
         """This node's clock, µs."""
         return round(self.world.at * self.rate) + 7 * S
 
-    def out(self, peer: str, item: object) -> None:
+    def send(self, peer: str, item: object) -> None:
         """Queue an item for a peer."""
         self.queues.setdefault(peer, []).append(item)
 
@@ -66,33 +66,33 @@
         now = self.now()
         inbox, self.inbox = self.inbox, []
         for sender, incarnation, floor, items in inbox:
-            if sender != self.name and not self.members.hear(now, sender, incarnation):
-                self.members.refute(items)
+            if sender != self.name and not self.membership.observe(now, sender, incarnation):
+                self.membership.refute(items)
                 continue
-            self.keeper.electorate.observe(now, sender, floor)
+            self.lease_manager.electorate.observe(now, sender, floor)
             for item in items:
                 if isinstance(item, Ping | Ack | IndirectPing):
-                    self.members.receive(now, sender, item)
+                    self.membership.receive(now, sender, item)
                 else:
-                    self.keeper.receive(now, sender, item)
-        due = min(self.members.tick(now), self.keeper.tick(now))
-        self.keeper.set_alive(self.members.alive(), now)
+                    self.lease_manager.receive(now, sender, item)
+        due = min(self.membership.tick(now), self.lease_manager.tick(now))
+        self.lease_manager.set_alive(self.membership.alive(), now)
         self._flush()
         self.cpu += time.thread_time_ns() - began
         return self.world.at + max(GATHER, round((due - now) / self.rate))
 
     def _flush(self) -> None:
         queues, self.queues = self.queues, {}
-        e = self.keeper.electorate
+        e = self.lease_manager.electorate
         for peer, items in queues.items():
             floor = e.oldest_accepted(self.now())
             raw = encode(
                 Envelope(
-                    VERSION, self.name, peer, self.run, self.members.incarnation, e.version, floor, items
+                    VERSION, self.name, peer, self.run, self.membership.incarnation, e.version, floor, items
                 )
             )
             self.sent, self.items, self.bytes = self.sent + 1, self.items + len(items), self.bytes + len(raw)
-            self.world.carry(self.name, peer, (self.name, self.members.incarnation, floor, items))
+            self.world.carry(self.name, peer, (self.name, self.membership.incarnation, floor, items))
 
 
 class World:
@@ -194,7 +194,7 @@
         return [
             n
             for n, node in self.nodes.items()
-            if node.keeper.participations[lease].acquisition.is_held(node.now())
+            if node.lease_manager.participations[lease].acquisition.is_held(node.now())
         ]
 
 
@@ -242,7 +242,7 @@
             if lease not in back and world.holders(lease):
                 back[lease] = world.at - died
     spread = Counter(world.holders(lease)[0] for lease in back)
-    alive = sum(m.state == ALIVE for m in next(iter(world.nodes.values())).members.members.values())
+    alive = sum(m.state == ALIVE for m in next(iter(world.nodes.values())).membership.members.values())
     say(
         f"{victim} killed with {len(lost)} leases: all held again after {max(back.values()) / S:.2f} s, "
         f"by {len(spread)} brokers; {alive + 1} seen alive"
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -11,10 +11,10 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.fleet.broker_integration import FleetIntegration
 from cypressledge.fleet.clock import LeaseClock
-from cypressledge.fleet.exchange import ADDRESSES_MOST, BUCKET_IDLE, BURST, Exchange
+from cypressledge.fleet.datagram_transport import BUCKET_IDLE, BURST, MAX_ADDRESSES, DatagramTransport
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.participation import lease_slots
-from cypressledge.fleet.members import ALIVE, GONE, SUSPECT, Members
+from cypressledge.fleet.membership import ALIVE, GONE, SUSPECT, Membership
 from cypressledge.fleet.messages import EngineObservations, GossipUpdate, Ping
 from cypressledge.fleet.node import FleetNode
 from cypressledge.fleet.settings import read_fleet_settings
@@ -39,13 +39,13 @@
         ports = free_udp_ports([*NAMES, "spare"])
         self.at = {n: ("127.0.0.1", p) for n, p in ports.items()}
         self.spare = self.at.pop("spare")
-        self.told, self.changed, self.nodes, self.parts = [], [], {}, []
+        self.events, self.changed, self.nodes, self.greenlets = [], [], {}, []
         for name in NAMES:
             self.start(name, self.at[name])
 
     def start(self, name, listen, **more):
         clock = LeaseClock()
-        told = {
+        settings = {
             "addresses": self.at,
             "drift_ppm": 10_000,
             "ping_s": 0.1,
@@ -53,22 +53,22 @@
             "clock": clock,
             "electorate": Electorate(name, TERM, {1: NAMES}, 1, clock.now()),
             "log": Quiet(),
-            "places": [*lease_slots("one", 1, TERM, False), *lease_slots("wish", 1, TERM, True)],
-            "told": lambda *what: self.told.append((name, *what)),
-            "member_changed": lambda m, why: self.changed.append((name, m.name, m.state)),
+            "slots": [*lease_slots("one", 1, TERM, False), *lease_slots("wish", 1, TERM, True)],
+            "on_lease_event": lambda *what: self.events.append((name, *what)),
+            "on_member_change": lambda m, why: self.changed.append((name, m.name, m.state)),
         }
-        node = self.nodes[name] = FleetNode(name, listen=listen, **(told | more))
-        self.parts += map(gevent.spawn, node.parts)
+        node = self.nodes[name] = FleetNode(name, listen=listen, **(settings | more))
+        self.greenlets += map(gevent.spawn, node.loops)
         return node
 
     def holders(self, lease="one"):
-        return [n for n, node in self.nodes.items() if node.grant(lease) is not None]
+        return [n for n, node in self.nodes.items() if node.held_lease(lease) is not None]
 
     def end(self):
         for node in self.nodes.values():
             node.close()
-        gevent.joinall(self.parts, timeout=5, raise_error=True)
-        assert all(part.dead for part in self.parts)
+        gevent.joinall(self.greenlets, timeout=5, raise_error=True)
+        assert all(part.dead for part in self.greenlets)
 
 
 @pytest.fixture
@@ -82,14 +82,14 @@
     assert until(trio.holders, 10, 0.01)
     assert until(lambda: all(len(n.alive()) == 3 for n in trio.nodes.values()), 10, 0.01)
     first = trio.holders()[0]
-    token = trio.nodes[first].grant("one").token
+    token = trio.nodes[first].held_lease("one").token
     trio.nodes[first].stop()
     began = time.monotonic()
     assert until(lambda: [n for n in trio.holders() if n != first], 10, 0.005)
     assert time.monotonic() - began < TERM / 1e6, "a lease that is given back is not waited for"
     second = trio.holders()[0]
-    assert trio.nodes[second].grant("one").token > token
-    events = [(n, event) for n, event, lease, *_ in trio.told if lease == "one"]
+    assert trio.nodes[second].held_lease("one").token > token
+    events = [(n, event) for n, event, lease, *_ in trio.events if lease == "one"]
     assert (first, "given_back") in events
     assert (second, "acquired") in events
     assert until(lambda: first not in trio.nodes[second].alive(), 10, 0.01)
@@ -99,20 +99,20 @@
 def test_a_lease_by_wish_is_taken_and_given_back(trio):
     assert until(trio.holders, 10, 0.01)
     assert not trio.holders("wish")
-    assert trio.nodes["n1"].want("wish")
-    assert not trio.nodes["n1"].want("no such lease")
+    assert trio.nodes["n1"].request_lease("wish")
+    assert not trio.nodes["n1"].request_lease("no such lease")
     assert until(lambda: trio.holders("wish") == ["n1"], 10, 0.01)
-    assert trio.nodes["n1"].give_back("wish", "done")
+    assert trio.nodes["n1"].release("wish", "done")
     assert not trio.holders("wish")
-    assert not trio.nodes["n1"].give_back("wish", "done")
+    assert not trio.nodes["n1"].release("wish", "done")
 
 
 def test_work_that_goes_on_keeps_its_lease(trio):
     trio.nodes["n2"].close()
-    node = trio.start("n2", trio.at["n2"], call_off=lambda lease: False)
-    node.want("wish")
+    node = trio.start("n2", trio.at["n2"], end_work=lambda lease: False)
+    node.request_lease("wish")
     assert until(lambda: trio.holders("wish") == ["n2"], 10, 0.01)
-    assert not node.give_back("wish", "by hand")
+    assert not node.release("wish", "by hand")
     assert trio.holders("wish") == ["n2"]
     node.stop()
     assert trio.holders("wish") == ["n2"]  # it runs out by itself
@@ -120,18 +120,20 @@
 
 def test_a_peer_moves_and_another_leaves_the_names_at_run_time(trio):
     assert until(lambda: all(len(n.alive()) == 3 for n in trio.nodes.values()), 10, 0.01)
-    known = trio.nodes["n0"].members.members["n1"]
+    known = trio.nodes["n0"].membership.members["n1"]
     trio.nodes["n2"].close()
     trio.at["n2"] = trio.spare
     trio.start("n2", trio.spare)
     for node in trio.nodes.values():
-        node.rename(trio.at)
-    assert trio.nodes["n0"].members.members["n1"] is known
+        node.set_peers(trio.at)
+    assert trio.nodes["n0"].membership.members["n1"] is known
     heard = trio.nodes["n2"].now()
-    assert until(lambda: all(trio.nodes[n].members.members["n2"].heard > heard for n in ("n0", "n1")), 10)
+    assert until(
+        lambda: all(trio.nodes[n].membership.members["n2"].last_heard_at > heard for n in ("n0", "n1")), 10
+    )
     assert until(lambda: all(len(n.alive()) == 3 for n in trio.nodes.values()), 10, 0.01)
     left = {n: a for n, a in trio.at.items() if n != "n1"}
-    trio.nodes["n0"].rename(left)
+    trio.nodes["n0"].set_peers(left)
     assert trio.nodes["n0"].alive() == {"n0", "n2"}
     gevent.sleep(0.5)
     assert trio.nodes["n0"].alive() == {"n0", "n2"}
@@ -145,7 +147,7 @@
         (sender, item.locally_evacuated_zones)
     )
     for peer in ("n1", "n2"):
-        trio.nodes["n0"].out(peer, EngineObservations([], {}, ["z"]))
+        trio.nodes["n0"].send(peer, EngineObservations([], {}, ["z"]))
     assert until(lambda: got, 10, 0.01) == [("n0", ["z"])]
     assert until(lambda: trio.nodes["n2"].counters.counts["fleet.not_handled"], 10, 0.01)
     assert not trio.nodes["n2"].owner.dead
@@ -153,22 +155,22 @@
 
 def test_a_node_sleeps_until_it_is_due(trio):
     trio.nodes["n1"].close()
-    lone = trio.start("n1", trio.spare, addresses={}, places=[], ping_s=2.0)
+    lone = trio.start("n1", trio.spare, addresses={}, slots=[], ping_s=2.0)
     gevent.sleep(0.3)
     lone.turn_times.clear()
     gevent.sleep(2.2)
     assert 1 <= len(lone.turn_times) <= 3  # it looks at the time once a second
-    lone.rename({"n0": trio.at["n0"]})
+    lone.set_peers({"n0": trio.at["n0"]})
     gevent.sleep(0.3)
     for _ in range(5):
         sent = lone.counters.counts["fleet.sent"]
-        lone.out("n0", EngineObservations([], {}, ["z"]))
+        lone.send("n0", EngineObservations([], {}, ["z"]))
         assert until(lambda sent=sent: lone.counters.counts["fleet.sent"] > sent, 0.3, 0.005)  # at once
 
 
 def test_suspects_are_given_up_and_what_is_named_no_more_is_forgotten():
     changed, sent = [], []
-    members = Members(
+    members = Membership(
         "a",
         ["a", *"bcdef"],
         1,
@@ -178,19 +180,19 @@
         lambda member, why: changed.append((member.name, member.state)),
     )
     for name in "bcdef":
-        assert members.hear(1_000, name, 5)
+        assert members.observe(1_000, name, 5)
     members.receive(1_200, "b", Ping(1, [GossipUpdate(name, 5, SUSPECT) for name in "cde"]))
-    members.hear(1_210, "e", 6)  # it speaks up
+    members.observe(1_210, "e", 6)  # it speaks up
     assert set(members.suspects) == {"c", "d"}
-    members.rename([*"abceg"])
+    members.set_peers([*"abceg"])
     assert set(members.suspects) == {"c"}
-    assert members.words.keys() <= members.members.keys()
-    assert "g" in members.round or not members.round
+    assert members.transmissions_left.keys() <= members.members.keys()
+    assert "g" in members.ping_round or not members.ping_round
     changed.clear()
-    members.tick(1_200 + members.patience() - 1)
+    members.tick(1_200 + members.suspicion_timeout() - 1)
     assert not members.suspects.keys() - {"c"}
     assert ("c", GONE) not in changed
-    members.tick(1_200 + members.patience())
+    members.tick(1_200 + members.suspicion_timeout())
     assert ("c", GONE) in changed
     assert not members.suspects
     assert members.members["e"].state == ALIVE
@@ -201,48 +203,48 @@
     sent = []
     for peers, greeted in ((5, 5), (100, 8), (200, 8), (455, 18), (1_000, 40)):
         sent.clear()
-        Members(
+        Membership(
             "x", [f"n{i}" for i in range(peers)], 1, 100, 1, lambda to, item: sent.append(to), lambda *a: None
-        ).greet()
+        ).announce()
         assert len(set(sent)) == len(sent) == greeted
 
 
 @pytest.fixture
-def exchange():
-    made = Exchange("n0", ("127.0.0.1", 0), Counters(), lambda: made.at, lambda: (1, 1, 1, 1))
+def transport():
+    made = DatagramTransport("n0", ("127.0.0.1", 0), Counters(), lambda: made.at, lambda: (1, 1, 1, 1))
     made.at = 10**9
     yield made
     made.close()
 
 
-def test_the_buckets_of_long_idle_addresses_are_freed(exchange):
-    for port in range(ADDRESSES_MOST + 100):
-        exchange._take(b"", ("10.0.0.1", port))
-    assert len(exchange.buckets) <= ADDRESSES_MOST + 1  # the rest share one
-    assert ("10.0.0.1", ADDRESSES_MOST + 50) not in exchange.buckets
-    exchange.at += BUCKET_IDLE
-    exchange._take(b"", ("10.0.0.1", 5))
-    exchange._take(b"", ("10.0.0.2", 1))
-    assert ("10.0.0.2", 1) in exchange.buckets
-    assert ("10.0.0.1", 5) in exchange.buckets
-    assert len(exchange.buckets) <= 3
+def test_the_buckets_of_long_idle_addresses_are_freed(transport):
+    for port in range(MAX_ADDRESSES + 100):
+        transport.receive(b"", ("10.0.0.1", port))
+    assert len(transport.other_buckets) <= MAX_ADDRESSES + 1  # the rest share one
+    assert ("10.0.0.1", MAX_ADDRESSES + 50) not in transport.other_buckets
+    transport.at += BUCKET_IDLE
+    transport.receive(b"", ("10.0.0.1", 5))
+    transport.receive(b"", ("10.0.0.2", 1))
+    assert ("10.0.0.2", 1) in transport.other_buckets
+    assert ("10.0.0.1", 5) in transport.other_buckets
+    assert len(transport.other_buckets) <= 3
 
 
-def test_made_up_addresses_neither_grow_without_bound_nor_shut_out_a_peer(exchange):
-    exchange.name_peers({"n1": ("127.0.0.1", 1)})
+def test_made_up_addresses_neither_grow_without_bound_nor_shut_out_a_peer(transport):
+    transport.set_peers({"n1": ("127.0.0.1", 1)})
     for port in range(20_000):
-        exchange.at += 10
-        exchange._take(b"", ("10.0.0.1", port))
-    assert len(exchange.buckets) <= ADDRESSES_MOST + 1
-    assert exchange.counters.counts["fleet.flooded"] > 15_000
-    flooded = exchange.counters.counts["fleet.flooded"]
+        transport.at += 10
+        transport.receive(b"", ("10.0.0.1", port))
+    assert len(transport.other_buckets) <= MAX_ADDRESSES + 1
+    assert transport.counters.counts["fleet.flooded"] > 15_000
+    flooded = transport.counters.counts["fleet.flooded"]
     for _ in range(int(BURST)):
-        exchange._take(b"", ("127.0.0.1", 1))
-    assert exchange.counters.counts["fleet.flooded"] == flooded
-    exchange._take(b"", ("127.0.0.1", 1))
-    assert exchange.counters.counts["fleet.flooded"] == flooded + 1  # a peer has a bound as well
-    exchange.name_peers({"n1": ("127.0.0.1", 2)})
-    assert list(exchange.of_peers) == [("127.0.0.1", 2)]
+        transport.receive(b"", ("127.0.0.1", 1))
+    assert transport.counters.counts["fleet.flooded"] == flooded
+    transport.receive(b"", ("127.0.0.1", 1))
+    assert transport.counters.counts["fleet.flooded"] == flooded + 1  # a peer has a bound as well
+    transport.set_peers({"n1": ("127.0.0.1", 2)})
+    assert list(transport.peer_buckets) == [("127.0.0.1", 2)]
 
 
 def test_a_file_of_many_peers_is_read_at_once(tmp_path):
@@ -274,14 +276,14 @@
     try:
         part.name_peers({"b": ("127.0.0.1", 7), "d": ("127.0.0.1", 8)})
         for name in "bd":
-            part.node.members.hear(part.node.now(), name, 5)
+            part.node.membership.observe(part.node.now(), name, 5)
         assert part.node.alive() == {"a", "b", "d"}
         part.reload()
         assert part.node.alive() == {"a", "b", "d"}
-        assert part.node.exchange.addresses["b"][1] == 7
-        assert part.node.exchange.addresses["c"][1] == 3
+        assert part.node.transport.addresses["b"][1] == 7
+        assert part.node.transport.addresses["c"][1] == 3
         part.name_peers({})
         assert part.node.alive() == {"a", "b"}
-        assert part.node.exchange.addresses["b"][1] == 2
+        assert part.node.transport.addresses["b"][1] == 2
     finally:
         part.node.close()
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -158,33 +158,33 @@
     world = trio()
     world.kill("n4")
     world.run(5 * S)
-    assert all("n4" not in n.members.alive() for n in world.nodes.values())
-    old = world.nodes["n0"].members.members["n4"].incarnation
+    assert all("n4" not in n.membership.alive() for n in world.nodes.values())
+    old = world.nodes["n0"].membership.members["n4"].incarnation
     world.wall_step = -3_600 * S  # its clock says an hour less than it did
     world.start("n4")
     world.run(5 * S)
     for name, node in world.nodes.items():
         if name != "n4":
-            member = node.members.members["n4"]
+            member = node.membership.members["n4"]
             assert member.state == 0
             assert member.incarnation > old
-            assert not node.members.hear(node.now(), "n4", old)  # a late word of its former self
+            assert not node.membership.observe(node.now(), "n4", old)  # a late word of its former self
 
 
 def test_a_leaver_is_gone_at_once_and_a_suspect_may_speak_up():
     world = trio()
-    world.nodes["n4"].members.leave()
+    world.nodes["n4"].membership.leave()
     world.nodes["n4"].turn()
     world.kill("n4")
     world.run(S)
-    assert all("n4" not in n.members.alive() for n in world.nodes.values())
+    assert all("n4" not in n.membership.alive() for n in world.nodes.values())
     for other in ("n0", "n1", "n2"):
         world.cut |= {("n3", other), (other, "n3")}
     world.run(4 * S)
-    assert world.nodes["n0"].members.members["n3"].state != 0
+    assert world.nodes["n0"].membership.members["n3"].state != 0
     world.cut.clear()
     world.run(4 * S)
-    assert world.nodes["n0"].members.members["n3"].state == 0
+    assert world.nodes["n0"].membership.members["n3"].state == 0
 
 
 def test_brokers_that_were_all_cut_off_from_each_other_find_each_other_again():
@@ -192,11 +192,11 @@
     names = list(world.nodes)
     world.cut = {(a, b) for a in names for b in names if a != b}
     world.run(8 * S)
-    assert all(n.members.alive() == {n.name} for n in world.nodes.values())
+    assert all(n.membership.alive() == {n.name} for n in world.nodes.values())
     world.cut.clear()
     before = sum(n.sent for n in world.nodes.values())
     world.run(6 * S)
-    assert all(n.members.alive() == set(names) for n in world.nodes.values())
+    assert all(n.membership.alive() == set(names) for n in world.nodes.values())
     sent = sum(n.sent for n in world.nodes.values()) - before
     assert sent < 6 * 6 * 60, "the news that somebody is not listened to must not be answered by the same"
     world.run(8 * S)
@@ -300,7 +300,7 @@
     for seed in range(10):
         world = trio(seed)
         node = world.nodes[world.holders("lease-0")[0]]
-        node.keeper.release("lease-0", node.now(), "by hand", rest=9 * S)
+        node.lease_manager.release("lease-0", node.now(), "by hand", rest=9 * S)
         node.turn()
         world.run(S // 5)
         assert world.holders("lease-0") not in ([], [node.name])
@@ -376,7 +376,7 @@
     elif kind == 6 and name in world.nodes:
         node = world.nodes[name]
         for lease in world.places:
-            node.keeper.release(lease.lease, node.now(), "drawn")
+            node.lease_manager.release(lease.lease, node.now(), "drawn")
         node.turn()
     elif kind == 7:
         for voter in rng.sample(world.sets[1], 2):
