--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -72,7 +72,9 @@
     def group_engines(self, group: int) -> list[Engine]:
         """Engines that all brokers take as a group's own: as many as its part of the traffic fills."""
         ready_count = len(self._registry.ready)
-        return self.ranked(group)[: 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_share(group) * ready_count)]
+        return self.ranked(group)[
+            : 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_fraction(group) * ready_count)
+        ]
 
     def load_engines(self, group: int) -> list[Engine]:
         """Engines that all brokers take for a group's loads: as many as its part of them keeps busy.
@@ -81,7 +83,9 @@
         elsewhere, as long as there is an engine left.
         """
         broker_count = self._context.settings.broker_count
-        needed = ceil(LOAD_ENGINES_FACTOR * broker_count * self._running_loads * self._traffic_share(group))
+        needed = ceil(
+            LOAD_ENGINES_FACTOR * broker_count * self._running_loads * self._traffic_fraction(group)
+        )
         ready_count = len(self._registry.ready)
         return self.ranked(group)[max(ready_count - needed, ceil(LOAD_FREE_SHARE * ready_count)) :]
 
@@ -113,14 +117,15 @@
         ahead = engine.loads_in_flight.get(load.table_group, 0) * broker_count * work / threads
         return ahead <= LOADS_AHEAD_SHARE * (load.objective_at - load.received_at)
 
-    def distances_from_own(self, own_count: int) -> dict[Engine, float]:
+    def preference_distances(self, preferred_count: int) -> dict[Engine, float]:
         """0.0 for this broker's own engines; the further in its order of engines the more for any other."""
         ranks = self.ranked(-1 - self._context.settings.broker_index)
         return {
-            engine: (i >= own_count) * (1.0 + (i - own_count) / own_count) for i, engine in enumerate(ranks)
+            engine: (i >= preferred_count) * (1.0 + (i - preferred_count) / preferred_count)
+            for i, engine in enumerate(ranks)
         }
 
-    def _traffic_share(self, group: int) -> float:
+    def _traffic_fraction(self, group: int) -> float:
         return self._request_counts.get(group, 0.0) / max(sum(self._request_counts.values()), 1.0)
 
 
--- a/cypressledge/decisions/attempts.py
+++ b/cypressledge/decisions/attempts.py
@@ -28,12 +28,12 @@
 
     def move(self, request: Request, reason: Reason) -> None:
         """Cancel an attempt to try another engine: idempotent requests only, while time and budget allow."""
-        if self.is_hardly_worth_serving(request) or request.cancelling:
+        if self.is_late_and_of_low_value(request) or request.cancelling:
             return
         if request.class_settings.idempotency is Idempotency.IDEMPOTENT and self.may_be_retried(request):
             self.cancel(request, reason)
 
-    def is_hardly_worth_serving(self, request: Request) -> bool:
+    def is_late_and_of_low_value(self, request: Request) -> bool:
         """Whether a fresh start would miss the latency objective, and late answers have little weight.
 
         Guards against spending the retry budget on such work.
--- a/cypressledge/decisions/concurrency_limits.py
+++ b/cypressledge/decisions/concurrency_limits.py
@@ -17,11 +17,13 @@
 GROWTH_SLOWDOWN = 1.4  # slowdown under which it may grow: short work meets its objective longest
 GROWTH_MET_RATIO = 4  # answers that meet their objective for each that misses it, from which a bound may grow
 BURST_MULTIPLE = 1.25  # of the initial bound, past which the bound binds without pressure
-WIDE_QUERIES_ROOM = 2.0  # widest queries that the sum of bounds may be passed by: a small broker's swings
+WIDE_QUERIES_ALLOWANCE = (
+    2.0  # widest queries that the sum of bounds may be passed by: a small broker's swings
+)
 REJECTION_PRESSURE = 2_000 * MS  # a rejection counts as pressure this long
 OVERFLOW_INTERVAL = 250 * MS  # between attempts past the threads an engine had when it last rejected
 SHORT_WORK_SHARE = 0.5  # of the mean run time, up to which work is short
-SHORT_WORK_ROOM = 0.3  # part of the initial bound kept beyond it for short work
+SHORT_WORK_ALLOWANCE = 0.3  # part of the initial bound kept beyond it for short work
 MEMORY_SWING_MAX = 0.25  # part of an engine's memory that one large query counts as, at most
 
 
@@ -101,13 +103,13 @@
         ):
             engine.bound = min(engine.bound + 1, GROWTH_LIMIT * engine.initial_bound)
 
-    def room_for_short_work(self, request: Request) -> float:
+    def short_work_allowance(self, request: Request) -> float:
         """Part of the bounds that the request may pass them by: short work finds room beside long work."""
         is_short = request.run_time <= SHORT_WORK_SHARE * self._estimates.mean_run_time
-        return SHORT_WORK_ROOM if is_short else 0.0
+        return SHORT_WORK_ALLOWANCE if is_short else 0.0
 
-    def engine_has_room(self, engine: Engine, request: Request, room: float) -> bool:
-        """Whether the engine has threads and memory left for the request; `room` for short work beyond them.
+    def engine_has_capacity(self, engine: Engine, request: Request, allowance: float) -> bool:
+        """Whether the engine has threads and memory left for the request; with an allowance for short work.
 
         Guards against sudden traffic, of which latency tells late: past BURST_MULTIPLE initial bounds a bound
         binds at once. Hurts where this broker suddenly carries most of the traffic.
@@ -121,7 +123,7 @@
             and threads > engine.threads_at_rejection
             and now < engine.next_overflow_at
         )
-        limit = max(bound, 2.0 * self._narrowest) + room * engine.initial_bound
+        limit = max(bound, 2.0 * self._narrowest) + allowance * engine.initial_bound
         if is_full or threads > limit and engine.in_flight:
             engine.queue_waited = True
             return False
@@ -131,16 +133,16 @@
         share = min(1.0, bound / engine.initial_bound / self._context.settings.broker_count)
         return engine.reserved_memory_mb + needed <= max(engine.memory_mb * share, 2.0 * needed)
 
-    def fleet_has_room(self, request: Request, room: float) -> bool:
+    def fleet_has_capacity(self, request: Request, allowance: float) -> bool:
         """Whether this broker's work stays within the sum of the engines' bounds, and its part of all memory.
 
         A share of less than a query limits nothing on its own engine; the sum does, to the nearest query.
-        What other brokers send scatters: a deviation of it stays free. Two wide queries more are room for
+        What other brokers send scatters: a deviation of it stays free. Two wide queries more are left for
         chance.
         """
         threads, memory_mb = self._fleet_limits()
         wanted = self.threads + request.class_settings.threads / 2
-        has_threads = wanted <= threads * (1.0 + room) + WIDE_QUERIES_ROOM * self._widest
+        has_threads = wanted <= threads * (1.0 + allowance) + WIDE_QUERIES_ALLOWANCE * self._widest
         if not has_threads:
             for engine in self._registry.ready:
                 engine.queue_waited = True
--- a/cypressledge/decisions/dispatch.py
+++ b/cypressledge/decisions/dispatch.py
@@ -1,19 +1,17 @@
 """Dispatch: free capacity goes to the classes by weighted draws, and attempts start."""
 
 from cypressledge.decisions.attempt_resources import AttemptResources
-from cypressledge.decisions.concurrency_limits import ConcurrencyLimits
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import Reason, StartAttempt
+from cypressledge.decisions.engine_admission import EngineAdmission
 from cypressledge.decisions.engines import Engine
 from cypressledge.decisions.estimates import ClassEstimates
-from cypressledge.decisions.health import HealthMonitor
 from cypressledge.decisions.lifecycle import RequestLifecycle
 from cypressledge.decisions.odds import OddsController
 from cypressledge.decisions.queues import ClassQueues
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
 from cypressledge.decisions.routing import Router
-from cypressledge.decisions.slow_start import SlowStart
 
 BLOCKED_ROWS_MAX = 3  # rows of a class that may be found without an engine in one go: looking costs time
 
@@ -27,18 +25,14 @@
         odds: OddsController,
         retry_budget: RetryBudget,
         estimates: ClassEstimates,
-        limits: ConcurrencyLimits,
-        slow_start: SlowStart,
-        health: HealthMonitor,
+        admission: EngineAdmission,
         resources: AttemptResources,
     ) -> None:
         self._context = context
         self._odds = odds
         self._retry_budget = retry_budget
         self._estimates = estimates
-        self._limits = limits
-        self._slow_start = slow_start
-        self._health = health
+        self._admission = admission
         self._resources = resources
 
     def start(self, request: Request, engine: Engine) -> None:
@@ -49,16 +43,14 @@
         else:
             self._retry_budget.record_retry()
         request.attempts += 1
-        request.engine, request.sent_at, request.heard_at = engine, now, now
+        request.engine, request.sent_at, request.last_activity_at = engine, now, now
         request.queued = request.blocked = request.response_lost = False
         engine.in_flight[request.id] = request
         if request.class_settings.is_load:
             loads = engine.loads_in_flight
             loads[request.table_group] = loads.get(request.table_group, 0) + 1
-        self._limits.reserve(engine, request)
+        self._admission.record_attempt(engine, request)
         self._estimates.record_attempt(request)
-        self._slow_start.record_send(engine, request)
-        self._health.record_send(engine)
         self._resources.update(request)
         self._context.actions.append(StartAttempt(request.id, engine.id))
 
--- a/cypressledge/decisions/engines.py
+++ b/cypressledge/decisions/engines.py
@@ -37,7 +37,7 @@
     objectives_missed: int = 0
     queue_waited: bool = False  # a request was kept waiting by the bound in this period
 
-    heard_at: int = 0  # last answer or progress notification
+    last_activity_at: int = 0  # last answer or progress notification
     ejected: bool = False  # only single trial requests go there
     next_trial_at: int = 0
     error_rate: float = 0.0  # running mean
--- a/cypressledge/decisions/estimates.py
+++ b/cypressledge/decisions/estimates.py
@@ -32,14 +32,14 @@
 
     def corrected_cost(self, received: RequestReceived) -> float:
         """Work of a new request, µs: its estimate as such estimates turn out, or the usual."""
-        c = received.class_index
-        return received.cost * self.cost_ratios[c] if received.cost else self.work[c]
+        class_index = received.class_index
+        return received.cost * self.cost_ratios[class_index] if received.cost else self.work[class_index]
 
     def record_request(self, request: Request) -> None:
         """Take a new request into the usual work and the mean run time."""
-        c = request.class_index
-        if not self.work[c]:
-            self.work[c] = request.cost
+        class_index = request.class_index
+        if not self.work[class_index]:
+            self.work[class_index] = request.cost
         self.has_cost_estimates = self.has_cost_estimates or request.estimated_cost > 0
         run_time = request.run_time
         if self.mean_run_time:
@@ -54,27 +54,29 @@
 
     def record_answer(self, request: Request, ended: AttemptEnded) -> float:
         """Learn what an answered request cost; its run time in µs."""
-        c = request.class_index
+        class_index = request.class_index
         threads = request.class_settings.threads
-        self.answer_counts[c] += 1
+        self.answer_counts[class_index] += 1
         reports_cost = self._context.settings.reports_cost
         work = ended.work if reports_cost and ended.work else request.cost or ended.latency * threads
-        self.work[c] += (EWMA if self.work[c] else 1.0) * (work - self.work[c])
+        self.work[class_index] += (EWMA if self.work[class_index] else 1.0) * (work - self.work[class_index])
         if request.estimated_cost and ended.work:
             ratio = min(ended.work / request.estimated_cost, RATIO_LIMIT)
-            self.cost_ratios[c] += EWMA * (ratio - self.cost_ratios[c])
+            self.cost_ratios[class_index] += EWMA * (ratio - self.cost_ratios[class_index])
         if request.memory_mb and ended.memory_mb:
-            self._record_memory(c, request.memory_mb, ended.memory_mb)
+            self._record_memory(class_index, request.memory_mb, ended.memory_mb)
         run_time = max(work / threads, 1.0)
         ratio = min(ended.latency / run_time, LATENCY_RATIO_LIMIT)
-        self.latency_ratios[c] += EWMA * (ratio - self.latency_ratios[c])
+        self.latency_ratios[class_index] += EWMA * (ratio - self.latency_ratios[class_index])
         return run_time
 
-    def _record_memory(self, c: int, estimated_mb: float, used_mb: float) -> None:
+    def _record_memory(self, class_index: int, estimated_mb: float, used_mb: float) -> None:
         ratio = min(used_mb / estimated_mb, RATIO_LIMIT)
-        self.memory_ratios[c] += EWMA / 2 * (ratio - self.memory_ratios[c])
-        was_short = used_mb > estimated_mb * self.grant_ratios[c]
-        self.grant_ratios[c] *= 1 + GRANT_STEP * (GRANT_QUANTILE if was_short else GRANT_QUANTILE - 1)
+        self.memory_ratios[class_index] += EWMA / 2 * (ratio - self.memory_ratios[class_index])
+        was_short = used_mb > estimated_mb * self.grant_ratios[class_index]
+        self.grant_ratios[class_index] *= 1 + GRANT_STEP * (
+            GRANT_QUANTILE if was_short else GRANT_QUANTILE - 1
+        )
 
     def memory_grant_mb(self, request: Request) -> float:
         """Memory that covers what most requests of the class use."""
@@ -82,8 +84,8 @@
 
     def memory_to_reserve_mb(self, request: Request) -> float:
         """Memory to count against an engine: between mean need and grant, as rough estimates scatter."""
-        c = request.class_index
-        return request.memory_mb * (self.memory_ratios[c] + self.grant_ratios[c]) / 2
+        class_index = request.class_index
+        return request.memory_mb * (self.memory_ratios[class_index] + self.grant_ratios[class_index]) / 2
 
     def expected_latency(self, request: Request) -> float:
         """µs that an attempt of the request should take, as the fleet answers its class now."""
--- a/cypressledge/decisions/health.py
+++ b/cypressledge/decisions/health.py
@@ -38,7 +38,7 @@
     def record_answer(self, engine: Engine) -> None:
         """The engine answered: it is readmitted where it was ejected."""
         engine.error_rate += EWMA * (0 - engine.error_rate)
-        engine.heard_at, engine.consecutive_resets = self._context.now, 0
+        engine.last_activity_at, engine.consecutive_resets = self._context.now, 0
         if engine.ejected:
             engine.ejected, engine.error_rate = False, min(engine.error_rate, ERROR_LIMIT / 2)
             self._context.actions.append(Log(f"engine {engine.id:x} answers again"))
@@ -53,7 +53,7 @@
         ready = self._registry.ready
         others = sum(other.error_rate for other in ready if other is not engine) / max(len(ready) - 1, 1)
         if engine.error_rate > ERROR_LIMIT + 2.0 * others and not engine.ejected and self._may_eject():
-            self._eject(engine, "answers errors where others do not: held off")
+            self._eject(engine, "answers errors where others do not: ejected")
 
     def record_connection_failure(self, engine: Engine, outcome: Outcome) -> None:
         """A connection to the engine was refused or reset.
@@ -69,7 +69,7 @@
         if engine.ejected:
             engine.next_trial_at = self._context.now + TRIAL_INTERVAL
         else:
-            self._eject(engine, "broke its connections: held off until it answers")
+            self._eject(engine, "broke its connections: ejected until it answers")
 
     def record_silence(self, engine: Engine, missing_answers: float) -> None:
         """Answers are missing at the engine, as a multiple of their expected times.
@@ -79,12 +79,12 @@
         meanwhile. Hurts an engine far slower than all.
         """
         last_heard = self._context.now - SILENCE_MIN
-        if missing_answers <= SILENCE_LIMIT or engine.ejected or engine.heard_at >= last_heard:
+        if missing_answers <= SILENCE_LIMIT or engine.ejected or engine.last_activity_at >= last_heard:
             return
         ready = self._registry.ready
-        others = sum(other.heard_at > last_heard for other in ready)
+        others = sum(other.last_activity_at > last_heard for other in ready)
         if others >= min(WITNESSES, len(ready) - 1) > 0 and self._may_eject():
-            self._eject(engine, "is silent while others answer: held off")
+            self._eject(engine, "is silent while others answer: ejected")
 
     def _may_eject(self) -> bool:
         """One more ejected engine makes at most half the fleet."""
--- a/cypressledge/decisions/inspection.py
+++ b/cypressledge/decisions/inspection.py
@@ -1,6 +1,5 @@
 """The regular look at attempts that run: overdue, lost or silent ones, and priorities near objectives."""
 
-from cypressledge.decisions.affinity import Affinity
 from cypressledge.decisions.attempt_resources import AttemptResources
 from cypressledge.decisions.attempts import AttemptControl
 from cypressledge.decisions.context import DecisionContext
@@ -21,7 +20,6 @@
         self,
         context: DecisionContext,
         registry: EngineRegistry,
-        affinity: Affinity,
         estimates: ClassEstimates,
         resources: AttemptResources,
         health: HealthMonitor,
@@ -30,7 +28,6 @@
     ) -> None:
         self._context = context
         self._registry = registry
-        self._affinity = affinity
         self._estimates = estimates
         self._resources = resources
         self._health = health
@@ -39,7 +36,6 @@
 
     def run(self) -> None:
         """Look at what runs now."""
-        self._affinity.record_running_loads()
         for engine in self._registry.ready:
             if not engine.in_flight:
                 engine.overdue_ratio = 1.0
@@ -60,7 +56,7 @@
             age = now - request.sent_at
             ages += max(age, request.run_time)
             run_times += request.run_time
-            quiet = min(age, now - engine.heard_at)
+            quiet = min(age, now - engine.last_activity_at)
             lack = min(quiet / self._estimates.expected_latency(request), SILENCE_OF_ATTEMPT_MAX)
             if request.class_settings.blocked_by_loads:
                 # those of one group may all be blocked by one load: they count once
--- a/cypressledge/decisions/lifecycle.py
+++ b/cypressledge/decisions/lifecycle.py
@@ -126,7 +126,7 @@
             if request and self._waits_for_key(request):
                 self._queue_first_of_key(request)
 
-    def shut_down(self) -> None:
+    def shutdown_started(self) -> None:
         """The process is about to end: whatever is open is answered now."""
         for request in list(self.requests.values()):
             if not request.finished:
--- a/cypressledge/decisions/lost_responses.py
+++ b/cypressledge/decisions/lost_responses.py
@@ -42,10 +42,10 @@
     def check(self, engine: Engine, request: Request) -> bool:
         """Whether the response to the request's attempt is lost."""
         now, interval = self._context.now, self._context.settings.progress_interval
-        engine_is_quiet = now - engine.heard_at > interval
+        engine_is_quiet = now - engine.last_activity_at > interval
         if not interval or request.finished or request.cancelling or engine_is_quiet:
             return request.response_lost
-        quiet = now - request.heard_at
+        quiet = now - request.last_activity_at
         if quiet > LOST_AFTER_INTERVALS * interval:
             self.loss_rate += EWMA / 10 * (1.0 - self.loss_rate) * (not request.response_lost)
             request.response_lost = True
@@ -56,8 +56,8 @@
 
     def _end_attempt(self, request: Request) -> None:
         idempotency = request.class_settings.idempotency
-        hardly_worth = self._attempts.is_hardly_worth_serving(request)
-        if idempotency is Idempotency.IDEMPOTENT and hardly_worth:
+        is_of_low_value = self._attempts.is_late_and_of_low_value(request)
+        if idempotency is Idempotency.IDEMPOTENT and is_of_low_value:
             self._lifecycle.give_up(request, Reason.RESPONSE_LOST)
         elif idempotency is not Idempotency.NOT_IDEMPOTENT and self._attempts.may_be_retried(request):
             self._attempts.cancel(request, Reason.RESPONSE_LOST)
--- a/cypressledge/decisions/manager.py
+++ b/cypressledge/decisions/manager.py
@@ -27,6 +27,7 @@
     TimerFired,
 )
 from cypressledge.decisions.dispatch import AttemptStarter, Dispatcher
+from cypressledge.decisions.engine_admission import EngineAdmission
 from cypressledge.decisions.engines import Engine, EngineRegistry
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.health import HealthMonitor
@@ -36,6 +37,7 @@
 from cypressledge.decisions.load_reports import LoadReports
 from cypressledge.decisions.lost_responses import LostResponses
 from cypressledge.decisions.odds import OddsController
+from cypressledge.decisions.odds_loop import OddsLoop
 from cypressledge.decisions.outcomes import AnswerObservers, AttemptOutcomes
 from cypressledge.decisions.pace import FleetPace
 from cypressledge.decisions.progress import ProgressNotifications
@@ -55,34 +57,32 @@
         self.registry = registry = EngineRegistry(context)
         self.estimates = estimates = ClassEstimates(context)
         self.odds = odds = OddsController(len(settings.classes))
-        self.pace = pace = FleetPace(estimates)
+        self.pace = pace = FleetPace(registry, estimates)
         self.affinity = affinity = Affinity(context, registry, estimates)
         self.subscription = EngineListSubscription(context, registry, affinity)
         self.queues = queues = ClassQueues(context, pace)
-        self.retry_budget = RetryBudget(context)
-        retry_policy = RetryPolicy(context, self.retry_budget)
+        self.retry_budget = budget = RetryBudget(context)
+        retry_policy = RetryPolicy(context, budget)
         attempts = AttemptControl(context, retry_policy)
         self.lifecycle = lifecycle = RequestLifecycle(
-            context, estimates, affinity, self.retry_budget, attempts, odds, queues
+            context, estimates, affinity, budget, attempts, odds, queues
         )
         self.limits = limits = ConcurrencyLimits(context, registry, pace, estimates)
         slow_start = SlowStart(context, estimates)
         health = HealthMonitor(context, registry, slow_start)
         load_reports = LoadReports(context)
         resources = AttemptResources(context, estimates)
-        self.lost_responses = LostResponses(context, estimates, attempts, lifecycle)
-        self.router = Router(context, registry, affinity, limits, slow_start, health, load_reports, pace)
-        starter = AttemptStarter(
-            context, odds, self.retry_budget, estimates, limits, slow_start, health, resources
-        )
+        self.lost_responses = losses = LostResponses(context, estimates, attempts, lifecycle)
+        admission = EngineAdmission(health, slow_start, limits)
+        self.router = Router(context, registry, affinity, limits, admission, load_reports, pace)
+        starter = AttemptStarter(context, odds, budget, estimates, admission, resources)
         self.dispatcher = Dispatcher(context, odds, queues, self.router, lifecycle, retry_policy, starter)
-        inspection = Inspection(
-            context, registry, affinity, estimates, resources, health, self.lost_responses, attempts
-        )
-        self.housekeeping = Housekeeping(
-            context, registry, estimates, odds, pace, affinity, queues, lifecycle, limits, inspection
-        )
-        observers = AnswerObservers(estimates, pace, limits, health, load_reports, self.lost_responses)
+        inspection = Inspection(context, registry, estimates, resources, health, losses, attempts)
+        self.odds_loop = OddsLoop(context, odds, queues, estimates)
+        inspections = (affinity.record_running_loads, inspection.run)
+        periodic = (self.odds_loop, affinity, lifecycle.key_order, limits, pace)
+        self.housekeeping = Housekeeping(context, lifecycle, inspections, periodic)
+        observers = AnswerObservers(estimates, pace, limits, health, load_reports, losses)
         outcomes = AttemptOutcomes(context, registry, lifecycle, queues, retry_policy, observers)
         progress = ProgressNotifications(context, estimates, attempts, lifecycle)
         self._is_started = False
@@ -99,7 +99,7 @@
             ClientDisconnected: self.lifecycle.client_disconnected,
             TimerFired: self._timer_fired,
             HealthCheckEnded: lambda event: None,
-            ShutdownStarted: lambda event: self.lifecycle.shut_down(),
+            ShutdownStarted: lambda event: self.lifecycle.shutdown_started(),
         }
 
     def configure(self, settings: Settings) -> None:
@@ -140,7 +140,7 @@
             self._reactions[type(event)](event)
         self.housekeeping.run()
         self.dispatcher.dispatch()
-        self.housekeeping.ask_for_timer()
+        self.housekeeping.schedule_timer()
         return context.actions
 
     def _timer_fired(self, event: TimerFired) -> None:
--- a/cypressledge/decisions/odds.py
+++ b/cypressledge/decisions/odds.py
@@ -42,24 +42,27 @@
     def update(self, reference: Callable[[int], float], shortest_delay: int) -> None:
         """One period of all loops; delays count as `shortest_delay` µs at least, and tell nothing there."""
         class_count = len(self.odds)
-        means = [self.delay_sums[c] / max(self.sample_counts[c], 1) for c in range(class_count)]
+        samples = zip(self.delay_sums, self.sample_counts, strict=True)
+        means = [delay_sum / max(count, 1) for delay_sum, count in samples]
         delays = [max(mean, shortest_delay) for mean in means]
         enough = [count >= MIN_SAMPLES for count in self.sample_counts]
-        for j in range(class_count - 1):
-            if not (enough[j] and enough[j + 1]) or max(delays[j], delays[j + 1]) <= shortest_delay:
+        for pair in range(class_count - 1):
+            longer_delay = max(delays[pair], delays[pair + 1])
+            if not (enough[pair] and enough[pair + 1]) or longer_delay <= shortest_delay:
                 continue  # too few delays to tell: hold the integral
-            error = reference(j) / reference(j + 1) - delays[j] / delays[j + 1]
-            self._step(j, max(-ERROR_LIMIT, min(ERROR_LIMIT, error)))
+            error = reference(pair) / reference(pair + 1) - delays[pair] / delays[pair + 1]
+            self._step(pair, max(-ERROR_LIMIT, min(ERROR_LIMIT, error)))
         self._normalise()
-        for c in range(class_count):
-            if enough[c]:
-                self.delay_sums[c], self.sample_counts[c] = 0.0, 0
+        for class_index in range(class_count):
+            if enough[class_index]:
+                self.delay_sums[class_index], self.sample_counts[class_index] = 0.0, 0
 
-    def _step(self, j: int, error: float) -> None:
+    def _step(self, pair: int, error: float) -> None:
         """The incremental PI law for one pair of neighbours."""
-        ratio = self.ratios[j] + GAIN_CURRENT_ERROR * error - GAIN_PREVIOUS_ERROR * self.previous_errors[j]
-        self.ratios[j] = max(1 / RATIO_LIMIT, min(RATIO_LIMIT, ratio))
-        self.previous_errors[j] = error
+        previous_error = self.previous_errors[pair]
+        ratio = self.ratios[pair] + GAIN_CURRENT_ERROR * error - GAIN_PREVIOUS_ERROR * previous_error
+        self.ratios[pair] = max(1 / RATIO_LIMIT, min(RATIO_LIMIT, ratio))
+        self.previous_errors[pair] = error
 
     def _normalise(self) -> None:
         """Odds that have the ratios, and sum to one (Pan et al., Eq. 12)."""
@@ -72,14 +75,14 @@
     def draw(self, heads: Sequence[Request | None], random: Random) -> Request | None:
         """One of the heads of the classes' queues, by the odds of those that have one; None without any."""
         odds = self.odds
-        total = sum(odds[c] for c, head in enumerate(heads) if head)
+        total = sum(odds[class_index] for class_index, head in enumerate(heads) if head)
         if not total:
             return None
         remaining = random.random() * total
         drawn = None
-        for c, head in enumerate(heads):
+        for class_index, head in enumerate(heads):
             if head:
-                remaining -= odds[c]
+                remaining -= odds[class_index]
                 drawn = head
                 if remaining <= 0:
                     break
--- a/cypressledge/decisions/pace.py
+++ b/cypressledge/decisions/pace.py
@@ -1,8 +1,6 @@
 """The pace of the fleet and of each engine: slowdowns as answers tell them, and answers a second."""
 
-from collections.abc import Iterable
-
-from cypressledge.decisions.engines import Engine
+from cypressledge.decisions.engines import Engine, EngineRegistry
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.units import EWMA, MS, SECOND
 
@@ -16,7 +14,8 @@
 class FleetPace:
     """How much longer answers take than the work's own time, over the whole fleet."""
 
-    def __init__(self, estimates: ClassEstimates) -> None:
+    def __init__(self, registry: EngineRegistry, estimates: ClassEstimates) -> None:
+        self._registry = registry
         self._estimates = estimates
         self.slowdown = 1.0
         self.latency_sum = 0.0  # µs, faded
@@ -32,12 +31,12 @@
             pool.run_time_sum += run_time - EWMA * pool.run_time_sum
         self._update(engine)
 
-    def end_period(self, engines: Iterable[Engine]) -> None:
+    def end_period(self) -> None:
         """Fade what answers of the period before told."""
         self.answer_rate = (self.answer_rate + self.answer_count * SECOND / CONTROL_PERIOD) / 2
         self.answer_count = 0
         self.latency_sum, self.run_time_sum = self.latency_sum * FADE, self.run_time_sum * FADE
-        for engine in engines:
+        for engine in self._registry.engines.values():
             engine.latency_sum, engine.run_time_sum = engine.latency_sum * FADE, engine.run_time_sum * FADE
             self._update(engine)
 
--- a/cypressledge/decisions/progress.py
+++ b/cypressledge/decisions/progress.py
@@ -36,7 +36,7 @@
         if request.attempts - 1 != progress.attempt:
             return
         now = self._context.now
-        request.engine.heard_at = request.heard_at = now
+        request.engine.last_activity_at = request.last_activity_at = now
         request.blocked = progress.kind is ProgressKind.WAITING
         if progress.kind is ProgressKind.PROGRESS:
             if self._is_runaway(request, progress.value):
--- a/cypressledge/decisions/queues.py
+++ b/cypressledge/decisions/queues.py
@@ -45,7 +45,7 @@
         """The next request of a class outside the blocked rows; late ones not worth serving are rejected."""
 
         def postpone(request: Request) -> None:
-            if self._is_worth_serving_late(request):
+            if self._may_be_served_late(request):
                 self._push(self._late, request)
             else:
                 reject_late(request)
@@ -84,7 +84,7 @@
         in_time = self._context.now + request.run_time <= request.deadline
         return in_time and self._pace.slowdown <= OVERLOAD_SLOWDOWN
 
-    def _is_worth_serving_late(self, request: Request) -> bool:
+    def _may_be_served_late(self, request: Request) -> bool:
         if not request.class_settings.late_priority_weight:
             return False
         in_time = self._context.now + request.run_time < request.deadline
--- a/cypressledge/decisions/request.py
+++ b/cypressledge/decisions/request.py
@@ -31,7 +31,7 @@
     attempts: int = 0  # attempts started
     engine: Engine | None = None  # where an attempt runs
     sent_at: int = 0  # moment of the last attempt's start
-    heard_at: int = 0  # last news of the attempt
+    last_activity_at: int = 0  # last news of the attempt
     reserved_memory_mb: float = 0.0  # counted against the engine while the attempt runs
     resources: tuple[float, int] | None = None  # grant in MB and priority, as last set
     may_have_executed_since: int | None = None  # start of the first attempt that may have been executed
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -10,19 +10,20 @@
 from cypressledge.decisions.concurrency_limits import ConcurrencyLimits
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import ClassSettings
+from cypressledge.decisions.engine_admission import EngineAdmission
 from cypressledge.decisions.engines import Engine, EngineRegistry
-from cypressledge.decisions.health import HealthMonitor
 from cypressledge.decisions.load_reports import LoadReports
 from cypressledge.decisions.pace import FleetPace
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.retries import deduplicates
-from cypressledge.decisions.slow_start import SlowStart
 from cypressledge.decisions.units import MS
 
 REPORT_WEIGHT = 2.0  # of others' reported load against own threads a core: own work is only a sample
 REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about as long as the dearer work runs
-OWN_ENGINES_MIN = 3  # engines that a broker keeps to at the least; one more for every two answers a second
-OTHER_ENGINE_COST = 1.0  # of any engine that is not the broker's own, in threads a core
+PREFERRED_ENGINES_MIN = (
+    3  # engines that a broker keeps to at the least; one more for every two answers a second
+)
+UNPREFERRED_ENGINE_COST = 1.0  # of any engine that is not the broker's own, in threads a core
 UNCACHED_COST = 0.25  # of engines that are not the group's own, in threads a core
 BLOCKED_COST = 2.0  # of an engine where a load blocks the group, in threads a core
 FAILED_COST = 2.0  # of an engine that just failed the request or rejects, in threads a core
@@ -57,8 +58,7 @@
         registry: EngineRegistry,
         affinity: Affinity,
         limits: ConcurrencyLimits,
-        slow_start: SlowStart,
-        health: HealthMonitor,
+        admission: EngineAdmission,
         load_reports: LoadReports,
         pace: FleetPace,
     ) -> None:
@@ -66,8 +66,7 @@
         self._registry = registry
         self._affinity = affinity
         self._limits = limits
-        self._slow_start = slow_start
-        self._health = health
+        self._admission = admission
         self._load_reports = load_reports
         self._pace = pace
         self._random = context.random.random
@@ -83,20 +82,15 @@
 
     def choose(self, request: Request) -> Engine | None:
         """The allowed engine with capacity and the least cost; None without any."""
-        limits, slow_start, health = self._limits, self._slow_start, self._health
-        room = limits.room_for_short_work(request)
-        if not limits.fleet_has_room(request, room):
+        allowance = self._limits.short_work_allowance(request)
+        if not self._limits.fleet_has_capacity(request, allowance):
             return None
         facts = self._facts(request)
+        admits = self._admission.admits
         least = 0.0
         ties: list[Engine] = []
         for engine in self._candidates(request):
-            # The order counts: a limit that is met last marks its engine as one that a request waited for.
-            if engine.ejected and not health.allows_trial(engine, request):
-                continue
-            if not slow_start.has_budget(engine, request.class_index):
-                continue
-            if not limits.engine_has_room(engine, request, room):
+            if not admits(engine, request, allowance):
                 continue
             cost = self._cost(engine, facts)
             if not ties or cost < least - TIE:
@@ -135,7 +129,7 @@
             fleet_slowdown=self._pace.slowdown,
             mean_load=self._load_reports.mean_load,
             load_spread=self._load_reports.load_spread,
-            distances=affinity.distances_from_own(OWN_ENGINES_MIN + int(self._pace.answer_rate / 2)),
+            distances=affinity.preference_distances(PREFERRED_ENGINES_MIN + int(self._pace.answer_rate / 2)),
             group_engines=self._registry.ready if is_load else affinity.group_engines(group),
             load_engines=affinity.load_engines(group) if has_load_engines else (),
         )
@@ -145,7 +139,7 @@
     def _cost(self, engine: Engine, facts: RoutingFacts) -> float:
         request = facts.request
         class_settings = request.class_settings
-        cost = _own_load_cost(engine, facts)
+        cost = _in_flight_cost(engine, facts)
         cost += self._reported_load_cost(engine, facts)
         cost += _affinity_cost(engine, facts)
         if class_settings.blocked_by_loads or class_settings.is_load:
@@ -171,7 +165,7 @@
         return engine.kind in self._reserved_kinds or engine.zone in self._reserved_zones
 
 
-def _own_load_cost(engine: Engine, facts: RoutingFacts) -> float:
+def _in_flight_cost(engine: Engine, facts: RoutingFacts) -> float:
     """This broker's threads a core with the request, by how much slower than all the engine answers."""
     load = (engine.threads + facts.threads) / engine.cores
     relative_slowdown = engine.slowdown / facts.fleet_slowdown
@@ -183,7 +177,7 @@
     is_warm = facts.now >= engine.warm_at
     return (
         engine not in facts.group_engines
-    ) * UNCACHED_COST + is_warm * OTHER_ENGINE_COST * facts.distances[engine]
+    ) * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * facts.distances[engine]
 
 
 def _blocked_cost(engine: Engine, facts: RoutingFacts) -> float:
--- a/tests/recordings/decisions_recorder.py
+++ b/tests/recordings/decisions_recorder.py
@@ -35,9 +35,9 @@
 REASON_CODES = {reason: code for code, reason in enumerate(contract.Reason)}
 LOG_CODES = {
     "answers again": 0,
-    "answers errors where others do not: held off": 1,
-    "broke its connections: held off until it answers": 2,
-    "is silent while others answer: held off": 3,
+    "answers errors where others do not: ejected": 1,
+    "broke its connections: ejected until it answers": 2,
+    "is silent while others answer: ejected": 3,
 }
 
 
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -191,7 +191,7 @@
         for _ in range(9):
             assert "result" in client.get()
         assert len(engine.wants) == 9
-        assert "held off" not in broker.words()
+        assert "ejected" not in broker.words()
         assert "attempt.connect_failed" not in broker.words()
 
     def test_a_connection_that_comes_up_late_carries_what_comes_next(self):
@@ -212,7 +212,7 @@
         assert [len(engine.wants), len(engine.open)] == [2, 2]
 
     def test_one_connection_that_is_late_does_not_make_its_engine_cold(self):
-        """It was held off until it answered, and taken as just started for all its time of warming up."""
+        """It was ejected until it answered, and taken as just started for all its time of warming up."""
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(one, two, env=FIGURES, hooks={"dial": DIAL + "#1"})
         client = self.client(broker)
@@ -222,9 +222,9 @@
         assert len(one.wants) + len(two.wants) == 1
         broker.go("dial")
         broker.counted("engine_connects_late")
-        assert "held off" not in broker.words()
+        assert "ejected" not in broker.words()
 
-    def test_an_engine_that_nobody_reaches_is_held_off(self):
+    def test_an_engine_that_nobody_reaches_is_ejected(self):
         """Whoever accepts nothing (its queue is full) stands for a machine that has vanished."""
         gone, good = self.engine(name="s-1"), self.engine(name="s-2")
         gone.close()
@@ -238,12 +238,12 @@
         broker = self.broker(gone, good)
         client = self.client(broker)
 
-        def held_off():
+        def ejected():
             client.ask()
             assert "result" in client.get()
-            return "held off" in broker.words()
+            return "ejected" in broker.words()
 
-        until(held_off, "the engine held off")
+        until(ejected, "the engine ejected")
 
 
 class Shutdown(Case):
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -34,7 +34,7 @@
 
 def observe(m, means, count=10):
     m.odds.delay_sums, m.odds.sample_counts = [w * count for w in means], [count] * len(means)
-    m.housekeeping.update_odds()
+    m.odds_loop.end_period()
 
 
 def test_odds_start_even():
@@ -110,7 +110,7 @@
         f.arrive(request, cls=request % 2)
     f.run(S)
     m = f.manager
-    m.housekeeping.update_odds()
+    m.odds_loop.end_period()
     assert m.odds.previous_errors == [0.0]  # both waited alike: 1/1 - 1/1
     f.run(19 * S)
     assert m.odds.sample_counts[0] >= 4 or m.odds.delay_sums == [0.0, 0.0]
@@ -146,7 +146,7 @@
     f = Fleet(settings(broker_count=8), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in f.manager.registry.ready] == [2, 1]
     f.manager.registry.ready[1].slowdown = f.manager.pace.slowdown = 2.5
-    has_room = f.manager.limits.engine_has_room
+    has_room = f.manager.limits.engine_has_capacity
     engine = f.manager.registry.ready[1]
     # two lookups' worth at least
     assert [has_room(engine, probe(f, n), 0.0) for n in (0, 1, 2)] == [True, True, False]
