--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -106,8 +106,8 @@
             apply()
         except (ConfigError, StateError) as err:
             self._rejections[kind] = str(err)
-            self.counters.add("control.refused")
-            log(f"control: what was in force stays: {err}")
+            self.counters.add("control.settings_rejected")
+            log(f"control: rejected, what was in force stays: {err}")
         else:
             self._rejections.pop(kind, None)
 
@@ -123,7 +123,7 @@
         self.broker.configuration.apply_engine_list(
             [_listed(name, engine) for name, engine in sorted(engines.items())]
         )
-        self.counters.add("control.lists")
+        self.counters.add("control.engine_lists")
 
     def name_peers(self) -> None:
         """Where the other brokers are: as the fleet's file says, and above that as the state does."""
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -274,7 +274,7 @@
             else:
                 self.brokers.serve(hello, frames, self.publisher)
         except ConnectionEndedError as err:
-            self.counters.add(f"control.ended.{str(err).partition(':')[0][:24]}")
+            self.counters.add(f"control.connection_ended.{str(err).partition(':')[0][:24]}")
         finally:
             frames.close()
 
--- a/cypressledge/controlplane/leader_reports.py
+++ b/cypressledge/controlplane/leader_reports.py
@@ -114,9 +114,11 @@
         registry.mark_sent(now, ops)
         change, rejected = registry.resolve(now, replica.latest_state, ops)
         for why in rejected:
-            self.events.emit("not_registered", why=why)
-        self._propose_change(now, change, "brokers' places", "not_registered")
-        self._propose_change(now, registry.expired(now, replica.latest_state), "brokers gone", "not_removed")
+            self.events.emit("registration_rejected", why=why)
+        self._propose_change(now, change, "brokers' places", "registration_rejected")
+        self._propose_change(
+            now, registry.expired(now, replica.latest_state), "brokers gone", "removal_rejected"
+        )
 
     def _propose_change(self, now: int, ops: list[Op], description: str, failure_event: str) -> None:
         if not ops:
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -88,7 +88,7 @@
         """Queue a message; dropped where there is no connection: whoever sends repeats it."""
         frames = self._connections.get(peer)
         if frames is None:
-            self._counters.add("control.no_link")
+            self._counters.add("control.peer_unreachable")
             return
         is_due = self._counts_for_fault(message) and self._faults.is_due(message.__struct_config__.tag)
         if is_due and self._faults.when == "before":
@@ -153,7 +153,7 @@
         if not isinstance(message, HelloAccepted) or message.name != peer:
             raise ConnectionEndedError("no welcome")
         if self._is_other_history(message.cluster_id):
-            self.events.emit("peer_refused", peer=peer, why="lineage", lineage=message.cluster_id)
+            self.events.emit("peer_rejected", peer=peer, why="lineage", lineage=message.cluster_id)
             raise ConnectionEndedError("lineage")
 
     def _is_other_history(self, cluster_id: str) -> bool:
@@ -188,9 +188,9 @@
                 while True:
                     frames.receive(MAX_SILENCE_S)
             except ConnectionEndedError as err:
-                self.counters.add("control.link_ended")
+                self.counters.add("control.peer_connection_ended")
                 if frames is not None and self.sender.remove(peer.name, frames):
-                    self.log.info("peer_link_ended", peer=peer.name, why=str(err))
+                    self.log.info("peer_disconnected", peer=peer.name, why=str(err))
             finally:
                 if frames is not None:
                     frames.close()
@@ -210,7 +210,7 @@
         """Read what a peer sends until its connection ends. Raises `Ended` then."""
         why = self._handshake.rejection_reason(hello)
         if why:
-            self._handshake.events.emit("peer_refused", peer=hello.name, why=why, lineage=hello.cluster_id)
+            self._handshake.events.emit("peer_rejected", peer=hello.name, why=why, lineage=hello.cluster_id)
             turn_away(frames, Disconnect(why, REJECTED_RETRY_MS))
             return
         former = self._connections.get(hello.name)
--- a/cypressledge/controlplane/process_events.py
+++ b/cypressledge/controlplane/process_events.py
@@ -10,7 +10,7 @@
 from cypressledge.broker.metrics import Counters
 
 # Names in the log of events whose own name says too little without the part that reports them.
-LOG_NAMES = {"primary": "primary_began", "stepped_down": "primary_ended", "recovering": "primary_begins"}
+LOG_NAMES = {"primary": "leader_started", "stepped_down": "leader_stopped", "recovering": "leader_recovering"}
 
 
 class EventLogger(Protocol):
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -137,7 +137,7 @@
             self._on_position(subscription, position, to_printable_line(message.rejection_reason))
         elif isinstance(message, SnapshotRequest) and subscription.may_ask_for_snapshot():
             subscription.expected_position, subscription.needs_snapshot = None, True
-            self._event("whole_wanted", broker=subscription.name, why=message.reason[:MAX_REASON_CHARS])
+            self._event("snapshot_requested", broker=subscription.name, why=message.reason[:MAX_REASON_CHARS])
         else:
             self._disconnect(subscription, Disconnect("nonsense"))
             return
@@ -159,12 +159,12 @@
         if connection in self.subscriptions:
             self._disconnect(self.subscriptions[connection], disconnect)
             return
-        self._event(f"ended_{disconnect.reason}", broker=name[:MAX_NAME_CHARS])
+        self._event(f"disconnected_{disconnect.reason}", broker=name[:MAX_NAME_CHARS])
         self._end_connection(connection, disconnect)
 
     def _disconnect(self, subscription: Subscription, disconnect: Disconnect) -> None:
         self._remove(subscription)
-        self._event(f"ended_{disconnect.reason}", broker=subscription.name)
+        self._event(f"disconnected_{disconnect.reason}", broker=subscription.name)
         self._end_connection(subscription.connection, disconnect)
 
     def _remove(self, subscription: Subscription) -> None:
@@ -243,7 +243,7 @@
         # Guards against sending the same again and again to one who does not take it.
         if position != expected and was_snapshot:
             subscription.rejected_snapshot = expected[:2]
-            self._event("whole_refused", broker=subscription.name, theirs=position[:2], ours=expected[:2])
+            self._event("snapshot_rejected", broker=subscription.name, theirs=position[:2], ours=expected[:2])
         elif position[:2] <= subscription.position[:2] and not was_snapshot:
             subscription.needs_snapshot = True
         subscription.position = position
@@ -360,7 +360,7 @@
         try:
             address_of(op.key, op.value)
         except StateError as err:
-            self._event("bad_address", broker=hello.name, why=str(err)[:MAX_ERROR_CHARS])
+            self._event("invalid_address", broker=hello.name, why=str(err)[:MAX_ERROR_CHARS])
             return None
         return op
 
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -191,7 +191,7 @@
         self._lost(now, why)
 
     def _lost(self, now: int, why: str) -> None:
-        self._report("lost", server=self.selector.server.name, why=why)
+        self._report("disconnected", server=self.selector.server.name, why=why)
         was_steady = (
             self.phase in (Phase.GREETING, Phase.FOLLOWING) and now - self._phase_at >= STEADY_CONNECTION
         )
@@ -201,8 +201,8 @@
     def _try_nearer(self, now: int) -> None:
         """One attempt at a nearer server; what is held stays, and where it fails we come back."""
         if self.selector.choose_nearer(now):
-            self.callbacks.disconnect("home")
-            self._report("home_tried", server=self.selector.server.name)
+            self.callbacks.disconnect("nearer server")
+            self._report("nearer_server_tried", server=self.selector.server.name)
             self._connect(now)
 
     # Messages
@@ -233,7 +233,7 @@
             return
         self.phase = Phase.FOLLOWING
         self.selector.accepted(now)
-        self._report("followed", server=self.selector.server.name)
+        self._report("subscribed", server=self.selector.server.name)
 
     def _is_own_history(self, cluster_id: str) -> bool:
         """Whether a history may be ours; one that has no name yet has nothing to send."""
@@ -274,7 +274,7 @@
         """Take what follows, up to where a snapshot is needed instead, if anywhere."""
         for change in changes:
             if not self.state.cluster_id or change.version > self.state.version + 1:
-                self._report("gap", version=change.version, own=self.state.version)
+                self._report("version_gap", version=change.version, own=self.state.version)
                 return SnapshotRequest("gap")
             if change.version <= self.state.version or change.epoch < self.state.epoch:
                 self._reject(change.epoch, change.version)
@@ -283,7 +283,7 @@
             try:
                 self.state.apply(change)
             except StateError as err:
-                self._report("delta_differs", version=change.version, why=str(err))
+                self._report("change_digest_differs", version=change.version, why=str(err))
                 return SnapshotRequest("digest")
             self._taken(before, change)
         return None
@@ -293,7 +293,7 @@
             snapshot = decompress_snapshot(compressed)
             state = FleetState.restore(snapshot)
         except StateError as err:
-            self._report("bad_whole", why=str(err))
+            self._report("invalid_snapshot", why=str(err))
             self._leave(now, "bad snapshot")
             return
         if not snapshot.cluster_id or not self._is_own_history(snapshot.cluster_id):
@@ -320,7 +320,7 @@
         if snapshot.epoch > own.epoch:
             return True
         if not own.digest_matches():
-            self._report("own_state_spoilt", version=own.version)
+            self._report("state_corrupted", version=own.version)
             return True
         self._reject(snapshot.epoch, snapshot.version)
         return False
@@ -328,7 +328,7 @@
     def _taken(self, before: tuple[int, int], change: Change | None) -> None:
         after = self.state.position
         self.counters.invariant(after[0] >= before[0] and after[1] >= before[1], "never_back")
-        self.counters.add("wholes_taken" if change is None else "changes_taken")
+        self.counters.add("snapshots_applied" if change is None else "changes_applied")
         self.refused = to_printable_line(self.callbacks.changed(self.state, change) or "")
 
     def _settle(self) -> None:
@@ -336,7 +336,7 @@
             self.refused = to_printable_line(self.callbacks.settled() or "")
 
     def _reject(self, epoch: int, version: int) -> None:
-        self._report("turned_down", epoch=epoch, version=version, own=self.state.position)
+        self._report("update_rejected", epoch=epoch, version=version, own=self.state.position)
 
     def _send_position(self) -> None:
         state = self.state
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -28,7 +28,7 @@
 from cypressledge.fleet.event_log import event_logger
 
 MAX_MESSAGES_PER_TURN = 16  # before other greenlets have their turn
-UNLOGGED_EVENTS = frozenset(("lost", "followed", "home_tried"))  # these are counted only
+UNLOGGED_EVENTS = frozenset(("disconnected", "subscribed", "nearer_server_tried"))  # these are counted only
 MAX_SLEEP_S = 4.0  # at a time: a suspended machine's timers stand still
 
 
--- a/tests/test_controlplane_follow.py
+++ b/tests/test_controlplane_follow.py
@@ -92,7 +92,7 @@
     assert [c.version for c in desk.sent[2][3].changes] == [4, 5]
     desk.publisher.received(0, 2, m.SnapshotRequest("digest"))
     assert isinstance(desk.sent[2][4], m.CompleteSnapshot)
-    assert "whole_wanted" in desk.events
+    assert "snapshot_requested" in desk.events
     desk.have(2)
     assert desk.publisher.applied_versions() == {"b1": (1, 0), "b2": (1, 5)}
     assert len(desk.sent[2]) == 5
@@ -115,7 +115,7 @@
     desk.publisher.committed(0)
     assert isinstance(desk.sent[1][-1], m.CompleteSnapshot)
     assert len(desk.sent[1]) == 4
-    assert "whole_refused" in desk.events
+    assert "snapshot_rejected" in desk.events
     grow(desk.history)
     desk.publisher.committed(0)
     assert isinstance(desk.sent[1][-1], m.Deltas)
@@ -137,7 +137,7 @@
     desk.hello(1, **more)
     assert desk.ended[1].reason == why
     assert not desk.publisher.subscriptions
-    assert f"ended_{why}" in desk.events
+    assert f"disconnected_{why}" in desk.events
 
 
 @pytest.mark.parametrize(
@@ -326,7 +326,7 @@
     state = desk.history.state
     ops = desk.publisher.registrations(state)
     assert [op.key for op in ops] == ["broker/b0", "broker/b1"]
-    assert "bad_address" in desk.events
+    assert "invalid_address" in desk.events
     desk.history.apply(
         state.draft_change(1, [ops[0], m.Op("broker/b1", encode_value(Broker("h:2", "y", "r")))])
     )
@@ -398,7 +398,7 @@
     assert seat.said[-1].cluster_id == "line"
     status = seat.subscriber.status(seat.now)
     assert status.version == 5
-    assert status.counts["changes_taken"] == 2
+    assert status.counts["changes_applied"] == 2
     assert status.server == "c0"
 
 
@@ -408,14 +408,14 @@
     seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot()))
     held = m.AppliedPosition(*where(desk.history.state))
     assert seat.take(m.Deltas(after(desk.history, 2))) == held
-    assert seat.counts("turned_down") == 2
+    assert seat.counts("update_rejected") == 2
     assert seat.take(m.CompleteSnapshot(old.history.compressed_snapshot())) == held
-    assert seat.counts("turned_down") == 3
+    assert seat.counts("update_rejected") == 3
     below = desk.history.state.copy()
     change = below.draft_change(1, [])
     low = m.Change(0, 5, [], change.digest)
     assert seat.take(m.Deltas([low])) == held
-    assert seat.counts("turned_down") == 4
+    assert seat.counts("update_rejected") == 4
     assert seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot())) == held
     assert seat.took == [None]
     assert seat.take(m.Deltas([m.Change(1, 6, [], change.digest)])) == m.SnapshotRequest("gap")
@@ -431,7 +431,7 @@
     good = desk.history.changes[-1]
     assert seat.take(m.Deltas([m.Change(1, 4, good.ops, b"x" * 16)])) == m.SnapshotRequest("digest")
     assert where(seat.subscriber.state) == held
-    assert seat.counts("delta_differs") == 1
+    assert seat.counts("change_digest_differs") == 1
     assert seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot())).version == 4
 
 
@@ -450,7 +450,7 @@
         *held
     )  # who is right isn't known
     assert seat.counts("digest_differs") == 1
-    assert seat.counts("turned_down") == 1
+    assert seat.counts("update_rejected") == 1
     assert seat.take(m.CompleteSnapshot(compress_snapshot(other_at(0, 3).snapshot()))) == m.AppliedPosition(
         *held
     )  # below
@@ -463,7 +463,7 @@
     assert seat.take(m.CompleteSnapshot(compress_snapshot(same.snapshot()))) == m.AppliedPosition(
         *where(same)
     )
-    assert seat.counts("own_state_spoilt") == 1
+    assert seat.counts("state_corrupted") == 1
     assert seat.subscriber.state.digest_matches()
     for _ in range(2):
         seat.take(m.Heartbeat(2, 3, b"x" * 16, "c", 0))
@@ -570,7 +570,7 @@
             if seat.subscriber.phase.value == "following":
                 seat.subscriber.received(seat.now, m.Heartbeat(0, 0, b"", "", 0))
         waits.append(seat.now - start)
-        assert seat.ended[-1] == "home"
+        assert seat.ended[-1] == "nearer server"
         seat.subscriber.disconnected(seat.now, "refused")
         seat.greet(seat.now)
         start = seat.now
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -139,9 +139,9 @@
     later = plane.change({"engine/late": engine(99)}, "late")
     assert request not in {c[2] for c in plane.changes(other)}  # nobody else had it
     if stopped:
-        ended = len(primary.told("primary_ended"))
+        ended = len(primary.told("leader_stopped"))
         primary.signal(signal.SIGCONT)
-        plane.wait(lambda: len(primary.told("primary_ended")) > ended, "a primary that steps down")
+        plane.wait(lambda: len(primary.told("leader_stopped")) > ended, "a primary that steps down")
         # Its AppendEntries left after it went on: both turn it down.
         plane.wait(lambda: primary.status()["traffic"].get("in.denied", {}).get("frames", 0) >= 1, "a denial")
     else:
@@ -175,7 +175,7 @@
     status, told = plane.post(primary, {"engine/full": engine(60)}, "full")
     assert (status, told["answer"]) == (503, "unknown")
     assert primary.told("disk_error")
-    assert primary.told("primary_ended")
+    assert primary.told("leader_stopped")
     plane.primary(primary.name)
     told = plane.change({"engine/full": engine(60)}, "full")
     assert told["primary"] != primary.name
@@ -283,7 +283,7 @@
     assert mute.ended
     assert mute.ended - mute.began < 8
     counters = primary.status()["counters"]
-    assert counters["control.ended_silent"] == 6
+    assert counters["control.disconnected_silent"] == 6
     assert good.never_back()
     assert new.never_back()
     for raw in (*deaf, *slow, *mad, late, mute):
@@ -359,9 +359,9 @@
         assert asked.reason == "digest", asked
         assert (last.version, last.digest) == (2, liar.held.digest)
         told = broker.show("/control/status")
-        assert told["counts"]["delta_differs"] == 1
+        assert told["counts"]["change_digest_differs"] == 1
         assert told["digest"] == liar.held.digest.hex()
-        assert [e["version"] for e in broker.events() if e["event"] == "control_delta_differs"] == [2]
+        assert [e["version"] for e in broker.events() if e["event"] == "control_change_digest_differs"] == [2]
     finally:
         broker.kill()
         liar.server.stop()
@@ -567,7 +567,7 @@
     beats = after.traffic.frames["in.beat"]
     plane.wait(lambda: after.traffic.frames["in.beat"] > beats + 2, "some beats of the old one")
     assert after.version == held
-    assert after.subscriber.counters.show().get("turned_down", 0) == 0
+    assert after.subscriber.counters.show().get("update_rejected", 0) == 0
     assert old.status()["role"] == "standby"
     plane.heal()
     told = plane.change({"engine/e9": engine(9)}, "r9")
--- a/tests/test_controlplane_processes.py
+++ b/tests/test_controlplane_processes.py
@@ -109,7 +109,7 @@
     broker = plane.broker("n1", settings={"Classes": SETTINGS["Classes"][:1]})
     assert in_force(broker, 1), plane.words()
     assert until(lambda: broker.status()["refused"] == "other classes need a restart", WAIT), broker.status()
-    assert (broker.figure("control.refused"), broker.figure("reload_failures")) == (1, 1)
+    assert (broker.figure("control.settings_rejected"), broker.figure("reload_failures")) == (1, 1)
 
 
 def test_a_broker_that_refuses_is_named_and_does_not_count(plane):
