--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -3,7 +3,7 @@
 import os
 import signal
 import sys
-from typing import TextIO
+from typing import Any, TextIO
 
 import click
 
@@ -49,7 +49,7 @@
 @click.option("--term", default=1.5, show_default=True, help="Seconds of a lease's term.")
 @click.option("--only", default="", help="Faults to draw from, with commas; all of them where none is named.")
 @click.option("--keep", default="", help="Keep each run's files in this folder.")
-def lease_faults(**options) -> None:
+def lease_faults(**options: Any) -> None:
     """Start brokers as processes, break what is between them, and check that two never act at once."""
     from cypressledge.lab.leases import run
 
@@ -93,7 +93,7 @@
 @click.option("--load", default=0.55, show_default=True, help="Of all engines' cores.")
 @click.option("--workers", default=4, show_default=True, help="Processes to play in.")
 @click.option("--plot", default="", help="Draw the first schedule into this file (needs matplotlib).")
-def zone_size(**options) -> None:
+def zone_size(**options: Any) -> None:
     """Lose a zone under many brokers' decision modules in virtual time, off and on, and compare."""
     from cypressledge.lab.zone_simulation.report import run
 
@@ -183,8 +183,8 @@
 )
 @click.option("--ping", "ping_s", default=1.0, show_default=True, help="Seconds of the members' ping period.")
 @click.option("--keep", default="", help="Keep each run's files in this folder.")
-def capacity(**options) -> None:
+def capacity(**options: Any) -> None:
     """Control processes, real and simulated brokers on the loopback, and a day of changes and faults."""
-    from cypressledge.lab.capacity.run import run
+    from cypressledge.lab.capacity.run import CapacityOptions, run
 
-    sys.exit(run(**options, say=click.echo, live=_shows_progress(sys.stderr)))
+    sys.exit(run(CapacityOptions(**options), say=click.echo, live=_shows_progress(sys.stderr)))
--- /dev/null
+++ b/cypressledge/lab/capacity/capacity_run.py
@@ -0,0 +1,239 @@
+"""One capacity run: starts a fleet, plays a day of changes and faults, and judges what was written down."""
+
+import json
+import os
+import random
+import sys
+import time
+from collections.abc import Callable
+from dataclasses import asdict, dataclass, field
+from pathlib import Path
+from typing import Any
+
+import gevent
+
+from cypressledge.lab.capacity import checks
+from cypressledge.lab.capacity.control_process import call_management
+from cypressledge.lab.capacity.day import Day, draw_day, quiet_day
+from cypressledge.lab.capacity.event_records import boottime_us, read_tail
+from cypressledge.lab.capacity.fault_injector import FaultInjector
+from cypressledge.lab.capacity.fleet import (
+    CONTROL_TERM_S,
+    CapacityFleet,
+    FleetSize,
+    ScaleError,
+    engine_value,
+    unused_address,
+)
+from cypressledge.lab.capacity.observations import harness_observations
+from cypressledge.lab.capacity.process_cost import Usage
+from cypressledge.lab.capacity.run_figures import run_figures
+from cypressledge.lab.capacity.simulated_operator import SimulatedOperator
+from cypressledge.lab.processes import commit, until
+
+CHANGE_INTERVAL_S = 0.7  # mean time between changes
+QUIET_CHANGE_INTERVAL_S = 5.0  # the same where nothing breaks: still 38 times the target's 450 a day
+LATENESS_PROBE_S = 0.02  # the harness's own sleep whose lateness is measured
+WATCH_INTERVAL_S = 1.0
+POLL_INTERVAL_S = 0.5  # while waiting for brokers to have a version
+STATUS_TIMEOUT_S = 0.5
+MEMORY_BOUND_MB = 10 * 1024  # of all processes of a run
+PROCESSES_BOUND = 300
+SETTLE_S = 4.0  # after the start, before the day
+END_S = 12.0  # for the last changes, after the day
+
+
+@dataclass
+class CapacityRun:
+    """One run at one size, and what came of it."""
+
+    size: FleetSize
+    seconds: float
+    seed: int
+    folder: Path
+    say: Callable[[str], None]
+    live: bool = False  # show progress on standard error
+    quiet: bool = False  # nothing is broken
+    verdict: checks.Verdict = field(default_factory=checks.Verdict)
+    figures: dict[str, Any] = field(default_factory=dict)  # for the results file
+    broken: list[str] = field(default_factory=list)  # lines that make the run fail
+    late: list[float] = field(default_factory=list)  # s that the harness woke up late
+    memory_mb: float = 0.0
+    processes: int = 0
+    load_before: float = 0.0
+    load_most: float = 0.0
+    start_s: float = 0.0
+    commit: str = ""
+    served: int = 0  # lookups at real brokers
+    refused: int = 0
+    simulated_usage: Usage = field(default_factory=Usage)
+    real_usage: Usage = field(default_factory=Usage)
+
+    def play(self) -> "CapacityRun":
+        """Start, play the day, end, judge. Raises `ScaleError` where the run can't go on."""
+        self.load_before = os.getloadavg()[0]
+        self.commit = commit()
+        self.world = CapacityFleet(self.size, self.seed, self.folder)
+        self.greenlets = [gevent.spawn(self._measure_lateness)]
+        try:
+            began = time.monotonic()
+            self.world.start()
+            self._await_first_change()
+            self.start_s = time.monotonic() - began
+            self.greenlets.append(gevent.spawn(self._watch))
+            gevent.sleep(SETTLE_S)
+            self._play_day(self._draw_day())
+            self._await_last_change()
+        finally:
+            gevent.killall(self.greenlets)
+            self.over = boottime_us()
+            self._count_lookups()
+            self.world.end()
+        self._judge()
+        return self
+
+    def _draw_day(self) -> Day:
+        if self.quiet:
+            return quiet_day(self.seed, self.seconds, QUIET_CHANGE_INTERVAL_S)
+        return draw_day(self.seed, self.seconds, CONTROL_TERM_S, CHANGE_INTERVAL_S)
+
+    def _await_first_change(self) -> None:
+        """Make a change and wait until every broker has it."""
+        self.operator = SimulatedOperator(self.world, self.seed)
+        self.faults = FaultInjector(self.world, random.Random(self.seed + 1))
+        spare_engine = engine_value(unused_address(999), "za")
+        first = self.operator.ask({"set": {"engine/e999": spare_engine}}, None)
+        if first.status != "taken":
+            raise ScaleError(f"the first change was not taken: {first}")
+        names = list(self.world.brokers)
+        timeout_s = 30 + len(names) / 5
+        if not until(lambda: self._have(names, first.version) == len(names), timeout_s, POLL_INTERVAL_S):
+            raise ScaleError(
+                f"{self._have(names, first.version)} of {len(names)} brokers have the first change"
+            )
+
+    def _have(self, names: list[str], version: int) -> int:
+        """Count the brokers that have a version, or a newer one, in force."""
+        return sum(_last_version(self.world.record(name)) >= version for name in names)
+
+    # While it runs
+
+    def _play_day(self, day: Day) -> None:
+        began = time.monotonic()
+        changes = [gevent.spawn_later(event.at, self.operator.do, event) for event in day.changes]
+        for event in day.faults:
+            gevent.sleep(max(0.0, began + event.at - time.monotonic()))
+            self._show_progress(f"{event.at:5.1f} s: {event.kind}")
+            if excess := self.resource_excess():
+                raise ScaleError(f"too much for the machine: {excess}")
+            self.faults.play(event)
+        gevent.sleep(max(0.0, began + day.seconds - time.monotonic()))
+        gevent.joinall(changes, timeout=END_S)
+        for change in changes:
+            if change.exception is not None:
+                self.broken.append(f"the harness failed: {change.exception!r}")
+        gevent.killall(changes)
+
+    def _await_last_change(self) -> None:
+        """Wait until all have what was acknowledged last; whoever has not by then has lost it."""
+        newest = max((change.version for change in self.operator.acked), default=0)
+        names = [name for name, broker in self.world.brokers.items() if broker.up]
+        until(lambda: self._have(names, newest) == len(names), END_S, POLL_INTERVAL_S)
+
+    def _measure_lateness(self) -> None:
+        while True:
+            due = time.monotonic() + LATENESS_PROBE_S
+            gevent.sleep(LATENESS_PROBE_S)
+            self.late.append(time.monotonic() - due)
+
+    def _watch(self) -> None:
+        """Sample the processes again and again."""
+        while True:
+            self.world.sample()
+            self.load_most = max(self.load_most, os.getloadavg()[0])
+            self.processes = max(self.processes, self.world.processes())
+            self.memory_mb = max(self.memory_mb, self.world.memory_mb())
+            self._sample_traffic()
+            gevent.sleep(WATCH_INTERVAL_S)
+
+    def _sample_traffic(self) -> None:
+        """Take what control processes and real brokers report of their own traffic."""
+        for control in self.world.controls:
+            if control.running() and not control.stopped and (status := control.status(STATUS_TIMEOUT_S)):
+                control.cost.add_total(_total_bytes(status))
+        for name, broker in self.world.real_brokers.all.items():
+            if broker.running() and (status := _broker_status(broker.management)):
+                self.world.real_costs[name].add_total(_total_bytes(status))
+
+    def _count_lookups(self) -> None:
+        clients = self.world.clients
+        self.served = sum(client.counts["served"] for client in clients)
+        self.refused = sum(client.counts["refused"] + client.counts["broken"] for client in clients)
+
+    def _show_progress(self, text: str) -> None:
+        if self.live:
+            changes = len(self.operator.acked)
+            sys.stderr.write(f"\r\x1b[K{self.size.brokers} brokers: {text}, {changes} changes")
+            sys.stderr.flush()
+
+    # Afterwards
+
+    def _judge(self) -> None:
+        world, folder = self.world, self.folder
+        brokers = checks.read_records(sorted(folder.glob("*.broker.jsonl")))
+        controls = checks.read_records(sorted(folder.glob("*.control.jsonl")))
+        killed = {life: at for host in world.hosts for life, at in host.killed.items()}
+        observed = harness_observations(
+            self.operator, self.faults, brokers, controls, frozenset(world.brokers), self.over, killed
+        )
+        kept = asdict(observed) | {"ends": [[*life, at] for life, at in observed.ends.items()]}
+        (folder / "seen.json").write_text(json.dumps(kept, default=sorted))
+        self.verdict = checks.check(brokers, controls, observed)
+        self.simulated_usage = Usage.largest(
+            host.cost.usage(shared_by=count) for host in world.hosts if (count := world.hosted_by(host))
+        )
+        self.real_usage = Usage.largest(cost.usage() for cost in world.real_costs.values())
+        self.figures = run_figures(self)
+        usage = Usage.largest((self.simulated_usage, self.real_usage))
+        self.broken += [
+            f"too little took place: {why}"
+            for why in checks.insufficient_activity(
+                self.verdict, observed, self.size.brokers, self.seconds, self.quiet
+            )
+        ]
+        exceeded = checks.exceeded_limits(self.verdict, usage.cpu_pct, usage.net_kb_s, usage.rss_mb)
+        self.broken += [f"limit passed: {why}" for why in exceeded]
+        if excess := self.resource_excess():
+            self.broken.append(f"limit passed: {excess}")
+
+    def resource_excess(self) -> str:
+        """Return what is over the run's own bounds on the machine; empty where nothing is."""
+        if self.memory_mb <= MEMORY_BOUND_MB and self.processes <= PROCESSES_BOUND:
+            return ""
+        return f"{self.memory_mb:.0f} MB in {self.processes} processes"
+
+    @property
+    def failed(self) -> bool:
+        """Whether the command is to end with 1."""
+        return self.verdict.broken or bool(self.broken)
+
+
+def _last_version(path: Path) -> int:
+    """Return the version that a broker had in force last; 0 for none."""
+    if not path.exists():
+        return 0
+    versions = [record["version"] for record in read_tail(path) if record["event"] == "in_force"]
+    return versions[-1] if versions else 0
+
+
+def _broker_status(port: int) -> dict:
+    """Return a real broker's view of the control plane; empty where it does not answer."""
+    try:
+        return call_management(port, "GET", "/control/status", seconds=STATUS_TIMEOUT_S)[1]
+    except (OSError, ValueError, IndexError):
+        return {}
+
+
+def _total_bytes(status: dict) -> int:
+    """Return all bytes of a status, in and out."""
+    return sum(kind["bytes"] for kind in status.get("traffic", {}).values())
--- a/cypressledge/lab/capacity/checks.py
+++ b/cypressledge/lab/capacity/checks.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-IN_FORCE_S = 12.0  # limits: s from the acknowledgement, in quiet times
-PRIMARY_S = 8.0  # s without a primary
-CPU_PCT, NET_KB_S, RSS_MB = 3.2, 30.0, 256.0  # of one broker
+IN_FORCE_LIMIT_S = 12.0  # limits: s from the acknowledgement, in quiet times
+LEADER_LIMIT_S = 8.0  # s without a primary
+CPU_LIMIT_PCT, NETWORK_LIMIT_KB_S, MEMORY_LIMIT_MB = 3.2, 30.0, 256.0  # of one broker
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acked:
+class AcknowledgedChange:
     """A change that the harness had acknowledged. `at`: when the answer was there, µs."""
 
     at: int
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
+class LeaderLoss:
     """A primary that the harness took away at `at`, µs. `who` empty: all control processes, of which the
     last was gone at `gone`: what one of them wrote in between is no sign of the next primary."""
 
@@ -49,14 +49,14 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class HarnessObservations:
     """What the harness itself did and was told. `down`: spans in which a broker can't be reached, `faults`:
     spans that are not quiet, `ends`: by (broker, run) the moment it was killed, `over`: the end, µs."""
 
-    acked: list[Acked]
+    acked: list[AcknowledgedChange]
     down: list[Span]
     faults: list[Span]
-    losses: list[Loss]
+    losses: list[LeaderLoss]
     ends: dict[tuple[str, int], int]
     over: int
     wrongs: list[str] = field(default_factory=list)  # answers that must not be, as the harness saw them
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class BrokerLife:
     """One run of one broker: when it was there and what it had in force, in order of time."""
 
     broker: str
@@ -121,20 +121,20 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * part))] if ordered else 0.0
 
 
-def check(brokers: list[dict], controls: list[dict], seen: Seen) -> Verdict:
+def check(brokers: list[dict], controls: list[dict], observed: HarnessObservations) -> Verdict:
     """Judge a run by the brokers' records, the control processes' and the harness's own."""
-    verdict = Verdict(changes=len({a.version for a in seen.acked}))
-    verdict.wrong += seen.wrongs
+    verdict = Verdict(changes=len({a.version for a in observed.acked}))
+    verdict.wrong += observed.wrongs
     truth = _truth(controls, verdict)
-    _acked(seen.acked, controls, truth, verdict)
-    lives = _lives(brokers, seen)
+    _acked(observed.acked, controls, truth, verdict)
+    lives = _lives(brokers, observed)
     verdict.lives = len(lives)
     for life in lives:
         _order(life, verdict)
         _digests(life, truth, verdict)
-        _in_force(life, seen, verdict)
-    _missing(lives, seen, verdict)
-    _primaries(controls, seen, verdict)
+        _in_force(life, observed, verdict)
+    _missing(lives, observed, verdict)
+    _primaries(controls, observed, verdict)
     return verdict
 
 
@@ -151,7 +151,9 @@
     return truth
 
 
-def _acked(acked: list[Acked], controls: list[dict], truth: dict[int, str], verdict: Verdict) -> None:
+def _acked(
+    acked: list[AcknowledgedChange], controls: list[dict], truth: dict[int, str], verdict: Verdict
+) -> None:
     """An acknowledged change stands in the history at its version, under its own name, and once."""
     names: dict[int, str] = {}
     for record in controls:
@@ -178,20 +180,22 @@
             )
 
 
-def _lives(records: list[dict], seen: Seen) -> list[Life]:
-    lives: dict[tuple[str, int], Life] = {}
+def _lives(records: list[dict], observed: HarnessObservations) -> list[BrokerLife]:
+    lives: dict[tuple[str, int], BrokerLife] = {}
     for record in sorted(records, key=lambda r: r["at"]):
         key = (record["broker"], record["run"])
         if key not in lives:
-            end = seen.ends.get(key)
-            lives[key] = Life(*key, record["at"], seen.over if end is None else end, end is not None)
+            end = observed.ends.get(key)
+            lives[key] = BrokerLife(
+                *key, record["at"], observed.over if end is None else end, end is not None
+            )
         life = lives[key]
         if record["event"] == "in_force":
             life.held.append((record["at"], record["epoch"], record["version"], record["digest"]))
     return list(lives.values())
 
 
-def _order(life: Life, verdict: Verdict) -> None:
+def _order(life: BrokerLife, verdict: Verdict) -> None:
     last = (0, 0)
     for at, epoch, version, _ in life.held:
         if version < last[1] or epoch < last[0]:
@@ -201,7 +205,7 @@
         last = (epoch, version)
 
 
-def _digests(life: Life, truth: dict[int, str], verdict: Verdict) -> None:
+def _digests(life: BrokerLife, truth: dict[int, str], verdict: Verdict) -> None:
     for at, _, version, digest in life.held:
         if version and truth.get(version, "") != digest:
             verdict.wrong.append(
@@ -210,18 +214,18 @@
             )
 
 
-def _in_force(life: Life, seen: Seen, verdict: Verdict) -> None:
+def _in_force(life: BrokerLife, observed: HarnessObservations, verdict: Verdict) -> None:
     """How long each change took to this life of a broker. Of changes that are due from one moment (a start, a
     heal) the newest counts, once: it takes the others along."""
-    down = sorted((s for s in seen.down if s.who == life.broker), key=lambda s: s.begin)
+    down = sorted((s for s in observed.down if s.who == life.broker), key=lambda s: s.begin)
     moments, reached, top = [], [], 0
     for at, _, version, _ in life.held:
         if version > top:
             moments.append(at)
             reached.append(version)
             top = version
-    due: dict[int, Acked] = {}
-    for change in seen.acked:
+    due: dict[int, AcknowledgedChange] = {}
+    for change in observed.acked:
         if change.at < life.end:
             base = _due(max(change.at, life.begin), down)
             if base not in due or due[base].version < change.version:
@@ -229,7 +233,7 @@
     for base, change in due.items():
         index = bisect_right(reached, change.version - 1)
         got = moments[index] if index < len(moments) and moments[index] <= life.end else None
-        _pair(life, change, base, got, down, seen, verdict)
+        _pair(life, change, base, got, down, observed, verdict)
 
 
 def _due(moment: int, down: list[Span]) -> int:
@@ -240,7 +244,13 @@
 
 
 def _pair(
-    life: Life, change: Acked, base: int, got: int | None, down: list[Span], seen: Seen, verdict: Verdict
+    life: BrokerLife,
+    change: AcknowledgedChange,
+    base: int,
+    got: int | None,
+    down: list[Span],
+    observed: HarnessObservations,
+    verdict: Verdict,
 ) -> None:
     until = life.end if got is None else got
     for span in down:  # cut off before it had it: due again from the heal on
@@ -251,34 +261,38 @@
     if got is None and not life.ended:
         verdict.lost.append(
             f"{life.broker} (run {life.run:x}) never had version {change.version}, due "
-            f"{(seen.over - base) / 1e6:.1f} s before the end"
+            f"{(observed.over - base) / 1e6:.1f} s before the end"
         )
-    if got is None and life.end - base < IN_FORCE_S * 1e6:
+    if got is None and life.end - base < IN_FORCE_LIMIT_S * 1e6:
         return  # it was killed before it could have it; or is lost, as said above
     took = max(0, until - base) / 1e6
     verdict.all.append(took)
-    kinds = {s.kind for s in seen.faults if s.begin <= until and base <= s.end}
+    kinds = {s.kind for s in observed.faults if s.begin <= until and base <= s.end}
     for kind in kinds:
         verdict.by_fault[kind].append(took)
     if not kinds:
         verdict.quiet.append(took)
 
 
-def _missing(lives: list[Life], seen: Seen, verdict: Verdict) -> None:
+def _missing(lives: list[BrokerLife], observed: HarnessObservations, verdict: Verdict) -> None:
     there = {life.broker for life in lives if not life.ended}
-    for name in sorted(seen.expected - seen.gone - there):
+    for name in sorted(observed.expected - observed.gone - there):
         verdict.lost.append(f"{name} is to be there at the end, and wrote nothing")
 
 
-def _primaries(controls: list[dict], seen: Seen, verdict: Verdict) -> None:
+def _primaries(controls: list[dict], observed: HarnessObservations, verdict: Verdict) -> None:
     """From each loss to the first sign of another primary: its own record or what it acknowledged."""
     signs = sorted((r["at"], r["who"]) for r in controls if r["event"] in ("primary", "acknowledged"))
-    for loss in seen.losses:
-        after = next((at for at, who in signs if at > max(loss.at, loss.gone) and who != loss.who), seen.over)
+    for loss in observed.losses:
+        after = next(
+            (at for at, who in signs if at > max(loss.at, loss.gone) and who != loss.who), observed.over
+        )
         verdict.primary_over.append(((after - loss.at) / 1e6, loss.kind))
 
 
-def too_little(verdict: Verdict, seen: Seen, brokers: int, seconds: float, quiet: bool = False) -> list[str]:
+def insufficient_activity(
+    verdict: Verdict, observed: HarnessObservations, brokers: int, seconds: float, quiet: bool = False
+) -> list[str]:
     """Why the run says nothing, if it does not. `quiet`: nothing was to be broken."""
     found = []
     if verdict.changes < max(5, seconds / (12 if quiet else 6)):
@@ -286,26 +300,26 @@
     if len(verdict.quiet) < brokers:
         found.append(f"only {len(verdict.quiet)} times of a change at a broker in quiet times")
     if quiet:
-        return found + ["something was broken"] * bool(seen.faults or seen.losses)
-    if not seen.losses:
+        return found + ["something was broken"] * bool(observed.faults or observed.losses)
+    if not observed.losses:
         found.append("no primary was lost")
     if verdict.lives <= brokers:
         found.append("no broker came back")
-    kinds = {span.kind for span in seen.faults}
+    kinds = {span.kind for span in observed.faults}
     if len(kinds) < min(3, max(1, int(seconds / 8))):
         found.append(f"faults of {len(kinds)} kinds only")
     return found
 
 
-def passed_limits(verdict: Verdict, cpu_pct: float, net_kb_s: float, rss_mb: float) -> list[str]:
+def exceeded_limits(verdict: Verdict, cpu_pct: float, net_kb_s: float, rss_mb: float) -> list[str]:
     """Which limits the run passed, by name."""
     most = max(verdict.quiet, default=0.0)
     primary = max((s for s, _ in verdict.primary_over), default=0.0)
     rows = (
-        ("in force, quiet, s", most, IN_FORCE_S),
-        ("primary over, s", primary, PRIMARY_S),
-        ("broker cpu, %", cpu_pct, CPU_PCT),
-        ("broker net, KB/s", net_kb_s, NET_KB_S),
-        ("broker rss, MB", rss_mb, RSS_MB),
+        ("in force, quiet, s", most, IN_FORCE_LIMIT_S),
+        ("primary over, s", primary, LEADER_LIMIT_S),
+        ("broker cpu, %", cpu_pct, CPU_LIMIT_PCT),
+        ("broker net, KB/s", net_kb_s, NETWORK_LIMIT_KB_S),
+        ("broker rss, MB", rss_mb, MEMORY_LIMIT_MB),
     )
     return [f"{name} {value:.2f} over {limit:g}" for name, value, limit in rows if value > limit]
--- a/cypressledge/lab/capacity/day.py
+++ b/cypressledge/lab/capacity/day.py
@@ -16,7 +16,7 @@
     "brokers replaced",
     "all control processes restarted",
 )
-CHANGES = (
+CHANGE_WEIGHTS = (
     ("settings", 10),
     ("engine drains", 3),
     ("engine goes", 2),
@@ -27,9 +27,9 @@
 )
 ZONES = ("za", "zb", "zc")
 REGION = {"za": "east", "zb": "east", "zc": "west"}
-LEAD_S = 3.0  # quiet before the first fault
-REST_S = 3.0  # and after one, at the least: part of it is the mending's
-TAIL_S = 8.0
+QUIET_LEAD_S = 3.0  # quiet before the first fault
+QUIET_REST_S = 3.0  # and after one, at the least: part of it is the mending's
+QUIET_TAIL_S = 8.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
     changes: list[Event]
 
 
-def span_of(kind: str, term_s: float, rng: random.Random) -> float:
+def draw_fault_span(kind: str, term_s: float, rng: random.Random) -> float:
     """Seconds that a fault lasts. A stop outlasts the lease's term; the others may or may not."""
     low, high = {
         "a primary killed": (0.8, 2.0),
@@ -65,34 +65,34 @@
     return rng.uniform(low, high) * term_s
 
 
-def draw(seed: int, seconds: float, term_s: float, every_s: float) -> Day:
+def draw_day(seed: int, seconds: float, term_s: float, every_s: float) -> Day:
     """A day of so many seconds; a change every `every_s` seconds on average. Each kind of fault comes once
     before one comes again; the first of a short day take a primary away, kill brokers and cut regions."""
     rng = random.Random(seed)
     faults: list[Event] = []
-    at, rounds = LEAD_S, 0
+    at, rounds = QUIET_LEAD_S, 0
     while True:
         deck = list(FAULTS)
         if rounds:  # the first round is in order, so that the shortest day has what it has to have
             rng.shuffle(deck)
         rounds += 1
         for kind in deck:
-            span = span_of(kind, term_s, rng)
-            if at + span + TAIL_S > seconds:
-                return Day(seconds, faults, changes_of(rng, seconds, every_s))
+            span = draw_fault_span(kind, term_s, rng)
+            if at + span + QUIET_TAIL_S > seconds:
+                return Day(seconds, faults, draw_changes(rng, seconds, every_s))
             faults.append(Event(at, kind, span, rng.random()))
-            at += span + REST_S + rng.uniform(0.5, 1.0) * term_s
+            at += span + QUIET_REST_S + rng.uniform(0.5, 1.0) * term_s
 
 
 def quiet_day(seed: int, seconds: float, every_s: float) -> Day:
     """A day of changes alone: what the control plane costs where nothing breaks."""
-    return Day(seconds, [], changes_of(random.Random(seed), seconds, every_s))
+    return Day(seconds, [], draw_changes(random.Random(seed), seconds, every_s))
 
 
-def changes_of(rng: random.Random, seconds: float, every_s: float) -> list[Event]:
+def draw_changes(rng: random.Random, seconds: float, every_s: float) -> list[Event]:
     """Changes at random moments; the last ones come in the quiet tail, with time left to be in force."""
     found, at = [], 0.0
-    kinds, weights = zip(*CHANGES, strict=True)
-    while (at := at + rng.expovariate(1 / every_s)) < seconds - TAIL_S / 2:
+    kinds, weights = zip(*CHANGE_WEIGHTS, strict=True)
+    while (at := at + rng.expovariate(1 / every_s)) < seconds - QUIET_TAIL_S / 2:
         found.append(Event(at, rng.choices(kinds, weights)[0], 0.0, rng.random()))
     return found
--- /dev/null
+++ b/cypressledge/lab/capacity/event_records.py
@@ -0,0 +1,34 @@
+"""Records of processes while they are being written, and the clock that all records share."""
+
+import json
+import time
+from collections.abc import Iterable
+from pathlib import Path
+
+TAIL_BYTES = 65_536  # of a file that are read from its end
+
+
+def boottime_us() -> int:
+    """Return µs of CLOCK_BOOTTIME: the clock of all records."""
+    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
+
+
+def read_tail(path: Path) -> list[dict]:
+    """Return the last records of a file that is being written, complete lines alone."""
+    with open(path, "rb") as file:
+        file.seek(0, 2)
+        start = max(0, file.tell() - TAIL_BYTES)
+        file.seek(start)
+        lines = file.read().split(b"\n")[1 if start else 0 : -1]
+    return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
+
+
+def current_leader(records: Iterable[dict]) -> str:
+    """Return who began to lead under the highest epoch and has not ended there; empty for nobody.
+
+    Guards against a former leader that records only later that it has stepped down.
+    """
+    told = [r for r in records if r["event"] in ("primary", "stepped_down")]
+    newest = max((r["epoch"] for r in told if r["event"] == "primary"), default=-1)
+    last = [r for r in told if r["epoch"] == newest]
+    return "" if not last or any(r["event"] == "stepped_down" for r in last) else last[0]["who"]
--- /dev/null
+++ b/cypressledge/lab/capacity/fault_injector.py
@@ -0,0 +1,156 @@
+"""Plays the faults of a capacity run's day, and notes the spans in which they last."""
+
+import math
+import random
+import signal
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import gevent
+
+from cypressledge.lab.capacity.checks import LeaderLoss, Span
+from cypressledge.lab.capacity.day import Event
+from cypressledge.lab.capacity.event_records import boottime_us, current_leader, read_tail
+from cypressledge.lab.capacity.fleet import CapacityFleet
+
+SETTLE_S = 2.5  # after a fault is mended, until times count as quiet again
+KILLED_PART = 0.04  # of the brokers, at a time
+LEADER_POLL_S = 0.1
+LEADER_POLLS = 100  # until a fault goes on without a leader
+SILENT_PART = 0.6  # of the cuts; the others reset connections
+
+
+@dataclass(slots=True)
+class FaultInjector:
+    """Plays faults on a fleet, and notes their spans, the leaders lost and the brokers killed."""
+
+    world: CapacityFleet
+    random: random.Random
+    down: list[Span] = field(default_factory=list)
+    spans: list[Span] = field(default_factory=list)
+    losses: list[LeaderLoss] = field(default_factory=list)
+    kills: list[tuple[str, int]] = field(default_factory=list)  # broker, µs
+    counts: Counter[str] = field(default_factory=Counter)
+
+    def play(self, event: Event) -> None:
+        """Play one fault from its beginning until it is mended."""
+        began = boottime_us()
+        self.counts[event.kind] += 1
+        self._handlers()[event.kind](event)
+        self.spans.append(Span(began, boottime_us() + round(SETTLE_S * 1e6), event.kind))
+
+    def _handlers(self) -> dict[str, Callable[[Event], None]]:
+        return {
+            "a primary killed": self._kill_leader,
+            "a primary stopped": self._stop_leader,
+            "all control processes restarted": self._restart_all_controls,
+            "brokers killed": self._kill_brokers,
+            "brokers replaced": self._replace_brokers,
+            "a zone gone": self._kill_zone,
+            "regions cut": self._cut_regions,
+        }
+
+    def leader(self) -> str:
+        """Return the current leader by the control processes' records; empty where none has said so."""
+        return current_leader(
+            r for c in self.world.controls if c.record.exists() for r in read_tail(c.record)
+        )
+
+    def _await_leader(self) -> str:
+        for _ in range(LEADER_POLLS):
+            name = self.leader()
+            if (
+                name
+                and self.world.control_by_name[name].running()
+                and not self.world.control_by_name[name].stopped
+            ):
+                return name
+            gevent.sleep(LEADER_POLL_S)
+        return ""
+
+    def _note_leader_loss(self, who: str, kind: str) -> None:
+        self.losses.append(LeaderLoss(boottime_us(), who, kind))
+
+    def _kill(self, names: list[str]) -> None:
+        self.world.down(names)
+        at = boottime_us()
+        self.kills += [(name, at) for name in names]
+
+    # Kinds of faults
+
+    def _kill_leader(self, event: Event) -> None:
+        if name := self._await_leader():
+            self._note_leader_loss(name, event.kind)
+            self.world.control_by_name[name].kill()
+            gevent.sleep(event.span)
+            self.world.control_by_name[name].start()
+
+    def _stop_leader(self, event: Event) -> None:
+        if name := self._await_leader():
+            self._note_leader_loss(name, event.kind)
+            self.world.control_by_name[name].signal(signal.SIGSTOP)
+            gevent.sleep(event.span)
+            self.world.control_by_name[name].signal(signal.SIGCONT)
+
+    def _restart_all_controls(self, event: Event) -> None:
+        began = boottime_us()
+        for c in self.world.controls:
+            c.kill()
+        self.losses.append(LeaderLoss(began, "", event.kind, boottime_us()))
+        gevent.sleep(event.span)
+        for c in self.world.controls:
+            c.start()
+
+    def _some_brokers(self) -> list[str]:
+        """Draw a few of the simulated brokers, and a real one."""
+        simulated = [n for n, p in self.world.brokers.items() if p.host]
+        real = [n for n, p in self.world.brokers.items() if not p.host]
+        return self.random.sample(simulated, math.ceil(KILLED_PART * len(simulated))) + self.random.sample(
+            real, min(1, len(real))
+        )
+
+    def _kill_brokers(self, event: Event) -> None:
+        names = self._some_brokers()
+        self._kill(names)
+        gevent.sleep(event.span)
+        self.world.up(names)
+
+    def _replace_brokers(self, event: Event) -> None:
+        names = self._some_brokers()
+        self._kill(names)
+        for name in names:
+            self.world.move(name)
+        gevent.sleep(event.span)
+        self.world.up(names)
+
+    def _kill_zone(self, event: Event) -> None:
+        """Of one, two or three zones: a majority of the voters is never in one."""
+        zone = sorted({c.zone for c in self.world.controls})[int(event.pick * 3) % 3]
+        controls = [c for c in self.world.controls if c.zone == zone]
+        leader = self._await_leader()
+        if leader in {c.name for c in controls}:
+            self._note_leader_loss(leader, event.kind)
+        for c in controls:
+            c.kill()
+        names = [n for n, p in self.world.brokers.items() if p.zone == zone]
+        self._kill(names)
+        gevent.sleep(event.span)
+        for c in controls:
+            c.start()
+        self.world.up(names)
+
+    def _cut_regions(self, event: Event) -> None:
+        """The region with a minority of the voters has none of what is new until the heal."""
+        leader = self._await_leader()
+        began = boottime_us()
+        if leader and self.world.control_by_name[leader].region == "west":
+            self._note_leader_loss(leader, event.kind)
+        self.world.cut("silent" if event.pick < SILENT_PART else "reset")
+        gevent.sleep(event.span)
+        self.world.heal()
+        self.down += [
+            Span(began, boottime_us(), event.kind, n)
+            for n, p in self.world.brokers.items()
+            if p.region == "west"
+        ]
--- /dev/null
+++ b/cypressledge/lab/capacity/run_report.py
@@ -0,0 +1,103 @@
+"""What a capacity run prints: tables of its figures, what is broken, and its one last line."""
+
+from collections.abc import Callable
+
+from tabulate import tabulate
+
+from cypressledge.lab.capacity import checks
+from cypressledge.lab.capacity.capacity_run import CapacityRun
+from cypressledge.lab.capacity.fleet import MEMBERS_LEASES
+
+SHOWN_FAULTS = 20  # of each kind
+
+
+def print_report(run: CapacityRun, say: Callable[[str], None]) -> None:
+    """Print a run's tables, and what is broken."""
+    _print_change_times(run.verdict, say)
+    _print_usage(run, say)
+    _print_events(run, say)
+    _print_machine(run, say)
+    verdict = run.verdict
+    for kind in (verdict.lost, verdict.gone_back, verdict.wrong):
+        for line in kind[:SHOWN_FAULTS]:
+            say(f"  BROKEN {line}")
+    for line in run.broken:
+        say(f"  {line}")
+
+
+def summary_line(run: CapacityRun) -> str:
+    """Return the run in one line."""
+    f = run.figures
+    return (
+        f"capacity: brokers {f['brokers']}, engines {f['engines']}, changes {f['changes']}, in force "
+        f"p99 {f['p99_s']:.2f} s most {f['most_s']:.2f} s, primary over most "
+        f"{f['primary_most_s']:.2f} s, broker cpu {f['broker_cpu_pct']:.2f} % net "
+        f"{f['broker_net_kb_s']:.2f} KB/s rss {f['broker_rss_mb']:.1f} MB, "
+        f"lost {f['lost']}, gone back {f['gone_back']}, wrong {f['wrong']}"
+    )
+
+
+def _print_change_times(verdict: checks.Verdict, say: Callable[[str], None]) -> None:
+    rows = [
+        _times_row("quiet", verdict.quiet),
+        *(_times_row(kind, times) for kind, times in sorted(verdict.by_fault.items())),
+        _times_row("all", verdict.all),
+    ]
+    say(tabulate(rows, floatfmt=".2f", headers=["in force, s", "times", "median", "p99", "most"]))
+    for seconds, kind in verdict.primary_over:
+        say(f"no primary for {seconds:.2f} s: {kind}")
+
+
+def _times_row(name: str, times: list[float]) -> list[object]:
+    largest = max(times, default=0.0)
+    return [name, len(times), checks.quantile(times, 0.5), checks.quantile(times, 0.99), largest]
+
+
+def _print_usage(run: CapacityRun, say: Callable[[str], None]) -> None:
+    rows = [
+        [c.name, c.zone, "votes" if c.votes else "", c.cost.cpu_pct, c.cost.rss_mb, c.cost.net_kb_s]
+        for c in run.world.controls
+    ]
+    say(tabulate(rows, floatfmt=".2f", headers=["control", "zone", "", "cpu %", "rss MB", "net KB/s"]))
+    rows = [
+        [name, usage.cpu_pct, usage.net_kb_s, usage.rss_mb]
+        for name, usage in (
+            ("simulated, of its host", run.simulated_usage),
+            ("real, by itself", run.real_usage),
+        )
+    ]
+    say(tabulate(rows, floatfmt=".2f", headers=["a broker, most", "cpu %", "net KB/s", "rss MB"]))
+    starts = [cost.start_cpu_s for cost in run.world.real_costs.values()]
+    say(f"a real broker's start, most: {max(starts, default=0.0):.2f} s of CPU, not in the figures above")
+
+
+def _print_events(run: CapacityRun, say: Callable[[str], None]) -> None:
+    asked = ", ".join(f"{kind} {count}" for kind, count in sorted(run.operator.counts.items()))
+    say(f"asked: {asked}; longest wait for an answer {run.operator.longest_wait_s:.2f} s")
+    faults = ", ".join(f"{kind} {count}" for kind, count in run.faults.counts.items())
+    say(f"faults: {faults or 'none'}")
+    say(
+        f"snapshots {run.figures['snapshots']}, reconnects {run.figures['reconnects']}; "
+        f"real brokers served {run.served} lookups, {run.refused} were not; "
+        f"members' ping period {_membership(run)}"
+    )
+
+
+def _membership(run: CapacityRun) -> str:
+    if not run.size.ping_s:
+        return "none"
+    return (
+        f"{run.size.ping_s:g} s; at the end the fewest that one has for alive {run.figures['alive_fewest']} "
+        f"of {run.size.brokers - run.size.real_brokers}, "
+        f"leases held {run.figures['leases_held']} of {MEMBERS_LEASES}"
+    )
+
+
+def _print_machine(run: CapacityRun, say: Callable[[str], None]) -> None:
+    host_late = max((seconds for host in run.world.hosts for seconds in host.late), default=0.0)
+    say(
+        f"start of all {run.start_s:.1f} s; load average {run.load_before:.2f} before, "
+        f"{run.load_most:.2f} at the most; wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
+        f"{1e3 * max(run.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
+        f"{run.memory_mb:.0f} MB in {run.processes} processes; seed {run.seed}, {run.seconds:g} s"
+    )
--- a/cypressledge/lab/capacity/run_tables.py
+++ b/cypressledge/lab/capacity/run_tables.py
@@ -4,6 +4,7 @@
 from dataclasses import dataclass
 from numbers import Real
 from pathlib import Path
+from typing import Any
 
 from cypressledge.lab.capacity.markdown import markdown_table
 from cypressledge.lab.capacity.targets import (
@@ -133,7 +134,7 @@
 FITTED_NAME_PARTS = ("cpu", "kb_s", "rss", "_mb")  # parts of names of figures that grow with the fleet
 
 
-Run = dict[str, object]  # a run's figures by name, as the results file has them
+Run = dict[str, Any]  # a run's figures by name, as the results file has them
 
 
 def flatten(figures: Run, prefix: str = "") -> Run:
--- /dev/null
+++ b/cypressledge/lab/capacity/simulated_operator.py
@@ -0,0 +1,242 @@
+"""An operator who asks for changes over HTTP during a capacity run, and notes wrong answers."""
+
+import json
+import random
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import gevent
+from gevent.lock import BoundedSemaphore
+
+from cypressledge.lab.capacity.checks import AcknowledgedChange
+from cypressledge.lab.capacity.control_process import call_management
+from cypressledge.lab.capacity.day import Event
+from cypressledge.lab.capacity.event_records import boottime_us
+from cypressledge.lab.capacity.fleet import LIVE_ZONE, CapacityFleet, engine_value, unused_address
+from cypressledge.lab.site import SETTINGS
+
+CHANGE_TIMEOUT_S = 20.0  # after which the operator gives a change up
+RETRY_INTERVAL_S = 0.2
+ANSWER_TIMEOUT_S = 6.0
+LOST_ANSWER_S = 0.02  # wait that is too short for an answer
+
+
+@dataclass(slots=True)
+class ChangeOutcome:
+    """What became of a change; `status`: "taken", "refused", or empty where it is not known."""
+
+    status: str
+    version: int = 0
+    digest: str = ""
+    reason: str = ""
+
+
+class SimulatedOperator:
+    """Asks for changes over HTTP, as an operator does, and notes answers that must not be.
+
+    A change goes to any control process, then on to the leader, and again under the same request name where
+    no answer came.
+    """
+
+    def __init__(self, world: CapacityFleet, seed: int) -> None:
+        self.world = world
+        self.random = random.Random(seed)
+        self.acked: list[AcknowledgedChange] = []
+        self.wrongs: list[str] = []  # answers that must not be
+        self.counts: Counter[str] = Counter()
+        self.version = 0  # the newest known
+        self.request_number = 0
+        self.fresh_number = 0  # of values that were not there before
+        self.leader_port = world.controls[0].management
+        self.engines: dict[str, str] = {
+            f"e{n:03}": "ready" for n in range(world.size.engines - len(world.fake_engines))
+        }
+        self.busy_keys: set[str] = set()  # keys that a change is under way for
+        self.settings_lock = BoundedSemaphore(1)  # all settings are one unit: one change of them at a time
+        self.longest_wait_s = 0.0  # for an answer
+        self._handlers: dict[str, Callable[[], None]] = {
+            "settings": self._change_settings,
+            "engine drains": self._drain_engine,
+            "engine goes": self._remove_engine,
+            "engine comes": self._add_engine,
+            "repeat": self._repeat_request,
+            "clash": self._ask_conflicting,
+            "bad": self._ask_invalid,
+        }
+
+    def do(self, event: Event) -> None:
+        """Play one change of the day."""
+        self.counts[event.kind] += 1
+        self._handlers[event.kind]()
+
+    # Asking
+
+    def ask(
+        self, operations: dict, base_version: int | None, request: str = "", lose_answer: bool = False
+    ) -> ChangeOutcome:
+        """Ask for one change until its outcome is known, for `CHANGE_TIMEOUT_S` at most.
+
+        `operations`, `base_version`: as `/control/change` takes them. `lose_answer`: the first answer is not
+        read, as if it had been lost.
+        """
+        if not request:
+            self.request_number += 1
+            request = f"lab-{self.request_number}"
+        body = json.dumps(
+            {"base": base_version, "request": request, "who": "lab", "why": "scale run", "ops": operations}
+        ).encode()
+        deadline = boottime_us() + CHANGE_TIMEOUT_S * 1e6
+        reason = ""
+        began = boottime_us()
+        while boottime_us() < deadline:
+            answer = self._post_change(body, lose_answer)
+            lose_answer = False
+            reason = str(answer.get("why", ""))
+            if answer.get("answer") == "done":
+                return self._record_acknowledged(answer, request, began)
+            if answer.get("answer") not in (None, "not primary", "unknown"):
+                return ChangeOutcome("refused", reason=f"{answer['answer']}: {reason}")
+            gevent.sleep(RETRY_INTERVAL_S)
+        self.counts["not known"] += 1
+        return ChangeOutcome("", reason=reason)
+
+    def _post_change(self, body: bytes, lose_answer: bool) -> dict:
+        try:
+            timeout_s = LOST_ANSWER_S if lose_answer else ANSWER_TIMEOUT_S
+            status, answer = call_management(self.leader_port, "POST", "/control/change", body, timeout_s)
+        except (OSError, ValueError, IndexError):
+            self.counts["no answer"] += 1
+            if not lose_answer:
+                self._switch_server()
+            return {}
+        if answer.get("answer") == "not primary" or status == 503:
+            self._switch_server(answer.get("at", ""))
+        return answer
+
+    def _switch_server(self, leader_address: str = "") -> None:
+        """Go on with another control process: where the leader is said to be, or any."""
+        port = leader_address.rpartition(":")[2]
+        ports = [c.management for c in self.world.controls]
+        self.leader_port = int(port) if port.isdigit() and int(port) in ports else self.random.choice(ports)
+
+    def _record_acknowledged(self, answer: dict, request: str, began: int) -> ChangeOutcome:
+        outcome = ChangeOutcome("taken", answer["version"], answer.get("digest", ""))
+        self.acked.append(AcknowledgedChange(boottime_us(), outcome.version, request, outcome.digest))
+        self.version = max(self.version, outcome.version)
+        self.longest_wait_s = max(self.longest_wait_s, (boottime_us() - began) / 1e6)
+        return outcome
+
+    def _change(self, key: str, operations: dict, **options: Any) -> ChangeOutcome:
+        """Change one key, on the newest version known; no other change of that key is drawn meanwhile."""
+        self.busy_keys.add(key)
+        try:
+            outcome = self.ask(operations, self.version, **options)
+        finally:
+            self.busy_keys.discard(key)
+        self.counts[outcome.status or "not known"] += 1
+        if outcome.status == "refused" and not self._is_excusable(outcome.reason):
+            self.wrongs.append(f"a good change of {key} was refused: {outcome.reason}")
+        return outcome
+
+    def _is_excusable(self, reason: str) -> bool:
+        """Whether a refusal is no fault: after an unknown outcome the newest known version may be old."""
+        return "clash" in reason and self.counts["not known"] > 0
+
+    # Kinds of changes
+
+    def _rules_change(self) -> dict:
+        self.fresh_number += 1
+        return {"set": {"config/Rules": SETTINGS["Rules"] | {"DrainGrace": 2_000_000 + self.fresh_number}}}
+
+    def _change_settings(self) -> None:
+        with self.settings_lock:
+            self._change("config/Rules", self._rules_change())
+
+    def _random_engine(self, state: str) -> str:
+        names = sorted(
+            n for n, s in self.engines.items() if s == state and f"engine/{n}" not in self.busy_keys
+        )
+        return self.random.choice(names) if names else ""
+
+    def _drain_engine(self) -> None:
+        if name := self._random_engine("ready"):
+            self._change_engine(name, "draining")
+
+    def _change_engine(self, name: str, state: str, **options: Any) -> ChangeOutcome:
+        number = int(name[1:])
+        value = engine_value(unused_address(number), f"z{'abc'[number % 3]}", state)
+        outcome = self._change(f"engine/{name}", {"set": {f"engine/{name}": value}}, **options)
+        if outcome.status == "taken":
+            self.engines[name] = state
+        return outcome
+
+    def _remove_engine(self) -> None:
+        if name := self._random_engine("draining") or self._random_engine("ready"):
+            outcome = self._change(f"engine/{name}", {"remove": [f"engine/{name}"]})
+            if outcome.status == "taken":
+                del self.engines[name]
+
+    def _add_engine(self) -> None:
+        self.fresh_number += 1
+        self._change_engine(f"e{1000 + self.fresh_number}", "ready")
+
+    def _repeat_request(self) -> None:
+        """Ask for a change whose first answer is lost, and ask again: it is done once."""
+        self.request_number += 1
+        request = f"lab-again-{self.request_number}"
+        with self.settings_lock:
+            operations, base_version = self._rules_change(), self.version
+            first = self._change("config/Rules", operations, request=request, lose_answer=True)
+        if first.status != "taken":
+            return
+        again = self.ask(operations, base_version, request)
+        self.counts["repeated"] += 1
+        if again.status == "refused" or (again.status and again.version != first.version):
+            self.wrongs.append(f"{request} was version {first.version}, and then {again}")
+
+    def _ask_conflicting(self) -> None:
+        """Ask for two changes of one key on the same version: one is refused."""
+        name = self._random_engine("ready")
+        if not name:
+            return
+        key, base_version = f"engine/{name}", self.version
+        self.busy_keys.add(key)
+        number = int(name[1:])
+        values = [
+            engine_value(unused_address(number), f"z{'abc'[number % 3]}", s) for s in ("draining", "ready")
+        ]
+        greenlets = [gevent.spawn(self.ask, {"set": {key: v}}, base_version) for v in values]
+        gevent.joinall(greenlets)
+        self.busy_keys.discard(key)
+        statuses = [g.value.status for g in greenlets]
+        self.counts["clashed"] += statuses.count("refused")
+        if statuses.count("taken") > 1:
+            self.wrongs.append(f"two changes of {key} on version {base_version} were both taken")
+        if statuses.count("refused") > 1 and not any(self._is_excusable(g.value.reason) for g in greenlets):
+            self.wrongs.append(
+                f"two changes of {key} on version {base_version} were both refused: "
+                f"{[g.value.reason for g in greenlets]}"
+            )
+        for greenlet, value in zip(greenlets, values, strict=True):
+            if greenlet.value.status == "taken":
+                self.engines[name] = value["state"]
+
+    def _ask_invalid(self) -> None:
+        """Ask for what no state can take: it is refused, and nothing changes."""
+        taken = self.world.fake_engines[0].member()["host_port"]
+        operations = self.random.choice(
+            (
+                {"set": {"config/Rules": {"DrainGrace": 1}}},
+                {"remove": ["config/Classes"]},
+                {"set": {"engine/bad": engine_value(taken, LIVE_ZONE)}},
+                {"set": {"engine/bad": {"address": "nowhere"}}},
+                {"set": {"engine/no good": engine_value(unused_address(9999), LIVE_ZONE)}},
+                {"set": {"nothing/x": 1}},
+            )
+        )
+        outcome = self.ask(operations, None)
+        self.counts["bad refused"] += outcome.status == "refused"
+        if outcome.status == "taken":
+            self.wrongs.append(f"a bad change was taken as version {outcome.version}: {operations}")
--- a/cypressledge/lab/site.py
+++ b/cypressledge/lab/site.py
@@ -2,10 +2,11 @@
 
 import random
 import socket
+from typing import Any
 
 GIVEN: set[int] = set()
 
-SETTINGS = {
+SETTINGS: dict[str, Any] = {
     "Classes": [
         {
             "Name": "lookup",
--- a/tests/test_capacity_check.py
+++ b/tests/test_capacity_check.py
@@ -35,8 +35,10 @@
 
 def seen(acked, over=40.0, **more):
     told = {"down": [], "faults": [], "losses": [], "ends": {}, **more}
-    return checks.Seen(
-        acked=[checks.Acked(int(at * S), v, f"r{v}") for at, v in acked], over=int(over * S), **told
+    return checks.HarnessObservations(
+        acked=[checks.AcknowledgedChange(int(at * S), v, f"r{v}") for at, v in acked],
+        over=int(over * S),
+        **told,
     )
 
 
@@ -124,7 +126,7 @@
 
 def test_a_repeat_that_became_another_version_is_wrong():
     told = seen(ACKED)
-    told.acked.append(checks.Acked(6 * S, 5, "r4"))
+    told.acked.append(checks.AcknowledgedChange(6 * S, 5, "r4"))
     assert any("became versions 4 and 5" in line for line in checks.check(WHOLE, HISTORY, told).wrong)
 
 
@@ -172,25 +174,25 @@
 
 def test_time_without_a_primary_ends_with_another():
     records = [*HISTORY, control(10.5, "acknowledged", 5, who="c1"), control(13, "primary", who="c2")]
-    told = seen(ACKED, losses=[checks.Loss(10 * S, "c1", "killed")])
+    told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "c1", "killed")])
     assert checks.check(WHOLE, records, told).primary_over == [(3.0, "killed")]
-    told.losses = [checks.Loss(20 * S, "c2", "killed")]
+    told.losses = [checks.LeaderLoss(20 * S, "c2", "killed")]
     assert checks.check(WHOLE, records, told).primary_over == [(20.0, "killed")]
 
 
 def test_all_restarted_ends_with_any_primary():
-    told = seen(ACKED, losses=[checks.Loss(10 * S, "", "all")])
+    told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "", "all")])
     assert checks.check(WHOLE, [*HISTORY, control(12, "primary")], told).primary_over == [(2.0, "all")]
 
 
 def test_the_last_words_before_all_are_gone_are_no_sign():
-    told = seen(ACKED, losses=[checks.Loss(10 * S, "", "all", round(10.2 * S))])
+    told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "", "all", round(10.2 * S))])
     records = [*HISTORY, control(10.1, "acknowledged", 5), control(12, "primary")]
     assert checks.check(WHOLE, records, told).primary_over == [(2.0, "all")]
 
 
 def test_too_little_is_said():
-    found = checks.too_little(checks.check([], [], seen([])), seen([]), 10, 30)
+    found = checks.insufficient_activity(checks.check([], [], seen([])), seen([]), 10, 30)
     words = " ".join(found)
     for part in ("0 changes", "quiet times", "no primary was lost", "no broker came back", "0 kinds"):
         assert part in words
@@ -198,17 +200,19 @@
 
 def test_a_quiet_run_needs_changes_and_no_fault():
     told = seen([])
-    found = checks.too_little(checks.check([], [], told), told, 10, 60, quiet=True)
+    found = checks.insufficient_activity(checks.check([], [], told), told, 10, 60, quiet=True)
     assert len(found) == 2
     assert "0 changes" in found[0]
-    told.losses.append(checks.Loss(1, "c1", "killed"))
-    assert "something was broken" in checks.too_little(checks.check([], [], told), told, 10, 60, quiet=True)
+    told.losses.append(checks.LeaderLoss(1, "c1", "killed"))
+    assert "something was broken" in checks.insufficient_activity(
+        checks.check([], [], told), told, 10, 60, quiet=True
+    )
 
 
 def test_limits_are_named():
     v = checks.Verdict(quiet=[12.5], primary_over=[(8.5, "killed")])
-    assert len(checks.passed_limits(v, 3.3, 31, 257)) == 5
-    assert not checks.passed_limits(checks.Verdict(quiet=[11.0], primary_over=[(7.0, "")]), 3.2, 30, 256)
+    assert len(checks.exceeded_limits(v, 3.3, 31, 257)) == 5
+    assert not checks.exceeded_limits(checks.Verdict(quiet=[11.0], primary_over=[(7.0, "")]), 3.2, 30, 256)
 
 
 def test_half_lines_of_killed_processes_are_passed_over(tmp_path):
--- a/tests/test_capacity_day.py
+++ b/tests/test_capacity_day.py
@@ -5,27 +5,27 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from cypressledge.lab.capacity.day import FAULTS, REST_S, TAIL_S, draw
+from cypressledge.lab.capacity.day import FAULTS, QUIET_REST_S, QUIET_TAIL_S, draw_day
 from cypressledge.lab.tcp_proxy import TcpProxy
 
 
 def test_a_day_is_the_seeds_alone():
-    assert draw(7, 240, 2, 0.7) == draw(7, 240, 2, 0.7) != draw(8, 240, 2, 0.7)
+    assert draw_day(7, 240, 2, 0.7) == draw_day(7, 240, 2, 0.7) != draw_day(8, 240, 2, 0.7)
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_a_long_day_has_all_faults_and_quiet_between_and_after(seed):
-    day = draw(seed, 300, 2, 0.7)
+    day = draw_day(seed, 300, 2, 0.7)
     assert {f.kind for f in day.faults} == set(FAULTS)
     for one, other in zip(day.faults, day.faults[1:], strict=False):
-        assert other.at >= one.at + one.span + REST_S
-    assert all(f.at + f.span <= 300 - TAIL_S for f in day.faults)
-    assert any(c.at > 300 - TAIL_S for c in day.changes)
+        assert other.at >= one.at + one.span + QUIET_REST_S
+    assert all(f.at + f.span <= 300 - QUIET_TAIL_S for f in day.faults)
+    assert any(c.at > 300 - QUIET_TAIL_S for c in day.changes)
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_a_short_day_has_the_faults_that_count(seed):
-    assert [f.kind for f in draw(seed, 30, 2, 0.7).faults][:2] == list(FAULTS[:2])
+    assert [f.kind for f in draw_day(seed, 30, 2, 0.7).faults][:2] == list(FAULTS[:2])
 
 
 class Echo:
--- a/tests/test_capacity_play.py
+++ b/tests/test_capacity_play.py
@@ -5,10 +5,13 @@
 
 import pytest
 
-from cypressledge.lab.capacity import playback
-from cypressledge.lab.capacity.checks import Acked
+from cypressledge.lab.capacity import simulated_operator
+from cypressledge.lab.capacity.checks import AcknowledgedChange
 from cypressledge.lab.capacity.day import Event
-from cypressledge.lab.capacity.fleet import Cost
+from cypressledge.lab.capacity.event_records import current_leader, read_tail
+from cypressledge.lab.capacity.fault_injector import FaultInjector
+from cypressledge.lab.capacity.observations import harness_observations
+from cypressledge.lab.capacity.process_cost import ProcessCost
 
 
 class Plane:
@@ -59,15 +62,15 @@
 
 def operator(monkeypatch, fault=""):
     plane = Plane(fault)
-    monkeypatch.setattr(playback, "http", plane.http)
-    monkeypatch.setattr(playback, "PAUSE_S", 0.001)
+    monkeypatch.setattr(simulated_operator, "call_management", plane.http)
+    monkeypatch.setattr(simulated_operator, "RETRY_INTERVAL_S", 0.001)
     standin = SimpleNamespace(member=lambda: {"host_port": "127.0.0.1:5"})
     world = SimpleNamespace(
         size=SimpleNamespace(engines=9),
-        standins=[standin],
+        fake_engines=[standin],
         controls=[SimpleNamespace(management=101), SimpleNamespace(management=102)],
     )
-    return playback.Operator(world, 1), plane
+    return simulated_operator.SimulatedOperator(world, 1), plane
 
 
 KINDS = ("settings", "engine drains", "engine goes", "engine comes", "repeat", "clash", "bad")
@@ -104,13 +107,15 @@
 def test_the_primary_is_followed(monkeypatch):
     asking, _ = operator(monkeypatch, "moved")
     asking.do(Event(0, "settings"))
-    assert asking.first == 102
+    assert asking.leader_port == 102
     assert len(asking.acked) == 1
 
 
 def test_what_the_harness_saw_becomes_the_checkers():
-    asking = SimpleNamespace(acked=[Acked(900, 3, "r3"), Acked(950, 4, "r4")], wrongs=[])
-    faults = playback.Faults(None, None, kills=[("a", 50), ("a", 500)])
+    asking = SimpleNamespace(
+        acked=[AcknowledgedChange(900, 3, "r3"), AcknowledgedChange(950, 4, "r4")], wrongs=[]
+    )
+    faults = FaultInjector(None, None, kills=[("a", 50), ("a", 500)])
     records = [
         {"at": at, "broker": "a", "run": run, "event": "start"}
         for at, run in ((10, 1), (20, 1), (60, 2), (600, 3))
@@ -119,7 +124,7 @@
         {"at": 800, "who": "c1", "event": "acknowledged", "version": 3, "request": "r3"},
         {"at": 990, "who": "c1", "event": "acknowledged", "version": 4, "request": "r4"},
     ]
-    seen = playback.seen(asking, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77})
+    seen = harness_observations(asking, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77})
     assert seen.ends == {("a", 1): 50, ("a", 2): 500, ("b", 7): 77}
     assert [a.at for a in seen.acked] == [800, 950]
 
@@ -127,23 +132,23 @@
 def test_the_tail_of_a_file_is_whole_lines(tmp_path):
     path = tmp_path / "a"
     path.write_text("".join(json.dumps({"n": n, "x": "y" * 50}) + "\n" for n in range(3_000)) + '{"n": 3')
-    found = playback.tail(path)
+    found = read_tail(path)
     assert found[-1]["n"] == 2_999
     assert 500 < len(found) < 1_200
 
 
 def test_a_cost_counts_over_lives():
-    cost = Cost()
+    cost = ProcessCost()
     for total in (100, 250, 40, 60):  # a new life begins at 0
-        cost.count(total)
-    assert cost.net == 310
+        cost.add_total(total)
+    assert cost.net_bytes == 310
 
 
 def test_who_the_primary_is():
     def told(who, event, epoch):
         return {"who": who, "event": event, "epoch": epoch}
 
-    assert playback.primary_of([]) == ""
+    assert current_leader([]) == ""
     both = [told("c1", "primary", 5), told("c2", "primary", 9), told("c1", "stepped_down", 5)]
-    assert playback.primary_of(both) == "c2"  # whatever the former one says later
-    assert playback.primary_of([*both, told("c2", "stepped_down", 9)]) == ""
+    assert current_leader(both) == "c2"  # whatever the former one says later
+    assert current_leader([*both, told("c2", "stepped_down", 9)]) == ""
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -9,8 +9,9 @@
 import time
 from pathlib import Path
 
-from cypressledge.lab.capacity.fleet import Size
-from cypressledge.lab.capacity.run import Point, draw_plot
+from cypressledge.lab.capacity.capacity_run import CapacityRun
+from cypressledge.lab.capacity.fleet import FleetSize
+from cypressledge.lab.capacity.run_plot import draw_plot
 from cypressledge.lab.processes import ROOT
 
 LINE = re.compile(
@@ -89,7 +90,7 @@
     )
     points = []
     for count in (120, 60):
-        point = Point(Size(count, 490, 5), 30.0, 1, tmp_path, print)
+        point = CapacityRun(FleetSize(count, 490, 5), 30.0, 1, tmp_path, print)
         point.figures = dict.fromkeys(names, 1.0) | {
             "brokers": count,
             "engines": 490,
@@ -102,7 +103,7 @@
 
 
 def test_a_run_that_is_too_large_for_the_machine_says_so(tmp_path):
-    point = Point(Size(12, 20, 1), 30.0, 1, tmp_path, print)
-    assert not point._too_large()
+    point = CapacityRun(FleetSize(12, 20, 1), 30.0, 1, tmp_path, print)
+    assert not point.resource_excess()
     point.memory_mb, point.processes = 11_000.0, 20
-    assert "11000 MB" in point._too_large()
+    assert "11000 MB" in point.resource_excess()
