--- a/cypressledge/net/__init__.py
+++ b/cypressledge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wires: fronts that clients speak to, links to engines, directories, and the admin API."""
+"""The protocols: frontends for clients, transports to engines, discovery, and the operators' addresses."""
--- a/cypressledge/net/dns_discovery.py
+++ b/cypressledge/net/dns_discovery.py
@@ -22,14 +22,10 @@
 from cypressledge.net.socket_io import Address
 
 SERVICE_NAME = "_app._tcp.cluster.lan"
-POLL_INTERVAL = (
-    0.4  # seconds: the platform counts what an answer holds as known, so it must not wait for long
-)
+POLL_INTERVAL = 0.4  # seconds: what an answer holds counts as known to us, so it must not wait for long
 MIN_POLL_PAUSE = 0.05  # seconds between two polls, however long the first one took
 QUERY_TIMEOUTS = (0.1, 0.1, 0.15)  # seconds for a good answer, to a poll's first query and each repetition
-AFTER_INVALID_TIMEOUT = (
-    0.02  # seconds in which a good answer may follow a bad one, before the next repetition
-)
+AFTER_INVALID_TIMEOUT = 0.02  # seconds in which a good answer may follow a bad one, before the repetition
 START_TIME_DOUBT = 4  # an engine may pass for older by 1/4 of its warm-up: by then it has more than its share
 UNREACHABLE_POLLS = 3  # polls in a row without a good answer, from which the server counts as unreachable
 MAX_DATAGRAM_SIZE = 65535  # bytes
@@ -52,7 +48,7 @@
     kind: str = ""
     zone: str = ""
     cell: int = 0
-    born_ms: int = 0  # Unix time at which its process started, as listed; 0 is long ago
+    started_at_ms: int = 0  # Unix time at which its process started, as listed; 0 is long ago
 
 
 class EngineNaming:
@@ -79,7 +75,7 @@
         """Hand a complete list to the core."""
         listed = list(engines)
         self.published = kind, listed
-        start_times = {engine.name: engine.born_ms for engine in listed}
+        start_times = {engine.name: engine.started_at_ms for engine in listed}
         self.starts.update(start_times, monotonic_us(), core.settings.slow_start_window // START_TIME_DOUBT)
         core.engines.update_list(self.wire, kind, list(map(self._entry_and_endpoint, listed)))
 
@@ -92,9 +88,11 @@
             self.kinds.get(engine.kind, 0),
             self.zones.get(engine.zone, 0),
             engine.cell,
-            self.starts.started_at(engine.name, engine.born_ms),
+            self.starts.started_at(engine.name, engine.started_at_ms),
+        )
+        return entry, Endpoint(
+            number, engine.name, (engine.host, engine.port), self.wire, engine.started_at_ms
         )
-        return entry, Endpoint(number, engine.name, (engine.host, engine.port), self.wire, engine.born_ms)
 
 
 def configured_engines(config: Mapping[str, Any]) -> tuple[int, list[DiscoveredEngine]]:
@@ -117,7 +115,7 @@
                 kind=member.get("flavor", ""),
                 zone=member.get("locality", ""),
                 cell=int(member.get("cell", 0)),
-                born_ms=int(member.get("up_since_ms") or 0),
+                started_at_ms=int(member.get("up_since_ms") or 0),
             )
     return int(config.get("offset", 0)), list(engines.values())
 
@@ -279,5 +277,5 @@
         kind=info.get("kind", ""),
         zone=labels[1] if len(labels) > 1 else "",
         cell=int(info.get("cell") or 0),
-        born_ms=int(info.get("started") or 0),
+        started_at_ms=int(info.get("started") or 0),
     )
--- a/cypressledge/net/dns_sd.py
+++ b/cypressledge/net/dns_sd.py
@@ -74,7 +74,7 @@
             kind=info.get("kind", ""),
             zone=info.get("zone", ""),
             cell=int(info.get("cell") or 0),
-            born_ms=int(info.get("started") or 0),
+            started_at_ms=int(info.get("started") or 0),
         )
 
     def _record(self, name: dns.name.Name, record_type: dns.rdatatype.RdataType, records: Records) -> Any:
--- a/cypressledge/net/line_protocol/connection.py
+++ b/cypressledge/net/line_protocol/connection.py
@@ -45,9 +45,7 @@
 MAX_ENCODING_AGE = 50_000  # µs from encoding a command to sending it; then it is encoded anew
 LATE_CONNECT_WINDOW = 2.0  # seconds beyond its timeout in which a connection may still come up
 LOST_ANSWER_INTERVALS = 1.7  # progress intervals without a message, from which an answer may be lost
-ALIVE_INTERVALS = (
-    0.8  # progress intervals within which the engine must have sent a message on another connection
-)
+ALIVE_INTERVALS = 0.8  # progress intervals within which the engine must have sent on another connection
 # Errors of `connect` that say nothing about the engine.
 LOCAL_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
