--- a/cypressledge/decisions/__init__.py
+++ b/cypressledge/decisions/__init__.py
@@ -1,1 +1,12 @@
-"""The decisions: which request goes to which engine and when. Free of I/O and told the time."""
+"""The decisions: which request goes to which engine and when. Free of I/O and told the time.
+
+Entry point: `manager.WorkloadManager`; `contract` holds the settings, the events and the actions.
+
+Requests: `lifecycle` (from coming to the final answer), `request` (state), `ordering` (by key), `deadlines`.
+Turns: `queues` (of the classes), `odds` (PI loop and weighted draw), `odds_loop` (its inputs), `dispatch`.
+Choice of an engine: `routing` (filters and costs), `affinity` (groups, loads, ranks), `load_reports`.
+Limits of an engine: `engine_admission`, `concurrency_limits`, `slow_start`, `health` (ejection).
+Attempts: `attempts` (cancel, move), `attempt_resources`, `retries`, `outcomes`, `progress`, `lost_responses`.
+State and means: `engines`, `subscription` (engine lists), `estimates` (costs and needs), `pace` (slowdowns).
+At intervals: `housekeeping`, `inspection`. Shared: `context`, `units`.
+"""
--- a/cypressledge/decisions/concurrency_limits.py
+++ b/cypressledge/decisions/concurrency_limits.py
@@ -17,9 +17,7 @@
 GROWTH_SLOWDOWN = 1.4  # slowdown under which it may grow: short work meets its objective longest
 GROWTH_MET_RATIO = 4  # answers that meet their objective for each that misses it, from which a bound may grow
 BURST_MULTIPLE = 1.25  # of the initial bound, past which the bound binds without pressure
-WIDE_QUERIES_ALLOWANCE = (
-    2.0  # widest queries that the sum of bounds may be passed by: a small broker's swings
-)
+WIDE_QUERIES_ALLOWANCE = 2.0  # widest queries that the sum of bounds may be passed by: for chance
 REJECTION_PRESSURE = 2_000 * MS  # a rejection counts as pressure this long
 OVERFLOW_INTERVAL = 250 * MS  # between attempts past the threads an engine had when it last rejected
 SHORT_WORK_SHARE = 0.5  # of the mean run time, up to which work is short
--- a/cypressledge/decisions/engines.py
+++ b/cypressledge/decisions/engines.py
@@ -44,7 +44,7 @@
     consecutive_resets: int = 0
 
     rejected_until: int = 0  # a rejection counts as pressure until then
-    threads_at_rejection: int = 0  # threads that it bore when it last rejected
+    threads_at_rejection: int = 0  # in flight when it last rejected, or more that it has borne since
     next_overflow_at: int = 0  # next attempt past those threads
 
     warm_at: int = 0  # end of the slow start
--- a/cypressledge/decisions/queues.py
+++ b/cypressledge/decisions/queues.py
@@ -45,6 +45,7 @@
         """The next request of a class outside the blocked rows; late ones not worth serving are rejected."""
 
         def postpone(request: Request) -> None:
+            """Queue a request that will miss its objective for late service, or reject it."""
             if self._may_be_served_late(request):
                 self._push(self._late, request)
             else:
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -174,10 +174,9 @@
 
 def _affinity_cost(engine: Engine, facts: RoutingFacts) -> float:
     """Of engines that aren't the group's own, and of warm ones that aren't the broker's own."""
+    is_uncached = engine not in facts.group_engines
     is_warm = facts.now >= engine.warm_at
-    return (
-        engine not in facts.group_engines
-    ) * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * facts.distances[engine]
+    return is_uncached * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * facts.distances[engine]
 
 
 def _blocked_cost(engine: Engine, facts: RoutingFacts) -> float:
