--- a/cypressledge/broker/process.py
+++ b/cypressledge/broker/process.py
@@ -93,7 +93,7 @@
         from cypressledge.controlplane.broker_integration import follow
 
         control = follow(file, self)
-        self._greenlets += control.parts
+        self._greenlets += control.loops
         return control
 
     def reload(self) -> None:
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -8,6 +8,7 @@
 import os
 from collections.abc import Callable, Mapping
 from dataclasses import asdict
+from typing import TYPE_CHECKING
 
 from cypressledge.broker.metrics import log
 from cypressledge.config import ConfigError, parse_address
@@ -21,6 +22,9 @@
 from cypressledge.fleet.node import new_instance_id
 from cypressledge.net.dns_discovery import DiscoveredEngine
 
+if TYPE_CHECKING:
+    from cypressledge.broker.process import BrokerProcess
+
 KINDS = ("config", "engine", "broker")  # of keys
 ENGINE_STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
 
@@ -28,7 +32,7 @@
 class BrokerIntegration:
     """Follows the control plane for a broker. Raises `ConfigError` where the file can't be used."""
 
-    def __init__(self, file: str, broker, env: Mapping[str, str]) -> None:
+    def __init__(self, file: str, broker: "BrokerProcess", env: Mapping[str, str]) -> None:
         self.broker, self.counters = broker, broker.counters
         settings = read_control_settings(file)
         self.fleet = broker.fleet
@@ -43,7 +47,7 @@
             self._settled,
             SubscriberOptions(record=settings.lab.record),
         )
-        self.parts = self.client.parts
+        self.loops = self.client.loops
         if broker.management is not None:
             broker.management.add("/control/status", "GET", lambda request: (200, self._status()))
 
@@ -147,6 +151,6 @@
     )
 
 
-def follow(file: str, broker) -> BrokerIntegration:
+def follow(file: str, broker: "BrokerProcess") -> BrokerIntegration:
     """The integration of a broker that is being put together."""
     return BrokerIntegration(file, broker, os.environ)
--- a/cypressledge/controlplane/change_proposals.py
+++ b/cypressledge/controlplane/change_proposals.py
@@ -86,16 +86,17 @@
         return min((waiting.deadline for waiting in still_waiting), default=now + MAJORITY_TIMEOUT_US)
 
     def _propose(self, now: int, change: ChangeRequest, exchange: HttpExchange) -> None:
-        replica = self.leadership.replica
+        leadership = self.leadership
         try:
-            if not self.leadership.is_leader:
-                raise NotLeaderError(self.leadership.leader)
-            base = replica.latest_state.version if change.base is None else change.base
-            check_new(replica.latest_state, change)
+            if not leadership.is_leader:
+                raise NotLeaderError(leadership.leader)
+            state = leadership.latest_state()
+            base = state.version if change.base is None else change.base
+            check_new(state, change)
             if change.dry_run:
-                self._answer_dry_run(change, base, exchange)
+                self._answer_dry_run(change, state, base, exchange)
                 return
-            ticket = replica.propose(
+            ticket = leadership.voter().propose(
                 now, change.ops, base, change.request, change.who, change.why, time.time_ns() // 1_000_000
             )
         except NotLeaderError:
@@ -107,7 +108,7 @@
                     "answer": "clash",
                     "why": str(err),
                     "keys": err.keys,
-                    "version": replica.latest_state.version,
+                    "version": leadership.latest_state().version,
                 },
             )
         except StateError as err:
@@ -115,16 +116,17 @@
         else:
             self._waiting.append(_WaitingChange(ticket, change, exchange, now + MAJORITY_TIMEOUT_US))
 
-    def _answer_dry_run(self, change: ChangeRequest, base: int, exchange: HttpExchange) -> None:
+    def _answer_dry_run(
+        self, change: ChangeRequest, state: FleetState, base: int, exchange: HttpExchange
+    ) -> None:
         """What would come of a change. Raises as `Replica.propose` does."""
-        tail = self.leadership.replica.latest_state
-        validate_change(tail, change.ops)
-        if keys := find_conflicts(tail, base, change.ops):
+        validate_change(state, change.ops)
+        if keys := find_conflicts(state, base, change.ops):
             raise VersionConflictError(keys)
         self._answer(
             exchange,
             HTTPStatus.OK,
-            {"answer": "would do", "version": tail.version + 1, "keys": len(change.ops)},
+            {"answer": "would do", "version": state.version + 1, "keys": len(change.ops)},
         )
 
     def _acknowledge(self, waiting: _WaitingChange) -> None:
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -118,7 +118,7 @@
             self.name, self.server.votes, settings.term, self.clock, self.node, self.replica
         )
         self._subscribe()
-        if options.seed is not None and self.server.votes:
+        if options.seed is not None and isinstance(self.replica, Replica):
             self.replica.permit_first_version(f"{self.name}-{self.run_id:x}", options.seed)
         self._make_leader_reports()
         peers = self._make_peer_connections()
@@ -133,7 +133,7 @@
             self.listener.run,
             self.operators.run,
             *peers,
-            *getattr(self.replica, "parts", ()),
+            *(self.replica.loops if isinstance(self.replica, NonVotingReplica) else ()),
         ]
 
     # Assembly
@@ -165,7 +165,7 @@
 
     def _make_replica(self, now: int) -> Replica | NonVotingReplica:
         settings, options = self.settings, self.options
-        if not self.server.votes:
+        if options.disk is None:
             return NonVotingReplica(
                 self.name,
                 self.run_id,
--- a/cypressledge/controlplane/leader_reports.py
+++ b/cypressledge/controlplane/leader_reports.py
@@ -16,6 +16,7 @@
 from cypressledge.controlplane.peer_connections import PeerSender
 from cypressledge.controlplane.process_events import ProcessEvents
 from cypressledge.controlplane.publisher import Publisher
+from cypressledge.controlplane.replica_context import Role
 from cypressledge.controlplane.state_values import StateError
 from cypressledge.fleet.node import FleetNode
 
@@ -109,15 +110,15 @@
         registry = self.registry
         if not ops and not registry.is_observation_due(now):
             return
-        replica = self.leadership.replica
-        registry.observe(now, replica.latest_state, self.connected.names(), ops)
+        state = self.leadership.latest_state()
+        registry.observe(now, state, self.connected.names(), ops)
         registry.mark_sent(now, ops)
-        change, rejected = registry.resolve(now, replica.latest_state, ops)
+        change, rejected = registry.resolve(now, state, ops)
         for why in rejected:
             self.events.emit("registration_rejected", why=why)
         self._propose_change(now, change, "brokers' places", "registration_rejected")
         self._propose_change(
-            now, registry.expired(now, replica.latest_state), "brokers gone", "removal_rejected"
+            now, registry.expired(now, self.leadership.latest_state()), "brokers gone", "removal_rejected"
         )
 
     def _propose_change(self, now: int, ops: list[Op], description: str, failure_event: str) -> None:
@@ -146,10 +147,10 @@
         """A message of a peer. Reports are taken by one that is about to lead, too."""
         replica = self.leadership.replica
         if isinstance(message, AppliedReport):
-            if replica.role != "standby":
+            if replica.role is not Role.FOLLOWER:
                 self.applied.report(now, peer, message)
         elif isinstance(message, RegisterBrokers):
-            if replica.role != "standby":
+            if replica.role is not Role.FOLLOWER:
                 self.registry.request(message.ops)
         else:
             replica.receive(now, peer, message)
--- a/cypressledge/controlplane/leadership.py
+++ b/cypressledge/controlplane/leadership.py
@@ -3,9 +3,12 @@
 The lease only decides who tries to lead; the safety of the history is the replica's alone.
 """
 
+from cypressledge.controlplane.errors import NotLeaderError
 from cypressledge.controlplane.non_voting_replica import NonVotingReplica
 from cypressledge.controlplane.publisher import Publisher
 from cypressledge.controlplane.replica import Replica
+from cypressledge.controlplane.replica_context import Role
+from cypressledge.controlplane.state import FleetState
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.node import FleetNode
 
@@ -30,10 +33,24 @@
         self.node, self.replica = node, replica
         self.suspended_until = 0  # µs: the disk here refuses until then, as far as is known
 
+    def voter(self) -> Replica:
+        """The replica, where this process votes. Raises `NotLeaderError` where it doesn't."""
+        if not isinstance(self.replica, Replica):
+            raise NotLeaderError(self.leader)
+        return self.replica
+
+    def latest_state(self) -> FleetState:
+        """The state with what isn't committed yet: what the next change is made on. Raises `NotLeaderError`
+        where there is none."""
+        state = self.voter().latest_state
+        if state is None:
+            raise NotLeaderError(self.leader)
+        return state
+
     @property
     def is_leader(self) -> bool:
         """Whether this process leads now."""
-        return self.replica.role == "primary" and self.clock.now() < self.replica.lease_until
+        return self.replica.role is Role.LEADER and self.clock.now() < self.replica.lease_until
 
     @property
     def leader(self) -> str:
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -50,7 +50,7 @@
             self._on_state,
             options=SubscriberOptions(log=log),
         )
-        self.parts = self._subscriber.parts
+        self.loops = self._subscriber.loops
 
     def _on_state(self, state: FleetState, change: Change | None) -> None:
         if change is None:
--- a/cypressledge/controlplane/operator_calls.py
+++ b/cypressledge/controlplane/operator_calls.py
@@ -58,7 +58,8 @@
     texts = [fields.get(key, "") for key in ("request", "who", "why")]
     if not all(isinstance(text, str) for text in texts):
         raise BadRequestError("request, who and why are texts")
-    return ChangeRequest(base, *texts, _read_ops(fields.get("ops")), fields.get("dry_run") is True)
+    request, who, why = texts
+    return ChangeRequest(base, request, who, why, _read_ops(fields.get("ops")), fields.get("dry_run") is True)
 
 
 def _read_ops(fields: object) -> list[Op]:
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -90,7 +90,7 @@
         if frames is None:
             self._counters.add("control.peer_unreachable")
             return
-        is_due = self._counts_for_fault(message) and self._faults.is_due(message.__struct_config__.tag)
+        is_due = self._counts_for_fault(message) and self._faults.is_due(str(message.__struct_config__.tag))
         if is_due and self._faults.when == "before":
             self._faults.strike()
         frames.send(message)
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -234,6 +234,7 @@
     def _on_position(self, subscription: Subscription, position: Position, rejection_reason: str) -> None:
         """An answer: what the broker holds after the message that was in flight."""
         expected, was_snapshot = subscription.expected_position, subscription.is_snapshot_in_flight
+        assert expected is not None, "an answer to nothing"
         self._clear_in_flight(subscription)
         if (*position[:2], rejection_reason) != (*subscription.position[:2], subscription.rejection_reason):
             self._mark_changed(subscription.name)
@@ -336,7 +337,8 @@
         """Who of them has rejected some of what it holds, and why, the latter for `MAX_REASONS`."""
         found: dict[str, str] = {}
         for name in names:
-            subscription = self.subscriptions.get(self._connections.get(name))
+            connection = self._connections.get(name)
+            subscription = None if connection is None else self.subscriptions.get(connection)
             if subscription is not None and subscription.rejection_reason:
                 found[name] = subscription.rejection_reason if len(found) < MAX_REASONS else "refused"
         return found
@@ -356,13 +358,14 @@
         """What the state should say of a broker; none where it isn't to be registered, or can't be."""
         if not hello.address:
             return None
-        op = Op(f"broker/{hello.name}", encode_value(Broker(hello.address, hello.zone, hello.region)))
+        key = f"broker/{hello.name}"
+        value = encode_value(Broker(hello.address, hello.zone, hello.region))
         try:
-            address_of(op.key, op.value)
+            address_of(key, value)
         except StateError as err:
             self._event("invalid_address", broker=hello.name, why=str(err)[:MAX_ERROR_CHARS])
             return None
-        return op
+        return Op(key, value)
 
     def registrations(self, state: FleetState) -> list[Op]:
         """Changes for connected brokers that the state has at another place, or not at all. Each should be
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 
-import structlog
 from gevent.event import Event
 
 from cypressledge.broker.metrics import Counters
@@ -15,6 +15,7 @@
 from cypressledge.controlplane.activity_record import ActivityRecord
 from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters, connect
 from cypressledge.controlplane.messages import Change, Message
+from cypressledge.controlplane.process_events import EventLogger
 from cypressledge.controlplane.server_selection import Server
 from cypressledge.controlplane.settings import ControlSettings
 from cypressledge.controlplane.state import FleetState
@@ -38,7 +39,7 @@
     of a logger of its own; `seed`: of random waits, in place of the run."""
 
     record: str = ""
-    log: structlog.typing.BindableLogger | None = None
+    log: EventLogger | None = None
     seed: int | None = None
 
 
@@ -49,7 +50,7 @@
     as a snapshot); it returns why some of it was rejected, nothing where all is in force. `settled()`, where
     given, is called once all that came together is held: only then is it in force, and it returns instead.
 
-    Spawn what `parts` names; `stop` ends it."""
+    Spawn what `loops` names; `stop` ends it."""
 
     def __init__(
         self,
@@ -75,11 +76,11 @@
             self._disconnect,
             self._on_changed,
             self._on_event,
-            settled and self._on_settled,
+            None if settled is None else partial(self._on_settled, settled),
         )
         seed = identity.run if options.seed is None else options.seed
         self.subscriber = ConfigSubscriber(identity, servers, seed, callbacks)
-        self.parts = [self.run]
+        self.loops = [self.run]
         self._record.write("start")
 
     @property
@@ -105,14 +106,14 @@
         while not self._is_stopped:
             due = self.subscriber.tick(self.clock.now())
             if self._to_dial is not None:
-                self._dial()
+                server, self._to_dial = self._to_dial, None
+                self._dial(server)
             else:
                 self._wait(min(max((due - self.clock.now()) / 1e6, 0.0), MAX_SLEEP_S))
         if self._frames is not None:
             self._frames.close()
 
-    def _dial(self) -> None:
-        server, self._to_dial = self._to_dial, None
+    def _dial(self, server: Server) -> None:
         try:
             self._frames = connect(parse_address(server.address), self.traffic)
         except ConnectionEndedError as err:
@@ -163,8 +164,8 @@
             self._note_in_force()
         return refused
 
-    def _on_settled(self) -> str | None:
-        refused = self.settled()
+    def _on_settled(self, settled: Callable[[], str | None]) -> str | None:
+        refused = settled()
         self._note_in_force()
         return refused
 
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -95,10 +95,10 @@
         )
         if self.members:
             self._join()
-        self.greenlets = [gevent.spawn(part) for part in (*self.agent.parts, *self._node_parts())]
+        self.greenlets = [gevent.spawn(part) for part in (*self.agent.loops, *self._node_loops())]
 
-    def _node_parts(self) -> list:
-        return self.node.parts if self.node else []
+    def _node_loops(self) -> list:
+        return self.node.loops if self.node else []
 
     def _join(self) -> None:
         from cypressledge.fleet.leases.electorate import Electorate
