--- /dev/null
+++ b/tests/race_conditions/test_engine_list_races.py
@@ -0,0 +1,71 @@
+"""Engine lists that change while attempts or polls are in flight.
+
+Each test makes its order of events happen every time, on real connections: by a fake that decides when the
+next byte comes, or by a hook at the point in question (tests/hooked.py).
+"""
+
+import time
+
+from tests.race_conditions.scenarios import CONNECT, site
+from tests.stands import (
+    Case,
+    NameServer,
+    until,
+)
+
+
+class EngineListRaces(Case):
+    """A new engine list applies at once, also to attempts and polls in flight."""
+
+    def test_a_drain_listed_while_the_connection_comes_up_applies(self):
+        """Whether an engine accepts new work is checked as the attempt is written."""
+        leaving, staying = self.engine(name="s-1"), self.engine(name="s-2")
+        broker = self.broker(leaving, change=site(ConnectTimeout=5_000_000), hooks={"dial": CONNECT})
+        client = self.client(broker)
+        client.ask()
+        broker.reached("dial")
+        broker.dns.engines = {leaving.name: (leaving.port, 1), staying.name: (staying.port, 0)}
+        broker.relist(2)
+        broker.go("dial")
+        assert "result" in client.get()
+        assert [len(leaving.wants), len(staying.wants)] == [0, 1]
+
+    def test_a_drain_listed_as_an_unreachable_directory_returns_applies(self):
+        """A poll without a response is repeated within the interval, on a socket of its own."""
+        leaving, staying = self.engine(name="s-1"), self.engine(name="s-2")
+        broker = self.broker(leaving, staying)
+        broker.dns.mute = True
+        broker.said("directory: unreachable")
+        broker.dns.engines[leaving.name] = (leaving.port, 1)
+        broker.dns.serial, broker.dns.mute = 2, False
+        told, asked = time.monotonic(), broker.dns.asked
+        until(lambda: broker.dns.asked > asked + 1, "the answer taken")
+        sent, client = len(leaving.wants), self.client(broker)
+        for _ in range(8):
+            client.ask()
+            assert "result" in client.get()
+        assert time.monotonic() - told < 2.0
+        assert len(leaving.wants) == sent
+
+    def test_a_response_of_the_former_directory_in_flight_is_ignored(self):
+        """Regression: it was applied, and its higher serial made every list of the new directory look
+        outdated."""
+        one, two = self.engine(name="s-1"), self.engine(name="s-2")
+        broker = self.broker(one, two, hooks={"answer": "cypressledge.net.dns_discovery:_receive_datagram#8"})
+        broker.dns.mute = True
+        broker.reached("answer")  # it has asked, and not looked for the answer yet
+        until(lambda: broker.dns.asked >= 8, "the query")
+        broker.dns.engines[one.name] = (one.port, 1)
+        broker.dns.serial = 9
+        broker.dns.answer_last()
+        other = NameServer()
+        self.addCleanup(other.close)
+        other.engines, other.serial = {one.name: (one.port, 0), two.name: (two.port, 1)}, 2
+        broker.reload(dns=f"127.0.0.1:{other.port}")
+        broker.go("answer")
+        until(lambda: other.asked > 1, "the new directory asked")
+        client = self.client(broker)
+        for _ in range(4):
+            client.ask()
+            assert "result" in client.get()
+        assert [len(one.wants), len(two.wants)] == [4, 0]
--- /dev/null
+++ b/tests/race_conditions/test_graceful_shutdown.py
@@ -0,0 +1,261 @@
+"""A stop, a start or a second signal at the moment at which something else happens.
+
+Each test makes its order of events happen every time, on real connections: by a fake that decides when the
+next byte comes, or by a hook at the point in question (tests/hooked.py).
+"""
+
+import json
+import os
+import signal
+import socket
+import time
+from types import SimpleNamespace
+
+from tests.race_conditions.scenarios import METRICS_OFTEN, cpu_ticks, site
+from tests.stands import (
+    ROW,
+    WAIT,
+    Case,
+    LineEngine,
+    content,
+    free_port,
+    held,
+    page,
+    silent,
+    until,
+)
+
+
+class GracefulShutdown(Case):
+    """Accepted requests are answered; later ones are rejected, or their connections closed without a
+    reset."""
+
+    def stopped(self, broker):
+        """Wait until the stopping broker accepts nothing new: it closes an idle client's connection."""
+        resting = self.client(broker)
+        resting.send("status")
+        resting.get()
+        broker.process.send_signal(signal.SIGTERM)
+        assert resting.get() is None
+        return resting
+
+    def test_idle_clients_are_closed_while_others_wait_for_their_answers(self):
+        engine = self.engine(held)
+        engine.released = False
+        broker = self.broker(engine)
+        client = self.client(broker)
+        client.ask()
+        until(lambda: engine.wants, "the query")
+        self.stopped(broker)
+        client.ask()
+        assert client.get()["error"]["code"] == -32066
+        engine.released = True
+        assert content(client.get()) == b"1\tbread\t12.5\n"
+        assert client.get() is None
+        assert broker.process.wait(10) == 0
+
+    def test_all_requests_read_before_our_side_is_shut_are_answered(self):
+        """Regression: of two requests in one read the second was dropped as the first answer shut our
+        side."""
+        engine = self.engine(held)
+        engine.released = False
+        broker = self.broker(engine)
+        client, waiting = self.client(broker), self.client(broker)
+        waiting.ask()
+        until(lambda: engine.wants, "the query")
+        text = b"".join(
+            b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+            for body in (b'{"jsonrpc":"2.0","id":%d,"method":"status"}' % n for n in (1, 2))
+        )
+        client.sock.sendall(text[:9])
+        self.stopped(broker)
+        client.sock.sendall(text[9:])
+        assert [client.get()["result"] for _ in range(2)] == [{"healthy": False}] * 2
+        assert client.get() is None
+        engine.released = True
+        assert "result" in waiting.get()
+        assert broker.process.wait(10) == 0
+
+    def test_a_stop_between_the_decision_and_the_write(self):
+        """A request accepted before SIGTERM is sent and answered."""
+        engine = self.engine()
+        broker = self.broker(
+            engine, hooks={"leaves": "cypressledge.net.line_protocol.connection:EngineConnection._may_send!"}
+        )
+        client = self.client(broker)
+        client.ask()
+        broker.reached("leaves")
+        broker.process.send_signal(signal.SIGTERM)
+        broker.go("leaves")
+        assert content(client.get()) == ROW
+        assert client.get() is None
+        assert broker.process.wait(WAIT) == 0
+
+    def test_a_stop_while_a_page_of_a_result_is_fetched(self):
+        """A result whose pages are still being fetched is read to its end."""
+
+        class Paged(LineEngine):
+            released = False
+
+            def serve(self, conn, file):
+                def reading():
+                    line = file.readline()
+                    if line.startswith(b"turn"):
+                        self.turned = True
+                        until(lambda: self.released, "the release")
+                    return line
+
+                super().serve(conn, SimpleNamespace(readline=reading, read=file.read))
+
+        engine = self.engine(lambda e, say, name, *a: say(name, "200", "count=2", ROW), kind=Paged)
+        broker = self.broker(engine)
+        client = self.client(broker)
+        client.ask()
+        until(lambda: getattr(engine, "turned", False), "the next page asked for")
+        self.stopped(broker)
+        engine.released = True
+        assert content(client.get()) == ROW + page(1)
+        assert broker.process.wait(WAIT) == 0
+
+    def test_requests_at_engines_that_hang_are_answered_before_sigkill(self):
+        """Regression: requests at engines that hang, with long deadlines, were still open at SIGKILL."""
+        hung, good = self.engine(silent, name="s-1"), self.engine(name="s-2")
+        broker = self.broker(hung, good, change=site({"report": "single_shot"}))
+        client = self.client(broker)
+        numbers = [client.ask("report", wait=25_000) for _ in range(6)]
+        until(lambda: hung.wants, "a report that hangs")
+        broker.process.send_signal(signal.SIGTERM)
+        began = time.monotonic()
+        answers = [client.get() for _ in numbers]
+        assert client.get() is None
+        assert time.monotonic() - began < 3.7
+        client.close()
+        assert broker.process.wait(WAIT) == 0
+        assert sorted(a["id"] for a in answers) == numbers
+        failed = [a["id"] for a in answers if "error" in a and a["error"]["code"] != -32066]
+        assert len(failed) == len(hung.wants)  # it may have run, so it is not called harmless
+
+    def test_connections_in_the_accept_queue_are_answered(self):
+        """Regression: closing the listener resets connections in the accept queue, with requests written to
+        them."""
+        engine = self.engine()
+        broker = self.broker(engine, hooks={"stop": "cypressledge.net.listener:Listener.stop!"})
+        broker.process.send_signal(signal.SIGTERM)
+        broker.reached("stop")
+        client = self.client(broker)
+        client.ask()
+        broker.go("stop")
+        assert client.get()["error"]["code"] == -32066
+        assert client.get() is None
+        assert broker.process.wait(10) == 0
+        assert engine.wants == []
+
+    def test_a_signal_that_comes_before_the_broker_is_ready(self):
+        """Regression: SIGHUP and SIGTERM before the handlers were installed ended the process by default
+        action."""
+        engine = self.engine()
+        for number in (signal.SIGHUP, signal.SIGTERM):
+            with self.subTest(number):
+                broker = self.broker(
+                    hooks={"limit": "cypressledge.broker.reconfiguration:Reconfiguration.apply_limits!"}
+                )
+                broker.reached("limit")  # the configuration has been read, and nobody hears of signals yet
+                broker.dns.engines[engine.name] = (engine.port, 0)
+                broker.path.write_text(json.dumps(broker.config | {"dns": f"127.0.0.1:{free_port()}"}))
+                broker.process.send_signal(number)
+                broker.go("limit")
+                if number == signal.SIGTERM:
+                    assert broker.process.wait(WAIT) == 0
+                else:
+                    broker.said("the new configuration is in force")
+                    assert "now polling" in broker.words()
+                    assert broker.process.poll() is None
+                broker.close()
+
+    def test_a_stop_that_comes_during_a_reload_and_a_second_one(self):
+        """Signals are handled one after the other, each by a greenlet of its own."""
+        engine = self.engine(held)
+        engine.released = False
+        broker = self.broker(
+            engine, hooks={"check": "cypressledge.broker.reconfiguration:Reconfiguration._check_applicable!"}
+        )
+        client = self.client(broker)
+        client.ask()
+        until(lambda: engine.wants, "the query")
+        broker.process.send_signal(signal.SIGHUP)
+        broker.reached("check")
+        broker.process.send_signal(signal.SIGTERM)
+        broker.process.send_signal(signal.SIGTERM)
+        broker.go("check")
+        broker.said("stopping")
+        assert "the new configuration is in force" in broker.words()
+        broker.process.send_signal(signal.SIGTERM)
+        engine.released = True
+        assert content(client.get()) == ROW
+        assert broker.process.wait(WAIT) == 0
+
+    def test_a_client_that_connects_during_a_handover_is_answered(self):
+        """Regression: the old process closed a connection that it had just accepted, before the first
+        request."""
+        engine = self.engine()
+        held_open = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(held_open.close)
+        os.set_inheritable(held_open.fileno(), True)
+        broker = self.broker(
+            engine,
+            env=METRICS_OFTEN | {"ROUTER_SOCKET_FD": str(held_open.fileno())},
+            keep=(held_open.fileno(),),
+            port=held_open.getsockname()[1],
+        )
+        client = self.client(broker)
+        broker.counted("clients.connections")
+        broker.process.send_signal(signal.SIGTERM)
+        broker.said("stopping")
+        client.ask()
+        assert content(client.get()) == ROW
+        assert client.get() is None
+        assert broker.process.wait(WAIT) == 0
+
+
+class Restarts(Case):
+    """Many processes start at the same time."""
+
+    def test_thirty_started_together_are_ready_in_time(self):
+        """The directory is unreachable throughout. None takes over 30 s; nine in ten take less than 2 s of
+        processor time, that is 10 s at a fifth of a core (other tests may use this machine's)."""
+        engine = self.engine()
+        many = min(30, 4 * os.cpu_count())
+        began = time.monotonic()
+        brokers = [self.broker(change=self.known(engine)) for _ in range(many)]
+        for broker in brokers:
+            broker.dns.mute = True
+        took, work = [], []
+        while len(took) < many and time.monotonic() - began < 30:
+            for broker in brokers:
+                if not getattr(broker, "is_ready", False) and broker.healthy():
+                    broker.is_ready = True
+                    took.append(time.monotonic() - began)
+                    work.append(cpu_ticks(broker.process.pid) / os.sysconf("SC_CLK_TCK"))
+            time.sleep(0.01)
+        print(f"ready after {took[0]:.1f} to {took[-1]:.1f} s, processor time {max(work):.2f} s at the most")
+        assert len(took) == many
+        assert sorted(work)[many * 9 // 10 - 1] < 2.0
+
+    @staticmethod
+    def known(engine):
+        member = {
+            "id": engine.name,
+            "host_port": f"127.0.0.1:{engine.port}",
+            "locality": "room1",
+            "cell": 0,
+            "flavor": "node-8c",
+            "phase": "Ready",
+            "size": 4,
+            "up_since_ms": 0,
+        }
+        return {
+            "known": {
+                "offset": 1,
+                "batch": [{"offset": 1, "topology": {"revision": 1, "complete": True, "members": [member]}}],
+            }
+        }
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -9,8 +9,8 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from tests.stands import ROW, Case, LineEngine, content, hang_up, until
-from tests.test_bad_orders import reset, site
+from tests.race_conditions.scenarios import site
+from tests.stands import ROW, Case, LineEngine, content, hang_up, reset, until
 
 NEVER_RAN = {"full", "over"}  # the proofs an engine's answer gives
 EFFECTS = {"lookup": "free", "report": "single_shot", "order-load": "guarded"}
