--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -131,7 +131,7 @@
 @click.option("--seed", default=1, show_default=True)
 def scaling(path: str, quick: bool, seed: int) -> None:
     """What each part of the program costs against the fleet's size, with fits, as a results file."""
-    from cypressledge.lab.scaling import run
+    from cypressledge.lab.scaling.run import run
 
     sys.exit(run(path, quick, seed, click.echo))
 
--- a/cypressledge/lab/results.py
+++ b/cypressledge/lab/results.py
@@ -1,6 +1,7 @@
 """Files of measured slopes: JSON by msgspec's structs, each slope with what it takes to measure it again."""
 
 import os
+from collections.abc import Sequence
 from datetime import UTC, datetime
 from itertools import pairwise
 from pathlib import Path
@@ -15,7 +16,7 @@
 
 
 class ResultsError(Exception):
-    """A results file that can't be used; its text is one plain line."""
+    """A results file can't be used; the text is one plain line."""
 
 
 class Source(msgspec.Struct, frozen=True):
@@ -29,7 +30,7 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """Measured points of y over x. `role`: whose y it is; `what`: y in words; `unit`: of y."""
+    """A measured curve: points of y over x. `role`: whose y it is; `what`: y in words; `unit`: of y."""
 
     name: str
     role: str
@@ -42,11 +43,11 @@
 
     @property
     def residual(self) -> float:
-        """The fit's, as a part of the mean y."""
+        """The fit's residual, as a part of the mean y."""
         return self.fit.residual
 
     def at(self, x: float) -> tuple[float, Basis]:
-        """y at x: a point's, between two points on the straight line, beyond them the fit's."""
+        """Return y at x: a point's, between two points on the straight line, beyond them the fit's."""
         for (x0, y0), (x1, y1) in pairwise(self.points):
             if x0 <= x <= x1:
                 y = y0 + (y1 - y0) * (x - x0) / (x1 - x0)
@@ -73,41 +74,44 @@
 
 
 def source(seed: int, command: str) -> Source:
-    """What is to be said of a measurement that begins now."""
+    """Return the source of a measurement that begins now."""
     date = datetime.now(UTC).isoformat(timespec="seconds")
     return Source(seed, commit(), date, round(os.getloadavg()[0], 2), command)
 
 
 def slope(
-    name: str, role: str, what: str, unit: str, x: str, points: list[tuple[float, float]], told: Source
+    name: str, role: str, what: str, unit: str, x: str, points: Sequence[tuple[float, float]], source: Source
 ) -> Slope:
-    """A slope with its fit, points in order of x."""
-    points = sorted((float(a), float(f"{b:.6g}")) for a, b in points)
-    return Slope(name, role, what, unit, x, points, best(points), told)
+    """Return a curve with its fit, points in order of x and rounded to six digits."""
+    ordered = sorted((float(a), float(f"{b:.6g}")) for a, b in points)
+    return Slope(name, role, what, unit, x, ordered, best(ordered), source)
 
 
 def write(path: str, results: Results) -> None:
-    """Write the file, readable by eye and by diff."""
+    """Write a results file, indented so that differences are readable."""
     raw = msgspec.json.format(msgspec.json.encode(results), indent=1)
     Path(path).write_bytes(raw + b"\n")
 
 
 def read(paths: list[str]) -> Results:
-    """All files as one. Raises `ResultsError` with one line that names the file and the mistake."""
+    """Read several files as one.
+
+    Raises `ResultsError` with one line that names the file and the mistake.
+    """
     slopes: dict[str, Slope] = {}
     facts: dict[str, Fact] = {}
     quick = False
     for path in paths:
         try:
-            told = msgspec.json.decode(Path(path).read_bytes(), type=Results)
+            results = msgspec.json.decode(Path(path).read_bytes(), type=Results)
         except OSError as err:
             raise ResultsError(f"{path}: {err.strerror}") from None
         except msgspec.MsgspecError as err:
             raise ResultsError(f"{path} is no results file: {err}") from None
-        for known, new in ((slopes, told.slopes), (facts, told.facts)):
+        for known, new in ((slopes, results.slopes), (facts, results.facts)):
             for one in new:
                 if one.name in known:
                     raise ResultsError(f"{path}: {one.name} is there twice")
                 known[one.name] = one
-        quick = quick or told.quick
+        quick = quick or results.quick
     return Results(quick, list(slopes.values()), list(facts.values()))
--- /dev/null
+++ b/cypressledge/lab/scaling/broker_process_costs.py
@@ -0,0 +1,201 @@
+"""A real broker on the loopback: memory, descriptors and processor time against its clients and engines."""
+
+import base64
+import json
+import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+from pathlib import Path
+
+import gevent
+from gevent import socket
+
+from cypressledge.lab.cost import memory_mb
+from cypressledge.lab.engines import LabEngine
+from cypressledge.lab.load import STATEMENT, Client, answer
+from cypressledge.lab.processes import BrokerProcess, Brokers, until
+from cypressledge.lab.results import Fact, Slope, Source, slope
+from cypressledge.lab.scaling.measuring import Findings, Points
+
+ROLE = "broker, request path"
+SOCKETS = 8_192  # the broker's own limit in its file; what the system allows binds as well
+MEMORY_MB = 512
+START_TIMEOUT_S = 30
+CLIENTS = 16
+PAUSE_S = 0.02  # of each client between statements: about 500 statements/s
+IDLE_ENGINES = 4
+IDLE_S = 0.5  # in which nobody asks
+WARM_UP_S = 1.0
+CONNECT_TIMEOUT_S = 5.0
+
+
+def process_ms(broker: BrokerProcess) -> float:
+    """Return the processor time of the process so far, ms, as the kernel's scheduler counts it."""
+    tasks = Path(f"/proc/{broker.process.pid}/task").iterdir()
+    return sum(int((t / "schedstat").read_text().split()[0]) for t in tasks) / 1e6
+
+
+def descriptors(broker: BrokerProcess) -> int:
+    """Return the number of the process's open descriptors."""
+    return sum(1 for _ in Path(f"/proc/{broker.process.pid}/fd").iterdir())
+
+
+@contextmanager
+def broker_before(count: int) -> Iterator[BrokerProcess]:
+    """Run a broker without the fleet's part before so many fake engines; it is ended whatever happens."""
+    engines = [LabEngine(f"s-{i + 1}", "room1", 0.005) for i in range(count)]
+    brokers = Brokers()
+    try:
+        broker = brokers.add("n1", {}, [e.member() for e in engines])
+        config = json.loads(broker.config_file.read_text())
+        config["limits"] |= {"sockets": SOCKETS, "memory_mb": MEMORY_MB}
+        broker.config_file.write_text(json.dumps(config))
+        broker.start(False)
+        if not until(lambda: "listening on" in broker.words(), START_TIMEOUT_S):
+            raise RuntimeError(f"the broker did not start: {broker.words()[-300:]}")
+        yield broker
+    finally:
+        brokers.end()
+        for engine in engines:
+            engine.close()
+
+
+def _connect(port: int) -> socket.socket:
+    """Open a connection and have one lookup answered on it: without one it would be closed after 2 s."""
+    sock = socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S)
+    sock.settimeout(CONNECT_TIMEOUT_S)
+    body = json.dumps(
+        {
+            "jsonrpc": "2.0",
+            "id": 1,
+            "method": "lookup",
+            "params": {
+                "id": base64.b16encode(sock.getsockname()[1].to_bytes(4, "big")).decode(),
+                "wait": 3_000,
+                "tenant": "sahel",
+                "cost": 20.0,
+                "mem": 10,
+                "content": STATEMENT,
+            },
+        }
+    ).encode()
+    sock.sendall(b"Content-Length: %d\r\n\r\n" % len(body) + body)
+    answer(sock.makefile("rb"))
+    return sock
+
+
+@dataclass(frozen=True, slots=True)
+class IdleCost:
+    """What open and idle client connections cost a broker."""
+
+    memory_mb: float
+    descriptors: int
+    cpu_ms_per_s: float
+    connect_ms: float  # processor time of each of the last connections, with its one lookup
+
+
+def idle_costs(counts: tuple[int, ...]) -> dict[int, IdleCost]:
+    """Measure one broker with more and more idle connections; return the costs by their number."""
+    costs: dict[int, IdleCost] = {}
+    with broker_before(IDLE_ENGINES) as broker:
+        connections: list[socket.socket] = []
+        for count in sorted(counts):
+            new = count - len(connections)
+            before = process_ms(broker)
+            connections += [_connect(broker.port) for _ in range(new)]
+            connect_ms = (process_ms(broker) - before) / new
+            before = process_ms(broker)
+            began = time.monotonic()
+            gevent.sleep(IDLE_S)
+            idle_ms = (process_ms(broker) - before) / (time.monotonic() - began)
+            costs[count] = IdleCost(memory_mb(broker), descriptors(broker), idle_ms, connect_ms)
+        for connection in connections:
+            connection.close()
+    return costs
+
+
+@dataclass(frozen=True, slots=True)
+class ServingCost:
+    """What statements cost a broker as a process."""
+
+    statement_ms: float  # processor time
+    statements_per_s: float
+    engine_connections: int
+
+
+def serving_cost(engines: int, seconds: float) -> ServingCost:
+    """Measure one broker under a small load. Raises `RuntimeError` where it serves nothing."""
+    with broker_before(engines) as broker:
+        descriptors_before = descriptors(broker)
+        clients = [Client([broker.port], PAUSE_S, 0) for _ in range(CLIENTS)]
+        greenlets = [gevent.spawn(client.run) for client in clients]
+        gevent.sleep(WARM_UP_S)
+        ms_before = process_ms(broker)
+        served_before = _served(clients)
+        began = time.monotonic()
+        gevent.sleep(seconds)
+        took = time.monotonic() - began
+        served = _served(clients) - served_before
+        ms = process_ms(broker) - ms_before
+        engine_connections = descriptors(broker) - descriptors_before - len(clients)
+        gevent.killall(greenlets)
+    if not served:
+        raise RuntimeError("the broker served nothing")
+    return ServingCost(ms / served, served / took, engine_connections)
+
+
+def _served(clients: list[Client]) -> int:
+    return sum(client.counts["served"] for client in clients)
+
+
+def broker_process_costs(quick: bool, seed: int, source: Source) -> Findings:
+    """Measure one broker as a process, idle and serving; `quick`: few and small points."""
+    idle = idle_costs((50, 100) if quick else (100, 200, 400, 600))
+    engine_counts = (4, 8) if quick else (4, 8, 16, 32)
+    serving = {engines: serving_cost(engines, 1.0 if quick else 4.0) for engines in engine_counts}
+
+    def idle_curve(name: str, what: str, unit: str, points: Points) -> Slope:
+        return slope(name, ROLE, what, unit, "client connections", points, source)
+
+    def serving_curve(name: str, what: str, unit: str, points: Points) -> Slope:
+        return slope(name, ROLE, what, unit, "engines", points, source)
+
+    slopes = [
+        idle_curve(
+            "clients_mb", "memory of the process", "MB", [(n, cost.memory_mb) for n, cost in idle.items()]
+        ),
+        idle_curve(
+            "clients_fds",
+            "descriptors of the process",
+            "descriptors",
+            [(n, cost.descriptors) for n, cost in idle.items()],
+        ),
+        idle_curve(
+            "clients_idle_ms",
+            "processor time with nobody asking",
+            "ms/s",
+            [(n, cost.cpu_ms_per_s) for n, cost in idle.items()],
+        ),
+        idle_curve(
+            "connect_ms",
+            "a client's connection and its first statement",
+            "ms",
+            [(n, cost.connect_ms) for n, cost in idle.items()],
+        ),
+        serving_curve(
+            "statement_ms",
+            "the whole broker, a statement of JSON-RPC and lines",
+            "ms",
+            [(n, cost.statement_ms) for n, cost in serving.items()],
+        ),
+        serving_curve(
+            "links_fds",
+            "engine connections of one broker",
+            "descriptors",
+            [(n, cost.engine_connections) for n, cost in serving.items()],
+        ),
+    ]
+    rate = sum(cost.statements_per_s for cost in serving.values()) / len(serving)
+    what = "statements/s as statement_ms was measured, mean"
+    return Findings(slopes, [Fact("statement_rate", what, rate, "1/s", source)])
--- /dev/null
+++ b/cypressledge/lab/scaling/decision_costs.py
@@ -0,0 +1,249 @@
+"""The decisions alone: processor time and memory against engines, peers and tables."""
+
+import gc
+import random
+import time
+import tracemalloc
+from collections.abc import Iterator
+from dataclasses import dataclass
+from heapq import heappop, heappush
+
+from cypressledge.decisions import contract as c
+from cypressledge.decisions.manager import WorkloadManager
+from cypressledge.lab.results import Fact, Slope, Source, slope
+from cypressledge.lab.scaling.measuring import (
+    ENGINE_COUNTS,
+    SECOND_US,
+    TARGET_BROKERS,
+    ZONES,
+    Findings,
+    Points,
+    cpu_ms,
+    engine_entries,
+)
+from cypressledge.lab.site import SETTINGS
+from cypressledge.settings import parse_settings
+
+ROLE = "broker, request path"
+STATEMENTS_PER_S = 500.0  # at one broker (the target's)
+WORK_US = 10_000  # of a statement at its engine
+TABLES = 40  # groups of them
+WARM_UP_S = 0.5
+
+
+def workload_manager(engines: int, peers: int, seed: int) -> WorkloadManager:
+    """Return a manager that knows its engines and has its usual rate."""
+    settings = parse_settings(SETTINGS | {"PeersTotal": peers, "Dcs": list(ZONES)})
+    manager = WorkloadManager(settings, seed)
+    manager.handle(SECOND_US, [c.EngineListReceived(c.EngineListKind.FULL, engine_entries(engines))])
+    manager.pace.answer_rate = STATEMENTS_PER_S  # as after some periods: sets how many engines are kept to
+    return manager
+
+
+class StatementStream:
+    """Statements for one manager in virtual time: Poisson arrivals; engines take `WORK_US` for each."""
+
+    def __init__(self, manager: WorkloadManager, tables: int, seed: int) -> None:
+        self.manager = manager
+        self.tables = tables
+        self.random = random.Random(seed)
+        self.now = SECOND_US
+        self.next_arrival = SECOND_US
+        self.arrived = 0
+        self.attempt_ends: list[tuple[int, int, int, int]] = []  # heap: when, request, attempt, engine
+        self.attempts: dict[int, int] = {}  # by request: the number of its last attempt
+        self.timers: list[tuple[int, int]] = []  # heap: when, token
+        self.engines_used: set[int] = set()
+        self.cpu_ns = 0  # of the manager
+        self.given_up = 0  # statements
+
+    def run(self, seconds: float) -> int:
+        """Let time pass, tick by tick; return how many statements arrived."""
+        before = self.arrived
+        end = self.now + round(seconds * SECOND_US)
+        while self.now < end:
+            self.now += self.manager.settings.timer_resolution
+            events = [*self._arrivals(), *self._ended_attempts(), *self._fired_timers()]
+            if not events:
+                continue
+            began = time.thread_time_ns()
+            actions = self.manager.handle(self.now, events)
+            self.cpu_ns += time.thread_time_ns() - began
+            for action in actions:
+                self._execute(action)
+        return self.arrived - before
+
+    def _arrivals(self) -> Iterator[c.RequestReceived]:
+        while self.next_arrival <= self.now:
+            self.next_arrival += round(self.random.expovariate(STATEMENTS_PER_S) * SECOND_US)
+            self.arrived += 1
+            table = self.random.randrange(self.tables)
+            yield c.RequestReceived(self.arrived, 0, self.now + 3 * SECOND_US, 0, WORK_US, 10.0, table)
+
+    def _ended_attempts(self) -> Iterator[c.AttemptEnded]:
+        while self.attempt_ends and self.attempt_ends[0][0] <= self.now:
+            _, request, attempt, engine = heappop(self.attempt_ends)
+            yield c.AttemptEnded(request, attempt, engine, c.Outcome.OK, True, WORK_US, WORK_US)
+
+    def _fired_timers(self) -> Iterator[c.TimerFired]:
+        while self.timers and self.timers[0][0] <= self.now:
+            yield c.TimerFired(heappop(self.timers)[1])
+
+    def _execute(self, action: c.Action) -> None:
+        if isinstance(action, c.StartAttempt):
+            attempt = self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
+            heappush(self.attempt_ends, (self.now + WORK_US, action.request, attempt, action.engine))
+            self.engines_used.add(action.engine)
+        elif isinstance(action, c.StartTimer):
+            heappush(self.timers, (self.now + action.after, action.token))
+        elif isinstance(action, c.RejectRequest | c.FailRequest):
+            self.given_up += 1
+
+    def reset_counts(self) -> None:
+        """Begin to count anew what was spent and given up, and which engines are used."""
+        self.cpu_ns = 0
+        self.engines_used.clear()
+        self.given_up = 0
+
+
+def brokers_for(engines: int) -> int:
+    """Return the brokers of a fleet that loads each engine as the target does."""
+    return max(1, round(engines * TARGET_BROKERS / ENGINE_COUNTS[-1]))
+
+
+@dataclass(frozen=True, slots=True)
+class StatementCost:
+    """What statements cost a manager, and what became of them.
+
+    `cpu_ms`: of each round the processor time of one statement, in rising order.
+    """
+
+    cpu_ms: list[float]
+    engines_used: int
+    given_up: float  # part of the statements
+
+
+def statement_cost(engines: int, peers: int, tables: int, seconds: float, seed: int) -> StatementCost:
+    """Measure statements of one manager in one round."""
+    stream = StatementStream(workload_manager(engines, peers, seed), tables, seed)
+    stream.run(WARM_UP_S)
+    stream.reset_counts()
+    arrived = stream.run(seconds)
+    cpu_ms_each = stream.cpu_ns / 1e6 / arrived
+    return StatementCost([cpu_ms_each], len(stream.engines_used), stream.given_up / arrived)
+
+
+def statement_costs(
+    sizes: tuple[int, ...], tables: int, seconds: float, rounds: int, seed: int
+) -> dict[int, StatementCost]:
+    """Measure statements before so many engines, by their number.
+
+    All sizes take turns, so that the machine's ups and downs, which last for minutes, meet all of them alike.
+    """
+    streams = {
+        size: StatementStream(workload_manager(size, brokers_for(size), seed), tables, seed) for size in sizes
+    }
+    cpu_ms_each: dict[int, list[float]] = {size: [] for size in sizes}
+    for stream in streams.values():
+        stream.run(WARM_UP_S)
+        stream.engines_used.clear()
+    for _ in range(rounds):
+        for size, stream in streams.items():
+            stream.cpu_ns = 0
+            arrived = stream.run(seconds / rounds)
+            cpu_ms_each[size].append(stream.cpu_ns / 1e6 / arrived)
+    return {
+        size: StatementCost(
+            sorted(cpu_ms_each[size]), len(stream.engines_used), stream.given_up / stream.arrived
+        )
+        for size, stream in streams.items()
+    }
+
+
+def manager_kb(engines: int, seed: int) -> float:
+    """Return what a manager holds after half a second of statements, KB of Python's allocations."""
+    gc.collect()
+    tracemalloc.start()
+    stream = StatementStream(workload_manager(engines, brokers_for(engines), seed), 40, seed)
+    stream.run(WARM_UP_S)
+    stream.attempt_ends.clear()
+    held = tracemalloc.get_traced_memory()[0]
+    tracemalloc.stop()
+    return held / 1000
+
+
+def engine_list_ms(engines: int, seed: int) -> float:
+    """Return the ms that a complete list without a change takes, and the first statement after it."""
+    manager = workload_manager(engines, brokers_for(engines), seed)
+    received = c.EngineListReceived(c.EngineListKind.FULL, engine_entries(engines))
+    arrival = c.RequestReceived(1, 0, 5 * SECOND_US, 0, WORK_US, 10.0, 1)
+    return cpu_ms(lambda: manager.handle(2 * SECOND_US, [received, arrival]))
+
+
+def decision_costs(quick: bool, seed: int, source: Source) -> Findings:
+    """Measure the decisions against engines, peers and tables; `quick`: few and small points."""
+    sizes = (12, 36, 60) if quick else ENGINE_COUNTS
+    seconds = 1.0 if quick else 10.0
+    rounds = 3 if quick else 5
+    many_tables = statement_costs(sizes, TABLES, seconds, rounds, seed)
+    one_table = statement_costs(sizes, 1, seconds / 5, 3, seed)
+    fleets = (40, TARGET_BROKERS) if quick else (40, 120, 240, TARGET_BROKERS)
+    by_peers = [(peers, statement_cost(60, peers, TABLES, seconds / 5, seed).cpu_ms[0]) for peers in fleets]
+
+    by_size_kb = [(size, manager_kb(size, seed)) for size in sizes]
+
+    def curve(name: str, what: str, unit: str, points: Points, x: str = "engines") -> Slope:
+        return slope(name, ROLE, what, unit, x, points, source)
+
+    slopes = [
+        curve(
+            "module_ms",
+            "the decision module, a statement, of 40 groups of tables",
+            "ms",
+            [(size, cost.cpu_ms[rounds // 2]) for size, cost in many_tables.items()],
+        ),
+        curve(
+            "engines_used",
+            f"different engines sent to within {seconds:g} s at 500 statements/s",
+            "engines",
+            [(size, cost.engines_used) for size, cost in many_tables.items()],
+        ),
+        curve(
+            "module_one_table_ms",
+            "the same, all statements of one group of tables",
+            "ms",
+            [(size, cost.cpu_ms[1]) for size, cost in one_table.items()],
+        ),
+        curve("module_peers_ms", "the decision module before 60 engines", "ms", by_peers, "brokers"),
+        curve(
+            "module_kb",
+            "memory of the decision module",
+            "KB",
+            by_size_kb,
+        ),
+        curve(
+            "module_list_ms",
+            "the decision module told a whole list, and the next statement",
+            "ms",
+            [(size, engine_list_ms(size, seed)) for size in sizes],
+        ),
+    ]
+    return Findings(slopes, _facts(many_tables, rounds, source))
+
+
+def _facts(costs: dict[int, StatementCost], rounds: int, source: Source) -> list[Fact]:
+    given_up_pct = 100 * max(cost.given_up for cost in costs.values())
+    largest = max(costs)
+    least, *_, most = costs[largest].cpu_ms
+    what = f"module_ms at {largest} engines, the {{}} of {rounds} rounds"
+    return [
+        Fact(
+            "module_given_up",
+            "statements that the module gave up, most of all sizes",
+            given_up_pct,
+            "%",
+            source,
+        ),
+        Fact("module_least_ms", what.format("least"), least, "ms", source),
+        Fact("module_most_ms", what.format("most"), most, "ms", source),
+    ]
--- /dev/null
+++ b/cypressledge/lab/scaling/measuring.py
@@ -0,0 +1,48 @@
+"""Processor time of calls, sizes and engines that all measurements share, and what a measurement yields."""
+
+import gc
+import time
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, field
+
+from cypressledge.broker.stable_hash import stable_hash
+from cypressledge.decisions import contract as c
+from cypressledge.lab.results import Fact, Slope
+
+SECOND_US = 1_000_000
+HEADER_BYTES = 28  # of UDP and IPv4 on each datagram
+TARGET_BROKERS = 460
+ENGINE_COUNTS = (12, 36, 60, 120, 245, 490)  # the last is the target's
+ZONES = ("east-a", "east-b", "west-a", "west-b")
+ZONE_REGIONS = {"east-a": "east", "east-b": "east", "west-a": "west", "west-b": "west"}
+
+Points = Sequence[tuple[float, float]]
+
+
+@dataclass(slots=True)
+class Findings:
+    """Curves and single figures of one measurement."""
+
+    slopes: list[Slope]
+    facts: list[Fact] = field(default_factory=list)
+
+
+def cpu_ms(call: Callable[[], object]) -> float:
+    """Return the processor time of one call on this thread, ms; garbage is collected before."""
+    gc.collect()
+    began = time.thread_time_ns()
+    call()
+    return (time.thread_time_ns() - began) / 1e6
+
+
+def median_cpu_ms(call: Callable[[], object], times: int) -> float:
+    """Return the median of several calls."""
+    return sorted(cpu_ms(call) for _ in range(times))[times // 2]
+
+
+def engine_entries(count: int) -> tuple[c.EngineListEntry, ...]:
+    """Return so many engines as a list names them."""
+    return tuple(
+        c.EngineListEntry(stable_hash(f"s-{i:08x}"), c.EngineState.READY, i % 2, i % 4, i % 2, 0)
+        for i in range(count)
+    )
--- /dev/null
+++ b/cypressledge/lab/scaling/membership_costs.py
@@ -0,0 +1,183 @@
+"""Members and 50 leases in virtual time against the fleet's size: decisions and encoding, no sockets."""
+
+import gc
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from cypressledge.lab.results import Slope, Source, slope
+from cypressledge.lab.scaling.measuring import HEADER_BYTES, SECOND_US, Findings, Points
+from cypressledge.lab.virtual import Node, World
+
+ROLE = "broker, control part"
+VOTERS = 5
+LEASES = 50
+SETTLE_S = 10  # in which brokers that start at once come to know each other
+LOSS_MAX_BROKERS = 240  # with more of them the start and the loss take minutes to play
+LOSS_WATCH_S = 15.0  # after a quarter of the brokers has died
+LOSS_STEPS_PER_S = 4
+
+
+@dataclass(frozen=True, slots=True)
+class Load:
+    """What a node spends: percent of a core, datagrams and KB sent a second, headers counted."""
+
+    cpu_pct: float
+    datagrams_per_s: float
+    kb_per_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class GroupLoad:
+    """The mean and the most of each figure of a group of nodes."""
+
+    mean: Load
+    most: Load
+
+
+@dataclass(frozen=True, slots=True)
+class QuarterLoss:
+    """What the death of a quarter of the brokers asks of the others; what does not come to pass in time is
+    told as `LOSS_WATCH_S`."""
+
+    noticed_s: float  # until each of the others holds all of them for gone
+    cpu_pct_most: float
+    kb_per_s_most: float
+    leases_held_s: float  # until all leases are held again
+
+
+@dataclass(frozen=True, slots=True)
+class MembershipCost:
+    """What one size of fleet costs when it has settled, and after a loss where the fleet is small enough."""
+
+    voters: GroupLoad
+    others: GroupLoad
+    loss: QuarterLoss | None
+
+
+@dataclass(frozen=True, slots=True)
+class _Counts:
+    cpu_ns: int
+    sent: int  # datagrams
+    payload_bytes: int
+
+    @staticmethod
+    def of(node: Node) -> "_Counts":
+        return _Counts(node.cpu, node.sent, node.bytes)
+
+    def load_since(self, before: "_Counts", seconds: float) -> Load:
+        sent = self.sent - before.sent
+        size = self.payload_bytes - before.payload_bytes + HEADER_BYTES * sent
+        return Load((self.cpu_ns - before.cpu_ns) / seconds / 1e7, sent / seconds, size / seconds / 1000)
+
+
+def membership_cost(brokers: int, seconds: float, seed: int) -> MembershipCost:
+    """Measure one fleet for so many seconds of virtual time."""
+    names = [f"n{i:03d}" for i in range(brokers)]
+    world = World(names, names[:VOTERS], LEASES, seed)
+    world.run(SETTLE_S * SECOND_US)
+    gc.collect()
+    before = {name: _Counts.of(node) for name, node in world.nodes.items()}
+    world.run(round(seconds * SECOND_US))
+
+    def group(members: list[str]) -> GroupLoad:
+        loads = [_Counts.of(world.nodes[name]).load_since(before[name], seconds) for name in members]
+        return _group_load(loads)
+
+    voters, others = group(names[:VOTERS]), group(names[VOTERS:])
+    return MembershipCost(voters, others, _quarter_loss(world) if brokers <= LOSS_MAX_BROKERS else None)
+
+
+def _group_load(loads: list[Load]) -> GroupLoad:
+    cpu = [load.cpu_pct for load in loads]
+    datagrams = [load.datagrams_per_s for load in loads]
+    kb = [load.kb_per_s for load in loads]
+    return GroupLoad(Load(_mean(cpu), _mean(datagrams), _mean(kb)), Load(max(cpu), max(datagrams), max(kb)))
+
+
+def _mean(values: list[float]) -> float:
+    return sum(values) / len(values)
+
+
+def _quarter_loss(world: World) -> QuarterLoss:
+    """Kill each fourth broker and watch the others."""
+    dead = set(world.names[::4])
+    for name in dead:
+        world.kill(name)
+    before = {name: _Counts.of(node) for name, node in world.nodes.items()}
+    noticed = held = LOSS_WATCH_S
+    for step in range(1, round(LOSS_STEPS_PER_S * LOSS_WATCH_S) + 1):
+        world.run(SECOND_US // LOSS_STEPS_PER_S)
+        if noticed == LOSS_WATCH_S and not any(
+            dead & node.membership.alive() for node in world.nodes.values()
+        ):
+            noticed = step / LOSS_STEPS_PER_S
+        if held == LOSS_WATCH_S and all(world.holders(f"lease-{i}") for i in range(LEASES)):
+            held = step / LOSS_STEPS_PER_S
+    loads = [_Counts.of(node).load_since(before[name], LOSS_WATCH_S) for name, node in world.nodes.items()]
+    most = _group_load(loads).most
+    return QuarterLoss(noticed, most.cpu_pct, most.kb_per_s, held)
+
+
+def membership_costs(quick: bool, seed: int, source: Source) -> Findings:
+    """Measure fleets of several sizes; `quick`: few and small ones."""
+    sizes = (20, 40) if quick else (60, 120, 240, 460)
+    costs = {size: membership_cost(size, 4.0 if quick else 5.0, seed) for size in sizes}
+    voters = {size: cost.voters for size, cost in costs.items()}
+    others = {size: cost.others for size, cost in costs.items()}
+    losses = {size: cost.loss for size, cost in costs.items() if cost.loss is not None}
+    return Findings(
+        [
+            *_load_curves("voters", "voter", voters, source),
+            *_load_curves("others", ROLE, others, source),
+            *_loss_curves(losses, source),
+        ]
+    )
+
+
+def _load_curves(group: str, role: str, loads: dict[int, GroupLoad], source: Source) -> Iterable[Slope]:
+    figures = (
+        ("cpu", "processor time", "% of a core", lambda load: load.cpu_pct),
+        ("datagrams", "datagrams sent", "1/s", lambda load: load.datagrams_per_s),
+        ("kb", "sent, with headers", "KB/s", lambda load: load.kb_per_s),
+    )
+    for key, what, unit, figure in figures:
+        for which in ("mean", "most"):
+            yield slope(
+                f"members_{group}_{key}_{which}",
+                role,
+                f"members and 50 leases: {what}, {which}",
+                unit,
+                "brokers",
+                [(size, figure(load.mean if which == "mean" else load.most)) for size, load in loads.items()],
+                source,
+            )
+
+
+def _loss_curves(losses: dict[int, QuarterLoss], source: Source) -> Iterable[Slope]:
+    def curve(name: str, what: str, unit: str, points: Points) -> Slope:
+        return slope(f"members_{name}", ROLE, what, unit, "brokers", points, source)
+
+    yield curve(
+        "noticed_s",
+        "a quarter dies: until each of the others holds all of them for gone",
+        "s",
+        [(size, loss.noticed_s) for size, loss in losses.items()],
+    )
+    yield curve(
+        "loss_cpu_most",
+        "the 15 s after: processor time, most of a broker",
+        "% of a core",
+        [(size, loss.cpu_pct_most) for size, loss in losses.items()],
+    )
+    yield curve(
+        "loss_kb_most",
+        "the 15 s after: sent, with headers, most of a broker",
+        "KB/s",
+        [(size, loss.kb_per_s_most) for size, loss in losses.items()],
+    )
+    yield curve(
+        "loss_held_s",
+        "a quarter dies: until all 50 leases are held again",
+        "s",
+        [(size, loss.leases_held_s) for size, loss in losses.items()],
+    )
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -7,13 +7,14 @@
 from click.testing import CliRunner
 
 from cypressledge.cli import cli
-from cypressledge.lab import curve_fit, scaling
+from cypressledge.lab import curve_fit
 from cypressledge.lab.capacity.evaluation import REQUIREMENTS, evaluate
 from cypressledge.lab.capacity.page import render
 from cypressledge.lab.capacity.plots import slope_limits
 from cypressledge.lab.capacity.run_tables import control_fits_table, run_limits_table, runs_table
 from cypressledge.lab.capacity.targets import ROLES
 from cypressledge.lab.results import ResultsError, read, slope, source
+from cypressledge.lab.scaling import decision_costs, directory_costs, membership_costs, planner_costs
 
 ROOT = Path(__file__).parent.parent
 RESULTS, PAGE = ROOT / "docs" / "capacity" / "slopes.json", ROOT / "docs" / "CAPACITY.md"
@@ -61,18 +62,20 @@
 
 def test_small_slopes_are_sane():
     origin = source(1, "a test")
-    ms, used, given_up = scaling.statements(12, scaling.fleet_before(12), 40, 0.5, 1)
-    assert 0 < ms < 20
-    assert 3 <= used <= 12
-    assert given_up < 0.05
-    found, facts = scaling.planning(True, 1, origin)
+    cost = decision_costs.statement_cost(12, decision_costs.brokers_for(12), 40, 0.5, 1)
+    assert 0 < cost.cpu_ms[0] < 20
+    assert 3 <= cost.engines_used <= 12
+    assert cost.given_up < 0.05
+    found = planner_costs.planner_costs(True, 1, origin).slopes
     by_name = {s.name: s for s in found}
     assert all(y > 0 for s in found for _, y in s.points)
     assert by_name["summary_bytes"].points[-1][1] < 8_192
-    assert scaling.most_that_fit(scaling.ANSWER_MOST) < 100 < scaling.most_that_fit(scaling.DNS_MOST) < 490
-    group = scaling.members(12, 2.0, 1)
-    assert 0 < group["others"][4] < 30
-    assert 0 < group["loss"][0] < scaling.LOSS_S
+    within_answer = directory_costs.max_engines_within(directory_costs.MAX_ANSWER_BYTES)
+    within_message = directory_costs.max_engines_within(directory_costs.MAX_DNS_BYTES)
+    assert within_answer < 100 < within_message < 490
+    group = membership_costs.membership_cost(12, 2.0, 1)
+    assert 0 < group.others.mean.kb_per_s < 30
+    assert 0 < group.loss.noticed_s < membership_costs.LOSS_WATCH_S
 
 
 @pytest.mark.parametrize(
