--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -83,7 +83,7 @@
         self.turns = RestartTurns(self.node)
         self.summaries = Summaries(
             self.name,
-            self._own_figures,
+            self._own_metrics,
             self.node.others,
             lambda: [peer.name for peer in self.settings.peers],
             self.node.send,
@@ -179,16 +179,16 @@
         """The file's pace, and what engines bear as the site says it."""
         site, pace = self.core.settings, self.settings.zone_pace
         default = FailoverPace()
-        warm = site.slow_start_window or default.warm
+        warm = site.slow_start_window or default.warm_up_time
         return FailoverPace(
-            confirm=round(pace.confirm_s * 1e6),
-            hold=round(pace.hold_s * 1e6),
-            margin=pace.margin,
-            max_hold=round(pace.hold_most_s * 1e6),
-            bear=pace.bear,
-            start=site.slow_start_capacity,
-            warm=warm,
-            step=min(default.step, warm // ZONE_STEPS_WARM),
+            confirmation_time=round(pace.confirm_s * 1e6),
+            min_time_out=round(pace.hold_s * 1e6),
+            safety_margin=pace.margin,
+            max_time_out=round(pace.hold_most_s * 1e6),
+            max_utilization=pace.bear,
+            cold_capacity=site.slow_start_capacity,
+            warm_up_time=warm,
+            share_step_interval=min(default.share_step_interval, warm // ZONE_STEPS_WARM),
         )
 
     def _make_task(self, spec: TaskSpec) -> Task:
@@ -232,7 +232,7 @@
         self.counters.add(f"fleet.{event}")
         self.node.log.info(event, **fields)
 
-    def _own_figures(self, token: int) -> BrokerMetrics:
+    def _own_metrics(self, token: int) -> BrokerMetrics:
         """This broker's counters for the fleet's summary, and the engines that it avoids."""
         core = self.core
         avoided = [
@@ -262,7 +262,7 @@
     def stop(self) -> None:
         """This broker stops: leases go back at once, and the peers are notified. A turn to restart is kept:
         it runs out by itself, while the process starts anew."""
-        self.node.stop(self.turns.held_leases())
+        self.node.stop(self.turns.leases_kept_on_stop())
 
     def name_peers(self, peers: dict[str, tuple[str, int]]) -> None:
         """Where the control plane has brokers, from now on; the file's others stay. Kept over a reload:
--- a/cypressledge/fleet/restart_turns.py
+++ b/cypressledge/fleet/restart_turns.py
@@ -9,13 +9,13 @@
 
     def __init__(self, node: FleetNode) -> None:
         self.node = node
-        self.wanted: set[str] = set()
+        self.requested_groups: set[str] = set()
 
     def tick(self, now: int) -> None:
-        """Ask for a wanted turn only while fewer brokers are missing than may be at once: one that had its
+        """Ask for a requested turn only while fewer brokers are missing than may be at once: one that had its
         turn is missing until it is back, however long its start takes."""
         keeper = self.node.lease_manager
-        for group in self.wanted:
+        for group in self.requested_groups:
             if any(granted.group == group for granted in keeper.held_leases(now)):
                 continue
             allowed = sum(p.slot.group == group for p in keeper.participations.values())
@@ -27,22 +27,22 @@
 
     def request(self, group: str) -> dict:
         """Ask for a turn; how it stands."""
-        self.wanted.add(group)
+        self.requested_groups.add(group)
         self.tick(self.node.now())
         return self._status(group)
 
     def give_up(self, group: str) -> dict:
         """A turn, or the request for one, is over; how it stands."""
-        self.wanted.discard(group)
+        self.requested_groups.discard(group)
         self.node.release_group(group)
         return self._status(group)
 
-    def held_leases(self) -> set[str]:
+    def leases_kept_on_stop(self) -> set[str]:
         """The leases that a stop of this process keeps, for the turn that it stops in."""
         return {
             p.slot.lease
             for p in self.node.lease_manager.participations.values()
-            if p.slot.group in self.wanted
+            if p.slot.group in self.requested_groups
         }
 
     def _missing_brokers(self) -> int:
@@ -58,7 +58,7 @@
         ]
         return {
             "lease": group,
-            "wanted": group in self.wanted,
+            "wanted": group in self.requested_groups,
             "yours": bool(held),
             "token": held[0].token if held else 0,
             "missing": self.node.membership.missing(),
--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -77,7 +77,7 @@
         )
         self._report(observed, now)
         if self.admission.awaiting_plan:
-            self._ask_for_plan(now)
+            self._request_plan(now)
         self._act_without_planner(observed, now)
         return self.next_tick
 
@@ -89,9 +89,9 @@
         """A lease is lost; if it is the planner's, this broker plans no more."""
         self.duty.step_down_from(lease)
 
-    def command(self, zone: str, what: str, span: int, why: str) -> str:
-        """Take an operator's command, for `span` µs; the planner that it went to, or nothing."""
-        command = ZoneCommand(zone, what, span, why)
+    def command(self, zone: str, action: str, duration: int, reason: str) -> str:
+        """Take an operator's command, for `duration` µs; the planner that it went to, or nothing."""
+        command = ZoneCommand(zone, action, duration, reason)
         if self.duty.term is not None:
             self._apply(command, self.links.now())
             return self.broker
@@ -99,9 +99,11 @@
             self.links.send(self.planner_name, command)
         return self.planner_name
 
-    def dry_run(self, zone: str, what: str, span: int, why: str) -> list[str] | None:
+    def dry_run(self, zone: str, action: str, duration: int, reason: str) -> list[str] | None:
         """What a command would lead to now; None where this broker is not the planner."""
-        return operator_commands.dry_run(self.duty, ZoneCommand(zone, what, span, why), self.links.now())
+        return operator_commands.dry_run(
+            self.duty, ZoneCommand(zone, action, duration, reason), self.links.now()
+        )
 
     def status(self) -> dict:
         """How the zones stand here, by the keys that operators' calls answer with."""
@@ -146,8 +148,8 @@
 
     def _report(self, observed: EngineObservations, now: int) -> None:
         """Send this broker's observations to the planner, and now and then to those that may follow it."""
-        has_trouble = any(engine.consecutive_failures or engine.late for engine in observed.engines)
-        if now - self.reported_at < (TICK_INTERVAL if has_trouble else IDLE_REPORT_INTERVAL):
+        shows_faults = any(engine.consecutive_failures or engine.late for engine in observed.engines)
+        if now - self.reported_at < (TICK_INTERVAL if shows_faults else IDLE_REPORT_INTERVAL):
             return
         self.reported_at = now
         self.view.record(self.broker, observed, now)
@@ -158,7 +160,7 @@
         for peer in recipients - {self.broker, ""}:
             self.links.send(peer, observed)
 
-    def _ask_for_plan(self, now: int) -> None:
+    def _request_plan(self, now: int) -> None:
         if now - self.started_at >= MAX_START_WAIT:
             self.admission.awaiting_plan = False
             return
@@ -171,6 +173,6 @@
             return
         left = sorted(self.follower.locally_evacuated)
         self.links.log_event(
-            "zones_left_alone", zones=left, why="; ".join(own.zones[zone].why for zone in left)
+            "zones_left_alone", zones=left, why="; ".join(own.zones[zone].reason for zone in left)
         )
         self.core.engines.refresh()
--- a/cypressledge/fleet/zones/failover_plan.py
+++ b/cypressledge/fleet/zones/failover_plan.py
@@ -43,26 +43,26 @@
 class FailoverPace:
     """How fast zones are left and returned to, and how far. Times in µs.
 
-    `confirm`: how long a zone has to be bad before it is left; `drain`: what is on its way has to end in;
-    `hold`: the least time out, doubled by each failed return, up to `max_hold`; `forget`: after which failed
-    returns count no more; `step`: the least time between two steps of a share; `start`: what a cold engine
-    can do, part of what it can when warm; `warm`: how long it takes to be warm; `margin`: of what it can do,
-    what a return asks of it; `bear`: how much of their cores the other zones may be asked for when a zone
-    that still serves is left; `idle`: of its cores that a zone may be doing for its lateness not to be its
-    load's.
+    `confirmation_time`: how long a zone has to be bad before it is left; `drain_time`: what is on its way has
+    to end in; `min_time_out`: the least time out, doubled by each failed return up to `max_time_out`;
+    `forget_failed_returns_after`: of serving; `share_step_interval`: the least time between two steps of a
+    share; `cold_capacity`: what a cold engine can do, part of what it can when warm; `warm_up_time`: how long
+    it takes to be warm; `safety_margin`: of what it can do, what a return asks of it; `max_utilization`: how
+    much of their cores the other zones may be asked for when a zone that still serves is left;
+    `idle_utilization`: of its cores that a zone may be using for its lateness not to be its load's.
     """
 
-    confirm: int = 300_000
-    drain: int = 2 * SECOND
-    hold: int = 5 * SECOND
-    max_hold: int = 300 * SECOND
-    forget: int = 600 * SECOND
-    step: int = SECOND // 2
-    start: float = 0.31
-    warm: int = 14 * SECOND
-    margin: float = 0.8
-    bear: float = 0.9
-    idle: float = 0.3
+    confirmation_time: int = 300_000
+    drain_time: int = 2 * SECOND
+    min_time_out: int = 5 * SECOND
+    max_time_out: int = 300 * SECOND
+    forget_failed_returns_after: int = 600 * SECOND
+    share_step_interval: int = SECOND // 2
+    cold_capacity: float = 0.31
+    warm_up_time: int = 14 * SECOND
+    safety_margin: float = 0.8
+    max_utilization: float = 0.9
+    idle_utilization: float = 0.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,12 +82,12 @@
     stage: ZoneStage = ZoneStage.SERVING
     share: int = FULL_SHARE
     since: int = 0
-    why: str = ""
+    reason: str = ""
     failed_returns: int = 0
     bad_since: int | None = None
     override: OperatorOverride = OperatorOverride.NONE
     override_until: int = 0
-    kept_why: str = ""  # why it was not left, as last logged
+    kept_reason: str = ""  # why it was not left, as last logged
     share_grew_at: int = 0
 
 
--- a/cypressledge/fleet/zones/failover_planner.py
+++ b/cypressledge/fleet/zones/failover_planner.py
@@ -39,14 +39,14 @@
         self.zones = {name: ZoneState(name, since=now) for name in zones}
         self.number = 0  # of the plan: grows with each change
         self.use = 1.0  # part of all cores that the work takes
-        self.sheds = False  # the others can't bear what has been left: requests are shed
+        self.sheds_load = False  # the others can't bear what has been left: requests are shed
         self._last_key = self._key()
 
     def resume(self, number: int, statuses: list[ZoneStatus], sheds: bool, now: int) -> None:
         """Go on from another planner's plan, with its shares and ages: guards against a jump of shares when
         the planner changes."""
         self.number = max(self.number, number)
-        self.sheds = sheds
+        self.sheds_load = sheds
         for status in statuses:
             zone = self.zones.get(status.name)
             if zone is None:
@@ -55,7 +55,7 @@
             zone.share = status.share
             zone.since = now - status.age
             zone.failed_returns = status.flaps
-            zone.why = status.reason
+            zone.reason = status.reason
             zone.override = OperatorOverride(status.operator_override)
             zone.override_until = now + status.override_remaining
         self._last_key = self._key()
@@ -66,44 +66,44 @@
         trial.zones = deepcopy(self.zones)
         trial.number = self.number
         trial.use = self.use
-        trial.sheds = self.sheds
+        trial.sheds_load = self.sheds_load
         trial._last_key = self._last_key
         return trial
 
     # Commands: of operators, and of brokers that acted without a planner
 
-    def leave(self, name: str, now: int, until: int, why: str, practice: bool = False) -> None:
+    def leave(self, name: str, now: int, until: int, reason: str, practice: bool = False) -> None:
         """Leave a zone by hand, up to a time. A practice ends where the others can't bear all of the zone's
         load, and as soon as anything else fails."""
         zone = self.zones[name]
         zone.override = OperatorOverride.PRACTICE if practice else OperatorOverride.OUT
         zone.override_until = until
-        zone.kept_why = ""
-        zone.why = why
+        zone.kept_reason = ""
+        zone.reason = reason
 
-    def hold(self, name: str, now: int, until: int, why: str) -> None:
+    def hold(self, name: str, now: int, until: int, reason: str) -> None:
         """Keep a zone as it is by hand, up to a time."""
         zone = self.zones[name]
         zone.override = OperatorOverride.HOLD
         zone.override_until = until
-        zone.why = why
+        zone.reason = reason
 
-    def bring_back(self, name: str, now: int, why: str) -> None:
+    def bring_back(self, name: str, now: int, reason: str) -> None:
         """Return to a zone by hand: no override any more, and no waiting."""
         zone = self.zones[name]
         zone.override = OperatorOverride.NONE
         if zone.stage in (ZoneStage.OUT, ZoneStage.LEAVING):
-            self._enter(zone, ZoneStage.RETURNING, now, why)
+            self._enter(zone, ZoneStage.RETURNING, now, reason)
             zone.bad_since = None
             self._begin_ramp(zone, now)
 
-    def adopt(self, name: str, now: int, why: str) -> None:
+    def adopt(self, name: str, now: int, reason: str) -> None:
         """Take on that brokers left a zone while there was no planner: it is out, and returns like any
         other."""
         zone = self.zones[name]
         zone.share = 0
         zone.bad_since = None
-        self._enter(zone, ZoneStage.OUT, now, why)
+        self._enter(zone, ZoneStage.OUT, now, reason)
 
     # The step
 
@@ -124,7 +124,7 @@
             if zone.override is not OperatorOverride.HOLD:
                 self._STAGE_STEPS[zone.stage](self, zone, given)
         if all(zone.stage is ZoneStage.SERVING for zone in self.zones.values()):
-            self.sheds = False
+            self.sheds_load = False
         before, self._last_key = self._last_key, self._key()
         changed = self._last_key != before
         self.number += changed
@@ -145,19 +145,19 @@
             zone.failed_returns,
             zone.override.value,
             override_left,
-            zone.why[:MAX_WHY],
+            zone.reason[:MAX_WHY],
         )
 
     def _key(self) -> tuple:
         """What a change of makes a new plan."""
-        return (self.sheds, *((zone.stage, zone.share, zone.override) for zone in self.zones.values()))
+        return (self.sheds_load, *((zone.stage, zone.share, zone.override) for zone in self.zones.values()))
 
     def _record_finding(self, zone: ZoneState, given: PlanningInput) -> None:
         """Keep since when a zone has been bad. Insufficient data leaves it as it was."""
         finding = given.findings.get(zone.name)
         verdict = finding.verdict if finding else Verdict.INSUFFICIENT_DATA
         if verdict is Verdict.LOST or (
-            verdict is Verdict.SLOW and given.is_slow_while_idle(zone.name, self.pace.idle)
+            verdict is Verdict.SLOW and given.is_slow_while_idle(zone.name, self.pace.idle_utilization)
         ):
             zone.bad_since = given.now if zone.bad_since is None else zone.bad_since
         elif verdict is not Verdict.INSUFFICIENT_DATA:
@@ -181,56 +181,56 @@
                 return zone.name
         return ""
 
-    def _end_practice(self, zone: ZoneState, why: str) -> None:
+    def _end_practice(self, zone: ZoneState, reason: str) -> None:
         zone.override = OperatorOverride.NONE
-        self.log_event("zone_practice_over", zone.name, why)
+        self.log_event("zone_practice_over", zone.name, reason)
 
-    def _enter(self, zone: ZoneState, stage: ZoneStage, now: int, why: str) -> None:
+    def _enter(self, zone: ZoneState, stage: ZoneStage, now: int, reason: str) -> None:
         zone.stage = stage
         zone.since = now
-        zone.why = why
-        self.log_event(f"zone_{stage.value}", zone.name, why)
+        zone.reason = reason
+        self.log_event(f"zone_{stage.value}", zone.name, reason)
 
     def _begin_ramp(self, zone: ZoneState, now: int) -> None:
         zone.share = max(zone.share, recovery_share(0, self.pace, self.use))
         zone.share_grew_at = now
 
     def _is_confirmed_bad(self, zone: ZoneState, now: int) -> bool:
-        return zone.bad_since is not None and now - zone.bad_since >= self.pace.confirm
+        return zone.bad_since is not None and now - zone.bad_since >= self.pace.confirmation_time
 
     # One step of each stage
 
     def _step_serving(self, zone: ZoneState, given: PlanningInput) -> None:
         zone.share = FULL_SHARE
-        if given.now - zone.since > self.pace.forget:
+        if given.now - zone.since > self.pace.forget_failed_returns_after:
             zone.failed_returns = 0
         if zone.override.keeps_out:
-            self._leave(zone, given, zone.why)
+            self._leave(zone, given, zone.reason)
         elif zone.bad_since is not None:
-            self._enter(zone, ZoneStage.SUSPECT, given.now, given.findings[zone.name].why)
+            self._enter(zone, ZoneStage.SUSPECT, given.now, given.findings[zone.name].reason)
 
     def _step_suspect(self, zone: ZoneState, given: PlanningInput) -> None:
         finding = given.findings.get(zone.name)
         if zone.override.keeps_out:
-            self._leave(zone, given, zone.why)
+            self._leave(zone, given, zone.reason)
         elif zone.bad_since is None:
             self._enter(zone, ZoneStage.SERVING, given.now, "the failures have ended")
         elif self._is_confirmed_bad(zone, given.now) and finding is not None:
-            self._leave(zone, given, finding.why)
+            self._leave(zone, given, finding.reason)
 
     def _step_leaving(self, zone: ZoneState, given: PlanningInput) -> None:
         self._leave_rest_if_lost(zone, given)
-        if given.now - zone.since >= self.pace.drain:
-            self._enter(zone, ZoneStage.OUT, given.now, zone.why)
+        if given.now - zone.since >= self.pace.drain_time:
+            self._enter(zone, ZoneStage.OUT, given.now, zone.reason)
 
     def _step_out(self, zone: ZoneState, given: PlanningInput) -> None:
         self._leave_rest_if_lost(zone, given)
         time_out = given.now - zone.since
-        waited = time_out >= min(self.pace.hold << zone.failed_returns, self.pace.max_hold)
+        waited = time_out >= min(self.pace.min_time_out << zone.failed_returns, self.pace.max_time_out)
         if zone.override.keeps_out or not waited:
             return
-        why = f"out for {time_out / SECOND:.0f} s, flaps {zone.failed_returns}"
-        self._enter(zone, ZoneStage.RETURNING, given.now, why)
+        reason = f"out for {time_out / SECOND:.0f} s, flaps {zone.failed_returns}"
+        self._enter(zone, ZoneStage.RETURNING, given.now, reason)
         zone.bad_since = None
         self._begin_ramp(zone, given.now)
 
@@ -248,13 +248,13 @@
         zone.failed_returns = min(zone.failed_returns + failed, MAX_DOUBLINGS)
         zone.share = 0
         finding = given.findings.get(zone.name)
-        failed_again = f"it failed again: {finding.why if finding else zone.why}"
+        failed_again = f"it failed again: {finding.reason if finding else zone.reason}"
         by_hand = zone.override is not OperatorOverride.NONE
-        self._enter(zone, ZoneStage.OUT, given.now, zone.why if by_hand else failed_again)
+        self._enter(zone, ZoneStage.OUT, given.now, zone.reason if by_hand else failed_again)
 
     def _grow_share(self, zone: ZoneState, given: PlanningInput) -> None:
         """One step up at most. Strain halts the return where it is; after it, it goes on a step at a time."""
-        waited = given.now - zone.share_grew_at >= self.pace.step
+        waited = given.now - zone.share_grew_at >= self.pace.share_step_interval
         if zone.bad_since is not None or given.is_strained(zone.name) or not waited:
             return
         target = recovery_share(given.now - zone.since, self.pace, self.use)
@@ -272,29 +272,29 @@
 
     # Leaving
 
-    def _leave(self, zone: ZoneState, given: PlanningInput, why: str) -> None:
+    def _leave(self, zone: ZoneState, given: PlanningInput, reason: str) -> None:
         """Leave a zone, in part where the others can't bear all of a zone that still serves."""
         others = self._serving_others(zone)
         if not others:
             self._keep(zone, "no other zone serves whole: the last ones are not left")
             return
-        remainder = given.unbearable_share(zone.name, others, self.pace.bear, 0.0)
+        remainder = given.share_to_keep(zone.name, others, self.pace.max_utilization, 0.0)
         if zone.override is OperatorOverride.PRACTICE and remainder:
             self._end_practice(zone, "the others can't bear its load")
             return
-        self.sheds |= remainder > 0
+        self.sheds_load |= remainder > 0
         share = 0
         if remainder and not given.is_lost(zone.name):
-            share = given.unbearable_share(zone.name, others, self.pace.bear, given.over_quota)
+            share = given.share_to_keep(zone.name, others, self.pace.max_utilization, given.over_quota)
         if share >= FULL_SHARE:
             self._keep(zone, "the other zones can't bear any of its load")
             return
         zone.share = share
-        zone.kept_why = ""
+        zone.kept_reason = ""
         limits = f"{100 - share // 10}% of it: the others can't bear more; " if share else ""
         if remainder and given.over_quota > 0:
             limits += f"what is over its tenants' shares ({given.over_quota:.0%}) is refused first; "
-        self._enter(zone, ZoneStage.LEAVING, given.now, limits + why)
+        self._enter(zone, ZoneStage.LEAVING, given.now, limits + reason)
 
     def _serving_others(self, zone: ZoneState) -> list[str]:
         """The other zones that can take its load on."""
@@ -311,11 +311,11 @@
         """Leave the rest of a zone that was left in part and is lost now."""
         if zone.share and given.is_lost(zone.name) and self._is_confirmed_bad(zone, given.now):
             zone.share = 0
-            zone.why = given.findings[zone.name].why
-            self.log_event("zone_left_whole", zone.name, zone.why)
+            zone.reason = given.findings[zone.name].reason
+            self.log_event("zone_left_whole", zone.name, zone.reason)
 
-    def _keep(self, zone: ZoneState, why: str) -> None:
+    def _keep(self, zone: ZoneState, reason: str) -> None:
         """A zone is not left after all; logged once."""
-        if zone.kept_why != why:
-            zone.kept_why = why
-            self.log_event("zone_kept", zone.name, why)
+        if zone.kept_reason != reason:
+            zone.kept_reason = reason
+            self.log_event("zone_kept", zone.name, reason)
--- a/cypressledge/fleet/zones/health.py
+++ b/cypressledge/fleet/zones/health.py
@@ -38,11 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneFinding:
-    """A zone's verdict. `bad_fraction`: of the engines tried; `why`: one line for the log."""
+    """A zone's verdict. `bad_fraction`: of the engines tried; `reason`: one line for the log."""
 
     verdict: Verdict
     bad_fraction: float
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
     fresh = [report for report in reports if report.age < MAX_AGE]
     zones = sorted(set(engine_zones.values()))
     yield None
-    if fresh and not any(map(_has_trouble, fresh)):
+    if fresh and not any(map(_shows_faults, fresh)):
         return FleetHealth({zone: ZoneFinding(Verdict.HEALTHY, 0.0, "nothing fails") for zone in zones}, {})
     yield None
     isolated = yield from isolated_brokers(fresh, engine_zones)
@@ -191,7 +191,7 @@
     return engine.connect_failed + engine.failed + engine.timed_out
 
 
-def _has_trouble(report: BrokerObservations) -> bool:
+def _shows_faults(report: BrokerObservations) -> bool:
     """Whether anything that a broker observed has failed or was late."""
     return any(e.consecutive_failures or e.late or _failures(e) for e in report.observed.engines)
 
@@ -223,27 +223,29 @@
     """The verdict on one zone, that has `listed` engines and was observed by `brokers`."""
     tried = len(totals.engines)
     if totals.attempts < MIN_ATTEMPTS or tried < MIN_ENGINES_TRIED * listed:
-        why = f"{totals.attempts} tries at {tried} of {listed} engines in {totals.zone} by {brokers} brokers"
-        return ZoneFinding(Verdict.INSUFFICIENT_DATA, 0.0, why)
+        reason = (
+            f"{totals.attempts} tries at {tried} of {listed} engines in {totals.zone} by {brokers} brokers"
+        )
+        return ZoneFinding(Verdict.INSUFFICIENT_DATA, 0.0, reason)
     down = {engine for engine, e in totals.engines.items() if e.is_down}
     slow = {engine for engine, e in totals.engines.items() if e.is_slow}
     bad = len(down) / tried
-    why = (
+    reason = (
         f"{len(down)} of {tried} engines tried in {totals.zone} fail, {len(slow)} are slow; "
         f"{len(totals.failing_brokers)} brokers see it"
     )
     if down and down <= changing:
-        return ZoneFinding(Verdict.RELEASE, bad, f"{why}; all of these are draining or just started")
+        return ZoneFinding(Verdict.RELEASE, bad, f"{reason}; all of these are draining or just started")
     cut = _cut_off_zones(totals.paths)
     if cut and bad < LOST_FRACTION:
         return ZoneFinding(Verdict.PATH_CUT, bad, f"{totals.zone} fails for brokers in {cut} alone")
     if bad >= LOST_FRACTION:
-        return ZoneFinding(Verdict.LOST, bad, why)
+        return ZoneFinding(Verdict.LOST, bad, reason)
     if (len(down) + len(slow)) / tried >= LOST_FRACTION:
-        return ZoneFinding(Verdict.SLOW, bad, why)
+        return ZoneFinding(Verdict.SLOW, bad, reason)
     if (len(down) + len(slow)) / tried >= DEGRADED_FRACTION:
-        return ZoneFinding(Verdict.DEGRADED, bad, why)
-    return ZoneFinding(Verdict.HEALTHY, bad, why)
+        return ZoneFinding(Verdict.DEGRADED, bad, reason)
+    return ZoneFinding(Verdict.HEALTHY, bad, reason)
 
 
 def _cut_off_zones(paths: dict[str, PathTotals]) -> str:
--- a/cypressledge/fleet/zones/operator_commands.py
+++ b/cypressledge/fleet/zones/operator_commands.py
@@ -32,8 +32,8 @@
     lines: list[str] = []
     elapsed = 0
 
-    def log_event(event: str, zone: str, why: str) -> None:
-        lines.append(f"after {elapsed / 1e6:g} s: {event} {zone}: {why}")
+    def log_event(event: str, zone: str, reason: str) -> None:
+        lines.append(f"after {elapsed / 1e6:g} s: {event} {zone}: {reason}")
 
     planner = term.planner_of(command.zone)
     trial = planner.trial(log_event)
--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -39,9 +39,9 @@
         return self.zones.number + self.regions.number
 
     @property
-    def sheds(self) -> bool:
+    def sheds_load(self) -> bool:
         """Whether the others can't bear what has been left."""
-        return self.zones.sheds or self.regions.sheds
+        return self.zones.sheds_load or self.regions.sheds_load
 
     def planner_of(self, name: str) -> FailoverPlanner:
         """The planner of a zone, or of a region."""
@@ -128,7 +128,7 @@
     def _plan(self, term: PlannerTerm, grant: HeldLease, now: int) -> None:
         """Step both planners, and send the plan where it is due."""
         loads, over = self.planner_input(now)
-        if term.sheds:
+        if term.sheds_load:
             over = 0.0  # what is shed already is not in the loads
         changed = term.zones.step(now, self.zone_health.zones, loads, over)
         if self.topology.region_of:
@@ -171,7 +171,7 @@
             return 0.0
         arriving = sum(counts.values()) / COUNT_SECONDS * work_per_answer
         usable = sum(load.cores * self._usable_fraction(term, zone, now) for zone, load in loads.items())
-        bearable = usable * self.pace.bear
+        bearable = usable * self.pace.max_utilization
         return max(0.0, 1 - bearable / arriving) if arriving else 0.0
 
     def _usable_fraction(self, term: PlannerTerm, zone_name: str, now: int) -> float:
@@ -183,16 +183,18 @@
 
     def _log_isolated(self) -> None:
         """Log brokers that are isolated themselves, once each time."""
-        for broker, why in self.zone_health.isolated.items():
+        for broker, reason in self.zone_health.isolated.items():
             if broker not in self.logged_isolated:
-                self.links.log_event("broker_blind", peer=broker, why=why)
+                self.links.log_event("broker_blind", peer=broker, why=reason)
         self.logged_isolated = dict(self.zone_health.isolated)
 
     def _token(self) -> int:
         return self.term.grant.token if self.term else 0
 
-    def _log_zone_event(self, event: str, zone: str, why: str) -> None:
-        self.links.log_event(event, zone=zone, why=why, token=self._token())
+    def _log_zone_event(self, event: str, zone: str, reason: str) -> None:
+        self.links.log_event(event, zone=zone, why=reason, token=self._token())
 
-    def _log_region_event(self, event: str, region: str, why: str) -> None:
-        self.links.log_event(event.replace("zone_", "region_"), region=region, why=why, token=self._token())
+    def _log_region_event(self, event: str, region: str, reason: str) -> None:
+        self.links.log_event(
+            event.replace("zone_", "region_"), region=region, why=reason, token=self._token()
+        )
--- a/cypressledge/fleet/zones/planning_input.py
+++ b/cypressledge/fleet/zones/planning_input.py
@@ -28,14 +28,14 @@
         finding = self.findings.get(zone)
         return finding is not None and finding.verdict in (Verdict.DEGRADED, Verdict.PATH_CUT)
 
-    def is_slow_while_idle(self, zone: str, idle: float) -> bool:
-        """Whether a zone would be slow for another reason than its load: it does less than `idle` of its
-        cores, and another zone is healthy."""
+    def is_slow_while_idle(self, zone: str, idle_utilization: float) -> bool:
+        """Whether a zone would be slow for another reason than its load: it does less than `idle_utilization`
+        of its cores, and another zone is healthy."""
         load = self.loads.get(zone, ZoneLoad(0.0, 0.0))
         another_healthy = any(
             finding.verdict is Verdict.HEALTHY for name, finding in self.findings.items() if name != zone
         )
-        return another_healthy and load.used < idle * load.cores
+        return another_healthy and load.used < idle_utilization * load.cores
 
     def use(self) -> float:
         """The part of all cores that the work takes."""
@@ -43,12 +43,12 @@
         cores = sum(load.cores for load in self.loads.values())
         return min(1.0, max(MIN_USE, used / cores)) if cores else 1.0
 
-    def unbearable_share(self, zone: str, others: list[str], bear: float, over_quota: float) -> int:
+    def share_to_keep(self, zone: str, others: list[str], max_utilization: float, over_quota: float) -> int:
         """What of a zone that still serves has to stay, permille in steps, for the others to bear the rest
-        with `bear` of their cores. `over_quota`: the part of all work that is shed first."""
+        with `max_utilization` of their cores. `over_quota`: the part of all work that is shed first."""
         own = self.loads.get(zone, ZoneLoad(0.0, 1.0)).used * (1 - over_quota)
         spare = sum(
-            max(0.0, bear * self.loads[other].cores - self.loads[other].used * (1 - over_quota))
+            max(0.0, max_utilization * self.loads[other].cores - self.loads[other].used * (1 - over_quota))
             for other in others
             if other in self.loads
         )
--- a/cypressledge/fleet/zones/recovery_ramp.py
+++ b/cypressledge/fleet/zones/recovery_ramp.py
@@ -16,14 +16,18 @@
 
 def warm_fraction(age: int, pace: FailoverPace) -> float:
     """What an engine can do that came back cold `age` µs ago, part of what it can when warm."""
-    return min(1.0, pace.start + (1 - pace.start) * age / pace.warm)
+    return min(1.0, pace.cold_capacity + (1 - pace.cold_capacity) * age / pace.warm_up_time)
 
 
 def recovery_share(age: int, pace: FailoverPace, use: float = 1.0) -> int:
     """The share of a zone that came back `age` µs ago, permille: under what its engines can do by then, in
     steps, full once that is all of the work there is. `use`: the part of all cores that the fleet's work
     takes; a full share is no more than that of the zone."""
-    part = min(1.0, pace.margin * warm_fraction(age, pace) / use) if age < pace.warm * FULL_AFTER else 1.0
+    part = (
+        min(1.0, pace.safety_margin * warm_fraction(age, pace) / use)
+        if age < pace.warm_up_time * FULL_AFTER
+        else 1.0
+    )
     return int(part * SHARE_STEPS) * FULL_SHARE // SHARE_STEPS
 
 
--- a/cypressledge/lab/zone_processes/comparison.py
+++ b/cypressledge/lab/zone_processes/comparison.py
@@ -45,12 +45,14 @@
     """What came of one play of a schedule."""
 
     last_send: float = 0.0  # s after the zone was lost, of the last new send into it
-    left_at: float | None = None  # s after it, when the last broker had taken the plan that leaves it
+    departed_after_s: float | None = (
+        None  # s after it, when the last broker had taken the plan that leaves it
+    )
     kept: float = 0.0  # percent of what was asked that was answered in time, from the loss on
     fallen: int = 0  # engines
     retries: int = 0
     budget_violations: int = 0
-    back_s: float | None = None  # s after the zone came back, when its share was full
+    recovered_after_s: float | None = None  # s after the zone came back, when its share was full
     false_departures: int = 0
     events: list[dict] = field(default_factory=list)
 
@@ -125,9 +127,9 @@
         if share == 0:
             left_at.setdefault(event["broker"], at - lost_at)
         elif share == 1000 and at > back_at:
-            result.back_s = at - back_at
+            result.recovered_after_s = at - back_at
     if len(left_at) == BROKERS:
-        result.left_at = max(left_at.values())
+        result.departed_after_s = max(left_at.values())
 
 
 def _check_retry_budget(result: PlayResult, engines: list[CoreEngine]) -> None:
@@ -149,8 +151,8 @@
 
 def describe(schedule: Schedule, failover: bool, result: PlayResult) -> str:
     """One play in one line."""
-    left = "" if result.left_at is None else f", left by all after {result.left_at:.2f} s"
-    back = "" if result.back_s is None else f", whole again after {result.back_s:.1f} s"
+    left = "" if result.departed_after_s is None else f", left by all after {result.departed_after_s:.2f} s"
+    back = "" if result.recovered_after_s is None else f", whole again after {result.recovered_after_s:.1f} s"
     return (
         f"seed {schedule.seed} {'on ' if failover else 'off'}: {schedule.zone} {schedule.failure} for "
         f"{schedule.out_s:.1f} s: last send into it {result.last_send:.2f} s{left}, kept {result.kept:.1f}%, "
--- a/cypressledge/lab/zone_processes/core_engine.py
+++ b/cypressledge/lab/zone_processes/core_engine.py
@@ -39,7 +39,7 @@
 class RunningQuery:
     """Work that is left, s of one core, and the connection that waits for the answer."""
 
-    work_left: float
+    remaining_work: float
     connection: socket.socket
 
 
@@ -166,8 +166,8 @@
         work_each = min(1.0, self.capacity() / len(self.running)) * span
         done = []
         for key, query in self.running.items():
-            query.work_left -= work_each
-            if query.work_left <= 0:
+            query.remaining_work -= work_each
+            if query.remaining_work <= 0:
                 done.append(key)
         for key in done:
             self._answer(key[1], self.running.pop(key).connection)
--- a/cypressledge/lab/zone_processes/open_load.py
+++ b/cypressledge/lab/zone_processes/open_load.py
@@ -58,12 +58,12 @@
                     connection.settimeout(CLIENT_WAIT_S + 0.5)
                     file = connection.makefile("rb")
                     while True:
-                        self._ask(connection, file, self.waiting.get())
+                        self._send_query(connection, file, self.waiting.get())
             except (OSError, ValueError):
                 self.counts["broken"] += 1
                 gevent.sleep(RECONNECT_S)
 
-    def _ask(self, connection: socket.socket, file: BinaryIO, came: float) -> None:
+    def _send_query(self, connection: socket.socket, file: BinaryIO, came: float) -> None:
         time_left = CLIENT_WAIT_S - (time.monotonic() - came)
         if time_left <= MIN_WAIT_S:
             return
--- a/cypressledge/lab/zone_processes/testbed.py
+++ b/cypressledge/lab/zone_processes/testbed.py
@@ -69,7 +69,7 @@
         until(lambda: all("listening on" in b.words() or not b.running() for b in brokers), START_S)
         if not all("listening on" in b.words() and b.running() for b in brokers):
             raise RuntimeError("the brokers did not start: " + "".join(b.words()[-500:] for b in brokers))
-        if self.failover and not until(self._all_have_a_plan, PLAN_S):
+        if self.failover and not until(self._all_follow_a_plan, PLAN_S):
             raise RuntimeError("no planner")
         total_cores = sum(engine.cores for engine in self.engines)
         ports = [self[name].port for name in self.names]
@@ -117,7 +117,7 @@
         """When an engine of a zone last received a query, on the monotonic clock."""
         return max((q.received_at for e in self.engines_in(zone) for q in e.received), default=0.0)
 
-    def _all_have_a_plan(self) -> bool:
+    def _all_follow_a_plan(self) -> bool:
         return all(self.status(name).get("token") for name in self.names)
 
     def _add_broker(self, slot: int, name: str) -> BrokerProcess:
--- a/cypressledge/lab/zone_simulation/report.py
+++ b/cypressledge/lab/zone_simulation/report.py
@@ -60,12 +60,12 @@
             len(self.comparisons),
             _largest(result.last_send for result in offs),
             _largest(result.last_send for result in ons),
-            _largest(result.in_force for result in ons),
+            _largest(result.in_force_after_s for result in ons),
             sum(result.kept for result in offs) / len(offs),
             sum(result.kept for result in ons) / len(ons),
             sum(result.fallen for result in offs),
             self.fallen,
-            _largest(result.whole_at for result in ons),
+            _largest(result.recovered_after_s for result in ons),
             self.false_departures,
         ]
 
--- a/cypressledge/lab/zone_simulation/schedules.py
+++ b/cypressledge/lab/zone_simulation/schedules.py
@@ -102,11 +102,11 @@
     result.kept = 100 * (world.counts["kept"] - before["kept"]) / max(1, asked)
     result.fallen = sum(engine.fallen for engine in world.engines)
     result.false_departures = _false_departures(world, kind)
-    result.whole_at = _whole_again(world)
+    result.recovered_after_s = _recovered_after(world)
     decided = next(iter(_times(world, "zone_leaving")), None)
     if decided is not None and world.lost_at is not None and world.plan_taken_at:
-        result.left_at = (decided - world.lost_at) / SECOND
-        result.in_force = (max(world.plan_taken_at.values()) - decided) / SECOND
+        result.departed_after_s = (decided - world.lost_at) / SECOND
+        result.in_force_after_s = (max(world.plan_taken_at.values()) - decided) / SECOND
     return result
 
 
@@ -118,7 +118,7 @@
     return sum(event.zones != [world.lost_name()] for event in departures)
 
 
-def _whole_again(world: World) -> float | None:
+def _recovered_after(world: World) -> float | None:
     """Seconds from the return until the zone's share was full."""
     if world.back_at is None:
         return None
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -79,9 +79,9 @@
 
     kept: float = 0.0  # percent of what was asked, answered in time
     last_send: float = 0.0  # s after the loss
-    in_force: float | None = None  # s from the decision to leave, until all have its plan
-    left_at: float | None = None  # s from the loss
-    whole_at: float | None = None  # s from the return, until the share is full
+    in_force_after_s: float | None = None  # s from the decision to leave, until all have its plan
+    departed_after_s: float | None = None  # s from the loss
+    recovered_after_s: float | None = None  # s from the return, until the share is full
     fallen: int = 0  # engines
     false_departures: int = 0
     curve: list[Sample] = field(default_factory=list)
@@ -187,7 +187,7 @@
             log_event=log_event,
         )
         topology = SiteTopology(self.zone_names, broker_zones, {}, {})
-        pace = FailoverPace(start=START_CAPACITY, warm=WARM)
+        pace = FailoverPace(cold_capacity=START_CAPACITY, warm_up_time=WARM)
         failover = ZoneFailover(broker.name, broker, topology, pace, links)
         failover.admission.awaiting_plan = False  # starts are not modelled
         failover.planner_name = f"n{self.planner}"
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -175,7 +175,7 @@
         out.add(
             changed,
             planner.number,
-            planner.sheds,
+            planner.sheds_load,
             planner.use,
             planner.statuses(now),
             [usable_fraction(z, now, planner.pace) for z in planner.zones.values()],
@@ -183,7 +183,7 @@
         if number % 1_000 == 999:
             stood, heir = planner.statuses(now), FailoverPlanner(list(ZONES), FailoverPace(), 0, out.event)
             now += 700 * S
-            heir.resume(planner.number, stood, planner.sheds, now)
+            heir.resume(planner.number, stood, planner.sheds_load, now)
             planner = heir
     for age in range(0, 20 * S, 500_000):
         out.add([recovery_share(age, FailoverPace(), use) for use in (0.4, 0.7, 1.0)])
@@ -295,7 +295,7 @@
             lambda: ["n0", "n1", "n2"],
             lambda event, **fields: self.out.event(event, *fields.values()),
         )
-        return ZoneFailover(name, self.cores[name], site, FailoverPace(hold=3 * S), links)
+        return ZoneFailover(name, self.cores[name], site, FailoverPace(min_time_out=3 * S), links)
 
     def step(self):
         self.now += 50_000
--- a/tests/test_zone_size.py
+++ b/tests/test_zone_size.py
@@ -13,16 +13,16 @@
 @pytest.mark.parametrize("kind", LOSSES)
 def test_a_lost_zone_is_left_by_all_and_come_back_to_without_a_fall(kind):
     off, on = (play(5, kind=kind, failover=way, **SMALL) for way in (False, True))
-    print(off.kept, on.kept, on.left_at, on.last_send, on.whole_at)
+    print(off.kept, on.kept, on.departed_after_s, on.last_send, on.recovered_after_s)
     assert off.last_send > 5  # each broker goes on trying it for as long as it is gone
     assert on.last_send < {"silent": 2.0, "reset": 2.0, "slow": 3.5, "planner": 5.0}[kind]
     assert on.kept >= off.kept - 0.3
     assert on.fallen == 0
     assert on.false_departures == 0
-    assert on.in_force is not None
-    assert on.in_force <= 1.0
-    assert on.whole_at is not None
-    assert on.whole_at <= 1.5 * WARM / 1e6 + 6
+    assert on.in_force_after_s is not None
+    assert on.in_force_after_s <= 1.0
+    assert on.recovered_after_s is not None
+    assert on.recovered_after_s <= 1.5 * WARM / 1e6 + 6
 
 
 @pytest.mark.parametrize("kind", ["cut", "blind", "release"])
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -94,7 +94,7 @@
     )
     found = assess(views, ENGINES).zones["a"]
     assert found.verdict is Verdict.PATH_CUT
-    assert "brokers in b alone" in found.why
+    assert "brokers in b alone" in found.reason
 
 
 def test_a_broker_that_fails_everywhere_is_not_listened_to():
@@ -158,14 +158,14 @@
     while play.stage() is ZoneStage.RETURNING:
         play.run(100_000)
         shares.append((play.now - began, play.share()))
-        can = PACE.start + (1 - PACE.start) * (play.now - began) / PACE.warm
+        can = PACE.cold_capacity + (1 - PACE.cold_capacity) * (play.now - began) / PACE.warm_up_time
         work = (
             play.share() / FULL_SHARE * play.planner.use
         )  # of its cores, while the fleet's work stays as it is
-        assert play.now - began >= 1.25 * PACE.warm or work <= PACE.margin * can + 1e-9
+        assert play.now - began >= 1.25 * PACE.warm_up_time or work <= PACE.safety_margin * can + 1e-9
     assert shares[0][1] > 0
     assert shares[-1][1] == FULL_SHARE
-    assert shares[-1][0] <= 1.5 * PACE.warm
+    assert shares[-1][0] <= 1.5 * PACE.warm_up_time
     assert all(b - a <= FULL_SHARE / 16 + 1 for (_, a), (_, b) in itertools.pairwise(shares))
     assert [e for e, z in play.said] == [
         "zone_suspect",
@@ -291,7 +291,7 @@
     return ZoneStatus(name, "out", share, 0, 0, "", 0, "")
 
 
-def test_an_older_plan_is_rejected_plans():
+def test_an_older_plan_is_rejected():
     f = PlanFollower("n1")
     assert f.accept(FailoverPlan(5, 1, 3, [stands(0)]), 0)
     assert f.share("a") == 0
@@ -345,10 +345,10 @@
 
 
 def test_the_ramp_keeps_under_what_cold_engines_can_do():
-    for age in range(0, round(1.25 * PACE.warm), 100_000):
-        can = min(1.0, PACE.start + (1 - PACE.start) * age / PACE.warm)
-        assert 0 < recovery_share(age, PACE) / FULL_SHARE <= PACE.margin * can
-    assert recovery_share(round(1.25 * PACE.warm), PACE) == FULL_SHARE
+    for age in range(0, round(1.25 * PACE.warm_up_time), 100_000):
+        can = min(1.0, PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time)
+        assert 0 < recovery_share(age, PACE) / FULL_SHARE <= PACE.safety_margin * can
+    assert recovery_share(round(1.25 * PACE.warm_up_time), PACE) == FULL_SHARE
 
 
 def test_what_was_answered_before_the_loss_hides_it_from_nobody():
@@ -396,15 +396,15 @@
     play.planner.leave("a", play.now, play.now + 30 * S, "works")
     play.planner.step(play.now, {}, loads, over_quota=0.1)  # 54 of 57.6 cores: all of it can go
     assert play.share() == 0
-    assert play.planner.sheds
+    assert play.planner.sheds_load
     play = Play(loads=loads)
     play.planner.leave("a", play.now, play.now + 30 * S, "works")
     play.planner.step(play.now, {}, loads)
     assert 0 < play.share() < FULL_SHARE
-    assert play.planner.sheds
+    assert play.planner.sheds_load
     play.run(60 * S)
     assert play.stage() is ZoneStage.SERVING
-    assert not play.planner.sheds
+    assert not play.planner.sheds_load
 
 
 def test_a_zone_left_in_part_that_is_lost_then_is_left_whole():
@@ -452,9 +452,9 @@
 
 def test_a_return_reckons_with_the_work_there_is():
     for use in (0.4, 0.55, 0.8, 1.0):
-        for age in range(0, PACE.warm, 100_000):
-            can = PACE.start + (1 - PACE.start) * age / PACE.warm
-            assert recovery_share(age, PACE, use) / FULL_SHARE * use <= PACE.margin * can + 1e-9
+        for age in range(0, PACE.warm_up_time, 100_000):
+            can = PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time
+            assert recovery_share(age, PACE, use) / FULL_SHARE * use <= PACE.safety_margin * can + 1e-9
     assert recovery_share(0, PACE, 0.4) > recovery_share(0, PACE, 1.0) > 0
 
 
@@ -465,7 +465,7 @@
     assert usable_fraction(play.planner.zones["b"], play.now, PACE) == 1
     play.run(8 * S, a=Verdict.INSUFFICIENT_DATA)
     assert zone.stage is ZoneStage.RETURNING
-    assert PACE.start <= usable_fraction(zone, play.now, PACE) < 1
+    assert PACE.cold_capacity <= usable_fraction(zone, play.now, PACE) < 1
 
 
 def test_what_is_done_between_two_steps_makes_a_new_plan():
