--- a/cypressledge/fleet/restart_turns.py
+++ b/cypressledge/fleet/restart_turns.py
@@ -14,16 +14,16 @@
     def tick(self, now: int) -> None:
         """Ask for a requested turn only while fewer brokers are missing than may be at once: one that had its
         turn is missing until it is back, however long its start takes."""
-        keeper = self.node.lease_manager
+        manager = self.node.lease_manager
         for group in self.requested_groups:
-            if any(granted.group == group for granted in keeper.held_leases(now)):
+            if any(granted.group == group for granted in manager.held_leases(now)):
                 continue
-            allowed = sum(p.slot.group == group for p in keeper.participations.values())
+            allowed = sum(p.slot.group == group for p in manager.participations.values())
             if self._missing_brokers() < allowed:
-                if group not in keeper.requested_groups:
-                    keeper.request(group, now)
+                if group not in manager.requested_groups:
+                    manager.request(group, now)
             else:
-                keeper.requested_groups.discard(group)
+                manager.requested_groups.discard(group)
 
     def request(self, group: str) -> dict:
         """Ask for a turn; how it stands."""
--- /dev/null
+++ b/tests/zones/test_failover_planner.py
@@ -0,0 +1,267 @@
+"""The planner's state machines: leaving, recovery, overrides, and handing over."""
+
+import itertools
+
+import pytest
+
+from cypressledge.fleet.zones.failover_plan import (
+    FULL_SHARE,
+    FailoverPace,
+    ZoneLoad,
+    ZoneStage,
+)
+from cypressledge.fleet.zones.failover_planner import FailoverPlanner
+from cypressledge.fleet.zones.health import Verdict, ZoneFinding
+from cypressledge.fleet.zones.recovery_ramp import recovery_share, usable_fraction
+
+S = 1_000_000
+ZONES = ("a", "b", "c")
+PACE = FailoverPace()
+IDLE = {z: ZoneLoad(4.0, 32.0) for z in ZONES}
+
+
+class PlannerRun:
+    """A planner, its clock, and what it events."""
+
+    def __init__(self, zones=ZONES, pace=PACE, loads=None):
+        self.now, self.events = 100 * S, []
+        self.loads = loads or IDLE
+        self.planner = FailoverPlanner(
+            list(zones), pace, self.now, lambda event, zone, _: self.events.append((event, zone))
+        )
+
+    def run(self, span, **findings):
+        for _ in range(0, span, 100_000):
+            self.now += 100_000
+            self.planner.step(
+                self.now,
+                {
+                    z: ZoneFinding(findings.get(z, Verdict.HEALTHY), 1.0, "as drawn")
+                    for z in self.planner.zones
+                },
+                self.loads,
+            )
+        return self
+
+    def stage(self, zone="a"):
+        return self.planner.zones[zone].stage
+
+    def share(self, zone="a"):
+        return self.planner.zones[zone].share
+
+
+def test_a_lost_zone_is_left_within_the_second_and_returned_to_at_its_pace():
+    play = PlannerRun().run(600_000, a=Verdict.LOST)
+    assert play.stage() is ZoneStage.LEAVING
+    assert play.share() == 0
+    play.run(3 * S, a=Verdict.LOST)
+    assert play.stage() is ZoneStage.OUT
+    play.run(4 * S, a=Verdict.INSUFFICIENT_DATA)
+    assert play.stage() is ZoneStage.RETURNING
+    began, shares = play.planner.zones["a"].since, []
+    while play.stage() is ZoneStage.RETURNING:
+        play.run(100_000)
+        shares.append((play.now - began, play.share()))
+        can = PACE.cold_capacity + (1 - PACE.cold_capacity) * (play.now - began) / PACE.warm_up_time
+        work = (
+            play.share() / FULL_SHARE * play.planner.use
+        )  # of its cores, while the fleet's work stays as it is
+        assert play.now - began >= 1.25 * PACE.warm_up_time or work <= PACE.safety_margin * can + 1e-9
+    assert shares[0][1] > 0
+    assert shares[-1][1] == FULL_SHARE
+    assert shares[-1][0] <= 1.5 * PACE.warm_up_time
+    assert all(b - a <= FULL_SHARE / 16 + 1 for (_, a), (_, b) in itertools.pairwise(shares))
+    assert [e for e, z in play.events] == [
+        "zone_suspect",
+        "zone_leaving",
+        "zone_out",
+        "zone_returning",
+        "zone_serving",
+    ]
+
+
+def test_a_short_failure_is_not_a_loss():
+    play = PlannerRun().run(300_000, a=Verdict.LOST).run(S)
+    assert play.stage() is ZoneStage.SERVING
+    assert play.share() == FULL_SHARE
+
+
+def test_a_busy_zone_that_is_late_is_not_left_and_one_that_is_slow_for_no_work_is():
+    busy = {z: ZoneLoad(20.0, 32.0) for z in ZONES}
+    assert PlannerRun(loads=busy).run(5 * S, a=Verdict.SLOW).stage() is ZoneStage.SERVING
+    assert PlannerRun().run(5 * S, **dict.fromkeys(ZONES, Verdict.SLOW)).stage() is ZoneStage.SERVING
+    assert PlannerRun().run(S, a=Verdict.SLOW).stage() is ZoneStage.LEAVING
+
+
+@pytest.mark.parametrize(
+    "verdict", [Verdict.PATH_CUT, Verdict.DEGRADED, Verdict.RELEASE, Verdict.INSUFFICIENT_DATA]
+)
+def test_verdicts_that_are_not_the_zones_fault_move_nothing(verdict):
+    assert PlannerRun().run(20 * S, a=verdict).stage() is ZoneStage.SERVING
+
+
+def test_a_zone_that_falls_again_stays_out_twice_as_long_each_time():
+    play, outs = PlannerRun(), []
+    for _ in range(5):
+        play.run(S, a=Verdict.LOST)
+        began = play.now
+        while play.stage() is not ZoneStage.RETURNING:
+            play.run(100_000, a=Verdict.LOST)
+        outs.append(play.now - began)
+        play.run(3 * S)
+        assert play.share() > 0
+    assert all(b > 1.4 * a for a, b in itertools.pairwise(outs)), outs
+
+
+def test_strain_halts_a_return_without_a_jump_after_it():
+    play = PlannerRun().run(S, a=Verdict.LOST).run(8 * S, a=Verdict.INSUFFICIENT_DATA)
+    while play.share() < 400:
+        play.run(100_000)
+    halted = play.share()
+    play.run(10 * S, a=Verdict.DEGRADED)
+    assert play.share() == halted
+    assert play.stage() is ZoneStage.RETURNING
+    play.run(500_000)
+    assert play.share() <= halted + FULL_SHARE / 16 + 1
+
+
+def test_the_last_serving_zone_is_never_left():
+    play = PlannerRun().run(S, a=Verdict.LOST).run(2 * S, a=Verdict.LOST, b=Verdict.LOST)
+    assert [play.share(z) for z in ZONES] == [0, 0, FULL_SHARE]
+    play.run(5 * S, a=Verdict.LOST, b=Verdict.LOST, c=Verdict.LOST)
+    assert play.share("c") == FULL_SHARE
+    assert ("zone_kept", "c") in play.events
+    both = PlannerRun(zones=("a", "b")).run(3 * S, a=Verdict.LOST, b=Verdict.LOST)
+    assert [both.share(z) for z in "ab"] == [FULL_SHARE, FULL_SHARE]
+
+
+def test_a_leave_by_hand_is_partial_where_the_others_cannot_bear_it():
+    heavy = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(22.0, 32.0), "c": ZoneLoad(24.0, 32.0)}
+    play = PlannerRun(loads=heavy)
+    play.planner.leave("a", play.now, play.now + 30 * S, "by hand: a mistake")
+    play.run(S)
+    moved = (1 - play.share() / FULL_SHARE) * 20
+    spare = 2 * 0.9 * 32 - 22 - 24
+    assert 0 < play.share() < FULL_SHARE
+    assert moved <= spare
+    full = PlannerRun(loads={z: ZoneLoad(30.0, 32.0) for z in ZONES})
+    full.planner.leave("a", full.now, full.now + 30 * S, "by hand: a mistake")
+    full.run(S)
+    assert full.share() == FULL_SHARE
+    assert ("zone_kept", "a") in full.events
+
+
+def test_an_operator_override_expires():
+    play = PlannerRun()
+    play.planner.leave("a", play.now, play.now + 20 * S, "practice")
+    play.run(19 * S)
+    assert play.stage() is ZoneStage.OUT
+    assert play.share() == 0
+    play.run(2 * S)
+    assert play.stage() is ZoneStage.RETURNING
+    held = PlannerRun()
+    held.planner.hold("a", held.now, held.now + 10 * S, "leave it to me")
+    held.run(9 * S, a=Verdict.LOST)
+    assert held.share() == FULL_SHARE
+    held.run(3 * S, a=Verdict.LOST)
+    assert held.share() == 0
+
+
+def test_a_successor_resumes_without_a_jump_of_shares():
+    play = PlannerRun().run(S, a=Verdict.LOST).run(8 * S, a=Verdict.INSUFFICIENT_DATA)
+    while play.share() < 500:
+        play.run(100_000)
+    stood = play.planner.statuses(play.now)
+    heir = PlannerRun()
+    heir.now = play.now + 700 * S  # its clock has nothing to do with the other's
+    heir.planner.resume(play.planner.number, stood, False, heir.now)
+    assert heir.stage() is ZoneStage.RETURNING
+    assert heir.share() == play.share()
+    assert heir.planner.statuses(heir.now) == stood
+    assert heir.planner.number == play.planner.number
+    heir.run(500_000)
+    assert play.share() <= heir.share() <= play.share() + FULL_SHARE / 16 + 1
+
+
+def test_a_practice_ends_where_the_others_cannot_bear_it_or_another_zone_fails():
+    heavy = {z: ZoneLoad(24.0, 32.0) for z in ZONES}
+    play = PlannerRun(loads=heavy)
+    play.planner.leave("a", play.now, play.now + 30 * S, "practice", practice=True)
+    play.run(S)
+    assert play.share() == FULL_SHARE
+    assert ("zone_practice_over", "a") in play.events
+    play = PlannerRun()
+    play.planner.leave("a", play.now, play.now + 60 * S, "practice", practice=True)
+    play.run(5 * S)
+    assert play.stage() is ZoneStage.OUT
+    assert play.share() == 0
+    play.run(S, b=Verdict.LOST)
+    assert play.stage() is ZoneStage.RETURNING
+    assert play.share() > 0
+    assert ("zone_practice_over", "a") in play.events
+    assert play.planner.zones["a"].failed_returns == 0
+
+
+def test_requests_over_quota_are_shed_before_a_part_of_a_zone_stays():
+    loads = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(20.0, 32.0), "c": ZoneLoad(20.0, 32.0)}
+    play = PlannerRun(loads=loads)
+    play.planner.leave("a", play.now, play.now + 30 * S, "works")
+    play.planner.step(play.now, {}, loads, over_quota=0.1)  # 54 of 57.6 cores: all of it can go
+    assert play.share() == 0
+    assert play.planner.sheds_load
+    play = PlannerRun(loads=loads)
+    play.planner.leave("a", play.now, play.now + 30 * S, "works")
+    play.planner.step(play.now, {}, loads)
+    assert 0 < play.share() < FULL_SHARE
+    assert play.planner.sheds_load
+    play.run(60 * S)
+    assert play.stage() is ZoneStage.SERVING
+    assert not play.planner.sheds_load
+
+
+def test_a_zone_left_in_part_and_lost_then_is_left_completely():
+    heavy = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(22.0, 32.0), "c": ZoneLoad(24.0, 32.0)}
+    play = PlannerRun(loads=heavy)
+    play.planner.leave("a", play.now, play.now + 30 * S, "works")
+    play.run(S)
+    assert 0 < play.share() < FULL_SHARE
+    play.run(S, a=Verdict.LOST)
+    assert play.share() == 0
+    assert ("zone_left_whole", "a") in play.events
+
+
+def test_the_usable_fraction_is_what_work_can_be_given_to():
+    play = PlannerRun().run(S, a=Verdict.LOST)
+    zone = play.planner.zones["a"]
+    assert usable_fraction(zone, play.now, PACE) == 0
+    assert usable_fraction(play.planner.zones["b"], play.now, PACE) == 1
+    play.run(8 * S, a=Verdict.INSUFFICIENT_DATA)
+    assert zone.stage is ZoneStage.RETURNING
+    assert PACE.cold_capacity <= usable_fraction(zone, play.now, PACE) < 1
+
+
+def test_commands_between_two_steps_make_a_new_plan():
+    play = PlannerRun().run(S, a=Verdict.LOST)
+    number = play.planner.number
+    play.planner.bring_back("a", play.now, "by hand")
+    assert play.planner.step(play.now, {}, IDLE)
+    assert play.planner.number == number + 1
+    assert not play.planner.step(play.now, {}, IDLE)
+    play.planner.adopt("b", play.now, "3 of 5 brokers left it without a planner")
+    assert play.planner.step(play.now, {}, IDLE)
+    assert play.share("b") == 0
+
+
+def test_the_recovery_ramp_stays_under_what_cold_engines_can_do():
+    for age in range(0, round(1.25 * PACE.warm_up_time), 100_000):
+        can = min(1.0, PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time)
+        assert 0 < recovery_share(age, PACE) / FULL_SHARE <= PACE.safety_margin * can
+    assert recovery_share(round(1.25 * PACE.warm_up_time), PACE) == FULL_SHARE
+
+
+def test_the_recovery_ramp_reckons_with_the_work_there_is():
+    for use in (0.4, 0.55, 0.8, 1.0):
+        for age in range(0, PACE.warm_up_time, 100_000):
+            can = PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time
+            assert recovery_share(age, PACE, use) / FULL_SHARE * use <= PACE.safety_margin * can + 1e-9
+    assert recovery_share(0, PACE, 0.4) > recovery_share(0, PACE, 1.0) > 0
--- /dev/null
+++ b/tests/zones/test_load_shedding.py
@@ -0,0 +1,46 @@
+"""Which part of each tenant's requests is shed while the zones can't bear all."""
+
+import pytest
+
+from cypressledge.fleet.zones.load_shedding import (
+    COUNT_SECONDS,
+    TenantArrivals,
+    is_shed,
+    over_quota,
+    over_quota_fraction,
+    shed_parts,
+)
+
+S = 1_000_000
+
+
+def test_quotas_are_of_the_whole_fleets_requests():
+    arrivals = TenantArrivals()
+    for n in range(200):
+        arrivals.add(n * S // 100, "big")
+        if n % 10 == 0:
+            arrivals.add(n * S // 100, "small")
+    counts = arrivals.counts(2 * S - 1)
+    assert counts == {"big": 200, "small": 20}
+    over = over_quota(counts, {"big": 60.0, "small": 50.0})
+    assert over == {"big": 400}  # 100 a second, 60 are its share
+    assert over_quota_fraction(counts, over) == pytest.approx(80 / 220)
+    assert over_quota(counts, {}) == {}
+    assert over_quota_fraction({}, {}) == 0.0
+    shed = sum(is_shed(f"q{i}", 400) for i in range(2_000))
+    assert 700 < shed < 900
+    assert not any(is_shed(f"q{i}", 0) for i in range(200))
+    assert COUNT_SECONDS == 2.0
+    assert arrivals.counts(9 * S) == {}
+
+
+def test_requests_over_quota_are_shed_first_and_all_tenants_alike_beyond_that():
+    counts, over = {"big": 200, "small": 100}, {"big": 300}  # 60 of 300 are over
+    assert shed_parts(counts, over, 0.01) == {} == shed_parts(counts, over, 0.0)
+    assert shed_parts(counts, over, 0.1) == {"big": 150}
+    assert shed_parts(counts, over, 0.2) == {"big": 300}
+    parts = shed_parts(counts, over, 0.6)
+    assert parts == {"big": 650, "small": 500}
+    gone = sum(counts[t] * part for t, part in parts.items()) / 1000
+    assert gone == pytest.approx(0.6 * 300)
+    assert shed_parts(counts, over, 1.0) == {"big": 1000, "small": 1000}
--- /dev/null
+++ b/tests/zones/test_zone_health.py
@@ -0,0 +1,129 @@
+"""Verdicts on zones from all brokers' observations, and the guards against wrong ones."""
+
+from cypressledge.fleet.messages import EngineObservation, EngineObservations
+from cypressledge.fleet.zones import health
+from cypressledge.fleet.zones.health import BrokerObservations, Verdict, assess
+
+S = 1_000_000
+ZONES = ("a", "b", "c")
+ENGINES = {10 * i + n: z for i, z in enumerate(ZONES) for n in range(4)}
+OF = {z: [e for e, of in ENGINES.items() if of == z] for z in ZONES}
+
+
+def observed(bad=(), good=(), late=()):
+    return EngineObservations(
+        [EngineObservation(e, 0, 0, 0, 0, 3, 0, 3, 700) for e in bad]
+        + [EngineObservation(e, 3, 0, 0, 0, 0, 0, 0, 100) for e in good]
+        + [EngineObservation(e, 0, 3, 0, 0, 0, 0, 0, 100) for e in late]
+    )
+
+
+def reports(*observations, age=0):
+    return [BrokerObservations(f"n{i}", ZONES[i % 3], age, s) for i, s in enumerate(observations)]
+
+
+def verdicts(*args, **more):
+    return {z: f.verdict for z, f in assess(*args, **more).zones.items()}
+
+
+def test_lost_slow_and_degraded_zones_are_told_apart():
+    rest = OF["b"] + OF["c"]
+    assert verdicts(reports(*[observed(OF["a"], rest)] * 3), ENGINES) == {
+        "a": Verdict.LOST,
+        "b": Verdict.HEALTHY,
+        "c": Verdict.HEALTHY,
+    }
+    assert verdicts(reports(*[observed((), rest, OF["a"])] * 3), ENGINES)["a"] is Verdict.SLOW
+    assert (
+        verdicts(reports(*[observed(OF["a"][:2], rest + OF["a"][2:])] * 3), ENGINES)["a"] is Verdict.DEGRADED
+    )
+    assert (
+        verdicts(reports(*[observed(OF["a"][:1], rest + OF["a"][1:])] * 3), ENGINES)["a"] is Verdict.HEALTHY
+    )
+
+
+def test_a_cut_path_is_not_a_lost_zone():
+    # Brokers in zone b alone can't reach zone a.
+    views = reports(
+        observed((), OF["a"]),
+        observed(OF["a"], OF["b"]),
+        observed((), OF["a"] + OF["c"]),
+        observed((), OF["a"]),
+        observed(OF["a"], OF["b"]),
+        observed((), OF["a"]),
+    )
+    found = assess(views, ENGINES).zones["a"]
+    assert found.verdict is Verdict.PATH_CUT
+    assert "brokers in b alone" in found.reason
+
+
+def test_an_isolated_broker_does_not_count():
+    views = reports(observed(list(ENGINES)), *[observed((), list(ENGINES))] * 3)
+    found = assess(views, ENGINES)
+    assert set(found.isolated) == {"n0"}
+    assert all(f.verdict is Verdict.HEALTHY for f in found.zones.values())
+
+
+def test_a_rolling_release_is_not_a_loss():
+    views = reports(*[observed(OF["a"], OF["b"])] * 3)
+    assert verdicts(views, ENGINES, changing=frozenset(OF["a"]))["a"] is Verdict.RELEASE
+
+
+def test_few_and_old_reports_give_no_verdict():
+    assert set(verdicts([], ENGINES).values()) == {Verdict.INSUFFICIENT_DATA}
+    assert verdicts(reports(observed(OF["a"]), age=4 * S), ENGINES)["a"] is Verdict.INSUFFICIENT_DATA
+    assert (
+        verdicts(reports(EngineObservations([EngineObservation(0, 0, 0, 0, 0, 1)])), ENGINES)["a"]
+        is Verdict.INSUFFICIENT_DATA
+    )
+
+
+def test_answers_from_before_the_loss_do_not_hide_it():
+    # Two seconds of good answers stand in the windows; the rows of failures since then tell.
+    seen = EngineObservations(
+        [EngineObservation(e, 20, 0, 0, 0, 2, 0, 2, 600) for e in OF["a"]]
+        + [EngineObservation(e, 20, 0, 0, 0, 0, 0, 0, 50) for e in OF["b"] + OF["c"]]
+    )
+    assert verdicts(reports(seen, seen, seen), ENGINES)["a"] is Verdict.LOST
+
+
+def test_a_broker_that_has_just_had_answers_vouches_for_an_engine_for_a_while():
+    bad, good = observed(OF["a"], OF["b"]), observed((), OF["a"] + OF["b"])
+    views = [BrokerObservations("n0", "a", 0, bad), BrokerObservations("n3", "a", 0, bad)]
+    assert verdicts([*views, BrokerObservations("n1", "a", S // 2, good)], ENGINES)["a"] is Verdict.HEALTHY
+    assert verdicts([*views, BrokerObservations("n1", "a", S, good)], ENGINES)["a"] is Verdict.LOST
+
+
+def test_one_engine_tried_of_four_gives_no_verdict_on_its_zone():
+    assert verdicts(reports(*[observed(OF["a"][:1])] * 3), ENGINES)["a"] is Verdict.INSUFFICIENT_DATA
+
+
+def test_each_guard_of_the_assessment_is_needed(monkeypatch):
+    every = list(ENGINES)
+    blind = [
+        BrokerObservations("n0", "a", 0, observed(every)),
+        *[BrokerObservations(f"n{i}", "a", S, observed((), every)) for i in (1, 2, 3)],
+    ]
+    cut = reports(observed((), OF["a"]), observed(OF["a"]), observed((), OF["a"]))
+    one = reports(*[observed(OF["a"][:1])] * 3)
+    release = reports(*[observed(OF["a"], OF["b"])] * 3)
+
+    def verdict(views, changing=frozenset()):
+        return assess(views, ENGINES, changing).zones["a"].verdict
+
+    assert Verdict.LOST not in (
+        verdict(blind),
+        verdict(cut),
+        verdict(one),
+        verdict(release, frozenset(OF["a"])),
+    )
+    assert verdict(release) is Verdict.LOST
+    with monkeypatch.context() as patch:
+        patch.setattr(health, "isolated_brokers", lambda views, engines: (yield) or {})
+        assert verdict(blind) is Verdict.LOST
+    with monkeypatch.context() as patch:
+        patch.setattr(health, "vouches_for", lambda view, seen: False)
+        assert verdict(cut) is Verdict.LOST
+    with monkeypatch.context() as patch:
+        patch.setattr(health, "MIN_ENGINES_TRIED", 0.0)
+        assert verdict(one) is Verdict.LOST
