--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -12,7 +12,6 @@
 from cypressledge.clock import wall_us
 from cypressledge.config import Config, ConfigError, parse_address
 from cypressledge.decisions.contract import EngineListEntry, EngineState
-from cypressledge.fleet.budget import Budget
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.lease_recorder import LeaseRecorder
 from cypressledge.fleet.leases.candidate_order import candidate_order
@@ -30,10 +29,11 @@
 from cypressledge.fleet.node import FleetNode, Handler
 from cypressledge.fleet.operator_api import FleetOperatorApi
 from cypressledge.fleet.restart_turns import RestartTurns
-from cypressledge.fleet.runner import Runner, Task
 from cypressledge.fleet.settings import FleetSettings, Peer, TaskSpec, read_fleet_settings
-from cypressledge.fleet.summary import figures
-from cypressledge.fleet.tasks import Call, Summaries
+from cypressledge.fleet.tasks.cpu_budget import CpuBudget
+from cypressledge.fleet.tasks.fleet_summary import FleetSummaries, broker_metrics
+from cypressledge.fleet.tasks.service_call import ServiceCall
+from cypressledge.fleet.tasks.task_runner import Task, TaskRunner
 from cypressledge.fleet.zones.environment import FleetLinks
 from cypressledge.fleet.zones.failover import PLANNER_STEP_S, ZoneFailover
 from cypressledge.fleet.zones.failover_plan import FailoverPace
@@ -81,7 +81,7 @@
         self.node = self._make_node(parse_address(self.settings.listen or own.address))
         self.recorder = self._make_recorder()
         self.turns = RestartTurns(self.node)
-        self.summaries = Summaries(
+        self.summaries = FleetSummaries(
             self.name,
             self._own_metrics,
             self.node.others,
@@ -92,9 +92,9 @@
         self.zones = self._make_zones(config)
         self.node.handlers |= self._handlers()
         tasks = [self._make_task(spec) for spec in self.settings.tasks]
-        budget = Budget(self.settings.task_share)
-        self.runner = Runner(tasks, self.node.held_lease, self.node.now, budget, self._log_event)
-        self.parts = [*self.node.loops, self.runner.turns]
+        budget = CpuBudget(self.settings.task_share)
+        self.runner = TaskRunner(tasks, self.node.held_lease, self.node.now, budget, self._log_event)
+        self.parts = [*self.node.loops, self.runner.schedule]
         counters.gauge("fleet.turn_p99_us", self.node.turn_p99)
         counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest)
 
@@ -129,7 +129,7 @@
             clock=clock,
             wall=wall_us() + round(settings.lab.wall_step_s * 1e6),
             on_lease_event=self._lease_changed,
-            end_work=lambda lease: self.runner.call_off(lease),
+            end_work=lambda lease: self.runner.cancel(lease),
             tick=self._tick,
             urgent=URGENT_MESSAGES,
             turn_times_kept=KEPT_TURN_TIMES,
@@ -195,11 +195,11 @@
         if spec.kind == "zones" and self.zones is not None:
             return Task(spec.kind, spec.lease, self.zones.act, PLANNER_STEP_S, spec.longest_s, spec.priority)
         if spec.kind == "summary":
-            act = self.summaries.act
+            act = self.summaries.run
         else:
-            act = Call(
+            act = ServiceCall(
                 self.name, parse_address(spec.at), spec.steps, spec.step_s, self.node.token_rejected
-            ).act
+            ).run
         return Task(spec.kind, spec.lease, act, spec.every_s, spec.longest_s, spec.priority)
 
     def add_operator_calls(self, management: ManagementServer) -> None:
@@ -219,9 +219,9 @@
         if event == "acquired":
             if self.recorder is not None:
                 self.recorder.record(lease)
-            self.runner.begin(lease, self.node.lease_manager.participations[lease].slot.group)
+            self.runner.start(lease, self.node.lease_manager.participations[lease].slot.group)
         elif event == "lost":
-            self.runner.call_off(lease)
+            self.runner.cancel(lease)
         if event in ("lost", "given_back"):
             if self.zones is not None:
                 self.zones.step_down_from(lease)
@@ -241,7 +241,7 @@
             for entry, endpoint in listed
             if entry.state is not EngineState.REMOVED and self._avoids(entry, endpoint)
         ]
-        return figures(
+        return broker_metrics(
             token,
             core.counters.counts,
             self.classes,
--- a/cypressledge/fleet/leases/electorate.py
+++ b/cypressledge/fleet/leases/electorate.py
@@ -1,5 +1,4 @@
-"""Voter sets by version, and when leases may be requested and granted under the newest. No I/O, told the
-time.
+"""Voter sets by version, and when leases may be requested and granted under the newest. No I/O.
 
 All times are µs on the process's own clock. The argument for changes of the voter set is in docs/leases.md.
 """
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -1,5 +1,4 @@
-"""One member of a fleet, whatever its role: transport, membership and leases, and the greenlet that owns
-them.
+"""One member of a fleet, whatever its role: transport, membership, leases and their greenlet.
 
 Uses gevent. Knows nothing of engines or requests: a broker (`part.py`), a control process or a simulated
 broker of the laboratory is a `FleetNode` with handlers of its own. One greenlet owns membership and leases;
--- a/cypressledge/fleet/operator_api.py
+++ b/cypressledge/fleet/operator_api.py
@@ -83,11 +83,11 @@
         return [
             {
                 "task": task.name,
-                "lease": task.lease,
+                "lease": task.lease_group,
                 "running_under": sorted(task.running),
-                "acts": task.acts,
-                "called_off": task.called_off,
-                "overdue": task.overdue,
+                "acts": task.runs,
+                "called_off": task.cancelled,
+                "overdue": task.timed_out,
                 "failed": task.failed,
                 "priority": task.priority,
                 "cpu_ms": round(runner.budget.spent / 1e3, 2),
--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -18,7 +18,7 @@
     decode,
     encode,
 )
-from cypressledge.fleet.summary import ENGINES_MOST, Merge
+from cypressledge.fleet.tasks.fleet_summary import MAX_ENGINES, SummaryRound
 from cypressledge.fleet.zones.environment import FleetLinks
 from cypressledge.fleet.zones.failover import ZoneFailover
 from cypressledge.fleet.zones.failover_plan import FailoverPace
@@ -118,12 +118,12 @@
 
 
 def broker_metrics(engines: int, avoided: int) -> BrokerMetrics:
-    """Return a broker's metrics with so many engines avoided, `ENGINES_MOST` at most."""
+    """Return a broker's metrics with so many engines avoided, `MAX_ENGINES` at most."""
     classes = {name: [40_000_000, 12_000, 3_000, 41_000_000] for name in ("lookup", "report", "order-load")}
     return BrokerMetrics(
         7,
         classes,
-        [f"s-{stable_hash(f's-{i}', 4):08x}" for i in range(min(avoided, ENGINES_MOST))],
+        [f"s-{stable_hash(f's-{i}', 4):08x}" for i in range(min(avoided, MAX_ENGINES))],
         engines,
         60,
     )
@@ -140,7 +140,7 @@
 def summary_cost(brokers: int, engines: int) -> SummaryCost:
     """Measure a summary of all brokers but a quarter (a zone that is gone)."""
     names = [f"n{i:03d}" for i in range(brokers)]
-    merge = Merge(7, 1 << 61, names[0])
+    merge = SummaryRound(7, 1 << 61, names[0])
     for name in names[brokers // 4 :]:
         merge.add(name, broker_metrics(engines, engines // 4))
     ms = median_cpu_ms(lambda: merge.summary(names), 3)
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -10,7 +10,6 @@
 from hypothesis import strategies as st
 
 from cypressledge.config import ConfigError
-from cypressledge.fleet.budget import Budget, Lane
 from cypressledge.fleet.leases.candidate_order import candidate_order
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.lease_manager import LeaseManager
@@ -31,7 +30,8 @@
     encode,
 )
 from cypressledge.fleet.settings import read_fleet_settings
-from cypressledge.fleet.summary import Fence, Merge
+from cypressledge.fleet.tasks.cpu_budget import CpuBudget, PriorityQueue
+from cypressledge.fleet.tasks.fleet_summary import Fence, SummaryRound
 from cypressledge.lab.virtual import S, World
 
 GOOD = {
@@ -428,7 +428,7 @@
 
 
 def test_a_budget_holds_tasks_to_their_share():
-    budget, now = Budget(share=0.02), 0
+    budget, now = CpuBudget(share=0.02), 0
     for _ in range(1000):
         now += budget.wait(now)
         budget.spend(now, 300)
@@ -441,14 +441,14 @@
 
 
 def test_the_important_go_first_and_equals_in_turn():
-    lane = Lane()
+    queue = PriorityQueue()
     for priority, act in ((5, "a"), (1, "b"), (5, "c"), (0, "d")):
-        lane.put(priority, act)
-    assert [lane.take() for _ in range(5)] == ["d", "b", "a", "c", None]
+        queue.put(priority, act)
+    assert [queue.take() for _ in range(5)] == ["d", "b", "a", "c", None]
 
 
 def test_a_summary_adds_up_and_names_who_is_missing():
-    merge = Merge(7, 1, "a")
+    merge = SummaryRound(7, 1, "a")
     assert merge.add("a", BrokerMetrics(7, {"lookup": [1, 2, 3, 4]}, ["s-1"], 3, 0))
     assert merge.add("b", BrokerMetrics(7, {"lookup": [10, 20, 30, 40], "odd": [1]}, ["s-1", "s-2"], 3, 0))
     assert not merge.add("c", BrokerMetrics(6, {"lookup": [9, 9, 9, 9]}, [], 3, 0))
