--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -95,9 +95,9 @@
 @click.option("--plot", default="", help="Draw the first schedule into this file (needs matplotlib).")
 def zone_size(**options: Any) -> None:
     """Lose a zone under many brokers' decision modules in virtual time, off and on, and compare."""
-    from cypressledge.lab.zone_simulation.report import run
+    from cypressledge.lab.zone_simulation.report import SimulationOptions, run
 
-    sys.exit(run(**options, say=click.echo))
+    sys.exit(run(SimulationOptions(**options), click.echo))
 
 
 @lab.command()
--- a/cypressledge/lab/zone_processes/comparison.py
+++ b/cypressledge/lab/zone_processes/comparison.py
@@ -9,7 +9,7 @@
 import gevent
 
 from cypressledge.lab.zone_processes.core_engine import CoreEngine
-from cypressledge.lab.zone_processes.testbed import ZONES, ZoneTestbed, logged_at
+from cypressledge.lab.zone_processes.testbed import ZONES, ZoneTestbed, ZoneTestbedOptions, logged_at
 
 FAILURES = ("silent", "reset", "slow")  # how a whole zone fails
 BROKERS = 10
@@ -59,7 +59,7 @@
 
 def play(schedule: Schedule, failover: bool) -> PlayResult:
     """Start, lose, bring back, end."""
-    testbed = ZoneTestbed(BROKERS, failover, schedule.seed, RATE)
+    testbed = ZoneTestbed(ZoneTestbedOptions(BROKERS, failover, schedule.seed, RATE))
     result = PlayResult()
     zone = schedule.zone
     try:
--- a/cypressledge/lab/zone_processes/testbed.py
+++ b/cypressledge/lab/zone_processes/testbed.py
@@ -1,5 +1,6 @@
 """Brokers as processes, engines in three zones, and a load: what `lab zones` and tests play schedules on."""
 
+from dataclasses import dataclass
 from datetime import datetime
 from typing import cast
 
@@ -18,33 +19,33 @@
 PLAN_S = 20  # and to have a plan
 
 
+@dataclass(frozen=True, slots=True)
+class ZoneTestbedOptions:
+    """`brokers`: how many; `failover`: whether they have zone failover; `rate`: the load, part of all
+    engines' cores; `proxied`: proxies between every two brokers, whose links can fail; `hold_s`: the least
+    time that a zone stays out; `warm_s`: in which engines warm up."""
+
+    brokers: int
+    failover: bool
+    seed: int
+    rate: float
+    proxied: bool = False
+    hold_s: float = 3.0
+    warm_s: float = WARM_S
+    regions: tuple[dict, ...] = ()
+
+
 class ZoneTestbed:
-    """Brokers, engines and a load. `failover`: whether the brokers have zone failover; `rate`: the load, part
-    of all engines' cores; `proxied`: proxies between every two brokers."""
-
-    def __init__(
-        self,
-        count: int,
-        failover: bool,
-        seed: int,
-        rate: float,
-        proxied: bool = False,
-        hold_s: float = 3.0,
-        warm_s: float = WARM_S,
-        regions: list[dict] | None = None,
-    ) -> None:
-        self.names = [f"n{i}" for i in range(count)]
-        self.failover = failover
-        self.seed = seed
-        self.rate = rate
-        self.hold_s = hold_s
-        self.warm_s = warm_s
-        self.regions = regions or []
+    """Brokers, engines and a load."""
+
+    def __init__(self, options: ZoneTestbedOptions) -> None:
+        self.options = options
+        self.names = [f"n{i}" for i in range(options.brokers)]
         self._load: OpenLoad | None = None
         self.ports = free_udp_ports(self.names)
-        self.proxies = UdpProxies(self.ports, seed) if proxied else None
+        self.proxies = UdpProxies(self.ports, options.seed) if options.proxied else None
         self.engines = [
-            CoreEngine(f"s-{zone[-1]}{number}", zone, CORES, self.names, warm_s)
+            CoreEngine(f"s-{zone[-1]}{number}", zone, CORES, self.names, options.warm_s)
             for zone in ZONES
             for number in range(ENGINES_PER_ZONE)
         ]
@@ -64,16 +65,18 @@
         """Start all; the load begins once they have a plan, where there is to be one. Raises `RuntimeError`
         where that does not come about."""
         for slot, name in enumerate(self.names):
-            self._add_broker(slot, name).start(self.failover)
+            self._add_broker(slot, name).start(self.options.failover)
         brokers = self.brokers.all.values()
         until(lambda: all("listening on" in b.words() or not b.running() for b in brokers), START_S)
         if not all("listening on" in b.words() and b.running() for b in brokers):
             raise RuntimeError("the brokers did not start: " + "".join(b.words()[-500:] for b in brokers))
-        if self.failover and not until(self._all_follow_a_plan, PLAN_S):
+        if self.options.failover and not until(self._all_follow_a_plan, PLAN_S):
             raise RuntimeError("no planner")
         total_cores = sum(engine.cores for engine in self.engines)
         ports = [self[name].port for name in self.names]
-        self._load = OpenLoad(ports, self.rate * total_cores * 1000 / WORK_MS, WORK_MS, self.seed)
+        self._load = OpenLoad(
+            ports, self.options.rate * total_cores * 1000 / WORK_MS, WORK_MS, self.options.seed
+        )
         return self
 
     def close(self) -> None:
@@ -122,7 +125,7 @@
 
     def _add_broker(self, slot: int, name: str) -> BrokerProcess:
         site = {
-            "Rules": cast(dict, SETTINGS["Rules"]) | {"WarmWithin": round(self.warm_s * 1e6)},
+            "Rules": cast(dict, SETTINGS["Rules"]) | {"WarmWithin": round(self.options.warm_s * 1e6)},
             "FamilyInfo": cast(dict, SETTINGS["FamilyInfo"]) | {"CoresByKind": [CORES, CORES]},
             "SlotNo": slot,
             "PeersTotal": len(self.names),
@@ -140,9 +143,9 @@
             "voters": [{"version": 1, "names": voters}],
             "term_s": 1.5,
             "ping_s": 0.2,
-            "zone_pace": {"hold_s": self.hold_s},
+            "zone_pace": {"hold_s": self.options.hold_s},
             "leases": [{"name": "zones"}],
-            "regions": self.regions,
+            "regions": list(self.options.regions),
             "tasks": [{"kind": "zones", "lease": "zones", "longest_s": 0.5, "priority": 0}],
         }
 
--- a/cypressledge/lab/zone_simulation/report.py
+++ b/cypressledge/lab/zone_simulation/report.py
@@ -7,7 +7,8 @@
 
 from tabulate import tabulate
 
-from cypressledge.lab.zone_simulation.schedules import SCHEDULES, Comparison, Job, play_both
+from cypressledge.lab.zone_simulation.scenario import Scenario
+from cypressledge.lab.zone_simulation.schedules import SCHEDULES, Comparison, play_both
 from cypressledge.lab.zone_simulation.world import PlayResult
 
 HEADERS = (
@@ -75,42 +76,63 @@
     return max((value for value in values if value is not None), default=None)
 
 
-def run(
-    brokers: int,
-    engines: int,
-    zones: int,
-    kind: str,
-    seed: int,
-    runs: int,
-    load: float,
-    workers: int,
-    plot: str,
-    say: Callable[[str], None],
-) -> int:
-    """Play so many seeds of each kind; a table, and a plot of the first. 1: an engine fell over with failover
-    on, or a zone was left for nothing."""
-    kinds = tuple(k.strip() for k in kind.split(",")) if kind else SCHEDULES
-    seeds = range(seed, seed + runs)
-    jobs = [Job(s, brokers, engines, zones or 2 + s % 5, k, load) for k in kinds for s in seeds]
-    comparisons: dict[str, list[Comparison]] = {k: [] for k in kinds}
-    with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
-        for comparison in pool.map(play_both, jobs):
-            comparisons[comparison.job.kind].append(comparison)
-    reports = [KindReport(k, found) for k, found in comparisons.items()]
+@dataclass(frozen=True, slots=True)
+class SimulationOptions:
+    """What is to be played. `zones`: 0 draws 2 to 6 by the seed; `kind`: kinds of fault with commas, all
+    where none is named; `seed`: the first; `runs`: seeds of each kind; `workers`: processes to play in;
+    `plot`: the file that the first scenario is drawn into, or nothing."""
+
+    brokers: int
+    engines: int
+    zones: int
+    kind: str
+    seed: int
+    runs: int
+    load: float
+    workers: int
+    plot: str
+
+    def kinds(self) -> tuple[str, ...]:
+        """The kinds of fault."""
+        return tuple(kind.strip() for kind in self.kind.split(",")) if self.kind else SCHEDULES
+
+    def scenarios(self) -> list[Scenario]:
+        """All scenarios, kind by kind."""
+        return [
+            Scenario(seed, kind, self.brokers, self.engines, self.zones or 2 + seed % 5, self.load)
+            for kind in self.kinds()
+            for seed in range(self.seed, self.seed + self.runs)
+        ]
+
+
+def run(options: SimulationOptions, say: Callable[[str], None]) -> int:
+    """Play all scenarios; a table, and a plot of the first. 1: an engine fell over with failover on, or a
+    zone was left for nothing."""
+    reports = _play_all(options)
     rows = [report.row() for report in reports]
     say(tabulate(rows, floatfmt=".2f", missingval="-", headers=HEADERS))
     fallen = sum(report.fallen for report in reports)
     false_departures = sum(report.false_departures for report in reports)
+    last_seed = options.seed + options.runs - 1
     say(
-        f"{brokers} brokers, {engines} engines, {zones or '2 to 6'} zones, load {load:g} of the cores, seeds "
-        f"{seed} to {seed + runs - 1}: engines fallen over on {fallen}, false departures {false_departures}"
+        f"{options.brokers} brokers, {options.engines} engines, {options.zones or '2 to 6'} zones, "
+        f"load {options.load:g} of the cores, seeds {options.seed} to {last_seed}: "
+        f"engines fallen over on {fallen}, false departures {false_departures}"
     )
-    if plot:
-        draw(reports[0].comparisons[0], plot)
-        say(f"drawn: {plot}")
+    if options.plot:
+        draw(reports[0].comparisons[0], options.plot)
+        say(f"drawn: {options.plot}")
     return 1 if fallen or false_departures else 0
 
 
+def _play_all(options: SimulationOptions) -> list[KindReport]:
+    comparisons: dict[str, list[Comparison]] = {kind: [] for kind in options.kinds()}
+    with ProcessPoolExecutor(options.workers, mp_context=get_context("spawn")) as pool:
+        for comparison in pool.map(play_both, options.scenarios()):
+            comparisons[comparison.scenario.kind].append(comparison)
+    return [KindReport(kind, found) for kind, found in comparisons.items()]
+
+
 def draw(comparison: Comparison, path: str) -> None:
     """Draw the zone's share, its load over what it can do, and what was kept so far, over time; off and
     on."""
@@ -127,9 +149,10 @@
             axis.plot(times, [getattr(sample, value) for sample in result.curve], label=name)
         axis.set_ylabel(title)
         axis.legend()
-    job = comparison.job
+    scenario = comparison.scenario
     axes[0].set_title(
-        f"{job.kind}, seed {job.seed}: {job.brokers} brokers, {job.engines} engines, {job.zones} zones"
+        f"{scenario.kind}, seed {scenario.seed}: {scenario.brokers} brokers, {scenario.engines} engines, "
+        f"{scenario.zones} zones"
     )
     axes[-1].set_xlabel("s")
     figure.savefig(path, dpi=80)
--- a/cypressledge/lab/zone_simulation/schedules.py
+++ b/cypressledge/lab/zone_simulation/schedules.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from cypressledge.lab.zone_simulation.engine import SECOND
+from cypressledge.lab.zone_simulation.scenario import Scenario
 from cypressledge.lab.zone_simulation.world import PlayResult, World
 
 SCHEDULES = ("silent", "reset", "slow", "cut", "blind", "release", "planner")
@@ -14,43 +15,26 @@
 PLANNER_DEATH_S = 0.5  # after the loss
 
 
-@dataclass(frozen=True, slots=True)
-class Job:
-    """One schedule to be played off and on. `load`: of all engines' cores."""
-
-    seed: int
-    brokers: int
-    engines: int
-    zones: int
-    kind: str
-    load: float
-
-
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One schedule with zone failover off and on."""
+    """One scenario with zone failover off and on."""
 
-    job: Job
+    scenario: Scenario
     off: PlayResult
     on: PlayResult
 
 
-def play_both(job: Job) -> Comparison:
-    """Play a schedule off and on."""
-    off, on = (
-        play(job.seed, job.brokers, job.engines, job.zones, job.kind, failover, job.load)
-        for failover in (False, True)
-    )
-    return Comparison(job, off, on)
+def play_both(scenario: Scenario) -> Comparison:
+    """Play a scenario off and on."""
+    return Comparison(scenario, off=play(scenario, failover=False), on=play(scenario, failover=True))
 
 
-def play(
-    seed: int, brokers: int, engines: int, zones: int, kind: str, failover: bool, load: float = 0.55
-) -> PlayResult:
-    """One schedule: 5 s as usual, a fault for some, then the return."""
-    world = World(seed, brokers, engines, zones, load, failover)
-    rng = random.Random(seed)
-    zone = rng.randrange(zones)
+def play(scenario: Scenario, failover: bool) -> PlayResult:
+    """Play a scenario: 5 s as usual, a fault for some, then the return."""
+    kind = scenario.kind
+    world = World(scenario, failover)
+    rng = random.Random(scenario.seed)
+    zone = rng.randrange(scenario.zones)
     out_s = rng.uniform(6, 9)
     world.run(BEFORE_S)
     before = Counter(world.counts)
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -24,6 +24,7 @@
     WORK,
     ModelEngine,
 )
+from cypressledge.lab.zone_simulation.scenario import Scenario
 
 EPOCH = 1_000 * SECOND  # where virtual time begins: engines that started "at 0" are warm
 OBJECTIVE = 600_000  # µs: the latency objective of a lookup, besides
@@ -88,26 +89,17 @@
 
 
 class World:
-    """Brokers, engines, and what happens to them. `load`: part of all cores; `failover`: whether brokers have
-    zone failover; `loss`: part of the messages that is lost."""
-
-    def __init__(
-        self,
-        seed: int,
-        brokers: int,
-        engines: int,
-        zones: int,
-        load: float,
-        failover: bool,
-        loss: float = 0.01,
-    ) -> None:
+    """Brokers, engines, and what happens to them. `failover`: whether brokers have zone failover."""
+
+    def __init__(self, scenario: Scenario, failover: bool) -> None:
+        seed, brokers = scenario.seed, scenario.brokers
         self.failover = failover
-        self.loss = loss
+        self.loss = scenario.loss
         self.random = random.Random(seed)
         self.now = EPOCH
         self.counts: Counter[str] = Counter()
-        self.zone_names = tuple(f"z{i}" for i in range(zones))
-        self.engines = [ModelEngine(i + 1, i % zones) for i in range(engines)]
+        self.zone_names = tuple(f"z{i}" for i in range(scenario.zones))
+        self.engines = [ModelEngine(i + 1, i % scenario.zones) for i in range(scenario.engines)]
         self.engine_by_number = {engine.number: engine for engine in self.engines}
         self.endpoints = {
             engine.number: Endpoint(engine.number, f"e{engine.number}", ("", 0), LIST)
@@ -117,7 +109,8 @@
             ModelBroker(self, i, self._settings(i, brokers), seed * 1_000 + i) for i in range(brokers)
         ]
         self.weights = [self.random.uniform(0.4, 2.0) for _ in self.brokers]
-        self.rate = load * engines * CORES / (WORK / SECOND)  # requests a second, of all brokers
+        # Requests a second, of all brokers.
+        self.rate = scenario.load * scenario.engines * CORES / (WORK / SECOND)
         self.mail: list[tuple[int, AttemptResult | FleetMessage]] = []  # what arrives with the next step
         self.blocked: set[tuple[int, int]] = set()  # paths that fail: (broker, zone)
         self.lost_zone: int | None = None
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -11,7 +11,7 @@
 
 from cypressledge.lab.processes import ROOT, until
 from cypressledge.lab.udp_proxy import LinkConditions
-from cypressledge.lab.zone_processes.testbed import ZONES, ZoneTestbed, logged_at
+from cypressledge.lab.zone_processes.testbed import ZONES, ZoneTestbed, ZoneTestbedOptions, logged_at
 
 WAIT = 25
 A, B, C = ZONES
@@ -19,8 +19,8 @@
 
 @pytest.fixture
 def bed(request):
-    told = {"count": 5, "failover": True, "seed": 11, "rate": 0.5, "warm_s": 4.0, "hold_s": 2.0}
-    made = ZoneTestbed(**told | getattr(request, "param", {}))
+    told = {"brokers": 5, "failover": True, "seed": 11, "rate": 0.5, "warm_s": 4.0, "hold_s": 2.0}
+    made = ZoneTestbed(ZoneTestbedOptions(**told | getattr(request, "param", {})))
     try:
         yield made.start()
     finally:
@@ -103,7 +103,7 @@
         assert [e["peer"] for e in bed.events("broker_blind")][:1] == ["n1"]
 
 
-@pytest.mark.parametrize("bed", [{"count": 7, "warm_s": 12.0}], indirect=True)
+@pytest.mark.parametrize("bed", [{"brokers": 7, "warm_s": 12.0}], indirect=True)
 def test_planner_and_two_more_killed_in_the_return_nothing_jumps(bed):
     busy(bed)
     lose(bed, A, "silent")
--- a/tests/zones/test_zone_simulation.py
+++ b/tests/zones/test_zone_simulation.py
@@ -4,7 +4,8 @@
 
 from cypressledge.lab.zone_simulation.engine import SECOND, WARM, ModelEngine
 from cypressledge.lab.zone_simulation.report import draw
-from cypressledge.lab.zone_simulation.schedules import LOSSES, Job, play, play_both
+from cypressledge.lab.zone_simulation.scenario import Scenario
+from cypressledge.lab.zone_simulation.schedules import LOSSES, play, play_both
 from cypressledge.lab.zone_simulation.world import EPOCH
 
 SMALL = {"brokers": 12, "engines": 12, "zones": 3}
@@ -12,7 +13,7 @@
 
 @pytest.mark.parametrize("kind", LOSSES)
 def test_a_lost_zone_is_left_by_all_and_come_back_to_without_a_fall(kind):
-    off, on = (play(5, kind=kind, failover=way, **SMALL) for way in (False, True))
+    off, on = (play(Scenario(5, kind, **SMALL), failover) for failover in (False, True))
     print(off.kept, on.kept, on.departed_after_s, on.last_send, on.recovered_after_s)
     assert off.last_send > 5  # each broker goes on trying it for as long as it is gone
     assert on.last_send < {"silent": 2.0, "reset": 2.0, "slow": 3.5, "planner": 5.0}[kind]
@@ -27,7 +28,7 @@
 
 @pytest.mark.parametrize("kind", ["cut", "blind", "release"])
 def test_on_days_that_are_no_zones_fault_nothing_is_left(kind):
-    assert play(3, kind=kind, failover=True, **SMALL).false_departures == 0
+    assert play(Scenario(3, kind, **SMALL), failover=True).false_departures == 0
 
 
 def test_a_cold_engine_falls_when_it_is_pushed_and_the_model_sees_it():
@@ -46,6 +47,6 @@
 
 def test_the_plot_is_drawn(tmp_path):
     pytest.importorskip("matplotlib")
-    done = play_both(Job(1, 6, 6, 2, "reset", 0.4))
+    done = play_both(Scenario(1, "reset", 6, 6, 2, 0.4))
     draw(done, str(tmp_path / "zones.png"))
     assert (tmp_path / "zones.png").read_bytes()[:4] == b"\x89PNG"
