--- a/cypressledge/broker/process.py
+++ b/cypressledge/broker/process.py
@@ -83,7 +83,7 @@
         from cypressledge.fleet.broker_integration import FleetIntegration
 
         fleet = FleetIntegration(file, self.config, self.core, self.counters)
-        self._greenlets += fleet.parts
+        self._greenlets += fleet.loops
         if self.management is not None:
             fleet.add_operator_calls(self.management)
         return fleet
--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -63,7 +63,7 @@
 
 
 class FleetIntegration:
-    """What one broker has to do with the others. `parts` are the greenlets that the broker runs.
+    """What one broker has to do with the others. `loops`: functions that the broker runs as greenlets.
 
     Raises `ConfigError` where the file can't be used, and `OSError` where its address can't be bound.
     """
@@ -94,7 +94,7 @@
         tasks = [self._make_task(spec) for spec in self.settings.tasks]
         budget = CpuBudget(self.settings.task_share)
         self.runner = TaskRunner(tasks, self.node.held_lease, self.node.now, budget, self._log_event)
-        self.parts = [*self.node.loops, self.runner.schedule]
+        self.loops = [*self.node.loops, self.runner.schedule]
         counters.gauge("fleet.turn_p99_us", self.node.turn_p99)
         counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest)
 
