--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -51,9 +51,9 @@
 @click.option("--keep", default="", help="Keep each run's files in this folder.")
 def lease_faults(**options: Any) -> None:
     """Start brokers as processes, break what is between them, and check that two never act at once."""
-    from cypressledge.lab.leases import run
+    from cypressledge.lab.lease_faults.run import LeaseFaultsOptions, run
 
-    sys.exit(run(**options, say=click.echo))
+    sys.exit(run(LeaseFaultsOptions(**options), click.echo))
 
 
 @lab.command()
--- /dev/null
+++ b/cypressledge/lab/lease_faults/run.py
@@ -0,0 +1,84 @@
+"""`lab leases`: plays runs of brokers under drawn faults, and checks that two holders never act at once."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from cypressledge.lab.lease_faults.lease_run import FAULT_KINDS, LeaseRun, LeaseRunOptions
+
+EXIT_BROKEN = 1
+EXIT_MEANINGLESS = 3
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseFaultsOptions:
+    """The command's options; `only`: kinds of faults to draw from, with commas; all where it is empty."""
+
+    brokers: int
+    voters: int
+    seed: int
+    runs: int
+    seconds: float
+    no_fence: bool
+    term: float
+    keep: str
+    only: str
+
+    def run_options(self, seed: int) -> LeaseRunOptions:
+        """Return the options of one run."""
+        kinds = tuple(kind.strip() for kind in self.only.split(",")) if self.only else FAULT_KINDS
+        folder = self.keep and f"{self.keep}/{seed}"
+        return LeaseRunOptions(
+            self.brokers, self.voters, self.seconds, self.term, not self.no_fence, kinds, folder
+        )
+
+
+def run(options: LeaseFaultsOptions, say: Callable[[str], None]) -> int:
+    """Play the runs; return the exit code. 1: something happened that must not. 3: a run meant nothing."""
+    runs: list[LeaseRun] = []
+    meaningless = 0
+    for seed in range(options.seed, options.seed + options.runs):
+        lease_run = LeaseRun(seed, options.run_options(seed))
+        lease_run.play()
+        runs.append(lease_run)
+        _print_run(lease_run, say)
+        if why := lease_run.insufficiency():
+            meaningless += 1
+            say(f"  this run means nothing: {why}")
+    takeovers = [seconds for lease_run in runs for seconds in lease_run.takeovers]
+    handovers = [seconds for lease_run in runs for seconds in lease_run.handovers]
+    say(_times("after a kill of a holder the next acts", takeovers, options.term))
+    say(_times("after SIGTERM the next acts", handovers, options.term))
+    say(_summary_line(runs))
+    if any(lease_run.verdict.broken for lease_run in runs):
+        return EXIT_BROKEN
+    return EXIT_MEANINGLESS if meaningless else 0
+
+
+def _print_run(lease_run: LeaseRun, say: Callable[[str], None]) -> None:
+    verdict = lease_run.verdict
+    say(
+        f"seed {lease_run.seed}: {verdict.acts} acts, {verdict.grants} grants, "
+        f"{verdict.rejected} stale acts rejected, {sum(lease_run.fault_counts.values())} faults "
+        f"({', '.join(sorted(lease_run.fault_counts))}), longest gap {verdict.longest_gap / 1e6:.2f} s"
+    )
+    for line in (*verdict.overlaps, *verdict.beliefs, *verdict.shrunk):
+        say(f"  BROKEN {line}")
+
+
+def _summary_line(runs: list[LeaseRun]) -> str:
+    verdicts = [lease_run.verdict for lease_run in runs]
+    overlaps = sum(len(verdict.overlaps) + len(verdict.beliefs) for verdict in verdicts)
+    return (
+        f"leases: runs {len(runs)}, acts {sum(verdict.acts for verdict in verdicts)}, overlaps {overlaps}, "
+        f"stale acts accepted {sum(verdict.stale for verdict in verdicts)}, "
+        f"longest gap {max(verdict.longest_gap for verdict in verdicts) / 1e6:.2f} s"
+    )
+
+
+def _times(what: str, seconds: list[float], term: float) -> str:
+    if not seconds:
+        return f"{what}: not seen"
+    ordered = sorted(seconds)
+    median = ordered[len(ordered) // 2]
+    p99 = ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))]
+    return f"{what}: {len(ordered)} times, median {median:.3f} s, p99 {p99:.3f} s ({p99 / term:.2f} terms)"
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -13,8 +13,8 @@
 from cypressledge.fleet.messages import VERSION, Envelope, VoteRequest, encode
 from cypressledge.fleet.settings import read_fleet_settings
 from cypressledge.lab.demo import ask
+from cypressledge.lab.lease_faults.protected_resource import ProtectedResource
 from cypressledge.lab.processes import ROOT, Brokers, until
-from cypressledge.lab.resource import Resource
 from cypressledge.lab.site import free_udp_ports
 from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
 
@@ -40,7 +40,7 @@
     def __init__(self, count=3, voters=3, steps=2, places=1):
         self.names = [f"n{i}" for i in range(count)]
         self.ports = free_udp_ports(self.names)
-        self.relays, self.resource, self.brokers = UdpProxies(self.ports, 1), Resource(), Brokers()
+        self.relays, self.resource, self.brokers = UdpProxies(self.ports, 1), ProtectedResource(), Brokers()
         self.voters = [{"version": 1, "names": self.names[:voters]}]
         self.more = {
             "leases": [
