--- /dev/null
+++ b/tests/decisions/test_retries.py
@@ -0,0 +1,126 @@
+"""The retry budget, and the rules on when a request may be sent again."""
+
+import pytest
+
+from cypressledge.decisions.contract import ClassSettings, DeduplicationScope, Idempotency, Reason
+from cypressledge.decisions.retries import (
+    RetryBudget,
+    RetryPolicy,
+    deduplicates,
+    reason_against_repeat,
+    window_end,
+)
+from tests.decisions.parts import SECOND, START, context, entry, registry, request
+
+UNSAFE = ClassSettings(latency_objective=SECOND, deadline=5 * SECOND, idempotency=Idempotency.NOT_IDEMPOTENT)
+
+
+def keyed(scope=DeduplicationScope.ALL, window=5 * SECOND):
+    return ClassSettings(
+        latency_objective=SECOND,
+        deadline=5 * SECOND,
+        idempotency=Idempotency.WITH_KEY,
+        deduplication_scope=scope,
+        deduplication_window=window,
+    )
+
+
+def budget(floor=1.0, ratio=0.5, window=10 * SECOND, delay=0):
+    ctx = context(
+        retry_budget_ratio=ratio,
+        retry_budget_floor=floor,
+        retry_budget_window=window,
+        max_send_delay=delay,
+    )
+    return ctx, RetryBudget(ctx)
+
+
+def test_no_budget_allows_all():
+    ctx = context()
+    made = RetryBudget(ctx)
+    for _ in range(1_000):
+        made.record_retry()
+    assert made.allows_retry()
+
+
+def test_the_floor_and_a_part_of_the_requests_are_allowed():
+    _, made = budget()
+    assert made.allows_retry()  # the floor
+    made.record_retry()
+    assert not made.allows_retry()
+    made.record_request()
+    assert not made.allows_retry()  # 2 of 1.5
+    made.record_request()
+    assert made.allows_retry()  # 2 of 2
+
+
+def test_requests_leave_the_window_early_and_retries_late():
+    """By the resolution and the longest delay of a send: the budget must hold whenever the retry leaves."""
+    ctx, made = budget(floor=0.0, ratio=1.0, delay=500_000)
+    made.record_request()
+    ctx.now = START + 10 * SECOND - 505_000 - 1
+    assert made.allows_retry()
+    ctx.now += 1
+    assert not made.allows_retry()
+    ctx, made = budget(floor=1.0, ratio=0.0, delay=500_000)
+    made.record_retry()
+    ctx.now = START + 10 * SECOND + 505_000 - 1
+    assert not made.allows_retry()
+    ctx.now += 1
+    assert made.allows_retry()
+
+
+def test_a_request_that_is_withdrawn_allows_nothing():
+    _, made = budget(floor=0.0, ratio=1.0)
+    made.record_request()
+    assert made.allows_retry()
+    made.withdraw_request(START)
+    assert not made.allows_retry()
+
+
+@pytest.mark.parametrize(
+    ("attempts", "after", "reason"),
+    [(1, 0, None), (4, 0, Reason.ATTEMPTS_USED), (1, 5 * SECOND - 130_000 + 1, Reason.NO_TIME)],
+)
+def test_attempts_and_time_limit_retries(attempts, after, reason):
+    ctx = context()
+    made = request(ctx)
+    made.attempts = attempts
+    ctx.now += after
+    assert RetryPolicy(ctx, RetryBudget(ctx)).reason_against_retry(made) is reason
+
+
+def test_the_budget_limits_retries():
+    ctx, made = budget(floor=0.0)
+    assert RetryPolicy(ctx, made).reason_against_sending(request(ctx)) is Reason.RETRY_BUDGET
+
+
+def test_what_surely_never_ran_may_be_repeated_whatever_its_class():
+    for class_settings in (UNSAFE, keyed()):
+        assert reason_against_repeat(class_settings, None, START) is None
+
+
+def test_what_may_have_run_is_repeated_by_its_class_alone():
+    assert reason_against_repeat(ClassSettings(SECOND, SECOND), START, START + 99 * SECOND) is None
+    assert reason_against_repeat(UNSAFE, START, START) is Reason.MAY_HAVE_EXECUTED
+
+
+def test_a_key_allows_repeats_until_short_of_its_windows_end():
+    end = START + 5 * SECOND - 600_000
+    assert window_end(keyed(), START) == end
+    assert reason_against_repeat(keyed(), START, end - 1) is None
+    assert reason_against_repeat(keyed(), START, end) is Reason.DEDUPLICATION_WINDOW_OVER
+
+
+@pytest.mark.parametrize(
+    ("scope", "dropped_at"),
+    [
+        (DeduplicationScope.ALL, {1, 2, 3}),
+        (DeduplicationScope.ZONE, {1, 2}),
+        (DeduplicationScope.CELL, {1, 3}),
+    ],
+)
+def test_duplicates_are_dropped_within_the_scope(scope, dropped_at):
+    engines = registry(context(), entry(1), entry(2, cell=1), entry(3, zone=1)).engines
+    dropping = {n for n, engine in engines.items() if deduplicates(keyed(scope), engines[1], engine)}
+    assert dropping == dropped_at
