--- a/tests/fleet.py
+++ b/tests/decisions/manager_driver.py
@@ -50,7 +50,7 @@
     return EngineListEntry(engine, state, kind, zone, cell, born)
 
 
-class Fleet:
+class ManagerDriver:
     """One manager under test, its clock, and what it did."""
 
     def __init__(self, config=None, engines=3, seed=1, entries=None):
--- a/tests/test_failures.py
+++ b/tests/decisions/test_manager_faults.py
@@ -11,14 +11,24 @@
     ProgressKind,
     SetAttemptResources,
 )
-from tests.fleet import LOOKUP, REPORT, Fleet, S, cancels, entry, finals, of, settings
-from tests.test_rules import silence
+from tests.decisions.manager_driver import (
+    LOOKUP,
+    REPORT,
+    ManagerDriver,
+    S,
+    cancels,
+    entry,
+    finals,
+    of,
+    settings,
+)
+from tests.decisions.test_manager_rules import silence
 
 PATIENT = dataclasses.replace(LOOKUP, latency_objective=4 * S)
 
 
 def test_silent_engine_is_held_off_and_readmitted_by_its_answer():
-    f = Fleet(settings(PATIENT))
+    f = ManagerDriver(settings(PATIENT))
     silence(f)
     e = f.manager.engines[1]
     assert e.ejected
@@ -28,7 +38,7 @@
 
 
 def test_held_off_engine_gets_one_try_at_a_time():
-    f = Fleet(settings(PATIENT))
+    f = ManagerDriver(settings(PATIENT))
     silence(f)
     e = f.manager.engines[1]
     for r in list(e.in_flight.values()):
@@ -42,7 +52,7 @@
 
 
 def test_silence_everywhere_ejects_nobody():
-    f = Fleet(settings(PATIENT))
+    f = ManagerDriver(settings(PATIENT))
     for request in range(60):
         f.arrive(request)
         f.run(40_000)
@@ -50,7 +60,7 @@
 
 
 def test_never_more_than_half_the_fleet():
-    f = Fleet(settings(PATIENT), engines=8)
+    f = ManagerDriver(settings(PATIENT), engines=8)
     for request in range(0, 1200, 8):
         for more in range(8):
             f.arrive(request + more)
@@ -64,7 +74,7 @@
 
 
 def test_runaway_plan_is_moved():
-    f = Fleet(settings(LOOKUP, REPORT))
+    f = ManagerDriver(settings(LOOKUP, REPORT))
     f.arrive(1, cls=1, cost=2 * S)
     assert not cancels(f.tell(AttemptProgress(1, 0, f.engine_of(1), ProgressKind.PROGRESS, 0.6), after=2 * S))
     assert cancels(f.tell(AttemptProgress(1, 0, f.engine_of(1), ProgressKind.PROGRESS, 0.1), after=0))
@@ -74,7 +84,7 @@
 
 
 def test_unsafe_runaway_is_left_alone():
-    f = Fleet(settings(dataclasses.replace(REPORT, is_load=True)))
+    f = ManagerDriver(settings(dataclasses.replace(REPORT, is_load=True)))
     f.arrive(1, cost=2 * S)
     f.manager.requests[1].class_settings = dataclasses.replace(REPORT, idempotency=2)
     assert not cancels(
@@ -84,7 +94,7 @@
 
 def test_lookups_keep_off_an_engine_where_a_load_holds_their_group():
     load = ClassSettings(latency_objective=4 * S, deadline=20 * S, is_load=True)
-    f = Fleet(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), load))
+    f = ManagerDriver(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), load))
     f.arrive(1, cls=1, table_group=7)
     for request in range(2, 12):
         f.arrive(request, table_group=7)
@@ -92,7 +102,7 @@
 
 
 def test_hopeless_work_is_refused_early():
-    f = Fleet(
+    f = ManagerDriver(
         settings(dataclasses.replace(LOOKUP, latency_objective=S, latency_objective_stretch=0)), engines=1
     )
     f.manager.registry.ready[0].slowdown, f.manager.registry.ready[0].bound = 3.0, 1
@@ -103,14 +113,14 @@
 
 
 def test_restart_makes_an_engine_cold_again():
-    f = Fleet()
+    f = ManagerDriver()
     f.tell(EngineListReceived(EngineListKind.DELTA, (entry(1, born=f.now),)))
     assert f.manager.engines[1].warm_at == f.now + 10 * S
 
 
 def test_engine_that_answers_errors_at_once_is_held_off():
     """It has the fewest queries out, so it would be given the most."""
-    f = Fleet(engines=3)
+    f = ManagerDriver(engines=3)
     for request in range(200):
         f.arrive(request)
         bad = f.engine_of(request) == 1
@@ -126,7 +136,7 @@
 
 def test_errors_everywhere_hold_nobody_off():
     """They are the queries' own."""
-    f = Fleet(engines=3)
+    f = ManagerDriver(engines=3)
     for request in range(200):
         f.arrive(request)
         f.end(request, Outcome.ERROR if request % 2 else Outcome.OK, final=True)
@@ -136,7 +146,7 @@
 def test_loads_and_what_waits_for_them_keep_to_engines_of_their_own():
     """No manager knows the others' loads: all keep a group's loads to the same engines by rank."""
     load = ClassSettings(latency_objective=4 * S, deadline=20 * S, is_load=True)
-    f = Fleet(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), load), engines=5)
+    f = ManagerDriver(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), load), engines=5)
     f.arrive(1, cls=1, table_group=9)
     f.run(4 * S)  # a load that runs all the time, as far as this manager sees
     apart = {e.id for e in f.manager.affinity.load_engines(9)}
@@ -149,7 +159,7 @@
 
 
 def test_answer_tells_that_no_load_holds_the_group_any_more():
-    f = Fleet(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True)), engines=1)
+    f = ManagerDriver(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True)), engines=1)
     f.arrive(1, table_group=9)
     f.tell(AttemptProgress(1, 0, 1, ProgressKind.WAITING, 2.0))
     assert 9 in f.manager.engines[1].blocked_until
@@ -159,7 +169,7 @@
 
 def test_late_work_of_little_worth_is_not_moved():
     """The ration buys more elsewhere."""
-    f = Fleet(
+    f = ManagerDriver(
         settings(dataclasses.replace(LOOKUP, late_priority_weight=0.1, blocked_by_loads=True)), engines=2
     )
     f.arrive(1, table_group=9)
@@ -170,7 +180,7 @@
 
 
 def test_note_of_waiting_for_a_load_keeps_its_group_off_for_a_while():
-    f = Fleet(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), REPORT))
+    f = ManagerDriver(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), REPORT))
     f.arrive(1, table_group=7)
     held = f.engine_of(1)
     assert cancels(f.tell(AttemptProgress(1, 0, held, ProgressKind.WAITING, 1.0))) == []
@@ -182,14 +192,14 @@
 
 def test_loads_run_at_the_highest_priority_however_late():
     load = ClassSettings(latency_objective=S, deadline=20 * S, is_load=True)
-    f = Fleet(settings(LOOKUP, load, supports_priorities=True))
+    f = ManagerDriver(settings(LOOKUP, load, supports_priorities=True))
     f.arrive(1, cls=1, table_group=7)
     f.run(5 * S)
     assert [a.priority for a in of(SetAttemptResources, f.done)] == [3]
 
 
 def test_work_near_its_aim_is_raised_and_late_work_lowered():
-    f = Fleet(settings(LOOKUP, REPORT, supports_priorities=True))
+    f = ManagerDriver(settings(LOOKUP, REPORT, supports_priorities=True))
     f.arrive(1)
     f.arrive(2, cls=1, cost=2 * S)
     f.run(5 * S)
@@ -204,7 +214,7 @@
 
 def test_loads_leave_engines_to_the_queries_of_their_group():
     """However many come: on such engines queries of the group would stand still behind them."""
-    f = Fleet(settings(WAITING, LOAD), engines=5)
+    f = ManagerDriver(settings(WAITING, LOAD), engines=5)
     for request in range(1, 60):
         f.arrive(request, cls=1, table_group=9)
     assert {s.engine for s in f.sends} == {e.id for e in f.manager.affinity.ranked(9)[1:]}
@@ -213,7 +223,7 @@
 
 
 def test_loads_go_anywhere_where_nothing_else_is_left():
-    f = Fleet(settings(WAITING, LOAD), engines=3)
+    f = ManagerDriver(settings(WAITING, LOAD), engines=3)
     free = f.manager.affinity.ranked(9)[0]
     for e in f.manager.registry.ready:
         e.ejected, e.next_trial_at = e is not free, f.now + 100 * S
@@ -223,7 +233,7 @@
 
 def test_queries_wait_for_an_engine_where_no_load_holds_their_group():
     """At the others they would stand still, and the ration could not move them all."""
-    f = Fleet(settings(WAITING, kind_cores=(1, 1)), engines=2)
+    f = ManagerDriver(settings(WAITING, kind_cores=(1, 1)), engines=2)
     free, other = f.manager.affinity.ranked(9)
     other.blocked_until[9] = f.now + 10 * S
     for request in range(1, 9):
@@ -235,7 +245,7 @@
 
 
 def test_loads_wait_shortest_first_at_the_broker_not_in_line_at_an_engine():
-    f = Fleet(settings(WAITING, LOAD), engines=2)
+    f = ManagerDriver(settings(WAITING, LOAD), engines=2)
     for request in range(1, 8):
         f.arrive(request, cls=1, table_group=9, cost=(20 - request) * S)
     sent = len(f.sends)
@@ -245,7 +255,7 @@
 
 
 def test_short_work_finds_a_place_beside_long_work_that_has_them_all():
-    f = Fleet(settings(LOOKUP, REPORT), engines=1)
+    f = ManagerDriver(settings(LOOKUP, REPORT), engines=1)
     for request in range(1, 30):
         f.arrive(request, cls=1, cost=2 * S)
     assert len(f.sends) == 10
@@ -256,7 +266,7 @@
 
 def test_full_engine_gets_what_it_had_and_single_tries_past_that():
     """Its refusals would use up the ration of attempts."""
-    f = Fleet(engines=2)
+    f = ManagerDriver(engines=2)
     sent = 0
     for request in range(1, 101):
         f.arrive(request)
@@ -269,7 +279,7 @@
 
 
 def test_full_engine_keeps_no_queries_waiting_for_it():
-    f = Fleet(settings(WAITING), engines=2)
+    f = ManagerDriver(settings(WAITING), engines=2)
     free, other = f.manager.affinity.ranked(9)
     other.blocked_until[9] = f.now + 10 * S
     free.rejected_until, free.next_overflow_at = f.now + 10 * S, f.now + 10 * S
@@ -287,7 +297,7 @@
 def test_answer_that_is_lost_is_missed_by_its_notes():
     """The engine speaks, and would tell of what it runs."""
     patient = dataclasses.replace(REPORT, latency_objective=20 * S)
-    f = Fleet(settings(LOOKUP, patient, progress_interval=S // 2), engines=1)
+    f = ManagerDriver(settings(LOOKUP, patient, progress_interval=S // 2), engines=1)
     for request in range(1, 4):
         f.arrive(request, cls=1, cost=4 * S)
     f.run(S // 4)
@@ -298,7 +308,7 @@
 
 
 def test_silence_of_a_whole_engine_loses_no_answers():
-    f = Fleet(
+    f = ManagerDriver(
         settings(LOOKUP, dataclasses.replace(REPORT, latency_objective=20 * S), progress_interval=S // 2),
         engines=1,
     )
@@ -308,7 +318,7 @@
 
 
 def test_short_work_is_moved_early_where_answers_get_lost():
-    f = Fleet(settings(LOOKUP, progress_interval=S // 2), engines=2)
+    f = ManagerDriver(settings(LOOKUP, progress_interval=S // 2), engines=2)
     f.arrive(1)
     f.run(S // 2)
     assert not cancels(f.done)  # nothing tells yet that it is more than slow
--- a/tests/test_mechanism.py
+++ b/tests/decisions/test_manager_mechanism.py
@@ -20,13 +20,13 @@
 from cypressledge.decisions.dispatch import Dispatcher
 from cypressledge.decisions.request import new_request
 from cypressledge.decisions.retries import RetryPolicy
-from tests.fleet import LOOKUP, REPORT, Fleet, S, entry, of, settings
+from tests.decisions.manager_driver import LOOKUP, REPORT, ManagerDriver, S, entry, of, settings
 
 
 def loop(means, count=10, classes=None):
     """A manager whose last period saw these mean waits."""
     classes = classes or [ClassSettings(latency_objective=S, deadline=20 * S) for _ in means]
-    f = Fleet(settings(*classes))
+    f = ManagerDriver(settings(*classes))
     m = f.manager
     observe(m, means, count)
     return m
@@ -38,7 +38,7 @@
 
 
 def test_odds_start_even():
-    assert Fleet().manager.odds.odds == [0.5, 0.5]
+    assert ManagerDriver().manager.odds.odds == [0.5, 0.5]
 
 
 def test_first_step_of_the_loop():
@@ -70,7 +70,7 @@
         ClassSettings(latency_objective=S, deadline=20 * S),
         ClassSettings(latency_objective=S, deadline=20 * S, priority_weight=4.0),
     ]
-    m = Fleet(settings(*classes)).manager
+    m = ManagerDriver(settings(*classes)).manager
     m.estimates.work = [1000.0, 8000.0]
     observe(m, [100_000, 200_000])
     assert m.odds.ratios == pytest.approx([1.0])
@@ -105,7 +105,7 @@
 
 
 def test_those_still_waiting_and_those_who_left_count():
-    f = Fleet(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
+    f = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     for request in range(8):
         f.arrive(request, cls=request % 2)
     f.run(S)
@@ -118,7 +118,7 @@
 
 
 def test_draw_follows_the_odds_and_an_empty_queue_yields():
-    f = Fleet(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
+    f = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     m = f.manager
     for request in range(2000):
         m.lifecycle.receive(RequestReceived(request, request % 2, f.now + 20 * S, cost=1000))
@@ -139,11 +139,11 @@
 
 
 def test_bound_starts_at_two_threads_a_core_times_the_share():
-    f = Fleet(settings(broker_count=1), entries=[entry(1), entry(2, kind=1)])
+    f = ManagerDriver(settings(broker_count=1), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in f.manager.registry.ready] == [16, 8]
-    f = Fleet(settings(broker_count=4), entries=[entry(1), entry(2, kind=1)])
+    f = ManagerDriver(settings(broker_count=4), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in f.manager.registry.ready] == [4, 2]
-    f = Fleet(settings(broker_count=8), entries=[entry(1), entry(2, kind=1)])
+    f = ManagerDriver(settings(broker_count=8), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in f.manager.registry.ready] == [2, 1]
     f.manager.registry.ready[1].slowdown = f.manager.pace.slowdown = 2.5
     has_room = f.manager.limits.engine_has_capacity
@@ -160,7 +160,7 @@
 
 
 def test_bound_grows_a_place_a_period_up_to_thrice_and_shrinks_with_latency():
-    f = Fleet()
+    f = ManagerDriver()
     e = f.manager.registry.ready[0]
     for _ in range(100):
         e.queue_waited, e.objectives_met = True, 10
@@ -181,11 +181,11 @@
 
 
 def test_bound_binds_only_under_pressure_or_when_passed_by_a_quarter():
-    f = Fleet(settings(LOOKUP), engines=1)
+    f = ManagerDriver(settings(LOOKUP), engines=1)
     for request in range(30):
         f.arrive(request)
     assert len(f.sends) == 20  # 1.25 times 16
-    f = Fleet(settings(LOOKUP), engines=1)
+    f = ManagerDriver(settings(LOOKUP), engines=1)
     f.manager.registry.ready[0].slowdown = 2.5
     for request in range(30):
         f.arrive(request)
@@ -193,14 +193,16 @@
 
 
 def test_memory_counts_as_places_do():
-    f = Fleet(settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0), supports_memory_grants=True), engines=1)
+    f = ManagerDriver(
+        settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0), supports_memory_grants=True), engines=1
+    )
     for request in range(30):
         f.arrive(request, memory_mb=200.0)
     assert len(f.sends) == 4  # 225 MB each: between the starting mean and the starting grant
 
 
 def test_waiting_for_memory_does_not_grow_the_bound():
-    f = Fleet(settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0)), engines=1)
+    f = ManagerDriver(settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0)), engines=1)
     for request in range(30):
         f.arrive(request, memory_mb=200.0)
     f.end(0)
@@ -209,7 +211,7 @@
 
 
 def test_full_refusal_is_pressure():
-    f = Fleet(engines=1)
+    f = ManagerDriver(engines=1)
     for request in range(20):
         f.arrive(request)
     f.end(19, Outcome.REJECTED)
@@ -220,7 +222,7 @@
 def test_fewest_own_first_and_ties_at_random():
     firsts = set()
     for seed in range(20):
-        f = Fleet(seed=seed)
+        f = ManagerDriver(seed=seed)
         f.arrive(1)
         firsts.add(f.sends[0].engine)
         f.arrive(2, table_group=1)
@@ -231,18 +233,18 @@
 
 def test_free_classes_leave_room_on_engines_that_a_bound_class_must_use():
     bound = dataclasses.replace(REPORT, required_kinds=frozenset((0,)))
-    f = Fleet(settings(LOOKUP, bound), entries=[entry(1), entry(2, kind=1)])
+    f = ManagerDriver(settings(LOOKUP, bound), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
         f.arrive(request)
     assert [s.engine for s in f.sends].count(2) == 3  # half a thread a core ahead, on four cores
-    f = Fleet(settings(LOOKUP), entries=[entry(1), entry(2, kind=1)])
+    f = ManagerDriver(settings(LOOKUP), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
         f.arrive(request)
     assert [s.engine for s in f.sends].count(2) == 2
 
 
 def test_shortest_first_within_a_class():
-    f = Fleet(engines=1, entries=[entry(1, EngineState.DRAINING)])
+    f = ManagerDriver(engines=1, entries=[entry(1, EngineState.DRAINING)])
     for request, cost in enumerate((300_000, 100_000, 200_000)):
         f.arrive(request, cost=cost)
     f.tell(EngineListReceived(EngineListKind.DELTA, (entry(1),)))
@@ -250,7 +252,7 @@
 
 
 def test_grants_follow_what_answers_bill():
-    f = Fleet(settings(dataclasses.replace(LOOKUP), supports_memory_grants=True))
+    f = ManagerDriver(settings(dataclasses.replace(LOOKUP), supports_memory_grants=True))
     for request in range(300):
         f.arrive(request, memory_mb=100.0)
         f.end(request, memory=300.0)
@@ -259,13 +261,15 @@
 
 
 def test_no_terms_where_they_are_not_heeded():
-    f = Fleet()
+    f = ManagerDriver()
     f.arrive(1, memory_mb=100.0)
     assert not of(SetAttemptResources, f.done)
 
 
 def test_short_work_is_not_held_for_the_memory_that_long_work_has():
-    f = Fleet(settings(LOOKUP, REPORT, broker_count=100, kind_memory_mb=(16_000.0, 8_000.0)), engines=10)
+    f = ManagerDriver(
+        settings(LOOKUP, REPORT, broker_count=100, kind_memory_mb=(16_000.0, 8_000.0)), engines=10
+    )
     f.arrive(8, cost=100_000)
     f.end(8)
     f.sends.clear()
@@ -277,7 +281,7 @@
 
 
 def test_load_reports_steer_away_from_a_crowded_engine():
-    f = Fleet(settings(LOOKUP, broker_count=100, load_report_fields=("util", "inflight")), engines=2)
+    f = ManagerDriver(settings(LOOKUP, broker_count=100, load_report_fields=("util", "inflight")), engines=2)
     for request in range(200):
         f.arrive(request)
         engine = f.engine_of(request)
@@ -300,7 +304,7 @@
 
 
 def test_an_idle_manager_asks_for_no_timer():
-    f = Fleet()
+    f = ManagerDriver()
     assert of(StartTimer, f.arrive(1))
     assert not of(StartTimer, f.end(1))
     assert not of(StartTimer, f.tell(TimerFired(0), after=S))
--- a/tests/test_rules.py
+++ b/tests/decisions/test_manager_rules.py
@@ -24,7 +24,7 @@
     Settings,
     StartAttempt,
 )
-from tests.fleet import LOOKUP, Fleet, S, cancels, entry, finals, of, settings
+from tests.decisions.manager_driver import LOOKUP, ManagerDriver, S, cancels, entry, finals, of, settings
 
 UNSAFE = ClassSettings(latency_objective=4 * S, deadline=20 * S, idempotency=Idempotency.NOT_IDEMPOTENT)
 ORDERED = dataclasses.replace(UNSAFE, ordered=True)
@@ -44,27 +44,27 @@
 
 
 def test_due_of_the_try_ends_a_running_request():
-    f = Fleet()
+    f = ManagerDriver()
     f.arrive(1, span=1 * S)
     assert not finals(f.run(S - 100_000))
     assert len(finals(f.run(100_000))) == 1
 
 
 def test_waiting_request_ends_before_its_due():
-    f = Fleet(entries=[entry(1, EngineState.DRAINING)])
+    f = ManagerDriver(entries=[entry(1, EngineState.DRAINING)])
     f.arrive(1, cls=1, span=2 * S)
     got = finals(f.run(2 * S))
     assert got == [RejectRequest(1)]
 
 
 def test_timeout_at_the_deadline_still_gets_an_answer():
-    f = Fleet(settings(UNSAFE))
+    f = ManagerDriver(settings(UNSAFE))
     f.arrive(1)
     assert finals(f.end(1, Outcome.TIMEOUT)) == [FailRequest(1)]
 
 
 def test_nothing_is_sent_after_the_client_left():
-    f = Fleet()
+    f = ManagerDriver()
     f.arrive(1)
     f.tell(ClientDisconnected(1))
     assert not of(StartAttempt, f.end(1, Outcome.CANCELLED))
@@ -73,7 +73,7 @@
 
 
 def test_news_of_requests_already_over_changes_nothing():
-    f = Fleet()
+    f = ManagerDriver()
     f.arrive(1)
     f.end(1)
     assert f.tell(ClientDisconnected(1), ClientDisconnected(99)) == []
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_unsafe_that_may_have_run_fails(outcome):
-    f = Fleet(settings(UNSAFE))
+    f = ManagerDriver(settings(UNSAFE))
     f.arrive(1)
     got = f.end(1, outcome)
     assert finals(got) == [FailRequest(1)]
@@ -95,20 +95,20 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
 def test_unsafe_that_never_ran_is_sent_again(outcome):
-    f = Fleet(settings(UNSAFE))
+    f = ManagerDriver(settings(UNSAFE))
     f.arrive(1)
     assert of(StartAttempt, f.end(1, outcome))
 
 
 def test_unsafe_remembers_an_early_attempt_that_may_have_run():
-    f = Fleet(settings(UNSAFE))
+    f = ManagerDriver(settings(UNSAFE))
     f.arrive(1)
     f.end(1, Outcome.REJECTED)
     assert finals(f.end(1, Outcome.RESET)) == [FailRequest(1)]
 
 
 def test_unsafe_in_flight_is_failed_not_refused_when_due():
-    f = Fleet(settings(UNSAFE))
+    f = ManagerDriver(settings(UNSAFE))
     f.arrive(1, span=S)
     got = f.run(S)
     assert finals(got) == [FailRequest(1)]
@@ -118,7 +118,7 @@
 def test_keyed_is_sent_again_only_inside_its_zone():
     for request in range(20):
         zones = [entry(i, zone=i % 2) for i in range(1, 7)]
-        f = Fleet(settings(keyed(DeduplicationScope.ZONE)), entries=zones, seed=request)
+        f = ManagerDriver(settings(keyed(DeduplicationScope.ZONE)), entries=zones, seed=request)
         f.arrive(request)
         first = f.engine_of(request)
         f.end(request, Outcome.RESET)
@@ -129,7 +129,7 @@
 
 
 def test_keyed_outside_its_window_fails():
-    f = Fleet(settings(keyed(DeduplicationScope.CELL)))
+    f = ManagerDriver(settings(keyed(DeduplicationScope.CELL)))
     f.arrive(1)
     got = f.end(1, Outcome.RESET, after=5 * S)
     assert finals(got) == [FailRequest(1)]
@@ -139,7 +139,9 @@
 def test_keyed_is_not_sent_again_when_the_send_may_leave_outside_its_window():
     """A link lets a send wait 0.5 s for its connection before it leaves."""
     for window, again in ((S // 2, 0), (S, 1)):
-        f = Fleet(settings(dataclasses.replace(keyed(DeduplicationScope.ALL), deduplication_window=window)))
+        f = ManagerDriver(
+            settings(dataclasses.replace(keyed(DeduplicationScope.ALL), deduplication_window=window))
+        )
         f.arrive(1)
         got = f.end(1, Outcome.RESET, after=S // 10)
         assert len(of(StartAttempt, got)) == again
@@ -147,7 +149,7 @@
 
 def test_keyed_does_not_wait_for_a_place_beyond_its_window():
     """A repeat that found no place was sent as soon as one came free, window or not."""
-    f = Fleet(
+    f = ManagerDriver(
         settings(
             dataclasses.replace(
                 keyed(DeduplicationScope.ALL), latency_objective=15 * S, deduplication_window=S
@@ -169,7 +171,7 @@
 
 def test_never_two_attempts_out():
     """A cancelled attempt is out until its outcome comes."""
-    f = Fleet(settings(dataclasses.replace(LOOKUP, latency_objective=4 * S)))
+    f = ManagerDriver(settings(dataclasses.replace(LOOKUP, latency_objective=4 * S)))
     silence(f)
     moved = {a.request for a in cancels(f.done)}
     assert moved
@@ -206,7 +208,7 @@
     ],
 )
 def test_drained_and_missing_engines_get_nothing_at_once(news):
-    f = Fleet(engines=2)
+    f = ManagerDriver(engines=2)
     f.tell(news)
     for request in range(20):
         f.arrive(request)
@@ -214,7 +216,7 @@
 
 
 def test_failed_update_keeps_the_list():
-    f = Fleet(engines=2)
+    f = ManagerDriver(engines=2)
     f.tell(EngineListReceived(EngineListKind.FAILED))
     assert of(StartAttempt, f.arrive(1))
 
@@ -223,7 +225,7 @@
 
 
 def cold_work(peers, listed=True):
-    f = Fleet(settings(LOOKUP, broker_count=peers), entries=[entry(1, born=99 * S if listed else 0)])
+    f = ManagerDriver(settings(LOOKUP, broker_count=peers), entries=[entry(1, born=99 * S if listed else 0)])
     for request in range(400):
         f.arrive(request, cost=100_000)
         if f.sends and f.sends[-1].request == request:
@@ -238,7 +240,7 @@
 
 
 def test_refused_attempts_weigh_on_a_cold_engine():
-    f = Fleet(settings(LOOKUP, max_attempts=1000), entries=[entry(1, born=99 * S)])
+    f = ManagerDriver(settings(LOOKUP, max_attempts=1000), entries=[entry(1, born=99 * S)])
     f.arrive(1, cost=1_000_000)
     for _ in range(200):
         if f.manager.requests[1].engine:
@@ -247,7 +249,7 @@
 
 
 def test_failed_connect_is_taken_as_a_restart():
-    f = Fleet(engines=2)
+    f = ManagerDriver(engines=2)
     f.arrive(1)
     first = f.engine_of(1)
     f.end(1, Outcome.CONNECT_FAILED)
@@ -257,7 +259,7 @@
 
 
 def test_single_reset_beside_living_attempts_is_no_restart():
-    f = Fleet(engines=1)
+    f = ManagerDriver(engines=1)
     f.arrive(1)
     f.arrive(2)
     f.end(1, Outcome.RESET)
@@ -268,7 +270,7 @@
 
 def test_resets_without_a_refusal_never_make_an_engine_cold():
     """Paths reset connections too: an engine that answers again is the one that it was."""
-    f = Fleet(engines=1)
+    f = ManagerDriver(engines=1)
     for request in range(1, 3):
         f.arrive(request, span=30 * S)
         f.end(request, Outcome.RESET, final=True)
@@ -284,7 +286,7 @@
 
 
 def test_one_key_runs_in_turn():
-    f = Fleet(settings(ORDERED))
+    f = ManagerDriver(settings(ORDERED))
     for request in (1, 2, 3):
         f.arrive(request, key=7)
     f.arrive(4, key=8)
@@ -295,7 +297,7 @@
 
 
 def test_key_rests_after_a_reset():
-    f = Fleet(settings(ORDERED, ordering_key_cooldown=S // 2))
+    f = ManagerDriver(settings(ORDERED, ordering_key_cooldown=S // 2))
     f.arrive(1, key=7)
     f.arrive(2, key=7)
     assert finals(f.end(1, Outcome.RESET)) == [FailRequest(1)]
@@ -308,7 +310,7 @@
 
 
 def test_key_is_held_by_an_attempt_without_outcome():
-    f = Fleet(settings(ORDERED))
+    f = ManagerDriver(settings(ORDERED))
     f.arrive(1, key=7, span=S)
     f.arrive(2, key=7)
     assert finals(f.run(S)) == [FailRequest(1)]
@@ -318,7 +320,7 @@
 
 
 def test_a_retry_keeps_its_turn():
-    f = Fleet(settings(ORDERED))
+    f = ManagerDriver(settings(ORDERED))
     f.arrive(1, key=7)
     f.arrive(2, key=7)
     f.end(1, Outcome.REJECTED)
@@ -330,7 +332,7 @@
 
 def test_bound_class_waits_or_ends_but_goes_nowhere_else():
     bound = dataclasses.replace(LOOKUP, required_kinds=frozenset((1,)), required_zones=frozenset((0,)))
-    f = Fleet(settings(bound), entries=[entry(1), entry(2, kind=1), entry(3, kind=1, zone=1)])
+    f = ManagerDriver(settings(bound), entries=[entry(1), entry(2, kind=1), entry(3, kind=1, zone=1)])
     f.arrive(1)
     f.end(1, Outcome.RESET)
     f.end(1, Outcome.REJECTED)
@@ -344,7 +346,7 @@
 
 
 def test_further_attempts_stay_inside_the_sliding_window():
-    f = Fleet(
+    f = ManagerDriver(
         settings(
             LOOKUP,
             retry_budget_ratio=0.2,
@@ -372,7 +374,7 @@
 
 def test_requests_taken_back_unsent_feed_no_ration():
     """A client that takes back hundreds at once must not buy further attempts for the others."""
-    f = Fleet(
+    f = ManagerDriver(
         settings(
             LOOKUP,
             retry_budget_ratio=0.1,
@@ -396,7 +398,7 @@
 @given(st.data())
 def test_random_days_keep_the_books(data):
     classes = (LOOKUP, UNSAFE, ORDERED, keyed(DeduplicationScope.ZONE))
-    f = Fleet(
+    f = ManagerDriver(
         settings(*classes, ordering_key_cooldown=S // 10),
         entries=[entry(i, zone=i % 2) for i in range(1, 5)],
         seed=data.draw(st.integers(0, 99)),
@@ -418,7 +420,7 @@
 
 
 def test_same_events_same_actions():
-    one, two = Fleet(seed=5), Fleet(seed=5)
+    one, two = ManagerDriver(seed=5), ManagerDriver(seed=5)
     for f in (one, two):
         for request in range(50):
             f.arrive(request, cls=request % 2)
@@ -431,7 +433,7 @@
     windows, budget = 3, 2.0 * 0.3 * 8 * 2 * S
     sent = 0
     for slot in range(peers):
-        f = Fleet(
+        f = ManagerDriver(
             settings(LOOKUP, broker_count=peers, broker_index=slot, kind_cores=(8,)),
             entries=[entry(1, born=99 * S)],
         )
@@ -445,14 +447,14 @@
 
 
 def test_share_of_a_bound_under_a_query_caps_the_sum_of_own_work():
-    f = Fleet(settings(LOOKUP, broker_count=250), engines=10)
+    f = ManagerDriver(settings(LOOKUP, broker_count=250), engines=10)
     for request in range(60):
         f.arrive(request)
     assert len(f.sends) == 3  # ten engines of 16 threads by 250, 1.25 times, and two lookups of room
 
 
 def test_a_manager_that_runs_long_does_not_grow():
-    f = Fleet(settings(ORDERED), entries=[entry(1)])
+    f = ManagerDriver(settings(ORDERED), entries=[entry(1)])
     for n in range(1, 200):
         f.arrive(n, key=n, table_group=n)
         f.end(n, Outcome.TIMEOUT)
--- a/tests/test_fleet_scale.py
+++ b/tests/decisions/test_manager_scale.py
@@ -1,12 +1,14 @@
 """One broker of many: what it does that is harmless alone but costs when every broker of a fleet does it."""
 
-from tests.fleet import LOOKUP, REPORT, STEP, Fleet, settings
+from tests.decisions.manager_driver import LOOKUP, REPORT, STEP, ManagerDriver, settings
 
 
 def engines_met(slot, seed=1, peers=40, engines=30):
     """Engines one manager of a large fleet sends to over 20 s of light traffic: a lookup every 100 ms,
     each answered 300 ms later, as one of 40 brokers sees it."""
-    f = Fleet(settings(LOOKUP, REPORT, broker_count=peers, broker_index=slot), engines=engines, seed=seed)
+    f = ManagerDriver(
+        settings(LOOKUP, REPORT, broker_count=peers, broker_index=slot), engines=engines, seed=seed
+    )
     owed = []
     for step in range(1000):
         if step % 5 == 0:
