--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -181,11 +181,11 @@
         default = FailoverPace()
         warm = site.slow_start_window or default.warm_up_time
         return FailoverPace(
-            confirmation_time=round(pace.confirm_s * 1e6),
-            min_time_out=round(pace.hold_s * 1e6),
-            safety_margin=pace.margin,
-            max_time_out=round(pace.hold_most_s * 1e6),
-            max_utilization=pace.bear,
+            confirmation_time=round(pace.confirmation_time_s * 1e6),
+            min_time_out=round(pace.min_time_out_s * 1e6),
+            safety_margin=pace.safety_margin,
+            max_time_out=round(pace.max_time_out_s * 1e6),
+            max_utilization=pace.max_utilization,
             cold_capacity=site.slow_start_capacity,
             warm_up_time=warm,
             share_step_interval=min(default.share_step_interval, warm // ZONE_STEPS_WARM),
@@ -193,14 +193,20 @@
 
     def _make_task(self, spec: TaskSpec) -> Task:
         if spec.kind == "zones" and self.zones is not None:
-            return Task(spec.kind, spec.lease, self.zones.act, PLANNER_STEP_S, spec.longest_s, spec.priority)
+            return Task(
+                spec.kind, spec.lease, self.zones.act, PLANNER_STEP_S, spec.time_limit_s, spec.priority
+            )
         if spec.kind == "summary":
             act = self.summaries.run
         else:
             act = ServiceCall(
-                self.name, parse_address(spec.at), spec.steps, spec.step_s, self.node.token_rejected
+                self.name,
+                parse_address(spec.service_address),
+                spec.calls_per_act,
+                spec.call_interval_s,
+                self.node.token_rejected,
             ).run
-        return Task(spec.kind, spec.lease, act, spec.every_s, spec.longest_s, spec.priority)
+        return Task(spec.kind, spec.lease, act, spec.interval_s, spec.time_limit_s, spec.priority)
 
     def add_operator_calls(self, management: ManagementServer) -> None:
         """Add the operators' calls to their address."""
@@ -302,5 +308,5 @@
     return [
         slot
         for spec in settings.leases
-        for slot in lease_slots(spec.name, spec.places, settings.term_of(spec), spec.wanted)
+        for slot in lease_slots(spec.name, spec.slots, settings.term_of(spec), spec.on_demand)
     ]
--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -1,6 +1,6 @@
 """Reads `deploy/fleet.yaml`: who the peers are, which of them vote, which leases and tasks there are.
 
-Checked whole by msgspec's schema and then by the rules below; whatever is wrong is one plain line.
+Checked by msgspec's schema first and then by the rules below; an error is one line that names the mistake.
 """
 
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 
 T = TypeVar("T")
 MAX_PEERS = 1_000  # 460 brokers, those that replace them in a deployment, control machines
-MAX_PLACES = 32
-MAX_LEASES = 256
+MAX_SLOTS = 32  # of one lease
+MAX_LEASES = 256  # with all their slots: each has messages of its own
 VOTER_SET_SIZES = range(3, 8)  # voters; 4 and 6 only on the way from one odd number to the next
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$")]
@@ -42,36 +42,42 @@
 
 
 class LeaseSpec(StrictStruct, frozen=True):
-    """A lease. `places`: how many may hold it at once. `wanted`: only those asked to do so request it."""
+    """A lease. `slots`: how many may hold it at once (key `places`). `on_demand`: only those asked to do so
+    request it (key `wanted`)."""
 
     name: Name
-    places: Annotated[int, msgspec.Meta(ge=1, le=MAX_PLACES)] = 1
-    wanted: bool = False
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)] = msgspec.field(default=1, name="places")
+    on_demand: bool = msgspec.field(default=False, name="wanted")
     term_s: Seconds | None = None
 
 
 class TaskSpec(StrictStruct, frozen=True):
-    """A task under a lease. `longest_s`: an act is not begun with less of the lease left. `at`: where a call
-    goes to; `steps` and `step_s`: how many calls an act makes, and the time between them."""
+    """A task under a lease, in acts.
+
+    `interval_s`: between acts (key `every_s`). `time_limit_s`: of an act, which is not begun with less of the
+    lease left (key `longest_s`). For calls of a service: `service_address` (key `at`), `calls_per_act` (key
+    `steps`), and `call_interval_s` between them (key `step_s`).
+    """
 
     kind: Literal["summary", "call", "zones"]
     lease: Name
-    every_s: Seconds = 2.0
-    longest_s: Seconds = 1.0
+    interval_s: Seconds = msgspec.field(default=2.0, name="every_s")
+    time_limit_s: Seconds = msgspec.field(default=1.0, name="longest_s")
     priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5
-    at: str = ""
-    steps: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
-    step_s: Annotated[float, msgspec.Meta(ge=0, le=60)] = 0.0
+    service_address: str = msgspec.field(default="", name="at")
+    calls_per_act: Annotated[int, msgspec.Meta(ge=1, le=1000)] = msgspec.field(default=1, name="steps")
+    call_interval_s: Annotated[float, msgspec.Meta(ge=0, le=60)] = msgspec.field(default=0.0, name="step_s")
 
 
-class ZonePace(StrictStruct, frozen=True):
-    """How zones are left and returned to; seconds, and parts of one. What engines bear is the site's."""
+class ZonePaceSettings(StrictStruct, frozen=True):
+    """How zones are left and returned to: seconds, and parts of one; what each means stands at
+    `FailoverPace`. What engines bear is the site's."""
 
-    confirm_s: Seconds = 0.3
-    hold_s: Seconds = 5.0
-    hold_most_s: Seconds = 300.0
-    margin: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.8
-    bear: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.9
+    confirmation_time_s: Seconds = msgspec.field(default=0.3, name="confirm_s")
+    min_time_out_s: Seconds = msgspec.field(default=5.0, name="hold_s")
+    max_time_out_s: Seconds = msgspec.field(default=300.0, name="hold_most_s")
+    safety_margin: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(default=0.8, name="margin")
+    max_utilization: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(default=0.9, name="bear")
 
 
 class Region(StrictStruct, frozen=True):
@@ -108,7 +114,10 @@
 
 
 class FleetSettings(StrictStruct, frozen=True):
-    """The whole file. `drift_ppm`: how far any clock's rate may be from true, parts in a million."""
+    """The file. `term_s`: of a lease that names none; `longest_term_s`: the longest of any; `drift_ppm`: how
+    far any clock's rate may be from true, parts in a million; `grace_s`: in which a change of voters settles;
+    `ping_s`: between pings of peers; `task_share`: of one core that tasks may take; `listen`: where the own
+    address can't be bound."""
 
     peers: list[Peer]
     voters: list[Voters]
@@ -121,7 +130,7 @@
     ping_s: Seconds = 0.5
     task_share: Annotated[float, msgspec.Meta(gt=0, le=0.2)] = 0.02
     listen: str = ""
-    zone_pace: ZonePace = ZonePace()
+    zone_pace: ZonePaceSettings = ZonePaceSettings()
     regions: list[Region] = []
     lab: Lab = Lab()
 
@@ -213,7 +222,7 @@
 
 def _check_leases(settings: FleetSettings) -> None:
     known = {spec.name for spec in settings.leases}
-    if sum(spec.places for spec in settings.leases) > MAX_LEASES:
+    if sum(spec.slots for spec in settings.leases) > MAX_LEASES:
         raise ConfigError(f"more than {MAX_LEASES} leases and places")
     for spec in settings.leases:
         if settings.term_of(spec) > settings.longest_term:
@@ -222,7 +231,7 @@
         if task.lease not in known:
             raise ConfigError(f"task {task.kind}: no lease {task.lease}")
         term = next(settings.term_of(s) for s in settings.leases if s.name == task.lease)
-        if task.longest_s * 1e6 * 2 > term:
+        if task.time_limit_s * 1e6 * 2 > term:
             raise ConfigError(f"task {task.kind}: longest_s is over half the term of lease {task.lease}")
         if task.kind == "call":
-            parse_address(task.at)
+            parse_address(task.service_address)
