--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -115,9 +115,9 @@
 
 class FleetSettings(StrictStruct, frozen=True):
     """The file. `term_s`: of a lease that names none; `longest_term_s`: the longest of any; `drift_ppm`: how
-    far any clock's rate may be from true, parts in a million; `grace_s`: in which a change of voters settles;
-    `ping_s`: between pings of peers; `task_share`: of one core that tasks may take; `listen`: where the own
-    address can't be bound."""
+    far any clock's rate may be from true, parts in a million; `grace_s`: in which the voter set of the
+    version before still counts; `ping_s`: between pings of peers; `task_share`: of one core that tasks may
+    take; `listen`: where the own address can't be bound."""
 
     peers: list[Peer]
     voters: list[Voters]
