--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -16,7 +16,7 @@
 from cypressledge.fleet.lease_recorder import LeaseRecorder
 from cypressledge.fleet.leases.candidate_order import candidate_order
 from cypressledge.fleet.leases.electorate import Electorate, VoterSetError
-from cypressledge.fleet.leases.participation import LeaseSlot, lease_slots
+from cypressledge.fleet.leases.participation import LeaseEvent, LeaseSlot, lease_slots
 from cypressledge.fleet.messages import (
     BrokerMetrics,
     EngineObservations,
@@ -221,14 +221,14 @@
             self.recorder.record_renewals()
         return now + IDLE_TICK if self.zones is None else self.zones.tick(now)
 
-    def _lease_changed(self, event: str, lease: str, token: int, why: str) -> None:
-        if event == "acquired":
+    def _lease_changed(self, event: LeaseEvent, lease: str, token: int, why: str) -> None:
+        if event is LeaseEvent.ACQUIRED:
             if self.recorder is not None:
                 self.recorder.record(lease)
             self.runner.start(lease, self.node.lease_manager.participations[lease].slot.group)
-        elif event == "lost":
+        elif event is LeaseEvent.LOST:
             self.runner.cancel(lease)
-        if event in ("lost", "given_back"):
+        if event in (LeaseEvent.LOST, LeaseEvent.RELEASED):
             if self.zones is not None:
                 self.zones.step_down_from(lease)
             if self.recorder is not None:
--- a/cypressledge/fleet/leases/lease_manager.py
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -13,6 +13,7 @@
 from cypressledge.fleet.leases.participation import (
     MS,
     HeldLease,
+    LeaseEvent,
     LeaseParticipation,
     LeaseSlot,
     ParticipationContext,
@@ -39,8 +40,7 @@
 class LeaseManager:
     """A broker's participations in all leases, and its votes.
 
-    `send` gets (peer, item). `on_event` gets (event, lease, token, reason); events: acquired, lost,
-    given_back, not_won, voted_not."""
+    `send` gets (peer, item), `on_event` (event, lease, token, reason)."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         base_token: int,
         seed: int,
         send: Callable[[str, AnyItem], None],
-        on_event: Callable[[str, str, int, str], None],
+        on_event: Callable[[LeaseEvent, str, int, str], None],
     ) -> None:
         self.name, self.instance_id, self.drift_ppm = name, instance_id, drift_ppm
         self.electorate, self.voter = electorate, Voter(electorate, now, base_token)
@@ -88,7 +88,7 @@
         """Set the leases there are. One that is held and no longer among them is released."""
         by_lease = {slot.lease: slot for slot in slots}
         for lease in [name for name in self.participations if name not in by_lease]:
-            self.release(lease, now, "no such lease any more")
+            self.release(lease, now, "lease removed")
             del self.participations[lease]
         for lease, slot in by_lease.items():
             if lease not in self.participations:
@@ -168,7 +168,7 @@
         self.withdraw_request(group)
         for participation in self.participations.values():
             if participation.slot.group == group:
-                self.release(participation.slot.lease, now, "not wanted any more")
+                self.release(participation.slot.lease, now, "request withdrawn")
 
     def release(self, lease: str, now: int, reason: str, rest: int = 0) -> bool:
         """Release a lease; the next candidates are notified. Whatever was done under it must have ended.
@@ -183,7 +183,7 @@
         """The resource acted on knows a higher token: release, and acquire under one above it."""
         participation = self.participations.get(lease)
         if participation is not None:
-            self.release(lease, now, f"turned down: token {token} is known there")
+            self.release(lease, now, f"token rejected: {token} is known there")
             participation.acquisition.observe_token(token)
             participation.due_at, self.next_due_at = now, 0
 
@@ -211,7 +211,7 @@
             return
         self.context.send(sender, answer)
         if isinstance(answer, VoteRejected) and answer.reason not in USUAL_REJECTIONS:
-            self.context.on_event("voted_not", request.lease, request.token, answer.reason)
+            self.context.on_event(LeaseEvent.VOTE_REJECTED, request.lease, request.token, answer.reason)
 
     def _status(self, now: int, request: LeaseStatusRequest) -> LeaseStatus:
         """The status of a lease here, with the highest token that this broker knows as voter or requester."""
--- a/cypressledge/fleet/leases/participation.py
+++ b/cypressledge/fleet/leases/participation.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 
 from cypressledge.fleet.leases.acquisition import LeaseAcquisition
 from cypressledge.fleet.leases.candidate_order import CANDIDATES, candidate_order
@@ -37,6 +37,16 @@
 )
 
 
+class LeaseEvent(StrEnum):
+    """What has happened to a lease at this broker. Values as in the log (`lease_…`) and the counters."""
+
+    ACQUIRED = "acquired"
+    LOST = "lost"
+    RELEASED = "released"
+    ACQUISITION_FAILED = "acquisition_failed"
+    VOTE_REJECTED = "vote_rejected"
+
+
 class ParticipationPhase(Enum):
     """What a broker does about one lease. Values as operators see them."""
 
@@ -88,7 +98,7 @@
     random: random.Random
     timer_phase: int  # µs: offset of this broker's timers, so that brokers' timers do not coincide
     send: Callable[[str, AnyItem], None]
-    on_event: Callable[[str, str, int, str], None]
+    on_event: Callable[[LeaseEvent, str, int, str], None]
     alive: frozenset[str]
     stopping: bool = False
     requested_groups: set[str] = field(default_factory=set)  # groups on demand that this broker requests
@@ -172,7 +182,7 @@
             others = context.alive - {context.name}
             for name in candidate_order(lease, others, self.slot.candidates):
                 context.send(name, LeaseReleased(lease, token))
-        context.on_event("given_back", lease, token, reason)
+        context.on_event(LeaseEvent.RELEASED, lease, token, reason)
         return True
 
     # Answers of voters, and hints
@@ -205,7 +215,9 @@
             self.phase, self.known_holder = ParticipationPhase.HELD, self.context.name
             self.fast_retries = self.split_votes = 0
             self.due_at = self.context.align_timer(self.attempt_started_at, self.slot.term // 3)
-            self.context.on_event("acquired", self.slot.lease, self.acquisition.token, "a majority voted")
+            self.context.on_event(
+                LeaseEvent.ACQUIRED, self.slot.lease, self.acquisition.token, "a majority voted"
+            )
 
     def _receive_status(self, now: int, sender: str, item: LeaseStatus) -> None:
         context = self.context
@@ -340,7 +352,7 @@
         rejections = list(acquisition.rejections.values())
         reason = rejections[-1].reason if rejections else "no answer"
         self._send_release()
-        context.on_event("not_won", self.slot.lease, acquisition.token, reason)
+        context.on_event(LeaseEvent.ACQUISITION_FAILED, self.slot.lease, acquisition.token, reason)
         pause = self._pause_after(rejections, reason)
         self._rest(now, pause + context.jitter(50 * MS))
 
@@ -369,7 +381,7 @@
         self._send_release()
         self.known_holder = ""
         self._rest(now, self.context.jitter(100 * MS))
-        self.context.on_event("lost", self.slot.lease, token, "no majority renewed it in time")
+        self.context.on_event(LeaseEvent.LOST, self.slot.lease, token, "no majority renewed it in time")
 
     def _rest(self, now: int, pause: int) -> None:
         self.phase, self.due_at = ParticipationPhase.IDLE, now + pause
--- a/cypressledge/fleet/membership.py
+++ b/cypressledge/fleet/membership.py
@@ -134,7 +134,7 @@
             return False
         member.last_heard_at = now
         if incarnation > member.incarnation or member.state != ALIVE:
-            self._set_state(now, member, incarnation, ALIVE, "spoke")
+            self._set_state(now, member, incarnation, ALIVE, "message")
         return True
 
     def refute(self, items: list[AnyItem]) -> None:
@@ -173,7 +173,7 @@
         ping = self.pending_pings.pop(ack.sequence)
         member = self.members.get(ping.target)
         if ack.target and member is not None and member.state == SUSPECT:
-            self._set_state(now, member, member.incarnation, ALIVE, "answers through others")
+            self._set_state(now, member, member.incarnation, ALIVE, "indirect ack")
 
     def tick(self, now: int) -> int:
         """Ping, suspect and give up as time requires; the moment of the next tick."""
@@ -181,7 +181,7 @@
             self._check_pending(now, sequence, ping)
         for member in list(self.suspects.values()):
             if now - member.state_since >= self.suspicion_timeout():
-                self._set_state(now, member, member.incarnation, GONE, "silent")
+                self._set_state(now, member, member.incarnation, GONE, "suspicion timeout")
         if now >= self.next_ping_at:
             self.next_ping_at = now + self.period
             self._ping(now)
@@ -204,7 +204,7 @@
             del self.pending_pings[sequence]
             member = self.members.get(ping.target)
             if member is not None and member.state == ALIVE and member.last_heard_at < ping.sent_at:
-                self._set_state(now, member, member.incarnation, SUSPECT, "no answer")
+                self._set_state(now, member, member.incarnation, SUSPECT, "no ack")
 
     def _ping(self, now: int) -> None:
         if not self.members:
@@ -293,7 +293,7 @@
         if worse and update.state == SUSPECT and recently_heard:
             return
         if newer or worse:
-            self._set_state(now, member, update.incarnation, MemberState(update.state), "told")
+            self._set_state(now, member, update.incarnation, MemberState(update.state), "gossip")
 
     def _set_state(self, now: int, member: Member, incarnation: int, state: MemberState, reason: str) -> None:
         restarted = 0 < member.incarnation < incarnation and state == ALIVE
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -9,7 +9,6 @@
 import time
 from collections import deque
 from collections.abc import Callable, Collection, Iterable, Mapping
-from dataclasses import dataclass
 
 import gevent
 from structlog.typing import FilteringBoundLogger
@@ -21,7 +20,7 @@
 from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.lease_manager import LeaseManager
-from cypressledge.fleet.leases.participation import HeldLease, LeaseSlot
+from cypressledge.fleet.leases.participation import HeldLease, LeaseEvent, LeaseSlot
 from cypressledge.fleet.membership import Member, Membership
 from cypressledge.fleet.messages import (
     Ack,
@@ -57,7 +56,7 @@
     LeaseReleased,
 )
 URGENT_ITEMS = frozenset((LeaseReleased, ReleaseLease, VoteRejected, IndirectPing))
-COUNTED_ONLY = ("not_won", "voted_not")  # lease events that are not logged
+COUNTED_ONLY = (LeaseEvent.ACQUISITION_FAILED, LeaseEvent.VOTE_REJECTED)  # lease events that are not logged
 Handler = Callable[[str, AnyItem], None]  # gets the sender's name and an item
 
 
@@ -66,24 +65,13 @@
     return int.from_bytes(os.urandom(8), "big") >> (64 - INSTANCE_ID_BITS) or 1
 
 
-@dataclass(frozen=True, slots=True)
-class LeaseEvent:
-    """What has happened to a lease: acquired, lost, given_back, not_won or voted_not."""
-
-    kind: str
-    lease: str
-    token: int
-    reason: str
-
-
 class FleetNode:
     """Membership and leases of one member of the fleet, on one UDP socket.
 
     `addresses`: the peers' fleet sockets; its own name among them is ignored. `wall`: µs of the wall clock,
     for the incarnation and tokens. Hooks, all called by the owner but for those of `release`, `set_slots` and
     `stop`, which the caller's greenlet calls:
-    `on_lease_event(event, lease, token, reason)`: acquired, lost, given_back, not_won or voted_not, once
-    decided;
+    `on_lease_event(event, lease, token, reason)`: what has happened to a lease, once decided;
     `on_member_change(member, reason)`: a peer is alive, suspect or gone; must not block;
     `end_work(lease)`: end what is done under a lease; whether it has ended, else the lease is not released;
     `tick(now)`: what else time brings, µs; the moment of its next call;
@@ -109,7 +97,7 @@
         instance_id: int = 0,
         wall: int = 0,
         log: FilteringBoundLogger | None = None,
-        on_lease_event: Callable[[str, str, int, str], None] | None = None,
+        on_lease_event: Callable[[LeaseEvent, str, int, str], None] | None = None,
         on_member_change: Callable[[Member, str], None] | None = None,
         end_work: Callable[[str], bool] | None = None,
         tick: Callable[[int], int] | None = None,
@@ -148,7 +136,7 @@
         )
         self.voters_versions: dict[str, int] = {}  # by peer, as last heard
         self.transport.set_peers({p: a for p, a in addresses.items() if p != name})
-        self.pending_events: list[LeaseEvent] = []
+        self.pending_events: list[tuple[LeaseEvent, str, int, str]] = []
         self.loops = [self.transport.read, self.run]  # to be spawned as greenlets
         self.owner: gevent.Greenlet | None = None
         self.stopped, self.in_turn, self.turn_started_ns = False, False, 0
@@ -220,7 +208,7 @@
             "fleet_joined",
             voters=list(self.electorate.voters),
             version=self.electorate.version,
-            mute_s=round(self.lease_manager.voter.voting_quarantine(self.clock.now()) / 1e6, 2),
+            voting_quarantine_s=round(self.lease_manager.voter.voting_quarantine(self.clock.now()) / 1e6, 2),
         )
         self.membership.announce()
         while not self.stopped:
@@ -277,7 +265,7 @@
         sender, items = envelope.sender, envelope.items
         own = sender == self.name
         if not own and not self.membership.observe(now, sender, envelope.incarnation):
-            self.counters.add("fleet.former_self")
+            self.counters.add("fleet.former_instance")
             self.membership.refute(items)
             return
         self.electorate.observe(now, sender, envelope.oldest_voters_version)
@@ -292,18 +280,18 @@
             else:
                 self.counters.add("fleet.not_handled")  # another role's: a control process gets no plans
 
-    def _lease_event(self, kind: str, lease: str, token: int, reason: str) -> None:
-        self.pending_events.append(LeaseEvent(kind, lease, token, reason))
+    def _lease_event(self, event: LeaseEvent, lease: str, token: int, reason: str) -> None:
+        self.pending_events.append((event, lease, token, reason))
 
     def _report_lease_events(self) -> None:
         """Report what has happened to leases: work under them starts and ends outside the decisions."""
         events, self.pending_events = self.pending_events, []
-        for event in events:
+        for event, lease, token, reason in events:
             if self.on_lease_event is not None:
-                self.on_lease_event(event.kind, event.lease, event.token, event.reason)
-            self.counters.add(f"fleet.{event.kind}")
-            if event.kind not in COUNTED_ONLY:
-                self.log.info(f"lease_{event.kind}", lease=event.lease, token=event.token, why=event.reason)
+                self.on_lease_event(event, lease, token, reason)
+            self.counters.add(f"fleet.{event}")
+            if event not in COUNTED_ONLY:
+                self.log.info(f"lease_{event}", lease=lease, token=token, why=reason)
 
     def _member_changed(self, member: Member, reason: str) -> None:
         event = f"peer_{member.state.name.lower()}"
--- a/cypressledge/fleet/tasks/task_runner.py
+++ b/cypressledge/fleet/tasks/task_runner.py
@@ -118,16 +118,16 @@
             self._take_steps(task, held, steps)
         except TaskCancelledError:
             task.cancelled += 1
-            self.on_event("act_called_off", task=task.name, lease=held.lease, token=held.token)
+            self.on_event("task_cancelled", task=task.name, lease=held.lease, token=held.token)
             raise
         except gevent.Timeout as timeout:
             if timeout is not limit:
                 raise
             task.timed_out += 1
-            self.on_event("act_overdue", task=task.name, lease=held.lease, token=held.token)
+            self.on_event("task_timed_out", task=task.name, lease=held.lease, token=held.token)
         except Exception as err:
             task.failed += 1
-            self.on_event("act_failed", task=task.name, lease=held.lease, token=held.token, why=repr(err))
+            self.on_event("task_failed", task=task.name, lease=held.lease, token=held.token, why=repr(err))
         finally:
             limit.close()
             steps.close()
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -13,7 +13,7 @@
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.datagram_transport import BUCKET_IDLE, BURST, MAX_ADDRESSES, DatagramTransport
 from cypressledge.fleet.leases.electorate import Electorate
-from cypressledge.fleet.leases.participation import lease_slots
+from cypressledge.fleet.leases.participation import LeaseEvent, lease_slots
 from cypressledge.fleet.membership import ALIVE, GONE, SUSPECT, Membership
 from cypressledge.fleet.messages import EngineObservations, GossipUpdate, Ping
 from cypressledge.fleet.node import FleetNode
@@ -90,8 +90,8 @@
     second = trio.holders()[0]
     assert trio.nodes[second].held_lease("one").token > token
     events = [(n, event) for n, event, lease, *_ in trio.events if lease == "one"]
-    assert (first, "given_back") in events
-    assert (second, "acquired") in events
+    assert (first, LeaseEvent.RELEASED) in events
+    assert (second, LeaseEvent.ACQUIRED) in events
     assert until(lambda: first not in trio.nodes[second].alive(), 10, 0.01)
     assert (second, first, 2) in trio.changed
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -157,7 +157,7 @@
     gevent.sleep(TERM)  # all have seen each other
     began = time.monotonic()
     fleet[first.holder].signal(signal.SIGTERM)
-    told = until(lambda: fleet.told(first.holder, "lease_given_back"), WAIT, 0.005)
+    told = until(lambda: fleet.told(first.holder, "lease_released"), WAIT, 0.005)
     second = fleet.wait_act(fleet.last().at, but=first.holder)
     assert told
     assert second.token > first.token
