--- a/cypressledge/__main__.py
+++ b/cypressledge/__main__.py
@@ -20,7 +20,7 @@
     early: list[int] = []
     for number in HANDLED_SIGNALS:
         signal.signal(number, lambda received, _: early.append(received))
-    from cypressledge.broker.process import main as run
+    from cypressledge.broker_process.process import main as run
 
     return run(early)
 
--- /dev/null
+++ b/cypressledge/broker_process/__init__.py
@@ -0,0 +1,1 @@
+"""A broker as a process: its parts put together, started, reconfigured and stopped."""
--- a/cypressledge/broker/process.py
+++ b/cypressledge/broker_process/process.py
@@ -16,10 +16,10 @@
 import gevent
 from gevent.event import Event
 
-from cypressledge.broker.assembly import assemble_components
 from cypressledge.broker.metrics import log
 from cypressledge.broker.periodic_tasks import WallClockWatch, log_counters, run_maintenance
-from cypressledge.broker.reconfiguration import ConfigReader, ConfigurationFiles, Reconfiguration
+from cypressledge.broker_process.assembly import assemble_components
+from cypressledge.broker_process.reconfiguration import ConfigReader, ConfigurationFiles, Reconfiguration
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Config, ConfigError, read_config
 from cypressledge.service import read_service
--- a/cypressledge/broker/reconfiguration.py
+++ b/cypressledge/broker_process/reconfiguration.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from cypressledge.broker.assembly import BrokerComponents, decision_settings
 from cypressledge.broker.metrics import log
+from cypressledge.broker_process.assembly import BrokerComponents, decision_settings
 from cypressledge.config import Config, ConfigError
 from cypressledge.decisions.contract import EngineListKind
 from cypressledge.net.dns_discovery import DiscoveredEngine
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -23,7 +23,7 @@
 from cypressledge.net.dns_discovery import DiscoveredEngine
 
 if TYPE_CHECKING:
-    from cypressledge.broker.process import BrokerProcess
+    from cypressledge.broker_process.process import BrokerProcess
 
 KINDS = ("config", "engine", "broker")  # of keys
 ENGINE_STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
--- a/tests/race_conditions/test_graceful_shutdown.py
+++ b/tests/race_conditions/test_graceful_shutdown.py
@@ -157,7 +157,9 @@
         for number in (signal.SIGHUP, signal.SIGTERM):
             with self.subTest(number):
                 broker = self.broker(
-                    hooks={"limit": "cypressledge.broker.reconfiguration:Reconfiguration.apply_limits!"}
+                    hooks={
+                        "limit": "cypressledge.broker_process.reconfiguration:Reconfiguration.apply_limits!"
+                    }
                 )
                 broker.reached("limit")  # the configuration has been read, and nobody hears of signals yet
                 broker.dns.engines[engine.name] = (engine.port, 0)
@@ -177,7 +179,8 @@
         engine = self.engine(held)
         engine.released = False
         broker = self.broker(
-            engine, hooks={"check": "cypressledge.broker.reconfiguration:Reconfiguration._check_applicable!"}
+            engine,
+            hooks={"check": "cypressledge.broker_process.reconfiguration:Reconfiguration._check_applicable!"},
         )
         client = self.client(broker)
         client.ask()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -303,7 +303,7 @@
     brokers = Brokers(str(tmp_path))
     broker = brokers.add("n1", {})
     code = (
-        "import os, sys; from cypressledge.broker.process import assemble; assemble([], os.environ); "
+        "import os, sys; from cypressledge.broker_process.process import assemble; assemble([], os.environ); "
         "print(*sorted(sys.modules))"
     )
     done = subprocess.run(
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -38,6 +38,35 @@
     assert set(imported_modules(path)) <= ALLOWED_IMPORTS
 
 
+LAYERS = {  # what each package must not import: imports point from net to broker to decisions
+    "decisions": {"broker", "broker_process", "net", "fleet", "controlplane", "lab", "cli"},
+    "broker": {"broker_process", "net", "fleet", "controlplane", "lab", "cli"},
+    "net": {"broker_process", "fleet", "controlplane", "lab", "cli"},
+    "fleet": {"controlplane", "lab", "cli"},
+    "controlplane": {"lab"},
+}
+
+
+def imported_packages(path):
+    """The project's packages that a module imports."""
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom) and node.module.startswith("cypressledge."):
+            yield node.module.split(".")[1]
+        elif isinstance(node, ast.ImportFrom) and node.module == "cypressledge":
+            yield from (alias.name for alias in node.names)
+
+
+@pytest.mark.parametrize("package", LAYERS)
+def test_imports_point_one_way(package):
+    wrong = {
+        f"{path.name}: {name}"
+        for path in (PACKAGE / package).rglob("*.py")
+        for name in imported_packages(path)
+        if name in LAYERS[package]
+    }
+    assert wrong == set()
+
+
 def sizes(path):
     """Lines of the file, and of its longest class and function."""
     text = path.read_text()
