--- a/tests/test_controlplane_follow.py
+++ b/tests/controlplane/test_control_distribution.py
@@ -38,7 +38,7 @@
     return state.epoch, state.version, state.digest
 
 
-class Desk:
+class PublisherHarness:
     """A publisher and what it says."""
 
     def __init__(self, versions: int = 3, **limits) -> None:
@@ -78,7 +78,7 @@
 
 
 def test_publisher_sends_changes_or_a_snapshot_and_one_at_a_time():
-    desk = Desk()
+    desk = PublisherHarness()
     welcome, beat, whole = desk.hello(1)
     assert welcome == m.HelloAccepted("c1", 7, "line")
     assert beat.leader_silence_ms == -1
@@ -102,11 +102,11 @@
     assert "digest_differs" not in desk.events
     assert isinstance(desk.hello(5, (1, 5, b"x" * 16))[2], m.CompleteSnapshot)
     assert "digest_differs" in desk.events
-    assert len(Desk(versions=0).hello(1)) == 2  # nothing to send yet
+    assert len(PublisherHarness(versions=0).hello(1)) == 2  # nothing to send yet
 
 
-def test_publisher_does_not_repeat_what_was_turned_down():
-    desk = Desk()
+def test_publisher_does_not_repeat_what_was_rejected():
+    desk = PublisherHarness()
     first = desk.history.position_at(1)
     desk.hello(1, first)
     desk.have(1, position=first)  # changes not taken: a snapshot
@@ -132,8 +132,8 @@
         ({"cluster_id": "line", "version": 5, "digest": b"x"}, "nonsense"),
     ],
 )
-def test_publisher_turns_away_who_does_not_fit(more, why):
-    desk = Desk()
+def test_publisher_rejects_who_does_not_fit(more, why):
+    desk = PublisherHarness()
     desk.hello(1, **more)
     assert desk.ended[1].reason == why
     assert not desk.publisher.subscriptions
@@ -145,7 +145,7 @@
     [m.Heartbeat(1, 1, b"", "", 0), m.AppliedPosition(1, 3, b""), m.SnapshotRequest("x"), m.Disconnect("x")],
 )
 def test_publisher_ends_nonsense(message):
-    desk = Desk()
+    desk = PublisherHarness()
     desk.hello(1, where(desk.history.state))
     desk.publisher.received(0, 1, message)
     assert desk.ended[1].reason == "nonsense"
@@ -154,7 +154,7 @@
 
 
 def test_publisher_replaces_refuses_when_full_and_says_who_is_here():
-    desk = Desk(max_subscribers=2)
+    desk = PublisherHarness(max_subscribers=2)
     desk.hello(1)
     desk.hello(2)
     assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 0)])
@@ -175,8 +175,8 @@
     assert desk.publisher.report(True) == m.AppliedReport(True, [])
 
 
-def test_publisher_tells_who_turned_settings_down():
-    desk, why = Desk(), "other classes need a restart"
+def test_publisher_tells_who_rejected_settings():
+    desk, why = PublisherHarness(), "other classes need a restart"
     desk.hello(1)
     desk.hello(2, where(desk.history.state), rejection_reason=why)  # it was so before it came here
     assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 3)], {"b2": why})
@@ -203,7 +203,7 @@
 
 
 def test_refusals_of_a_whole_fleet_fit_in_a_frame():
-    desk, most = Desk(max_subscribers=20_000), 20_000
+    desk, most = PublisherHarness(max_subscribers=20_000), 20_000
     for conn in range(most):
         desk.hello(conn, where(desk.history.state), name=f"b{conn:063d}", rejection_reason="\u20ac" * 999)
     seen = desk.publisher.report(True)
@@ -220,8 +220,8 @@
     assert m.decode(msgspec.msgpack.encode(["have", 1, 2, b"x", "why", "later"])).rejection_reason == "why"
 
 
-def test_follower_says_what_was_turned_down_until_it_is_taken():
-    desk, seat, why = Desk(), Seat().greet(), [""]
+def test_subscriber_says_what_was_rejected_until_it_is_taken():
+    desk, seat, why = PublisherHarness(), SubscriberHarness().greet(), [""]
     seat.subscriber.callbacks.changed = lambda state, change: why[0]
     assert seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot())).rejection_reason == ""
     for why[0] in ("other classes need a restart", ""):
@@ -234,7 +234,7 @@
 
 
 def test_publisher_bounds_names_nobody_asks_for():
-    desk = Desk(max_subscribers=1)
+    desk = PublisherHarness(max_subscribers=1)
     for conn in range(20):
         desk.hello(conn)
         desk.publisher.gone(0, conn)
@@ -243,7 +243,7 @@
 
 
 def test_publisher_ends_the_silent_and_beats():
-    desk = Desk()
+    desk = PublisherHarness()
     desk.hello(1)
     desk.hello(2, where(desk.history.state))
     desk.publisher.leader_heard(S // 2, "c3")
@@ -260,7 +260,7 @@
 
 
 def test_publisher_rations_snapshots_in_line():
-    desk = Desk(max_concurrent_snapshots=2, max_snapshots_per_s=3)
+    desk = PublisherHarness(max_concurrent_snapshots=2, max_snapshots_per_s=3)
     for conn in range(6):
         desk.hello(conn)
     assert [desk.whole(conn) for conn in range(6)] == [True, True, False, False, False, False]
@@ -280,7 +280,7 @@
 
 
 def test_publisher_lets_newcomers_past_those_that_never_answer():
-    desk = Desk(max_concurrent_snapshots=2, snapshot_slot_timeout_s=1.0)
+    desk = PublisherHarness(max_concurrent_snapshots=2, snapshot_slot_timeout_s=1.0)
     for conn in range(3):
         desk.hello(conn)
     assert [desk.whole(conn) for conn in range(3)] == [True, True, False]
@@ -294,8 +294,8 @@
 
 
 def test_publisher_behind_a_broker_waits_and_says_so_once():
-    desk = Desk()
-    ahead = Desk(versions=5)
+    desk = PublisherHarness()
+    ahead = PublisherHarness(versions=5)
     sent = desk.hello(1, where(ahead.history.state))
     assert len(sent) == 2
     assert isinstance(sent[1], m.Heartbeat)
@@ -309,7 +309,10 @@
 
 
 def test_publisher_put_back_sends_nobody_in_line_an_older_snapshot():
-    desk, older = Desk(max_concurrent_snapshots=1), Desk(versions=1).history.state.snapshot()
+    desk, older = (
+        PublisherHarness(max_concurrent_snapshots=1),
+        PublisherHarness(versions=1).history.state.snapshot(),
+    )
     desk.hello(1)
     desk.hello(2, (1, 3, b"x" * 16))
     desk.history.reset(older)
@@ -320,7 +323,7 @@
 
 
 def test_publisher_registers_who_moved():
-    desk = Desk()
+    desk = PublisherHarness()
     for conn, address in enumerate(["h:1", "h:2", "", "bad"]):
         desk.hello(conn, address=address, zone="z", region="r")
     state = desk.history.state
@@ -333,8 +336,8 @@
     assert [op.key for op in desk.publisher.registrations(state)] == ["broker/b1"]
 
 
-class Seat:
-    """A follower and what it does."""
+class SubscriberHarness:
+    """A subscriber and what it does."""
 
     def __init__(self, servers: int = 1, **more) -> None:
         self.said, self.tried, self.ended, self.took, self.events = [], [], [], [], []
@@ -353,7 +356,7 @@
             **more,
         )
 
-    def greet(self, now: int = 0, lineage: str = "line") -> "Seat":
+    def greet(self, now: int = 0, lineage: str = "line") -> "SubscriberHarness":
         """Wait until it connects; let it."""
         while self.subscriber.phase.value != "connecting":
             now = max(now, self.subscriber.tick(now))
@@ -383,8 +386,8 @@
     assert 20 < sum(one[0].name == "c1" for one in found) < 44
 
 
-def test_follower_takes_a_snapshot_and_what_follows():
-    desk, seat = Desk(), Seat().greet()
+def test_subscriber_takes_a_snapshot_and_what_follows():
+    desk, seat = PublisherHarness(), SubscriberHarness().greet()
     assert seat.said[0] == m.Hello(m.FORMAT, "broker", "b1", 3, address="b1:1", zone="z", region="r")
     whole = m.CompleteSnapshot(desk.history.compressed_snapshot())
     assert seat.take(whole) == m.AppliedPosition(*where(desk.history.state))
@@ -402,9 +405,9 @@
     assert status.server == "c0"
 
 
-def test_follower_never_goes_back():
-    desk, seat = Desk(versions=4), Seat().greet()
-    old = Desk(versions=2)
+def test_subscriber_never_goes_back():
+    desk, seat = PublisherHarness(versions=4), SubscriberHarness().greet()
+    old = PublisherHarness(versions=2)
     seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot()))
     held = m.AppliedPosition(*where(desk.history.state))
     assert seat.take(m.Deltas(after(desk.history, 2))) == held
@@ -422,8 +425,8 @@
     assert where(seat.subscriber.state) == where(desk.history.state)
 
 
-def test_follower_keeps_what_it_had_where_a_digest_differs():
-    desk, seat = Desk(), Seat().greet()
+def test_subscriber_keeps_what_it_had_where_a_digest_differs():
+    desk, seat = PublisherHarness(), SubscriberHarness().greet()
     assert seat.take(m.Deltas(after(desk.history, 0))) == m.SnapshotRequest("gap")  # holds nothing
     seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot()))
     held = where(seat.subscriber.state)
@@ -442,8 +445,8 @@
     return state
 
 
-def test_follower_at_one_version_with_two_digests():
-    desk, seat = Desk(), Seat().greet()
+def test_subscriber_at_one_version_with_two_digests():
+    desk, seat = PublisherHarness(), SubscriberHarness().greet()
     seat.take(m.CompleteSnapshot(desk.history.compressed_snapshot()))
     held = where(desk.history.state)
     assert seat.take(m.CompleteSnapshot(compress_snapshot(other_at(1, 3).snapshot()))) == m.AppliedPosition(
@@ -470,10 +473,10 @@
     assert seat.counts("digest_differs") == 3  # a beat that differs: once a version
 
 
-def test_follower_leaves_bad_snapshots_other_lineages_and_nonsense():
-    good = Desk().history.state.snapshot()
+def test_subscriber_leaves_bad_snapshots_other_lineages_and_nonsense():
+    good = PublisherHarness().history.state.snapshot()
     bad = m.Snapshot("line", 1, 3, b"x" * 16, good.entries, [])
-    other = Desk().history.state.copy()
+    other = PublisherHarness().history.state.copy()
     other.cluster_id = "other"
     wholes = [
         m.CompleteSnapshot(packed)
@@ -485,14 +488,14 @@
         m.AppliedPosition(1, 1, b""),
         m.Disconnect("stopping"),
     ):
-        seat = Seat(servers=2, cluster_id="line").greet()
+        seat = SubscriberHarness(servers=2, cluster_id="line").greet()
         seat.take(message)
         assert len(seat.ended) == 1
         assert not seat.took
         assert seat.subscriber.selector.current == 1
-    seat = Seat(servers=2, cluster_id="line").greet(lineage="other")
+    seat = SubscriberHarness(servers=2, cluster_id="line").greet(lineage="other")
     assert seat.ended == ["lineage"]
-    seat = Seat().greet()
+    seat = SubscriberHarness().greet()
     seat.take(m.CompleteSnapshot(compress_snapshot(good)))
     seat.subscriber.disconnected(seat.now, "x")
     seat.greet(seat.now, "other")
@@ -500,8 +503,8 @@
     assert where(seat.subscriber.state)[1] == 3
 
 
-def test_follower_waits_longer_each_time_and_honours_refusals():
-    seat, now, tries = Seat(servers=3), 0, []
+def test_subscriber_waits_longer_each_time_and_honours_refusals():
+    seat, now, tries = SubscriberHarness(servers=3), 0, []
     for _ in range(300):
         due = seat.subscriber.tick(now)
         if len(seat.tried) > len(tries):
@@ -515,10 +518,10 @@
     assert max(gaps[10:]) > 4 * S
     assert min(gaps[10:]) < S
     assert [s.name for s in seat.tried[:4]] == ["c0", "c1", "c2", "c0"]
-    seat = Seat().greet()
+    seat = SubscriberHarness().greet()
     seat.take(m.Disconnect("full", 7_000))
     assert 7 * S <= seat.subscriber.tick(seat.now) - seat.now <= 9 * S
-    seat = Seat(servers=2).greet()
+    seat = SubscriberHarness(servers=2).greet()
     seat.take(m.Disconnect("full", 7_000))
     seat.greet(seat.now)
     seat.subscriber.disconnected(seat.now, "x")
@@ -527,7 +530,7 @@
 
 
 def test_a_connection_that_held_makes_the_waits_short_again():
-    seat = Seat()
+    seat = SubscriberHarness()
     for held in [0] * 8 + [5 * S] * 8:
         seat.greet(seat.now if seat.said else 0)
         seat.subscriber.disconnected(seat.now + held, "reset")
@@ -539,8 +542,8 @@
     )  # nobody to follow
 
 
-def test_follower_leaves_the_silent_and_times_out():
-    seat = Seat(servers=2)
+def test_subscriber_leaves_the_silent_and_times_out():
+    seat = SubscriberHarness(servers=2)
     now = seat.subscriber.tick(0)
     due = seat.subscriber.tick(now)
     assert due - now == 1.5 * S
@@ -555,8 +558,8 @@
     assert seat.ended[1:] == ["silent"]
 
 
-def test_follower_goes_home_and_back_where_home_fails():
-    seat = Seat(servers=3)
+def test_subscriber_goes_home_and_back_where_home_fails():
+    seat = SubscriberHarness(servers=3)
     now = seat.subscriber.tick(0)
     seat.subscriber.tick(now)
     seat.subscriber.disconnected(now, "refused")
@@ -579,8 +582,8 @@
     assert 40 * S <= waits[1] <= 82 * S
 
 
-def test_follower_says_how_stale_it_is():
-    seat = Seat(servers=2).greet()
+def test_subscriber_says_how_stale_it_is():
+    seat = SubscriberHarness(servers=2).greet()
     assert seat.subscriber.stale_ms(seat.now + 2 * S) >= 2_000
     seat.take(m.Heartbeat(0, 0, b"", "c3", 400))
     assert seat.subscriber.stale_ms(seat.now) == 400
@@ -817,7 +820,7 @@
     assert max(b.stale_ms(world.now) for b in world.brokers) <= 42_000
 
 
-def outage(seat: Seat, until: int) -> list[tuple[int, str]]:
+def outage(seat: SubscriberHarness, until: int) -> list[tuple[int, str]]:
     """Refuse each try until then; when each was made, and at whom."""
     now, made = 0, []
     while now < until:
@@ -830,8 +833,8 @@
     return made
 
 
-def test_follower_tries_all_in_a_row_and_rests_between_rounds():
-    seat = Seat(servers=8)
+def test_subscriber_tries_all_in_a_row_and_rests_between_rounds():
+    seat = SubscriberHarness(servers=8)
     made = outage(seat, 60 * S)
     names = [name for _, name in made]
     assert names == ([s.name for s in seat.subscriber.selector.servers] * len(names))[: len(names)]
@@ -844,8 +847,8 @@
     assert len(made) < 8 * 40
 
 
-def test_follower_leaves_a_server_that_hears_no_primary():
-    seat, left = Seat(servers=3).greet(), []
+def test_subscriber_leaves_a_server_that_hears_no_primary():
+    seat, left = SubscriberHarness(servers=3).greet(), []
     stale = m.Heartbeat(0, 0, b"", "c1", 11_000)
     now = seat.now
     while now < 100 * S:
@@ -866,9 +869,9 @@
     assert all(at < 81 * S for at, _ in left)
 
 
-def test_follower_of_one_server_or_of_a_fresh_one_stays():
+def test_subscriber_of_one_server_or_of_a_fresh_one_stays():
     for servers, silent in ((1, 60_000), (3, 9_000)):
-        seat = Seat(servers=servers).greet()
+        seat = SubscriberHarness(servers=servers).greet()
         for second in range(1, 15):
             seat.subscriber.received(seat.now + second * S, m.Heartbeat(0, 0, b"", "c1", silent))
         assert not seat.ended
--- a/tests/test_controlplane_processes.py
+++ b/tests/controlplane/test_control_processes.py
@@ -7,7 +7,6 @@
 
 import pytest
 import yaml
-from controlplane import TERM, WAIT, Plane, local, run
 from gevent import socket
 
 from cypressledge.config import ConfigError
@@ -17,6 +16,7 @@
 from cypressledge.lab.engines import LabEngine
 from cypressledge.lab.processes import until
 from cypressledge.lab.site import SETTINGS
+from tests.fakes.control_processes import TERM, WAIT, ControlPlane, local, run
 
 ENGINE = {"address": "127.0.0.1:9", "kind": "node-8c", "zone": "room1"}
 
@@ -24,7 +24,7 @@
 @pytest.fixture
 def plane(request):
     """Three control processes, or as many and of them as many voters as a test asks for."""
-    made = Plane(**getattr(request, "param", {}))
+    made = ControlPlane(**getattr(request, "param", {}))
     try:
         yield made
     finally:
@@ -56,8 +56,8 @@
     told = broker.status()
     assert (told["version"], told["refused"], told["engines_from_here"]) == (version_of(words), "", True)
     assert told["digest"] == plane.controls[plane.primary()].status()["digest"]
-    assert broker.served(), broker.words()
-    assert broker.figure("reloads") == 2  # the seed's settings, and the change's
+    assert broker.serves(), broker.words()
+    assert broker.counter("reloads") == 2  # the seed's settings, and the change's
     engine.server.stop()
 
 
@@ -79,7 +79,7 @@
     assert "in force at 1 of 1 brokers" in words, words + plane.words()
     digest = plane.controls[plane.primary()].status()["digest"]
     assert until(lambda: all(c.status()["digest"] == digest for c in plane.controls.values()), WAIT)
-    assert broker.figure("ready_engines") == len(MANY) - 700
+    assert broker.counter("ready_engines") == len(MANY) - 700
 
 
 def test_a_change_that_is_refused_changes_nothing(plane):
@@ -109,7 +109,7 @@
     broker = plane.broker("n1", settings={"Classes": SETTINGS["Classes"][:1]})
     assert in_force(broker, 1), plane.words()
     assert until(lambda: broker.status()["refused"] == "other classes need a restart", WAIT), broker.status()
-    assert (broker.figure("control.settings_rejected"), broker.figure("reload_failures")) == (1, 1)
+    assert (broker.counter("control.settings_rejected"), broker.counter("reload_failures")) == (1, 1)
 
 
 def test_a_broker_that_refuses_is_named_and_does_not_count(plane):
@@ -135,11 +135,11 @@
         {"engines": {"s-1": ENGINE | {"address": f"127.0.0.1:{engine.server.server_port}"}}}
     )
     assert code == 0, words + plane.words()
-    assert broker.served()
+    assert broker.serves()
     before = other.asked
     broker.process.send_signal(signal.SIGHUP)
     assert until(lambda: "reload: the new configuration is in force" in broker.words(), WAIT)
-    assert broker.served(20)
+    assert broker.serves(20)
     assert (other.asked, broker.status()["sections"]) == (before, sorted(SETTINGS))
     engine.server.stop()
     other.server.stop()
@@ -196,7 +196,7 @@
 
 def test_a_stopped_primary_gives_the_lease_back(plane):
     first = plane.start()
-    code, seconds = plane.controls[first].leave(WAIT)
+    code, seconds = plane.controls[first].terminate(WAIT)
     assert code == 0
     assert seconds < 2
     began = time.monotonic()
@@ -208,7 +208,7 @@
 def test_a_broker_serves_with_no_control_process(plane):
     engine = LabEngine("s-1", "room1")
     broker = plane.broker("n1", [engine.member()])  # nobody is there yet
-    assert broker.served(), broker.words()
+    assert broker.serves(), broker.words()
     told = broker.status()
     assert (told["version"], told["engines_from_here"]) == (0, False)
     plane.start()
@@ -217,7 +217,7 @@
         control.kill()
     assert until(lambda: broker.status()["stale_ms"] > 2_000, WAIT, 0.1)
     assert broker.status()["version"] == 1
-    assert broker.served(), broker.words()
+    assert broker.serves(), broker.words()
     engine.server.stop()
 
 
@@ -251,7 +251,7 @@
         code, words = plane.change({"engines": {f"s-{number}": engine}})
         assert code == 0, words + plane.words()
         assert "in force at 1 of 1 brokers" in words, words + plane.words()
-    assert plane.controls["c1"].events("disk_error")
+    assert plane.controls["c1"].logged("disk_error")
     assert broker.status()["server"] != "c1"
     primary = plane.controls[plane.primary("c1")]
     code, told, _ = run("control", "state", "--at", primary.spec["management"], "--prefix", "engine/")
--- a/tests/controlplane.py
+++ b/tests/fakes/control_processes.py
@@ -38,7 +38,7 @@
     return done.returncode, done.stdout.decode(), done.stderr.decode()
 
 
-class Running:
+class ProgramProcess:
     """One process, its log in a file."""
 
     def __init__(self, name, folder):
@@ -64,7 +64,7 @@
             self.process.kill()
             self.process.wait()
 
-    def leave(self, seconds):
+    def terminate(self, seconds):
         """SIGTERM; (exit code, seconds)."""
         began = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
@@ -73,12 +73,12 @@
     def words(self):
         return self.log.read_text(encoding="utf-8") if self.log.exists() else ""
 
-    def events(self, name):
+    def logged(self, name):
         lines = [json.loads(x) for x in self.words().splitlines() if x.startswith("{") and x.endswith("}")]
         return [e for e in lines if e["event"] == name]
 
 
-class Control(Running):
+class Control(ProgramProcess):
     """One control process."""
 
     def __init__(self, plane, spec):
@@ -105,7 +105,7 @@
         return ask(self, "/control/status") or {}
 
 
-class Broker(Running):
+class Broker(ProgramProcess):
     """A broker that follows them; `fleet`: what its fleet file holds, none without the fleet's part;
     `settings`: of its own file, in place of the laboratory's."""
 
@@ -133,7 +133,7 @@
     def status(self):
         return ask(self, "/control/status") or {}
 
-    def figure(self, name):
+    def counter(self, name):
         """A counter, from the log that SIGUSR1 makes it write."""
 
         def lines():
@@ -144,7 +144,7 @@
         assert until(lambda: len(lines()) > before and lines()[-1].endswith("\n"), WAIT), self.words()
         return int(dict(w.split("=", 1) for w in lines()[-1].split() if "=" in w).get(name, 0))
 
-    def served(self, count=5, seconds=WAIT):
+    def serves(self, count=5, seconds=WAIT):
         """Whether so many lookups are answered with a result in time."""
         client = Client([self.port], 0.02, 0)
         asking = gevent.spawn(client.run)
@@ -154,7 +154,7 @@
             asking.kill()
 
 
-class Plane:
+class ControlPlane:
     """So many control processes, of which `voters` vote; not started yet. `more`: for their settings."""
 
     def __init__(self, count=3, voters=3, seed=None, **more):
--- a/tests/control_stands.py
+++ b/tests/fakes/fake_control.py
@@ -106,18 +106,18 @@
         """Its status; empty where it doesn't answer."""
         return self.ask("status")[1]
 
-    def told(self, event: str) -> list[dict]:
+    def logged(self, event: str) -> list[dict]:
         """Lines of its log about an event."""
         return [e for e in self.events() if e["event"] == event]
 
-    def kept(self) -> tuple[int, int]:
+    def last_stored_position(self) -> tuple[int, int]:
         """(epoch, version) of the newest change on its disk, while it doesn't run."""
         with sqlite3.connect(self.store / "history.sqlite") as db:
             body = db.execute("SELECT body FROM changes ORDER BY version DESC LIMIT 1").fetchone()[0]
         db.close()
         return tuple(msgspec.msgpack.decode(body)[:2])
 
-    def halted(self) -> bool:
+    def is_halted(self) -> bool:
         """Whether it stands still (SIGSTOP), whoever did that."""
         if not self.running():
             return False
@@ -172,7 +172,7 @@
             return None
 
 
-class Lines:
+class TcpProxies:
     """A TCP relay for each ordered pair. A cut one swallows what comes, as a cut line does; healed, it ends
     what was open, so that nothing comes late."""
 
@@ -230,7 +230,7 @@
         sock.shutdown(socket.SHUT_RDWR)
 
 
-class Plane:
+class ControlCluster:
     """Three control processes, with relays between them where asked for. `zones`: one for each."""
 
     def __init__(self, relays: bool = False, fault: str = "", more: dict | None = None) -> None:
@@ -238,9 +238,9 @@
         self.folder, self.more = Path(self._own.name), more or {}
         udp = free_udp_ports(list(NAMES))
         self.servers = {n: ControlServer(n, self.folder, free_port(), udp[n]) for n in NAMES}
-        self.lines = Lines({n: s.port for n, s in self.servers.items()}) if relays else None
+        self.lines = TcpProxies({n: s.port for n, s in self.servers.items()}) if relays else None
         self.relays = UdpProxies(udp, 1) if relays else None
-        self.agents: list[Hollow] = []
+        self.subscribers: list[SimulatedSubscriber] = []
         self.processes: list[BrokerProcess] = []
         (self.folder / "seed.yaml").write_text(yaml.safe_dump(SEED))
         for server in self.servers.values():
@@ -338,12 +338,16 @@
 
     # What is round them
 
-    def follow(self, name: str, zone: str = "", only: tuple[str, ...] = NAMES, **more) -> "Hollow":
+    def follow(
+        self, name: str, zone: str = "", only: tuple[str, ...] = NAMES, **more
+    ) -> "SimulatedSubscriber":
         """A follower in this process."""
         told = self.settings()
         told["servers"] = [row for row in told["servers"] if row["name"] in only]
-        self.agents.append(Hollow(name, msgspec.convert(told, ControlSettings), zone, **more))
-        return self.agents[-1]
+        self.subscribers.append(
+            SimulatedSubscriber(name, msgspec.convert(told, ControlSettings), zone, **more)
+        )
+        return self.subscribers[-1]
 
     def cut(self, name: str) -> None:
         """Nothing passes between one of them and the others any more."""
@@ -377,7 +381,7 @@
 
     def end(self) -> None:
         """All are gone."""
-        for agent in self.agents:
+        for agent in self.subscribers:
             agent.stop()
         for process in (*self.servers.values(), *self.processes):
             process.kill()
@@ -387,7 +391,7 @@
         self._own.cleanup()
 
 
-class Hollow(SubscriberClient):
+class SimulatedSubscriber(SubscriberClient):
     """A broker's end without a broker: keeps (monotonic s, server, epoch, version, whether whole)."""
 
     def __init__(
@@ -422,7 +426,7 @@
         told = self.status()
         return told.server if told.phase == "following" else ""
 
-    def never_back(self) -> bool:
+    def has_never_gone_back(self) -> bool:
         """Whether versions and epochs only went on, and the state is what its digest says."""
         positions = [(epoch, version) for _, _, epoch, version, _ in self.taken]
         return self.state.digest_matches() and all(
@@ -430,7 +434,7 @@
         )
 
 
-class Raw:
+class RawConnection:
     """A socket to a control process, that says and reads what the test wants."""
 
     def __init__(self, port: int, small: bool = False) -> None:
@@ -441,12 +445,12 @@
         self.port = self.sock.getsockname()[1]
         self.began, self.ended = time.monotonic(), 0.0
 
-    def hello(self, name: str, **more) -> "Raw":
+    def hello(self, name: str, **more) -> "RawConnection":
         """Say Hello as a broker."""
         self.sock.sendall(encode(Hello(FORMAT, "broker", name, 7, **more)))
         return self
 
-    def drip(self, most: int = 1, pause: float = 1.0) -> None:
+    def read_slowly(self, most: int = 1, pause: float = 1.0) -> None:
         """Read so many bytes each so many seconds until it ends."""
         try:
             while self.sock.recv(most):
--- a/tests/hooked.py
+++ b/tests/fakes/program_with_breakpoints.py
@@ -54,5 +54,5 @@
 
 
 if __name__ == "__main__":
-    sys.path.insert(0, str(Path(__file__).parent.parent))
+    sys.path.insert(0, str(Path(__file__).parents[2]))
     sys.exit(main())
--- a/tests/race_conditions/test_attempt_isolation.py
+++ b/tests/race_conditions/test_attempt_isolation.py
@@ -1,7 +1,7 @@
 """An answer belongs to the attempt that it was given to, whatever else comes on its connection.
 
 Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/hooked.py).
+next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 from tests.race_conditions.scenarios import NOT_IDEMPOTENT, site
--- a/tests/race_conditions/test_configuration_races.py
+++ b/tests/race_conditions/test_configuration_races.py
@@ -1,7 +1,7 @@
 """Reloads, and two processes of an upgrade, at the moment at which requests are taken.
 
 Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/hooked.py).
+next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 import json
--- a/tests/recordings/test_mixed_versions_control.py
+++ b/tests/recordings/test_mixed_versions_control.py
@@ -13,9 +13,9 @@
 import gevent.subprocess
 import pytest
 import yaml
-from controlplane import WAIT, Broker, Control, Plane, Running
 
 from cypressledge.lab.processes import ROOT, until
+from tests.fakes.control_processes import WAIT, Broker, Control, ControlPlane, ProgramProcess
 
 BEFORE = "9c5e980"
 OLD, NEW = "c1", "c2"  # a control process of each version; c3 is of this one, too
@@ -43,7 +43,7 @@
     return folder
 
 
-class FromTree(Running):
+class FromTree(ProgramProcess):
     """A process of the program as it is in the folder `tree`; a broker says that it is in `zone`."""
 
     tree, zone = ROOT, ""
@@ -78,7 +78,7 @@
 @pytest.fixture
 def plane(tree_before):
     """c1 of the version before, c2 and c3 of this one, each in a zone of its own, and four brokers."""
-    made = Plane()
+    made = ControlPlane()
     try:
         settings = yaml.safe_load(made.file.read_text())
         for server in settings["servers"]:
@@ -139,7 +139,7 @@
     for name in plane.brokers:
         assert follow(plane, name), plane.words()
     reaches_all(plane, 1)
-    plane.controls[first].leave(WAIT)
+    plane.controls[first].terminate(WAIT)
     second = plane.primary(first)
     assert second != first
     told = reaches_all(plane, 2)
--- a/tests/recordings/test_operators_answers_recording.py
+++ b/tests/recordings/test_operators_answers_recording.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-sys.path.insert(0, str(Path(__file__).parent.parent))
+sys.path.insert(0, str(Path(__file__).parents[2]))
 
-from control_stands import Plane, call
+from tests.fakes.fake_control import ControlCluster, call
 
 FILE = Path(__file__).with_name("operators_answers.json")
 VOLATILE = frozenset(("at", "counters", "epoch", "lineage", "published", "run", "silent_ms", "traffic"))
@@ -138,7 +138,7 @@
 
 def record() -> dict[str, dict]:
     """Every call's answer, by its name."""
-    plane = Plane()
+    plane = ControlCluster()
     try:
         primary = plane.primary()
         found = Recorder(primary.name)
--- a/tests/stands.py
+++ b/tests/stands.py
@@ -385,8 +385,8 @@
         self.path = Path(self.dir.name) / "config.json"
         self.path.write_text(json.dumps(self.config))
         args = [sys.executable, *(["-O"] if optimise else []), "-m", "cypressledge"]
-        if hooks:  # points at which the program stops until the test says go: see hooked.py
-            args[-2:] = [str(ROOT / "tests" / "hooked.py")]
+        if hooks:  # see fakes/program_with_breakpoints.py
+            args[-2:] = [str(ROOT / "tests/fakes/program_with_breakpoints.py")]
             points = " ".join(f"{name}={point}" for name, point in hooks.items())
             env = {"HOOKS": points, "HOOKS_DIR": self.dir.name} | (env or {})
         if service:
--- a/tests/test_controlplane_hard.py
+++ b/tests/test_controlplane_hard.py
@@ -16,7 +16,6 @@
 import gevent
 import pytest
 import yaml
-from control_stands import SEED, TERM, WAIT, ControlledBroker, Plane, Raw, engine
 from gevent import subprocess
 from gevent.server import StreamServer
 
@@ -36,13 +35,14 @@
 from cypressledge.controlplane.state_values import encode_value
 from cypressledge.lab.processes import ROOT, until
 from cypressledge.lab.site import free_port, free_udp_ports
+from tests.fakes.fake_control import SEED, TERM, WAIT, ControlCluster, ControlledBroker, RawConnection, engine
 
 MB = 1 << 20
 
 
 @pytest.fixture
 def plane(request):
-    made = Plane(**getattr(request, "param", {}))
+    made = ControlCluster(**getattr(request, "param", {}))
     yield made
     made.end()
 
@@ -100,7 +100,7 @@
     plane.wait(lambda: follower.version == version, "a follower that goes on")
     told = plane.change({"engine/e3": engine(3)}, "r3")
     assert told["version"] == plane.in_force("engine/e3") < version  # known still
-    assert follower.never_back()
+    assert follower.has_never_gone_back()
 
 
 def strike(plane, primary, least=0):
@@ -110,8 +110,8 @@
     for number in range(1, 30):
         key, request = f"engine/e{number}", f"r{number}"
         asked = gevent.spawn(plane.post, primary, {key: engine(number)}, request)
-        until(lambda a=asked: primary.halted() or not primary.running() or a.ready(), WAIT)
-        if primary.halted() or not primary.running():
+        until(lambda a=asked: primary.is_halted() or not primary.running() or a.ready(), WAIT)
+        if primary.is_halted() or not primary.running():
             return done, key, request
         status, told = asked.get(timeout=WAIT)
         assert status == 200, told
@@ -131,7 +131,7 @@
     away.kill()  # so that every change has one way to go
     plane.wait(lambda: primary.status()["peers"] == [other.name], "a link that has ended")
     done, key, request = strike(plane, primary)
-    stopped = primary.halted()
+    stopped = primary.is_halted()
     assert len(done) > 2
     assert stopped == primary.running()
     away.start()
@@ -139,17 +139,17 @@
     later = plane.change({"engine/late": engine(99)}, "late")
     assert request not in {c[2] for c in plane.changes(other)}  # nobody else had it
     if stopped:
-        ended = len(primary.told("leader_stopped"))
+        ended = len(primary.logged("leader_stopped"))
         primary.signal(signal.SIGCONT)
-        plane.wait(lambda: len(primary.told("leader_stopped")) > ended, "a primary that steps down")
+        plane.wait(lambda: len(primary.logged("leader_stopped")) > ended, "a primary that steps down")
         # Its AppendEntries left after it went on: both turn it down.
         plane.wait(lambda: primary.status()["traffic"].get("in.denied", {}).get("frames", 0) >= 1, "a denial")
     else:
-        kept = primary.kept()
+        kept = primary.last_stored_position()
         assert kept[1] > max(done.values())
         assert kept[0] < later["epoch"]
         primary.start()
-    plane.wait(lambda: primary.told("truncated"), "a tail that is dropped")
+    plane.wait(lambda: primary.logged("truncated"), "a tail that is dropped")
     plane.one_history(later["version"])
     assert primary.status()["role"] == "standby"
     assert {k: plane.in_force(k) for k in done} == done
@@ -174,8 +174,8 @@
     resource.prlimit(primary.process.pid, resource.RLIMIT_FSIZE, (size, hard))
     status, told = plane.post(primary, {"engine/full": engine(60)}, "full")
     assert (status, told["answer"]) == (503, "unknown")
-    assert primary.told("disk_error")
-    assert primary.told("leader_stopped")
+    assert primary.logged("disk_error")
+    assert primary.logged("leader_stopped")
     plane.primary(primary.name)
     told = plane.change({"engine/full": engine(60)}, "full")
     assert told["primary"] != primary.name
@@ -209,10 +209,10 @@
     assert len(words) == 1, words
     assert "--rejoin" in words[0], words
     damaged.start("--rejoin")
-    plane.wait(lambda: damaged.told("joined"), "a voter that has joined")
+    plane.wait(lambda: damaged.logged("joined"), "a voter that has joined")
     plane.one_history(told["version"])
     assert damaged.status()["joining"] is False
-    assert follower.never_back()
+    assert follower.has_never_gone_back()
 
 
 # Followers that cost
@@ -237,10 +237,10 @@
     good = plane.follow("good", only=(primary.name,))
     plane.wait(lambda: good.version == primary.status()["version"], "the good one")
     memory = primary.memory()
-    deaf = [Raw(primary.port, small=True).hello(f"deaf{i}") for i in range(4)]
-    slow = [Raw(primary.port, small=True).hello(f"slow{i}") for i in range(2)]
+    deaf = [RawConnection(primary.port, small=True).hello(f"deaf{i}") for i in range(4)]
+    slow = [RawConnection(primary.port, small=True).hello(f"slow{i}") for i in range(2)]
     draw = random.Random(5)
-    mad = [Raw(primary.port) for _ in range(5)]
+    mad = [RawConnection(primary.port) for _ in range(5)]
     for raw, words in zip(
         mad,
         [
@@ -253,11 +253,11 @@
         strict=True,
     ):
         raw.sock.sendall(words)
-    late = Raw(primary.port).hello("late")
+    late = RawConnection(primary.port).hello("late")
     late.sock.sendall(b"\0\0\1\0" + draw.randbytes(256))
-    mute = Raw(primary.port)  # never says Hello
-    readers = [gevent.spawn(raw.drip) for raw in slow]
-    ends = [gevent.spawn(raw.drip, 65_536, 0) for raw in (*mad, late, mute)]
+    mute = RawConnection(primary.port)  # never says Hello
+    readers = [gevent.spawn(raw.read_slowly) for raw in slow]
+    ends = [gevent.spawn(raw.read_slowly, 65_536, 0) for raw in (*mad, late, mute)]
     new = plane.follow("new", only=(primary.name,))
     plane.wait(lambda: new.version, "one that comes while snapshots are out to those")
     most, longest, number = memory, time.monotonic() - new.dials[0], 0
@@ -284,8 +284,8 @@
     assert mute.ended - mute.began < 8
     counters = primary.status()["counters"]
     assert counters["control.disconnected_silent"] == 6
-    assert good.never_back()
-    assert new.never_back()
+    assert good.has_never_gone_back()
+    assert new.has_never_gone_back()
     for raw in (*deaf, *slow, *mad, late, mute):
         raw.close()
     gevent.killall(readers)
@@ -403,7 +403,7 @@
         densest <= limits.max_snapshots_per_s + limits.max_concurrent_snapshots
     )  # begun in the second, and out before it
     assert took < 15
-    assert all(a.never_back() for a in agents)
+    assert all(a.has_never_gone_back() for a in agents)
     told = plane.primary().ask("lag")[1]
     assert told["connected"] >= 100 or plane.wait(
         lambda: plane.primary().ask("lag")[1].get("in_force") == 100, "all counted"
@@ -574,4 +574,4 @@
     plane.wait(lambda: after.version >= told["version"], "a follower that goes on")
     plane.one_history(told["version"])
     assert second.running()
-    assert all(a.never_back() for a in plane.agents)
+    assert all(a.has_never_gone_back() for a in plane.subscribers)
