--- a/tests/test_clock_steps.py
+++ b/tests/broker/test_clock_steps.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("step", FAR_STEPS)
-def test_a_keyed_request_is_not_sent_again_after_its_window(stage, step):
+def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window(stage, step):
     """The incident: after a step back the broker's time stood still, and the repeat that waited for an engine
     left long after the window in which engines drop it."""
     engine, broker, client, window_over = keyed_request_whose_engine_drains(stage)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("step", FAR_STEPS)
-def test_requests_that_come_after_a_step_are_served(stage, step):
+def test_requests_received_after_a_step_are_served(stage, step):
     """After a step back by more than a request's wait it was over as it came: its deadline was read off the
     stepped clock, the broker's time stood still at the former one."""
     engine = stage.engine()
@@ -118,7 +118,7 @@
     assert further <= windows
 
 
-def test_a_step_between_retries_buys_no_further_attempts(stage):
+def test_a_step_between_retries_allows_no_more_attempts(stage):
     """A step forward made the budget forget the attempts of a moment ago."""
     engine = stage.engine(failing("500"))
     rules = {"RatioSpan": 5_000_000, "MinExtra": 2.0, "ResendRatio": 0.0}
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("step", FAR_STEPS)
-def test_a_stop_has_its_whole_grace_and_no_more(stage, step):
+def test_a_shutdown_has_its_full_grace_period_and_no_more(stage, step):
     """What was taken is answered by its engine within the grace; what hangs is answered before the kill."""
     engine = stage.engine(silent)
     without_notes = site()
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, 0.0, 3600.0])
-def test_an_engine_that_has_just_started_is_cold_whatever_the_clock_says(stage, ahead):
+def test_an_engine_that_has_just_started_is_under_slow_start_whatever_the_clock_says(stage, ahead):
     """With a clock an hour ahead it passed for warm, and was given all at once."""
     stage.clock.step(ahead)
     engine, fresh = stage.engine(name="s-1"), stage.engine(name="s-2")
@@ -219,7 +219,7 @@
     assert 1 <= len(fresh.wants) <= 10
 
 
-def test_a_process_that_stood_still_sends_no_repeat_behind_its_window(stage):
+def test_a_process_that_was_suspended_sends_no_retry_after_the_window(stage):
     """A place comes free while the process is stopped, and the window ends meanwhile."""
     engine, broker, client, window_over = keyed_request_whose_engine_drains(stage)
     hang_up(engine.wants[0][0])
@@ -233,7 +233,7 @@
     assert len(engine.wants) == 1
 
 
-def test_a_command_that_waited_to_leave_names_the_time_that_is_left(stage):
+def test_a_command_that_waited_to_be_sent_names_the_remaining_time(stage):
     """The deadline was worded as the command was queued, and left with it half a second later."""
     engine = stage.engine()
     broker = stage.broker(
--- a/tests/test_starts.py
+++ b/tests/broker/test_engine_start_times.py
@@ -1,8 +1,7 @@
 """When engines count as started: ages by Unix times, under clocks of ours or theirs that are wrong."""
 
 from cypressledge.broker.engine_start_times import MAX_UNLISTED, EngineStartTimes
-from cypressledge.broker.maintenance import Maintenance
-from cypressledge.clock import CLOCK_ORIGIN_US, ClockStepDetector, monotonic_us
+from cypressledge.clock import CLOCK_ORIGIN_US
 
 S = 1_000_000
 NOW = CLOCK_ORIGIN_US + 1_000 * S
@@ -22,7 +21,7 @@
     assert starts_of({"s-1": 2, "s-2": 30}) == {"s-1": 2, "s-2": 30}
 
 
-def test_no_engine_passes_for_much_older_by_a_clock_that_is_ahead():
+def test_a_clock_that_is_ahead_makes_no_engine_much_older():
     assert starts_of({"s-1": 2, "s-2": 30}, ahead_s=3_600) == {"s-1": 3, "s-2": 31}
 
 
@@ -34,7 +33,7 @@
     assert starts_of({"s-1": -3_600, "s-2": 2, "s-3": 30}) == {"s-1": 0, "s-2": 2, "s-3": 30}
 
 
-def test_a_start_counts_as_it_was_first_heard_of_until_there_is_another():
+def test_a_start_time_stays_as_first_computed_until_the_engine_restarts():
     starts = EngineStartTimes(UNIX - NOW)
     told_ms = UNIX // 1_000
     starts.update({"s-1": told_ms, "s-2": 0}, NOW, DOUBT)
@@ -44,25 +43,9 @@
     assert starts.started_at("s-1", told_ms - 1) == NOW + 60 * S - DOUBT
 
 
-def test_engines_that_left_are_forgotten_once_there_are_many():
+def test_unlisted_engines_are_forgotten_once_there_are_many():
     starts = EngineStartTimes(UNIX - NOW)
     for n in range(1_000):
         starts.update({f"s-{n}": 1 + n}, NOW, DOUBT)
     assert len(starts.starts) <= MAX_UNLISTED + 3
     assert "s-999" in starts.starts
-
-
-def test_a_return_kept_on_another_clock_counts_as_now():
-    """The file of a former release holds Unix times; that of a former boot, larger ones than the clock."""
-    kept = Maintenance.from_json(b'{"out": [], "back": {"s-1": 1790000000000000, "s-2": 5}}', NOW)
-    assert kept.returned_at == {"s-1": NOW, "s-2": 5}
-
-
-def test_a_step_of_the_wall_clock_is_told_once(monkeypatch):
-    wall = [1_790_000_000_000_000]
-    monkeypatch.setattr("cypressledge.clock.wall_us", lambda: wall[0] + monotonic_us())
-    watch = ClockStepDetector()
-    assert watch.check() == 0
-    wall[0] -= 5_000_000
-    assert abs(watch.check() + 5_000_000) < 1_000
-    assert watch.check() == 0
--- a/tests/test_events.py
+++ b/tests/broker/test_event_log.py
@@ -21,7 +21,7 @@
 
         return until(found, f"{least} events {kind}")
 
-    def test_a_retry_names_its_request_and_what_it_follows(self):
+    def test_a_retry_event_names_its_request_and_the_outcome_before(self):
         def play(engine, say, name, fields, statement):
             if len(first.wants) + len(second.wants) == 1:
                 hang_up(engine.wants[0][0])
@@ -42,7 +42,7 @@
         (closed,) = self.events(broker, "engine-connection-closed")
         assert (closed["reason"], closed["open"]) == ("closed_by_engine", "1")
 
-    def test_a_refusal_names_its_request_and_why(self):
+    def test_a_rejection_event_names_its_request_and_the_reason(self):
         broker = self.broker(self.engine(failing("503")))
         client = self.client(broker)
         client.ask(wait=400)
@@ -51,7 +51,7 @@
         assert re.search("\\A[0-9a-f]{16}\\Z", refused["request"])
         assert refused["reason"] in ("objective-missed", "no-capacity", "no-time-for-retry")
 
-    def test_engines_that_come_and_drain_are_told(self):
+    def test_engines_that_are_added_or_draining_are_logged(self):
         engine, other = self.engine(), self.engine(kind=LineEngine, name="s-2")
         broker = self.broker(engine)
         broker.dns.engines = {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
--- /dev/null
+++ b/tests/broker/test_jsonrpc_framing.py
@@ -0,0 +1,64 @@
+"""The real broker on sockets: framing and errors of JSON-RPC."""
+
+import json
+
+from tests.stands import (
+    ROW,
+    Case,
+    content,
+)
+
+
+class Framing(Case):
+    def setUp(self):
+        self.served = self.broker(self.engine())
+        self.one = self.client(self.served)
+
+    def error(self, body):
+        self.one.raw(body)
+        return self.one.get()
+
+    def test_errors_of_the_standard_keep_the_connection(self):
+        good = {"id": "00000000000000aa", "wait": 1000, "tenant": "sahel", "content": ""}
+
+        def call(number, method="lookup", **change):
+            return json.dumps(
+                {"jsonrpc": "2.0", "id": number, "method": method, "params": good | change}
+            ).encode()
+
+        for body, code, number in (
+            (b"{nonsense", -32700, None),
+            (b"[]", -32600, None),
+            (b'{"jsonrpc":"2.0","id":1}', -32600, None),
+            (call(0), -32600, None),
+            (call(1, "nothing"), -32601, 1),
+            (call(2, wait="x"), -32602, 2),
+            (call(3, wait=float("inf")), -32602, 3),
+            (call(4, id="zz"), -32602, 4),
+            (call(5, tenant="nobody"), -32602, 5),
+            (call(6, content="*"), -32602, 6),
+            (call(7, "order-load"), -32602, 7),
+            (call(8, once="a,b", method="order-load"), -32602, 8),
+            (call(8), -32600, None),
+            (b"[" * 100_000, -32700, None),
+        ):
+            with self.subTest(body[:60]):
+                answer = self.error(body)
+                assert (answer["error"]["code"], answer["id"]) == (code, number)
+        self.one.number = 20
+        self.one.ask()
+        assert content(self.one.get()) == ROW
+
+    def test_bad_framing_closes_the_connection(self):
+        for head in (
+            b"Content-Length: x\r\n\r\n",
+            b"Nothing: 1\r\n\r\n",
+            b"Content-Length: 99999999\r\n\r\n",
+            b"no colon\r\n\r\n",
+            b"y" * 5000,
+        ):
+            with self.subTest(head[:30]):
+                client = self.client(self.served)
+                client.raw(b"", head)
+                assert client.get()["error"]["code"] == -32600
+                assert client.get() is None
--- a/tests/test_operations.py
+++ b/tests/broker/test_operators_address.py
@@ -16,7 +16,7 @@
         return None
 
 
-class Management(Case):
+class OperatorsAddress(Case):
     """The second address answers operators whatever else the broker does."""
 
     def operated(self, *engines, env_more=None, **more):
@@ -27,7 +27,7 @@
         until(lambda: status(port) == 200, "the second address")
         return broker, port
 
-    def test_status_says_yes_while_taking_and_no_while_stopping(self):
+    def test_status_is_200_while_accepting_clients_and_503_while_stopping(self):
         engine = self.engine(held)
         engine.released = False
         broker, port = self.operated(engine)
@@ -40,7 +40,7 @@
         assert content(client.get()) == ROW
         assert broker.process.wait(WAIT) == 0
 
-    def test_bad_calls_get_a_no_and_a_close(self):
+    def test_invalid_calls_are_answered_with_an_error_and_closed(self):
         broker, port = self.operated(self.engine())
         assert http(port, "GET /nowhere HTTP/1.1\r\nHost: b")[0] == 404
         assert http(port, "DELETE /status HTTP/1.1\r\nHost: b")[0] == 405
@@ -48,7 +48,7 @@
         assert http(port, "BREW \x01 coffee\r\nHost: b")[0] == 400
         assert broker.process.poll() is None
 
-    def test_silent_callers_keep_nobody_waiting(self):
+    def test_silent_callers_delay_no_other(self):
         _, port = self.operated(self.engine())
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(24)]
         self.addCleanup(lambda: [s.close() for s in silent])
@@ -62,7 +62,7 @@
 class Upgrade(Case):
     """The platform holds the clients' socket; each process inherits it."""
 
-    def test_new_process_takes_over_the_socket_and_no_client_meets_a_closed_door(self):
+    def test_a_new_process_takes_over_the_socket_and_no_client_is_refused(self):
         engine = self.engine()
         held = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.addCleanup(held.close)
@@ -95,7 +95,7 @@
     return http(port, f"POST {path} HTTP/1.1\r\nHost: b", body.encode())[0]
 
 
-class ByHand(Management):
+class MaintenanceCalls(OperatorsAddress):
     """Engines out by hand: drained at once, whatever the directory says, over an upgrade too."""
 
     def asked(self, broker, engines, n):
@@ -106,7 +106,7 @@
             assert content(client.get()) == ROW
         return [len(e.wants) - b for e, b in zip(engines, before, strict=True)]
 
-    def test_engine_out_gets_nothing_new_and_comes_back(self):
+    def test_an_engine_out_of_service_gets_no_new_attempts_until_it_is_put_back(self):
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
         broker, port = self.operated(one, two)
         assert self.asked(broker, (one, two), 30)[0] > 0
@@ -118,7 +118,7 @@
         assert call(port, "/maintenance/exit", "s-1") == 200  # one call back for two out
         until(lambda: self.asked(broker, (one, two), 10)[0] > 0, "work for s-1 again")
 
-    def test_unknown_or_bad_ids_get_a_no(self):
+    def test_unknown_or_invalid_ids_are_answered_with_an_error(self):
         _, port = self.operated(self.engine())
         assert call(port, "/maintenance/enter", "s-9") == 404
         assert call(port, "/maintenance/exit", "nobody") == 404
@@ -126,7 +126,7 @@
         assert call(port, "/maintenance/enter", "s 1\x00") == 400
         assert http(port, "GET /maintenance/enter HTTP/1.1\r\nHost: b")[0] == 405
 
-    def test_a_ban_outlives_the_process(self):
+    def test_maintenance_outlives_the_process(self):
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
         shared = self.enterContext(tempfile.TemporaryDirectory())
         broker, port = self.operated(one, two, env_more={"TMPDIR": shared})
@@ -146,7 +146,7 @@
     }
 
 
-class Figures(Management):
+class Metrics(OperatorsAddress):
     """The figures count what happened, where it happened."""
 
     def test_counts_and_gauges(self):
@@ -179,7 +179,7 @@
         until(lambda: metrics(port)["svc.replies.report.success"] == 1, "the report counted")
         assert metrics(port)["svc.concurrent"] == 0
 
-    def test_counters_are_logged_every_so_often_when_asked(self):
+    def test_counters_are_logged_periodically_when_configured(self):
         engine = self.engine()
         broker = self.broker(engine, env={"ROUTER_FIGURES_S": "0.2"})
         client = self.client(broker)
--- a/tests/test_ledger.py
+++ b/tests/broker/test_request_ledger.py
@@ -98,7 +98,7 @@
         self.decide(c.FailRequest(self.request.number))
         assert self.reply.calls == [("complete", b"a\n")]
 
-    def test_what_the_module_forgets_is_answered_and_counted(self):
+    def test_a_request_that_the_decisions_forget_is_answered_and_counted(self):
         ((check_deadline, number),) = self.core.loop.timers.pop_due(monotonic_us() + LONG_AFTER)
         with self.assertRaisesRegex(AssertionError, "overdue"):
             check_deadline(number)
@@ -108,13 +108,13 @@
         assert [call[0] for call in self.reply.calls] == ["fail"]
         assert counters.counts["broken.overdue"] == 1
 
-    def test_bytes_of_an_answered_statement_are_let_go(self):
+    def test_the_statement_of_an_answered_request_is_released(self):
         """Timers know a request until its deadline; 25 s of statements would not fit the memory limit."""
         self.ledger.attempt_ended(self.send(), c.Outcome.OK, b"a\n")
         self.settle()
         assert (self.request.query.statement, self.ledger.statement_bytes) == (b"", 0)
 
-    def test_nothing_keeps_what_has_been_answered(self):
+    def test_timers_keep_no_answered_request_alive(self):
         """Timers live until the deadline: on a long day what they kept was the most of the memory."""
         attempt = self.send()
         attempt.transport_state = Recorder()
@@ -129,13 +129,13 @@
         for callback, argument in timers:
             callback(argument)  # and the timers themselves stand it
 
-    def test_engines_that_are_gone_are_forgotten(self):
+    def test_endpoints_of_removed_engines_are_forgotten(self):
         for number in range(50):
             self.list_engine(number)
         self.settle()
         assert list(self.core.engines.endpoints) == [49]
 
-    def test_attempt_that_never_left_its_connection_goes_to_another(self):
+    def test_an_attempt_that_never_left_its_connection_is_moved_to_another(self):
         """A connection reset when new proves nothing about the engine, and uses up no attempt."""
         link = LineProtocolTransport(self.core, Limits(64, 64, 32, 0.25, 30.0, 0, 0))
         self.core.add_transport("lines", link)
