--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -3,6 +3,7 @@
 import ast
 import subprocess
 import sys
+import tomllib
 from pathlib import Path
 
 import pytest
@@ -96,3 +97,9 @@
 def test_mypy_is_clean_over_the_finished_packages():
     run = subprocess.run([sys.executable, "-m", "mypy"], cwd=ROOT, capture_output=True, text=True)
     assert run.returncode == 0, run.stdout
+
+
+def test_the_deploy_file_names_every_module_of_the_decisions():
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert deploy["policy"] == sorted(str(path.relative_to(ROOT)) for path in DECISIONS)
+    assert [name for name in deploy["node"] if not (ROOT / name).exists()] == []
