--- a/tests/test_controlplane_state.py
+++ b/tests/controlplane/test_fleet_state.py
@@ -1,6 +1,4 @@
-"""The fleet's state and its history: what a change may do, what is refused, and what can be sent."""
-
-import zlib
+"""The fleet's state: its encoding and digest, what a change may do, and what is refused."""
 
 import pytest
 from hypothesis import given
@@ -25,30 +23,7 @@
 )
 from cypressledge.controlplane.state_values import Broker, Engine, StateError, decode_value, encode_value
 from cypressledge.lab.site import SETTINGS
-
-SECTIONS = [Op(f"config/{name}", encode_value(value)) for name, value in SETTINGS.items()]
-
-
-def engine(name: str, address: str, **more) -> Op:
-    return Op(f"engine/{name}", encode_value(Engine(address, **more)))
-
-
-def broker(name: str, address: str) -> Op:
-    return Op(f"broker/{name}", encode_value(Broker(address)))
-
-
-def grow(state, *ops, epoch=1, **more) -> Change:
-    validate_change(state, list(ops))
-    change = state.draft_change(epoch, list(ops), **more)
-    state.apply(change)
-    return change
-
-
-def filled() -> s.FleetState:
-    state = s.FleetState("line")
-    grow(state, *SECTIONS)
-    grow(state, engine("e1", "10.0.0.1:9000"), engine("e2", "10.0.0.2:9000"), broker("b1", "10.0.1.1:7400"))
-    return state
+from tests.controlplane.fleet_states import SECTIONS, broker, engine, filled, grow
 
 
 def test_one_encoding_for_equal_data():
@@ -233,50 +208,3 @@
     ):
         with pytest.raises(StateError):
             s.FleetState.restore(Snapshot("line", 1, 2, good.digest, entries, []))
-
-
-def test_unpack_is_bounded_and_raises_one_error():
-    packed = h.compress_snapshot(filled().snapshot())
-    assert h.decompress_snapshot(packed) == filled().snapshot()
-    bomb = zlib.compress(b"\0" * (h.MAX_SNAPSHOT_BYTES + 1))
-    for bad in (b"", packed[:-5], packed + b"x", b"x" * 50, bomb, zlib.compress(b"\xc1")):
-        with pytest.raises(StateError):
-            h.decompress_snapshot(bad)
-
-
-def test_history_sends_what_it_keeps_and_no_more():
-    history = h.ChangeHistory(s.FleetState("line"), max_changes=5)
-    positions = [(0, 0, history.state.digest)]
-    for i in range(8):
-        history.apply(history.state.draft_change(1 + i // 4, [engine(f"e{i}", f"h:{i + 1}")]))
-        positions.append((*history.state.position, history.state.digest))
-    assert [history.changes_since(*p) is None for p in positions] == [True] * 3 + [False] * 6
-    assert [c.version for c in history.changes_since(*positions[4])] == [5, 6, 7, 8]
-    assert [c.version for c in history.changes_since(*positions[4], max_bytes=1)] == [5]
-    assert history.changes_since(*positions[8]) == []
-    assert history.changes_since(2, 9, b"\0" * 16) is None
-    assert history.changes_since(1, 5, positions[5][2]) is None
-    assert history.changes_since(2, 5, b"\0" * 16) is None
-    packed = history.compressed_snapshot()
-    assert history.compressed_snapshot() is packed
-    history.compact(keep=1)
-    assert history.changes_since(*positions[6]) is None
-    assert len(history.changes_since(*positions[7])) == 1
-    with pytest.raises(StateError):
-        history.apply(Change(2, 9, [], b"\0" * 16))
-    assert history.compressed_snapshot() is packed
-    assert history.position_at(8) == positions[8]
-    history.apply(history.state.draft_change(2, []))
-    assert h.decompress_snapshot(history.compressed_snapshot()).version == 9
-    history.reset(h.decompress_snapshot(packed))
-    assert history.state.version == 8
-    assert history.changes_since(*positions[8]) == []
-    assert history.changes_since(*positions[7]) is None
-
-
-def test_history_is_bounded_in_bytes():
-    history = h.ChangeHistory(s.FleetState("line"), max_bytes=10_000)
-    for i in range(50):
-        history.apply(history.state.draft_change(1, [Op("config/Extra", encode_value("x" * 1000 + str(i)))]))
-    assert 0 < len(history.changes) < 10
-    assert history.kept_bytes <= 10_000
--- a/tests/replicas.py
+++ b/tests/fakes/replica_world.py
@@ -220,3 +220,74 @@
         for request, version in self.acked.items():
             if states[0].requests.get(request) != version:
                 raise Fault(f"{request}, acknowledged as {version}, is lost")
+
+
+class Lease:
+    """The lease as it should be: one holder at a time, for two seconds, counted from before it asked."""
+
+    def __init__(self, world):
+        self.world, self.holder, self.token, self.until = world, "", 0, 0
+
+    def ask(self, name):
+        w = self.world
+        if name not in w.up or self.holder != name and w.now < self.until:
+            return
+        if self.holder != name or w.now >= self.until or w.up[name].role == "standby":
+            self.token += 1
+        self.holder, self.until = name, w.now + 2 * SECOND
+        w.lease(name, self.token, self.until)
+
+    def lose_disk(self, name):
+        """One at a time, and none before all have something: more is more than the method bears."""
+        w = self.world
+        if all(d.kept.base and d.kept.commit and not d.kept.joining for d in w.disks.values()):
+            w.net[:] = [m for m in w.net if name not in m[:2]]  # its connections end
+            w.lose_disk(name)
+
+
+def walk(numbers, names, kind=Replica, losses=False):
+    """Each number is one thing that happens; then all is well again and one history must be there. With
+    `losses` disks are lost too, and the lease is as it should be."""
+    w, token, count = World(names, kind, mute=3 * SECOND), 0, 0
+    lease = Lease(w)
+    for number in numbers:
+        what, n = number % 64, number // 64
+        name = w.names[n % len(names)]
+        if what < 30:  # mostly in order
+            for _ in range(min(n // 16 % 6, len(w.net))):
+                w.deliver(min(n // 8 % 4, len(w.net) - 1) if n % 4 == 0 else 0)
+        elif what < 36:
+            w.run(w.names if n % 2 else name + w.names[n // 2 % len(names)])
+        elif what < 46:
+            count += 1
+            lead = [v for v, r in w.up.items() if r.role == "primary"]
+            request = f"r{count if n % 4 else max(count - 2, 0)}"  # some are repeated
+            w.propose(lead[n % len(lead)] if lead else name, request)
+        elif what < 50:
+            w.now += 900_000 if losses else 300_000
+            for other in list(w.up):
+                w.call(other, lambda other=other: w.up[other].tick(w.now))
+        elif losses and what < 54:
+            lease.ask(name)
+            token = lease.token
+        elif what < 53:
+            token += n % 4 > 0  # sometimes one that another has or had
+            w.lease(name, token, w.now + (n % 7 + 1) * SECOND)
+        elif what == 53:
+            w.lease(name, None)
+        elif what < 56 and w.net:
+            w.net.pop(n % len(w.net))
+        elif what < 58 and w.net:
+            w.deliver(n % len(w.net), keep=True)
+        elif what == 58:
+            w.crash(name)
+        elif what < 62 and name not in w.up:
+            w.start(name)
+        elif what == 62:
+            w.disks[name].plan = ["", "", "", ""][: n % 4] + [("before", "after", "full")[n // 4 % 3]]
+        elif losses and what == 63 and n % 2:
+            lease.lose_disk(name)
+        elif what == 63:
+            w.net[:] = [m for m in w.net if name not in m[:2]]
+    w.settle(token + 1)
+    return w
--- a/tests/recordings/test_control_replica_recording.py
+++ b/tests/recordings/test_control_replica_recording.py
@@ -9,12 +9,11 @@
 from pathlib import Path
 
 import pytest
-from replicas import World
-from test_controlplane_replica import walk
 
 from cypressledge.controlplane.messages import encode
 from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.replica_context import ReplicaHandlers
+from tests.fakes.replica_world import World, walk
 
 RECORDED = json.loads((Path(__file__).parent / "control_replica.json").read_text())
 # Events and reasons of stepping down: name of today -> name as recorded.
