--- a/cypressledge/fleet/zones/admission.py
+++ b/cypressledge/fleet/zones/admission.py
@@ -32,13 +32,13 @@
         """Whether a request is admitted: what is over its tenant's quota is not, while the zones that serve
         can't bear all."""
         self.arrivals.add(self.now(), query.tenant)
-        part = self._shed_part(query.tenant)
+        part = self._shed_permille(query.tenant)
         if part and is_shed(query.id, part):
             self.shed_requests += 1
             return False
         return True
 
-    def _shed_part(self, tenant: str) -> int:
+    def _shed_permille(self, tenant: str) -> int:
         """Permille of a tenant's requests that the plan sheds; none by a plan whose planner is missing."""
         plan = self.follower.plan
         if plan is None or self.follower.planner_is_missing(self.now()):
--- a/cypressledge/fleet/zones/load_shedding.py
+++ b/cypressledge/fleet/zones/load_shedding.py
@@ -58,7 +58,7 @@
     return requests_over / max(1, sum(counts.values())) / PERMILLE
 
 
-def shed_parts(counts: dict[str, int], over: dict[str, int], excess: float) -> dict[str, int]:
+def shed_permille_by_tenant(counts: dict[str, int], over: dict[str, int], excess: float) -> dict[str, int]:
     """The part of each tenant's requests that is shed, permille, so that `excess` of all (0 to 1) goes: of
     what is over quota first, beyond that of all tenants alike."""
     if excess * PERMILLE < MIN_EXCESS:
--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -15,7 +15,7 @@
     COUNT_SECONDS,
     over_quota,
     over_quota_fraction,
-    shed_parts,
+    shed_permille_by_tenant,
 )
 from cypressledge.fleet.zones.plan_follower import PlanFollower
 from cypressledge.fleet.zones.recovery_ramp import usable_fraction
@@ -145,16 +145,23 @@
         self.times_sent += 1
         zones, regions = term.zones.statuses(now), term.regions.statuses(now)
         plan = FailoverPlan(
-            grant.token, grant.instance_id, term.number, zones, regions, self._shed_parts(term, loads, now)
+            grant.token,
+            grant.instance_id,
+            term.number,
+            zones,
+            regions,
+            self._shed_permille_by_tenant(term, loads, now),
         )
         self.publish(plan, now)
         for peer in self.links.living_peers():
             self.links.send(peer, plan)
 
-    def _shed_parts(self, term: PlannerTerm, loads: dict[str, ZoneLoad], now: int) -> dict[str, int]:
+    def _shed_permille_by_tenant(
+        self, term: PlannerTerm, loads: dict[str, ZoneLoad], now: int
+    ) -> dict[str, int]:
         counts = self.view.tenant_counts(now)
         over = over_quota(counts, self.topology.quotas)
-        return shed_parts(counts, over, self._excess(term, counts, loads, now))
+        return shed_permille_by_tenant(counts, over, self._excess(term, counts, loads, now))
 
     def _excess(
         self, term: PlannerTerm, counts: dict[str, int], loads: dict[str, ZoneLoad], now: int
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -35,7 +35,7 @@
     is_shed,
     over_quota,
     over_quota_fraction,
-    shed_parts,
+    shed_permille_by_tenant,
 )
 from cypressledge.fleet.zones.observations import AttemptObservations
 from cypressledge.fleet.zones.plan_follower import PlanFollower
@@ -243,7 +243,9 @@
             counts = arrivals.counts(now)
             over = over_quota(counts, {t: rng.uniform(0, 20) for t in tenants[:30]})
             excess = rng.choice((0.0, 0.01, 0.1, 0.4, 1.0))
-            out.add(counts, over, over_quota_fraction(counts, over), shed_parts(counts, over, excess))
+            out.add(
+                counts, over, over_quota_fraction(counts, over), shed_permille_by_tenant(counts, over, excess)
+            )
     out.add([is_shed(f"q{i}", part) for i in range(2_000) for part in (0, 20, 500, 1000)])
 
 
--- a/tests/zones/test_load_shedding.py
+++ b/tests/zones/test_load_shedding.py
@@ -8,7 +8,7 @@
     is_shed,
     over_quota,
     over_quota_fraction,
-    shed_parts,
+    shed_permille_by_tenant,
 )
 
 S = 1_000_000
@@ -36,11 +36,11 @@
 
 def test_requests_over_quota_are_shed_first_and_all_tenants_alike_beyond_that():
     counts, over = {"big": 200, "small": 100}, {"big": 300}  # 60 of 300 are over
-    assert shed_parts(counts, over, 0.01) == {} == shed_parts(counts, over, 0.0)
-    assert shed_parts(counts, over, 0.1) == {"big": 150}
-    assert shed_parts(counts, over, 0.2) == {"big": 300}
-    parts = shed_parts(counts, over, 0.6)
+    assert shed_permille_by_tenant(counts, over, 0.01) == {} == shed_permille_by_tenant(counts, over, 0.0)
+    assert shed_permille_by_tenant(counts, over, 0.1) == {"big": 150}
+    assert shed_permille_by_tenant(counts, over, 0.2) == {"big": 300}
+    parts = shed_permille_by_tenant(counts, over, 0.6)
     assert parts == {"big": 650, "small": 500}
     gone = sum(counts[t] * part for t, part in parts.items()) / 1000
     assert gone == pytest.approx(0.6 * 300)
-    assert shed_parts(counts, over, 1.0) == {"big": 1000, "small": 1000}
+    assert shed_permille_by_tenant(counts, over, 1.0) == {"big": 1000, "small": 1000}
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -19,8 +19,8 @@
 
 @pytest.fixture
 def bed(request):
-    told = {"brokers": 5, "failover": True, "seed": 11, "rate": 0.5, "warm_s": 4.0, "hold_s": 2.0}
-    made = ZoneTestbed(ZoneTestbedOptions(**told | getattr(request, "param", {})))
+    options = {"brokers": 5, "failover": True, "seed": 11, "rate": 0.5, "warm_s": 4.0, "hold_s": 2.0}
+    made = ZoneTestbed(ZoneTestbedOptions(**options | getattr(request, "param", {})))
     try:
         yield made.start()
     finally:
@@ -211,8 +211,8 @@
     code, words = cli(bed, other, "leave", A, "--reason", "a mistake", "--for", "5")
     assert code == 0, log(bed)
     assert until(lambda: all(0 < s < 1 for s in bed.shares(A)), WAIT), log(bed)
-    told = json.loads(cli(bed, other, "status", "--json")[1])
-    assert "can't bear more" in next(z["why"] for z in told["zones"] if z["zone"] == A)
+    status = json.loads(cli(bed, other, "status", "--json")[1])
+    assert "can't bear more" in next(z["why"] for z in status["zones"] if z["zone"] == A)
     assert until(lambda: all(s == 1 for s in bed.shares(A)), WAIT, 0.1), log(bed)
     assert bed.events("zone_hand_over")
 
