--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -56,7 +56,7 @@
 from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.participation import LeaseSlot
-from cypressledge.fleet.node import FleetNode, new_instance_id
+from cypressledge.fleet.node import FleetNode, NodeHooks, NodeSettings, new_instance_id
 from cypressledge.net import receive_buffer, socket_writer
 from cypressledge.net.connection_registry import ConnectionRegistry
 from cypressledge.net.listener import Listener
@@ -150,17 +150,19 @@
         )
         return FleetNode(
             self.name,
-            listen=parse_address(self.server.fleet),
-            electorate=electorate,
-            instance_id=self.run_id,
-            log=self.log,
-            addresses={s.name: parse_address(s.fleet) for s in settings.servers},
-            counters=self.counters,
-            slots=[LeaseSlot(PRIMARY_LEASE, PRIMARY_LEASE, settings.term, on_demand=True)],
-            drift_ppm=settings.drift_ppm,
-            ping_s=settings.ping_s,
-            clock=self.clock,
-            on_lease_event=lambda *_: self.inbox.wake(),
+            NodeSettings(
+                listen=parse_address(self.server.fleet),
+                addresses={s.name: parse_address(s.fleet) for s in settings.servers},
+                slots=[LeaseSlot(PRIMARY_LEASE, PRIMARY_LEASE, settings.term, on_demand=True)],
+                drift_ppm=settings.drift_ppm,
+                ping_s=settings.ping_s,
+                instance_id=self.run_id,
+            ),
+            electorate,
+            self.counters,
+            self.clock,
+            NodeHooks(on_lease_event=lambda *_: self.inbox.wake()),
+            self.log,
         )
 
     def _make_replica(self, now: int) -> Replica | NonVotingReplica:
--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -26,7 +26,7 @@
     PlanRequest,
     ZoneCommand,
 )
-from cypressledge.fleet.node import FleetNode, Handler
+from cypressledge.fleet.node import FleetNode, Handler, NodeHooks, NodeSettings
 from cypressledge.fleet.operator_api import FleetOperatorApi
 from cypressledge.fleet.restart_turns import RestartTurns
 from cypressledge.fleet.settings import FleetSettings, Peer, TaskSpec, read_fleet_settings
@@ -119,20 +119,24 @@
         )
         return FleetNode(
             self.name,
-            listen=listen,
-            addresses=_addresses(settings),
-            electorate=electorate,
-            slots=_lease_slots(settings),
-            drift_ppm=settings.drift_ppm,
-            ping_s=settings.ping_s,
-            counters=self.counters,
-            clock=clock,
-            wall=wall_us() + round(settings.lab.wall_step_s * 1e6),
-            on_lease_event=self._lease_changed,
-            end_work=lambda lease: self.runner.cancel(lease),
-            tick=self._tick,
-            urgent=URGENT_MESSAGES,
-            turn_times_kept=KEPT_TURN_TIMES,
+            NodeSettings(
+                listen=listen,
+                addresses=_addresses(settings),
+                slots=_lease_slots(settings),
+                drift_ppm=settings.drift_ppm,
+                ping_s=settings.ping_s,
+                wall=wall_us() + round(settings.lab.wall_step_s * 1e6),
+                turn_times_kept=KEPT_TURN_TIMES,
+            ),
+            electorate,
+            self.counters,
+            clock,
+            NodeHooks(
+                on_lease_event=self._lease_changed,
+                end_work=lambda lease: self.runner.cancel(lease),
+                tick=self._tick,
+                urgent=URGENT_MESSAGES,
+            ),
         )
 
     def _make_recorder(self) -> LeaseRecorder | None:
--- a/cypressledge/fleet/leases/lease_manager.py
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -4,7 +4,8 @@
 """
 
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass
 
 from msgspec import structs
 
@@ -37,6 +38,17 @@
 USUAL_REJECTIONS = (RejectionReason.HELD, RejectionReason.TOKEN)  # competition for a lease; no event
 
 
+@dataclass(frozen=True, slots=True)
+class LeaseSettings:
+    """The leases there are, the bound on clock rates, and what a start draws: every token granted is above
+    `base_token` (µs of the wall clock), timers are spread by `seed`."""
+
+    slots: Sequence[LeaseSlot]
+    drift_ppm: int
+    base_token: int
+    seed: int
+
+
 class LeaseManager:
     """A broker's participations in all leases, and its votes.
 
@@ -46,18 +58,15 @@
         self,
         name: str,
         instance_id: int,
-        slots: Iterable[LeaseSlot],
         electorate: Electorate,
-        drift_ppm: int,
+        settings: LeaseSettings,
         now: int,
-        base_token: int,
-        seed: int,
         send: Callable[[str, AnyItem], None],
         on_event: Callable[[LeaseEvent, str, int, str], None],
     ) -> None:
-        self.name, self.instance_id, self.drift_ppm = name, instance_id, drift_ppm
-        self.electorate, self.voter = electorate, Voter(electorate, now, base_token)
-        generator = random.Random(seed)
+        self.name, self.instance_id, self.drift_ppm = name, instance_id, settings.drift_ppm
+        self.electorate, self.voter = electorate, Voter(electorate, now, settings.base_token)
+        generator = random.Random(settings.seed)
         self.context = ParticipationContext(
             name=name,
             instance_id=instance_id,
@@ -72,7 +81,7 @@
         self.participations = self.context.participations
         self.token_recovery_at = now + TOKEN_RECOVERY_DELAY
         self.next_due_at = 0  # no participation is due before
-        self.set_slots(slots, now)
+        self.set_slots(settings.slots, now)
 
     @property
     def alive(self) -> frozenset[str]:
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -8,7 +8,8 @@
 import os
 import time
 from collections import deque
-from collections.abc import Callable, Collection, Iterable, Mapping
+from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
+from dataclasses import dataclass
 
 import gevent
 from structlog.typing import FilteringBoundLogger
@@ -19,7 +20,7 @@
 from cypressledge.fleet.datagram_transport import Address, DatagramTransport, SenderState
 from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.leases.electorate import Electorate
-from cypressledge.fleet.leases.lease_manager import LeaseManager
+from cypressledge.fleet.leases.lease_manager import LeaseManager, LeaseSettings
 from cypressledge.fleet.leases.participation import HeldLease, LeaseEvent, LeaseSlot
 from cypressledge.fleet.membership import Member, Membership
 from cypressledge.fleet.messages import (
@@ -65,59 +66,73 @@
     return int.from_bytes(os.urandom(8), "big") >> (64 - INSTANCE_ID_BITS) or 1
 
 
-class FleetNode:
-    """Membership and leases of one member of the fleet, on one UDP socket.
+@dataclass(frozen=True, slots=True)
+class NodeSettings:
+    """How a node takes part. `listen`: its own fleet socket; `addresses`: the peers' (its own name among them
+    is ignored). `instance_id`: 0 for a new one; `wall`: µs of the wall clock, for the incarnation and tokens,
+    0 for the machine's."""
+
+    listen: Address
+    addresses: Mapping[str, Address]
+    slots: Sequence[LeaseSlot]
+    drift_ppm: int
+    ping_s: float
+    instance_id: int = 0
+    wall: int = 0
+    turn_times_kept: int = TURN_TIMES_KEPT
+
+
+@dataclass(frozen=True, slots=True)
+class NodeHooks:
+    """What the process does for its node. All are called by the owner, but for those of `FleetNode.release`,
+    `set_slots` and `stop`, which the caller's greenlet calls.
 
-    `addresses`: the peers' fleet sockets; its own name among them is ignored. `wall`: µs of the wall clock,
-    for the incarnation and tokens. Hooks, all called by the owner but for those of `release`, `set_slots` and
-    `stop`, which the caller's greenlet calls:
     `on_lease_event(event, lease, token, reason)`: what has happened to a lease, once decided;
     `on_member_change(member, reason)`: a peer is alive, suspect or gone; must not block;
     `end_work(lease)`: end what is done under a lease; whether it has ended, else the lease is not released;
     `tick(now)`: what else time brings, µs; the moment of its next call;
-    `handlers`: by type, who handles items that are neither the membership's nor the leases'; others are
-    counted.
-    `urgent`: types of those that are handled without waiting for further items.
-
-    Raises `OSError` where `listen` can't be bound.
+    `urgent`: types of items that are handled without waiting for further ones.
     """
 
+    on_lease_event: Callable[[LeaseEvent, str, int, str], None] = lambda event, lease, token, reason: None
+    on_member_change: Callable[[Member, str], None] = lambda member, reason: None
+    end_work: Callable[[str], bool] = lambda lease: True
+    tick: Callable[[int], int] | None = None
+    urgent: Collection[type] = ()
+
+
+NO_HOOKS = NodeHooks()
+
+
+class FleetNode:
+    """Membership and leases of one member of the fleet, on one UDP socket. `handlers`: by type, who handles
+    items that are neither the membership's nor the leases'; others are counted. Raises `OSError` where the
+    socket can't be bound."""
+
     def __init__(
         self,
         name: str,
-        *,
-        listen: Address,
-        addresses: Mapping[str, Address],
+        settings: NodeSettings,
         electorate: Electorate,
-        slots: Iterable[LeaseSlot],
-        drift_ppm: int,
-        ping_s: float,
         counters: Counters,
         clock: LeaseClock,
-        instance_id: int = 0,
-        wall: int = 0,
+        hooks: NodeHooks = NO_HOOKS,
         log: FilteringBoundLogger | None = None,
-        on_lease_event: Callable[[LeaseEvent, str, int, str], None] | None = None,
-        on_member_change: Callable[[Member, str], None] | None = None,
-        end_work: Callable[[str], bool] | None = None,
-        tick: Callable[[int], int] | None = None,
-        handlers: Mapping[type, Handler] | None = None,
-        urgent: Collection[type] = (),
-        turn_times_kept: int = TURN_TIMES_KEPT,
     ) -> None:
         self.name, self.counters, self.clock, self.electorate = name, counters, clock, electorate
-        self.instance_id = instance_id or new_instance_id()
+        self.instance_id = settings.instance_id or new_instance_id()
         self.log = event_logger(name, self.instance_id) if log is None else log
-        self.on_lease_event, self.on_member_change = on_lease_event, on_member_change
-        self.end_work, self.tick = end_work, tick
-        self.handlers, self.urgent = dict(handlers or {}), URGENT_ITEMS | frozenset(urgent)
-        now, wall = clock.now(), wall or wall_us()
-        self.transport = DatagramTransport(name, listen, counters, clock.now, self._sender_state)
+        self.hooks = hooks
+        self.handlers: dict[type, Handler] = {}
+        self.urgent = URGENT_ITEMS | frozenset(hooks.urgent)
+        self.transport = DatagramTransport(name, settings.listen, counters, clock.now, self._sender_state)
+        self.transport.set_peers({p: a for p, a in settings.addresses.items() if p != name})
+        wall = settings.wall or wall_us()
         self.membership = Membership(
             name,
-            list(addresses),
+            list(settings.addresses),
             wall // 1000,
-            round(ping_s * 1e6),
+            round(settings.ping_s * 1e6),
             self.instance_id,
             self.transport.send,
             self._member_changed,
@@ -125,22 +140,19 @@
         self.lease_manager = LeaseManager(
             name,
             self.instance_id,
-            slots,
             electorate,
-            drift_ppm,
-            now,
-            wall,
-            self.instance_id,
+            LeaseSettings(settings.slots, settings.drift_ppm, base_token=wall, seed=self.instance_id),
+            clock.now(),
             self.transport.send,
             self._lease_event,
         )
         self.voters_versions: dict[str, int] = {}  # by peer, as last heard
-        self.transport.set_peers({p: a for p, a in addresses.items() if p != name})
         self.pending_events: list[tuple[LeaseEvent, str, int, str]] = []
         self.loops = [self.transport.read, self.run]  # to be spawned as greenlets
         self.owner: gevent.Greenlet | None = None
         self.stopped, self.in_turn, self.turn_started_ns = False, False, 0
-        self.turn_times: deque[int] = deque(maxlen=turn_times_kept)  # µs that others may have to wait for
+        # µs that others may have to wait for a turn
+        self.turn_times: deque[int] = deque(maxlen=settings.turn_times_kept)
 
     def turn_p99(self) -> int:
         """The 99th percentile of the owner's turn times kept, µs."""
@@ -224,8 +236,8 @@
             self._receive(now, self.transport.inbox.popleft())
         due_at = self.membership.tick(now)
         self.lease_manager.set_alive(self.membership.alive(), now)
-        if self.tick is not None:
-            due_at = min(due_at, self.tick(now))
+        if self.hooks.tick is not None:
+            due_at = min(due_at, self.hooks.tick(now))
         due_at = min(due_at, self.lease_manager.tick(now))
         self._report_lease_events()
         # Other greenlets may run from here on, and queue for peers that the flush has passed.
@@ -287,8 +299,7 @@
         """Report what has happened to leases: work under them starts and ends outside the decisions."""
         events, self.pending_events = self.pending_events, []
         for event, lease, token, reason in events:
-            if self.on_lease_event is not None:
-                self.on_lease_event(event, lease, token, reason)
+            self.hooks.on_lease_event(event, lease, token, reason)
             self.counters.add(f"fleet.{event}")
             if event not in COUNTED_ONLY:
                 self.log.info(f"lease_{event}", lease=lease, token=token, why=reason)
@@ -297,8 +308,7 @@
         event = f"peer_{member.state.name.lower()}"
         self.counters.add(f"fleet.{event}")
         self.log.info(event, peer=member.name, incarnation=member.incarnation, why=reason)
-        if self.on_member_change is not None:
-            self.on_member_change(member, reason)
+        self.hooks.on_member_change(member, reason)
 
     # Changes at run time
 
@@ -316,19 +326,16 @@
         """Set the leases there are. One that is no longer among them is released, once its work has ended."""
         slots = list(slots)
         for lease in set(self.lease_manager.participations) - {slot.lease for slot in slots}:
-            self._end_work(lease)
+            self.hooks.end_work(lease)
         self.lease_manager.set_slots(slots, self.clock.now())
         self.wake()
 
     # Releasing leases, and stopping
 
-    def _end_work(self, lease: str) -> bool:
-        return self.end_work is None or self.end_work(lease)
-
     def release(self, lease: str, reason: str, rest_s: float = 0.0) -> bool:
         """End what is done under a lease, then release it. `rest_s`: seconds in which it is not requested
         again. Whether it was held, and has been released."""
-        if not self._end_work(lease):
+        if not self.hooks.end_work(lease):
             return False  # work goes on: the lease has to expire with it
         done = self.lease_manager.release(lease, self.clock.now(), reason, round(rest_s * 1e6))
         self._report_lease_events()
@@ -343,7 +350,7 @@
         self.stopped = True
         now = self.clock.now()
         for lease in [n for n in self.lease_manager.participations if n not in kept]:
-            if self._end_work(lease):
+            if self.hooks.end_work(lease):
                 self.lease_manager.release(lease, now, "stopping")
         self.lease_manager.stop()
         self.membership.leave()
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -103,23 +103,24 @@
     def _join(self) -> None:
         from cypressledge.fleet.leases.electorate import Electorate
         from cypressledge.fleet.leases.participation import LeaseSlot
-        from cypressledge.fleet.node import FleetNode
+        from cypressledge.fleet.node import FleetNode, NodeSettings
 
         told, clock = self.members, LeaseClock()
         term = round(told["term_s"] * 1e6)
         electorate = Electorate(self.name, term, {1: tuple(told["voters"])}, 1, clock.now(), 0)
-        places = [LeaseSlot(lease, lease, term, False) for lease in told["leases"]]
         self.node = FleetNode(
             self.name,
-            listen=parse_address(self.address),
-            addresses={self.name: parse_address(self.address)},
-            electorate=electorate,
-            slots=places,
-            drift_ppm=DRIFT_PPM,
-            ping_s=told["ping_s"],
-            counters=self.counters,
-            clock=clock,
-            instance_id=self.run,
+            NodeSettings(
+                listen=parse_address(self.address),
+                addresses={self.name: parse_address(self.address)},
+                slots=[LeaseSlot(lease, lease, term, False) for lease in told["leases"]],
+                drift_ppm=DRIFT_PPM,
+                ping_s=told["ping_s"],
+                instance_id=self.run,
+            ),
+            electorate,
+            self.counters,
+            clock,
             log=self.log,
         )
         self.node.transport.inbox = Gate(self._beyond)
--- a/cypressledge/lab/virtual.py
+++ b/cypressledge/lab/virtual.py
@@ -14,7 +14,7 @@
 from tabulate import tabulate
 
 from cypressledge.fleet.leases.electorate import Electorate
-from cypressledge.fleet.leases.lease_manager import LeaseManager
+from cypressledge.fleet.leases.lease_manager import LeaseManager, LeaseSettings
 from cypressledge.fleet.leases.participation import lease_slots
 from cypressledge.fleet.membership import ALIVE, Membership
 from cypressledge.fleet.messages import VERSION, Ack, Envelope, IndirectPing, Ping, encode
@@ -41,12 +41,9 @@
         self.lease_manager = LeaseManager(
             name,
             run,
-            world.places,
             e,
-            world.drift,
+            LeaseSettings(world.places, world.drift, base_token=world.wall(), seed=run),
             now,
-            world.wall(),
-            run,
             self.send,
             lambda *told: world.told(self, *told),
         )
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -16,7 +16,7 @@
 from cypressledge.fleet.leases.participation import LeaseEvent, lease_slots
 from cypressledge.fleet.membership import ALIVE, GONE, SUSPECT, Membership
 from cypressledge.fleet.messages import EngineObservations, GossipUpdate, Ping
-from cypressledge.fleet.node import FleetNode
+from cypressledge.fleet.node import FleetNode, NodeHooks, NodeSettings
 from cypressledge.fleet.settings import read_fleet_settings
 from cypressledge.lab.processes import until
 from cypressledge.lab.site import free_udp_ports
@@ -43,21 +43,29 @@
         for name in NAMES:
             self.start(name, self.at[name])
 
-    def start(self, name, listen, **more):
+    def start(self, name, listen, end_work=lambda lease: True, **changed):
         clock = LeaseClock()
         settings = {
+            "listen": listen,
             "addresses": self.at,
+            "slots": [*lease_slots("one", 1, TERM, False), *lease_slots("wish", 1, TERM, True)],
             "drift_ppm": 10_000,
             "ping_s": 0.1,
-            "counters": Counters(),
-            "clock": clock,
-            "electorate": Electorate(name, TERM, {1: NAMES}, 1, clock.now()),
-            "log": Quiet(),
-            "slots": [*lease_slots("one", 1, TERM, False), *lease_slots("wish", 1, TERM, True)],
-            "on_lease_event": lambda *what: self.events.append((name, *what)),
-            "on_member_change": lambda m, why: self.changed.append((name, m.name, m.state)),
         }
-        node = self.nodes[name] = FleetNode(name, listen=listen, **(settings | more))
+        hooks = NodeHooks(
+            on_lease_event=lambda *what: self.events.append((name, *what)),
+            on_member_change=lambda member, reason: self.changed.append((name, member.name, member.state)),
+            end_work=end_work,
+        )
+        node = self.nodes[name] = FleetNode(
+            name,
+            NodeSettings(**(settings | changed)),
+            Electorate(name, TERM, {1: NAMES}, 1, clock.now()),
+            Counters(),
+            clock,
+            hooks,
+            log=Quiet(),
+        )
         self.greenlets += map(gevent.spawn, node.loops)
         return node
 
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -12,7 +12,7 @@
 from cypressledge.config import ConfigError
 from cypressledge.fleet.leases.candidate_order import candidate_order
 from cypressledge.fleet.leases.electorate import Electorate
-from cypressledge.fleet.leases.lease_manager import LeaseManager
+from cypressledge.fleet.leases.lease_manager import LeaseManager, LeaseSettings
 from cypressledge.fleet.leases.participation import ParticipationPhase, lease_slots
 from cypressledge.fleet.messages import (
     MAX_DATAGRAM_BYTES,
@@ -229,12 +229,9 @@
     manager = LeaseManager(
         FIRST,
         9,
-        lease_slots("l", 1, 3 * S, False),
         Electorate(FIRST, 3 * S, {1: VOTERS}, 1, 0),
+        LeaseSettings(lease_slots("l", 1, 3 * S, False), drift_ppm=0, base_token=0, seed=1),
         0,
-        0,
-        0,
-        1,
         lambda to, item: sent.append((to, item)),
         lambda *a: None,
     )
@@ -268,12 +265,9 @@
         manager = LeaseManager(
             "n9",
             9,
-            lease_slots("l", 1, 3 * S, True),
             Electorate("n9", 3 * S, {1: VOTERS}, 1, 0),
+            LeaseSettings(lease_slots("l", 1, 3 * S, True), drift_ppm=0, base_token=0, seed=1),
             0,
-            0,
-            0,
-            1,
             lambda *a: None,
             lambda *a: None,
         )
