--- a/cypressledge/fleet/datagram_transport.py
+++ b/cypressledge/fleet/datagram_transport.py
@@ -43,7 +43,7 @@
 
 
 class SenderState(NamedTuple):
-    """What each envelope says of its sender, beside the name."""
+    """What each envelope states of its sender, beside the name."""
 
     instance_id: int
     incarnation: int
--- a/cypressledge/fleet/leases/electorate.py
+++ b/cypressledge/fleet/leases/electorate.py
@@ -48,7 +48,7 @@
         return self.version if now >= self.adopted_at + self.grace else self.version - 1
 
     def observe(self, now: int, name: str, oldest_accepted: int) -> None:
-        """Record the oldest version that a broker accepts, as it says."""
+        """Record the oldest version that a broker accepts, as its messages state it."""
         known = self.oldest_accepted_by.setdefault(name, [])
         if not known or oldest_accepted > known[-1][0]:
             known.append((oldest_accepted, now))
--- a/cypressledge/fleet/leases/lease_manager.py
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -1,6 +1,7 @@
 """All leases as one broker sees them, and its vote in them where it is a voter. No I/O.
 
-Told the time in µs, on the clock that leases use. What is done about each lease is `participation.py`'s.
+Callers pass the time in µs, on the clock that leases use. What is done about each lease is
+`participation.py`'s.
 """
 
 import random
@@ -130,7 +131,7 @@
         """Request no lease from here on."""
         self.context.stopping = True
 
-    # What operators and tasks ask
+    # For operators and tasks
 
     def candidates(self, lease: str) -> list[str]:
         """The candidates for a lease among those alive, first to last."""
--- a/cypressledge/fleet/leases/participation.py
+++ b/cypressledge/fleet/leases/participation.py
@@ -2,7 +2,7 @@
 
 Safety rests on `voter.py` and `acquisition.py` alone; here only time can be lost. The first candidate
 (`candidate_order.py`) requests votes at once, the others stand by and request later, so that votes are seldom
-split. Told the time in µs, on the clock that leases use.
+split. Callers pass the time in µs, on the clock that leases use.
 """
 
 import random
@@ -151,7 +151,7 @@
     statuses: dict[str, LeaseStatus] = field(default_factory=dict)  # by voter, of the query under way
     known_holder: str = ""  # as last heard
 
-    # What operators and tasks ask
+    # For operators and tasks
 
     def held_lease(self, now: int) -> HeldLease | None:
         """The lease, if it is held now."""
--- a/cypressledge/fleet/leases/voter.py
+++ b/cypressledge/fleet/leases/voter.py
@@ -1,4 +1,5 @@
-"""A voter's side of leases: one vote a lease, for one process, for a bounded time. No I/O, told the time.
+"""A voter's side of leases: one vote a lease, for one process, for a bounded time. No I/O: callers pass the
+time.
 
 A voter votes for one process at a time, on its own clock. Nothing is stored: a voter that starts does not
 vote until whatever it may have granted before has expired. The argument, with every assumption, is in
--- a/cypressledge/fleet/membership.py
+++ b/cypressledge/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Which peers are alive, suspect or gone, and under which incarnation. No I/O, told the time (µs).
+"""Which peers are alive, suspect or gone, and under which incarnation. No I/O: callers pass the time (µs).
 
 Method: SWIM (Das, Gupta, Motivala, 2002): each period one peer is pinged, in a shuffled round; a peer that
 does not answer is pinged through others, then suspect, then gone; updates ride on the pings as gossip. A
@@ -48,7 +48,7 @@
     state: MemberState = GONE
     state_since: int = 0
     last_heard_at: int = 0  # when it last spoke itself
-    notified_at: int = NEVER  # when it was last told that its messages do not count
+    notified_at: int = NEVER  # when it was last notified that its messages do not count
 
 
 @dataclass(slots=True)
@@ -279,7 +279,7 @@
                 self._apply_update(now, self.members[update.name], update)
 
     def _refute_update(self, update: GossipUpdate) -> None:
-        """Go above what is said of this broker, unless it says no more than the truth."""
+        """Go above the incarnation of an update about this broker, unless that is true."""
         if update.incarnation > self.incarnation or (
             update.incarnation == self.incarnation and update.state != ALIVE and not self.leaving
         ):
--- a/cypressledge/fleet/messages.py
+++ b/cypressledge/fleet/messages.py
@@ -1,6 +1,6 @@
 """Messages between brokers of a fleet, and their encoding (msgspec, MessagePack). No I/O.
 
-One datagram is one `Envelope` with a list of items. MessagePack and msgspec's tagged structs are the whole
+One datagram is one `Envelope` with a list of items. MessagePack and msgspec's tagged structs are all of the
 format: a datagram has its own bounds, so there is no framing. Structs are encoded by position: tags, the
 order of fields and `VERSION` are the wire format, names are not. Times in messages are durations in µs, never
 points in time: brokers' clocks share nothing but their rate, within a bound.
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -164,7 +164,7 @@
         oldest = electorate.oldest_accepted(self.clock.now())
         return SenderState(self.instance_id, self.membership.incarnation, electorate.version, oldest)
 
-    # What others ask
+    # For the process around it
 
     def now(self) -> int:
         """µs on the clock that leases use."""
--- a/cypressledge/fleet/tasks/cpu_budget.py
+++ b/cypressledge/fleet/tasks/cpu_budget.py
@@ -1,4 +1,4 @@
-"""What background work may take: a share of one core, in slices, the important first. No I/O, told the time.
+"""What background work may take: a share of one core, in slices, the important first. No I/O.
 
 A request that arrives while a task's step runs waits for the step at most, so steps are kept short and a
 slice ends after `slice_us` of processor time; after it the tasks rest until their share has caught up.
--- a/cypressledge/fleet/tasks/service_call.py
+++ b/cypressledge/fleet/tasks/service_call.py
@@ -68,7 +68,7 @@
 
 
 def _known_token(answer: bytes) -> int:
-    """The token that a service says it knows; 0 where its answer is not as expected."""
+    """The token that a service knows, by its answer; 0 where its answer is not as expected."""
     try:
         return int(json.loads(answer)["token"])
     except (ValueError, KeyError, TypeError, RecursionError):
