--- /dev/null
+++ b/tests/decisions/test_deadlines.py
@@ -0,0 +1,26 @@
+"""The queue of requests by moment."""
+
+from cypressledge.decisions.deadlines import DeadlineQueue
+
+
+def test_what_is_due_comes_out_earliest_first_and_once():
+    queue = DeadlineQueue()
+    for moment, number in ((30, 1), (10, 2), (20, 3), (40, 4)):
+        queue.schedule(moment, number)
+    assert list(queue.expired(30)) == [2, 3, 1]
+    assert list(queue.expired(30)) == []
+    assert queue.next_moment() == 40
+    assert list(queue.expired(40)) == [4]
+    assert queue.next_moment() is None
+
+
+def test_what_is_scheduled_while_others_come_out_comes_out_too():
+    queue = DeadlineQueue()
+    queue.schedule(10, 1)
+    seen = []
+    for number in queue.expired(20):
+        seen.append(number)
+        if number == 1:
+            queue.schedule(15, 2)
+            queue.schedule(25, 3)
+    assert seen == [1, 2]
--- /dev/null
+++ b/tests/decisions/test_inspection.py
@@ -0,0 +1,196 @@
+"""The regular look at attempts in flight, and when it and the control period are due."""
+
+from dataclasses import replace
+from types import SimpleNamespace
+
+import pytest
+
+from cypressledge.decisions.contract import Reason, StartTimer
+from cypressledge.decisions.engine_admission import EngineAdmission
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.housekeeping import Housekeeping
+from cypressledge.decisions.inspection import Inspection
+from cypressledge.decisions.odds import OddsController
+from cypressledge.decisions.odds_loop import OddsLoop
+from tests.decisions.parts import LOOKUP, SECOND, context, registry, request, sent
+
+
+class Inspected:
+    """Two engines, and what an inspection of them finds."""
+
+    def __init__(self):
+        self.context = context(LOOKUP, replace(LOOKUP, blocked_by_loads=True))
+        self.registry = registry(self.context, 1, 2)
+        self.engine = self.registry.engines[1]
+        self.lost, self.moved, self.silences, self.updated = set(), [], {}, []
+        self.inspection = Inspection(
+            self.context,
+            self.registry,
+            ClassEstimates(self.context),
+            SimpleNamespace(update=lambda made: self.updated.append(made.id)),
+            SimpleNamespace(record_silence=self.record_silence),
+            SimpleNamespace(check=lambda engine, made: made.id in self.lost),
+            SimpleNamespace(move=lambda made, reason: self.moved.append((made.id, reason))),
+        )
+
+    def record_silence(self, engine, missing):
+        self.silences[engine.id] = missing
+
+    def send(self, number, **what):
+        return sent(self.context, request(self.context, number, **what), self.engine)
+
+    def run(self, after=0):
+        self.context.now += after
+        self.inspection.run()
+
+
+def test_an_idle_engine_is_not_overdue_and_not_silent():
+    f = Inspected()
+    f.engine.overdue_ratio = 5.0
+    f.run()
+    assert f.engine.overdue_ratio == 1.0
+    assert f.silences == {}
+
+
+def test_the_overdue_ratio_is_age_over_run_time():
+    f = Inspected()
+    f.send(1, cost=100_000)
+    f.run(after=50_000)
+    assert f.engine.overdue_ratio == pytest.approx(1.0, abs=1e-4)
+    f.send(2, cost=300_000)
+    f.run(after=350_000)  # 400 ms and 350 ms old
+    assert f.engine.overdue_ratio == pytest.approx(750 / 400, abs=1e-4)
+
+
+def test_missing_answers_add_up_and_one_attempt_adds_four_at_most():
+    f = Inspected()
+    f.send(1, cost=100_000)
+    f.send(2, cost=200_000)
+    f.run(after=300_000)
+    assert f.silences == {1: pytest.approx(3.0 + 1.5)}
+    f.run(after=10 * SECOND)
+    assert f.silences == {1: 8.0}
+
+
+def test_attempts_of_a_group_that_a_load_may_block_count_once():
+    f = Inspected()
+    for number in range(1, 6):
+        f.send(number, class_index=1, table_group=7)
+    f.send(6, class_index=1, table_group=8)
+    f.run(after=300_000)
+    assert f.silences == {1: pytest.approx(6.0)}
+
+
+def test_silence_ends_with_the_engines_last_word():
+    f = Inspected()
+    f.send(1)
+    f.engine.last_activity_at = f.context.now + 200_000
+    f.run(after=300_000)
+    assert f.silences == {1: pytest.approx(1.0)}
+
+
+def test_lost_responses_are_no_silence_and_no_slowness():
+    f = Inspected()
+    f.send(1)
+    f.lost = {1}
+    f.run(after=SECOND)
+    assert f.silences == {1: 0.0}
+    assert f.engine.overdue_ratio == 0.0
+    assert f.updated == []
+
+
+def test_what_runs_at_an_ejected_engine_is_moved_unless_it_is_new_or_over():
+    f = Inspected()
+    f.send(1)
+    f.send(2).finished = True
+    f.context.now += 1
+    f.send(3)
+    f.engine.ejected = True
+    f.run(after=400_000)
+    assert f.moved == [(1, Reason.ENGINE_SILENT)]
+
+
+class Periodic:
+    """A part of the decisions that notes its periods."""
+
+    def __init__(self):
+        self.periods = 0
+
+    def end_period(self):
+        self.periods += 1
+
+
+def housekeeping(requests, next_moment=None):
+    ctx, looks, part = context(), [], Periodic()
+    lifecycle = SimpleNamespace(requests=requests, next_moment=lambda: next_moment)
+    made = Housekeeping(ctx, lifecycle, [lambda: looks.append(ctx.now)], [part])
+    made.start()
+    return ctx, made, looks, part
+
+
+def test_looks_are_100_ms_apart_and_periods_two_seconds():
+    ctx, made, looks, part = housekeeping({})
+    for _ in range(400):
+        ctx.now += 10_000
+        made.run()
+    assert len(looks) == 40
+    assert part.periods == 2
+
+
+def test_without_an_open_request_there_is_no_timer():
+    ctx, made, _, _ = housekeeping({})
+    made.schedule_timer()
+    assert ctx.actions == []
+
+
+@pytest.mark.parametrize(("due", "after"), [(None, 100_000), (40_000, 40_000), (1, 5_000), (10**9, 100_000)])
+def test_a_timer_is_for_what_is_due_next_and_one_resolution_away_at_least(due, after):
+    ctx, made, _, _ = housekeeping({1: None}, due and context().now + due)
+    made.schedule_timer()
+    assert ctx.actions == [StartTimer(after)]
+    made.schedule_timer()
+    assert len(ctx.actions) == 1 + (due == 1)  # one that is still to come is not asked for twice
+
+
+def test_requests_that_still_wait_count_in_the_odds_loop():
+    ctx = context(LOOKUP, LOOKUP)
+    odds = OddsController(2)
+    waiting = [request(ctx, number, class_index=number % 2) for number in range(8)]
+    queues = SimpleNamespace(waiting_for_first_attempt=lambda: waiting)
+    loop = OddsLoop(ctx, odds, queues, ClassEstimates(ctx))
+    ctx.now += 100_000
+    loop.end_period()
+    assert odds.ratios == [1.0]  # both waited alike
+    assert odds.previous_errors == [0.0]
+    assert odds.sample_counts == [0, 0]  # there were enough
+
+
+class Limit:
+    """One limit of an engine, met or not."""
+
+    def __init__(self, calls, name, is_open=True):
+        self.calls, self.name, self.is_open = calls, name, is_open
+
+    def __getattr__(self, method):
+        def call(*arguments):
+            self.calls.append((self.name, method))
+            return self.is_open
+
+        return call
+
+
+@pytest.mark.parametrize(("ejected", "asked"), [(False, 2), (True, 3)])
+def test_admission_asks_health_of_ejected_engines_then_slow_start_then_capacity(ejected, asked):
+    calls = []
+    parts = [Limit(calls, name) for name in ("health", "slow_start", "limits")]
+    ctx = context()
+    engine = registry(ctx, 1).engines[1]
+    engine.ejected = ejected
+    admission = EngineAdmission(*parts)
+    assert admission.admits(engine, request(ctx), 0.0)
+    assert [name for name, _ in calls] == ["health", "slow_start", "limits"][-asked:]
+    for closed in parts[-asked:]:
+        closed.is_open = False
+        assert not admission.admits(engine, request(ctx), 0.0)
+        assert calls[-1][0] == closed.name  # what comes behind it is not asked
+        closed.is_open = True
--- /dev/null
+++ b/tests/decisions/test_lifecycle.py
@@ -0,0 +1,282 @@
+"""Requests from their coming to their final answer, and what ends of attempts mean for them."""
+
+from dataclasses import replace
+from types import SimpleNamespace
+
+import pytest
+
+from cypressledge.decisions.affinity import Affinity
+from cypressledge.decisions.attempts import AttemptControl
+from cypressledge.decisions.contract import (
+    AttemptEnded,
+    ClientDisconnected,
+    DeduplicationScope,
+    FailRequest,
+    Idempotency,
+    Outcome,
+    Reason,
+    RejectRequest,
+    RequestReceived,
+)
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.lifecycle import RequestLifecycle
+from cypressledge.decisions.odds import OddsController
+from cypressledge.decisions.outcomes import AnswerObservers, AttemptOutcomes
+from cypressledge.decisions.queues import ClassQueues
+from cypressledge.decisions.retries import RetryBudget, RetryPolicy
+from tests.decisions.parts import LOOKUP, SECOND, context, registry, sent
+
+KEYED = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_window=2 * SECOND)
+ZONED = replace(KEYED, deduplication_scope=DeduplicationScope.ZONE)
+UNSAFE = replace(LOOKUP, idempotency=Idempotency.NOT_IDEMPOTENT)
+ORDERED = replace(UNSAFE, ordered=True)
+
+
+class Observed:
+    """Stands for whatever learns from answers; notes what it is told."""
+
+    def __init__(self):
+        self.names = []
+
+    def __getattr__(self, name):
+        def told(*arguments):
+            self.names.append(name)
+            return 1_000.0
+
+        return told
+
+
+class Life:
+    """The lifecycle of one class, over two engines."""
+
+    def __init__(self, class_settings=LOOKUP, **changes):
+        self.context = ctx = context(class_settings, **changes)
+        self.registry = registry(ctx, 1, 2)
+        self.engine = self.registry.engines[1]
+        estimates = ClassEstimates(ctx)
+        self.budget, self.odds = RetryBudget(ctx), OddsController(1)
+        policy = RetryPolicy(ctx, self.budget)
+        queues = ClassQueues(ctx, SimpleNamespace(slowdown=1.0))
+        affinity = Affinity(ctx, self.registry, estimates)
+        control = AttemptControl(ctx, policy)
+        self.life = RequestLifecycle(ctx, estimates, affinity, self.budget, control, self.odds, queues)
+        self.observed = Observed()
+        observers = AnswerObservers(*[self.observed] * 6)
+        self.outcomes = AttemptOutcomes(ctx, self.registry, self.life, queues, policy, observers)
+
+    def receive(self, number=1, key=0, due=5 * SECOND):
+        self.life.receive(RequestReceived(number, 0, self.context.now + due, key, cost=100_000))
+        return self.life.requests[number]
+
+    def send(self, made):
+        made.queued = False
+        return sent(self.context, made, self.engine, made.attempts + 1)
+
+    def end(self, made, outcome, final=False, after=0):
+        self.context.now += after
+        self.outcomes.attempt_ended(AttemptEnded(made.id, made.attempts - 1, 1, outcome, final, 1_000))
+
+    def answers(self):
+        return [
+            (type(a), a.reason) for a in self.context.actions if isinstance(a, RejectRequest | FailRequest)
+        ]
+
+
+def test_a_request_is_queued_as_it_comes():
+    f = Life()
+    made = f.receive()
+    assert made.queued
+    assert f.life.next_moment() == made.deadline - 30_000
+
+
+def test_requests_of_a_key_are_queued_one_after_the_other():
+    f = Life(ORDERED)
+    one, two = f.receive(1, key=7), f.receive(2, key=7)
+    assert (one.queued, two.queued) == (True, False)
+    f.life.give_up(one, Reason.NO_CAPACITY)
+    assert two.queued
+
+
+def test_a_client_that_leaves_ends_its_request_without_an_answer():
+    f = Life()
+    f.receive()
+    f.life.client_disconnected(ClientDisconnected(1))
+    f.life.client_disconnected(ClientDisconnected(1))
+    assert f.life.requests == {}
+    assert f.context.actions == []
+    assert f.odds.sample_counts == [1]  # it has waited in vain
+
+
+@pytest.mark.parametrize(("class_settings", "cancels"), [(LOOKUP, 1), (KEYED, 1), (UNSAFE, 0)])
+def test_what_runs_for_a_client_that_left_is_cancelled_where_that_is_harmless(class_settings, cancels):
+    f = Life(class_settings)
+    made = f.send(f.receive())
+    f.life.client_disconnected(ClientDisconnected(1))
+    assert len(f.context.actions) == cancels
+    assert made.finished
+    f.end(made, Outcome.CANCELLED)
+    assert f.life.requests == {}
+
+
+def test_a_request_that_is_taken_back_unsent_allows_no_retry():
+    f = Life(retry_budget_ratio=1.0, retry_budget_window=10 * SECOND)
+    f.receive()
+    assert f.budget.allows_retry()
+    f.life.client_disconnected(ClientDisconnected(1))
+    assert not f.budget.allows_retry()
+
+
+@pytest.mark.parametrize(
+    ("class_settings", "state", "answer"),
+    [
+        (LOOKUP, "waiting", RejectRequest),
+        (LOOKUP, "in flight", RejectRequest),
+        (LOOKUP, "may have run", RejectRequest),
+        (KEYED, "waiting", RejectRequest),
+        (KEYED, "in flight", FailRequest),
+        (KEYED, "may have run", RejectRequest),
+        (ZONED, "may have run", FailRequest),
+        (UNSAFE, "waiting", RejectRequest),
+        (UNSAFE, "in flight", FailRequest),
+        (UNSAFE, "may have run", FailRequest),
+    ],
+)
+def test_a_request_is_rejected_only_where_its_client_may_send_it_again(class_settings, state, answer):
+    f = Life(class_settings)
+    made = f.receive()
+    if state == "in flight":
+        f.send(made)
+    elif state == "may have run":
+        made.may_have_executed_since, made.may_have_executed_on = f.context.now, f.engine
+    f.life.give_up(made, Reason.DEADLINE)
+    assert f.answers() == [(answer, Reason.DEADLINE)]
+
+
+@pytest.mark.parametrize(("is_sent", "reason"), [(False, Reason.NO_CAPACITY), (True, Reason.DEADLINE)])
+def test_a_request_ends_30_ms_before_its_deadline(is_sent, reason):
+    f = Life()
+    made = f.receive()
+    if is_sent:
+        f.send(made)
+    f.context.now = made.deadline - 30_001
+    f.life.expire()
+    assert f.answers() == []
+    f.context.now += 1
+    f.life.expire()
+    assert f.answers() == [(RejectRequest, reason)]
+
+
+def test_at_the_shutdown_all_that_is_open_is_answered_once():
+    f = Life()
+    f.receive(1)
+    f.send(f.receive(2))
+    f.life.shutdown_started()
+    f.life.shutdown_started()
+    assert f.answers() == [(RejectRequest, Reason.SHUTTING_DOWN)] * 2
+
+
+def test_a_keys_pause_is_waited_for():
+    f = Life(ORDERED, ordering_key_cooldown=300_000)
+    one, two = f.receive(1, key=7), f.receive(2, key=7)
+    f.end(f.send(one), Outcome.RESET)
+    assert not two.queued
+    f.context.now += 305_000 - 1
+    f.life.expire()
+    assert not two.queued
+    f.context.now += 1
+    f.life.expire()
+    assert two.queued
+
+
+def test_an_answer_ends_the_request_and_everything_learns_from_it():
+    f = Life()
+    made = f.send(f.receive())
+    f.end(made, Outcome.OK, final=True)
+    assert f.life.requests == {}
+    assert f.engine.in_flight == {}
+    assert f.observed.names == ["release"] + ["record_answer"] * 6
+
+
+@pytest.mark.parametrize(
+    ("outcome", "told"),
+    [
+        (Outcome.ERROR, ["record_error"]),
+        (Outcome.REJECTED, ["record_rejection"]),
+        (Outcome.RESET, ["record_connection_failure"]),
+        (Outcome.CONNECT_FAILED, ["record_connection_failure"]),
+        (Outcome.TIMEOUT, []),
+        (Outcome.CANCELLED, []),
+        (Outcome.NOT_SENT, []),
+    ],
+)
+def test_who_learns_from_other_outcomes_and_a_retry_is_queued(outcome, told):
+    f = Life()
+    made = f.send(f.receive())
+    f.end(made, outcome)
+    assert f.observed.names == ["release", *told]
+    assert made.queued
+    assert made.avoided_engine is f.engine
+    assert made.engine is None
+
+
+@pytest.mark.parametrize(
+    ("outcome", "since"),
+    [
+        (Outcome.NOT_SENT, False),
+        (Outcome.CONNECT_FAILED, False),
+        (Outcome.REJECTED, False),
+        (Outcome.RESET, True),
+        (Outcome.TIMEOUT, True),
+        (Outcome.CANCELLED, True),
+        (Outcome.ERROR, True),
+    ],
+)
+def test_what_may_have_run_is_remembered_from_its_first_such_attempt(outcome, since):
+    f = Life(KEYED)
+    made = f.send(f.receive())
+    began = f.context.now
+    f.end(made, outcome, after=1_000)
+    assert made.may_have_executed_since == (began if since else None)
+    assert made.may_have_executed_on is (f.engine if since else None)
+    f.end(f.send(made), Outcome.RESET, after=1_000)
+    assert made.may_have_executed_since == (began if since else began + 1_000)
+
+
+def test_a_request_with_a_key_waits_within_its_window_only():
+    f = Life(KEYED)
+    made = f.send(f.receive())
+    f.end(made, Outcome.RESET, after=1_000)
+    f.context.now += 1_400_000 - 1_000  # two seconds less the margin of 600 ms since it was sent
+    f.life.expire()
+    assert f.answers() == [(RejectRequest, Reason.DEDUPLICATION_WINDOW_OVER)]
+
+
+def test_a_request_that_may_not_be_repeated_fails():
+    f = Life(UNSAFE)
+    f.end(f.send(f.receive()), Outcome.RESET)
+    assert f.answers() == [(FailRequest, Reason.MAY_HAVE_EXECUTED)]
+    assert f.life.requests == {}
+
+
+def test_ends_of_other_attempts_change_nothing():
+    f = Life()
+    made = f.send(f.receive())
+    for attempt, engine in ((1, 1), (0, 2), (0, 99)):
+        f.outcomes.attempt_ended(AttemptEnded(1, attempt, engine, Outcome.OK, True, 1_000))
+    assert f.engine.in_flight == {1: made}
+    assert f.observed.names == []
+
+
+def test_a_load_that_ends_blocks_no_longer():
+    f = Life(replace(LOOKUP, is_load=True))
+    made = f.send(f.receive())
+    f.engine.loads_in_flight[0] = 1
+    f.end(made, Outcome.OK, final=True)
+    assert f.engine.loads_in_flight == {0: 0}
+
+
+def test_an_answer_to_what_loads_block_tells_that_none_does():
+    f = Life(replace(LOOKUP, blocked_by_loads=True))
+    f.engine.blocked_until = {0: f.context.now + SECOND, 1: f.context.now + SECOND}
+    f.end(f.send(f.receive()), Outcome.OK, final=True)
+    assert f.engine.blocked_until == {1: f.context.now + SECOND}
--- /dev/null
+++ b/tests/decisions/test_load_reports.py
@@ -0,0 +1,47 @@
+"""Load reports in answers."""
+
+import pytest
+
+from cypressledge.decisions.load_reports import LoadReports
+from tests.decisions.parts import START, context, ended, registry, request
+
+
+def reported(*values, fields=("util", "queue", "inflight")):
+    ctx = context(load_report_fields=fields)
+    reports, engine = LoadReports(ctx), registry(ctx, 1).engines[1]
+    made = request(ctx)
+    made.attempts = 1
+    reports.record_answer(engine, made, ended(made, load_report=values))
+    return reports, engine
+
+
+@pytest.mark.parametrize(
+    ("values", "load"),
+    [
+        ((0.4, 0.0, 3.0), 0.4),
+        ((1.0, 4.0, 8.0), 1.5),  # four queries of a thread wait for eight cores
+        ((1.0, 0.0, 24.0), 3.0),  # three threads a core, one of them in the busy cores
+        ((1.0, 4.0, 24.0), 3.5),
+    ],
+)
+def test_load_is_busy_cores_and_threads_a_core_beyond_them(values, load):
+    _, engine = reported(*values)
+    assert engine.reported_load == pytest.approx(load)
+    assert engine.reported_at == START
+
+
+def test_fields_come_in_the_order_of_the_settings():
+    _, engine = reported(24.0, 1.0, fields=("inflight", "util"))
+    assert engine.reported_load == pytest.approx(3.0)
+
+
+def test_mean_and_spread_follow_the_reports():
+    reports, _ = reported(1.0)
+    assert reports.mean_load == pytest.approx(0.55)
+    assert reports.load_spread == pytest.approx(0.5)
+
+
+def test_an_answer_without_a_report_says_nothing():
+    reports, engine = reported()
+    assert engine.reported_at == 0
+    assert reports.mean_load == 0.5
--- /dev/null
+++ b/tests/decisions/test_routing.py
@@ -0,0 +1,186 @@
+"""The choice of an engine: filters and cost terms."""
+
+from collections import Counter
+from dataclasses import replace
+from types import SimpleNamespace
+
+import pytest
+
+from cypressledge.decisions.affinity import Affinity
+from cypressledge.decisions.contract import DeduplicationScope, Idempotency
+from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.load_reports import LoadReports
+from cypressledge.decisions.pace import FleetPace
+from cypressledge.decisions.routing import Router
+from tests.decisions.parts import LOOKUP, SECOND, context, entry, registry, request
+
+BLOCKED = replace(LOOKUP, blocked_by_loads=True)
+LOAD = replace(LOOKUP, is_load=True, latency_objective=10 * SECOND)
+
+
+class Routing:
+    """A router over engines that all have capacity, unless the test says otherwise."""
+
+    def __init__(self, *classes, engines=(1, 2, 3), **changes):
+        self.context = context(*(classes or (LOOKUP,)), **changes)
+        self.registry = registry(self.context, *engines)
+        self.estimates = ClassEstimates(self.context)
+        self.affinity = Affinity(self.context, self.registry, self.estimates)
+        self.pace = FleetPace(self.registry, self.estimates)
+        self.reports = LoadReports(self.context)
+        self.full, self.fleet_is_full = set(), False
+        limits = SimpleNamespace(
+            short_work_allowance=lambda request: 0.0,
+            fleet_has_capacity=lambda request, allowance: not self.fleet_is_full,
+        )
+        admission = SimpleNamespace(admits=lambda engine, request, allowance: engine.id not in self.full)
+        self.router = Router(
+            self.context, self.registry, self.affinity, limits, admission, self.reports, self.pace
+        )
+
+    def engine(self, number):
+        return self.registry.engines[number]
+
+    def chosen(self, times=200, **what):
+        """How often each engine is chosen for a request."""
+        return self.chosen_for(request(self.context, **what), times)
+
+    def chosen_for(self, made, times=200):
+        engines = (self.router.choose(made) for _ in range(times))
+        return Counter(engine and engine.id for engine in engines)
+
+
+def test_equal_engines_are_chosen_at_random():
+    f = Routing()
+    for group in range(3):
+        f.affinity.record_request(group)
+    f.affinity.group_engines = lambda group: f.registry.ready
+    assert all(count > 40 for count in f.chosen().values())
+    assert len(f.chosen()) == 3
+
+
+def test_the_fewest_own_threads_a_core_win():
+    f = Routing(engines=[entry(1), entry(2, kind=1)])  # eight and four cores
+    f.affinity.group_engines = lambda group: f.registry.ready
+    f.engine(1).threads, f.engine(2).threads = 3, 2
+    assert f.chosen() == {1: 200}
+    f.engine(1).threads, f.engine(2).threads = 4, 1
+    assert f.chosen() == {2: 200}
+
+
+def test_engines_without_capacity_are_left_out():
+    f = Routing()
+    f.full = {1, 3}
+    assert f.chosen() == {2: 200}
+    f.full = {1, 2, 3}
+    assert f.chosen() == {None: 200}
+
+
+def test_a_full_fleet_takes_nothing_and_draws_nothing():
+    f = Routing()
+    f.fleet_is_full = True
+    before = f.context.random.getstate()
+    assert f.chosen() == {None: 200}
+    assert f.context.random.getstate() == before
+
+
+def test_required_kinds_and_zones_bind():
+    bound = replace(LOOKUP, required_kinds=frozenset((1,)), required_zones=frozenset((0,)))
+    f = Routing(bound, engines=[entry(1), entry(2, kind=1), entry(3, kind=1, zone=1)])
+    assert f.chosen() == {2: 200}
+
+
+def test_a_repeat_with_a_key_stays_within_its_scope():
+    keyed = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ZONE)
+    f = Routing(keyed, engines=[entry(1), entry(2, zone=1), entry(3)])
+    made = request(f.context)
+    made.may_have_executed_on = f.engine(2)
+    assert f.chosen_for(made) == {2: 200}
+
+
+def test_engines_slower_than_all_cost_as_much_more():
+    f = Routing(engines=(1, 2))
+    f.affinity.group_engines = lambda group: f.registry.ready
+    f.engine(1).threads, f.engine(2).threads = 1, 3
+    f.engine(1).slowdown = 2.1  # two threads count as four and a bit
+    assert f.chosen() == {2: 200}
+    f.pace.slowdown = 2.1
+    assert f.chosen() == {1: 200}
+
+
+@pytest.mark.parametrize("what", ["avoided", "rejecting"])
+def test_an_engine_that_just_failed_comes_last(what):
+    f = Routing()
+    made = request(f.context)
+    if what == "avoided":
+        made.avoided_engine = f.engine(1)
+    else:
+        f.engine(1).rejected_until = f.context.now + 1
+    assert 1 not in f.chosen_for(made)
+    f.full = {2, 3}
+    assert f.chosen_for(made) == {1: 200}
+
+
+def test_engines_that_another_class_must_use_are_spared():
+    bound = replace(LOOKUP, required_kinds=frozenset((1,)))
+    f = Routing(LOOKUP, bound, engines=[entry(1), entry(2, kind=1)])
+    f.affinity.group_engines = lambda group: f.registry.ready
+    assert f.chosen() == {1: 200}
+    assert f.chosen(class_index=1) == {2: 200}
+    f.context.settings = replace(f.context.settings, classes=(LOOKUP, LOOKUP))
+    f.router.configure()
+    f.engine(1).threads = 3  # half a thread a core, which the reserve cost before
+    assert f.chosen() == {2: 200}
+
+
+def test_a_groups_own_engines_are_preferred():
+    f = Routing(engines=range(1, 11))
+    f.affinity.record_request(7)
+    f.affinity.record_request(8)
+    assert set(f.chosen(table_group=9)) == {f.affinity.ranked(9)[0].id}
+
+
+def test_a_broker_prefers_its_own_engines_where_they_are_warm():
+    f = Routing(engines=range(1, 11), broker_index=4, broker_count=20)
+    f.affinity.group_engines = lambda group: f.registry.ready
+    own = {engine.id for engine in f.affinity.ranked(-5)[:3]}
+    assert set(f.chosen()) == own
+    other = next(engine for engine in f.registry.ready if engine.id not in own)
+    other.warm_at = f.context.now + 1
+    assert set(f.chosen()) == own | {other.id}
+
+
+def test_an_engine_that_others_load_is_avoided_as_its_report_tells():
+    f = Routing(engines=(1, 2), broker_count=100)
+    f.affinity.group_engines = lambda group: f.registry.ready
+    f.engine(1).reported_load, f.engine(1).reported_at = 1.0, f.context.now
+    f.engine(2).reported_load, f.engine(2).reported_at = 0.5, f.context.now
+    assert f.chosen() == {2: 200}
+    f.context.now += 60 * SECOND  # the older, the more is guessed
+    assert min(f.chosen().values()) > 60
+
+
+def test_queries_keep_off_engines_where_a_load_blocks_their_group():
+    f = Routing(BLOCKED)
+    f.engine(1).blocked_until[7] = f.context.now + 1
+    f.engine(2).loads_in_flight[7] = 1
+    assert f.chosen(table_group=7) == {3: 200}
+
+
+def test_loads_and_what_they_block_keep_apart():
+    f = Routing(BLOCKED, LOAD, engines=range(1, 6))
+    f.pace.answer_rate = 10.0  # so many that the broker prefers all five
+    ranks = f.affinity.ranked(7)
+    f.affinity.load_engines = lambda group: ranks[3:]
+    loads = {engine.id for engine in ranks[3:]}
+    assert set(f.chosen(class_index=1, table_group=7)) == loads
+    assert not set(f.chosen(class_index=0, table_group=7)) & loads
+
+
+def test_a_load_waits_where_those_ahead_would_make_it_late():
+    f = Routing(BLOCKED, LOAD, engines=(1, 2))
+    f.estimates.work[1] = 8 * SECOND
+    allowed = f.affinity.ranked(7)[1]  # the first is left to the group's queries
+    assert f.chosen(class_index=1, table_group=7) == {allowed.id: 200}
+    allowed.loads_in_flight[7] = 1
+    assert f.chosen(class_index=1, table_group=7) == {None: 200}
