--- a/tests/broker/test_clock_steps.py
+++ b/tests/broker/test_clock_steps.py
@@ -10,7 +10,10 @@
 
 import pytest
 
-from tests.stands import SETTINGS, Case, failing, hang_up, silent, until, whole
+from cypressledge.lab.site import SETTINGS
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import answer_at_once, answer_with, never_answer
+from tests.fakes.support import close_connection, wait_until
 from tests.wall_clock import WallClock
 
 WINDOW_S = 2.0  # in which engines drop repeats of a keyed request, here
@@ -20,7 +23,7 @@
 @pytest.fixture
 def stage(tmp_path):
     """Starts brokers whose wall clock is `stage.clock`, and ends all that the test started."""
-    case = Case()
+    case = BrokerTestCase()
     case.clock = WallClock(tmp_path)
     case.addCleanup(case.clock.close)
     yield case
@@ -43,21 +46,21 @@
 def take_out(broker, engine, serial):
     """The directory tells that an engine drains; the broker has heard."""
     broker.dns.engines = {engine.name: (engine.port, 1)}
-    broker.relist(serial)
+    broker.publish_list(serial)
 
 
 def put_back(broker, engine, serial):
     broker.dns.engines = {engine.name: (engine.port, 0)}
-    broker.relist(serial)
+    broker.publish_list(serial)
 
 
 def keyed_request_whose_engine_drains(stage):
     """A keyed request's first attempt is out, and no engine takes a repeat; also when the window ends."""
-    engine = stage.engine(silent)
+    engine = stage.engine(never_answer)
     broker = broker_of(stage, engine, change=site(MemorySpan=round(WINDOW_S * 1e6)))
     client = stage.client(broker)
     client.ask("order-load", wait=20_000, once="order-1")
-    until(lambda: engine.wants, "the first attempt")
+    wait_until(lambda: engine.wants, "the first attempt")
     window_over = time.monotonic() + WINDOW_S
     take_out(broker, engine, 2)
     return engine, broker, client, window_over
@@ -69,10 +72,10 @@
     left long after the window in which engines drop it."""
     engine, broker, client, window_over = keyed_request_whose_engine_drains(stage)
     stage.clock.step(step)
-    hang_up(engine.wants[0][0])
-    broker.said("outcome=reset")
-    until(lambda: time.monotonic() > window_over, "the window's end")
-    engine.play = whole
+    close_connection(engine.wants[0][0])
+    broker.wait_for_log("outcome=reset")
+    wait_until(lambda: time.monotonic() > window_over, "the window's end")
+    engine.play = answer_at_once
     put_back(broker, engine, 3)
     answer = client.get()
     assert len(engine.wants) == 1, "sent again after its window"
@@ -92,7 +95,7 @@
     for _ in range(3):
         client.ask()
         assert "result" in client.get()
-    assert "request-rejected" not in broker.words()
+    assert "request-rejected" not in broker.log_text()
 
 
 @pytest.mark.parametrize("step", FAR_STEPS)
@@ -107,8 +110,8 @@
         assert "result" in client.get()
     all_taken = time.monotonic()
     stage.clock.step(step)
-    until(lambda: time.monotonic() > all_taken + window_s, "the window's end")
-    engine.play = failing("500")
+    wait_until(lambda: time.monotonic() > all_taken + window_s, "the window's end")
+    engine.play = answer_with("500")
     began = time.monotonic()
     for _ in range(4):
         client.ask("report", wait=20_000)
@@ -120,7 +123,7 @@
 
 def test_a_step_between_retries_allows_no_more_attempts(stage):
     """A step forward made the budget forget the attempts of a moment ago."""
-    engine = stage.engine(failing("500"))
+    engine = stage.engine(answer_with("500"))
     rules = {"RatioSpan": 5_000_000, "MinExtra": 2.0, "ResendRatio": 0.0}
     broker = broker_of(stage, engine, change=site(rules))
     client = stage.client(broker)
@@ -146,8 +149,8 @@
         assert "result" in client.get()
     assert len(engine.wants) + len(other.wants) == 60
     broker.dns.engines = {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
-    broker.relist(2)
-    broker.said("engine=s-1 from=ready to=draining")
+    broker.publish_list(2)
+    broker.wait_for_log("engine=s-1 from=ready to=draining")
     sent = len(engine.wants)
     for _ in range(20):
         client.ask()
@@ -160,12 +163,12 @@
 @pytest.mark.parametrize("step", FAR_STEPS)
 def test_a_running_request_keeps_its_deadline(stage, step):
     """The final answer comes when the client's time is over: not before, and not after the step."""
-    engine = stage.engine(silent)
+    engine = stage.engine(never_answer)
     broker = broker_of(stage, engine)
     client = stage.client(broker)
     began = time.monotonic()
     client.ask("report", wait=2_000)
-    until(lambda: engine.wants, "the attempt")
+    wait_until(lambda: engine.wants, "the attempt")
     stage.clock.step(step)
     assert "error" in client.get()
     assert 1.5 < time.monotonic() - began < 2.4
@@ -174,19 +177,19 @@
 @pytest.mark.parametrize("step", FAR_STEPS)
 def test_a_shutdown_has_its_full_grace_period_and_no_more(stage, step):
     """What was taken is answered by its engine within the grace; what hangs is answered before the kill."""
-    engine = stage.engine(silent)
+    engine = stage.engine(never_answer)
     without_notes = site()
     without_notes["settings"]["FamilyInfo"]["TellsEvery"] = 0  # else silence tells of a lost answer earlier
     broker = broker_of(stage, engine, change=without_notes)
     client = stage.client(broker)
     client.ask("report", wait=20_000)
-    until(lambda: engine.wants, "the attempt that hangs")
+    wait_until(lambda: engine.wants, "the attempt that hangs")
     engine.play = answer_later
     client.ask("report", wait=20_000)
-    until(lambda: len(engine.wants) == 2, "the attempt that is answered")
+    wait_until(lambda: len(engine.wants) == 2, "the attempt that is answered")
     began = time.monotonic()
     broker.process.terminate()
-    broker.said("stopping")
+    broker.wait_for_log("stopping")
     stage.clock.step(step)
     answers = {answer["id"]: answer for answer in (client.get(), client.get())}
     assert "result" in answers[2]
@@ -198,7 +201,7 @@
 
 def answer_later(engine, say, name, fields, statement):
     time.sleep(1.0)  # an engine's work, in real time
-    whole(engine, say, name, fields, statement)
+    answer_at_once(engine, say, name, fields, statement)
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, 0.0, 3600.0])
@@ -209,25 +212,25 @@
     broker = broker_of(stage, engine)
     broker.dns.born = round(time.time() * 1000)
     broker.dns.engines = {"s-2": (fresh.port, 0)}
-    broker.relist(2)
-    broker.said("engine=s-2 from=unlisted to=ready")
+    broker.publish_list(2)
+    broker.wait_for_log("engine=s-2 from=unlisted to=ready")
     client = stage.client(broker)
     began = time.monotonic()
     for _ in range(30):
         client.ask("report", wait=20_000, cost=2_000.0)  # 60 s of work; cold, it may have 20 s of it in 2 s
-    until(lambda: time.monotonic() - began > 1.0, "a second of the cold engine's window")
+    wait_until(lambda: time.monotonic() - began > 1.0, "a second of the cold engine's window")
     assert 1 <= len(fresh.wants) <= 10
 
 
 def test_a_process_that_was_suspended_sends_no_retry_after_the_window(stage):
     """A place comes free while the process is stopped, and the window ends meanwhile."""
     engine, broker, client, window_over = keyed_request_whose_engine_drains(stage)
-    hang_up(engine.wants[0][0])
-    broker.said("outcome=reset")
+    close_connection(engine.wants[0][0])
+    broker.wait_for_log("outcome=reset")
     broker.process.send_signal(signal.SIGSTOP)
-    engine.play = whole
+    engine.play = answer_at_once
     broker.dns.engines, broker.dns.serial = {engine.name: (engine.port, 0)}, 3
-    until(lambda: time.monotonic() > window_over, "the window's end")
+    wait_until(lambda: time.monotonic() > window_over, "the window's end")
     broker.process.send_signal(signal.SIGCONT)
     assert "error" in client.get()
     assert len(engine.wants) == 1
@@ -242,8 +245,8 @@
     client = stage.client(broker)
     asked = time.monotonic()
     client.ask(wait=3_000)
-    broker.reached("leaves")
-    until(lambda: time.monotonic() > asked + 0.4, "a while at the write")
-    broker.go("leaves")
+    broker.wait_for_hook("leaves")
+    wait_until(lambda: time.monotonic() > asked + 0.4, "a while at the write")
+    broker.release_hook("leaves")
     assert "result" in client.get()
     assert int(engine.wants[0][2]["w"]) <= 3_000 - 400 + 50
--- a/tests/broker/test_event_log.py
+++ b/tests/broker/test_event_log.py
@@ -4,29 +4,31 @@
 
 from cypressledge.broker.event_log import MAX_LINES_PER_SECOND, EventKind, EventLog
 from cypressledge.broker.metrics import Counters
-from tests.stands import Case, LineEngine, failing, hang_up, until, whole
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import FakeLineEngine, answer_at_once, answer_with
+from tests.fakes.support import close_connection, wait_until
 
 
 def fields(line):
     return dict(pair.split("=", 1) for pair in line.split()[1:] if "=" in pair)
 
 
-class Events(Case):
+class Events(BrokerTestCase):
     def events(self, broker, kind, least=1):
         """The fields of all events of a kind, once there are so many."""
 
         def found():
-            lines = [fields(w) for w in broker.words().splitlines() if w.startswith(f"{kind} ")]
+            lines = [fields(w) for w in broker.log_text().splitlines() if w.startswith(f"{kind} ")]
             return lines if len(lines) >= least else None
 
-        return until(found, f"{least} events {kind}")
+        return wait_until(found, f"{least} events {kind}")
 
     def test_a_retry_event_names_its_request_and_the_outcome_before(self):
         def play(engine, say, name, fields, statement):
             if len(first.wants) + len(second.wants) == 1:
-                hang_up(engine.wants[0][0])
+                close_connection(engine.wants[0][0])
             else:
-                whole(engine, say, name, fields, statement)
+                answer_at_once(engine, say, name, fields, statement)
 
         first, second = self.engine(play, name="s-1"), self.engine(play, name="s-2")
         broker = self.broker(first, second)
@@ -43,7 +45,7 @@
         assert (closed["reason"], closed["open"]) == ("closed_by_engine", "1")
 
     def test_a_rejection_event_names_its_request_and_the_reason(self):
-        broker = self.broker(self.engine(failing("503")))
+        broker = self.broker(self.engine(answer_with("503")))
         client = self.client(broker)
         client.ask(wait=400)
         assert client.get()["error"]["code"] == -32066
@@ -52,10 +54,10 @@
         assert refused["reason"] in ("objective-missed", "no-capacity", "no-time-for-retry")
 
     def test_engines_that_are_added_or_draining_are_logged(self):
-        engine, other = self.engine(), self.engine(kind=LineEngine, name="s-2")
+        engine, other = self.engine(), self.engine(kind=FakeLineEngine, name="s-2")
         broker = self.broker(engine)
         broker.dns.engines = {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
-        broker.relist(2)
+        broker.publish_list(2)
         changes = {e["engine"]: (e["from"], e["to"]) for e in self.events(broker, "engine-state", 2)}
         assert changes == {"s-1": ("ready", "draining"), "s-2": ("unlisted", "ready")}
 
--- a/tests/broker/test_operators_address.py
+++ b/tests/broker/test_operators_address.py
@@ -6,17 +6,21 @@
 import tempfile
 import time
 
-from tests.stands import ROW, WAIT, Case, content, free_port, held, http, until, whole
+from cypressledge.lab.site import free_port
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW, answer_at_once, answer_on_release
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import WAIT, http_call, wait_until
 
 
 def status(port):
     try:
-        return http(port, "GET /status HTTP/1.1\r\nHost: b")[0]
+        return http_call(port, "GET /status HTTP/1.1\r\nHost: b")[0]
     except OSError:
         return None
 
 
-class OperatorsAddress(Case):
+class OperatorsAddress(BrokerTestCase):
     """The second address answers operators whatever else the broker does."""
 
     def operated(self, *engines, env_more=None, **more):
@@ -24,28 +28,28 @@
         shared = self.enterContext(tempfile.TemporaryDirectory())
         env = {"ROUTER_MANAGEMENT": f"127.0.0.1:{port}", "TMPDIR": shared}
         broker = self.broker(*engines, env=env | (env_more or {}), **more)
-        until(lambda: status(port) == 200, "the second address")
+        wait_until(lambda: status(port) == 200, "the second address")
         return broker, port
 
     def test_status_is_200_while_accepting_clients_and_503_while_stopping(self):
-        engine = self.engine(held)
+        engine = self.engine(answer_on_release)
         engine.released = False
         broker, port = self.operated(engine)
         client = self.client(broker)
         client.ask("report", wait=15000)
-        until(lambda: engine.wants, "the attempt")
+        wait_until(lambda: engine.wants, "the attempt")
         broker.process.send_signal(signal.SIGTERM)
-        until(lambda: status(port) == 503, "a no while stopping")
+        wait_until(lambda: status(port) == 503, "a no while stopping")
         engine.released = True
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
         assert broker.process.wait(WAIT) == 0
 
     def test_invalid_calls_are_answered_with_an_error_and_closed(self):
         broker, port = self.operated(self.engine())
-        assert http(port, "GET /nowhere HTTP/1.1\r\nHost: b")[0] == 404
-        assert http(port, "DELETE /status HTTP/1.1\r\nHost: b")[0] == 405
-        assert http(port, "GET /status HTTP/1.1\r\nHost: b", b"x" * 4096)[0] == 413
-        assert http(port, "BREW \x01 coffee\r\nHost: b")[0] == 400
+        assert http_call(port, "GET /nowhere HTTP/1.1\r\nHost: b")[0] == 404
+        assert http_call(port, "DELETE /status HTTP/1.1\r\nHost: b")[0] == 405
+        assert http_call(port, "GET /status HTTP/1.1\r\nHost: b", b"x" * 4096)[0] == 413
+        assert http_call(port, "BREW \x01 coffee\r\nHost: b")[0] == 400
         assert broker.process.poll() is None
 
     def test_silent_callers_delay_no_other(self):
@@ -59,7 +63,7 @@
         assert time.monotonic() - began < 1.0
 
 
-class Upgrade(Case):
+class Upgrade(BrokerTestCase):
     """The platform holds the clients' socket; each process inherits it."""
 
     def test_a_new_process_takes_over_the_socket_and_no_client_is_refused(self):
@@ -73,26 +77,26 @@
             watch = free_port()
             env = {"ROUTER_SOCKET_FD": str(fd), "ROUTER_MANAGEMENT": f"127.0.0.1:{watch}"}
             broker = self.broker(engine, env=env, keep=(fd,), port=port)
-            until(lambda: status(watch) == 200, "a yes")
+            wait_until(lambda: status(watch) == 200, "a yes")
             return broker
 
         old = start()
         client = self.client(old)
         client.ask()
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
         new = start()
         old.process.send_signal(signal.SIGTERM)
         assert client.file.read(1) == b""  # the kept connection ends, nothing owed on it
         for n in range(20):  # across the change, each on a new connection
             fresh = self.client(new)
             fresh.ask(id=f"{n + 1:016x}")
-            assert content(fresh.get()) == ROW
+            assert result_rows(fresh.get()) == ROW
         assert old.process.wait(WAIT) == 0
         assert new.process.poll() is None
 
 
 def call(port, path, body):
-    return http(port, f"POST {path} HTTP/1.1\r\nHost: b", body.encode())[0]
+    return http_call(port, f"POST {path} HTTP/1.1\r\nHost: b", body.encode())[0]
 
 
 class MaintenanceCalls(OperatorsAddress):
@@ -103,7 +107,7 @@
         before = [len(e.wants) for e in engines]
         for i in range(n):
             client.ask(id=f"{i + 1:016x}")
-            assert content(client.get()) == ROW
+            assert result_rows(client.get()) == ROW
         return [len(e.wants) - b for e, b in zip(engines, before, strict=True)]
 
     def test_an_engine_out_of_service_gets_no_new_attempts_until_it_is_put_back(self):
@@ -113,10 +117,10 @@
         assert call(port, "/maintenance/enter", "s-1") == 200
         assert call(port, "/maintenance/enter", "s-1") == 200
         assert self.asked(broker, (one, two), 30) == [0, 30]
-        broker.relist(5)  # the directory lists s-1 as ready all along
+        broker.publish_list(5)  # the directory lists s-1 as ready all along
         assert self.asked(broker, (one, two), 20) == [0, 20]
         assert call(port, "/maintenance/exit", "s-1") == 200  # one call back for two out
-        until(lambda: self.asked(broker, (one, two), 10)[0] > 0, "work for s-1 again")
+        wait_until(lambda: self.asked(broker, (one, two), 10)[0] > 0, "work for s-1 again")
 
     def test_unknown_or_invalid_ids_are_answered_with_an_error(self):
         _, port = self.operated(self.engine())
@@ -124,7 +128,7 @@
         assert call(port, "/maintenance/exit", "nobody") == 404
         assert call(port, "/maintenance/enter", "") == 400
         assert call(port, "/maintenance/enter", "s 1\x00") == 400
-        assert http(port, "GET /maintenance/enter HTTP/1.1\r\nHost: b")[0] == 405
+        assert http_call(port, "GET /maintenance/enter HTTP/1.1\r\nHost: b")[0] == 405
 
     def test_maintenance_outlives_the_process(self):
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
@@ -138,7 +142,7 @@
 
 
 def metrics(port):
-    status_, body = http(port, "GET /status/metrics HTTP/1.1\r\nHost: b")
+    status_, body = http_call(port, "GET /status/metrics HTTP/1.1\r\nHost: b")
     assert status_ == 200
     return {
         name: int(value.split("|")[0])
@@ -151,7 +155,9 @@
 
     def test_counts_and_gauges(self):
         def slow(engine, say, name, fields, statement):
-            (held if statement.startswith(b"SELECT slow") else whole)(engine, say, name, fields, statement)
+            (answer_on_release if statement.startswith(b"SELECT slow") else answer_at_once)(
+                engine, say, name, fields, statement
+            )
 
         one, two = self.engine(slow, name="s-1"), self.engine(slow, name="s-2")
         one.released = two.released = False
@@ -162,10 +168,10 @@
         client = self.client(broker)
         for i in range(6):
             client.ask(id=f"{i + 1:016x}")
-            assert content(client.get()) == ROW
+            assert result_rows(client.get()) == ROW
         waiting = self.client(broker)
         waiting.ask("report", statement=b"SELECT slow FROM sales_17.orders", id=f"{99:016x}", wait=15000)
-        until(lambda: any(b"slow" in w[3] for e in (one, two) for w in e.wants), "the report's attempt")
+        wait_until(lambda: any(b"slow" in w[3] for e in (one, two) for w in e.wants), "the report's attempt")
         assert metrics(port)["svc.concurrent"] == 1
         call(port, "/maintenance/enter", "s-1")
         now = metrics(port)
@@ -175,8 +181,8 @@
         assert now["svc.dispatches"] == 7
         assert (now["svc.targets"], now["svc.targets_disabled"]) == (2, 1)
         one.released = two.released = True
-        assert content(waiting.get()) == ROW
-        until(lambda: metrics(port)["svc.replies.report.success"] == 1, "the report counted")
+        assert result_rows(waiting.get()) == ROW
+        wait_until(lambda: metrics(port)["svc.replies.report.success"] == 1, "the report counted")
         assert metrics(port)["svc.concurrent"] == 0
 
     def test_counters_are_logged_periodically_when_configured(self):
@@ -184,9 +190,9 @@
         broker = self.broker(engine, env={"ROUTER_FIGURES_S": "0.2"})
         client = self.client(broker)
         client.ask(id=f"{1:016x}")
-        assert content(client.get()) == ROW
-        until(
-            lambda: "counters (every 0.2s): " in broker.words()
-            and "replies.lookup.success=1" in broker.words().splitlines()[-1],
+        assert result_rows(client.get()) == ROW
+        wait_until(
+            lambda: "counters (every 0.2s): " in broker.log_text()
+            and "replies.lookup.success=1" in broker.log_text().splitlines()[-1],
             "a counters line",
         )
--- a/tests/broker/test_process.py
+++ b/tests/broker/test_process.py
@@ -7,44 +7,37 @@
 import sys
 from pathlib import Path
 
-from tests.stands import (
-    ROOT,
-    ROW,
-    SETTINGS,
-    Broker,
-    Case,
-    content,
-    held,
-    silent,
-    until,
-    whole,
-)
+from cypressledge.lab.site import SETTINGS
+from tests.fakes.broker_process import BrokerProcess, BrokerTestCase
+from tests.fakes.fake_engines import ROW, answer_at_once, answer_on_release, never_answer
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import ROOT, wait_until
 
 
 def whole_but_loads(engine, say, name, fields, statement):
     if fields["c"] != "order-load":
-        whole(engine, say, name, fields, statement)
+        answer_at_once(engine, say, name, fields, statement)
 
 
-class Process(Case):
+class Process(BrokerTestCase):
     def test_sigterm_goes_on_serving_then_answers_all_and_exits(self):
-        engine = self.engine(held)
+        engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(engine)
         client = self.client(broker)
         client.ask()
-        until(lambda: engine.wants, "the attempt")
+        wait_until(lambda: engine.wants, "the attempt")
         broker.process.terminate()
-        until(lambda: "stopping" in broker.words(), "the log line")
+        wait_until(lambda: "stopping" in broker.log_text(), "the log line")
         late = self.client(broker)  # new connections are still taken
         late.send("status")
         assert not late.get()["result"]["healthy"]
         late.ask()
         engine.released = True
-        assert (content(client.get()), content(late.get())) == (ROW, ROW)
+        assert (result_rows(client.get()), result_rows(late.get())) == (ROW, ROW)
         assert broker.process.wait(15) == 0
-        assert "counters (exit):" in broker.words()
-        assert "served.lookup=2" in broker.words()
+        assert "counters (exit):" in broker.log_text()
+        assert "served.lookup=2" in broker.log_text()
 
     def test_counters_on_request(self):
         broker = self.broker(self.engine())
@@ -52,14 +45,14 @@
         client.ask()
         client.get()
         broker.process.send_signal(signal.SIGUSR1)
-        until(lambda: "counters (asked):" in broker.words(), "the counters")
-        assert re.search("accepted.lookup=1 .*attempts.first=1 .*served.lookup=1", broker.words())
-        assert "broken." not in broker.words()
+        wait_until(lambda: "counters (asked):" in broker.log_text(), "the counters")
+        assert re.search("accepted.lookup=1 .*attempts.first=1 .*served.lookup=1", broker.log_text())
+        assert "broken." not in broker.log_text()
 
     def test_debug_build_serves_too(self):
         client = self.client(self.broker(self.engine(), optimise=False))
         client.ask()
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
 
     def test_bad_configuration_is_one_plain_line(self):
         for change, word in (
@@ -71,10 +64,10 @@
             ({"settings": SETTINGS | {"Step": 0}}, "timer_resolution"),
         ):
             with self.subTest(word):
-                broker = Broker(change=change)
+                broker = BrokerProcess(change=change)
                 self.addCleanup(broker.close)
                 assert broker.process.wait(15) == 2
-                lines = broker.words().splitlines()
+                lines = broker.log_text().splitlines()
                 assert len(lines) == 1, lines
                 assert word in lines[0]
 
@@ -101,10 +94,10 @@
         for _ in range(30):
             deaf.ask()
         other.ask()
-        assert content(other.get()) == big
+        assert result_rows(other.get()) == big
 
 
-class Limits(Case):
+class Limits(BrokerTestCase):
     def test_many_incomplete_frames_stay_within_memory(self):
         """Each within its own cap, they would together hold three times what the process may."""
         broker = self.broker(self.engine())
@@ -114,12 +107,12 @@
                 self.client(broker).raw(b"", part)
         client = self.client(broker)
         client.ask()
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
         status = Path(f"/proc/{broker.process.pid}/status").read_text()
         assert int(status.split("VmHWM:")[1].split()[0]) < 192 * 1024
 
     def test_more_than_32_open_requests_on_a_connection_are_rejected(self):
-        client = self.client(self.broker(self.engine(silent)))
+        client = self.client(self.broker(self.engine(never_answer)))
         for _ in range(33):
             client.ask()
         answer = client.get()
@@ -130,7 +123,7 @@
         broker = self.broker(
             self.engine(whole_but_loads), change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}}
         )
-        until(lambda: self._asks(broker), "a place")
+        wait_until(lambda: self._asks(broker), "a place")
         held = [
             client
             for client in (self._asks(broker, "order-load", once="ab" * 16) for _ in range(30))
@@ -138,9 +131,9 @@
         ]
         assert 15 <= len(held) <= 20, len(held)
         held[0].close()
-        until(lambda: self._asks(broker), "a free place")
+        wait_until(lambda: self._asks(broker), "a free place")
         for _ in range(5):
-            until(lambda: self._asks(broker), "the place of one that is idle")
+            wait_until(lambda: self._asks(broker), "the place of one that is idle")
 
     def _asks(self, broker, method="lookup", **more):
         """A client with a request open, or answered in the case of a lookup; None if it was turned away."""
--- a/tests/broker/test_request_ledger.py
+++ b/tests/broker/test_request_ledger.py
@@ -9,10 +9,10 @@
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
 from cypressledge.decisions import contract as c
+from cypressledge.lab.site import SETTINGS
 from cypressledge.net.jsonrpc.pending_call import PendingCall
 from cypressledge.net.line_protocol.transport import MAX_CONNECTIONS_TRIED, LineProtocolTransport
 from cypressledge.settings import parse_settings
-from tests.stands import SETTINGS
 
 LONG_AFTER = 60_000_000  # µs, beyond the deadline of every request here
 
--- /dev/null
+++ b/tests/fakes/broker_process.py
@@ -0,0 +1,172 @@
+"""The real program as a process, and a test case that starts what a test needs and ends it."""
+
+import json
+import os
+import resource
+import signal
+import subprocess
+import sys
+import tempfile
+import unittest
+from pathlib import Path
+
+from cypressledge.lab.site import SETTINGS, free_port
+from tests.fakes.fake_engines import FakeLineEngine
+from tests.fakes.fake_name_server import FakeNameServer
+from tests.fakes.json_rpc_client import JsonRpcClient
+from tests.fakes.support import ROOT, wait_until
+
+
+class BrokerProcess:
+    """The real program as a process."""
+
+    def __init__(
+        self,
+        engines=(),
+        change=None,
+        optimise=True,
+        service=None,
+        env=None,
+        keep=(),
+        port=None,
+        hooks=None,
+        descriptors=None,
+    ):
+        self.dns = FakeNameServer()
+        self.port = port or free_port()
+        self.dir = tempfile.TemporaryDirectory()
+        for e in engines:
+            self.dns.engines[e.name] = (e.port, 0)
+        members = [
+            {
+                "id": e.name,
+                "host_port": f"127.0.0.1:{e.port}",
+                "locality": "room1",
+                "cell": 0,
+                "flavor": getattr(e, "kind", "node-8c"),
+                "phase": "Ready",
+                "size": 4,
+                "up_since_ms": 0,
+            }
+            for e in engines
+        ]
+        self.config = {
+            "name": "n1",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "dns": f"127.0.0.1:{self.dns.port}",
+            "known": {
+                "offset": 1,
+                "batch": [{"offset": 1, "topology": {"revision": 1, "complete": True, "members": members}}],
+            },
+            "settings": SETTINGS,
+        } | (change or {})
+        self.path = Path(self.dir.name) / "config.json"
+        self.path.write_text(json.dumps(self.config))
+        args = [sys.executable, *(["-O"] if optimise else []), "-m", "cypressledge"]
+        if hooks:  # see fakes/program_with_breakpoints.py
+            args[-2:] = [str(ROOT / "tests/fakes/program_with_breakpoints.py")]
+            points = " ".join(f"{name}={point}" for name, point in hooks.items())
+            env = {"HOOKS": points, "HOOKS_DIR": self.dir.name} | (env or {})
+        if service:
+            file = Path(self.dir.name) / "service.toml"
+            file.write_text(service(self))
+            args += ["--service", str(file)]
+        self.log = open(Path(self.dir.name) / "log", "w+")
+        names = ("ROUTER_NAME", "ROUTER_LISTEN")
+        base = {k: v for k, v in os.environ.items() if k not in names}
+        self.process = subprocess.Popen(
+            args,
+            cwd=ROOT,
+            stderr=self.log,
+            env=base | {"ROUTER_CONFIG": str(self.path)} | (env or {}),
+            pass_fds=keep,
+        )
+        if descriptors:  # before it has read how many there are
+            resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
+
+    def healthy(self):
+        """Whether it serves."""
+        if self.process.poll() is not None:
+            raise AssertionError(self.log_text())
+        try:
+            client = JsonRpcClient(self.port)
+        except OSError:
+            return False
+        client.send("status")
+        answer = client.get()
+        client.close()
+        return answer["result"]["healthy"]
+
+    def wait_until_ready(self):
+        """Wait until it serves."""
+        wait_until(self.healthy, "a healthy broker")
+        return self
+
+    def wait_for_hook(self, name):
+        """Wait until the program stands at a hook."""
+        wait_until((Path(self.dir.name) / f"{name}.at").exists, f"the point {name}")
+
+    def release_hook(self, name):
+        """Let it on."""
+        (Path(self.dir.name) / f"{name}.go").touch()
+
+    def wait_for_log(self, text):
+        """Wait until the log says so."""
+        wait_until(lambda: text in self.log_text(), text)
+
+    def wait_for_counter(self, name, least=1):
+        """Wait until the program has counted so many of a name (start it with ROUTER_FIGURES_S)."""
+        wait_until(lambda: self.count(name) >= least, f"{name}={least}")
+
+    def count(self, name):
+        """What it has counted of a name, as its log tells."""
+        lines = [line for line in self.log_text().splitlines() if "counters (" in line]
+        told = dict(pair.split("=") for pair in lines[-1].split(": ", 1)[1].split()) if lines else {}
+        return int(told.get(name, 0))
+
+    def publish_list(self, serial):
+        """Give the directory's list a number, and wait until the broker has it."""
+        self.dns.serial = serial
+        asked = self.dns.asked
+        wait_until(lambda: self.dns.asked > asked + 1, "the new list")
+
+    def reload(self, text=None, **change):
+        """Replace the configuration file, send SIGHUP, and wait for what the broker says of it."""
+        said = self.log_text().count("reload:")
+        self.config |= change
+        self.path.write_text(json.dumps(self.config) if text is None else text)
+        self.process.send_signal(signal.SIGHUP)
+        wait_until(lambda: self.log_text().count("reload:") > said, "the reload")
+        return self.log_text().splitlines()
+
+    def log_text(self):
+        return Path(self.log.name).read_text()
+
+    def close(self):
+        if self.process.poll() is None:
+            self.process.kill()
+            self.process.wait()
+        self.log.close()
+        self.dns.close()
+        self.dir.cleanup()
+
+
+class BrokerTestCase(unittest.TestCase):
+    """Starts what a test needs and ends it."""
+
+    def engine(self, *args, kind=FakeLineEngine, **more):
+        engine = kind(*args, **more)
+        self.addCleanup(engine.close)
+        return engine
+
+    def broker(self, *engines, **more):
+        broker = BrokerProcess(engines, **more)
+        self.addCleanup(broker.close)
+        return broker.wait_until_ready() if engines else broker
+
+    def client(self, broker):
+        client = JsonRpcClient(broker.port)
+        self.addCleanup(client.close)
+        return client
--- /dev/null
+++ b/tests/fakes/fake_clickhouse_engine.py
@@ -0,0 +1,65 @@
+"""Engines that answer as a test says, on the ClickHouse HTTP interface. From its public documentation."""
+
+import threading
+from urllib.parse import parse_qs, urlsplit
+
+from tests.fakes.fake_engines import ROW, FakeServer
+
+
+class FakeClickHouseEngine(FakeServer):
+    """An engine on the ClickHouse HTTP interface. `play(engine, send, params, statement)` answers."""
+
+    def __init__(self, play=None):
+        self.play = play or stream_rows(ROW)
+        self.asked, self.effects, self.closed = [], {}, threading.Event()
+        super().__init__()
+
+    def serve(self, conn, file):
+        while line := file.readline():
+            headers = {}
+            while field := file.readline().strip():
+                key, _, value = field.decode().partition(":")
+                headers[key.lower()] = value.strip()
+            target = urlsplit(line.split()[1].decode())
+            params = {k: v[0] for k, v in parse_qs(target.query).items()}
+            statement = file.read(int(headers.get("content-length", 0)))
+            self.asked.append((params, statement, headers))
+            if key := params.get("insert_deduplication_token"):
+                with self.lock:
+                    self.effects.setdefault(key, statement)
+            self.play(self, conn.sendall, params, statement)
+            if self.play is stall_after_first_rows:
+                file.read(1)  # until the broker closes
+                self.closed.set()
+                return
+
+
+def stream_rows(*parts):
+    """An answer in chunks."""
+
+    def play(engine, send, params, statement):
+        send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        send(b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in parts) + b"0\r\n\r\n")
+
+    return play
+
+
+def answer_exception(status, code, text):
+    def play(engine, send, params, statement):
+        send(
+            b"HTTP/1.1 %d X\r\nX-ClickHouse-Exception-Code: %d\r\nContent-Length: %d\r\n\r\n%s"
+            % (status, code, len(text), text)
+        )
+
+    return play
+
+
+def stall_after_first_rows(engine, send, params, statement):
+    """The first rows, and then nothing."""
+    send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(ROW), ROW))
+
+
+def break_after_first_rows(engine, send, params, statement):
+    """The first rows, and then the connection ends."""
+    stall_after_first_rows(engine, send, params, statement)
+    raise ConnectionResetError
--- /dev/null
+++ b/tests/fakes/json_rpc_client.py
@@ -0,0 +1,62 @@
+"""A JSON-RPC client of the broker."""
+
+import base64
+import json
+import socket
+
+from tests.fakes.support import WAIT, close_connection
+
+
+class JsonRpcClient:
+    """One connection. `raw` and `send` write any message, `ask` a query; `get` reads an answer, None at the
+    end."""
+
+    def __init__(self, port):
+        self.sock = socket.create_connection(("127.0.0.1", port), WAIT)
+        self.file = self.sock.makefile("rb")
+        self.number, self.ids = 0, 0
+
+    def raw(self, body, head=None):
+        self.sock.sendall((b"Content-Length: %d\r\n\r\n" % len(body) if head is None else head) + body)
+
+    def send(self, method, params=None, **more):
+        self.number += 1
+        self.raw(
+            json.dumps(
+                {"jsonrpc": "2.0", "id": self.number, "method": method, "params": params or {}} | more
+            ).encode()
+        )
+        return self.number
+
+    def ask(self, method="lookup", statement=b"SELECT a, b, c FROM sales_17.orders", **more):
+        self.ids += 1
+        name = f"{id(self) & 0xFFFFFFFF:08x}{self.ids:08x}"
+        return self.send(
+            method,
+            {
+                "id": name,
+                "wait": 3000,
+                "tenant": "sahel",
+                "cost": 50.0,
+                "mem": 10,
+                "content": base64.b64encode(statement).decode(),
+            }
+            | more,
+        )
+
+    def get(self):
+        head = b""
+        while not head.endswith(b"\r\n\r\n"):
+            line = self.file.readline()
+            if not line:
+                return None
+            head += line
+        return json.loads(self.file.read(int(head.split(b":")[1])))
+
+    def close(self):
+        close_connection(self.sock)
+
+
+def result_rows(answer):
+    """The rows of a result."""
+    return base64.b64decode(answer["result"]["content"])
--- a/tests/test_clickhouse.py
+++ b/tests/net/test_clickhouse.py
@@ -12,29 +12,25 @@
 
 import pytest
 
-from tests.stands import (
-    ROW,
-    WAIT,
-    Case,
-    ChEngine,
-    breaking,
-    ch_error,
-    content,
-    free_port,
-    hang_up,
-    page,
-    rows,
-    silent,
-    stalling,
-    until,
+from cypressledge.lab.site import free_port
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_clickhouse_engine import (
+    FakeClickHouseEngine,
+    answer_exception,
+    break_after_first_rows,
+    stall_after_first_rows,
+    stream_rows,
 )
+from tests.fakes.fake_engines import ROW, never_answer, page_rows
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import WAIT, close_connection, wait_until
 
 KEY, TOKEN = "key-of-the-sales-office", "token-of-the-administrators"
 LOGIN = {"X-ClickHouse-User": "sales", "X-ClickHouse-Key": KEY}
 TYPE = "_clickhouse-http._tcp.cluster.lan."
 
 
-class Service(Case):
+class Service(BrokerTestCase):
     """A broker with the second front; its engines are found by DNS-SD."""
 
     def service(self, *engines, lines=()):
@@ -62,8 +58,8 @@
         for n, engine in enumerate(engines):
             broker.dns.instances[f"ch-{n}.{TYPE}"] = (engine.port, "ready")
         if engines:
-            broker.ready()
-            until(lambda: len(self.api("GET", "/v1/engines")[1]["engines"]) == len(engines) + len(lines))
+            broker.wait_until_ready()
+            wait_until(lambda: len(self.api("GET", "/v1/engines")[1]["engines"]) == len(engines) + len(lines))
         return broker
 
     def ask(
@@ -106,12 +102,12 @@
 
 class Asking(Service):
     def test_post_get_and_both_reach_the_engine_under_id_class_and_deadline(self):
-        engine = self.engine(rows(ROW, page(1)), kind=ChEngine)
+        engine = self.engine(stream_rows(ROW, page_rows(1)), kind=FakeClickHouseEngine)
         self.service(engine)
         status, headers, body = self.ask(
             query_id="my-id", workload="report", max_execution_time="2.5", insert_deduplication_token="k1"
         )
-        assert (status, body) == (200, ROW + page(1))
+        assert (status, body) == (200, ROW + page_rows(1))
         assert headers["Transfer-Encoding"] == "chunked"
         assert (headers["X-ClickHouse-Query-Id"], headers["X-ClickHouse-Format"]) == ("my-id", "TabSeparated")
         params, statement, sent = engine.asked[0]
@@ -123,7 +119,7 @@
         )
         assert 0 < float(params["max_execution_time"]) <= 2.5
         assert (sent["x-clickhouse-user"], sent["x-clickhouse-key"]) == ("broker", "secret")
-        assert self.ask(method="GET", query="SELECT 1")[2] == ROW + page(1)
+        assert self.ask(method="GET", query="SELECT 1")[2] == ROW + page_rows(1)
         data = b"1\t\xff\n"
         self.ask(data, query="INSERT INTO sales_2.orders FORMAT TSV", max_execution_time="900")
         params, statement, _ = engine.asked[-1]
@@ -133,7 +129,7 @@
         assert params["insert_deduplication_token"]
 
     def test_ways_to_name_the_tenant(self):
-        self.service(self.engine(kind=ChEngine))
+        self.service(self.engine(kind=FakeClickHouseEngine))
         basic = {"Authorization": "Basic " + base64.b64encode(f"sales:{KEY}".encode()).decode()}
         assert self.ask(login=basic)[0] == 200
         assert self.ask(login={}, user="sales", password=KEY)[0] == 200
@@ -150,11 +146,11 @@
 
     def test_ping_tells_whether_it_serves(self):
         broker = self.service()
-        until(lambda: "cannot listen" not in broker.words() and self._ping())
+        wait_until(lambda: "cannot listen" not in broker.log_text() and self._ping())
         assert self._ping() == 503
-        engine = self.engine(kind=ChEngine)
+        engine = self.engine(kind=FakeClickHouseEngine)
         broker.dns.instances[f"ch-0.{TYPE}"] = (engine.port, "ready")
-        until(lambda: self._ping() == 200, "a healthy ping")
+        wait_until(lambda: self._ping() == 200, "a healthy ping")
 
     def _ping(self):
         try:
@@ -163,7 +159,7 @@
             return None
 
     def test_what_is_not_supported_gets_a_plain_error(self):
-        self.service(self.engine(kind=ChEngine))
+        self.service(self.engine(kind=FakeClickHouseEngine))
         select = b"SELECT 1"
         for expected, body, more in (
             ((501, 48), select, {"session_id": "s"}),
@@ -191,7 +187,7 @@
             return b"".join(iter(lambda: sock.recv(65536), b""))
 
     def test_forms_of_http(self):
-        engine = self.engine(rows(ROW, page(1)), kind=ChEngine)
+        engine = self.engine(stream_rows(ROW, page_rows(1)), kind=FakeClickHouseEngine)
         self.service(engine)
         login = b"".join(f"{k}: {v}\r\n".encode() for k, v in LOGIN.items())
         last = login + b"Connection: close\r\n"
@@ -202,7 +198,7 @@
         assert engine.asked[0][1] == b"SELECT 1"
         assert got.count(b"HTTP/1.1 200 OK") == 2
         assert got.endswith(b"Ok.\n"), got
-        whole = b"Content-Length: %d\r\n\r\n%s" % (len(ROW + page(1)), ROW + page(1))
+        whole = b"Content-Length: %d\r\n\r\n%s" % (len(ROW + page_rows(1)), ROW + page_rows(1))
         for request in (
             b"GET /?query=SELECT+1 HTTP/1.0\r\n%s\r\n" % login,
             b"GET /?query=SELECT+1&wait_end_of_query=1 HTTP/1.1\r\n%s\r\n" % last,
@@ -214,7 +210,7 @@
 
     def test_what_is_too_large_or_no_http(self):
         """The parser wraps what its callbacks raise: once, every limit came out as 400."""
-        self.service(self.engine(kind=ChEngine))
+        self.service(self.engine(kind=FakeClickHouseEngine))
         for status, *parts in (
             (413, b"POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
             (
@@ -229,30 +225,36 @@
                 assert self.raw(*parts).startswith(b"HTTP/1.1 %d " % status)
 
     def test_running_id_is_not_taken_twice(self):
-        engine = self.engine(stalling, kind=ChEngine)
+        engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
         self.service(engine)
         self.begin("/?query_id=one")
-        until(lambda: engine.asked, "the attempt")
+        wait_until(lambda: engine.asked, "the attempt")
         assert self.code(query_id="one") == (500, 216)
 
 
 class Failing(Service):
     def test_refusal_is_503_with_retry_after(self):
-        self.service(self.engine(ch_error(503, 202, b"Code: 202. DB::Exception: full"), kind=ChEngine))
+        self.service(
+            self.engine(
+                answer_exception(503, 202, b"Code: 202. DB::Exception: full"), kind=FakeClickHouseEngine
+            )
+        )
         status, headers, _ = self.ask(max_execution_time="0.9")
         assert (status, headers["Retry-After"]) == (503, "1")
         assert headers["X-ClickHouse-Exception-Code"] == "202"
 
     def test_engines_error_on_the_statement_itself_is_passed_on_at_once(self):
         text = b"Code: 60. DB::Exception: no such table. (UNKNOWN_TABLE)"
-        engine = self.engine(ch_error(404, 60, text), kind=ChEngine)
+        engine = self.engine(answer_exception(404, 60, text), kind=FakeClickHouseEngine)
         self.service(engine)
         status, headers, body = self.ask()
         assert (status, headers["X-ClickHouse-Exception-Code"], body) == (404, "60", text + b"\n")
         assert len(engine.asked) == 1
 
     def test_other_errors_are_tried_again_within_three_attempts(self):
-        engine = self.engine(ch_error(500, 241, b"Code: 241. DB::Exception: memory"), kind=ChEngine)
+        engine = self.engine(
+            answer_exception(500, 241, b"Code: 241. DB::Exception: memory"), kind=FakeClickHouseEngine
+        )
         self.service(engine)
         assert self.ask()[0] in (500, 503)
         assert len(engine.asked) == 3
@@ -263,9 +265,9 @@
         def play(engine, send, params, statement):
             if b"slow" in statement:
                 engine.released.wait(WAIT)
-            rows(ROW)(engine, send, params, statement)
+            stream_rows(ROW)(engine, send, params, statement)
 
-        engine = self.engine(play, kind=ChEngine)
+        engine = self.engine(play, kind=FakeClickHouseEngine)
         engine.released = threading.Event()
         self.service(engine)
         answers = []
@@ -274,9 +276,9 @@
         self.addCleanup(slow.join)
         self.addCleanup(engine.released.set)
         begun = time.monotonic()
-        until(lambda: self.ask()[0] == 200 and time.monotonic() > begun + 2.5, "the others' answers")
+        wait_until(lambda: self.ask()[0] == 200 and time.monotonic() > begun + 2.5, "the others' answers")
         engine.released.set()
-        until(lambda: answers, "the slow answer")
+        wait_until(lambda: answers, "the slow answer")
         assert answers[0][0] == 200
         assert sum(b"slow" in statement for _, statement, _ in engine.asked) == 1
 
@@ -284,32 +286,34 @@
         def mute(engine, send, params, statement):
             engine.closed.wait(WAIT)
 
-        self.service(self.engine(mute, kind=ChEngine))
+        self.service(self.engine(mute, kind=FakeClickHouseEngine))
         began = time.monotonic()
         status, _ = self.code(workload="report", max_execution_time="0.5")
         assert status in (408, 503)
         assert time.monotonic() - began < 5.0  # of the class's 25 s
 
     def test_client_that_closes_mid_stream_leaves_nothing_behind(self):
-        engine = self.engine(stalling, kind=ChEngine)
+        engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
         self.service(engine)
         conn = self.begin("/?workload=report")
         assert conn.getresponse().read(len(ROW)) == ROW
-        hang_up(conn.sock)
+        close_connection(conn.sock)
         conn.close()
         assert engine.closed.wait(WAIT), "the engine's work goes on"
-        until(lambda: self.count("open_requests") == 0, "an empty ledger")
-        until(lambda: self.count("clickhouse.engine_connections") == 0, "closed connections")
+        wait_until(lambda: self.count("open_requests") == 0, "an empty ledger")
+        wait_until(lambda: self.count("clickhouse.engine_connections") == 0, "closed connections")
         assert (self.count("client_disconnects"), len(engine.asked)) == (1, 1)
         assert self.api("GET", "/v1/tenants/sales")[1]["open"] == 0
 
     def test_load_whose_client_closes_is_killed_by_its_id(self):
-        engine = self.engine(stalling, kind=ChEngine)
+        engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
         self.service(engine)
         conn = self.begin("/?query_id=load-7&workload=order-load&query=INSERT+INTO+sales_1.t+FORMAT+TSV")
-        until(lambda: engine.asked, "the attempt")
-        hang_up(conn.sock)
-        until(lambda: any(b"KILL QUERY WHERE query_id = 'load-7'" in said for _, said, _ in engine.asked))
+        wait_until(lambda: engine.asked, "the attempt")
+        close_connection(conn.sock)
+        wait_until(
+            lambda: any(b"KILL QUERY WHERE query_id = 'load-7'" in said for _, said, _ in engine.asked)
+        )
 
     def test_after_the_first_byte_no_second_attempt_and_a_visibly_broken_stream(self):
         def tagged(engine, send, params, statement):
@@ -321,10 +325,10 @@
                 send(b"%x\r\n%s\r\n" % (len(part), part))
             send(b"0\r\n\r\n")
 
-        for play in (breaking, tagged):
+        for play in (break_after_first_rows, tagged):
             with self.subTest(play.__name__):
-                engine = self.engine(play, kind=ChEngine)
-                self.service(engine, self.engine(play, kind=ChEngine))
+                engine = self.engine(play, kind=FakeClickHouseEngine)
+                self.service(engine, self.engine(play, kind=FakeClickHouseEngine))
                 with pytest.raises(http.client.IncompleteRead) as caught:
                     self.ask()
                 assert caught.value.partial.startswith(ROW[:5])
@@ -341,19 +345,19 @@
                 send(b"%x\r\n%s\r\n" % (len(part), part))
                 engine.sent += len(part)
 
-        engine = self.engine(endless, kind=ChEngine)
+        engine = self.engine(endless, kind=FakeClickHouseEngine)
         engine.sent = 0
         self.service(engine)
         self.begin("/?workload=report&max_execution_time=4")
-        until(lambda: engine.sent, "the first rows")
+        wait_until(lambda: engine.sent, "the first rows")
         assert self.api("GET", "/v1/engines")[0] == 200  # nobody else is stalled
-        until(lambda: self.count("open_requests") == 0, "the deadline")
+        wait_until(lambda: self.count("open_requests") == 0, "the deadline")
         assert engine.sent < 40 << 20
 
 
 class Loading(Service):
     def test_load_sent_twice_has_one_effect_and_two_answers(self):
-        engines = [self.engine(kind=ChEngine) for _ in range(2)]
+        engines = [self.engine(kind=FakeClickHouseEngine) for _ in range(2)]
         self.service(*engines)
         answers, token = [], "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
@@ -380,7 +384,7 @@
     def test_both_protocols_through_one_core(self):
         """Every taken request has exactly one final answer; attempts beyond the first stay in the ration."""
         lines = self.engine(self._flaky)
-        hosts = [self.engine(self._flaky_http, kind=ChEngine) for _ in range(2)]
+        hosts = [self.engine(self._flaky_http, kind=FakeClickHouseEngine) for _ in range(2)]
         broker = self.service(*hosts, lines=(lines,))
         client, got, each = self.client(broker), [], 60
 
@@ -404,7 +408,7 @@
             t.join(4 * WAIT)
         assert sorted(a["id"] for a in answers) == list(range(1, each + 1))
         assert len(got) == each
-        served = [content(a) for a in answers if "result" in a]
+        served = [result_rows(a) for a in answers if "result" in a]
         assert served
         assert all(rows == ROW for rows in served)
         assert 200 in got
@@ -434,12 +438,12 @@
     @staticmethod
     def _flaky_http(engine, send, params, statement):
         bad = len(engine.asked) % 8 == 0
-        (ch_error(500, 241, b"memory") if bad else rows(ROW))(engine, send, params, statement)
+        (answer_exception(500, 241, b"memory") if bad else stream_rows(ROW))(engine, send, params, statement)
 
 
 class Administering(Service):
     def test_tenants_are_added_changed_listed_and_removed(self):
-        self.service(self.engine(kind=ChEngine))
+        self.service(self.engine(kind=FakeClickHouseEngine))
         login = {"X-ClickHouse-User": "hotel", "X-ClickHouse-Key": "a-key-of-the-hotel"}
         assert self.ask(login=login)[0] == 403
         made = self.api("POST", "/v1/tenants", {"name": "hotel", "key": "a-key-of-the-hotel", "most_open": 2})
@@ -458,7 +462,7 @@
         assert self.api("GET", "/v1/tenants/hotel")[0] == 404
 
     def test_what_is_wrong_is_said(self):
-        self.service(self.engine(kind=ChEngine))
+        self.service(self.engine(kind=FakeClickHouseEngine))
         for status, *call in (
             (401, "GET", "/v1/tenants", None, "wrong"),
             (404, "GET", "/v1/nothing"),
@@ -475,35 +479,35 @@
                 assert got[1]["error"]
 
     def test_most_open_requests_of_a_tenant(self):
-        engine = self.engine(stalling, kind=ChEngine)
+        engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
         self.service(engine)
         self.api("PATCH", "/v1/tenants/sales", {"most_open": 1})
         self.begin("/?workload=report")
-        until(lambda: engine.asked, "the attempt")
+        wait_until(lambda: engine.asked, "the attempt")
         status, headers, _ = self.ask()
         assert (status, headers["Retry-After"]) == (503, "1")
 
     def test_sigterm_answers_what_was_taken_over_http(self):
         def held(engine, send, params, statement):
             engine.released.wait(WAIT)
-            rows(ROW)(engine, send, params, statement)
+            stream_rows(ROW)(engine, send, params, statement)
 
-        engine = self.engine(held, kind=ChEngine)
+        engine = self.engine(held, kind=FakeClickHouseEngine)
         engine.released = threading.Event()
         broker = self.service(engine)
         conn = self.begin("/?workload=report")
-        until(lambda: engine.asked, "the attempt")
+        wait_until(lambda: engine.asked, "the attempt")
         broker.process.terminate()
-        until(lambda: "stopping" in broker.words(), "the log line")
+        wait_until(lambda: "stopping" in broker.log_text(), "the log line")
         assert self.ask(method="GET", path="/ping", login={})[0] == 503
         engine.released.set()
         answer = conn.getresponse()
         assert (answer.status, answer.read()) == (200, ROW)
         assert broker.process.wait(WAIT) == 0
-        assert "counters (exit):" in broker.words()
+        assert "counters (exit):" in broker.log_text()
 
     def test_engines_come_and_go_by_dns_sd(self):
-        engine = self.engine(kind=ChEngine)
+        engine = self.engine(kind=FakeClickHouseEngine)
         broker = self.service(engine)
         listed = self.api("GET", "/v1/engines")[1]["engines"]
         assert listed == [
@@ -516,12 +520,14 @@
             }
         ]
         broker.dns.instances[f"ch-0.{TYPE}"] = (engine.port, "draining")
-        until(lambda: self.api("GET", "/v1/engines")[1]["engines"][0]["state"] == "draining", "the drain")
+        wait_until(
+            lambda: self.api("GET", "/v1/engines")[1]["engines"][0]["state"] == "draining", "the drain"
+        )
         status, _, _ = self.ask(max_execution_time="0.5")
         assert (status, engine.asked) == (503, [])
 
     def test_off_unless_asked_for(self):
-        lines = self.engine(silent)
+        lines = self.engine(never_answer)
         self.broker(lines)
         self.port = free_port()
         with pytest.raises(ConnectionRefusedError):
@@ -537,15 +543,15 @@
             with self.subTest(word):
                 broker = self.broker(service=lambda b, text=text: text)
                 assert broker.process.wait(WAIT) == 2
-                assert word in broker.words()
-                assert len(broker.words().splitlines()) == 1
+                assert word in broker.log_text()
+                assert len(broker.log_text().splitlines()) == 1
 
 
 class ServiceDays(Service):
     """What must hold on days of service, on this front as on the other."""
 
     def test_clients_that_say_nothing_or_half_are_let_go(self):
-        self.service(self.engine(kind=ChEngine))
+        self.service(self.engine(kind=FakeClickHouseEngine))
         with socket.create_connection(("127.0.0.1", self.port), 3.5) as quiet:
             assert quiet.recv(1) == b""
         with socket.create_connection(("127.0.0.1", self.port), WAIT) as half:
@@ -553,15 +559,15 @@
             assert b" 408 " in half.recv(4096)
 
     def test_id_open_on_the_other_front_is_an_error(self):
-        engine = self.engine(silent)
+        engine = self.engine(never_answer)
         broker = self.service(lines=[engine])
         client = self.client(broker)
         client.ask(id="00000000000000aa")
-        until(lambda: engine.wants, "the attempt")
+        wait_until(lambda: engine.wants, "the attempt")
         assert self.code(query_id="00000000000000aa") == (500, 216)
 
     def test_reload_takes_the_service_file_too(self):
-        broker = self.service(self.engine(kind=ChEngine))
+        broker = self.service(self.engine(kind=FakeClickHouseEngine))
         file = broker.path.parent / "service.toml"
         good = file.read_text()
         file.write_text(good.replace("[[tenant]]", "[[tenant]]\nmost_open = -1"))
--- a/tests/broker/test_jsonrpc_framing.py
+++ b/tests/net/test_jsonrpc_framing.py
@@ -2,14 +2,12 @@
 
 import json
 
-from tests.stands import (
-    ROW,
-    Case,
-    content,
-)
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW
+from tests.fakes.json_rpc_client import result_rows
 
 
-class Framing(Case):
+class Framing(BrokerTestCase):
     def setUp(self):
         self.served = self.broker(self.engine())
         self.one = self.client(self.served)
@@ -47,7 +45,7 @@
                 assert (answer["error"]["code"], answer["id"]) == (code, number)
         self.one.number = 20
         self.one.ask()
-        assert content(self.one.get()) == ROW
+        assert result_rows(self.one.get()) == ROW
 
     def test_bad_framing_closes_the_connection(self):
         for head in (
--- a/tests/test_service_days.py
+++ b/tests/net/test_service_days.py
@@ -13,48 +13,53 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
+from cypressledge.lab.site import SETTINGS
 from cypressledge.net.connection_registry import EXAMINED, NOT_EVICTABLE, ConnectionRegistry
 from cypressledge.net.jsonrpc.connection import JsonRpcConnection
 from cypressledge.net.jsonrpc.request_ids import MAX_SKIPPED, UsedRequestIds
 from cypressledge.net.listener import Listener
 from cypressledge.net.socket_writer import QUEUED_BYTES, SocketWriter
-from tests.stands import ROW, SETTINGS, WAIT, Case, NameServer, Rpc, content, held, silent, until, whole
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW, answer_at_once, answer_on_release, never_answer
+from tests.fakes.fake_name_server import FakeNameServer
+from tests.fakes.json_rpc_client import JsonRpcClient, result_rows
+from tests.fakes.support import WAIT, wait_until
 
 
-class Reload(Case):
+class Reload(BrokerTestCase):
     """SIGHUP: the configuration is read again while everything else lives on."""
 
     def test_new_directory_is_asked_at_once_and_open_requests_live_on(self):
-        engine, other = self.engine(held), self.engine(name="s-2")
+        engine, other = self.engine(answer_on_release), self.engine(name="s-2")
         engine.released = False
         broker = self.broker(engine)
         client = self.client(broker)
         client.ask("report", wait=15000)
-        until(lambda: engine.wants, "the attempt")
-        broker.dns.mute = True
-        moved = NameServer()
+        wait_until(lambda: engine.wants, "the attempt")
+        broker.dns.is_silent = True
+        moved = FakeNameServer()
         self.addCleanup(moved.close)
         moved.serial, moved.engines = 2, {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
         broker.reload(dns=f"127.0.0.1:{moved.port}")
-        until(lambda: moved.asked > 1, "the new directory")
+        wait_until(lambda: moved.asked > 1, "the new directory")
         client.ask()  # on the connection from before, and only s-2 is ready now
         assert client.get()["id"] == 2
         engine.released = True
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
         assert broker.process.poll() is None
 
     def test_serial_is_kept_over_a_reload(self):
         engine = self.engine()
         broker = self.broker(engine)
-        broker.relist(7)
-        moved = NameServer()
+        broker.publish_list(7)
+        moved = FakeNameServer()
         self.addCleanup(moved.close)
         moved.serial = 3  # an older list, with no engine in it
         broker.reload(dns=f"127.0.0.1:{moved.port}")
-        until(lambda: moved.asked > 3, "the new directory")
+        wait_until(lambda: moved.asked > 3, "the new directory")
         client = self.client(broker)
         client.ask()
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
 
     def test_unusable_file_leaves_the_old_configuration_in_force(self):
         broker = self.broker(self.engine())
@@ -72,7 +77,7 @@
                 assert "the old configuration stays in force" in line
                 assert word in line
                 client.ask()
-                assert content(client.get()) == ROW
+                assert result_rows(client.get()) == ROW
 
     def test_whatever_else_has_changed_counts_too(self):
         broker = self.broker(self.engine())
@@ -81,24 +86,24 @@
         assert client.get()["error"]["code"] == -32602
         broker.reload(settings=SETTINGS | {"Customers": [{"Name": "sud"}]})
         client.ask(tenant="sud")
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
 
 
-class Directory(Case):
+class Directory(BrokerTestCase):
     def test_good_answer_counts_behind_a_bad_one(self):
         """Spoilt answers in front: a failure, a cut one, one under another id, an older list."""
         first, second = self.engine(), self.engine(name="s-2")
         broker = self.broker(first)
-        broker.dns.spoil = True
+        broker.dns.sends_invalid_answers = True
         broker.dns.engines = {"s-2": (second.port, 0)}
-        broker.relist(5)
+        broker.publish_list(5)
         client = self.client(broker)
         client.ask()
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
         assert len(second.wants) == 1
 
 
-class BadClients(Case):
+class BadClients(BrokerTestCase):
     """Each is owed a refusal, an error or a close within 3 s, and the usual clients notice nothing."""
 
     def setUp(self):
@@ -111,7 +116,7 @@
 
     def tearDown(self):
         self.usual.ask()
-        assert content(self.usual.get()) == ROW
+        assert result_rows(self.usual.get()) == ROW
 
     def said(self, client):
         """What the client is told, until the close; None if neither came in time."""
@@ -170,13 +175,13 @@
         assert not self.engine_.wants
 
     def test_id_of_an_open_request_is_an_error_on_any_connection(self):
-        self.engine_.play = silent
+        self.engine_.play = never_answer
         first, second = self.client(self.served), self.client(self.served)
         first.ask(id="00000000000000aa")
-        until(lambda: self.engine_.wants, "the attempt")
+        wait_until(lambda: self.engine_.wants, "the attempt")
         second.ask(id="00000000000000aa", statement=b"SELECT 2 FROM sales_1.t")
         assert second.get()["error"]["code"] == -32602
-        self.engine_.play = whole
+        self.engine_.play = answer_at_once
 
     def test_endless_errors_end_the_connection(self):
         client = self.client(self.served)
@@ -192,7 +197,7 @@
         assert len(used.above) <= MAX_SKIPPED
 
 
-class Crowds(Case):
+class Crowds(BrokerTestCase):
     def test_crowd_that_says_nothing_keeps_nobody_out(self):
         broker = self.broker(
             self.engine(), change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}}
@@ -200,7 +205,7 @@
         silent_clients = [self.client(broker) for _ in range(60)]
 
         def served():
-            client = Rpc(broker.port)
+            client = JsonRpcClient(broker.port)
             self.addCleanup(client.close)
             client.ask()
             try:
@@ -208,7 +213,7 @@
             except OSError:
                 return None
 
-        until(served, "a place among the silent clients")
+        wait_until(served, "a place among the silent clients")
         assert silent_clients
 
     def test_a_newcomer_costs_the_same_whatever_the_number_of_clients(self):
@@ -288,7 +293,7 @@
                 sock.close()
 
 
-class BadPeers(Case):
+class BadPeers(BrokerTestCase):
     """Spoilt answers have run: never passed on, and asked for again only as class and ration allow."""
 
     def ask(self, raw, **more):
@@ -296,7 +301,7 @@
 
         def play(engine, say, name, fields, statement):
             if len(engine.wants) > 1:
-                return whole(engine, say, name, fields, statement)
+                return answer_at_once(engine, say, name, fields, statement)
             engine.wants[0][0].sendall(raw.replace(b"ID", name.encode()))
             return None
 
@@ -328,30 +333,30 @@
         ):
             with self.subTest(raw[:50]):
                 answer, engine = self.ask(raw)
-                assert content(answer) == ROW
+                assert result_rows(answer) == ROW
                 assert engine.wants[0][0] is not engine.wants[1][0]
 
     def test_second_copies_and_unknown_ids_are_ignored(self):
         good = b"ID 200 count=1 %d\r\n%s\r\n" % (len(ROW), ROW)
         answer, engine = self.ask(good.replace(b"ID", b"0" * 16) + good + good)
-        assert (content(answer), len(engine.wants)) == (ROW, 1)
+        assert (result_rows(answer), len(engine.wants)) == (ROW, 1)
         first = b"ID 200 count=2 6\r\na\tb\tc\n\r\n"
         answer, engine = self.ask(first + first + b"ID chunk pos=1 6\r\nd\te\tf\n\r\n" * 2)
-        assert (content(answer), len(engine.wants)) == (b"a\tb\tc\nd\te\tf\n", 1)
+        assert (result_rows(answer), len(engine.wants)) == (b"a\tb\tc\nd\te\tf\n", 1)
 
     def test_what_else_was_on_the_connection_is_asked_for_again(self):
         def play(engine, say, name, fields, statement):
             if len(engine.wants) == 2:
                 engine.wants[1][0].sendall(b"noise\r\n")
             elif len(engine.wants) > 2:
-                whole(engine, say, name, fields, statement)
+                answer_at_once(engine, say, name, fields, statement)
 
         engine = self.engine(play)
         client = self.client(self.broker(engine))
         client.ask("order-load", once="ab" * 16, wait=15000)
-        until(lambda: engine.wants, "the first attempt")
+        wait_until(lambda: engine.wants, "the first attempt")
         client.ask()
-        assert [content(client.get()) for _ in "ab"] == [ROW, ROW]
+        assert [result_rows(client.get()) for _ in "ab"] == [ROW, ROW]
         assert len(engine.wants) == 4
 
     def test_answer_that_never_comes_is_asked_for_again(self):
@@ -361,7 +366,7 @@
         def play(engine, say, name, fields, statement):
             says[next(w[0] for w in engine.wants if w[1] == name)] = say
             if len(engine.wants) > 9:
-                whole(engine, say, name, fields, statement)
+                answer_at_once(engine, say, name, fields, statement)
 
         def lone():
             # The want beyond the first connection's share, known by being alone on its connection: the two
@@ -374,13 +379,13 @@
         client = self.client(self.broker(engine))
         for _ in range(9):
             client.ask("report", wait=20000)
-        noted = until(lone, "nine wants on two connections")
+        noted = wait_until(lone, "nine wants on two connections")
         notes = threading.Thread(
-            target=until, args=(lambda: says[noted[0]](noted[1], "status") or engine.wants[9:],)
+            target=wait_until, args=(lambda: says[noted[0]](noted[1], "status") or engine.wants[9:],)
         )
         notes.start()
         self.addCleanup(notes.join)
-        until(lambda: engine.wants[9:], "a repeat")
+        wait_until(lambda: engine.wants[9:], "a repeat")
         silent = [name for sock, name, *_ in engine.wants[:9] if sock is not noted[0]]
         assert len(silent) == 8
         assert engine.wants[9][1] in silent
--- a/tests/race_conditions/scenarios.py
+++ b/tests/race_conditions/scenarios.py
@@ -3,7 +3,7 @@
 import copy
 from pathlib import Path
 
-from tests.stands import SETTINGS
+from cypressledge.lab.site import SETTINGS
 
 METRICS_OFTEN = {"ROUTER_FIGURES_S": "0.05"}  # the counters on a log line every 50 ms
 CONNECT = "cypressledge.net.line_protocol.connection:connect"  # the hook before a connection to an engine
--- a/tests/race_conditions/test_attempt_isolation.py
+++ b/tests/race_conditions/test_attempt_isolation.py
@@ -4,16 +4,13 @@
 next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import answer_at_once, never_answer
+from tests.fakes.support import close_connection
 from tests.race_conditions.scenarios import NOT_IDEMPOTENT, site
-from tests.stands import (
-    Case,
-    hang_up,
-    silent,
-    whole,
-)
 
 
-class AttemptIsolation(Case):
+class AttemptIsolation(BrokerTestCase):
     """The response of one attempt is never taken for another's."""
 
     def test_a_duplicate_response_is_not_taken_for_the_retry_s(self):
@@ -24,7 +21,7 @@
             if len(engine.wants) == 1:
                 return say(name, "503")
             engine.wants[0][0].sendall(f"{name} 503 - 0\r\n\r\n".encode())
-            return whole(engine, say, name, fields, statement)
+            return answer_at_once(engine, say, name, fields, statement)
 
         engine = self.engine(play)
         client = self.client(self.broker(engine, change=site(NOT_IDEMPOTENT)))
@@ -43,9 +40,9 @@
         client.ask()
         assert "result" in client.get()
         client.ask()
-        broker.reached("leaves")
-        hang_up(engine.wants[0][0])
-        broker.go("leaves")
+        broker.wait_for_hook("leaves")
+        close_connection(engine.wants[0][0])
+        broker.release_hook("leaves")
         assert "result" in client.get()
         assert len(engine.wants) == 2
 
@@ -57,11 +54,11 @@
         client = self.client(broker)
         client.ask()
         assert "result" in client.get()
-        engine.play = silent  # on the old connection; the new process answers
+        engine.play = never_answer  # on the old connection; the new process answers
         old = engine.wants[0][0]
-        engine.play = lambda e, say, *a: None if e.wants[-1][0] is old else whole(e, say, *a)
+        engine.play = lambda e, say, *a: None if e.wants[-1][0] is old else answer_at_once(e, say, *a)
         broker.dns.born = 1_700_000_000_000
-        broker.relist(2)
+        broker.publish_list(2)
         client.ask()
         assert "result" in client.get()
         assert len(engine.wants) == 2
--- a/tests/race_conditions/test_client_connections.py
+++ b/tests/race_conditions/test_client_connections.py
@@ -4,17 +4,14 @@
 next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW, answer_on_release
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import wait_until
 from tests.race_conditions.scenarios import METRICS_OFTEN
-from tests.stands import (
-    ROW,
-    Case,
-    content,
-    held,
-    until,
-)
 
 
-class IdleConnections(Case):
+class IdleConnections(BrokerTestCase):
     """Idle connections are closed to make room, but never with a request unread."""
 
     def test_a_client_whose_request_is_read_but_not_parsed_is_not_evicted(self):
@@ -35,7 +32,7 @@
         client.ask(statement=b"SELECT '" + b"x" * 8000 + b"' FROM sales_17.orders")
         client.sock = real
         client.sock.sendall(sent[0][:4096])  # fills the first buffer
-        broker.reached("pause")
+        broker.wait_for_hook("pause")
         crowd = []
 
         def crowded():  # more than there are places
@@ -43,9 +40,9 @@
             crowd[-1].send("status")
             return broker.count("clients.evicted")
 
-        until(crowded, "room made")
+        wait_until(crowded, "room made")
         client.sock.sendall(sent[0][4096:])
-        broker.go("pause")
+        broker.release_hook("pause")
         assert "result" in client.get()
 
     def test_a_request_that_arrives_as_its_idle_client_is_closed_is_answered(self):
@@ -58,24 +55,24 @@
         client.sock.settimeout(20)
         client.ask()
         client.get()
-        broker.reached("idle")  # after ten seconds
+        broker.wait_for_hook("idle")  # after ten seconds
         client.ask()
-        broker.go("idle")
-        assert content(client.get()) == ROW
+        broker.release_hook("idle")
+        assert result_rows(client.get()) == ROW
         assert client.get() is None
 
 
-class LostFraming(Case):
+class LostFraming(BrokerTestCase):
     """After a framing error nothing more is read, but what was accepted is answered."""
 
     def test_requests_accepted_before_a_framing_error_are_answered(self):
-        engine = self.engine(held)
+        engine = self.engine(answer_on_release)
         engine.released = False
         client = self.client(self.broker(engine))
         client.ask()
-        until(lambda: engine.wants, "the query")
+        wait_until(lambda: engine.wants, "the query")
         client.raw(b"", b"no head at all\r\n\r\n")
         assert client.get()["id"] is None
         engine.released = True
-        assert content(client.get()) == b"1\tbread\t12.5\n"
+        assert result_rows(client.get()) == b"1\tbread\t12.5\n"
         assert client.get() is None
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -6,18 +6,13 @@
 
 import socket
 
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import answer_at_once, answer_with, never_answer
+from tests.fakes.support import reset_connection, wait_until
 from tests.race_conditions.scenarios import CONNECT, METRICS_OFTEN, site
-from tests.stands import (
-    Case,
-    failing,
-    reset,
-    silent,
-    until,
-    whole,
-)
 
 
-class ClientDisconnects(Case):
+class ClientDisconnects(BrokerTestCase):
     """No attempt starts for a client that has disconnected or withdrawn its request."""
 
     def test_no_attempt_starts_for_a_client_that_disconnected_while_the_connection_came_up(self):
@@ -26,7 +21,7 @@
         ways = {
             "close": lambda client: client.close(),
             "half-close": lambda client: client.sock.shutdown(socket.SHUT_WR),
-            "reset": lambda client: (client.file.close(), reset(client.sock)),
+            "reset": lambda client: (client.file.close(), reset_connection(client.sock)),
             "withdraw": lambda client: client.send("withdraw", {"id": client.number}),
         }
         for way, leave in ways.items():
@@ -41,10 +36,10 @@
                     )
                     client, other = self.client(broker), self.client(broker)
                     client.ask(statement=b"SELECT gone")
-                    broker.reached("dial")
+                    broker.wait_for_hook("dial")
                     leave(client)
-                    broker.counted("client_disconnects")
-                    broker.go("dial")
+                    broker.wait_for_counter("client_disconnects")
+                    broker.release_hook("dial")
                     other.ask(statement=b"SELECT stays")
                     assert "result" in other.get()
                     assert [w[3] for w in engine.wants] == [b"SELECT stays"]
@@ -52,37 +47,39 @@
 
     def test_a_burst_of_disconnects_frees_all_its_capacity(self):
         """Each disconnect withdraws all requests of its connection, and none of them starts later."""
-        engine = self.engine(silent)
+        engine = self.engine(never_answer)
         broker = self.broker(engine, env=METRICS_OFTEN)
         clients = [self.client(broker) for _ in range(12)]
         for client in clients:
             for _ in range(25):
                 client.ask("report", wait=20_000)
-        until(lambda: broker.count("open_requests") == 300, "300 open requests")
+        wait_until(lambda: broker.count("open_requests") == 300, "300 open requests")
         for client in clients:
             client.close()
-        until(lambda: broker.count("open_requests") == broker.count("clients.connections") == 0, "none open")
-        engine.play = whole
+        wait_until(
+            lambda: broker.count("open_requests") == broker.count("clients.connections") == 0, "none open"
+        )
+        engine.play = answer_at_once
         sent = broker.count("replies.report.dispatches")
         last = self.client(broker)
         last.ask(statement=b"SELECT last")
         assert "result" in last.get()
         assert broker.count("client_disconnects") == 300
-        broker.counted("replies.lookup.dispatches")
-        until(lambda: len(engine.wants) >= sent + 1, "what was sent")  # some may still be read
+        broker.wait_for_counter("replies.lookup.dispatches")
+        wait_until(lambda: len(engine.wants) >= sent + 1, "what was sent")  # some may still be read
         assert len(engine.wants) == sent + 1
         assert broker.count("replies.report.dispatches") == sent
 
     def test_disconnect_between_the_first_failure_and_the_retry(self):
         """The decisions process the disconnect before they look for capacity again."""
-        engine = self.engine(failing("503"))  # rejected: the retry waits for 250 ms
+        engine = self.engine(answer_with("503"))  # rejected: the retry waits for 250 ms
         broker = self.broker(engine, env=METRICS_OFTEN)
         client, other = self.client(broker), self.client(broker)
         client.ask(statement=b"SELECT gone")
-        broker.counted("attempt.rejected")
+        broker.wait_for_counter("attempt.rejected")
         client.close()
-        broker.counted("client_disconnects")
-        engine.play = whole
+        broker.wait_for_counter("client_disconnects")
+        engine.play = answer_at_once
         other.ask(statement=b"SELECT stays")
         assert "result" in other.get()
         assert [w[3] for w in engine.wants] == [b"SELECT gone", b"SELECT stays"]
--- a/tests/race_conditions/test_configuration_races.py
+++ b/tests/race_conditions/test_configuration_races.py
@@ -9,37 +9,33 @@
 import threading
 from pathlib import Path
 
+from cypressledge.lab.site import free_port
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW, answer_at_once, answer_with
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import WAIT, http_call, wait_until
 from tests.race_conditions.scenarios import METRICS_OFTEN, NOT_IDEMPOTENT, site
-from tests.stands import (
-    ROW,
-    WAIT,
-    Case,
-    content,
-    failing,
-    free_port,
-    http,
-    until,
-    whole,
-)
 
 
-class ReloadRaces(Case):
+class ReloadRaces(BrokerTestCase):
     """Each request keeps the settings under which it was accepted."""
 
     def test_a_request_accepted_before_a_reload_keeps_its_class(self):
         """Regression: both came in one turn of the event loop, and the decisions applied the new settings
         first: an idempotent request was handled as one that is not, and the other way round."""
-        engine = self.engine(lambda e, say, *a: (failing("500") if len(e.wants) == 1 else whole)(e, say, *a))
+        engine = self.engine(
+            lambda e, say, *a: (answer_with("500") if len(e.wants) == 1 else answer_at_once)(e, say, *a)
+        )
         broker = self.broker(
             engine, env=METRICS_OFTEN, hooks={"wait": "cypressledge.broker.event_loop:EventLoop._wait#1"}
         )
-        broker.reached("wait")  # the event loop stands still
+        broker.wait_for_hook("wait")  # the event loop stands still
         client = self.client(broker)
         client.ask()
-        broker.counted("accepted.lookup")
+        broker.wait_for_counter("accepted.lookup")
         broker.reload(**site(NOT_IDEMPOTENT))
-        broker.go("wait")
-        assert content(client.get()) == ROW
+        broker.release_hook("wait")
+        assert result_rows(client.get()) == ROW
         client.ask()
         engine.wants.clear()
         assert "error" in client.get()  # from here on it is not idempotent, and not retried
@@ -56,13 +52,13 @@
         broker = self.broker(engine, change={"settings": old})
         client = self.client(broker)
         ada, bo = client.ask(tenant="ada"), client.ask("report", tenant="bo")
-        until(lambda: len(waiting) == 2, "both queries")
+        wait_until(lambda: len(waiting) == 2, "both queries")
         assert "in force" in broker.reload(settings=new)[-1]
         assert "other classes need a restart" in broker.reload(settings=swapped)[-1]
         client.ask(tenant="ada")
         assert client.get()["error"]["code"] == -32602  # gone, whatever the file turned down says
         cy = client.ask(tenant="cy")
-        until(lambda: len(waiting) == 3, "the third")
+        wait_until(lambda: len(waiting) == 3, "the third")
         for say, name in waiting:
             say(name, "200", "count=1", ROW)
         assert sorted(client.get()["id"] for _ in range(3)) == [ada, bo, cy]
@@ -88,7 +84,7 @@
         assert [len(small.wants), len(big.wants)] == [0, 16]
 
 
-class UpgradeRaces(Case):
+class UpgradeRaces(BrokerTestCase):
     """Two processes of an upgrade run at the same time."""
 
     def test_engines_taken_out_at_both_processes_at_once_all_stay_out(self):
@@ -109,18 +105,18 @@
 
         def out(n):
             head = "POST /maintenance/enter HTTP/1.1\r\nHost: b"
-            calls.append(threading.Thread(target=http, args=(ports[n], head, f"s-{n}".encode())))
+            calls.append(threading.Thread(target=http_call, args=(ports[n], head, f"s-{n}".encode())))
             calls[-1].start()
 
         out(0)
-        brokers[0].reached("save")
+        brokers[0].wait_for_hook("save")
         out(1)
         reached = Path(brokers[1].dir.name) / "save.at"
         calls[1].join(0.2)  # if it reaches its own save, it has read stale data
         early = reached.exists()
-        brokers[0].go("save")
+        brokers[0].release_hook("save")
         calls[0].join(WAIT)
-        brokers[1].go("save")
+        brokers[1].release_hook("save")
         calls[1].join(WAIT)
         kept = json.loads((Path(shared) / "cypressledge-n1-maintenance.json").read_text())
         assert kept["out"] == ["s-0", "s-1"]
--- a/tests/race_conditions/test_engine_list_races.py
+++ b/tests/race_conditions/test_engine_list_races.py
@@ -6,15 +6,13 @@
 
 import time
 
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_name_server import FakeNameServer
+from tests.fakes.support import wait_until
 from tests.race_conditions.scenarios import CONNECT, site
-from tests.stands import (
-    Case,
-    NameServer,
-    until,
-)
 
 
-class EngineListRaces(Case):
+class EngineListRaces(BrokerTestCase):
     """A new engine list applies at once, also to attempts and polls in flight."""
 
     def test_a_drain_listed_while_the_connection_comes_up_applies(self):
@@ -23,10 +21,10 @@
         broker = self.broker(leaving, change=site(ConnectTimeout=5_000_000), hooks={"dial": CONNECT})
         client = self.client(broker)
         client.ask()
-        broker.reached("dial")
+        broker.wait_for_hook("dial")
         broker.dns.engines = {leaving.name: (leaving.port, 1), staying.name: (staying.port, 0)}
-        broker.relist(2)
-        broker.go("dial")
+        broker.publish_list(2)
+        broker.release_hook("dial")
         assert "result" in client.get()
         assert [len(leaving.wants), len(staying.wants)] == [0, 1]
 
@@ -34,12 +32,12 @@
         """A poll without a response is repeated within the interval, on a socket of its own."""
         leaving, staying = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(leaving, staying)
-        broker.dns.mute = True
-        broker.said("directory: unreachable")
+        broker.dns.is_silent = True
+        broker.wait_for_log("directory: unreachable")
         broker.dns.engines[leaving.name] = (leaving.port, 1)
-        broker.dns.serial, broker.dns.mute = 2, False
+        broker.dns.serial, broker.dns.is_silent = 2, False
         told, asked = time.monotonic(), broker.dns.asked
-        until(lambda: broker.dns.asked > asked + 1, "the answer taken")
+        wait_until(lambda: broker.dns.asked > asked + 1, "the answer taken")
         sent, client = len(leaving.wants), self.client(broker)
         for _ in range(8):
             client.ask()
@@ -52,18 +50,18 @@
         outdated."""
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(one, two, hooks={"answer": "cypressledge.net.dns_discovery:_receive_datagram#8"})
-        broker.dns.mute = True
-        broker.reached("answer")  # it has asked, and not looked for the answer yet
-        until(lambda: broker.dns.asked >= 8, "the query")
+        broker.dns.is_silent = True
+        broker.wait_for_hook("answer")  # it has asked, and not looked for the answer yet
+        wait_until(lambda: broker.dns.asked >= 8, "the query")
         broker.dns.engines[one.name] = (one.port, 1)
         broker.dns.serial = 9
-        broker.dns.answer_last()
-        other = NameServer()
+        broker.dns.answer_last_query()
+        other = FakeNameServer()
         self.addCleanup(other.close)
         other.engines, other.serial = {one.name: (one.port, 0), two.name: (two.port, 1)}, 2
         broker.reload(dns=f"127.0.0.1:{other.port}")
-        broker.go("answer")
-        until(lambda: other.asked > 1, "the new directory asked")
+        broker.release_hook("answer")
+        wait_until(lambda: other.asked > 1, "the new directory asked")
         client = self.client(broker)
         for _ in range(4):
             client.ask()
--- a/tests/race_conditions/test_graceful_shutdown.py
+++ b/tests/race_conditions/test_graceful_shutdown.py
@@ -11,22 +11,15 @@
 import time
 from types import SimpleNamespace
 
+from cypressledge.lab.site import free_port
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW, FakeLineEngine, answer_on_release, never_answer, page_rows
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import WAIT, wait_until
 from tests.race_conditions.scenarios import METRICS_OFTEN, cpu_ticks, site
-from tests.stands import (
-    ROW,
-    WAIT,
-    Case,
-    LineEngine,
-    content,
-    free_port,
-    held,
-    page,
-    silent,
-    until,
-)
 
 
-class GracefulShutdown(Case):
+class GracefulShutdown(BrokerTestCase):
     """Accepted requests are answered; later ones are rejected, or their connections closed without a
     reset."""
 
@@ -40,29 +33,29 @@
         return resting
 
     def test_idle_clients_are_closed_while_others_wait_for_their_answers(self):
-        engine = self.engine(held)
+        engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(engine)
         client = self.client(broker)
         client.ask()
-        until(lambda: engine.wants, "the query")
+        wait_until(lambda: engine.wants, "the query")
         self.stopped(broker)
         client.ask()
         assert client.get()["error"]["code"] == -32066
         engine.released = True
-        assert content(client.get()) == b"1\tbread\t12.5\n"
+        assert result_rows(client.get()) == b"1\tbread\t12.5\n"
         assert client.get() is None
         assert broker.process.wait(10) == 0
 
     def test_all_requests_read_before_our_side_is_shut_are_answered(self):
         """Regression: of two requests in one read the second was dropped as the first answer shut our
         side."""
-        engine = self.engine(held)
+        engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(engine)
         client, waiting = self.client(broker), self.client(broker)
         waiting.ask()
-        until(lambda: engine.wants, "the query")
+        wait_until(lambda: engine.wants, "the query")
         text = b"".join(
             b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
             for body in (b'{"jsonrpc":"2.0","id":%d,"method":"status"}' % n for n in (1, 2))
@@ -84,17 +77,17 @@
         )
         client = self.client(broker)
         client.ask()
-        broker.reached("leaves")
+        broker.wait_for_hook("leaves")
         broker.process.send_signal(signal.SIGTERM)
-        broker.go("leaves")
-        assert content(client.get()) == ROW
+        broker.release_hook("leaves")
+        assert result_rows(client.get()) == ROW
         assert client.get() is None
         assert broker.process.wait(WAIT) == 0
 
     def test_a_stop_while_a_page_of_a_result_is_fetched(self):
         """A result whose pages are still being fetched is read to its end."""
 
-        class Paged(LineEngine):
+        class Paged(FakeLineEngine):
             released = False
 
             def serve(self, conn, file):
@@ -102,7 +95,7 @@
                     line = file.readline()
                     if line.startswith(b"turn"):
                         self.turned = True
-                        until(lambda: self.released, "the release")
+                        wait_until(lambda: self.released, "the release")
                     return line
 
                 super().serve(conn, SimpleNamespace(readline=reading, read=file.read))
@@ -111,19 +104,19 @@
         broker = self.broker(engine)
         client = self.client(broker)
         client.ask()
-        until(lambda: getattr(engine, "turned", False), "the next page asked for")
+        wait_until(lambda: getattr(engine, "turned", False), "the next page asked for")
         self.stopped(broker)
         engine.released = True
-        assert content(client.get()) == ROW + page(1)
+        assert result_rows(client.get()) == ROW + page_rows(1)
         assert broker.process.wait(WAIT) == 0
 
     def test_requests_at_engines_that_hang_are_answered_before_sigkill(self):
         """Regression: requests at engines that hang, with long deadlines, were still open at SIGKILL."""
-        hung, good = self.engine(silent, name="s-1"), self.engine(name="s-2")
+        hung, good = self.engine(never_answer, name="s-1"), self.engine(name="s-2")
         broker = self.broker(hung, good, change=site({"report": "single_shot"}))
         client = self.client(broker)
         numbers = [client.ask("report", wait=25_000) for _ in range(6)]
-        until(lambda: hung.wants, "a report that hangs")
+        wait_until(lambda: hung.wants, "a report that hangs")
         broker.process.send_signal(signal.SIGTERM)
         began = time.monotonic()
         answers = [client.get() for _ in numbers]
@@ -141,10 +134,10 @@
         engine = self.engine()
         broker = self.broker(engine, hooks={"stop": "cypressledge.net.listener:Listener.stop!"})
         broker.process.send_signal(signal.SIGTERM)
-        broker.reached("stop")
+        broker.wait_for_hook("stop")
         client = self.client(broker)
         client.ask()
-        broker.go("stop")
+        broker.release_hook("stop")
         assert client.get()["error"]["code"] == -32066
         assert client.get() is None
         assert broker.process.wait(10) == 0
@@ -161,22 +154,24 @@
                         "limit": "cypressledge.broker_process.reconfiguration:Reconfiguration.apply_limits!"
                     }
                 )
-                broker.reached("limit")  # the configuration has been read, and nobody hears of signals yet
+                broker.wait_for_hook(
+                    "limit"
+                )  # the configuration has been read, and nobody hears of signals yet
                 broker.dns.engines[engine.name] = (engine.port, 0)
                 broker.path.write_text(json.dumps(broker.config | {"dns": f"127.0.0.1:{free_port()}"}))
                 broker.process.send_signal(number)
-                broker.go("limit")
+                broker.release_hook("limit")
                 if number == signal.SIGTERM:
                     assert broker.process.wait(WAIT) == 0
                 else:
-                    broker.said("the new configuration is in force")
-                    assert "now polling" in broker.words()
+                    broker.wait_for_log("the new configuration is in force")
+                    assert "now polling" in broker.log_text()
                     assert broker.process.poll() is None
                 broker.close()
 
     def test_a_stop_that_comes_during_a_reload_and_a_second_one(self):
         """Signals are handled one after the other, each by a greenlet of its own."""
-        engine = self.engine(held)
+        engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(
             engine,
@@ -184,17 +179,17 @@
         )
         client = self.client(broker)
         client.ask()
-        until(lambda: engine.wants, "the query")
+        wait_until(lambda: engine.wants, "the query")
         broker.process.send_signal(signal.SIGHUP)
-        broker.reached("check")
+        broker.wait_for_hook("check")
         broker.process.send_signal(signal.SIGTERM)
         broker.process.send_signal(signal.SIGTERM)
-        broker.go("check")
-        broker.said("stopping")
-        assert "the new configuration is in force" in broker.words()
+        broker.release_hook("check")
+        broker.wait_for_log("stopping")
+        assert "the new configuration is in force" in broker.log_text()
         broker.process.send_signal(signal.SIGTERM)
         engine.released = True
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
         assert broker.process.wait(WAIT) == 0
 
     def test_a_client_that_connects_during_a_handover_is_answered(self):
@@ -211,16 +206,16 @@
             port=held_open.getsockname()[1],
         )
         client = self.client(broker)
-        broker.counted("clients.connections")
+        broker.wait_for_counter("clients.connections")
         broker.process.send_signal(signal.SIGTERM)
-        broker.said("stopping")
+        broker.wait_for_log("stopping")
         client.ask()
-        assert content(client.get()) == ROW
+        assert result_rows(client.get()) == ROW
         assert client.get() is None
         assert broker.process.wait(WAIT) == 0
 
 
-class Restarts(Case):
+class Restarts(BrokerTestCase):
     """Many processes start at the same time."""
 
     def test_thirty_started_together_are_ready_in_time(self):
@@ -231,7 +226,7 @@
         began = time.monotonic()
         brokers = [self.broker(change=self.known(engine)) for _ in range(many)]
         for broker in brokers:
-            broker.dns.mute = True
+            broker.dns.is_silent = True
         took, work = [], []
         while len(took) < many and time.monotonic() - began < 30:
             for broker in brokers:
--- a/tests/race_conditions/test_late_connections.py
+++ b/tests/race_conditions/test_late_connections.py
@@ -6,36 +6,33 @@
 
 import socket
 
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import answer_on_release
+from tests.fakes.support import close_connection, wait_until
 from tests.race_conditions.scenarios import CONNECT, METRICS_OFTEN
-from tests.stands import (
-    Case,
-    hang_up,
-    held,
-    until,
-)
 
 
-class LateConnections(Case):
+class LateConnections(BrokerTestCase):
     """While an engine responds elsewhere, a connection that is late or fails is no evidence against it."""
 
     def test_attempts_that_wait_for_a_late_connection_use_one_that_responds(self):
         """Regression: one late connection ejected its engine for a second, and put it under slow start."""
-        engine = self.engine(held)
+        engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(engine, env=METRICS_OFTEN, hooks={"dial": CONNECT + "#2"})
         client = self.client(broker)
         for _ in range(9):  # the ninth needs a second connection
             client.ask()
-        broker.reached("dial")
-        until(lambda: engine.wants, "the first query")
+        broker.wait_for_hook("dial")
+        wait_until(lambda: engine.wants, "the first query")
         engine.wants[0][0].sendall(f"{engine.wants[0][1]} status note=done,reading=0.1 0\r\n\r\n".encode())
-        broker.counted("engine_connects_overdue")
+        broker.wait_for_counter("engine_connects_overdue")
         engine.released = True
         for _ in range(9):
             assert "result" in client.get()
         assert len(engine.wants) == 9
-        assert "ejected" not in broker.words()
-        assert "attempt.connect_failed" not in broker.words()
+        assert "ejected" not in broker.log_text()
+        assert "attempt.connect_failed" not in broker.log_text()
 
     def test_a_connection_that_comes_up_late_is_used_for_the_next_attempts(self):
         """Regression: it was closed at its time-out, and the next one was as likely to be late."""
@@ -43,13 +40,13 @@
         broker = self.broker(engine, env=METRICS_OFTEN, hooks={"dial": CONNECT + "#1"})
         client = self.client(broker)
         client.ask("report")
-        broker.reached("dial")
-        broker.counted("engine_connects_overdue")
-        broker.go("dial")
-        broker.counted("engine_connects_late")
+        broker.wait_for_hook("dial")
+        broker.wait_for_counter("engine_connects_overdue")
+        broker.release_hook("dial")
+        broker.wait_for_counter("engine_connects_late")
         assert "result" in client.get()
-        hang_up(engine.wants[0][0])
-        broker.counted("engine_close.closed_by_engine")
+        close_connection(engine.wants[0][0])
+        broker.wait_for_counter("engine_close.closed_by_engine")
         client.ask()
         assert "result" in client.get()
         assert [len(engine.wants), len(engine.open)] == [2, 2]
@@ -61,12 +58,12 @@
         broker = self.broker(one, two, env=METRICS_OFTEN, hooks={"dial": CONNECT + "#1"})
         client = self.client(broker)
         client.ask()
-        broker.reached("dial")
+        broker.wait_for_hook("dial")
         assert "result" in client.get()  # elsewhere
         assert len(one.wants) + len(two.wants) == 1
-        broker.go("dial")
-        broker.counted("engine_connects_late")
-        assert "ejected" not in broker.words()
+        broker.release_hook("dial")
+        broker.wait_for_counter("engine_connects_late")
+        assert "ejected" not in broker.log_text()
 
     def test_an_unreachable_engine_is_ejected(self):
         """A listener whose accept queue is full stands for a machine that has vanished."""
@@ -85,6 +82,6 @@
         def ejected():
             client.ask()
             assert "result" in client.get()
-            return "ejected" in broker.words()
+            return "ejected" in broker.log_text()
 
-        until(ejected, "the engine ejected")
+        wait_until(ejected, "the engine ejected")
--- a/tests/race_conditions/test_resource_exhaustion.py
+++ b/tests/race_conditions/test_resource_exhaustion.py
@@ -7,30 +7,25 @@
 import os
 import resource
 
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW, answer_at_once, answer_on_release, answer_with
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import wait_until
 from tests.race_conditions.scenarios import METRICS_OFTEN, cpu_ticks, site
-from tests.stands import (
-    ROW,
-    Case,
-    content,
-    failing,
-    held,
-    until,
-    whole,
-)
-
-
-class DescriptorExhaustion(Case):
+
+
+class DescriptorExhaustion(BrokerTestCase):
     """Idle clients use up the descriptors: directory and engines still get theirs."""
 
     def test_idle_clients_leave_descriptors_for_the_directory_and_new_engines(self):
         engine, new = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(engine, descriptors=64, env=METRICS_OFTEN)  # its file says 1024
-        broker.dns.mute = True  # discovery is down, and no engine has a connection yet
+        broker.dns.is_silent = True  # discovery is down, and no engine has a connection yet
         idle = []
         for _ in range(80):
             idle.append(self.client(broker))
             idle[-1].send("status")
-        until(lambda: broker.count("clients.rejected") + broker.count("clients.evicted"), "a full table")
+        wait_until(lambda: broker.count("clients.rejected") + broker.count("clients.evicted"), "a full table")
 
         def asked():  # a new client may be rejected while all others are new as well
             client = self.client(broker)
@@ -42,23 +37,25 @@
             finally:
                 client.close()
 
-        until(asked, "an answer")
+        wait_until(asked, "an answer")
         del broker.dns.engines[engine.name]
         broker.dns.engines[new.name] = (new.port, 0)
-        broker.dns.serial, broker.dns.mute = 2, False
-        until(lambda: asked() and new.wants, "the new engine's answer")
+        broker.dns.serial, broker.dns.is_silent = 2, False
+        wait_until(lambda: asked() and new.wants, "the new engine's answer")
         used = len(os.listdir(f"/proc/{broker.process.pid}/fd"))
         assert used < 64
         for one in idle:
             one.close()
-        until(lambda: broker.count("clients.connections") <= 2, "all that left")
-        assert not [line for line in broker.words().splitlines() if "accept_error" in line]
+        wait_until(lambda: broker.count("clients.connections") <= 2, "all that left")
+        assert not [line for line in broker.log_text().splitlines() if "accept_error" in line]
         assert broker.process.poll() is None
 
     def test_idle_connections_to_some_engines_leave_capacity_for_the_others(self):
         """Regression: idle connections to engines that rejected everything held the limit for half a
         minute."""
-        engines = [self.engine(failing("503"), name=f"s-{n}") for n in range(15)] + [self.engine(name="s-15")]
+        engines = [self.engine(answer_with("503"), name=f"s-{n}") for n in range(15)] + [
+            self.engine(name="s-15")
+        ]
         change = site(MaxAttempts=8) | {"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 20}}
         change["settings"]["Rules"] |= {"MinExtra": 1_000}
         client = self.client(self.broker(*engines, change=change))
@@ -67,23 +64,23 @@
             client.ask()
             return "result" in client.get()
 
-        until(served, "an answer of the only engine that takes work")
+        wait_until(served, "an answer of the only engine that takes work")
 
     def test_accept_without_a_descriptor_neither_spins_nor_ends_the_process(self):
-        engine = self.engine(held)
+        engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(engine, env=METRICS_OFTEN)
         client = self.client(broker)
         client.ask()
-        until(lambda: engine.wants, "the query")
+        wait_until(lambda: engine.wants, "the query")
         pid = broker.process.pid
         used = sorted(map(int, os.listdir(f"/proc/{pid}/fd")))
         free = next(n for n in range(1024) if n not in used)
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (free, 1024))
         waiting = self.client(broker)
-        broker.counted("clients.accept_error.24")
+        broker.wait_for_counter("clients.accept_error.24")
         ticks = cpu_ticks(pid)
-        broker.counted("clients.accept_error.24", broker.count("clients.accept_error.24") + 10)
+        broker.wait_for_counter("clients.accept_error.24", broker.count("clients.accept_error.24") + 10)
         assert cpu_ticks(pid) - ticks < 50  # half a second's work, in half a second at the least
         engine.released = True
         assert "result" in client.get()  # others are served
@@ -92,7 +89,7 @@
         assert "result" in waiting.get()
 
 
-class BufferExhaustion(Case):
+class BufferExhaustion(BrokerTestCase):
     """What one client sends or leaves unread takes no memory from the others."""
 
     def test_incomplete_messages_that_fill_all_buffers_cut_off_no_engine_s_response(self):
@@ -110,9 +107,9 @@
             one.sock.sendall(b"Content-Length: 500000\r\n\r\n" + b"x" * 250_000)
             return broker.count("clients.framing_errors")
 
-        until(full, "all buffers full")
+        wait_until(full, "all buffers full")
         client.ask(wait=1500)
-        assert content(client.get()) == ROW * 450
+        assert result_rows(client.get()) == ROW * 450
         assert len(engine.wants) == 1
 
     def test_one_client_s_statements_leave_capacity_for_the_others(self):
@@ -121,7 +118,7 @@
         engine = self.engine(
             lambda e, say, name, fields, statement: None
             if b"xx" in statement
-            else whole(e, say, name, fields, statement)
+            else answer_at_once(e, say, name, fields, statement)
         )
         broker = self.broker(engine, change={"limits": {"cores": 1.0, "memory_mb": 60, "sockets": 1024}})
         greedy, modest = self.client(broker), self.client(broker)
@@ -129,4 +126,4 @@
             greedy.ask("report", statement=b"SELECT '" + b"x" * 300_000 + b"'", wait=20_000)
         assert greedy.get()["error"]["code"] == -32066
         modest.ask()
-        assert content(modest.get()) == ROW
+        assert result_rows(modest.get()) == ROW
--- a/tests/recordings/test_ledger_recording.py
+++ b/tests/recordings/test_ledger_recording.py
@@ -24,10 +24,10 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.broker.requests import Endpoint, EngineFault, Query
 from cypressledge.decisions import contract as c
+from cypressledge.lab.site import SETTINGS
 from cypressledge.net.maintenance_file import MaintenanceFile
 from cypressledge.net.management import ManagementServer, metrics
 from cypressledge.settings import parse_settings
-from tests.stands import SETTINGS
 
 RECORDING = Path(__file__).with_suffix(".json")
 MS = 1_000  # µs
--- a/tests/recordings/test_wire_recording.py
+++ b/tests/recordings/test_wire_recording.py
@@ -21,26 +21,19 @@
 from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
+from cypressledge.lab.site import SETTINGS, free_port
 from cypressledge.net.line_protocol.transport import LineProtocolTransport
 from cypressledge.settings import parse_settings
-from tests.stands import (
-    ROW,
-    SETTINGS,
-    WAIT,
-    Case,
-    ChEngine,
-    LineEngine,
-    breaking,
-    ch_error,
-    failing,
-    free_port,
-    page,
-    rows,
-    silent,
-    stalling,
-    until,
-    whole,
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_clickhouse_engine import (
+    FakeClickHouseEngine,
+    answer_exception,
+    break_after_first_rows,
+    stall_after_first_rows,
+    stream_rows,
 )
+from tests.fakes.fake_engines import ROW, FakeLineEngine, answer_at_once, answer_with, never_answer, page_rows
+from tests.fakes.support import WAIT, wait_until
 
 FILE = Path(__file__).with_name("wire_messages.txt")
 KEY, TOKEN = "key-of-the-sales-office", "token-of-the-administrators"
@@ -95,7 +88,7 @@
         return raw
 
 
-class RecordedChEngine(ChEngine):
+class RecordedChEngine(FakeClickHouseEngine):
     """Keeps the bytes of each request."""
 
     def __init__(self, play=None):
@@ -209,7 +202,7 @@
     return b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-class Wires(Case):
+class Wires(BrokerTestCase):
     """Collects the messages of one broker process."""
 
     maxDiff = None
@@ -244,8 +237,8 @@
         return got
 
     def start(self):
-        self.line = self.engine(kind=LineEngine)
-        self.ch = self.engine(rows(ROW, page(1)), kind=RecordedChEngine)
+        self.line = self.engine(kind=FakeLineEngine)
+        self.ch = self.engine(stream_rows(ROW, page_rows(1)), kind=RecordedChEngine)
         self.port, self.admin, self.management = free_port(), free_port(), free_port()
         self.process = self.broker(
             self.line,
@@ -287,11 +280,11 @@
             ("a head without an end", b"x" * 2000),
         ):
             messages[f"jsonrpc: {title}, and the close"] = self.exchange(self.rpc, raw)
-        self.line.play = failing("500")
+        self.line.play = answer_with("500")
         messages["jsonrpc: refused once its attempts are used up"] = self.answers(
             self.call("order-load", 4, GOOD | {"once": "k1"})
         )
-        self.line.play = silent
+        self.line.play = never_answer
         messages["jsonrpc: refused once its time is up"] = self.answers(
             self.call("lookup", 4, GOOD | {"wait": 300})
         )
@@ -303,10 +296,10 @@
             messages["jsonrpc: refused at the door"] = self.frames(file)
             sock.sendall(self.call("report", 34, GOOD | {"id": f"{1:016x}"}))
             messages["jsonrpc: id of an open request"] = self.frames(file)
-            until(lambda: self.line.wants, "an attempt")
+            wait_until(lambda: self.line.wants, "an attempt")
             sock.sendall(self.call("withdraw", None, {"id": f"{1:016x}"}) + self.call("status", 35, {}))
             messages["jsonrpc: after a withdrawal, which has no answer"] = self.frames(file)
-        self.line.play = whole
+        self.line.play = answer_at_once
         return messages
 
     @staticmethod
@@ -368,21 +361,21 @@
         messages["clickhouse: 100 Continue"] = self.exchange(
             self.port, b"GET /ping HTTP/1.1\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n"
         )
-        self.ch.play = ch_error(
+        self.ch.play = answer_exception(
             404, 60, b"Code: 60. DB::Exception: Table t does not exist. (UNKNOWN_TABLE)\n"
         )
         messages["clickhouse: an engine's own error"] = self.http("/?query_id=e1")
         messages["jsonrpc: failed"] = self.answers(self.call("lookup", 5, GOOD))
-        self.ch.play = ch_error(500, 241, b"memory is out")
+        self.ch.play = answer_exception(500, 241, b"memory is out")
         messages["clickhouse: an engine's error on a load"] = self.http(
             "/?query_id=e2&workload=order-load", b"INSERT INTO t VALUES (1)"
         )
-        self.ch.play = breaking
+        self.ch.play = break_after_first_rows
         messages["clickhouse: broken in the middle of the rows"] = self.http("/?query_id=b1")
         self.ch.play = tagged
         messages["clickhouse: an engine's exception in the middle of the rows"] = self.http("/?query_id=b2")
         self.api("PATCH", "/v1/tenants/sales", {"most_open": 1})
-        self.ch.play = stalling
+        self.ch.play = stall_after_first_rows
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(
                 f"POST /?query_id=s1&workload=report HTTP/1.1\r\nHost: b\r\n{LOGIN}Content-Length: 8\r\n\r\n"
@@ -396,8 +389,8 @@
 
     def clickhouse_engine(self) -> dict[str, bytes]:
         """Requests to engines on the ClickHouse HTTP interface."""
-        self.ch.play = rows(ROW)
-        until(lambda: self.http("/?query_id=w1").endswith(b"0\r\n\r\n"), "an answer")
+        self.ch.play = stream_rows(ROW)
+        wait_until(lambda: self.http("/?query_id=w1").endswith(b"0\r\n\r\n"), "an answer")
         messages = {}
         for title, target, body in (
             ("a query", "/?query_id=q5&workload=report&memory_mb=700&cost_ms=40", b"SELECT a FROM sales_1.t"),
@@ -406,7 +399,7 @@
             del self.ch.raw[:]
             self.http(target, body)
             messages[f"clickhouse engine: {title}"] = b"".join(self.ch.raw)
-        self.ch.play = stalling
+        self.ch.play = stall_after_first_rows
         del self.ch.raw[:]
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(
@@ -415,8 +408,8 @@
             )
             sock.recv(65536)
             del self.ch.raw[:]
-        until(lambda: b"KILL" in b"".join(self.ch.raw), "the kill")
-        until(lambda: b"".join(self.ch.raw).endswith(b"ASYNC"), "all of it")
+        wait_until(lambda: b"KILL" in b"".join(self.ch.raw), "the kill")
+        wait_until(lambda: b"".join(self.ch.raw).endswith(b"ASYNC"), "all of it")
         messages["clickhouse engine: a kill"] = b"".join(self.ch.raw)
         return messages
 
@@ -489,7 +482,7 @@
 
         self.process.dns._reply = keep
         self.process.dns.instances[f"ch-0.{TYPE}"] = (self.ch.port, "ready")
-        until(lambda: len(asked) >= 4, "all kinds of queries")
+        wait_until(lambda: len(asked) >= 4, "all kinds of queries")
         return {f"dns: {question}": asked[question] for question in sorted(asked)}
 
     def all(self) -> str:
@@ -499,11 +492,11 @@
         messages |= self.jsonrpc()
         messages |= self.operators()
         messages |= self.names()
-        until(lambda: b"clickhouse" in self.api("GET", "/v1/engines"), "the engine by DNS-SD")
+        wait_until(lambda: b"clickhouse" in self.api("GET", "/v1/engines"), "the engine by DNS-SD")
         # From here on only engines of the second wire: the first ones' list is empty.
         self.process.dns.engines.clear()
-        self.process.relist(2)
-        until(lambda: b'"lines"' not in self.api("GET", "/v1/engines"), "the first list to be empty")
+        self.process.publish_list(2)
+        wait_until(lambda: b'"lines"' not in self.api("GET", "/v1/engines"), "the first list to be empty")
         messages |= self.administration()
         messages |= self.clickhouse()
         messages |= self.clickhouse_engine()
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -9,8 +9,11 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW, FakeLineEngine
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import close_connection, reset_connection, wait_until
 from tests.race_conditions.scenarios import site
-from tests.stands import ROW, Case, LineEngine, content, hang_up, reset, until
 
 NEVER_RAN = {"full", "over"}  # the proofs an engine's answer gives
 EFFECTS = {"lookup": "free", "report": "single_shot", "order-load": "guarded"}
@@ -62,13 +65,13 @@
 
     @staticmethod
     def reset(conn, say, name, before):
-        hang_up(conn)
+        close_connection(conn)
 
     @staticmethod
     def cut(conn, say, name, before):
         """The answer breaks off."""
         conn.sendall(f"{name} 200 count=1 {len(ROW)}\r\n1\tbr".encode())
-        hang_up(conn)
+        close_connection(conn)
 
     @staticmethod
     def spoilt(conn, say, name, before):
@@ -98,7 +101,7 @@
 )
 
 
-class Effects(Case):
+class Effects(BrokerTestCase):
     """No request is repeated unless its class allows it, and each has one final answer."""
 
     def test_attempts_keep_to_their_class_whatever_engines_answer(self):
@@ -129,7 +132,7 @@
                 assert first["conn"] is not then["conn"]
                 assert first["key"] == then["key"]
             if "result" in answer:
-                assert content(answer) == ROW
+                assert result_rows(answer) == ROW
                 assert seen[-1]["way"] in ("ok", "crossed")
             elif answer["error"]["code"] == -32066 and EFFECTS[cls] == "single_shot":
                 assert all(a["way"] in NEVER_RAN | {"twice"} for a in seen), seen
@@ -137,10 +140,10 @@
         check()
         client.send("status")
         assert client.get()["result"] == {"healthy": True}  # no second answer came before it
-        until(lambda: broker.process.poll() is None, "a living broker")
+        wait_until(lambda: broker.process.poll() is None, "a living broker")
 
 
-class Broken(Case):
+class Broken(BrokerTestCase):
     """Answers and requests that break off."""
 
     def test_an_answer_that_breaks_off_at_any_byte_is_never_passed_on(self):
@@ -154,7 +157,7 @@
                 return say(name, "200", "count=1", ROW)
             answer = whole.replace(b"ID", name.encode())
             engine.wants[-1][0].sendall(answer[:at])
-            return hang_up(engine.wants[-1][0])
+            return close_connection(engine.wants[-1][0])
 
         engines = [self.engine(play, name=f"s-{n}") for n in range(4)]
         change = site()
@@ -164,7 +167,7 @@
         length = len(whole) + 14  # the id has sixteen digits
         for at in range(length + 1):
             client.ask(statement=f"SELECT {at}".encode())
-            assert content(client.get()) == ROW
+            assert result_rows(client.get()) == ROW
         assert len(first) == length + 1
 
     def test_a_reset_around_the_write_of_a_request(self):
@@ -175,7 +178,7 @@
                     self.reset_around(way, effect, repeated or effect == "free")
 
     def reset_around(self, way, effect, served):
-        class Resetting(LineEngine):
+        class Resetting(FakeLineEngine):
             resets = 0
 
             def serve(self, conn, file):
@@ -186,7 +189,7 @@
                     elif way == "behind":
                         line = file.readline()
                         file.read(int(line.split()[3]) + 2)
-                    reset(conn)
+                    reset_connection(conn)
                     return
                 super().serve(conn, file)
 
@@ -200,9 +203,9 @@
         client = self.client(broker)
         client.ask(statement=b"SELECT '" + b"x" * 300_000 + b"' FROM sales_17.orders", wait=3000)
         if way == "before":  # the reset has come before the first byte is written
-            broker.reached("leaves")
-            until(lambda: engine.resets, "the reset")
-            broker.go("leaves")
+            broker.wait_for_hook("leaves")
+            wait_until(lambda: engine.resets, "the reset")
+            broker.release_hook("leaves")
         answer = client.get()
         assert ("result" in answer) == served, answer
         assert len(engine.wants) == int(served)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,7 +8,10 @@
 import re
 import tomllib
 
-from tests.stands import ROOT, SETTINGS, Case, content
+from cypressledge.lab.site import SETTINGS
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import ROOT
 
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
 PLATFORM = {
@@ -68,7 +71,7 @@
     assert not [name for name in wanted if re.search(rf"\b{re.escape(name)}\b", json.dumps(deploy))]
 
 
-class Generated(Case):
+class Generated(BrokerTestCase):
     """The program under sites that were made up."""
 
     def test_made_up_sites_are_served_by_their_own_names(self):
@@ -114,7 +117,7 @@
             for tenant in settings["Customers"]:
                 key = {"once": f"{rng.getrandbits(64):x}"} if cls["Idempotency"] == "guarded" else {}
                 client.ask(cls["Name"], tenant=tenant["Name"], wait=2_000, **key)
-                assert content(client.get()) == b"1\tbread\t12.5\n"
+                assert result_rows(client.get()) == b"1\tbread\t12.5\n"
                 assert engine.wants[-1][2]["c"] == cls["Name"]
                 assert engine.wants[-1][2].get("i") == key.get("once")
         client.ask("lookup")
--- a/tests/test_sql.py
+++ b/tests/test_sql.py
@@ -2,12 +2,10 @@
 
 from cypressledge.net.clickhouse.statements import FORMAT_CLAUSE, WRITE_STATEMENT
 from cypressledge.sql import table_group
-from tests.stands import (
-    Case,
-)
+from tests.fakes.broker_process import BrokerTestCase
 
 
-class TableGroups(Case):
+class TableGroups(BrokerTestCase):
     def test_table_group(self):
         for statement, group in (
             ("SELECT a FROM sales_17.orders", 17),
