--- a/cypressledge/controlplane/broker_connections.py
+++ b/cypressledge/controlplane/broker_connections.py
@@ -25,7 +25,7 @@
     def received(self, now: int, conn: int, message: Message) -> None:
         """Another frame of a broker."""
 
-    def gone(self, now: int, conn: int) -> None:
+    def disconnected(self, now: int, conn: int) -> None:
         """A connection is down."""
 
 
@@ -53,7 +53,7 @@
                     self._inbox.put(handler.received, number, message)
         finally:
             if self._open.pop(number, None) is not None:
-                self._inbox.put(handler.gone, number)
+                self._inbox.put(handler.disconnected, number)
 
     def send(self, number: int, message: Message) -> None:
         """Queue a message for a broker; dropped where its connection has ended."""
--- a/cypressledge/controlplane/cli.py
+++ b/cypressledge/controlplane/cli.py
@@ -20,8 +20,8 @@
     Address,
     LeaderClient,
     NoAnswerError,
-    ask_any,
     call,
+    call_any,
 )
 
 LAG_TIMEOUT_S = 6.0  # for finding the leader and its answer
@@ -89,7 +89,7 @@
 @click.option("--prefix", default="", help="Keys that begin so: config/, engine/, broker/.")
 def state(servers: tuple[Address, ...], prefix: str) -> None:
     """The committed state, as JSON."""
-    click.echo(json.dumps(ask_any(servers, f"/control/state?prefix={quote(prefix)}"), indent=2))
+    click.echo(json.dumps(call_any(servers, f"/control/state?prefix={quote(prefix)}"), indent=2))
 
 
 @control.command()
@@ -98,7 +98,7 @@
 @as_json
 def history(servers: tuple[Address, ...], first: int, as_json: bool) -> None:
     """The changes that are kept, the newest last."""
-    answer = ask_any(servers, f"/control/history?from={first}")
+    answer = call_any(servers, f"/control/history?from={first}")
     if answer["from"] > max(first, 1) and not as_json:
         click.echo(f"kept from version {answer['from']} on")
     show(answer["changes"], as_json)
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -84,7 +84,7 @@
 
 
 class ControlProcess:
-    """All parts of one control process. Raises `ConfigError`, `StateError`, `DiskError`, `OSError`."""
+    """All parts of one control process. Raises `ConfigError`, `StateError`, `StorageError`, `OSError`."""
 
     def __init__(self, settings: ControlSettings, options: ProcessOptions) -> None:
         self.settings, self.options, self.name = settings, options, options.name
@@ -101,15 +101,7 @@
         self.registry = BrokerRegistry(round(settings.forget_s * 1e6))
         self.committed = CommittedChanges(self.history, self.record, self.inbox)
         self.brokers = BrokerConnections(self.inbox)
-        self.publisher = Publisher(
-            self.name,
-            self.run_id,
-            self.history,
-            PublisherLimits(max_subscribers=settings.brokers_most),
-            self.brokers.send,
-            self.brokers.end,
-            self.events.emit,
-        )
+        self.publisher = self._make_publisher()
         self.sender = PeerSender(self.counters, options.faults)
         now = self.clock.now()
         self.node = self._make_node(now)
@@ -125,19 +117,26 @@
         self.listener = Listener(
             parse_address(self.server.address), self.counters, "control", self._serve, ConnectionRegistry()
         )
-        self.listener.max_connections = settings.brokers_most + SPARE_CONNECTIONS
+        self.listener.max_connections = settings.max_brokers + SPARE_CONNECTIONS
         self.operators = self._make_operator_server()
-        self.greenlets: list[Callable[[], None]] = [
-            *self.node.loops,
-            self.own,
-            self.listener.run,
-            self.operators.run,
-            *peers,
-            *(self.replica.loops if isinstance(self.replica, NonVotingReplica) else ()),
-        ]
+        replica_loops = self.replica.loops if isinstance(self.replica, NonVotingReplica) else []
+        own_loops = [self.run_owner, self.listener.run, self.operators.run]
+        self.loops: list[Callable[[], None]] = [*self.node.loops, *own_loops, *peers, *replica_loops]
 
     # Assembly
 
+    def _make_publisher(self) -> Publisher:
+        limits = PublisherLimits(max_subscribers=self.settings.max_brokers)
+        return Publisher(
+            self.name,
+            self.run_id,
+            self.history,
+            limits,
+            self.brokers.send,
+            self.brokers.end,
+            self.events.emit,
+        )
+
     def _make_node(self, now: int) -> FleetNode:
         settings = self.settings
         electorate = Electorate(
@@ -248,7 +247,7 @@
 
     # The owner
 
-    def own(self) -> None:
+    def run_owner(self) -> None:
         """A greenlet: does what is due, and takes in what has come."""
         while not self._is_stopping:
             now = self.clock.now()
@@ -285,7 +284,7 @@
     def run(self) -> None:
         """Serve until a signal asks to stop; then give the lease back, and end the connections."""
         log(f"{self.name}: control process, brokers at {self.server.address}")
-        for greenlet in map(gevent.spawn, self.greenlets):
+        for greenlet in map(gevent.spawn, self.loops):
             greenlet.link_exception(self._exit_failed)
         gevent.signal_handler(signal.SIGTERM, self._stop_asked.set)
         gevent.signal_handler(signal.SIGINT, self._stop_asked.set)
@@ -336,7 +335,7 @@
     )
     try:
         settings = read_control_settings(file)
-        allow_descriptors(settings.brokers_most)
+        allow_descriptors(settings.max_brokers)
         process = ControlProcess(settings, _read_options(settings, name, folder, seed, rejoin))
     except (ConfigError, StateError, StorageUnusableError, StorageError) as err:
         log(f"cypressledge: {err}")
--- a/cypressledge/controlplane/leader_reports.py
+++ b/cypressledge/controlplane/leader_reports.py
@@ -47,7 +47,7 @@
         is_self = leader == self.leadership.name
         if not leader or not is_self and leader not in self.sender.reachable:
             return self._due
-        report = self.publisher.report(self._is_complete_due)
+        report = self.publisher.subscriptions.report(self._is_complete_due)
         self._is_complete_due = False
         if report is not None and is_self:
             self.applied.report(now, leader, report)
@@ -96,7 +96,7 @@
             return self._due
         self._due = now + REGISTRATION_INTERVAL_US
         leader, state = self.leadership.leader, self.history.state
-        self.registry.request(self.publisher.registrations(state))
+        self.registry.request(self.publisher.subscriptions.registrations(state))
         ops = self.registry.take_unsent(now, state)
         if leader == self.leadership.name:
             self._propose(now, ops)
--- a/cypressledge/controlplane/leadership.py
+++ b/cypressledge/controlplane/leadership.py
@@ -73,7 +73,7 @@
 
     def apply_lease(self, now: int) -> None:
         """Tell the replica what holds of the lease; it is asked for only where that could lead."""
-        self._ask_for_lease(now)
+        self._request_lease(now)
         grant = self.node.held_lease(PRIMARY_LEASE)
         if grant is None:
             self.replica.lease(now, None, 0)
@@ -83,7 +83,7 @@
             else:
                 self.node.release(PRIMARY_LEASE, "of no use here", GIVE_BACK_REST_S)
 
-    def _ask_for_lease(self, now: int) -> None:
+    def _request_lease(self, now: int) -> None:
         is_eligible = self.replica.is_eligible(now) and not self.is_suspended(now) and self.is_voter
         if is_eligible != (PRIMARY_LEASE in self.node.lease_manager.requested_groups):
             (self.node.request_lease if is_eligible else self.node.release_group)(PRIMARY_LEASE)
@@ -91,6 +91,6 @@
     def report_contact(self, now: int, publisher: Publisher) -> None:
         """Tell the publisher when a leader was heard last."""
         if self.is_leader:
-            publisher.leader_heard(now, self.name)
+            publisher.on_leader_contact(now, self.name)
         elif self.replica.leader and self.replica.leader != self.name:
-            publisher.leader_heard(self.replica.leader_heard_at, self.replica.leader)
+            publisher.on_leader_contact(self.replica.leader_heard_at, self.replica.leader)
--- a/cypressledge/controlplane/operator_client.py
+++ b/cypressledge/controlplane/operator_client.py
@@ -53,7 +53,7 @@
         connection.close()
 
 
-def ask_any(servers: tuple[Address, ...], path: str) -> dict:
+def call_any(servers: tuple[Address, ...], path: str) -> dict:
     """What the first that answers says. Raises `ClickException`."""
     why = ""
     for server in servers:
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -7,7 +7,7 @@
 """
 
 from collections import deque
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass
 
 from cypressledge.broker.metrics import Counters
@@ -15,7 +15,6 @@
 from cypressledge.controlplane.messages import (
     FORMAT,
     AppliedPosition,
-    AppliedReport,
     CompleteSnapshot,
     Deltas,
     Disconnect,
@@ -28,16 +27,14 @@
     to_printable_line,
 )
 from cypressledge.controlplane.snapshot_throttle import SnapshotThrottle
-from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import KEY_PATTERN, Broker, StateError, address_of, encode_value
 from cypressledge.controlplane.subscription import Position, Subscription
+from cypressledge.controlplane.subscription_table import SubscriptionTable
 
-MAX_REASONS = 500  # rejections in one report that say why: guards against more than a frame holds
 MIN_TICK = 50_000  # µs between ticks at least: guards against one wake for each broker's heartbeat
 MAX_NAME_CHARS = 64  # of a broker that is rejected, in logs
 MAX_REASON_CHARS = 40  # of a broker's reason, in logs
 MAX_ERROR_CHARS = 120  # of what is wrong with an address, in logs
-MAX_NAMED_CHANGES = 4  # times the subscribers: names of changed ones that are kept for the next report
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +55,7 @@
 
 class Publisher:
     """Sends a history to brokers. `send(connection, message)`; `end(connection, disconnect)`: sends it and
-    closes, and `gone` need not be called; `event(name, **fields)`: to be counted and logged."""
+    closes, and `disconnected` need not be called; `event(name, **fields)`: to be counted and logged."""
 
     def __init__(
         self,
@@ -73,8 +70,7 @@
         self.name, self.run, self.history, self.limits = name, run, history, limits
         self._send_message, self._end_connection, self._event = send, end, event
         self.counters = Counters()
-        self.subscriptions: dict[int, Subscription] = {}
-        self._connections: dict[str, int] = {}  # by broker's name
+        self.subscriptions = SubscriptionTable(limits.max_subscribers)
         self.snapshot_queue: deque[int] = deque()  # connections, first come first
         self.throttle = SnapshotThrottle(
             limits.max_concurrent_snapshots,
@@ -84,8 +80,6 @@
         self._heartbeat_interval = round(limits.heartbeat_interval_s * 1e6)
         self._leader = ""
         self._leader_heard_at: int | None = None
-        self._changed: set[str] = set()  # names since the last report
-        self._is_complete_report_due = False  # too many to name
 
     # Connections
 
@@ -105,8 +99,7 @@
             now,
             rejection_reason=to_printable_line(hello.rejection_reason),
         )
-        self.subscriptions[connection], self._connections[hello.name] = subscription, connection
-        self._mark_changed(hello.name)
+        self.subscriptions.add(subscription)
         self._send_message(connection, HelloAccepted(self.name, self.run, self.history.state.cluster_id))
         if connection in self.subscriptions:
             self._send_heartbeat(now, subscription)
@@ -119,10 +112,10 @@
             return Disconnect("format", limits.mismatch_retry_after_ms)
         if connection in self.subscriptions or hello.role != "broker" or not _is_valid(hello):
             return Disconnect("nonsense")
-        former = self._connections.get(hello.name)
+        former = self.subscriptions.named(hello.name)
         if former is not None:
             replaced = Disconnect("replaced", limits.replaced_retry_after_ms)
-            self._disconnect(self.subscriptions[former], replaced)
+            self._disconnect(former, replaced)
         if len(self.subscriptions) >= limits.max_subscribers:
             return Disconnect("full", limits.full_retry_after_ms)
         return None
@@ -135,7 +128,7 @@
         if isinstance(message, AppliedPosition) and subscription.expected_position is not None:
             position = message.epoch, message.version, message.digest
             self._on_position(subscription, position, to_printable_line(message.rejection_reason))
-        elif isinstance(message, SnapshotRequest) and subscription.may_ask_for_snapshot():
+        elif isinstance(message, SnapshotRequest) and subscription.may_request_snapshot():
             subscription.expected_position, subscription.needs_snapshot = None, True
             self._event("snapshot_requested", broker=subscription.name, why=message.reason[:MAX_REASON_CHARS])
         else:
@@ -144,7 +137,7 @@
         self._send_next(now, subscription)
         self._send_queued_snapshots(now)
 
-    def gone(self, now: int, connection: int) -> None:
+    def disconnected(self, now: int, connection: int) -> None:
         """A connection is down."""
         if connection in self.subscriptions:
             self._remove(self.subscriptions[connection])
@@ -152,7 +145,7 @@
 
     def stop(self) -> None:
         """This control process ends: its brokers go to others."""
-        for subscription in list(self.subscriptions.values()):
+        for subscription in self.subscriptions:
             self._disconnect(subscription, Disconnect("stopping"))
 
     def _reject(self, connection: int, name: str, disconnect: Disconnect) -> None:
@@ -169,26 +162,25 @@
 
     def _remove(self, subscription: Subscription) -> None:
         self._clear_in_flight(subscription)
-        del self.subscriptions[subscription.connection], self._connections[subscription.name]
         if subscription.is_queued:
             self.snapshot_queue.remove(subscription.connection)
-        self._mark_changed(subscription.name)
+        self.subscriptions.remove(subscription)
 
     # The history and time
 
     def committed(self, now: int) -> None:
         """The history has grown or was reset."""
-        for subscription in list(self.subscriptions.values()):
+        for subscription in self.subscriptions:
             self._send_next(now, subscription)
 
-    def leader_heard(self, now: int, name: str) -> None:
+    def on_leader_contact(self, now: int, name: str) -> None:
         """A sign of the leader was heard."""
         self._leader, self._leader_heard_at = name, now
 
     def tick(self, now: int) -> int:
         """What time brings about; when to call again, µs."""
         due = now + self._heartbeat_interval
-        for subscription in list(self.subscriptions.values()):
+        for subscription in self.subscriptions:
             if subscription.connection in self.subscriptions:
                 due = min(due, self._check_times(now, subscription))
         self._send_queued_snapshots(now)
@@ -237,7 +229,7 @@
         assert expected is not None, "an answer to nothing"
         self._clear_in_flight(subscription)
         if (*position[:2], rejection_reason) != (*subscription.position[:2], subscription.rejection_reason):
-            self._mark_changed(subscription.name)
+            self.subscriptions.mark_changed(subscription)
         subscription.rejection_reason = rejection_reason
         if was_snapshot and position[1]:
             subscription.cluster_id = self.history.state.cluster_id
@@ -320,40 +312,6 @@
         subscription.answer_deadline = now + round(self.limits.answer_timeout_s * 1e6)
         self._send_message(subscription.connection, message)
 
-    # What the leader is told
-
-    def _mark_changed(self, name: str) -> None:
-        """Guards against names without end where nobody asks for a report."""
-        self._changed.add(name)
-        if len(self._changed) > MAX_NAMED_CHANGES * self.limits.max_subscribers:
-            self._is_complete_report_due = True
-            self._changed.clear()
-
-    def applied_versions(self) -> dict[str, tuple[int, int]]:
-        """(run, version) of each connected broker: in force there but for what `rejections` says."""
-        return {s.name: (s.run, s.position[1]) for s in self.subscriptions.values()}
-
-    def rejections(self, names: Iterable[str]) -> dict[str, str]:
-        """Who of them has rejected some of what it holds, and why, the latter for `MAX_REASONS`."""
-        found: dict[str, str] = {}
-        for name in names:
-            connection = self._connections.get(name)
-            subscription = None if connection is None else self.subscriptions.get(connection)
-            if subscription is not None and subscription.rejection_reason:
-                found[name] = subscription.rejection_reason if len(found) < MAX_REASONS else "refused"
-        return found
-
-    def report(self, is_complete: bool) -> AppliedReport | None:
-        """What has changed of `applied_versions` and `rejections` since the last call, or all of it; None:
-        nothing."""
-        is_complete = is_complete or self._is_complete_report_due
-        applied = self.applied_versions()
-        names = sorted(applied if is_complete else self._changed)
-        brokers = [(name, *applied.get(name, (0, -1))) for name in names]
-        self._changed.clear()
-        self._is_complete_report_due = False
-        return AppliedReport(is_complete, brokers, self.rejections(names)) if brokers or is_complete else None
-
     def _registration(self, hello: Hello) -> Op | None:
         """What the state should say of a broker; none where it isn't to be registered, or can't be."""
         if not hello.address:
@@ -367,12 +325,6 @@
             return None
         return Op(key, value)
 
-    def registrations(self, state: FleetState) -> list[Op]:
-        """Changes for connected brokers that the state has at another place, or not at all. Each should be
-        tried alone: two brokers that say one address must not hold up the others."""
-        ops = [s.registration for s in self.subscriptions.values() if s.registration]
-        return [op for op in ops if (entry := state.entries.get(op.key)) is None or entry.value != op.value]
-
 
 def _is_valid(hello: Hello) -> bool:
     """Whether a Hello says a name and a position that can be."""
--- a/cypressledge/controlplane/server_selection.py
+++ b/cypressledge/controlplane/server_selection.py
@@ -66,7 +66,7 @@
 
     def first_attempt(self, now: int) -> int:
         """When to try the first."""
-        return now + self._random_part(ATTEMPT_SPAN)
+        return now + self._jitter(ATTEMPT_SPAN)
 
     def attempt_begins(self) -> None:
         """The current one is tried now."""
@@ -83,7 +83,7 @@
         """The current one keeps this broker away."""
         wait = min(max(retry_after_ms, 0) * 1000, MAX_RETRY_AFTER)
         if wait:
-            self._not_before[self.current] = now + wait + self._random_part(wait // 4)
+            self._not_before[self.current] = now + wait + self._jitter(wait // 4)
 
     def failed(self, now: int, was_steady: bool) -> int:
         """The connection has ended, or could not be made: choose another. `was_steady`: it held for long.
@@ -94,7 +94,7 @@
         if self._fallback is not None:  # a nearer one did not take us
             self.current, self._fallback = self._fallback, None
             self._nearer_failures = min(self._nearer_failures + 1, MAX_NEARER_DOUBLINGS)
-            return now + self._random_part(ATTEMPT_SPAN)
+            return now + self._jitter(ATTEMPT_SPAN)
         # All servers in a row, then a pause: guards against a span that grows while most are down, and puts
         # off the one that is up.
         self._failures += 1
@@ -102,7 +102,7 @@
         span = ATTEMPT_SPAN
         if not within:
             span = min(ATTEMPT_SPAN << min(rounds - 1, MAX_SPAN_DOUBLINGS), MAX_ROUND_SPAN)
-        return self._choose_next(now + self._random_part(span))
+        return self._choose_next(now + self._jitter(span))
 
     def _choose_next(self, at: int) -> int:
         """The next in order that has not kept us away; where all have, whoever is free first. When."""
@@ -117,7 +117,7 @@
 
     def _plan_nearer(self, now: int) -> None:
         low, high = NEARER_SPAN
-        span = low + self._random_part(high - low)
+        span = low + self._jitter(high - low)
         self.nearer_at = now + (span << self._nearer_failures) if self.current else None
 
     def choose_nearer(self, now: int) -> bool:
@@ -134,7 +134,7 @@
     def _may_return_to(self, server: int, now: int) -> bool:
         return all(until.get(server, 0) <= now for until in (self._not_before, self._stale_until))
 
-    def leader_heard(self) -> None:
+    def on_leader_contact(self) -> None:
         """The current one hears a leader."""
         self._stale_changes = 0
 
@@ -148,11 +148,11 @@
         ):
             return False
         low, high = STALE_SPAN
-        self._next_stale_change = now + (low + self._random_part(high - low) << self._stale_changes)
+        self._next_stale_change = now + (low + self._jitter(high - low) << self._stale_changes)
         self._stale_changes = min(self._stale_changes + 1, MAX_NEARER_DOUBLINGS)
         self._stale_until[self.current] = now + STALE_AVOIDED
         return True
 
-    def _random_part(self, span: int) -> int:
+    def _jitter(self, span: int) -> int:
         """A random part of a span ("full jitter")."""
         return self._random.randrange(span + 1)
--- a/cypressledge/controlplane/settings.py
+++ b/cypressledge/controlplane/settings.py
@@ -39,9 +39,9 @@
 
 class ControlSettings(StrictStruct, frozen=True):
     """The file. `version`: of the voter set, one higher whenever `votes` changes. `drift_ppm`: how far
-    any clock's rate may be from true, parts in a million. `brokers_most`: connections of brokers that one
-    control process takes. `forget_s`: a broker that was connected nowhere for so long leaves the state (0:
-    never)."""
+    any clock's rate may be from true, parts in a million. `max_brokers` (key `brokers_most`):
+    connections of brokers that one control process takes. `forget_s`: a broker that was connected nowhere
+    for so long leaves the state (0: never)."""
 
     servers: list[ServerSpec]
     version: Annotated[int, msgspec.Meta(ge=1)] = 1
@@ -49,7 +49,9 @@
     ping_s: Seconds = 0.5
     drift_ppm: Annotated[int, msgspec.Meta(ge=0, le=200_000)] = 10_000
     grace_s: Annotated[float, msgspec.Meta(ge=0, le=600)] = 10.0
-    brokers_most: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = 2_000
+    max_brokers: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = msgspec.field(
+        default=2_000, name="brokers_most"
+    )
     forget_s: Annotated[float, msgspec.Meta(ge=0, le=1e7)] = 3_600.0
     lab: Lab = Lab()
 
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -228,14 +228,14 @@
             self._leave(now, "nonsense")
 
     def _on_accepted(self, now: int, message: HelloAccepted) -> None:
-        if not self._is_own_history(message.cluster_id):
+        if not self._is_same_cluster(message.cluster_id):
             self._leave(now, "lineage")
             return
         self.phase = Phase.FOLLOWING
         self.selector.accepted(now)
         self._report("subscribed", server=self.selector.server.name)
 
-    def _is_own_history(self, cluster_id: str) -> bool:
+    def _is_same_cluster(self, cluster_id: str) -> bool:
         """Whether a history may be ours; one that has no name yet has nothing to send."""
         return not cluster_id or cluster_id == (self.state.cluster_id or self.cluster_id or cluster_id)
 
@@ -247,7 +247,7 @@
             self._leader = heartbeat.leader
         self._compare_digest(heartbeat)
         if 0 <= heartbeat.leader_silence_ms < STALE_MS:
-            self.selector.leader_heard()
+            self.selector.on_leader_contact()
         elif self.selector.avoid_stale(now, self._phase_at):
             self._leave(now, "stale")
 
@@ -296,7 +296,7 @@
             self._report("invalid_snapshot", why=str(err))
             self._leave(now, "bad snapshot")
             return
-        if not snapshot.cluster_id or not self._is_own_history(snapshot.cluster_id):
+        if not snapshot.cluster_id or not self._is_same_cluster(snapshot.cluster_id):
             self._leave(now, "lineage")
             return
         if self._is_newer(snapshot):
--- a/cypressledge/controlplane/subscription.py
+++ b/cypressledge/controlplane/subscription.py
@@ -13,7 +13,7 @@
 
     connection: int
     name: str
-    run: int
+    instance_id: int
     cluster_id: str
     position: Position
     registration: Op | None
@@ -33,6 +33,6 @@
         """Whether a message is in flight, or a snapshot is to follow."""
         return self.expected_position is not None or self.is_queued
 
-    def may_ask_for_snapshot(self) -> bool:
+    def may_request_snapshot(self) -> bool:
         """Only in answer to changes. Guards against a broker that claims leave for many messages."""
         return self.expected_position is not None and not self.is_snapshot_in_flight
--- a/tests/controlplane/test_control_distribution.py
+++ b/tests/controlplane/test_control_distribution.py
@@ -73,6 +73,9 @@
     def have(self, conn: int, now: int = 0, position: tuple | None = None) -> None:
         self.publisher.received(now, conn, m.AppliedPosition(*(position or where(self.history.state))))
 
+    def report(self, is_complete: bool) -> m.AppliedReport | None:
+        return self.publisher.subscriptions.report(is_complete)
+
     def whole(self, conn: int) -> bool:
         return any(isinstance(msg, m.CompleteSnapshot) for msg in self.sent[conn])
 
@@ -94,7 +97,7 @@
     assert isinstance(desk.sent[2][4], m.CompleteSnapshot)
     assert "snapshot_requested" in desk.events
     desk.have(2)
-    assert desk.publisher.applied_versions() == {"b1": (1, 0), "b2": (1, 5)}
+    assert desk.publisher.subscriptions.applied_versions() == {"b1": (1, 0), "b2": (1, 5)}
     assert len(desk.sent[2]) == 5
     assert len(desk.hello(3, where(desk.history.state))) == 2  # has all
     desk.history.compact()
@@ -150,63 +153,63 @@
     desk.publisher.received(0, 1, message)
     assert desk.ended[1].reason == "nonsense"
     desk.publisher.received(0, 1, message)  # what was under way already
-    desk.publisher.gone(0, 1)
+    desk.publisher.disconnected(0, 1)
 
 
 def test_publisher_replaces_refuses_when_full_and_says_who_is_here():
     desk = PublisherHarness(max_subscribers=2)
     desk.hello(1)
     desk.hello(2)
-    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 0)])
+    assert desk.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 0)])
     desk.hello(3)
     assert desk.ended[3].reason == "full"
     assert desk.ended[3].retry_after_ms > 0
     desk.hello(4, name="b1", instance_id=9)
     assert desk.ended[1].reason == "replaced"
-    assert desk.publisher.applied_versions()["b1"] == (9, 0)
+    assert desk.publisher.subscriptions.applied_versions()["b1"] == (9, 0)
     desk.have(2)
-    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 9, 0), ("b2", 1, 3)])
-    assert desk.publisher.report(False) is None
-    desk.publisher.gone(0, 2)
-    assert desk.publisher.report(False) == m.AppliedReport(False, [("b2", 0, -1)])
-    assert desk.publisher.report(True) == m.AppliedReport(True, [("b1", 9, 0)])
+    assert desk.report(False) == m.AppliedReport(False, [("b1", 9, 0), ("b2", 1, 3)])
+    assert desk.report(False) is None
+    desk.publisher.disconnected(0, 2)
+    assert desk.report(False) == m.AppliedReport(False, [("b2", 0, -1)])
+    assert desk.report(True) == m.AppliedReport(True, [("b1", 9, 0)])
     desk.publisher.stop()
     assert desk.ended[4].reason == "stopping"
-    assert desk.publisher.report(True) == m.AppliedReport(True, [])
+    assert desk.report(True) == m.AppliedReport(True, [])
 
 
 def test_publisher_tells_who_rejected_settings():
     desk, why = PublisherHarness(), "other classes need a restart"
     desk.hello(1)
     desk.hello(2, where(desk.history.state), rejection_reason=why)  # it was so before it came here
-    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 3)], {"b2": why})
+    assert desk.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 3)], {"b2": why})
     desk.publisher.received(
         0, 1, m.AppliedPosition(*where(desk.history.state), "  a\nlong\x1b[2J" + "x" * 999)
     )
-    told = desk.publisher.report(False).rejections["b1"]
+    told = desk.report(False).rejections["b1"]
     assert told.startswith("a long?[2Jxxx")
     assert len(told) == m.MAX_REJECTION_REASON_LENGTH == 200
     grow(desk.history)
     desk.publisher.committed(0)
     desk.publisher.received(0, 1, m.AppliedPosition(*where(desk.history.state), "b"))
     desk.have(2)
-    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 1, 4), ("b2", 1, 4)], {"b1": "b"})
-    assert desk.publisher.report(True).rejections == {"b1": "b"}
-    desk.publisher.gone(0, 1)
-    assert desk.publisher.report(False) == m.AppliedReport(False, [("b1", 0, -1)], {})
+    assert desk.report(False) == m.AppliedReport(False, [("b1", 1, 4), ("b2", 1, 4)], {"b1": "b"})
+    assert desk.report(True).rejections == {"b1": "b"}
+    desk.publisher.disconnected(0, 1)
+    assert desk.report(False) == m.AppliedReport(False, [("b1", 0, -1)], {})
     desk.hello(3, (1, 4, b"x" * 16))
-    desk.publisher.report(False)
+    desk.report(False)
     desk.publisher.received(
         0, 3, m.AppliedPosition(*where(desk.history.state), why)
     )  # a snapshot of the same version
-    assert desk.publisher.report(False) == m.AppliedReport(False, [("b3", 1, 4)], {"b3": why})
+    assert desk.report(False) == m.AppliedReport(False, [("b3", 1, 4)], {"b3": why})
 
 
 def test_refusals_of_a_whole_fleet_fit_in_a_frame():
     desk, most = PublisherHarness(max_subscribers=20_000), 20_000
     for conn in range(most):
         desk.hello(conn, where(desk.history.state), name=f"b{conn:063d}", rejection_reason="\u20ac" * 999)
-    seen = desk.publisher.report(True)
+    seen = desk.report(True)
     assert len(m.encode(seen)) < m.MAX_FRAME_BYTES
     assert len(seen.rejections) == len(seen.brokers) == most
 
@@ -237,16 +240,16 @@
     desk = PublisherHarness(max_subscribers=1)
     for conn in range(20):
         desk.hello(conn)
-        desk.publisher.gone(0, conn)
-        assert len(desk.publisher._changed) <= 4
-    assert desk.publisher.report(False) == m.AppliedReport(True, [])
+        desk.publisher.disconnected(0, conn)
+        assert desk.publisher.subscriptions.changed_count <= 4
+    assert desk.report(False) == m.AppliedReport(True, [])
 
 
 def test_publisher_ends_the_silent_and_beats():
     desk = PublisherHarness()
     desk.hello(1)
     desk.hello(2, where(desk.history.state))
-    desk.publisher.leader_heard(S // 2, "c3")
+    desk.publisher.on_leader_contact(S // 2, "c3")
     now = 0
     while now < 11 * S:
         now = desk.publisher.tick(now)
@@ -267,14 +270,14 @@
     desk.have(0)  # gives the third, the last of this second
     desk.have(1)
     assert [desk.whole(conn) for conn in range(6)] == [True, True, True, False, False, False]
-    desk.publisher.gone(0, 3)
+    desk.publisher.disconnected(0, 3)
     assert list(desk.publisher.snapshot_queue) == [4, 5]
     desk.publisher.tick(S - 1)
     assert not desk.whole(4)
     desk.publisher.tick(S)
     assert desk.whole(4)
     assert not desk.whole(5)
-    desk.publisher.gone(S, 4)
+    desk.publisher.disconnected(S, 4)
     assert desk.whole(5)
     assert not desk.publisher.snapshot_queue
 
@@ -317,7 +320,7 @@
     desk.hello(2, (1, 3, b"x" * 16))
     desk.history.reset(older)
     desk.publisher.committed(0)
-    desk.publisher.gone(0, 1)
+    desk.publisher.disconnected(0, 1)
     assert not desk.whole(2)
     assert not desk.publisher.snapshot_queue
 
@@ -327,13 +330,13 @@
     for conn, address in enumerate(["h:1", "h:2", "", "bad"]):
         desk.hello(conn, address=address, zone="z", region="r")
     state = desk.history.state
-    ops = desk.publisher.registrations(state)
+    ops = desk.publisher.subscriptions.registrations(state)
     assert [op.key for op in ops] == ["broker/b0", "broker/b1"]
     assert "invalid_address" in desk.events
     desk.history.apply(
         state.draft_change(1, [ops[0], m.Op("broker/b1", encode_value(Broker("h:2", "y", "r")))])
     )
-    assert [op.key for op in desk.publisher.registrations(state)] == ["broker/b1"]
+    assert [op.key for op in desk.publisher.subscriptions.registrations(state)] == ["broker/b1"]
 
 
 class SubscriberHarness:
@@ -661,7 +664,7 @@
         conn, link = self._link(i)
         if link:
             del self.conns[conn]
-            self.later(self.random.randrange(S), self.sites[link["site"]].gone, self.now, conn)
+            self.later(self.random.randrange(S), self.sites[link["site"]].disconnected, self.now, conn)
 
     def _dial(self, i: int, server: Server) -> None:
         assert self._link(i)[1] is None, "two connections of one broker"
@@ -757,7 +760,7 @@
         site = self.sites[i]
         for change in self.log[site.history.state.version :][:most]:
             site.history.apply(change)
-        site.leader_heard(self.now, "c0")
+        site.on_leader_contact(self.now, "c0")
         site.committed(self.now)
 
     def fault(self, kind: str, n: int) -> None:
@@ -765,7 +768,7 @@
         conn, link = self._link(broker)
         if kind == "break" and link:
             self.later(0, self._down, conn)
-            self.later(S // 3, self.sites[link["site"]].gone, self.now, conn)
+            self.later(S // 3, self.sites[link["site"]].disconnected, self.now, conn)
         elif kind == "dark" and link:
             link["dark"] = True
         elif kind == "new broker":
@@ -814,7 +817,7 @@
     want = where(world.truth)
     assert [where(b.state) for b in world.brokers] == [want] * 4
     assert all(b.state.snapshot() == world.truth.snapshot() for b in world.brokers)
-    held = {name: v for site in world.sites for name, (_, v) in site.applied_versions().items()}
+    held = {name: v for site in world.sites for name, (_, v) in site.subscriptions.applied_versions().items()}
     assert held == {f"b{i}": want[1] for i in range(4)}
     assert not any(site.throttle.in_flight for site in world.sites)
     assert max(b.stale_ms(world.now) for b in world.brokers) <= 42_000
