--- a/cypressledge/cli/fleet.py
+++ b/cypressledge/cli/fleet.py
@@ -6,7 +6,7 @@
 import click
 
 from cypressledge.cli.broker_client import at_broker, call
-from cypressledge.cli_support import as_json, show
+from cypressledge.cli_support import add_hidden_alias, as_json, show
 
 TURN_POLL_S = 0.1  # between two questions whether it is this broker's turn
 CLASS_COLUMNS = ("success", "overload", "error", "dispatches")
@@ -32,7 +32,7 @@
 @as_json
 @click.pass_obj
 def leases(at: tuple[str, int], as_json: bool) -> None:
-    """Who holds what, and who is next in line."""
+    """Who holds what, and the candidates after the holder."""
     show(json.loads(call(at, "GET", "/fleet/leases")), as_json)
 
 
@@ -66,14 +66,17 @@
     show([{"engine": engine, "avoided by": brokers} for engine, brokers in avoided], False)
 
 
-@fleet.command("give-back")
+@fleet.command()
 @click.argument("lease")
 @click.pass_obj
-def give_back(at: tuple[str, int], lease: str) -> None:
-    """Make this broker give a lease back; the next in line takes it."""
+def release(at: tuple[str, int], lease: str) -> None:
+    """Make this broker release a lease; the next candidate acquires it."""
     click.echo(call(at, "POST", "/fleet/give-back", lease).strip())
 
 
+add_hidden_alias(fleet, "give-back", release)
+
+
 @fleet.command("restart-turn")
 @click.option("--lease", default="restart", show_default=True, help="The lease that turns are taken under.")
 @click.option("--wait", "wait_s", default=60.0, show_default=True, help="Seconds to wait for the turn.")
--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -7,6 +7,8 @@
 
 import click
 
+from cypressledge.cli_support import add_hidden_alias
+
 
 @click.group()
 def lab() -> None:
@@ -16,14 +18,6 @@
         signal.signal(number, lambda received, _frame: sys.exit(128 + received))
 
 
-def _add_hidden_alias(name: str, command: click.Command) -> None:
-    """Accept a command under its former name, too, without a line in the help."""
-    alias = click.Command(
-        name, callback=command.callback, params=command.params, help=command.help, hidden=True
-    )
-    lab.add_command(alias)
-
-
 def _shows_progress(stream: TextIO) -> bool:
     """Whether a stream is a terminal on which lines can be written over."""
     return stream.isatty() and os.environ.get("TERM") != "dumb"
@@ -136,7 +130,7 @@
     sys.exit(run(path, quick, seed, click.echo))
 
 
-_add_hidden_alias("slopes", scaling)  # its name before this release
+add_hidden_alias(lab, "slopes", scaling)  # its name before this release
 
 
 @lab.command("capacity-page")
--- a/cypressledge/cli_support.py
+++ b/cypressledge/cli_support.py
@@ -39,3 +39,11 @@
     if isinstance(value, list):
         return " ".join(map(str, value))
     return "-" if value is None else value
+
+
+def add_hidden_alias(group: click.Group, name: str, command: click.Command) -> None:
+    """Accept a command under its former name, too, without a line in the help."""
+    alias = click.Command(
+        name, callback=command.callback, params=command.params, help=command.help, hidden=True
+    )
+    group.add_command(alias)
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -128,8 +128,19 @@
         self.transport = DatagramTransport(name, settings.listen, counters, clock.now, self._sender_state)
         self.transport.set_peers({p: a for p, a in settings.addresses.items() if p != name})
         wall = settings.wall or wall_us()
-        self.membership = Membership(
-            name,
+        self.membership = self._make_membership(settings, wall)
+        self.lease_manager = self._make_lease_manager(settings, wall)
+        self.voters_versions: dict[str, int] = {}  # by peer, as last heard
+        self.pending_events: list[tuple[LeaseEvent, str, int, str]] = []
+        self.loops = [self.transport.read, self.run]  # to be spawned as greenlets
+        self.owner: gevent.Greenlet | None = None
+        self.stopped, self.in_turn, self.turn_started_ns = False, False, 0
+        # µs that others may have to wait for a turn
+        self.turn_times: deque[int] = deque(maxlen=settings.turn_times_kept)
+
+    def _make_membership(self, settings: NodeSettings, wall: int) -> Membership:
+        return Membership(
+            self.name,
             list(settings.addresses),
             wall // 1000,
             round(settings.ping_s * 1e6),
@@ -137,22 +148,17 @@
             self.transport.send,
             self._member_changed,
         )
-        self.lease_manager = LeaseManager(
-            name,
+
+    def _make_lease_manager(self, settings: NodeSettings, wall: int) -> LeaseManager:
+        return LeaseManager(
+            self.name,
             self.instance_id,
-            electorate,
+            self.electorate,
             LeaseSettings(settings.slots, settings.drift_ppm, base_token=wall, seed=self.instance_id),
-            clock.now(),
+            self.clock.now(),
             self.transport.send,
             self._lease_event,
         )
-        self.voters_versions: dict[str, int] = {}  # by peer, as last heard
-        self.pending_events: list[tuple[LeaseEvent, str, int, str]] = []
-        self.loops = [self.transport.read, self.run]  # to be spawned as greenlets
-        self.owner: gevent.Greenlet | None = None
-        self.stopped, self.in_turn, self.turn_started_ns = False, False, 0
-        # µs that others may have to wait for a turn
-        self.turn_times: deque[int] = deque(maxlen=settings.turn_times_kept)
 
     def turn_p99(self) -> int:
         """The 99th percentile of the owner's turn times kept, µs."""
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -171,9 +171,9 @@
     rows = json.loads(fleet.cli(first.holder, "leases", "--json")[1])
     assert next(r for r in rows if r["lease"] == "ledger")["holder"] == first.holder
     other = next(n for n in fleet.names if n != first.holder)
-    assert fleet.cli(other, "give-back", "ledger") == (1, "Error: not held here\n")
-    assert fleet.cli(other, "give-back", "nothing") == (1, "Error: no such lease\n")
-    code, words = fleet.cli(first.holder, "give-back", "ledger")
+    assert fleet.cli(other, "release", "ledger") == (1, "Error: not held here\n")
+    assert fleet.cli(other, "release", "nothing") == (1, "Error: no such lease\n")
+    code, words = fleet.cli(first.holder, "give-back", "ledger")  # the former name, hidden
     assert (code, words) == (0, "ledger given back\n")
     fleet.wait_act(fleet.last().at, but=first.holder)
     code, words = fleet.cli(other, "tasks")
