--- a/tests/leases/test_lease_schedules.py
+++ b/tests/fleet/leases/test_lease_schedules.py
@@ -8,7 +8,7 @@
 
 from cypressledge.fleet.leases.participation import lease_slots
 from cypressledge.lab.virtual import S, World
-from tests.virtual_fleet import settled_world
+from tests.fakes.virtual_fleet import settled_world
 
 
 def test_dead_holder_is_followed_within_a_term_and_a_half():
--- a/tests/membership/test_membership.py
+++ b/tests/fleet/membership/test_membership.py
@@ -6,7 +6,7 @@
     Ping,
 )
 from cypressledge.lab.virtual import S
-from tests.virtual_fleet import settled_world
+from tests.fakes.virtual_fleet import settled_world
 
 
 def test_members_see_a_death_a_return_and_a_former_instance():
--- a/tests/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -132,7 +132,7 @@
     assert in_order(fleet.resource.writes)
 
 
-def test_holder_stopped_for_longer_than_its_term_acts_no_more(fleet):
+def test_holder_stopped_for_longer_than_its_term_is_fenced(fleet):
     first = fleet.wait_act()
     gate = fleet.resource.gate(first.holder)
     assert gate.arrived.wait(WAIT)  # an act of it is on its way, past its own check
@@ -164,7 +164,7 @@
     assert time.monotonic() - began < TERM
 
 
-def test_give_back_by_hand_and_what_operators_see(fleet):
+def test_release_by_hand_and_what_operators_see(fleet):
     first = fleet.wait_act()
     until(lambda: len(json.loads(fleet.cli(first.holder, "peers", "--json")[1])) == 3, WAIT)
     assert until(lambda: all(p["state"] == "alive" for p in ask(fleet[first.holder], "/fleet/peers")), WAIT)
@@ -188,7 +188,7 @@
     assert ask(fleet[other], "/fleet/summary")["missing"] == [first.holder]
 
 
-def test_a_holder_that_hears_no_voter_stops_though_it_reaches_the_resource(fleet):
+def test_holder_that_receives_no_votes_stops_though_it_reaches_the_resource(fleet):
     first = fleet.wait_act()
     for pair in fleet.relays.paths:  # one way: what the voters say does not reach it
         if pair[1] == first.holder:
@@ -200,7 +200,7 @@
     assert in_order(fleet.resource.writes)
 
 
-def test_a_majority_restarted_within_a_term_makes_no_second_holder(fleet):
+def test_majority_restarted_within_a_term_makes_no_second_holder(fleet):
     first = fleet.wait_act()
     for name in [n for n in fleet.names if n != first.holder]:
         fleet[name].kill()
@@ -257,7 +257,7 @@
     assert fleet.cli("n1", "restart-turn", "--over") == (0, "over\n")
 
 
-def test_what_a_bad_peer_sends_costs_a_count_and_nothing_else(fleet):
+def test_invalid_datagrams_are_counted_and_change_nothing(fleet):
     first = fleet.wait_act()
     target = ("127.0.0.1", fleet.ports[first.holder])
     sock = gsocket.socket(gsocket.AF_INET, gsocket.SOCK_DGRAM)
@@ -286,7 +286,7 @@
     assert not fleet.told(first.holder, "lease_lost")
 
 
-def test_a_bad_file_is_one_plain_line_and_exit_2(tmp_path):
+def test_invalid_file_is_one_line_and_exit_2(tmp_path):
     brokers = Brokers(str(tmp_path))
     broker = brokers.add("n1", {"peers": [], "voters": []})
     broker.start()
@@ -297,7 +297,7 @@
     ]
 
 
-def test_run_imports_nothing_of_it(tmp_path):
+def test_run_imports_nothing_of_the_fleet(tmp_path):
     """As `deploy/balancer.toml` starts it: no package of the fleet, the control plane, the laboratory, or
     their libraries."""
     brokers = Brokers(str(tmp_path))
@@ -373,5 +373,5 @@
     assert "lookups served" in lines[-1]
 
 
-def test_the_file_that_is_shipped_is_good():
+def test_shipped_fleet_file_is_valid():
     assert read_fleet_settings(str(ROOT / "deploy" / "fleet.yaml")).voter_sets == {1: ("n1", "n2", "n3")}
