--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -111,7 +111,9 @@
 @pytest.mark.parametrize("what", ["avoided", "rejecting"])
 def test_an_engine_that_just_failed_comes_last(what):
     f = Routing()
+    f.affinity.group_engines = lambda group: f.registry.ready
     made = request(f.context)
+    assert 1 in f.chosen_for(made)
     if what == "avoided":
         made.avoided_engine = f.engine(1)
     else:
@@ -126,6 +128,9 @@
     f = Routing(LOOKUP, bound, engines=[entry(1), entry(2, kind=1)])
     f.affinity.group_engines = lambda group: f.registry.ready
     assert f.chosen() == {1: 200}
+    f.engine(1).threads = 5
+    assert set(f.chosen()) == {1, 2}  # 6/8 of a thread a core here, 1/4 and the reserve of 1/2 there
+    f.engine(1).threads = 0
     assert f.chosen(class_index=1) == {2: 200}
     f.context.settings = replace(f.context.settings, classes=(LOOKUP, LOOKUP))
     f.router.configure()
@@ -162,6 +167,8 @@
 
 def test_queries_keep_off_engines_where_a_load_blocks_their_group():
     f = Routing(BLOCKED)
+    f.affinity.group_engines = lambda group: f.registry.ready
+    f.affinity.excluded_engines = lambda request: ()  # as where no other engine is usable
     f.engine(1).blocked_until[7] = f.context.now + 1
     f.engine(2).loads_in_flight[7] = 1
     assert f.chosen(table_group=7) == {3: 200}
@@ -172,6 +179,7 @@
     f.pace.answer_rate = 10.0  # so many that the broker prefers all five
     ranks = f.affinity.ranked(7)
     f.affinity.load_engines = lambda group: ranks[3:]
+    f.affinity.group_engines = lambda group: f.registry.ready
     loads = {engine.id for engine in ranks[3:]}
     assert set(f.chosen(class_index=1, table_group=7)) == loads
     assert not set(f.chosen(class_index=0, table_group=7)) & loads
