--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -154,6 +154,7 @@
 
 @pytest.mark.parametrize(("is_sent", "reason"), [(False, Reason.NO_CAPACITY), (True, Reason.DEADLINE)])
 def test_a_request_ends_30_ms_before_its_deadline(is_sent, reason):
+    """The margin stands in deadlines.py."""
     f = Life()
     made = f.receive()
     if is_sent:
