--- a/cypressledge/lab/__init__.py
+++ b/cypressledge/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The project's laboratory: explorer, stand-ins, relays and experiments. Never imported by `run`."""
+"""The laboratory: models, fakes, proxies and experiments. Never imported by `run`."""
--- a/cypressledge/lab/capacity/checks.py
+++ b/cypressledge/lab/capacity/checks.py
@@ -1,4 +1,4 @@
-"""Judges a scale run of the control plane by what its processes wrote down. No I/O but reading JSON lines.
+"""Judges a capacity run by what its processes recorded. No I/O but reading JSON lines.
 
 Shares nothing with the mechanism: it knows moments (µs of CLOCK_BOOTTIME), names, versions and digests. A
 broker's life is from its `start` to when the harness ended it; while the harness kept it from the control
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """From and to, µs; what it was, and of whom (empty: of nobody in particular)."""
+    """A span of time, µs: what it was, and of whom (empty: of nobody in particular)."""
 
     begin: int
     end: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgedChange:
-    """A change that the harness had acknowledged. `at`: when the answer was there, µs."""
+    """A change that the harness had acknowledged. `at`: when the answer came, µs."""
 
     at: int
     version: int
@@ -39,8 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderLoss:
-    """A primary that the harness took away at `at`, µs. `who` empty: all control processes, of which the
-    last was gone at `gone`: what one of them wrote in between is no sign of the next primary."""
+    """A leader that the harness took away at `at`, µs.
+
+    `who` empty: all control processes, of which the last was gone at `gone`: what one of them recorded in
+    between is no sign of the next leader.
+    """
 
     at: int
     who: str
@@ -50,8 +53,11 @@
 
 @dataclass(slots=True)
 class HarnessObservations:
-    """What the harness itself did and was told. `down`: spans in which a broker can't be reached, `faults`:
-    spans that are not quiet, `ends`: by (broker, run) the moment it was killed, `over`: the end, µs."""
+    """What the harness itself did and was answered.
+
+    `down`: spans in which a broker can't be reached; `faults`: spans that are not quiet; `ends`: by broker
+    and run the moment it was killed; `over`: the end, µs.
+    """
 
     acked: list[AcknowledgedChange]
     down: list[Span]
@@ -66,7 +72,7 @@
 
 @dataclass(slots=True)
 class BrokerLife:
-    """One run of one broker: when it was there and what it had in force, in order of time."""
+    """One run of one broker: its span, µs, and what it had in force, in order of time."""
 
     broker: str
     run: int
@@ -78,7 +84,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Of one run. Times in s. `by_fault`: times of changes that met a fault, by its kind."""
+    """The verdict on one run. Times in s. `by_fault`: times of changes that met a fault, by its kind."""
 
     changes: int = 0
     quiet: list[float] = field(default_factory=list)
@@ -97,8 +103,10 @@
 
 
 def read_records(paths: Iterable[Path]) -> list[dict]:
-    """All whole lines of the files; the last line of a killed process may be cut short. Raises `ValueError`
-    for any other line that can't be read."""
+    """Read all complete lines of the files; the last line of a killed process may be cut short.
+
+    Raises `ValueError` for any other line that can't be read.
+    """
     found = []
     for path in paths:
         lines = path.read_text(encoding="utf-8").split("\n")
@@ -116,7 +124,7 @@
 
 
 def quantile(times: list[float], part: float) -> float:
-    """The value under which this part of them lies; 0 of none."""
+    """Return the value under which this part of the times lies; 0 of none."""
     ordered = sorted(times)
     return ordered[min(len(ordered) - 1, int(len(ordered) * part))] if ordered else 0.0
 
@@ -125,34 +133,34 @@
     """Judge a run by the brokers' records, the control processes' and the harness's own."""
     verdict = Verdict(changes=len({a.version for a in observed.acked}))
     verdict.wrong += observed.wrongs
-    truth = _truth(controls, verdict)
-    _acked(observed.acked, controls, truth, verdict)
+    committed = _committed_digests(controls, verdict)
+    _check_acknowledged(observed.acked, controls, committed, verdict)
     lives = _lives(brokers, observed)
     verdict.lives = len(lives)
     for life in lives:
-        _order(life, verdict)
-        _digests(life, truth, verdict)
-        _in_force(life, observed, verdict)
-    _missing(lives, observed, verdict)
-    _primaries(controls, observed, verdict)
+        _check_order(life, verdict)
+        _check_digests(life, committed, verdict)
+        _check_in_force(life, observed, verdict)
+    _check_missing(lives, observed, verdict)
+    _check_leader_losses(controls, observed, verdict)
     return verdict
 
 
-def _truth(controls: list[dict], verdict: Verdict) -> dict[int, str]:
-    """The digest of each version, as committed; two that differ are a fault."""
-    truth: dict[int, str] = {}
+def _committed_digests(controls: list[dict], verdict: Verdict) -> dict[int, str]:
+    """Return the digest of each version, as committed; two that differ are a fault."""
+    committed: dict[int, str] = {}
     for record in controls:
         if record["event"] == "committed":
             version, digest = record["version"], record["digest"]
-            if truth.setdefault(version, digest) != digest:
+            if committed.setdefault(version, digest) != digest:
                 verdict.wrong.append(
-                    f"{record['who']} has version {version} as {digest}, another as " f"{truth[version]}"
+                    f"{record['who']} has version {version} as {digest}, another as {committed[version]}"
                 )
-    return truth
+    return committed
 
 
-def _acked(
-    acked: list[AcknowledgedChange], controls: list[dict], truth: dict[int, str], verdict: Verdict
+def _check_acknowledged(
+    acked: list[AcknowledgedChange], controls: list[dict], committed: dict[int, str], verdict: Verdict
 ) -> None:
     """An acknowledged change stands in the history at its version, under its own name, and once."""
     names: dict[int, str] = {}
@@ -166,17 +174,17 @@
                 f"request {change.request} became versions {versions[change.request]} and "
                 f"{change.version}"
             )
-        if change.version not in truth:
+        if change.version not in committed:
             verdict.lost.append(f"version {change.version} was acknowledged, and is in no one's history")
         elif names.get(change.version, change.request) != change.request:
             verdict.lost.append(
                 f"version {change.version} was acknowledged for {change.request}, and is "
                 f"{names[change.version]}"
             )
-        elif change.digest and change.digest != truth[change.version]:
+        elif change.digest and change.digest != committed[change.version]:
             verdict.wrong.append(
                 f"version {change.version} was acknowledged as {change.digest}, and is "
-                f"{truth[change.version]}"
+                f"{committed[change.version]}"
             )
 
 
@@ -195,26 +203,26 @@
     return list(lives.values())
 
 
-def _order(life: BrokerLife, verdict: Verdict) -> None:
+def _check_order(life: BrokerLife, verdict: Verdict) -> None:
     last = (0, 0)
     for at, epoch, version, _ in life.held:
         if version < last[1] or epoch < last[0]:
             verdict.gone_back.append(
-                f"{life.broker} (run {life.run:x}) went from {last} to " f"{(epoch, version)} at {at}"
+                f"{life.broker} (run {life.run:x}) went from {last} to {(epoch, version)} at {at}"
             )
         last = (epoch, version)
 
 
-def _digests(life: BrokerLife, truth: dict[int, str], verdict: Verdict) -> None:
+def _check_digests(life: BrokerLife, committed: dict[int, str], verdict: Verdict) -> None:
     for at, _, version, digest in life.held:
-        if version and truth.get(version, "") != digest:
+        if version and committed.get(version, "") != digest:
             verdict.wrong.append(
                 f"{life.broker} had version {version} as {digest} at {at}, committed is "
-                f"{truth.get(version, 'no such version')}"
+                f"{committed.get(version, 'no such version')}"
             )
 
 
-def _in_force(life: BrokerLife, observed: HarnessObservations, verdict: Verdict) -> None:
+def _check_in_force(life: BrokerLife, observed: HarnessObservations, verdict: Verdict) -> None:
     """How long each change took to this life of a broker. Of changes that are due from one moment (a start, a
     heal) the newest counts, once: it takes the others along."""
     down = sorted((s for s in observed.down if s.who == life.broker), key=lambda s: s.begin)
@@ -233,17 +241,18 @@
     for base, change in due.items():
         index = bisect_right(reached, change.version - 1)
         got = moments[index] if index < len(moments) and moments[index] <= life.end else None
-        _pair(life, change, base, got, down, observed, verdict)
+        _check_change(life, change, base, got, down, observed, verdict)
 
 
 def _due(moment: int, down: list[Span]) -> int:
+    """Return when what came at a moment is due: at the end of the spans in which nothing could come."""
     for span in down:
         if span.begin <= moment < span.end:
             moment = span.end
     return moment
 
 
-def _pair(
+def _check_change(
     life: BrokerLife,
     change: AcknowledgedChange,
     base: int,
@@ -274,13 +283,13 @@
         verdict.quiet.append(took)
 
 
-def _missing(lives: list[BrokerLife], observed: HarnessObservations, verdict: Verdict) -> None:
+def _check_missing(lives: list[BrokerLife], observed: HarnessObservations, verdict: Verdict) -> None:
     there = {life.broker for life in lives if not life.ended}
     for name in sorted(observed.expected - observed.gone - there):
         verdict.lost.append(f"{name} is to be there at the end, and wrote nothing")
 
 
-def _primaries(controls: list[dict], observed: HarnessObservations, verdict: Verdict) -> None:
+def _check_leader_losses(controls: list[dict], observed: HarnessObservations, verdict: Verdict) -> None:
     """From each loss to the first sign of another primary: its own record or what it acknowledged."""
     signs = sorted((r["at"], r["who"]) for r in controls if r["event"] in ("primary", "acknowledged"))
     for loss in observed.losses:
@@ -293,7 +302,7 @@
 def insufficient_activity(
     verdict: Verdict, observed: HarnessObservations, brokers: int, seconds: float, quiet: bool = False
 ) -> list[str]:
-    """Why the run says nothing, if it does not. `quiet`: nothing was to be broken."""
+    """Return why the run means nothing; empty where it does mean something. `quiet`: no faults were due."""
     found = []
     if verdict.changes < max(5, seconds / (12 if quiet else 6)):
         found.append(f"only {verdict.changes} changes acknowledged")
@@ -312,7 +321,7 @@
 
 
 def exceeded_limits(verdict: Verdict, cpu_pct: float, net_kb_s: float, rss_mb: float) -> list[str]:
-    """Which limits the run passed, by name."""
+    """Return which limits the run passed, with their values."""
     most = max(verdict.quiet, default=0.0)
     primary = max((s for s, _ in verdict.primary_over), default=0.0)
     rows = (
--- a/cypressledge/lab/capacity/day.py
+++ b/cypressledge/lab/capacity/day.py
@@ -1,4 +1,4 @@
-"""A compressed day for the scale run, drawn from a seed: what is changed and what breaks when. No I/O.
+"""A compressed day for a capacity run, drawn from a seed: what is changed and what breaks when. No I/O.
 
 Faults come one after the other with quiet between them; changes go on all the time. The last part of the day
 is quiet, so that whatever is missing at its end is lost and not late.
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One thing to do at `at` seconds of the day, for `span` seconds. `pick`: 0 to 1, decides which."""
+    """A change or fault at `at` seconds of the day, for `span` seconds. `pick`: 0 to 1, decides which."""
 
     at: float
     kind: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """What a run plays."""
+    """The faults and changes that a run plays."""
 
     seconds: float
     faults: list[Event]
@@ -52,7 +52,7 @@
 
 
 def draw_fault_span(kind: str, term_s: float, rng: random.Random) -> float:
-    """Seconds that a fault lasts. A stop outlasts the lease's term; the others may or may not."""
+    """Return the seconds that a fault lasts. A stop outlasts the lease's term; the others may or may not."""
     low, high = {
         "a primary killed": (0.8, 2.0),
         "brokers killed": (0.2, 1.2),
@@ -66,8 +66,11 @@
 
 
 def draw_day(seed: int, seconds: float, term_s: float, every_s: float) -> Day:
-    """A day of so many seconds; a change every `every_s` seconds on average. Each kind of fault comes once
-    before one comes again; the first of a short day take a primary away, kill brokers and cut regions."""
+    """Draw a day of so many seconds, with a change every `every_s` seconds on average.
+
+    Each kind of fault comes once before one comes again; the first of a short day take a leader away, kill
+    brokers and cut regions. `term_s`: of the control processes' leases.
+    """
     rng = random.Random(seed)
     faults: list[Event] = []
     at, rounds = QUIET_LEAD_S, 0
@@ -85,12 +88,12 @@
 
 
 def quiet_day(seed: int, seconds: float, every_s: float) -> Day:
-    """A day of changes alone: what the control plane costs where nothing breaks."""
+    """Draw a day of changes alone: what the control plane costs where nothing breaks."""
     return Day(seconds, [], draw_changes(random.Random(seed), seconds, every_s))
 
 
 def draw_changes(rng: random.Random, seconds: float, every_s: float) -> list[Event]:
-    """Changes at random moments; the last ones come in the quiet tail, with time left to be in force."""
+    """Draw changes at random moments; the last come in the quiet tail, with time left to be in force."""
     found, at = [], 0.0
     kinds, weights = zip(*CHANGE_WEIGHTS, strict=True)
     while (at := at + rng.expovariate(1 / every_s)) < seconds - QUIET_TAIL_S / 2:
--- a/cypressledge/lab/capacity/fleet.py
+++ b/cypressledge/lab/capacity/fleet.py
@@ -9,6 +9,7 @@
 from pathlib import Path
 
 import gevent
+import msgspec
 import yaml
 from gevent import socket
 
@@ -19,6 +20,7 @@
 from cypressledge.lab.engines import LabEngine
 from cypressledge.lab.load import Client
 from cypressledge.lab.processes import Brokers, until
+from cypressledge.lab.simulated_broker_commands import MembersSettings, StartCommand
 from cypressledge.lab.site import SETTINGS, free_port
 from cypressledge.lab.tcp_proxy import TcpProxy
 from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
@@ -227,8 +229,7 @@
                     False, ("--control", file), {"ROUTER_ZONE": placed.zone, "ROUTER_REGION": placed.region}
                 )
                 continue
-            placed.host.send_command(
-                do="start",
+            command = StartCommand(
                 broker=name,
                 zone=placed.zone,
                 region=placed.region,
@@ -237,16 +238,17 @@
                 record=str(self.record(name)),
                 members=self._members(),
             )
+            placed.host.send_command(do="start", **msgspec.to_builtins(command))
 
-    def _members(self) -> dict | None:
+    def _members(self) -> MembersSettings | None:
         if not self.size.ping_s:
             return None
-        return {
-            "ping_s": self.size.ping_s,
-            "term_s": MEMBERS_TERM_S,
-            "voters": [f"b{n:03}" for n in range(MEMBERS_VOTERS)],
-            "leases": [f"lease{n}" for n in range(MEMBERS_LEASES)],
-        }
+        return MembersSettings(
+            ping_s=self.size.ping_s,
+            term_s=MEMBERS_TERM_S,
+            voters=[f"b{n:03}" for n in range(MEMBERS_VOTERS)],
+            leases=[f"lease{n}" for n in range(MEMBERS_LEASES)],
+        )
 
     def down(self, names: list[str]) -> None:
         """Kill these brokers."""
@@ -287,14 +289,14 @@
 
     def sample(self) -> None:
         """Sample every process's use of the machine."""
-        for c in self.controls:
-            if c.running():
-                c.cost.sample(c.process.pid)
+        for control in self.controls:
+            if control.running():
+                control.cost.sample(control.pid)
         for host in self.hosts:
             host.cost.sample(host.process.pid)
         for name, broker in self.real_brokers.all.items():
             if broker.running() and broker.listening():  # what a start takes is no cost of control
-                self.real_costs[name].sample(broker.process.pid)
+                self.real_costs[name].sample(broker.pid)
 
     def hosted_by(self, host: SimulatedBrokerHost) -> int:
         """Return how many brokers a host runs."""
@@ -302,22 +304,18 @@
 
     def memory_mb(self) -> float:
         """Return the memory of all processes together, as far as sampled, MB."""
-        return sum(
-            c.rss_mb
-            for c in (
-                *(c.cost for c in self.controls),
-                *(h.cost for h in self.hosts),
-                *self.real_costs.values(),
-            )
+        costs = (
+            *(control.cost for control in self.controls),
+            *(host.cost for host in self.hosts),
+            *self.real_costs.values(),
         )
+        return sum(cost.rss_mb for cost in costs)
 
     def processes(self) -> int:
         """Return how many processes run."""
-        return (
-            sum(c.running() for c in self.controls)
-            + len(self.hosts)
-            + sum(b.running() for b in self.real_brokers.all.values())
-        )
+        controls = sum(control.running() for control in self.controls)
+        brokers = sum(broker.running() for broker in self.real_brokers.all.values())
+        return controls + len(self.hosts) + brokers
 
     def end(self) -> None:
         """End all processes, proxies and greenlets."""
@@ -325,8 +323,8 @@
         for host in self.hosts:
             host.end()
         self.real_brokers.end()
-        for c in self.controls:
-            c.kill()
+        for control in self.controls:
+            control.kill()
         self.udp.close()
         for proxy in self.tcp.values():
             proxy.close()
--- a/cypressledge/lab/capacity/requirement_tables.py
+++ b/cypressledge/lab/capacity/requirement_tables.py
@@ -105,7 +105,7 @@
                 slope.unit,
                 slope.x,
                 "; ".join(f"{format_number(x)}: {format_number(y)}" for x, y in slope.points),
-                f"{slope.fit.kind}: {slope.fit.words('x')}",
+                f"{slope.fit.kind}: {slope.fit.formula('x')}",
                 f"{slope.residual:.1%}",
             ]
             for slope in results.slopes
--- a/cypressledge/lab/capacity/run_tables.py
+++ b/cypressledge/lab/capacity/run_tables.py
@@ -240,7 +240,7 @@
     was_run = any(brokers == TARGET_BROKERS for brokers, _ in points)
     return [
         key,
-        f"{fit.kind}: {fit.words('x')}",
+        f"{fit.kind}: {fit.formula('x')}",
         f"{fit.residual:.1%}",
         at_target,
         "within the sizes run" if was_run else "extrapolated",
--- a/cypressledge/lab/cost.py
+++ b/cypressledge/lab/cost.py
@@ -1,12 +1,13 @@
-"""What the fleet's part costs a broker: memory, processor time, and the time a request takes, off against on.
+"""`lab cost`: what the fleet's part costs a broker, off against on: memory, processor time, requests' times.
 
-Starts real brokers on the loopback, half of the measurement without and half with `--fleet`, the same load on
-both; reads /proc of the processes it started.
+Starts real brokers on the loopback, half of them without and half with `--fleet`, the same load on both;
+reads /proc of the processes it started.
 """
 
 import os
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from pathlib import Path
 
 import gevent
@@ -18,159 +19,205 @@
 from cypressledge.lab.processes import BrokerProcess, Brokers, until
 from cypressledge.lab.site import free_udp_ports
 
-LOADED = 4  # brokers that get load
-TICKS = os.sysconf("SC_CLK_TCK")
+LOADED_BROKERS = 4  # that get load
+ENGINES = 4
+ENGINE_WORK_S = 0.005
+MAX_VOTERS = 5
+SETTLE_S = 10  # in which leases are taken and peers become known
+WARM_UP_S = 0.5  # of a load
+ROUND_S = 3.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+
+
+@dataclass(frozen=True, slots=True)
+class Load:
+    """Clients of each loaded broker, and what each waits between its lookups."""
+
+    name: str
+    clients: int
+    pause_s: float
+
+
+LOADS = (Load("light", 2, 0.02), Load("heavy", 12, 0.0))
+
+
+@dataclass(frozen=True, slots=True)
+class PairedTimes:
+    """Lookups under one load, off and on in turns: their number, the median p99 of rounds, and how much more
+    the p99 was with the fleet's part on: the median and the quartiles of the rounds; ms."""
+
+    lookups: int
+    p99_off: float
+    p99_on: float
+    more_median: float
+    more_first_quartile: float
+    more_third_quartile: float
+
+    @staticmethod
+    def of(rounds: list[tuple[list[float], list[float]]]) -> "PairedTimes":
+        """Reckon with rounds of lookups' times (s), each off and on."""
+        p99 = [(_p99_ms(off), _p99_ms(on)) for off, on in rounds]
+        more = sorted(on - off for off, on in p99)
+        return PairedTimes(
+            sum(len(off) + len(on) for off, on in rounds),
+            _median(off for off, _ in p99),
+            _median(on for _, on in p99),
+            _median(more),
+            more[len(more) // 4],
+            more[len(more) * 3 // 4],
+        )
+
+    def row(self) -> list[float]:
+        """Return the figures in the order of the table's columns."""
+        return [
+            self.lookups,
+            self.p99_off,
+            self.p99_on,
+            self.more_median,
+            self.more_first_quartile,
+            self.more_third_quartile,
+        ]
 
 
 def memory_mb(broker: BrokerProcess) -> float:
-    """Resident memory of a process, MB."""
-    text = Path(f"/proc/{broker.process.pid}/status").read_text()
+    """Return the resident memory of a process, MB."""
+    text = Path(f"/proc/{broker.pid}/status").read_text()
     return int(next(line for line in text.splitlines() if line.startswith("VmRSS")).split()[1]) / 1024
 
 
 def cpu_s(broker: BrokerProcess) -> float:
-    """Processor seconds of a process so far."""
-    fields = Path(f"/proc/{broker.process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    """Return the processor time of a process so far, s."""
+    fields = Path(f"/proc/{broker.pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def _settings(names: list[str], leases: int) -> dict:
+def _fleet_settings(names: list[str], leases: int) -> dict:
     ports = free_udp_ports(names)
+    voters = min(MAX_VOTERS, len(names) - (len(names) + 1) % 2)  # an odd number
     return {
-        "peers": [{"name": n, "address": f"127.0.0.1:{p}"} for n, p in ports.items()],
-        "voters": [{"version": 1, "names": names[: min(5, len(names) - (len(names) + 1) % 2)]}],
+        "peers": [{"name": name, "address": f"127.0.0.1:{port}"} for name, port in ports.items()],
+        "voters": [{"version": 1, "names": names[:voters]}],
         "leases": [{"name": f"lease-{i}"} for i in range(leases)] + [{"name": "summary"}],
         "tasks": [{"kind": "summary", "lease": "summary", "every_s": 0.5, "longest_s": 1.0}],
     }
 
 
-class Half:
-    """Brokers with the fleet's part on, or off, the stand-in engines they use, and their clients."""
+class BrokerGroup:
+    """Brokers with the fleet's part on, or off, the fake engines they use, and their clients."""
 
-    def __init__(self, count: int, leases: int, on: bool) -> None:
-        self.on, self.parts, self.clients = on, [], []
-        self.engines = [LabEngine(f"s-{i + 1}", "room1", 0.005) for i in range(4)]
-        self.fleet = Brokers()
+    def __init__(self, count: int, leases: int, has_fleet: bool) -> None:
+        self.has_fleet = has_fleet
+        self.greenlets: list[gevent.Greenlet] = []
+        self.clients: list[Client] = []
+        self.engines = [LabEngine(f"s-{i + 1}", "room1", ENGINE_WORK_S) for i in range(ENGINES)]
+        self.processes = Brokers()
         names = [f"n{i}" for i in range(count)]
-        told = _settings(names, leases)
+        settings = _fleet_settings(names, leases)
+        members = [engine.member() for engine in self.engines]
         for name in names:
-            self.fleet.add(name, told, [e.member() for e in self.engines]).start(on)
-        self.brokers = list(self.fleet.all.values())
+            self.processes.add(name, settings, members).start(has_fleet)
+        self.brokers = list(self.processes.all.values())
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether all take clients."""
-        return all("listening on" in b.words() for b in self.brokers)
+        return all("listening on" in broker.words() for broker in self.brokers)
 
-    def load(self, clients_each: int, pause: float) -> None:
+    def set_load(self, load: Load) -> None:
         """Put a load on the first brokers, not running yet."""
-        gevent.killall(self.parts)
+        gevent.killall(self.greenlets)
         self.clients = [
-            Client([b.port], pause, 0) for b in self.brokers[:LOADED] for _ in range(clients_each)
+            Client([broker.port], load.pause_s, 0)
+            for broker in self.brokers[:LOADED_BROKERS]
+            for _ in range(load.clients)
         ]
 
-    def round(self, seconds: float) -> list[float]:
-        """Run the load for a while; the lookups' times, s, sorted."""
+    def run_load(self, seconds: float) -> list[float]:
+        """Run the load for a while; return the lookups' times, s, sorted."""
         for client in self.clients:
             client.latencies.clear()
-        self.parts = [gevent.spawn(c.run) for c in self.clients]
+        self.greenlets = [gevent.spawn(client.run) for client in self.clients]
         gevent.sleep(seconds)
-        gevent.killall(self.parts)
-        return sorted(t for c in self.clients for t in c.latencies)
+        gevent.killall(self.greenlets)
+        return sorted(latency for client in self.clients for latency in client.latencies)
 
-    def cpu(self, seconds: float) -> list[float]:
-        """Each broker's part of a core while nobody asks anything, percent."""
-        before, began = [cpu_s(b) for b in self.brokers], time.monotonic()
+    def idle_cpu_pct(self, seconds: float) -> list[float]:
+        """Return each broker's part of a core while nobody asks anything, percent."""
+        before = [cpu_s(broker) for broker in self.brokers]
+        began = time.monotonic()
         gevent.sleep(seconds)
         took = time.monotonic() - began
-        return [(cpu_s(b) - was) / took * 100 for b, was in zip(self.brokers, before, strict=True)]
+        return [(cpu_s(broker) - was) / took * 100 for broker, was in zip(self.brokers, before, strict=True)]
+
+    def leases_lost(self) -> int:
+        """Return how many times a lease was lost, by the brokers' logs."""
+        return sum(event["event"] == "lease_lost" for broker in self.brokers for event in broker.events())
 
     def end(self) -> None:
-        """Nothing is left behind."""
-        gevent.killall(self.parts)
-        self.fleet.end()
+        """End all brokers, engines and clients."""
+        gevent.killall(self.greenlets)
+        self.processes.end()
         for engine in self.engines:
             engine.close()
 
 
-def _p99(times: list[float]) -> float:
-    return times[min(len(times) - 1, int(len(times) * 0.99))] * 1e3 if times else 0.0
-
-
-def _middle(values: list[float]) -> float:
-    return sorted(values)[len(values) // 2]
-
-
-def _paired(halves: tuple[Half, Half], load: tuple[int, float], rounds: int, seconds: float) -> list:
-    """Load without and with in turns, so that the machine's own ups and downs meet both alike."""
-    for half in halves:
-        half.load(*load)
-        half.round(0.5)
-    times = [[half.round(seconds) for half in halves] for _ in range(rounds)]
-    p99 = [[_p99(t) for t in pair] for pair in times]
-    more = sorted(on - off for off, on in p99)
-    return [
-        sum(len(t) for pair in times for t in pair),
-        _middle([off for off, _ in p99]),
-        _middle([on for _, on in p99]),
-        _middle(more),
-        more[len(more) // 4],
-        more[len(more) * 3 // 4],
-    ]
-
-
 def run(brokers: int, leases: int, seconds: float, rounds: int, say: Callable[[str], None]) -> int:
     """Measure without and with: memory and processor time with nobody asking, then times under loads."""
-    off, on = halves = (Half(brokers, leases, False), Half(brokers, leases, True))
+    off = BrokerGroup(brokers, leases, False)
+    on = BrokerGroup(brokers, leases, True)
     try:
-        if not until(lambda: off.ready() and on.ready(), 30 + 2 * brokers):
+        if not until(lambda: off.is_ready() and on.is_ready(), 30 + 2 * brokers):
             raise RuntimeError("the brokers did not start")
-        gevent.sleep(10)  # leases are taken, peers known
-        rows = []
-        for half in halves:
-            cpu = half.cpu(seconds)
-            rows.append(
-                [
-                    "on" if half.on else "off",
-                    max(map(memory_mb, half.brokers)),
-                    sum(cpu) / len(cpu),
-                    max(cpu),
-                    sum(e["event"] == "lease_lost" for b in half.brokers for e in b.events()),
-                ]
-            )
+        gevent.sleep(SETTLE_S)
+        _print_idle(off, on, seconds, say)
+        _print_loaded(off, on, rounds, say)
+        step_ms, turn_ms = _longest_steps(on)
         say(
-            tabulate(
-                rows,
-                floatfmt=".2f",
-                headers=["fleet", "memory MB, most", "cpu %, mean", "most", "leases lost"],
-            )
-        )
-        rows = [
-            [title, *_paired(halves, load, rounds, 3.0)]
-            for title, load in (("light", (2, 0.02)), ("heavy", (12, 0.0)))
-        ]
-        say(
-            tabulate(
-                rows,
-                floatfmt=".2f",
-                headers=[
-                    "load",
-                    "lookups",
-                    "p99 ms off",
-                    "on",
-                    "on less off: middle",
-                    "a quarter under",
-                    "and over",
-                ],
-            )
-        )
-        told = [(ask(b, "/fleet/tasks") or [{}])[0] for b in on.brokers[:LOADED]]
-        step = max(t.get("longest_step_ms", 0) for t in told)
-        turn = max(t.get("turn_p99_ms", 0) for t in told)
-        say(
-            f"{brokers} brokers, {leases} leases; {rounds} rounds of 3 s in turns, load on {LOADED} of them; "
-            f"engines take 5 ms; a task's longest step {step} ms, the owner's turns p99 {turn} ms"
+            f"{brokers} brokers, {leases} leases; {rounds} rounds of {ROUND_S:g} s in turns, load on "
+            f"{LOADED_BROKERS} of them; engines take 5 ms; a task's longest step {step_ms} ms, "
+            f"the owner's turns p99 {turn_ms} ms"
         )
     finally:
         off.end()
         on.end()
     return 0
+
+
+def _print_idle(off: BrokerGroup, on: BrokerGroup, seconds: float, say: Callable[[str], None]) -> None:
+    rows = []
+    for group in (off, on):
+        cpu = group.idle_cpu_pct(seconds)
+        memory = max(map(memory_mb, group.brokers))
+        mean = sum(cpu) / len(cpu)
+        rows.append(["on" if group.has_fleet else "off", memory, mean, max(cpu), group.leases_lost()])
+    headers = ["fleet", "memory MB, most", "cpu %, mean", "most", "leases lost"]
+    say(tabulate(rows, floatfmt=".2f", headers=headers))
+
+
+def _print_loaded(off: BrokerGroup, on: BrokerGroup, rounds: int, say: Callable[[str], None]) -> None:
+    rows = [[load.name, *_paired_times(off, on, load, rounds).row()] for load in LOADS]
+    headers = ["load", "lookups", "p99 ms off", "on", "on less off: middle", "a quarter under", "and over"]
+    say(tabulate(rows, floatfmt=".2f", headers=headers))
+
+
+def _paired_times(off: BrokerGroup, on: BrokerGroup, load: Load, rounds: int) -> PairedTimes:
+    """Load both in turns, so that the machine's own ups and downs meet both alike."""
+    for group in (off, on):
+        group.set_load(load)
+        group.run_load(WARM_UP_S)
+    return PairedTimes.of([(off.run_load(ROUND_S), on.run_load(ROUND_S)) for _ in range(rounds)])
+
+
+def _longest_steps(on: BrokerGroup) -> tuple[float, float]:
+    """Return the longest step of a task and the p99 of the owner's turns, ms."""
+    tasks = [(ask(broker, "/fleet/tasks") or [{}])[0] for broker in on.brokers[:LOADED_BROKERS]]
+    longest_step = max(task.get("longest_step_ms", 0) for task in tasks)
+    return longest_step, max(task.get("turn_p99_ms", 0) for task in tasks)
+
+
+def _p99_ms(times: list[float]) -> float:
+    return times[min(len(times) - 1, int(len(times) * 0.99))] * 1e3 if times else 0.0
+
+
+def _median(values: Iterable[float]) -> float:
+    ordered = sorted(values)
+    return ordered[len(ordered) // 2]
--- a/cypressledge/lab/curve_fit.py
+++ b/cypressledge/lab/curve_fit.py
@@ -1,4 +1,4 @@
-"""Least squares through a slope's points: straight, bent (second degree), or a power of x."""
+"""Least squares through a curve's points: linear, quadratic, or a power of x."""
 
 import math
 from typing import Literal
@@ -8,39 +8,47 @@
 
 Kind = Literal["linear", "quadratic", "power"]
 DEGREE = {"linear": 1, "quadratic": 2}
-BETTER = 0.5  # part of the straight fit's residual that a bent one has to come below to be taken
-FOR_BENT = 5  # points from which a bent fit says more than that it has a parameter for nearly each of them
+QUADRATIC_RESIDUAL_PART = 0.5  # of the linear fit's residual: a quadratic fit has to come below to be taken
+QUADRATIC_MIN_POINTS = 5  # fewer would say little: the fit has a parameter for nearly each of them
 
 
 class Fit(msgspec.Struct, frozen=True):
-    """A fit. `coefficients`: highest degree first; of a power, exponent and factor. `residual`: root of the
-    mean square of what the points are off, as a part of their mean."""
+    """A fit.
+
+    `coefficients`: highest degree first; of a power, exponent and factor. `residual`: root of the mean square
+    of the points' deviations, as a part of their mean.
+    """
 
     kind: Kind
     coefficients: list[float]
     residual: float
 
     def at(self, x: float) -> float:
-        """The fit's y at x."""
+        """Return the fit's y at x."""
         if self.kind == "power":
             exponent, factor = self.coefficients
             return factor * x**exponent
         return float(np.polyval(self.coefficients, x))
 
-    def words(self, x: str) -> str:
-        """The formula, three digits each."""
-        c = [f"{v:.3g}" for v in self.coefficients]
+    def formula(self, x: str) -> str:
+        """Return the formula with three digits each; `x`: what to call x."""
+        digits = [f"{value:.3g}" for value in self.coefficients]
         if self.kind == "power":
-            return f"{c[1]}·{x}^{c[0]}"
-        names = [f"·{x}²", f"·{x}", ""][-len(c) :]
-        return " + ".join(v + name for v, name in zip(c, names, strict=True)).replace("+ -", "− ")
+            return f"{digits[1]}·{x}^{digits[0]}"
+        names = [f"·{x}²", f"·{x}", ""][-len(digits) :]
+        return " + ".join(value + name for value, name in zip(digits, names, strict=True)).replace(
+            "+ -", "− "
+        )
 
 
 def fit(points: list[tuple[float, float]], kind: Kind) -> Fit:
-    """Fit the points. Raises `ValueError` for too few of them, and for a power where one is not above 0."""
-    need = 2 if kind == "power" else DEGREE[kind] + 1
-    if len({x for x, _ in points}) < need:
-        raise ValueError(f"a {kind} fit needs {need} different x, got {len({x for x, _ in points})}")
+    """Fit the points.
+
+    Raises `ValueError` for too few of them, and for a power where one is not above 0.
+    """
+    needed = 2 if kind == "power" else DEGREE[kind] + 1
+    if len({x for x, _ in points}) < needed:
+        raise ValueError(f"a {kind} fit needs {needed} different x, got {len({x for x, _ in points})}")
     x, y = (np.array(column, float) for column in zip(*points, strict=True))
     if kind == "power":
         if min(x) <= 0 or min(y) <= 0:
@@ -49,16 +57,16 @@
         coefficients = [float(exponent), math.exp(log_factor)]
     else:
         coefficients = [float(c) for c in np.polyfit(x, y, DEGREE[kind])]
-    bare = Fit(kind, coefficients, 0.0)
-    off = [(bare.at(a) - b) ** 2 for a, b in points]
+    exact = Fit(kind, coefficients, 0.0)
+    squares = [(exact.at(a) - b) ** 2 for a, b in points]
     mean = float(np.mean(np.abs(y)))
-    return Fit(kind, coefficients, math.sqrt(sum(off) / len(off)) / mean if mean else 0.0)
+    return Fit(kind, coefficients, math.sqrt(sum(squares) / len(squares)) / mean if mean else 0.0)
 
 
 def best(points: list[tuple[float, float]]) -> Fit:
-    """The straight fit, unless there are five points and more and a bent one comes much nearer to them."""
-    straight = fit(points, "linear")
-    if len({x for x, _ in points}) < FOR_BENT:
-        return straight
-    bent = fit(points, "quadratic")
-    return bent if bent.residual < BETTER * straight.residual else straight
+    """Return the linear fit, unless there are enough points and a quadratic one comes much nearer to them."""
+    linear = fit(points, "linear")
+    if len({x for x, _ in points}) < QUADRATIC_MIN_POINTS:
+        return linear
+    quadratic = fit(points, "quadratic")
+    return quadratic if quadratic.residual < QUADRATIC_RESIDUAL_PART * linear.residual else linear
--- a/cypressledge/lab/engines.py
+++ b/cypressledge/lab/engines.py
@@ -1,4 +1,4 @@
-"""Stand-in engines on lines for the laboratory: they answer after a time, or fall silent. Loopback only."""
+"""Fake engines on the line protocol: they answer after a time, or fall silent. Loopback only."""
 
 import gevent
 from gevent import socket
@@ -8,17 +8,19 @@
 
 
 class LabEngine:
-    """One engine. `work_s`: how long a query takes; `silent`: takes queries and answers nothing."""
+    """One engine. `work_s`: how long a query takes; `silent`: it takes queries and answers nothing."""
 
     def __init__(self, name: str, zone: str, work_s: float = 0.02) -> None:
-        self.name, self.zone, self.work_s = name, zone, work_s
+        self.name = name
+        self.zone = zone
+        self.work_s = work_s
         self.silent = False
         self.asked = self.answered = 0
         self.server = StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
 
     def member(self) -> dict:
-        """As a directory lists it."""
+        """Return the engine as a directory lists it."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.server.server_port}",
@@ -30,7 +32,7 @@
             "up_since_ms": 0,
         }
 
-    def _serve(self, conn, _) -> None:
+    def _serve(self, conn: socket.socket, _peer: tuple[str, int]) -> None:
         conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         file = conn.makefile("rb")
         try:
@@ -43,7 +45,7 @@
         except (OSError, ValueError, IndexError):
             pass
 
-    def _work(self, conn, name: str) -> None:
+    def _work(self, conn: socket.socket, name: str) -> None:
         gevent.sleep(self.work_s)
         if self.silent:
             return
@@ -54,5 +56,5 @@
             pass  # the broker is gone
 
     def close(self) -> None:
-        """It is gone."""
+        """Stop listening."""
         self.server.stop(timeout=0.1)
--- a/cypressledge/lab/load.py
+++ b/cypressledge/lab/load.py
@@ -1,20 +1,23 @@
-"""A small load tool: JSON-RPC clients that ask brokers for lookups and count what they get. Loopback only."""
+"""A small load: JSON-RPC clients that send lookups to brokers and count the answers. Loopback only."""
 
 import base64
 import json
 import secrets
 import time
 from collections import Counter
+from typing import BinaryIO
 
 import gevent
 from gevent import socket
 
 STATEMENT = base64.b64encode(b"SELECT a, b, c FROM sales_17.orders").decode()
-WAIT_MS = 3_000
+WAIT_MS = 3_000  # that a client waits for an answer
+CONNECT_TIMEOUT_S = 1.0
+TIMEOUT_MARGIN_S = 1  # of the socket, beyond the wait
 
 
-def answer(file) -> dict:
-    """The next JSON-RPC answer on a connection. Raises `OSError` where there is none."""
+def answer(file: BinaryIO) -> dict:
+    """Return the next JSON-RPC answer on a connection. Raises `OSError` where there is none."""
     size = 0
     while line := file.readline().strip():
         key, _, value = line.partition(b":")
@@ -26,27 +29,32 @@
 
 
 class Client:
-    """Asks one broker after another, as a front layer spreads clients; one that is down is passed over."""
+    """Sends lookups to one broker after another, as a load balancer spreads clients; skips one that is down.
+
+    `first`: the index of the port it begins with.
+    """
 
     def __init__(self, ports: list[int], pause_s: float, first: int) -> None:
-        self.ports, self.pause_s, self.at = ports, pause_s, first
+        self.ports = ports
+        self.pause_s = pause_s
+        self.at = first
         self.counts: Counter[str] = Counter()
         self.latencies: list[float] = []  # seconds, of what was served
 
     def run(self) -> None:
-        """A greenlet: one query after the other, each on the connection that is open."""
+        """Send one lookup after the other, each on the connection that is open; a greenlet."""
         while True:
             port = self.ports[self.at % len(self.ports)]
             try:
-                with socket.create_connection(("127.0.0.1", port), 1.0) as sock:
-                    sock.settimeout(WAIT_MS / 1000 + 1)
-                    self._ask_on(sock, sock.makefile("rb"))
+                with socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S) as sock:
+                    sock.settimeout(WAIT_MS / 1000 + TIMEOUT_MARGIN_S)
+                    self._send_lookups(sock, sock.makefile("rb"))
             except (OSError, ValueError):
                 self.counts["broken"] += 1
             self.at += 1
             gevent.sleep(self.pause_s)
 
-    def _ask_on(self, sock, file) -> None:
+    def _send_lookups(self, sock: socket.socket, file: BinaryIO) -> None:
         number = 0
         while True:
             number += 1
@@ -66,9 +74,9 @@
                 }
             ).encode()
             sock.sendall(b"Content-Length: %d\r\n\r\n" % len(body) + body)
-            asked = time.monotonic()
+            sent_at = time.monotonic()
             served = "result" in answer(file)
             self.counts["served" if served else "refused"] += 1
             if served:
-                self.latencies.append(time.monotonic() - asked)
+                self.latencies.append(time.monotonic() - sent_at)
             gevent.sleep(self.pause_s)
--- a/cypressledge/lab/processes.py
+++ b/cypressledge/lab/processes.py
@@ -1,4 +1,4 @@
-"""Brokers as processes for the laboratory: starts, stops, kills and ends its own, by their ids."""
+"""Brokers as processes: started, stopped, killed and ended by their ids."""
 
 import json
 import os
@@ -6,14 +6,18 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from functools import cache
 from pathlib import Path
+from typing import TypeVar
 
 import yaml
 from gevent import sleep, subprocess
 
 from cypressledge.lab.site import config, free_port
 
+Result = TypeVar("Result")
+
 ROOT = Path(__file__).parent.parent.parent
 
 
@@ -21,27 +25,38 @@
     """A process that the laboratory starts, and ends by its id."""
 
     process: subprocess.Popen | None = None
-    stopped = False
+    stopped = False  # by SIGSTOP
+
+    @property
+    def pid(self) -> int:
+        """The id of the process. Raises `RuntimeError` where it was never started."""
+        return self._started().pid
+
+    def _started(self) -> subprocess.Popen:
+        if self.process is None:
+            raise RuntimeError("the process was never started")
+        return self.process
 
     def running(self) -> bool:
-        """Whether the process is there, stopped or not."""
+        """Whether the process exists, stopped or not."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: int) -> None:
         """Send a signal to this process alone."""
         if self.running():
-            self.process.send_signal(number)
-            self.stopped = {signal.SIGSTOP: True, signal.SIGCONT: False}.get(number, self.stopped)
+            self._started().send_signal(number)
+            if number in (signal.SIGSTOP, signal.SIGCONT):
+                self.stopped = number == signal.SIGSTOP
 
     def kill(self) -> None:
-        """It is gone at once."""
+        """Kill the process and wait for its end."""
         if self.running():
-            self.process.kill()
-            self.process.wait()
+            self._started().kill()
+            self._started().wait()
 
 
 class BrokerProcess(OwnProcess):
-    """One broker of the program with the fleet's part on. `fleet` is the file's content, by its keys."""
+    """One broker of the program. `fleet`: the content of its fleet file, by its keys."""
 
     def __init__(
         self,
@@ -59,8 +74,10 @@
         self.life_begins = 0  # bytes of the log that are of former lives
 
     def start(self, fleet: bool = True, more: tuple[str, ...] = (), place: dict | None = None) -> None:
-        """Start it, with or without the fleet's part; its log goes on in the same file. `more`: arguments;
-        `place`: of the environment, where it is."""
+        """Start it, with or without the fleet's part; its log continues in the same file.
+
+        `more`: further arguments; `place`: environment variables that say where it is.
+        """
         self.fleet_file.write_text(yaml.safe_dump(self.fleet))
         env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
         env |= {"ROUTER_CONFIG": str(self.config_file), "TMPDIR": str(self.folder)} | (place or {})
@@ -85,71 +102,74 @@
         self.stopped = False
 
     def leave(self, seconds: float = 5.0) -> int | None:
-        """SIGTERM, and its exit code; killed where it takes longer."""
+        """Send SIGTERM and return the exit code; None where it took longer and was killed."""
         self.signal(signal.SIGTERM)
         try:
-            return self.process.wait(seconds)
+            return self._started().wait(seconds)
         except subprocess.TimeoutExpired:
             self.kill()
             return None
 
     def listening(self) -> bool:
-        """Whether it has come so far in this life: its start is over."""
+        """Whether it has logged, since its last start, that it listens."""
         with open(self.log_file, "rb") as log:
             log.seek(self.life_begins)
             return b"listening on" in log.read()
 
     def words(self) -> str:
-        """Its log so far."""
+        """Return its log so far."""
         return self.log_file.read_text(encoding="utf-8") if self.log_file.exists() else ""
 
     def events(self) -> list[dict]:
-        """The structured lines of its log."""
+        """Return the structured lines of its log."""
         lines = [line for line in self.words().splitlines() if line.startswith("{") and line.endswith("}")]
         return [json.loads(line) for line in lines]
 
 
 class Brokers:
-    """Several of them in one folder; ended whatever happens."""
+    """Several broker processes with their files in one folder, a temporary one where none is named."""
 
     def __init__(self, folder: str = "") -> None:
-        self._own = None if folder else tempfile.TemporaryDirectory(prefix="cypressledge-lab-")
-        self.folder = Path(folder or self._own.name)
+        self._temporary = None if folder else tempfile.TemporaryDirectory(prefix="cypressledge-lab-")
+        self.folder = Path(self._temporary.name if self._temporary else folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.all: dict[str, BrokerProcess] = {}
 
     def add(
         self, name: str, fleet: dict, members: list[dict] | None = None, more: dict | None = None
     ) -> BrokerProcess:
-        """One more, not started yet. `more`: site settings that differ from the laboratory's."""
+        """Add one, not started yet. `more`: site settings that differ from the laboratory's."""
         self.all[name] = BrokerProcess(name, self.folder, fleet, members, more)
         return self.all[name]
 
     def end(self) -> None:
-        """All are gone, and the folder with them unless it was named."""
+        """Kill all, and remove the folder unless it was named."""
         for broker in self.all.values():
             broker.kill()
-        if self._own is not None:
-            self._own.cleanup()
+        if self._temporary is not None:
+            self._temporary.cleanup()
 
 
-def until(holds, seconds: float, pause: float = 0.02):
-    """Wait until something holds, `seconds` at most; what it gave, or None."""
+def until(condition: Callable[[], Result], seconds: float, pause: float = 0.02) -> Result | None:
+    """Wait until a condition is true, `seconds` at most; return its value, or None where it stayed false."""
     end = time.monotonic() + seconds
-    while not (got := holds()):
+    while not (result := condition()):
         if time.monotonic() >= end:
             return None
         sleep(pause)
-    return got
+    return result
 
 
 @cache
 def commit() -> str:
-    """The commit that this process began with: what is changed while it runs is not what it runs. A tree that
-    differs from its commit says so."""
+    """Return the commit that this process began with, marked where the tree differs from it.
+
+    Kept: what is changed while the process runs is not what it runs.
+    """
+
+    changed = _git("status", "--porcelain", "--", "cypressledge")
+    return (_git("rev-parse", "--short=10", "HEAD") or "unknown") + ("+changes" if changed else "")
 
-    def git(*words: str) -> str:
-        return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True).stdout.strip()
 
-    changed = git("status", "--porcelain", "--", "cypressledge")
-    return (git("rev-parse", "--short=10", "HEAD") or "unknown") + ("+changes" if changed else "")
+def _git(*words: str) -> str:
+    return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True).stdout.strip()
--- a/cypressledge/lab/scaling/broker_process_costs.py
+++ b/cypressledge/lab/scaling/broker_process_costs.py
@@ -32,13 +32,13 @@
 
 def process_ms(broker: BrokerProcess) -> float:
     """Return the processor time of the process so far, ms, as the kernel's scheduler counts it."""
-    tasks = Path(f"/proc/{broker.process.pid}/task").iterdir()
+    tasks = Path(f"/proc/{broker.pid}/task").iterdir()
     return sum(int((t / "schedstat").read_text().split()[0]) for t in tasks) / 1e6
 
 
 def descriptors(broker: BrokerProcess) -> int:
     """Return the number of the process's open descriptors."""
-    return sum(1 for _ in Path(f"/proc/{broker.process.pid}/fd").iterdir())
+    return sum(1 for _ in Path(f"/proc/{broker.pid}/fd").iterdir())
 
 
 @contextmanager
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -6,266 +6,304 @@
 `FleetNode` whose peers are those of the state.
 """
 
+from __future__ import annotations
+
 import json
 import os
 import sys
 import time
-from collections import deque
+from collections import Counter, deque
 from collections.abc import Callable, Iterator
+from typing import TYPE_CHECKING
 
 import gevent
+import msgspec
+from gevent import socket
 from gevent.os import make_nonblocking, nb_read
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import parse_address
+from cypressledge.controlplane.messages import Change
 from cypressledge.controlplane.settings import ControlSettings, read_control_settings
+from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
+from cypressledge.fleet.messages import Envelope
+from cypressledge.lab.simulated_broker_commands import MembersSettings, StartCommand
+
+if TYPE_CHECKING:
+    from cypressledge.fleet.node import FleetNode
 
-FIGURES_S = 1.0
-WAKE_S = 0.05  # how often the process looks at how late it is woken
+FIGURES_INTERVAL_S = 1.0
+WAKE_UP_INTERVAL_S = 0.05  # between two looks at how late the process wakes up
 DRIFT_PPM = 10_000
+READ_BYTES = 65_536  # of commands, at once
+COUNTED_PREFIXES = ("control.", "fleet.")  # of the counters that are reported
 
 
-class Gate(deque):
-    """An inbox that takes nothing from those beyond a cut. Guards against a cut that would need a relay for
-    each two of all brokers."""
+class FilteredInbox(deque[Envelope]):
+    """An inbox that takes nothing from senders beyond a cut.
 
-    def __init__(self, beyond: Callable[[str], bool]) -> None:
+    Guards against a cut that would need a proxy for each two of all brokers.
+    """
+
+    def __init__(self, is_cut_off: Callable[[str], bool]) -> None:
         super().__init__()
-        self.beyond = beyond
+        self.is_cut_off = is_cut_off
 
-    def append(self, envelope) -> None:
-        """Take one in, unless its sender is cut off."""
-        if not self.beyond(envelope.sender):
+    def append(self, envelope: Envelope) -> None:
+        """Take an envelope, unless its sender is cut off."""
+        if not self.is_cut_off(envelope.sender):
             super().append(envelope)
 
 
-class Counted:
-    """A datagram socket that counts its bytes."""
+class _CountingSocket:
+    """A datagram socket that counts its bytes, both ways."""
 
-    def __init__(self, sock) -> None:
-        self.sock, self.bytes = sock, 0
+    def __init__(self, sock: socket.socket) -> None:
+        self.sock = sock
+        self.bytes = 0
 
-    def sendto(self, raw: bytes, to) -> int:
-        """As a socket's."""
+    def sendto(self, raw: bytes, to: tuple[str, int]) -> int:
+        """Send as a socket does."""
         self.bytes += len(raw)
         return self.sock.sendto(raw, to)
 
-    def recvfrom(self, size: int) -> tuple[bytes, tuple]:
-        """As a socket's."""
+    def recvfrom(self, size: int) -> tuple[bytes, tuple[str, int]]:
+        """Receive as a socket does."""
         raw, source = self.sock.recvfrom(size)
         self.bytes += len(raw)
         return raw, source
 
 
-class Both:
-    """What an exchange needs of its socket, with the bytes counted."""
+class CountingGeventSocket:
+    """What a transport needs of its gevent socket, with the bytes counted on the socket within (`_sock`)."""
 
-    def __init__(self, sock) -> None:
-        self.sock, self._sock = sock, Counted(sock._sock)
+    def __init__(self, sock: socket.socket) -> None:
+        self.sock = sock
+        self._sock = _CountingSocket(sock._sock)
+
+    @property
+    def bytes(self) -> int:
+        """Bytes that were sent and received."""
+        return self._sock.bytes
 
     def fileno(self) -> int:
-        """The descriptor to wait on."""
+        """Return the descriptor to wait on."""
         return self.sock.fileno()
 
     def close(self) -> None:
-        """As a socket's."""
+        """Close the socket."""
         self.sock.close()
 
 
-class Hollow:
-    """One broker without statements. `told`: the command that starts it."""
+class SimulatedBroker:
+    """One broker without statements."""
 
-    def __init__(self, told: dict, settings: ControlSettings, host: "Host") -> None:
-        self.name, self.region, self.host = told["broker"], told["region"], host
-        self.address, self.members = told["address"], told.get("members")
+    def __init__(self, command: StartCommand, settings: ControlSettings, host: SimulatedBrokers) -> None:
+        self.name = command.broker
+        self.region = command.region
+        self.address = command.address
+        self.host = host
         self.run = int.from_bytes(os.urandom(7), "big") or 1
         self.counters = Counters()
         self.log = event_logger(self.name, self.run)
-        self.node, self.sock = None, None
-        self.agent = SubscriberClient(
-            BrokerIdentity(self.name, self.run, told["zone"], told["region"], self.address),
+        self.node: FleetNode | None = None
+        self.sock: CountingGeventSocket | None = None
+        self.client = SubscriberClient(
+            BrokerIdentity(self.name, self.run, command.zone, command.region, self.address),
             settings,
             self.counters,
-            self._changed,
-            options=SubscriberOptions(told["record"], self.log),
+            self._on_change,
+            options=SubscriberOptions(command.record, self.log),
         )
-        if self.members:
-            self._join()
-        self.greenlets = [gevent.spawn(part) for part in (*self.agent.loops, *self._node_loops())]
+        if command.members:
+            self._join(command.members)
+        loops = (*self.client.loops, *(self.node.loops if self.node else ()))
+        self.greenlets = [gevent.spawn(loop) for loop in loops]
 
-    def _node_loops(self) -> list:
-        return self.node.loops if self.node else []
+    def _join(self, members: MembersSettings) -> None:
+        """Become a member of the fleet.
 
-    def _join(self) -> None:
+        The imports are here, as the memory of brokers that are no members is measured, too.
+        """
         from cypressledge.fleet.leases.electorate import Electorate
         from cypressledge.fleet.leases.participation import LeaseSlot
         from cypressledge.fleet.node import FleetNode, NodeSettings
 
-        told, clock = self.members, LeaseClock()
-        term = round(told["term_s"] * 1e6)
-        electorate = Electorate(self.name, term, {1: tuple(told["voters"])}, 1, clock.now(), 0)
+        clock = LeaseClock()
+        term = round(members.term_s * 1e6)
         self.node = FleetNode(
             self.name,
             NodeSettings(
                 listen=parse_address(self.address),
                 addresses={self.name: parse_address(self.address)},
-                slots=[LeaseSlot(lease, lease, term, False) for lease in told["leases"]],
+                slots=[LeaseSlot(lease, lease, term, False) for lease in members.leases],
                 drift_ppm=DRIFT_PPM,
-                ping_s=told["ping_s"],
+                ping_s=members.ping_s,
                 instance_id=self.run,
             ),
-            electorate,
+            Electorate(self.name, term, {1: tuple(members.voters)}, 1, clock.now(), 0),
             self.counters,
             clock,
             log=self.log,
         )
-        self.node.transport.inbox = Gate(self._beyond)
-        self.node.transport.sock = self.sock = Both(self.node.transport.sock)
+        self.sock = CountingGeventSocket(self.node.transport.sock)
+        self.node.transport.inbox = FilteredInbox(self._is_cut_off)
+        self.node.transport.sock = self.sock
 
-    def _beyond(self, sender: str) -> bool:
+    def _is_cut_off(self, sender: str) -> bool:
         return self.host.is_cut and self.host.regions.get(sender, self.region) != self.region
 
-    def _changed(self, state, change) -> None:
-        """Guards against work at each change of a setting: peers are read where a broker's key is touched,
-        and by the first only of those that share this process's knowledge of regions."""
+    def _on_change(self, state: FleetState, change: Change | None) -> None:
+        """Take peers and regions from the state.
+
+        Guards against work at each change of a setting: peers are read where a broker's key is touched, and
+        by the first only of those that share this process's knowledge of regions.
+        """
         if change is not None and not any(op.key.startswith("broker/") for op in change.ops):
             return
-        if self.node is None and self.host.regions_at >= state.version:
+        if self.node is None and self.host.regions_version >= state.version:
             return
-        self.host.regions_at = state.version
-        found = state.brokers()
-        for name, broker in found.items():
+        self.host.regions_version = state.version
+        brokers = state.brokers()
+        for name, broker in brokers.items():
             self.host.regions[name] = broker.region
         if self.node is not None:
-            addresses = {name: parse_address(broker.address) for name, broker in found.items()}
+            addresses = {name: parse_address(broker.address) for name, broker in brokers.items()}
             self.node.set_peers(addresses | {self.name: parse_address(self.address)})
 
     def bytes(self) -> int:
-        """That have come and gone, of both mechanisms."""
-        return sum(self.agent.traffic.bytes.values()) + (self.sock._sock.bytes if self.sock else 0)
+        """Return the bytes sent and received, over the control plane and among members."""
+        return sum(self.client.traffic.bytes.values()) + (self.sock.bytes if self.sock else 0)
+
+    def counts(self) -> Counter[str]:
+        """Return its counters of control plane and fleet, and its frames by kind."""
+        counts = Counter({f"frames.{kind}": n for kind, n in self.client.traffic.frames.items()})
+        for name, n in self.counters.counts.items():
+            if name.startswith(COUNTED_PREFIXES):
+                counts[name] = n
+        return counts
 
     def kill(self) -> None:
-        """It is gone, without a word to anyone."""
-        self.agent.stop()
+        """End it without a word to anyone."""
+        self.client.stop()
         if self.node is not None:
             self.node.close()
         gevent.killall(self.greenlets, block=False)
 
 
-class Host:
-    """The process's hollow brokers, its commands and figures."""
+class SimulatedBrokers:
+    """The process's simulated brokers, its commands and figures."""
 
-    def __init__(self, say: Callable[[dict], None]) -> None:
-        self.say, self.brokers = say, {}
-        self.settings: dict[str, ControlSettings] = {}
+    def __init__(self, send: Callable[[dict[str, object]], None]) -> None:
+        self.send = send
+        self.brokers: dict[str, SimulatedBroker] = {}
+        self.settings: dict[str, ControlSettings] = {}  # by file
         self.regions: dict[str, str] = {}  # of brokers, by name
-        self.regions_at = 0  # version that they are of
+        self.regions_version = 0  # of the state that they are of
         self.is_cut = False
-        self.gone_bytes, self.gone_counts = 0, {}
-        self.late: list[float] = []
-
-    def obey(self, told: dict) -> None:
-        """Do as one command says."""
-        do = told["do"]
-        if do == "start":
-            self._start(told)
-        elif do == "kill":
-            self._kill(told["broker"])
+        self.killed_bytes = 0  # of brokers that were killed
+        self.killed_counts: Counter[str] = Counter()
+        self.late: list[float] = []  # s of wake-ups since the last figures
+
+    def execute(self, command: dict[str, object]) -> None:
+        """Execute one command."""
+        kind = command["do"]
+        if kind == "start":
+            self._start(msgspec.convert(command, StartCommand))
+        elif kind == "kill":
+            self._kill(str(command["broker"]))
         else:
-            self.is_cut = do == "cut"
+            self.is_cut = kind == "cut"
 
-    def _start(self, told: dict) -> None:
-        file = told["settings"]
+    def _start(self, command: StartCommand) -> None:
+        file = command.settings
         if file not in self.settings:
             self.settings[file] = read_control_settings(file)
-        broker = self.brokers[told["broker"]] = Hollow(told, self.settings[file], self)
-        self.say({"event": "started", "broker": broker.name, "run": broker.run, "at": LeaseClock().now()})
+        broker = self.brokers[command.broker] = SimulatedBroker(command, self.settings[file], self)
+        self._report("started", broker)
 
     def _kill(self, name: str) -> None:
         broker = self.brokers.pop(name, None)
         if broker is None:
             return
-        self.gone_bytes += broker.bytes()
-        for key, count in self._counts(broker).items():
-            self.gone_counts[key] = self.gone_counts.get(key, 0) + count
+        self.killed_bytes += broker.bytes()
+        self.killed_counts.update(broker.counts())
         broker.kill()
-        self.say({"event": "killed", "broker": name, "run": broker.run, "at": LeaseClock().now()})
+        self._report("killed", broker)
 
-    @staticmethod
-    def _counts(broker: Hollow) -> dict[str, int]:
-        counts = {f"frames.{k}": n for k, n in broker.agent.traffic.frames.items()}
-        return counts | {
-            k: n for k, n in broker.counters.counts.items() if k.startswith(("control.", "fleet."))
-        }
+    def _report(self, event: str, broker: SimulatedBroker) -> None:
+        self.send({"event": event, "broker": broker.name, "run": broker.run, "at": LeaseClock().now()})
 
-    def figures(self) -> dict:
-        """What the process has done so far, and how late it was woken since the last time (s)."""
-        counts = dict(self.gone_counts)
+    def figures(self) -> dict[str, object]:
+        """Return what the process has done so far, and how late it woke up since the last time (s)."""
+        counts = Counter(self.killed_counts)
         for broker in self.brokers.values():
-            for key, count in self._counts(broker).items():
-                counts[key] = counts.get(key, 0) + count
+            counts.update(broker.counts())
         late, self.late = self.late, []
-        total = self.gone_bytes + sum(b.bytes() for b in self.brokers.values())
         return {
             "event": "figures",
             "at": LeaseClock().now(),
             "brokers": len(self.brokers),
             "counts": counts,
-            "members": self._members(),
-            "bytes": total,
+            "members": (self._fewest_alive(), self._leases_held()),
+            "bytes": self.killed_bytes + sum(broker.bytes() for broker in self.brokers.values()),
             "late": round(max(late, default=0.0), 4),
         }
 
-    def _members(self) -> tuple[int, int]:
-        """The fewest others that any broker here has for alive, itself too; leases held here."""
-        nodes = [b.node for b in self.brokers.values() if b.node is not None]
+    def _nodes(self) -> list[FleetNode]:
+        return [broker.node for broker in self.brokers.values() if broker.node is not None]
+
+    def _fewest_alive(self) -> int:
+        """Return the fewest members that any broker here has for alive, itself counted."""
+        return min((len(node.alive()) for node in self._nodes()), default=0)
+
+    def _leases_held(self) -> int:
         now = LeaseClock().now()
-        return (
-            min((len(n.alive()) for n in nodes), default=0),
-            sum(len(n.lease_manager.held_leases(now)) for n in nodes),
-        )
+        return sum(len(node.lease_manager.held_leases(now)) for node in self._nodes())
 
-    def watch(self) -> None:
-        """A greenlet: how late this process is woken."""
+    def measure_lateness(self) -> None:
+        """Note how late this process wakes up; a greenlet."""
         while True:
-            due = time.monotonic() + WAKE_S
-            gevent.sleep(WAKE_S)
+            due = time.monotonic() + WAKE_UP_INTERVAL_S
+            gevent.sleep(WAKE_UP_INTERVAL_S)
             self.late.append(time.monotonic() - due)
 
-    def tell(self) -> None:
-        """A greenlet: the figures, every so often."""
+    def report_figures(self) -> None:
+        """Report the figures again and again; a greenlet."""
         while True:
-            gevent.sleep(FIGURES_S)
-            self.say(self.figures())
+            gevent.sleep(FIGURES_INTERVAL_S)
+            self.send(self.figures())
 
 
 def main() -> int:
-    """Obey until the input ends."""
+    """Execute commands until the input ends."""
+    brokers = SimulatedBrokers(_send)
+    gevent.spawn(brokers.measure_lateness)
+    gevent.spawn(brokers.report_figures)
+    for line in read_lines(sys.stdin.fileno()):
+        brokers.execute(json.loads(line))
+    return 0
 
-    def say(told: dict) -> None:
-        sys.stdout.write(json.dumps(told) + "\n")
-        sys.stdout.flush()
 
-    host = Host(say)
-    gevent.spawn(host.watch)
-    gevent.spawn(host.tell)
-    for line in lines(sys.stdin.fileno()):
-        host.obey(json.loads(line))
-    return 0
+def _send(report: dict[str, object]) -> None:
+    sys.stdout.write(json.dumps(report) + "\n")
+    sys.stdout.flush()
+
 
+def read_lines(descriptor: int) -> Iterator[bytes]:
+    """Yield the complete lines of a descriptor until its end.
 
-def lines(number: int) -> Iterator[bytes]:
-    """Whole lines of a descriptor until its end. Guards against a turn of all brokers for each line: what has
-    come is read at once."""
-    make_nonblocking(number)
+    Guards against a turn of all brokers for each line: what has come is read at once.
+    """
+    make_nonblocking(descriptor)
     rest = b""
-    while data := nb_read(number, 65_536):
-        *whole, rest = (rest + data).split(b"\n")
-        yield from whole
+    while data := nb_read(descriptor, READ_BYTES):
+        *complete, rest = (rest + data).split(b"\n")
+        yield from complete
 
 
 if __name__ == "__main__":
--- a/cypressledge/lab/site.py
+++ b/cypressledge/lab/site.py
@@ -1,10 +1,12 @@
-"""A plain site's configuration for brokers that the laboratory starts, and free ports (binds them)."""
+"""A plain site's configuration for brokers that the laboratory starts, and free ports of the loopback."""
 
 import random
 import socket
 from typing import Any
 
-GIVEN: set[int] = set()
+RESERVED_PORTS: set[int] = set()  # that `free_port` has returned
+PORT_ATTEMPTS = 1_000
+FIRST_PORT, END_PORT = 15_000, 32_000  # below the range that the system gives to clients' sockets
 
 SETTINGS: dict[str, Any] = {
     "Classes": [
@@ -80,17 +82,20 @@
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """A port of the loopback that is free now. Guards against one that is taken before it is used: none from
-    the range that the system gives to clients' sockets, and none twice."""
-    for _ in range(1_000):
-        port = random.SystemRandom().randrange(15_000, 32_000)
-        with socket.socket(socket.AF_INET, kind) as s:
+    """Return a port of the loopback that is free now. Raises `OSError` where none is found.
+
+    Guards against one that is taken before it is used: none from the range that the system gives to clients'
+    sockets, and none twice.
+    """
+    for _ in range(PORT_ATTEMPTS):
+        port = random.SystemRandom().randrange(FIRST_PORT, END_PORT)
+        with socket.socket(socket.AF_INET, kind) as sock:
             try:
-                s.bind(("127.0.0.1", port))
+                sock.bind(("127.0.0.1", port))
             except OSError:
                 continue
-        if port not in GIVEN:
-            GIVEN.add(port)
+        if port not in RESERVED_PORTS:
+            RESERVED_PORTS.add(port)
             return port
     raise OSError("no free port")
 
@@ -98,8 +103,10 @@
 def config(
     name: str, listen: int, management: int, members: list[dict] | None = None, more: dict | None = None
 ) -> dict:
-    """A broker's configuration; `members` are its engines, as the directory would list them; `more` are site
-    settings in place of those above."""
+    """Return a broker's configuration.
+
+    `members`: its engines, as the directory would list them; `more`: site settings in place of `SETTINGS`.
+    """
     return {
         "name": name,
         "listen": f"127.0.0.1:{listen}",
@@ -117,7 +124,7 @@
 
 
 def free_udp_ports(names: list[str]) -> dict[str, int]:
-    """A free UDP port for each."""
+    """Return a free UDP port for each name."""
     ports: dict[str, int] = {}
     while len(ports) < len(names):
         port = free_port(socket.SOCK_DGRAM)
--- a/cypressledge/lab/virtual_fleet.py
+++ b/cypressledge/lab/virtual_fleet.py
@@ -48,8 +48,8 @@
         self.lease_manager = LeaseManager(
             name,
             run,
-            LeaseSettings(world.lease_slots, world.drift, base_token=world.wall(), seed=run),
             electorate,
+            LeaseSettings(world.lease_slots, world.drift, base_token=world.wall(), seed=run),
             now,
             self.send,
             lambda *event: world.on_lease_event(world, self, *event),
