--- a/tests/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -16,7 +16,7 @@
 from cypressledge.lab.results import ResultsError, read, slope, source
 from cypressledge.lab.scaling import decision_costs, directory_costs, membership_costs, planner_costs
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 RESULTS, PAGE = ROOT / "docs" / "capacity" / "slopes.json", ROOT / "docs" / "CAPACITY.md"
 
 
