--- a/cypressledge/lab/capacity/markdown.py
+++ b/cypressledge/lab/capacity/markdown.py
@@ -1,13 +1,11 @@
 """Tables and figures as the capacity page shows them."""
 
-from numbers import Real
-
 from tabulate import tabulate
 
 
 def format_number(value: object) -> str:
     """Format a figure with three significant digits, or as an integer with thousands set apart."""
-    if isinstance(value, bool) or not isinstance(value, Real):
+    if isinstance(value, bool) or not isinstance(value, int | float):
         return "" if value is None else str(value)
     if float(value).is_integer() and abs(value) < 1e9:
         return f"{int(value):,}"
--- a/cypressledge/lab/capacity/requirement_tables.py
+++ b/cypressledge/lab/capacity/requirement_tables.py
@@ -6,7 +6,7 @@
 
 from cypressledge.lab.capacity.markdown import format_number, markdown_table
 from cypressledge.lab.capacity.requirements import RequirementResult
-from cypressledge.lab.results import Results, Source
+from cypressledge.lab.results import Fact, Results, Slope, Source
 
 
 def requirements_table(results: list[RequirementResult]) -> str:
@@ -33,14 +33,15 @@
 
 def over_limit_table(results: list[RequirementResult]) -> str:
     """Return the requirements over their limits, the furthest first."""
-    over = [result for result in results if result.ratio is not None and result.ratio > 1]
-    over.sort(key=lambda result: -result.ratio)
+    over = sorted(
+        (result for result in results if result.is_over_limit), key=lambda result: -result.ratio_or_0
+    )
     return markdown_table(
         ["need/limit", "passed from brokers", "role", "what", "need", "limit", "unit", "basis", "carried by"],
         [
             [
                 f"{result.ratio:.1f}",
-                round(result.passed_from) or "any",
+                round(result.passed_from or 0) or "any",
                 result.requirement.role,
                 result.requirement.what,
                 result.value,
@@ -72,19 +73,20 @@
 @dataclass(frozen=True, slots=True)
 class _MissingRow:
     passed_from: float  # brokers; infinite where no limit is passed
-    cells: list[str]
+    cells: list[object]
 
 
 def _missing_row(name: str, carried: list[RequirementResult]) -> _MissingRow:
-    over = [result for result in carried if result.ratio is not None and result.ratio > 1]
+    over = [result for result in carried if result.is_over_limit]
     counts = f"{len(over)} of {len(carried)}"
     if not over:
         return _MissingRow(float("inf"), [name, counts, "-", "-"])
-    furthest = max(over, key=lambda result: result.ratio)
-    first = min(over, key=lambda result: result.passed_from)
-    brokers = round(first.passed_from) or "any"
+    furthest = max(over, key=lambda result: result.ratio_or_0)
+    first = min(over, key=lambda result: result.passed_from or 0.0)
+    passed_from = first.passed_from or 0.0
+    brokers = round(passed_from) or "any"
     return _MissingRow(
-        first.passed_from,
+        passed_from,
         [
             name,
             counts,
@@ -122,7 +124,8 @@
 def sources_table(results: Results) -> str:
     """Return which run gave which figures."""
     by_source: dict[bytes, tuple[Source, list[str]]] = {}
-    for figure in (*results.slopes, *results.facts):
+    figures: list[Slope | Fact] = [*results.slopes, *results.facts]
+    for figure in figures:
         by_source.setdefault(msgspec.json.encode(figure.source), (figure.source, []))[1].append(figure.name)
     return markdown_table(
         ["figures", "command", "seed", "commit", "date", "load average"],
--- a/cypressledge/lab/capacity/requirements.py
+++ b/cypressledge/lab/capacity/requirements.py
@@ -76,6 +76,16 @@
         """The need as a part of the limit; None where there is no limit."""
         return None if self.limit is None else self.value / self.limit
 
+    @property
+    def ratio_or_0(self) -> float:
+        """The need as a part of the limit; 0 where there is no limit."""
+        return 0.0 if self.ratio is None else self.ratio
+
+    @property
+    def is_over_limit(self) -> bool:
+        """Whether there is a limit and the need is over it."""
+        return self.ratio_or_0 > 1
+
     @property
     def basis(self) -> str:
         """What its least certain source is based on; "given" where no measurement is in it."""
--- a/cypressledge/lab/results.py
+++ b/cypressledge/lab/results.py
@@ -5,7 +5,7 @@
 from datetime import UTC, datetime
 from itertools import pairwise
 from pathlib import Path
-from typing import Literal
+from typing import Literal, TypeVar
 
 import msgspec
 
@@ -65,6 +65,9 @@
     source: Source
 
 
+Figure = TypeVar("Figure", Slope, Fact)
+
+
 class Results(msgspec.Struct):
     """One file. `quick`: with fewer and smaller points, for tests; no figure of such a file is for a page."""
 
@@ -108,10 +111,14 @@
             raise ResultsError(f"{path}: {err.strerror}") from None
         except msgspec.MsgspecError as err:
             raise ResultsError(f"{path} is no results file: {err}") from None
-        for known, new in ((slopes, results.slopes), (facts, results.facts)):
-            for one in new:
-                if one.name in known:
-                    raise ResultsError(f"{path}: {one.name} is there twice")
-                known[one.name] = one
+        _add(slopes, results.slopes, path)
+        _add(facts, results.facts, path)
         quick = quick or results.quick
     return Results(quick, list(slopes.values()), list(facts.values()))
+
+
+def _add(known: dict[str, Figure], figures: list[Figure], path: str) -> None:
+    for figure in figures:
+        if figure.name in known:
+            raise ResultsError(f"{path}: {figure.name} is there twice")
+        known[figure.name] = figure
--- a/cypressledge/lab/scaling/broker_process_costs.py
+++ b/cypressledge/lab/scaling/broker_process_costs.py
@@ -33,7 +33,7 @@
 def process_ms(broker: BrokerProcess) -> float:
     """Return the processor time of the process so far, ms, as the kernel's scheduler counts it."""
     tasks = Path(f"/proc/{broker.pid}/task").iterdir()
-    return sum(int((t / "schedstat").read_text().split()[0]) for t in tasks) / 1e6
+    return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e6
 
 
 def descriptors(broker: BrokerProcess) -> int:
--- a/cypressledge/lab/scaling/decision_costs.py
+++ b/cypressledge/lab/scaling/decision_costs.py
@@ -63,7 +63,7 @@
         end = self.now + round(seconds * SECOND_US)
         while self.now < end:
             self.now += self.manager.settings.timer_resolution
-            events = [*self._arrivals(), *self._ended_attempts(), *self._fired_timers()]
+            events: list[c.Event] = [*self._arrivals(), *self._ended_attempts(), *self._fired_timers()]
             if not events:
                 continue
             began = time.thread_time_ns()
--- a/cypressledge/lab/scaling/directory_costs.py
+++ b/cypressledge/lab/scaling/directory_costs.py
@@ -5,6 +5,7 @@
 from contextlib import contextmanager
 from socket import AF_INET, SOCK_DGRAM, socket
 from types import SimpleNamespace
+from typing import Any
 
 import dns.exception
 import dns.message
@@ -81,15 +82,16 @@
 def directory_poller() -> DirectoryPoller:
     """Return the program's poller with a fake core, which takes lists and does nothing."""
     engines = SimpleNamespace(update_list=lambda *_listed: None)
-    core = SimpleNamespace(counters=Counters(), engines=engines)
+    core: Any = SimpleNamespace(counters=Counters(), engines=engines)
     return DirectoryPoller(core, None, EngineNaming(("node-8c", "node-16c"), ZONES, "lines"), 0)
 
 
 def list_read_ms(engines: int) -> float | None:
     """Return the ms that a changed list takes a broker to read; None where it can't be sent."""
     query = dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV)
-    raws = [encoded_answer(query, engines, serial) for serial in (1, 2, 3)]
-    if None in raws:
+    answers = [encoded_answer(query, engines, serial) for serial in (1, 2, 3)]
+    raws = [raw for raw in answers if raw is not None]
+    if len(raws) < len(answers):
         return None
     poller, serials = directory_poller(), iter(raws)
     return median_cpu_ms(lambda: poller.read_answer(query, next(serials)), 3)
--- a/cypressledge/lab/scaling/fleet_file_costs.py
+++ b/cypressledge/lab/scaling/fleet_file_costs.py
@@ -1,6 +1,7 @@
 """`fleet.yaml`: what reading it costs against its peers, and how many it may name."""
 
 import tempfile
+from functools import partial
 from pathlib import Path
 
 import yaml
@@ -39,9 +40,7 @@
         points = []
         for size in sizes:
             path = write_fleet_file(Path(folder), size)
-            points.append(
-                (size, median_cpu_ms(lambda path=path: fleet_settings.read_fleet_settings(path), 3))
-            )
+            points.append((size, median_cpu_ms(partial(fleet_settings.read_fleet_settings, path), 3)))
         try:
             fleet_settings.read_fleet_settings(write_fleet_file(Path(folder), TARGET_BROKERS))
             peers = TARGET_BROKERS
--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -5,6 +5,7 @@
 import time
 from dataclasses import dataclass
 from types import SimpleNamespace
+from typing import Any
 
 from cypressledge.broker.requests import Endpoint
 from cypressledge.broker.stable_hash import stable_hash
@@ -112,7 +113,7 @@
     return PlannerRun(sum(steps) / 1e6, max(steps) / 1e6)
 
 
-def datagram_bytes(*items: object) -> int:
+def datagram_bytes(*items: Any) -> int:
     """Return the bytes of a datagram that carries the items, headers counted."""
     return len(encode(Envelope(VERSION, "n000", "n001", 1 << 61, 3, 1, 1, list(items)))) + HEADER_BYTES
 
@@ -155,7 +156,8 @@
 
     def receive_repeatedly() -> None:
         for _ in range(RECEIVED):
-            zones.receive("n001", decode(raw).items[0])
+            received: Any = decode(raw).items[0]
+            zones.receive("n001", received)
 
     return cpu_ms(receive_repeatedly) * 1000 / RECEIVED
 
--- a/cypressledge/lab/virtual_fleet.py
+++ b/cypressledge/lab/virtual_fleet.py
@@ -33,7 +33,7 @@
         self.run = run
         self.rate = world.rates.get(name, 1.0)
         self.inbox: list[Datagram] = []
-        self.queues: dict[str, list[object]] = {}  # by peer: items to send
+        self.queues: dict[str, list[Any]] = {}  # by peer: items to send
         self.paused_until = 0  # µs of true time
         self.next_due = 0  # when its next turn is due, µs of true time
         self.cpu_ns = 0
@@ -52,10 +52,13 @@
             LeaseSettings(world.lease_slots, world.drift, base_token=world.wall(), seed=run),
             now,
             self.send,
-            lambda *event: world.on_lease_event(world, self, *event),
+            self._on_lease_event,
         )
         self.membership.announce()
 
+    def _on_lease_event(self, event: str, lease: str, token: int, reason: str) -> None:
+        self.world.on_lease_event(self.world, self, event, lease, token, reason)
+
     def now(self) -> int:
         """Return the time on this node's clock, µs."""
         return round(self.world.at * self.rate) + 7 * SECOND_US
@@ -177,10 +180,14 @@
                 argument()
             elif kind == "get":
                 self._receive(*argument)
-            elif self.nodes.get(argument.name) is argument:  # it has not been replaced
+            elif self._is_running(argument):
                 self._turn(argument)
         self.at = end
 
+    def _is_running(self, node: VirtualNode) -> bool:
+        """Whether a node is neither gone nor replaced by one of its name."""
+        return self.nodes.get(node.name) is node
+
     def _receive(self, to: str, datagram: Datagram) -> None:
         node = self.nodes.get(to)
         if node is None or len(node.inbox) > MAX_INBOX:
