--- /dev/null
+++ b/cypressledge/simhost.py
@@ -0,0 +1,8 @@
+"""The former name of `cypressledge.simulator_adapter`, kept for one release."""
+
+import sys
+
+from cypressledge.simulator_adapter import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -125,11 +125,16 @@
         c.Settings(**(plain | change))
 
 
-def run_adapter(raw):
-    command = [sys.executable, "-m", "cypressledge.simulator_adapter"]
+def run_adapter(raw, module="cypressledge.simulator_adapter"):
+    command = [sys.executable, "-m", module]
     return subprocess.run(command, input=raw, cwd=ROOT, capture_output=True)
 
 
+def test_the_former_name_starts_the_adapter_for_one_release():
+    former = run_adapter(start(), module="cypressledge.simhost")
+    assert (former.returncode, former.stdout) == (0, run_adapter(start()).stdout)
+
+
 def test_input_that_ends_between_frames():
     run = run_adapter(start())
     assert run.returncode == 0
