--- a/tests/controlplane/test_control_failures.py
+++ b/tests/controlplane/test_control_failures.py
@@ -9,14 +9,12 @@
 import resource
 import shutil
 import signal
-import sys
 import time
 from collections import Counter
 
 import gevent
 import pytest
 import yaml
-from gevent import subprocess
 from gevent.server import StreamServer
 
 from cypressledge.controlplane.change_history import compress_snapshot
@@ -33,8 +31,9 @@
 from cypressledge.controlplane.publisher import PublisherLimits
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import encode_value
-from cypressledge.lab.processes import ROOT, until
+from cypressledge.lab.processes import until
 from cypressledge.lab.site import free_port, free_udp_ports
+from tests.fakes.command_line import run
 from tests.fakes.fake_control import SEED, TERM, WAIT, ControlCluster, ControlledBroker, RawConnection, engine
 
 MB = 1 << 20
@@ -413,18 +412,6 @@
 # Operators, and brokers that move
 
 
-def run(*args):
-    """A command of the program: exit code, output, errors."""
-    done = subprocess.run(
-        [sys.executable, "-m", "cypressledge", *args],
-        cwd=ROOT,
-        stdout=subprocess.PIPE,
-        stderr=subprocess.PIPE,
-        timeout=60,
-    )
-    return done.returncode, done.stdout.decode(), done.stderr.decode()
-
-
 def test_operators_at_once_and_bad_changes(plane):
     primary = settled(plane)
     base = primary.status()["version"]
--- a/tests/fakes/control_processes.py
+++ b/tests/fakes/control_processes.py
@@ -17,6 +17,7 @@
 from cypressledge.lab.load import Client
 from cypressledge.lab.processes import ROOT, until
 from cypressledge.lab.site import SETTINGS, config, free_port
+from tests.fakes.command_line import run
 
 TERM = 1.2
 WAIT = 20
@@ -26,18 +27,6 @@
     return f"127.0.0.1:{free_port(kind)}"
 
 
-def run(*args):
-    """A command of the program, while this process's greenlets go on."""
-    done = subprocess.run(
-        [sys.executable, "-m", "cypressledge", *args],
-        cwd=ROOT,
-        stdout=subprocess.PIPE,
-        stderr=subprocess.PIPE,
-        timeout=60,
-    )
-    return done.returncode, done.stdout.decode(), done.stderr.decode()
-
-
 class ProgramProcess:
     """One process, its log in a file."""
 
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -17,23 +17,12 @@
 from cypressledge.lab.processes import ROOT, Brokers, until
 from cypressledge.lab.site import free_udp_ports
 from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
+from tests.fakes.command_line import run
 
 TERM = 1.2
 WAIT = 20
 
 
-def run(*args):
-    """A command of the program, while the relays go on."""
-    done = subprocess.run(
-        [sys.executable, "-m", "cypressledge", *args],
-        cwd=ROOT,
-        stdout=subprocess.PIPE,
-        stderr=subprocess.PIPE,
-        timeout=120,
-    )
-    return done.returncode, done.stdout.decode(), done.stderr.decode()
-
-
 class Fleet:
     """So many brokers, a relay between every two, and a resource that a task acts on."""
 
@@ -101,7 +90,7 @@
         return [e for e in self[name].events() if e["event"] == event]
 
     def cli(self, name, *args):
-        code, out, err = run("fleet", "--at", f"127.0.0.1:{self[name].management}", *args)
+        code, out, err = run("fleet", "--at", f"127.0.0.1:{self[name].management}", *args, timeout_s=120)
         return code, out + err
 
     def end(self):
@@ -331,7 +320,7 @@
 
 
 def lab(*args):
-    code, out, err = run("lab", *args)
+    code, out, err = run("lab", *args, timeout_s=120)
     print(out + err)
     return code, out.splitlines()
 
