--- a/tests/broker/test_engine_lists.py
+++ b/tests/broker/test_engine_lists.py
@@ -14,7 +14,7 @@
         broker.dns.engines["s-1"] = (first.port, 1)
         broker.publish_list(7)
         broker.dns.engines["s-1"] = (first.port, 0)
-        broker.publish_list(3)  # an older list, which would bring s-1 back
+        broker.publish_outdated_list(3)  # an older list, which would bring s-1 back
         for _ in range(20):
             client.ask()
             assert result_rows(client.get()) == ROW
--- a/tests/fakes/broker_process.py
+++ b/tests/fakes/broker_process.py
@@ -129,8 +129,22 @@
     def publish_list(self, serial):
         """Give the directory's list a number, and wait until the broker has it."""
         self.dns.serial = serial
-        asked = self.dns.asked
-        wait_until(lambda: self.dns.asked > asked + 1, "the new list")
+        self.wait_for_list()
+
+    def publish_outdated_list(self, serial):
+        """Give the directory's list a lower number, and wait until a poll has met it."""
+        self.dns.serial = serial
+        query_count = len(self.dns.directory_clients)
+        wait_until(lambda: self.dns.polls_ended_after(query_count), "a poll that meets the outdated list")
+
+    def wait_for_list(self):
+        """Wait until the broker has the directory's list as it is now.
+
+        A poll that took one query has accepted its answer: without a good one it repeats the query.
+        Guards against slow machines, where two queries may belong to one poll that has no answer yet.
+        """
+        query_count = len(self.dns.directory_clients)
+        wait_until(lambda: 1 in self.dns.polls_ended_after(query_count), "the new list")
 
     def reload(self, text=None, **change):
         """Replace the configuration file, send SIGHUP, and wait for what the broker says of it."""
--- a/tests/fakes/fake_name_server.py
+++ b/tests/fakes/fake_name_server.py
@@ -1,5 +1,6 @@
 """A name server for the directory and for DNS-SD, whose lists a test sets."""
 
+import itertools
 import socket
 import threading
 
@@ -15,6 +16,7 @@
         self.born = 0  # ms: when the engines started
         self.sends_invalid_answers = False  # send bad answers in front of the good one
         self.instances = {}
+        self.directory_clients = []  # the address behind each query for the directory: one a poll
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.port = self.sock.getsockname()[1]
@@ -31,9 +33,12 @@
     def _reply(self, raw, peer):
         self.last = raw, peer
         self.asked += 1
+        query = dns.message.from_wire(raw)
+        if _is_directory_query(query):
+            self.directory_clients.append(peer)
         if self.is_silent:
             return
-        good = self._answer(dns.message.from_wire(raw))
+        good = self._answer(query)
         if self.sends_invalid_answers:
             serial, self.serial = self.serial, 0
             old = self._answer(dns.message.from_wire(raw))
@@ -43,6 +48,14 @@
                 self.sock.sendto(bad, peer)
         self.sock.sendto(good, peer)
 
+    def polls_ended_after(self, query_count):
+        """The number of queries of each poll that began after so many queries, and has ended."""
+        clients = list(self.directory_clients)
+        polls = [list(queries) for _, queries in itertools.groupby(clients[query_count:])]
+        if query_count and polls and polls[0][0] == clients[query_count - 1]:
+            del polls[0]  # it began before
+        return [len(queries) for queries in polls[:-1]]  # the last one may go on
+
     def answer_last_query(self):
         """Answer the last query now, as things stand."""
         raw, peer = self.last
@@ -55,7 +68,7 @@
         def add(section, owner, kind, *texts):
             section.append(dns.rrset.from_text_list(owner, 1, "IN", kind, texts))
 
-        if name.startswith("_app."):
+        if _is_directory_query(query):
             if self.engines:
                 add(
                     answer.answer,
@@ -84,3 +97,8 @@
 
     def close(self):
         self.sock.close()
+
+
+def _is_directory_query(query):
+    """Whether it asks for the directory's list, not for DNS-SD."""
+    return query.question[0].name.to_text().startswith("_app.")
--- a/tests/race_conditions/test_engine_list_races.py
+++ b/tests/race_conditions/test_engine_list_races.py
@@ -36,13 +36,13 @@
         broker.wait_for_log("directory: unreachable")
         broker.dns.engines[leaving.name] = (leaving.port, 1)
         broker.dns.serial, broker.dns.is_silent = 2, False
-        told, asked = time.monotonic(), broker.dns.asked
-        wait_until(lambda: broker.dns.asked > asked + 1, "the answer taken")
+        published_at = time.monotonic()
+        broker.wait_for_list()
         sent, client = len(leaving.wants), self.client(broker)
         for _ in range(8):
             client.ask()
             assert "result" in client.get()
-        assert time.monotonic() - told < 2.0
+        assert time.monotonic() - published_at < 2.0
         assert len(leaving.wants) == sent
 
     def test_a_response_of_the_former_directory_in_flight_is_ignored(self):
