--- a/cypressledge/broker/engine_registry.py
+++ b/cypressledge/broker/engine_registry.py
@@ -2,24 +2,29 @@
 
 import re
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from cypressledge.broker.event_log import EventKind, EventLog
 from cypressledge.broker.event_loop import EventLoop
 from cypressledge.broker.maintenance import Maintenance
 from cypressledge.broker.metrics import Counters, log
-from cypressledge.broker.requests import Endpoint
+from cypressledge.broker.requests import Endpoint, ListedEngine
 from cypressledge.decisions import contract as c
 
 ENGINE_NUMBER = re.compile(r"\bengine ([0-9a-f]+)\b")  # as the module's log lines name engines
 
-ListedEngine = tuple[c.EngineListEntry, Endpoint]
-EngineProcess = tuple[c.EngineState, int]  # its state, and the start of its process in ms
+
+@dataclass(frozen=True, slots=True)
+class EngineProcess:
+    """An engine's process as the lists tell of it; two that compare equal are one, unchanged."""
+
+    state: c.EngineState
+    started_at_ms: int  # Unix time
 
 
 def _state_name(process: EngineProcess | None) -> str:
     """How a log names an engine's state; None: no list names it."""
-    return "unlisted" if process is None else process[0].name.lower()
+    return "unlisted" if process is None else process.state.name.lower()
 
 
 class EngineRegistry:
@@ -62,7 +67,7 @@
 
     def is_listed(self, name: str) -> bool:
         """Whether a list names an engine of this name."""
-        return any(endpoint.name == name for listed in self.engine_lists.values() for _, endpoint in listed)
+        return any(engine.endpoint.name == name for listed in self.engine_lists.values() for engine in listed)
 
     def is_current(self, endpoint: Endpoint) -> bool:
         """Whether its engine takes new work, and is still the process that listened there."""
@@ -73,34 +78,40 @@
     def _publish(self) -> None:
         """Put the lists together, and have the loop hand them to the module."""
         engines = [
-            (self._effective_entry(entry, endpoint), endpoint)
+            ListedEngine(self._effective_entry(engine), engine.endpoint)
             for listed in self.engine_lists.values()
-            for entry, endpoint in listed
+            for engine in listed
         ]
         self._log_changes(engines)
         self.ready_endpoints = {
-            entry.engine: endpoint for entry, endpoint in engines if entry.state is c.EngineState.READY
+            engine.entry.engine: engine.endpoint
+            for engine in engines
+            if engine.entry.state is c.EngineState.READY
         }
         self._loop.post(self._hand_over, self._last_kind, engines)
 
-    def _effective_entry(self, entry: c.EngineListEntry, endpoint: Endpoint) -> c.EngineListEntry:
+    def _effective_entry(self, engine: ListedEngine) -> c.EngineListEntry:
         """A list's entry under maintenance and the failover plan."""
-        entry = self.maintenance.effective_entry(endpoint.name, entry)
+        entry = self.maintenance.effective_entry(engine.endpoint.name, engine.entry)
         if self.is_closed is not None and entry.state is c.EngineState.READY and self.is_closed(entry):
             return replace(entry, state=c.EngineState.DRAINING)
         return entry
 
     def _hand_over(self, kind: c.EngineListKind, engines: list[ListedEngine]) -> None:
         # Engines that are gone are forgotten: their endpoints would pile up.
-        self.endpoints = {endpoint.id: endpoint for _, endpoint in engines}
+        self.endpoints = {engine.endpoint.id: engine.endpoint for engine in engines}
         self._counters.add("lists")
-        self._loop.pending_events.append(c.EngineListReceived(kind, tuple(entry for entry, _ in engines)))
+        entries = tuple(engine.entry for engine in engines)
+        self._loop.pending_events.append(c.EngineListReceived(kind, entries))
 
     # What the log says of engines
 
     def _log_changes(self, engines: list[ListedEngine]) -> None:
         """Log which engines come, go, drain or run as a new process; not at the first list."""
-        processes = {endpoint.name: (entry.state, endpoint.started_at_ms) for entry, endpoint in engines}
+        processes = {
+            engine.endpoint.name: EngineProcess(engine.entry.state, engine.endpoint.started_at_ms)
+            for engine in engines
+        }
         before, self._processes = self._processes, processes
         if before is None or before == processes:
             return
@@ -109,7 +120,7 @@
                 self._log_change(name, before.get(name), processes.get(name))
 
     def _log_change(self, name: str, old: EngineProcess | None, new: EngineProcess | None) -> None:
-        restarted = old is not None and new is not None and old[1] != new[1]
+        restarted = old is not None and new is not None and old.started_at_ms != new.started_at_ms
         more = {"process": "new"} if restarted else {}
         self._event_log.write(
             EventKind.ENGINE_STATE, engine=name, from_=_state_name(old), to=_state_name(new), **more
--- a/cypressledge/broker/requests.py
+++ b/cypressledge/broker/requests.py
@@ -56,6 +56,14 @@
     started_at_ms: int = 0  # Unix time as its list gives it; 0: long ago
 
 
+@dataclass(frozen=True, slots=True)
+class ListedEngine:
+    """One engine of a list: what the decisions are told of it, and where it listens."""
+
+    entry: c.EngineListEntry
+    endpoint: Endpoint
+
+
 class ReplyHandler(Protocol):
     """What a frontend offers for one request; none of the methods but `wait_until_drained` may block.
 
--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -8,10 +8,10 @@
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import Counters
-from cypressledge.broker.requests import Endpoint
+from cypressledge.broker.requests import ListedEngine
 from cypressledge.clock import wall_us
 from cypressledge.config import Config, ConfigError, parse_address
-from cypressledge.decisions.contract import EngineListEntry, EngineState
+from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.lease_recorder import LeaseRecorder
 from cypressledge.fleet.leases.candidate_order import candidate_order
@@ -246,10 +246,10 @@
         """This broker's counters for the fleet's summary, and the engines that it avoids."""
         core = self.core
         avoided = [
-            endpoint.name
+            engine.endpoint.name
             for listed in core.engines.engine_lists.values()
-            for entry, endpoint in listed
-            if entry.state is not EngineState.REMOVED and self._avoids(entry, endpoint)
+            for engine in listed
+            if engine.entry.state is not EngineState.REMOVED and self._avoids(engine)
         ]
         return broker_metrics(
             token,
@@ -260,9 +260,10 @@
             len(core.ledger.requests),
         )
 
-    def _avoids(self, entry: EngineListEntry, endpoint: Endpoint) -> bool:
+    def _avoids(self, listed: ListedEngine) -> bool:
         core = self.core
-        if core.engines.maintenance.effective_entry(endpoint.name, entry).state is not EngineState.READY:
+        entry = core.engines.maintenance.effective_entry(listed.endpoint.name, listed.entry)
+        if entry.state is not EngineState.READY:
             return True
         engine = core.loop.manager.engines.get(entry.engine)
         return engine is not None and engine.ejected
--- a/cypressledge/fleet/zones/environment.py
+++ b/cypressledge/fleet/zones/environment.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cypressledge.broker.requests import AttemptObserver, Endpoint, Query, Request
+from cypressledge.broker.requests import AttemptObserver, ListedEngine, Query, Request
 from cypressledge.decisions import contract as c
 from cypressledge.decisions.manager import WorkloadManager
 from cypressledge.fleet.messages import AnyItem
@@ -21,7 +21,7 @@
 class ZoneEngines(Protocol):
     """The part of the engine registry that zone failover uses. `engine_lists`: by source, as it gave them."""
 
-    engine_lists: dict[str, list[tuple[c.EngineListEntry, Endpoint]]]
+    engine_lists: dict[str, list[ListedEngine]]
     is_closed: Callable[[c.EngineListEntry], bool] | None
 
     def refresh(self) -> None:
--- a/cypressledge/fleet/zones/fleet_view.py
+++ b/cypressledge/fleet/zones/fleet_view.py
@@ -123,7 +123,7 @@
 
     def _entries(self) -> list[c.EngineListEntry]:
         """The engines that the lists name."""
-        return [entry for listed in self.core.engines.engine_lists.values() for entry, _ in listed]
+        return [engine.entry for listed in self.core.engines.engine_lists.values() for engine in listed]
 
     def _changing(self) -> frozenset[int]:
         """Engines that are draining or have just started."""
--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from cypressledge.broker.requests import Endpoint
+from cypressledge.broker.requests import Endpoint, ListedEngine
 from cypressledge.broker.stable_hash import stable_hash
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import (
@@ -68,7 +68,9 @@
         ledger=SimpleNamespace(requests={}),
         engines=SimpleNamespace(
             refresh=lambda: None,
-            engine_lists={"lines": [(e, Endpoint(e.engine, "", ("", 0), "lines")) for e in entries]},
+            engine_lists={
+                "lines": [ListedEngine(e, Endpoint(e.engine, "", ("", 0), "lines")) for e in entries]
+            },
         ),
     )
     sent: list[tuple[str, object]] = []
--- a/cypressledge/lab/zone_simulation/broker.py
+++ b/cypressledge/lab/zone_simulation/broker.py
@@ -5,7 +5,15 @@
 from typing import Protocol, cast
 
 from cypressledge.broker.request_ledger import DEADLINE_GRACE_US
-from cypressledge.broker.requests import Attempt, AttemptObserver, Endpoint, Query, ReplyHandler, Request
+from cypressledge.broker.requests import (
+    Attempt,
+    AttemptObserver,
+    Endpoint,
+    ListedEngine,
+    Query,
+    ReplyHandler,
+    Request,
+)
 from cypressledge.decisions import contract as c
 from cypressledge.decisions.manager import WorkloadManager
 from cypressledge.fleet.zones.failover import ZoneFailover
@@ -42,7 +50,7 @@
         self.settings = settings
         self.manager = WorkloadManager(settings, seed)
         self.requests: dict[int, Request] = {}
-        self.engine_lists: dict[str, list[tuple[c.EngineListEntry, Endpoint]]] = {}
+        self.engine_lists: dict[str, list[ListedEngine]] = {}
         self.observer: AttemptObserver | None = None
         self.is_closed: Callable[[c.EngineListEntry], bool] | None = None
         self.admission_filter: Callable[[Query], bool] | None = None
@@ -73,7 +81,7 @@
 
     def refresh(self) -> None:
         """Give the module the list anew, with the engines that are closed as draining."""
-        entries = tuple(self._seen_by_module(entry) for entry, _ in self.engine_lists[LIST])
+        entries = tuple(self._seen_by_module(engine.entry) for engine in self.engine_lists[LIST])
         self.events.append(c.EngineListReceived(c.EngineListKind.FULL, entries))
 
     def _seen_by_module(self, entry: c.EngineListEntry) -> c.EngineListEntry:
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from cypressledge.broker.requests import Attempt, Endpoint, Query
+from cypressledge.broker.requests import Attempt, Endpoint, ListedEngine, Query
 from cypressledge.decisions import contract as c
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.zones.environment import FleetLinks
@@ -149,7 +149,7 @@
         if self.failover:
             broker.zones = self._make_failover(broker)
         broker.engine_lists[LIST] = [
-            (
+            ListedEngine(
                 c.EngineListEntry(engine.number, c.EngineState.READY, 0, engine.zone, 0, 0),
                 self.endpoints[engine.number],
             )
--- a/cypressledge/net/admin_api.py
+++ b/cypressledge/net/admin_api.py
@@ -107,12 +107,12 @@
         attempts = {engine.id: len(engine.in_flight) for engine in self.core.loop.manager.engines.values()}
         return [
             {
-                "name": endpoint.name,
-                "address": "%s:%d" % endpoint.address,
-                "wire": endpoint.wire,
-                "state": STATE_NAMES[entry.state],
-                "attempts": attempts.get(endpoint.id, 0),
+                "name": engine.endpoint.name,
+                "address": "%s:%d" % engine.endpoint.address,
+                "wire": engine.endpoint.wire,
+                "state": STATE_NAMES[engine.entry.state],
+                "attempts": attempts.get(engine.endpoint.id, 0),
             }
-            for engines in self.core.engines.engine_lists.values()
-            for entry, endpoint in engines
+            for listed in self.core.engines.engine_lists.values()
+            for engine in listed
         ]
--- a/cypressledge/net/dns_discovery.py
+++ b/cypressledge/net/dns_discovery.py
@@ -15,7 +15,7 @@
 from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.engine_start_times import EngineStartTimes
 from cypressledge.broker.metrics import log
-from cypressledge.broker.requests import Endpoint
+from cypressledge.broker.requests import Endpoint, ListedEngine
 from cypressledge.broker.stable_hash import stable_hash
 from cypressledge.clock import monotonic_us, wall_offset_us
 from cypressledge.decisions.contract import EngineListEntry, EngineListKind, EngineState
@@ -77,9 +77,9 @@
         self.published = kind, listed
         start_times = {engine.name: engine.started_at_ms for engine in listed}
         self.starts.update(start_times, monotonic_us(), core.settings.slow_start_window // START_TIME_DOUBT)
-        core.engines.update_list(self.wire, kind, list(map(self._entry_and_endpoint, listed)))
+        core.engines.update_list(self.wire, kind, list(map(self._listed_engine, listed)))
 
-    def _entry_and_endpoint(self, engine: DiscoveredEngine) -> tuple[EngineListEntry, Endpoint]:
+    def _listed_engine(self, engine: DiscoveredEngine) -> ListedEngine:
         """An engine as the decisions know it, and where it listens."""
         number = stable_hash(engine.name)
         entry = EngineListEntry(
@@ -90,9 +90,8 @@
             engine.cell,
             self.starts.started_at(engine.name, engine.started_at_ms),
         )
-        return entry, Endpoint(
-            number, engine.name, (engine.host, engine.port), self.wire, engine.started_at_ms
-        )
+        address = (engine.host, engine.port)
+        return ListedEngine(entry, Endpoint(number, engine.name, address, self.wire, engine.started_at_ms))
 
 
 def configured_engines(config: Mapping[str, Any]) -> tuple[int, list[DiscoveredEngine]]:
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -80,10 +80,10 @@
     off."""
     known = core.loop.manager.engines
     listed = [
-        core.engines.maintenance.effective_entry(endpoint.name, entry)
+        core.engines.maintenance.effective_entry(engine.endpoint.name, engine.entry)
         for engines in core.engines.engine_lists.values()
-        for entry, endpoint in engines
-        if entry.state is not EngineState.REMOVED
+        for engine in engines
+        if engine.entry.state is not EngineState.REMOVED
     ]
     avoided = sum(
         entry.state is not EngineState.READY or (entry.engine in known and known[entry.engine].ejected)
--- a/tests/broker/test_request_ledger.py
+++ b/tests/broker/test_request_ledger.py
@@ -5,7 +5,7 @@
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import Counters
-from cypressledge.broker.requests import DEADLINE_FAULT, Endpoint, Query
+from cypressledge.broker.requests import DEADLINE_FAULT, Endpoint, ListedEngine, Query
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Limits
 from cypressledge.decisions import contract as c
@@ -57,7 +57,8 @@
     def list_engine(self, number):
         entry = c.EngineListEntry(number, c.EngineState.READY, 0, 0, 0, 0)
         endpoint = Endpoint(number, f"s-{number}", ("127.0.0.1", 1), "lines")
-        self.core.engines.update_list("lines", c.EngineListKind.FULL, [(entry, endpoint)])
+        listed = [ListedEngine(entry, endpoint)]
+        self.core.engines.update_list("lines", c.EngineListKind.FULL, listed)
 
     def settle(self):
         """Turns of the loop until nothing is left in its inbox and for the module."""
--- a/tests/recordings/test_ledger_recording.py
+++ b/tests/recordings/test_ledger_recording.py
@@ -22,7 +22,7 @@
 from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.maintenance import Maintenance
 from cypressledge.broker.metrics import Counters
-from cypressledge.broker.requests import Endpoint, EngineFault, Query
+from cypressledge.broker.requests import Endpoint, EngineFault, ListedEngine, Query
 from cypressledge.decisions import contract as c
 from cypressledge.lab.site import SETTINGS
 from cypressledge.net.maintenance_file import MaintenanceFile
@@ -205,11 +205,12 @@
             quiet = quiet + 1 if self.core.loop.is_idle() else 0
 
     def list_engines(self, *states, kind=c.EngineListKind.FULL, born=0):
-        entries = []
+        listed = []
         for number, state in zip((ENGINE_1, ENGINE_2), states, strict=False):
             entry = c.EngineListEntry(number, state, 0, number % 2, 0, 0)
-            entries.append((entry, Endpoint(number, f"s-{number}", ("127.0.0.1", number), "lines", born)))
-        self.core.engines.update_list("lines", kind, entries)
+            endpoint = Endpoint(number, f"s-{number}", ("127.0.0.1", number), "lines", born)
+            listed.append(ListedEngine(entry, endpoint))
+        self.core.engines.update_list("lines", kind, listed)
 
     def submit(self, name="00000000000000aa", wait_ms=3_000, **more):
         query = Query(name, 0, "lookup", "sahel", b"SELECT 1", clock.monotonic_us() + wait_ms * MS, **more)
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 
-from cypressledge.broker.requests import Attempt, Endpoint, Query, Request
+from cypressledge.broker.requests import Attempt, Endpoint, ListedEngine, Query, Request
 from cypressledge.decisions.contract import EngineListEntry, EngineState, Outcome
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import EngineObservation, EngineObservations, FailoverPlan, ZoneStatus
@@ -260,7 +260,7 @@
         self.ledger = self.engines = self.loop = self  # one object stands for all of the core's parts
         self.engine_lists = {
             "one": [
-                (EngineListEntry(e, EngineState.READY, e % 2, ZONES.index(z), 0, 0), None)
+                ListedEngine(EngineListEntry(e, EngineState.READY, e % 2, ZONES.index(z), 0, 0), None)
                 for e, z in ENGINES.items()
             ]
         }
@@ -326,7 +326,8 @@
                 cost=100_000,
             )
             admitted = zones.admission.admits(query)
-            opened = [e for e, _ in core.engines.engine_lists["one"] if not zones.admission.is_closed(e)]
+            entries = [listed.entry for listed in core.engines.engine_lists["one"]]
+            opened = [e for e in entries if not zones.admission.is_closed(e)]
             self.out.add(admitted, [e.engine for e in opened])
             if not admitted or not opened:
                 continue
