--- a/cypressledge/broker_process/assembly.py
+++ b/cypressledge/broker_process/assembly.py
@@ -7,7 +7,8 @@
 from cypressledge.broker.requests import MAX_SEND_DELAY
 from cypressledge.config import Config
 from cypressledge.decisions.contract import EngineListKind, Settings
-from cypressledge.net.dns_discovery import DirectoryPoller, EngineNaming
+from cypressledge.net.dns_discovery import DirectoryPoller
+from cypressledge.net.engine_naming import EngineNaming
 from cypressledge.net.jsonrpc.frontend import JsonRpcFrontend
 from cypressledge.net.line_protocol.transport import LineProtocolTransport
 from cypressledge.net.maintenance_file import MaintenanceFile
--- a/cypressledge/broker_process/reconfiguration.py
+++ b/cypressledge/broker_process/reconfiguration.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
+from cypressledge.broker.discovered_engine import DiscoveredEngine
 from cypressledge.broker.metrics import log
 from cypressledge.broker_process.assembly import BrokerComponents, decision_settings
 from cypressledge.config import Config, ConfigError
 from cypressledge.decisions.contract import EngineListKind
-from cypressledge.net.dns_discovery import DiscoveredEngine
 from cypressledge.net.management import MAX_CALLERS, MIN_CALLERS
 from cypressledge.net.receive_buffer import BUFFER_GROWTH
 from cypressledge.net.socket_writer import QUEUED_BYTES
--- a/cypressledge/config.py
+++ b/cypressledge/config.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from cypressledge.broker.discovered_engine import DiscoveredEngine
 from cypressledge.decisions import contract as c
-from cypressledge.net.dns_discovery import DiscoveredEngine, configured_engines
 from cypressledge.settings import SettingsError, parse_settings
 
 DEFAULT_MEMORY_MB = 192  # where the configuration names no limit
@@ -18,6 +18,11 @@
 ANY_ADDRESS = "0.0.0.0"
 HEXADECIMAL = 16
 US_PER_SECOND = 1e6
+ENGINE_STATES = {
+    "Ready": c.EngineState.READY,
+    "Terminating": c.EngineState.DRAINING,
+    "Gone": c.EngineState.REMOVED,
+}
 
 
 class ConfigError(Exception):
@@ -104,7 +109,9 @@
     """The file's values; the environment's stand above them."""
     settings, seed = raw["settings"], raw["seed"]
     limits = _limits(raw["limits"], settings)
-    serial, engines = configured_engines(raw["known"])
+    known = raw["known"]
+    engines = _configured_engines(known)
+    serial = int(known.get("offset", 0))
     customers = settings.get("Customers", ())
     return Config(
         name=environment.get("ROUTER_NAME") or raw["name"],
@@ -126,6 +133,31 @@
     )
 
 
+def _configured_engines(known: Mapping[str, Any]) -> list[DiscoveredEngine]:
+    """The engines of the file: its first event holds all of them, later ones the changes."""
+    engines: dict[str, DiscoveredEngine] = {}
+    for event in known.get("batch", ()):
+        topology = event["topology"]
+        if topology.get("complete"):
+            engines.clear()
+        for member in topology["members"]:
+            if member["phase"] == "Gone":
+                engines.pop(member["id"], None)
+                continue
+            host, _, port = member["host_port"].rpartition(":")
+            engines[member["id"]] = DiscoveredEngine(
+                name=member["id"],
+                host=host,
+                port=int(port),
+                state=ENGINE_STATES[member["phase"]],
+                kind=member.get("flavor", ""),
+                zone=member.get("locality", ""),
+                cell=int(member.get("cell", 0)),
+                started_at_ms=int(member.get("up_since_ms") or 0),
+            )
+    return list(engines.values())
+
+
 def _parse_seconds(text: str | None) -> float:
     """A period in seconds; none, or nonsense, is off."""
     try:
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -10,6 +10,7 @@
 from dataclasses import asdict
 from typing import TYPE_CHECKING
 
+from cypressledge.broker.discovered_engine import DiscoveredEngine
 from cypressledge.broker.metrics import log
 from cypressledge.config import ConfigError, parse_address
 from cypressledge.controlplane.messages import Change
@@ -20,7 +21,6 @@
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.node import new_instance_id
-from cypressledge.net.dns_discovery import DiscoveredEngine
 
 if TYPE_CHECKING:
     from cypressledge.broker_process.process import BrokerProcess
--- a/cypressledge/lab/scaling/directory_costs.py
+++ b/cypressledge/lab/scaling/directory_costs.py
@@ -23,7 +23,8 @@
     cpu_ms,
     median_cpu_ms,
 )
-from cypressledge.net.dns_discovery import SERVICE_NAME, DirectoryPoller, EngineNaming
+from cypressledge.net.dns_discovery import SERVICE_NAME, DirectoryPoller
+from cypressledge.net.engine_naming import EngineNaming
 
 ROLE = "broker, control part"
 ENGINE_STARTED_MS = 1_700_000_000_000
--- a/cypressledge/net/dns_discovery.py
+++ b/cypressledge/net/dns_discovery.py
@@ -1,7 +1,6 @@
-"""Discovery of engines: the configuration's list, and its changes polled from SRV records over UDP."""
+"""Discovery of engines: changes of the list, polled from SRV records over UDP."""
 
-from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass
+from collections.abc import Callable, Iterable
 from typing import Any, TypeVar
 
 import dns.flags
@@ -13,12 +12,11 @@
 from gevent.event import Event
 
 from cypressledge.broker.core import BrokerCore
-from cypressledge.broker.engine_start_times import EngineStartTimes
+from cypressledge.broker.discovered_engine import DiscoveredEngine
 from cypressledge.broker.metrics import log
-from cypressledge.broker.requests import Endpoint, ListedEngine
-from cypressledge.broker.stable_hash import stable_hash
-from cypressledge.clock import monotonic_us, wall_offset_us
-from cypressledge.decisions.contract import EngineListEntry, EngineListKind, EngineState
+from cypressledge.clock import monotonic_us
+from cypressledge.decisions.contract import EngineListKind, EngineState
+from cypressledge.net.engine_naming import EngineNaming
 from cypressledge.net.socket_io import Address
 
 SERVICE_NAME = "_app._tcp.cluster.lan"
@@ -26,10 +24,8 @@
 MIN_POLL_PAUSE = 0.05  # seconds between two polls, however long the first one took
 QUERY_TIMEOUTS = (0.1, 0.1, 0.15)  # seconds for a good answer, to a poll's first query and each repetition
 AFTER_INVALID_TIMEOUT = 0.02  # seconds in which a good answer may follow a bad one, before the repetition
-START_TIME_DOUBT = 4  # an engine may pass for older by 1/4 of its warm-up: by then it has more than its share
 UNREACHABLE_POLLS = 3  # polls in a row without a good answer, from which the server counts as unreachable
 MAX_DATAGRAM_SIZE = 65535  # bytes
-STATES = {"Ready": EngineState.READY, "Terminating": EngineState.DRAINING, "Gone": EngineState.REMOVED}
 Answer = TypeVar("Answer")
 
 
@@ -37,88 +33,6 @@
     """Records or events that cannot be read."""
 
 
-@dataclass(frozen=True, slots=True)
-class DiscoveredEngine:
-    """One engine of a list."""
-
-    name: str
-    host: str
-    port: int
-    state: EngineState
-    kind: str = ""
-    zone: str = ""
-    cell: int = 0
-    started_at_ms: int = 0  # Unix time at which its process started, as listed; 0 is long ago
-
-
-class EngineNaming:
-    """Turns lists into the decisions' entries, by the settings' numbers for kinds and zones."""
-
-    def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], wire: str) -> None:
-        self.wire = wire
-        self.published: tuple[EngineListKind, list[DiscoveredEngine]] | None = None  # the last list
-        self.starts = EngineStartTimes(wall_offset_us())
-        self._set_names(kinds, zones)
-
-    def _set_names(self, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
-        self.kinds = {name: index for index, name in enumerate(kinds)}
-        self.zones = {name: index for index, name in enumerate(zones)}
-
-    def rename(self, core: BrokerCore, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
-        """The settings' names have changed. Guards against the last list being read by the former numbers."""
-        before = self.kinds, self.zones
-        self._set_names(kinds, zones)
-        if self.published is not None and (self.kinds, self.zones) != before:
-            self.publish(core, *self.published)
-
-    def publish(self, core: BrokerCore, kind: EngineListKind, engines: Iterable[DiscoveredEngine]) -> None:
-        """Hand a complete list to the core."""
-        listed = list(engines)
-        self.published = kind, listed
-        start_times = {engine.name: engine.started_at_ms for engine in listed}
-        self.starts.update(start_times, monotonic_us(), core.settings.slow_start_window // START_TIME_DOUBT)
-        core.engines.update_list(self.wire, kind, list(map(self._listed_engine, listed)))
-
-    def _listed_engine(self, engine: DiscoveredEngine) -> ListedEngine:
-        """An engine as the decisions know it, and where it listens."""
-        number = stable_hash(engine.name)
-        entry = EngineListEntry(
-            number,
-            engine.state,
-            self.kinds.get(engine.kind, 0),
-            self.zones.get(engine.zone, 0),
-            engine.cell,
-            self.starts.started_at(engine.name, engine.started_at_ms),
-        )
-        address = (engine.host, engine.port)
-        return ListedEngine(entry, Endpoint(number, engine.name, address, self.wire, engine.started_at_ms))
-
-
-def configured_engines(config: Mapping[str, Any]) -> tuple[int, list[DiscoveredEngine]]:
-    """Serial and engines of the configuration: its first event holds all of them, later ones the changes."""
-    engines: dict[str, DiscoveredEngine] = {}
-    for event in config.get("batch", ()):
-        topology = event["topology"]
-        if topology.get("complete"):
-            engines.clear()
-        for member in topology["members"]:
-            if member["phase"] == "Gone":
-                engines.pop(member["id"], None)
-                continue
-            host, _, port = member["host_port"].rpartition(":")
-            engines[member["id"]] = DiscoveredEngine(
-                name=member["id"],
-                host=host,
-                port=int(port),
-                state=STATES[member["phase"]],
-                kind=member.get("flavor", ""),
-                zone=member.get("locality", ""),
-                cell=int(member.get("cell", 0)),
-                started_at_ms=int(member.get("up_since_ms") or 0),
-            )
-    return int(config.get("offset", 0)), list(engines.values())
-
-
 class NameServerPoller:
     """Polls a name server for good; one that is unreachable or answers nonsense changes nothing."""
 
--- a/cypressledge/net/dns_sd.py
+++ b/cypressledge/net/dns_sd.py
@@ -9,15 +9,15 @@
 import dns.rrset
 
 from cypressledge.broker.core import BrokerCore
+from cypressledge.broker.discovered_engine import DiscoveredEngine
 from cypressledge.decisions.contract import EngineListKind, EngineState
 from cypressledge.net.dns_discovery import (
-    DiscoveredEngine,
-    EngineNaming,
     InvalidRecordError,
     NameServerPoller,
     parse_answer,
     read_attributes,
 )
+from cypressledge.net.engine_naming import EngineNaming
 from cypressledge.net.socket_io import Address
 
 UDP_PAYLOAD_SIZE = 8192  # bytes of an answer that we accept (EDNS)
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -14,8 +14,8 @@
 from cypressledge.net.admin_api import AdminApi
 from cypressledge.net.clickhouse.frontend import ClickHouseFrontend
 from cypressledge.net.clickhouse.transport import ClickHouseTransport
-from cypressledge.net.dns_discovery import EngineNaming
 from cypressledge.net.dns_sd import DnsSdPoller
+from cypressledge.net.engine_naming import EngineNaming
 from cypressledge.net.http_server import REQUEST_BODIES
 from cypressledge.tenants import TenantError, Tenants
 
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -68,6 +68,11 @@
     assert wrong == set()
 
 
+@pytest.mark.parametrize("name", ["clock", "config", "settings", "sql", "tenants"])
+def test_modules_that_net_reads_import_nothing_of_net(name):
+    assert LAYERS["broker"].isdisjoint(imported_packages(PACKAGE / f"{name}.py"))
+
+
 def sizes(path):
     """Lines of the file, and of its longest class and function."""
     text = path.read_text()
