--- a/cypressledge/broker_process/process.py
+++ b/cypressledge/broker_process/process.py
@@ -22,11 +22,11 @@
 from cypressledge.broker_process.reconfiguration import ConfigReader, ConfigurationFiles, Reconfiguration
 from cypressledge.clock import monotonic_us
 from cypressledge.config import Config, ConfigError, read_config
-from cypressledge.service import read_service
 
 if TYPE_CHECKING:
     from cypressledge.controlplane.broker_integration import BrokerIntegration
     from cypressledge.fleet.broker_integration import FleetIntegration
+    from cypressledge.service_config import ServiceConfig
 
 ACCEPT_AFTER_STOP_S = 0.72  # a stopping broker goes on taking requests; what came later might meet SIGKILL
 FLUSH_S = 0.5  # for the last answers to leave
@@ -182,6 +182,13 @@
         os._exit(EXIT_PART_FAILED)
 
 
+def _read_service(file: str, environment: Mapping[str, str]) -> "ServiceConfig":
+    """The hosted service's settings. Imported here alone, at the start: a broker without it loads less."""
+    from cypressledge.service_config import read_service
+
+    return read_service(file, environment)
+
+
 def assemble(args: list[str], environment: Mapping[str, str]) -> BrokerProcess:
     """The broker that arguments and environment describe. Raises `ConfigError`."""
     parser = argparse.ArgumentParser(prog="cypressledge", description="a query broker")
@@ -194,7 +201,7 @@
         """Both files, the broker's first: its faults are reported before the service's."""
         config = read_config(environment, sections)
         return ConfigurationFiles(
-            config, read_service(arguments.service, environment) if arguments.service else None
+            config, _read_service(arguments.service, environment) if arguments.service else None
         )
 
     try:
--- a/cypressledge/broker_process/reconfiguration.py
+++ b/cypressledge/broker_process/reconfiguration.py
@@ -2,23 +2,24 @@
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from cypressledge.broker.discovered_engine import DiscoveredEngine
 from cypressledge.broker.metrics import log
 from cypressledge.broker_process.assembly import BrokerComponents, decision_settings
 from cypressledge.config import Config, ConfigError
 from cypressledge.decisions.contract import EngineListKind
-from cypressledge.net.management import MAX_CALLERS, MIN_CALLERS
 from cypressledge.net.receive_buffer import BUFFER_GROWTH
 from cypressledge.net.socket_writer import QUEUED_BYTES
-from cypressledge.service import ServiceConfig
+
+if TYPE_CHECKING:
+    from cypressledge.service_config import ServiceConfig
 
 MAX_OPEN_REQUESTS = 4_000  # at once, where memory allows as many
 BYTES_PER_OPEN_REQUEST = 10_000  # of memory, its statement aside
 MEMORY_SHARE_OF_STATEMENTS = 8  # one part in so many of the spare memory
 MEMORY_SHARE_OF_BUFFERS = 4
 DESCRIPTORS_PER_SPARE_CLIENT = 32
-DESCRIPTORS_PER_OPERATOR = 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +27,7 @@
     """What the broker's file and, where there is one, the hosted service's say at one moment."""
 
     broker: Config
-    service: ServiceConfig | None
+    service: "ServiceConfig | None"
 
 
 # Reads the files; the argument's sections of the settings stand in place of the broker's file's.
@@ -89,8 +90,7 @@
         if parts.service is not None:
             parts.service.apply_limits(limits)
         if parts.management is not None:
-            operators = max(limits.max_sockets // DESCRIPTORS_PER_OPERATOR, MIN_CALLERS)
-            parts.management.server.listener.max_connections = min(MAX_CALLERS, operators)
+            parts.management.apply_limits(limits)
 
     def _apply(self, sections: dict) -> None:
         """Raises `ConfigError` where the old configuration stays in force."""
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -8,6 +8,7 @@
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import Counters
+from cypressledge.config import Limits
 from cypressledge.decisions.contract import EngineState
 from cypressledge.net.http_server import HttpExchange, HttpRequest, HttpServer
 from cypressledge.net.socket_io import Address
@@ -15,6 +16,7 @@
 METRIC_PREFIX = "svc"
 REPLY_METRICS = ("success", "overload", "error", "dispatches")
 MAX_BODY_SIZE = 256  # bytes: an engine's id
+DESCRIPTORS_PER_CALLER = 32
 MIN_CALLERS, MAX_CALLERS = 4, 64  # connections at once: until the configuration is known, and in any case
 
 Answer = tuple[int, bytes]  # status and body
@@ -35,6 +37,11 @@
         """Register a call."""
         self.calls[path] = (method, call)
 
+    def apply_limits(self, limits: Limits) -> None:
+        """Take what the deployment allows."""
+        callers = max(limits.max_sockets // DESCRIPTORS_PER_CALLER, MIN_CALLERS)
+        self.server.listener.max_connections = min(MAX_CALLERS, callers)
+
     def _handle(self, request: HttpRequest, exchange: HttpExchange) -> None:
         request.keep_alive = False  # one call a connection
         status, body = self._route(request)
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -1,23 +1,21 @@
 """The hosted service beside the platform's frontend: ClickHouse HTTP, DNS-SD and the administration API.
 
-Off unless `--service FILE` names its settings (`deploy/clickhouse.toml` is one).
+Off unless `--service FILE` names its settings; nothing else loads this module and the parts it needs.
 """
 
-import os
-import tomllib
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass
 from typing import Any
 
 from cypressledge.broker.core import BrokerCore
-from cypressledge.config import Config, ConfigError, Limits, parse_address
+from cypressledge.config import Config, ConfigError, Limits
 from cypressledge.net.admin_api import AdminApi
 from cypressledge.net.clickhouse.frontend import ClickHouseFrontend
 from cypressledge.net.clickhouse.transport import ClickHouseTransport
 from cypressledge.net.dns_sd import DnsSdPoller
 from cypressledge.net.engine_naming import EngineNaming
 from cypressledge.net.http_server import REQUEST_BODIES
-from cypressledge.tenants import TenantError, Tenants
+from cypressledge.service_config import ServiceConfig
+from cypressledge.tenants import Tenants
 
 WIRE = "clickhouse"
 MAX_ADMIN_CONNECTIONS = 16
@@ -25,70 +23,6 @@
 DESCRIPTORS_PER_ADMIN = 32
 DESCRIPTORS_PER_CLIENT = 10
 MEMORY_SHARE_OF_BODIES = 8  # one part in so many of the spare memory
-MIN_TOKEN_LENGTH = 16  # characters
-
-
-@dataclass(frozen=True, slots=True)
-class ServiceConfig:
-    """What the service's file says; whatever can be wrong with it has been found by now."""
-
-    listen: tuple[str, int]
-    dns_server: tuple[str, int] | None
-    dns_service: str
-    admin_listen: tuple[str, int] | None
-    admin_token: str
-    engine_user: str
-    engine_key: str
-    tenants: tuple[Mapping[str, Any], ...]  # as `Tenants.update` takes them
-
-
-def read_service(path: str, environment: Mapping[str, str] = os.environ) -> ServiceConfig:
-    """The settings of the file; secrets come from the environment variables that it names.
-
-    Raises `ConfigError`."""
-    try:
-        with open(path, "rb") as file:
-            raw = tomllib.load(file)
-        return _service_config(path, raw, environment)
-    except OSError as err:
-        raise ConfigError(f"{path}: {err.strerror}") from None
-    except tomllib.TOMLDecodeError as err:
-        raise ConfigError(f"{path} is not TOML: {err}") from None
-    except KeyError as err:
-        raise ConfigError(f"{path} lacks {err}") from None
-    except TenantError as err:
-        raise ConfigError(f"{path}: tenant: {err}") from None
-    except (TypeError, AttributeError) as err:
-        raise ConfigError(f"{path} is of the wrong form: {err}") from None
-
-
-def _service_config(path: str, raw: dict, environment: Mapping[str, str]) -> ServiceConfig:
-    frontend, admin, dns_sd = raw["clickhouse"], raw.get("admin"), raw.get("dns_sd")
-    engines = raw.get("engines", {})
-    token = environment.get(admin.get("token_env", ""), "") if admin else ""
-    if admin and len(token) < MIN_TOKEN_LENGTH:
-        variable = admin.get("token_env")
-        raise ConfigError(
-            f"{path}: the admin API needs a token of {MIN_TOKEN_LENGTH} characters in {variable}"
-        )
-    return ServiceConfig(
-        listen=parse_address(frontend["listen"]),
-        dns_server=parse_address(dns_sd["server"]) if dns_sd else None,
-        dns_service=dns_sd["service"] if dns_sd else "",
-        admin_listen=parse_address(admin["listen"]) if admin else None,
-        admin_token=token,
-        engine_user=engines.get("user", ""),
-        engine_key=environment.get(engines.get("key_env", ""), ""),
-        tenants=_checked_tenants(raw.get("tenant", ())),
-    )
-
-
-def _checked_tenants(listed: Iterable[dict]) -> tuple[Mapping[str, Any], ...]:
-    """The tenants as given. Raises `TenantError` for one that could not be taken."""
-    scratch, checked = Tenants(), tuple(listed)
-    for given in checked:
-        scratch.update(given.get("name", ""), given)
-    return checked
 
 
 def _names(tenants: Iterable[Mapping[str, Any]]) -> set[str]:
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -287,8 +287,8 @@
 
 
 def test_run_imports_nothing_of_the_fleet(tmp_path):
-    """As `deploy/balancer.toml` starts it: no package of the fleet, the control plane, the laboratory, or
-    their libraries."""
+    """As `deploy/balancer.toml` starts it: no package of the fleet, the control plane, the laboratory, the
+    hosted service, or their libraries."""
     brokers = Brokers(str(tmp_path))
     broker = brokers.add("n1", {})
     code = (
@@ -309,6 +309,11 @@
         "cypressledge.controlplane",
         "cypressledge.lab",
         "cypressledge.cli",
+        "cypressledge.service",
+        "cypressledge.net.clickhouse",
+        "cypressledge.net.admin_api",
+        "cypressledge.net.dns_sd",
+        "tomllib",
         "msgspec",
         "yaml",
         "structlog",
