--- a/cypressledge/net/clickhouse/engine_exchange.py
+++ b/cypressledge/net/clickhouse/engine_exchange.py
@@ -9,7 +9,7 @@
 from cypressledge.broker.requests import Attempt, EngineFault
 from cypressledge.clock import monotonic_us
 from cypressledge.decisions.contract import Outcome
-from cypressledge.net.clickhouse.engine_response import EngineResponse
+from cypressledge.net.clickhouse.engine_response import EngineResponse, EngineResult
 from cypressledge.net.clickhouse.errors import ErrorCode
 from cypressledge.net.clickhouse.statements import WRITE_STATEMENT, quote
 from cypressledge.net.receive_buffer import ReceiveBuffer
@@ -36,21 +36,25 @@
     def run(self) -> None:
         """Send, read and report the outcome, exactly once unless cancelled."""
         try:
-            outcome, fault = self._exchange()
+            result = self._exchange()
         except (Exception, Timeout) as err:  # whatever an engine sends, its attempt has an end
             self.core.counters.add("clickhouse.connection_errors")
             text = f"engine connection broke: {type(err).__name__}"
-            outcome, fault = Outcome.RESET, EngineFault(text, ErrorCode.NETWORK_ERROR)
-            if not self.sent:
-                outcome = Outcome.CONNECT_FAILED if self.sock is None else Outcome.NOT_SENT
+            result = EngineResult(self._broken_outcome(), EngineFault(text, ErrorCode.NETWORK_ERROR))
         if self.sock is not None:
             if not self.cancelled and self.response.allows_reuse():
                 self.transport.keep_idle(self.attempt.endpoint, self.sock)
             else:
                 self.transport.close(self.sock)
         if not self.cancelled:
-            rows = b"".join(self.response.held) if outcome is Outcome.OK else b""
-            self.core.ledger.attempt_ended(self.attempt, outcome, rows, fault)
+            rows = b"".join(self.response.held) if result.outcome is Outcome.OK else b""
+            self.core.ledger.attempt_ended(self.attempt, result.outcome, rows, result.fault)
+
+    def _broken_outcome(self) -> Outcome:
+        """The outcome where the connection could not be made, or broke."""
+        if self.sent:
+            return Outcome.RESET
+        return Outcome.CONNECT_FAILED if self.sock is None else Outcome.NOT_SENT
 
     def cancel(self) -> None:
         """Give it up: the engine sees the connection close; a write is killed by its id as well."""
@@ -80,13 +84,13 @@
         finally:
             self.transport.close(sock)
 
-    def _exchange(self) -> tuple[Outcome, EngineFault | None]:
+    def _exchange(self) -> EngineResult:
         attempt, response = self.attempt, self.response
         endpoint = attempt.endpoint
         self.sock = self.transport.take_idle(endpoint) or self.transport.connect(endpoint)
         may_send = attempt.may_be_sent(monotonic_us())
         if self.cancelled or not may_send or not self.core.engines.is_current(endpoint):
-            return Outcome.NOT_SENT, None  # not sent: a drain, a cancel or the client's close came before it
+            return EngineResult(Outcome.NOT_SENT)  # a drain, a cancel or the client's close came before it
         self.sent = True
         with Timeout(max((attempt.deadline - monotonic_us()) / 1e6, MIN_REMAINING / 1e6)):
             self.sock.sendall(self._encode_request(self._settings(), attempt.query.statement))
--- a/cypressledge/net/clickhouse/engine_response.py
+++ b/cypressledge/net/clickhouse/engine_response.py
@@ -1,6 +1,7 @@
 """An engine's HTTP response: status, exception, progress and rows, as httptools parses them."""
 
 import json
+from dataclasses import dataclass
 
 import httptools
 
@@ -14,6 +15,14 @@
 FINAL_STATUSES = frozenset((400, 404, 413, 501))  # the statement itself is at fault: no engine can run it
 
 
+@dataclass(frozen=True, slots=True)
+class EngineResult:
+    """How an attempt has ended at its engine."""
+
+    outcome: Outcome
+    fault: EngineFault | None = None  # None where there is nothing to tell the client
+
+
 class EngineResponse:
     """One response. httptools calls the `on_` methods; what they raise ends the exchange."""
 
@@ -32,19 +41,19 @@
         """Whether the connection may be used for a further exchange."""
         return self.is_complete and self.parser.should_keep_alive()
 
-    def result(self) -> tuple[Outcome, EngineFault | None]:
+    def result(self) -> EngineResult:
         """How the attempt has ended, of a complete response."""
         if self.status == 200 and not self.exception_code:
-            return Outcome.OK, None
+            return EngineResult(Outcome.OK)
         text = b"".join(self.held).decode("utf-8", "replace").strip() or f"engine answered {self.status}"
         fault = EngineFault(text, self.exception_code, self.status if self.status >= 400 else 500)
         if self.status == 503 and self.exception_code in NEVER_EXECUTED_CODES:
-            return Outcome.REJECTED, fault
+            return EngineResult(Outcome.REJECTED, fault)
         if self.status == 504:
-            return Outcome.NOT_SENT, DEADLINE_FAULT
+            return EngineResult(Outcome.NOT_SENT, DEADLINE_FAULT)
         if self.status in FINAL_STATUSES:
-            return Outcome.ERROR, EngineFault(text, self.exception_code, self.status, final=True)
-        return Outcome.ERROR, fault
+            fault = EngineFault(text, self.exception_code, self.status, final=True)
+        return EngineResult(Outcome.ERROR, fault)
 
     # Called by httptools
 
--- a/cypressledge/net/clickhouse/transport.py
+++ b/cypressledge/net/clickhouse/transport.py
@@ -1,6 +1,7 @@
 """Connections to engines that speak the ClickHouse HTTP interface: one exchange at a time on each."""
 
 from collections import deque
+from dataclasses import dataclass
 
 from gevent import Timeout, select, socket, spawn
 
@@ -13,15 +14,21 @@
 from cypressledge.net.socket_io import close_socket, connect
 
 
+@dataclass(frozen=True, slots=True)
+class IdleConnection:
+    """A connection that waits for its next exchange."""
+
+    sock: socket.socket
+    since: int  # µs, monotonic
+
+
 class ClickHouseTransport:
     """Runs attempts, each in a greenlet, and keeps idle connections for the next ones."""
 
     def __init__(self, core: BrokerCore, limits: Limits) -> None:
         self.core, self.limits = core, limits
         self.login_headers = ""
-        self.idle: dict[
-            Endpoint, deque[tuple[socket.socket, int]]
-        ] = {}  # with µs since which it is, oldest first
+        self.idle: dict[Endpoint, deque[IdleConnection]] = {}  # longest idle first
         self.connection_count = 0  # idle or in use
         core.counters.gauge("clickhouse.engine_connections", lambda: self.connection_count)
 
@@ -51,7 +58,7 @@
         """An idle connection that the engine has not closed meanwhile."""
         idle = self.idle.get(endpoint, ())
         while idle:
-            sock, _ = idle.pop()
+            sock = idle.pop().sock
             if not select.select([sock], [], [], 0)[0]:
                 return sock
             self.close(sock)
@@ -71,7 +78,7 @@
 
     def keep_idle(self, endpoint: Endpoint, sock: socket.socket) -> None:
         """Keep a connection for the next exchange."""
-        self.idle.setdefault(endpoint, deque()).append((sock, monotonic_us()))
+        self.idle.setdefault(endpoint, deque()).append(IdleConnection(sock, monotonic_us()))
 
     def close(self, sock: socket.socket) -> None:
         """Close a connection for good."""
@@ -82,7 +89,7 @@
         """Close connections that are idle for long, or whose engine takes no new work."""
         oldest = monotonic_us() - int(self.limits.idle_timeout_s * 1e6)
         for endpoint, idle in list(self.idle.items()):
-            while idle and (idle[0][1] < oldest or not self.core.engines.is_current(endpoint)):
-                self.close(idle.popleft()[0])
+            while idle and (idle[0].since < oldest or not self.core.engines.is_current(endpoint)):
+                self.close(idle.popleft().sock)
             if not idle:
                 del self.idle[endpoint]
--- a/cypressledge/net/connection_registry.py
+++ b/cypressledge/net/connection_registry.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 from itertools import islice
-from typing import Generic, Protocol, TypeVar
+from typing import Generic, NamedTuple, Protocol, TypeVar
 
 from gevent import socket
 
@@ -13,9 +13,17 @@
 CONNECT_GRACE = 300_000  # µs in which a client that has just connected does not count as silent
 ACTIVE_WINDOW = 100_000  # µs in which a client that has just been active is not closed
 
-# Eviction priorities: the connection with the least one is closed first.
-RANK_UNUSED, RANK_SILENT, RANK_IDLE = 0, 1, 2
-NOT_EVICTABLE = (9, 0)
+RANK_UNUSED, RANK_SILENT, RANK_IDLE, RANK_NEVER = 0, 1, 2, 9
+
+
+class EvictionPriority(NamedTuple):
+    """The order in which connections are closed where room is needed: the one with the least goes first."""
+
+    rank: int  # one of `RANK_…`
+    since: int  # µs, monotonic: of two of one rank the longer one goes first
+
+
+NOT_EVICTABLE = EvictionPriority(RANK_NEVER, 0)
 
 
 class ClientConnection(Protocol):
@@ -26,8 +34,8 @@
     has_requested: bool  # a complete request has been received
     last_active_at: int  # µs, monotonic: when bytes were last received or an answer was queued
 
-    def eviction_priority(self, now: int) -> tuple[int, int]:
-        """Rank and time; the least is closed first, `NOT_EVICTABLE` never."""
+    def eviction_priority(self, now: int) -> EvictionPriority:
+        """The least is closed first, `NOT_EVICTABLE` never."""
 
     def close_idle(self) -> None:
         """Make room for another client: answer what has been requested, and read nothing more."""
@@ -90,14 +98,15 @@
 
 def eviction_priority(
     now: int, connected_at: int, last_active_at: int, has_requested: bool, is_busy: bool
-) -> tuple[int, int]:
-    """Rank and time (µs, monotonic) of a client's connection; where room is needed, the least is closed.
+) -> EvictionPriority:
+    """The priority of a client's connection; where room is needed, the least is closed.
 
     Guards against clients that send nothing, or one request and stay, excluding others: first goes what will
     not be used again, then who has never sent a complete request, then who has been idle for longest. A
     client whose next request crosses such a close repeats it on a new connection."""
     if not has_requested and now - connected_at > CONNECT_GRACE:
-        return RANK_SILENT, connected_at
+        return EvictionPriority(RANK_SILENT, connected_at)
     if not has_requested or is_busy or now - last_active_at < ACTIVE_WINDOW:
         return NOT_EVICTABLE
-    return (RANK_UNUSED if now - last_active_at > REUSE_WINDOW else RANK_IDLE), last_active_at
+    rank = RANK_UNUSED if now - last_active_at > REUSE_WINDOW else RANK_IDLE
+    return EvictionPriority(rank, last_active_at)
--- a/cypressledge/net/http_server.py
+++ b/cypressledge/net/http_server.py
@@ -12,7 +12,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
-from cypressledge.net.connection_registry import ConnectionRegistry, eviction_priority
+from cypressledge.net.connection_registry import ConnectionRegistry, EvictionPriority, eviction_priority
 from cypressledge.net.listener import Listener
 from cypressledge.net.receive_buffer import ByteBudget, ReceiveBuffer
 from cypressledge.net.socket_io import (
@@ -139,7 +139,7 @@
         self.last_active_at = monotonic_us()
         self.server.connections.mark_active(self)
 
-    def eviction_priority(self, now: int) -> tuple[int, int]:
+    def eviction_priority(self, now: int) -> EvictionPriority:
         """See `ClientConnection`: busy is one with an exchange open, or an answer on its way out."""
         is_busy = bool(self.current or self.request_began_at or self.writer.sending)
         return eviction_priority(now, self.connected_at, self.last_active_at, self.has_requested, is_busy)
--- a/cypressledge/net/jsonrpc/connection.py
+++ b/cypressledge/net/jsonrpc/connection.py
@@ -10,7 +10,7 @@
 from cypressledge.broker.event_log import EventKind
 from cypressledge.broker.requests import Query
 from cypressledge.clock import monotonic_us
-from cypressledge.net.connection_registry import eviction_priority
+from cypressledge.net.connection_registry import EvictionPriority, eviction_priority
 from cypressledge.net.jsonrpc.errors import ErrorCode, FramingError, JsonRpcError
 from cypressledge.net.jsonrpc.framing import MAX_BODY_SIZE, MAX_HEADER_SIZE, take_frame
 from cypressledge.net.jsonrpc.pending_call import PendingCall
@@ -175,7 +175,7 @@
 
     # How a connection ends
 
-    def eviction_priority(self, now: int) -> tuple[int, int]:
+    def eviction_priority(self, now: int) -> EvictionPriority:
         """See `ClientConnection`: busy is one with an open call, or an answer on its way out."""
         is_busy = bool(self.open_calls or self.message_began_at or self.writer.sending)
         return eviction_priority(now, self.connected_at, self.last_active_at, self.has_requested, is_busy)
--- a/cypressledge/net/maintenance_file.py
+++ b/cypressledge/net/maintenance_file.py
@@ -15,6 +15,7 @@
 from cypressledge.broker.metrics import log
 from cypressledge.clock import monotonic_us
 from cypressledge.net.http_server import HttpRequest
+from cypressledge.net.management import Answer
 
 LOCK_ATTEMPTS = 100
 LOCK_PAUSE = 0.005  # seconds between two attempts
@@ -53,8 +54,8 @@
             log(f"maintenance: engines out {sorted(stored.out_of_service)}")
             self.core.engines.set_maintenance(stored)
 
-    def handle_call(self, request: HttpRequest, enter: bool) -> tuple[int, bytes]:
-        """`POST /maintenance/enter` or `exit` with an engine's id as the body: status and body."""
+    def handle_call(self, request: HttpRequest, enter: bool) -> Answer:
+        """`POST /maintenance/enter` or `exit` with an engine's id as the body."""
         with self._exclusive():
             return self._change(request, enter)
 
@@ -88,7 +89,7 @@
         status = self.path.stat()
         return status.st_mtime_ns, status.st_ino
 
-    def _change(self, request: HttpRequest, enter: bool) -> tuple[int, bytes]:
+    def _change(self, request: HttpRequest, enter: bool) -> Answer:
         self.refresh()
         try:
             engine = request.body.decode("utf-8").strip()
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -5,6 +5,7 @@
 each on a greenlet of its own, with the limits it keeps for every HTTP client."""
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import Counters
@@ -70,21 +71,28 @@
         for name in REPLY_METRICS
     ]
     dispatches = sum(counts[f"replies.{class_name}.dispatches"] for class_name in classes)
-    listed, avoided = count_engines(core)
+    engines = count_engines(core)
     lines += [
         f"{METRIC_PREFIX}.dispatches:{dispatches}|c",
         f"{METRIC_PREFIX}.concurrent:{len(core.ledger.requests)}|g",
-        f"{METRIC_PREFIX}.targets:{listed}|g",
-        f"{METRIC_PREFIX}.targets_disabled:{avoided}|g",
+        f"{METRIC_PREFIX}.targets:{engines.listed}|g",
+        f"{METRIC_PREFIX}.targets_disabled:{engines.avoided}|g",
         f"{METRIC_PREFIX}.reload_success:{counts['reloads']}|c",
         f"{METRIC_PREFIX}.reload_failure:{counts['reload_failures']}|c",
     ]
     return "\n".join(lines).encode() + b"\n"
 
 
-def count_engines(core: BrokerCore) -> tuple[int, int]:
-    """Engines that the lists name, and those of them the broker avoids: in maintenance, draining, held
-    off."""
+@dataclass(frozen=True, slots=True)
+class EngineCounts:
+    """Numbers of engines."""
+
+    listed: int  # by any list, and not removed
+    avoided: int  # of those, the ones in maintenance, draining or ejected
+
+
+def count_engines(core: BrokerCore) -> EngineCounts:
+    """How many engines the lists name, and how many of these the broker avoids."""
     known = core.loop.manager.engines
     listed = [
         core.engines.maintenance.effective_entry(engine.endpoint.name, engine.entry)
@@ -96,4 +104,4 @@
         entry.state is not EngineState.READY or (entry.engine in known and known[entry.engine].ejected)
         for entry in listed
     )
-    return len(listed), avoided
+    return EngineCounts(len(listed), avoided)
