--- a/cypressledge/broker/engine_registry.py
+++ b/cypressledge/broker/engine_registry.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProcess:
-    """An engine's process as the lists tell of it; two that compare equal are one, unchanged."""
+    """An engine's process as the lists describe it; equal ones are the same process in the same state."""
 
     state: c.EngineState
     started_at_ms: int  # Unix time
--- a/cypressledge/broker/engine_start_times.py
+++ b/cypressledge/broker/engine_start_times.py
@@ -21,7 +21,7 @@
     """One process of an engine."""
 
     listed_ms: int  # Unix time of its start, as lists give it
-    started_at: int  # µs of the monotonic clock, as it was made of that
+    started_at: int  # µs of the monotonic clock, as computed from it
 
 
 class EngineStartTimes:
@@ -37,7 +37,7 @@
         """Take a complete list: engines' starts in ms of Unix time, 0 being long ago.
 
         `now`: the monotonic clock, µs; `doubt`: µs by which an engine may be taken for older than it is.
-        What was made of a start stays as it was when first listed, so a later step changes nothing."""
+        The time computed when a start is first listed stays, so a later step of the clock changes nothing."""
         newest = max(listed.values(), default=0) * US_PER_MS
         reference = min(now + self.wall_offset, newest + doubt)
         for engine, listed_ms in listed.items():
--- a/cypressledge/broker/event_log.py
+++ b/cypressledge/broker/event_log.py
@@ -1,7 +1,7 @@
 """What happens to requests, attempts, connections and engines, as log lines of the form `event key=value …`.
 
 `at` is the monotonic clock, in seconds since the program's start: lines can be told apart in time whatever is
-done to the wall clock. Each kind of event has a bounded rate, so that trouble does not make more trouble.
+done to the wall clock. Each kind of event has a bounded rate, so that a fault does not flood the log.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 from cypressledge.clock import monotonic_us
 
 SECOND_US = 1_000_000  # µs
-MAX_LINES_PER_SECOND = 10  # of one kind of event; what is beyond is counted, and told with the next line
+MAX_LINES_PER_SECOND = 10  # of one kind of event; the next line states how many were left out
 
 
 class EventKind(StrEnum):
--- a/cypressledge/broker/maintenance.py
+++ b/cypressledge/broker/maintenance.py
@@ -16,7 +16,7 @@
 
 
 class MaintenanceError(Exception):
-    """A call that can't be heeded; `status` is the HTTP status that answers it."""
+    """A call that is rejected; `status` is the HTTP status that answers it."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
--- a/cypressledge/broker/periodic_tasks.py
+++ b/cypressledge/broker/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""What a broker does every so often: connections, operators' file, clock, and counters in the log."""
+"""Periodic tasks of a broker: connections, the maintenance file, the wall clock, counters in the log."""
 
 import traceback
 from collections.abc import Callable, Sequence
--- a/cypressledge/broker/request_log.py
+++ b/cypressledge/broker/request_log.py
@@ -1,4 +1,4 @@
-"""What the event log says of requests and their attempts."""
+"""Events of requests and their attempts, for the event log."""
 
 from cypressledge.broker.event_log import EventKind, EventLog
 from cypressledge.broker.requests import Attempt, Query, Request
@@ -18,7 +18,7 @@
         self._event_log = event_log
 
     def rejected_at_admission(self, query: Query, reason: str) -> None:
-        """A query was rejected that the decision module never heard of."""
+        """A query was rejected before it reached the decision module."""
         self._event_log.write(EventKind.REJECTED, request=query.id, class_=query.class_name, reason=reason)
 
     def unserved(self, kind: EventKind, request: Request, reason: c.Reason) -> None:
--- a/cypressledge/broker_process/assembly.py
+++ b/cypressledge/broker_process/assembly.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class BrokerComponents:
-    """All parts of one broker that every other part may be needed by."""
+    """The parts of one broker, for what starts, reconfigures and stops them."""
 
     counters: Counters
     core: BrokerCore
--- a/cypressledge/broker_process/process.py
+++ b/cypressledge/broker_process/process.py
@@ -1,4 +1,4 @@
-"""One real broker as a process: reads its configuration, starts the parts, heeds signals, and shuts down.
+"""One real broker as a process: reads its configuration, starts the parts, handles signals, and shuts down.
 
 ROUTER_CONFIG names the configuration. `--service FILE` adds the hosted service's frontend, `--fleet FILE`
 what brokers do together, `--control FILE` the control plane that it takes settings and engines from.
@@ -42,7 +42,7 @@
 
 
 class BrokerProcess:
-    """One broker, from its start to its end."""
+    """One broker, from its start to its exit."""
 
     def __init__(
         self, read: ConfigReader, fleet_file: str | None = None, control_file: str | None = None
--- a/cypressledge/net/dns_discovery.py
+++ b/cypressledge/net/dns_discovery.py
@@ -34,7 +34,7 @@
 
 
 class NameServerPoller:
-    """Polls a name server for good; one that is unreachable or answers nonsense changes nothing."""
+    """Polls a name server at intervals; one that is unreachable or answers nonsense changes nothing."""
 
     def __init__(self, core: BrokerCore, server: Address | None, naming: EngineNaming, name: str) -> None:
         """`name`: of the poller, in log lines and counters."""
@@ -43,7 +43,7 @@
         self.server_changed = Event()
 
     def run(self) -> None:
-        """Poll, and log when the server becomes unreachable or reachable."""
+        """Poll, and log when the server becomes unreachable or reachable. Never returns."""
         while True:
             began = monotonic_us()
             self.server_changed.clear()
--- a/cypressledge/service_config.py
+++ b/cypressledge/service_config.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """What the service's file says; whatever can be wrong with it has been found by now."""
+    """The contents of the service's file, completely checked."""
 
     listen: tuple[str, int]
     dns_server: tuple[str, int] | None
