--- a/cypressledge/broker/engine_registry.py
+++ b/cypressledge/broker/engine_registry.py
@@ -41,9 +41,8 @@
         self._counters = counters
         self._event_log = event_log
         self._last_kind = c.EngineListKind.CACHED
-        self._processes: dict[str, EngineProcess] | None = (
-            None  # by engine's name; None before the first list
-        )
+        # By engine's name; None before the first list.
+        self._processes: dict[str, EngineProcess] | None = None
         loop.register_actions({c.Log: self._log_for_module})
         counters.gauge("ready_engines", lambda: len(self.ready_endpoints))
 
--- a/cypressledge/broker/request_ledger.py
+++ b/cypressledge/broker/request_ledger.py
@@ -146,10 +146,8 @@
     # Messages, on the event loop
 
     def _handle_submitted(self, request: Request) -> None:
-        if (
-            request.is_concluded or request.client_disconnected
-        ):  # withdrawn at once: not worth the module's time
-            return
+        if request.is_concluded or request.client_disconnected:
+            return  # withdrawn at once: not worth the module's time
         query = request.query
         self._loop.timers.schedule(query.deadline + DEADLINE_GRACE_US, self._check_deadline, request.number)
         key = stable_hash(query.key, ORDERING_KEY_BYTES) if query.key else 0
--- a/cypressledge/net/maintenance_file.py
+++ b/cypressledge/net/maintenance_file.py
@@ -47,10 +47,7 @@
             return
         self.last_stamp = stamp
         stored = Maintenance.from_json(raw, monotonic_us())
-        if (stored.out_of_service, stored.returned_at) != (
-            self.core.engines.maintenance.out_of_service,
-            self.core.engines.maintenance.returned_at,
-        ):
+        if stored != self.core.engines.maintenance:
             log(f"maintenance: engines out {sorted(stored.out_of_service)}")
             self.core.engines.set_maintenance(stored)
 
