--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -5,9 +5,11 @@
 each on a greenlet of its own, with the limits it keeps for every HTTP client."""
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.metrics import Counters
+from cypressledge.config import Limits
 from cypressledge.decisions.contract import EngineState
 from cypressledge.net.http_server import HttpExchange, HttpRequest, HttpServer
 from cypressledge.net.socket_io import Address
@@ -15,6 +17,7 @@
 METRIC_PREFIX = "svc"
 REPLY_METRICS = ("success", "overload", "error", "dispatches")
 MAX_BODY_SIZE = 256  # bytes: an engine's id
+DESCRIPTORS_PER_CALLER = 32
 MIN_CALLERS, MAX_CALLERS = 4, 64  # connections at once: until the configuration is known, and in any case
 
 Answer = tuple[int, bytes]  # status and body
@@ -35,6 +38,11 @@
         """Register a call."""
         self.calls[path] = (method, call)
 
+    def apply_limits(self, limits: Limits) -> None:
+        """Take what the deployment allows."""
+        callers = max(limits.max_sockets // DESCRIPTORS_PER_CALLER, MIN_CALLERS)
+        self.server.listener.max_connections = min(MAX_CALLERS, callers)
+
     def _handle(self, request: HttpRequest, exchange: HttpExchange) -> None:
         request.keep_alive = False  # one call a connection
         status, body = self._route(request)
@@ -63,30 +71,37 @@
         for name in REPLY_METRICS
     ]
     dispatches = sum(counts[f"replies.{class_name}.dispatches"] for class_name in classes)
-    listed, avoided = count_engines(core)
+    engines = count_engines(core)
     lines += [
         f"{METRIC_PREFIX}.dispatches:{dispatches}|c",
         f"{METRIC_PREFIX}.concurrent:{len(core.ledger.requests)}|g",
-        f"{METRIC_PREFIX}.targets:{listed}|g",
-        f"{METRIC_PREFIX}.targets_disabled:{avoided}|g",
+        f"{METRIC_PREFIX}.targets:{engines.listed}|g",
+        f"{METRIC_PREFIX}.targets_disabled:{engines.avoided}|g",
         f"{METRIC_PREFIX}.reload_success:{counts['reloads']}|c",
         f"{METRIC_PREFIX}.reload_failure:{counts['reload_failures']}|c",
     ]
     return "\n".join(lines).encode() + b"\n"
 
 
-def count_engines(core: BrokerCore) -> tuple[int, int]:
-    """Engines that the lists name, and those of them the broker avoids: in maintenance, draining, held
-    off."""
+@dataclass(frozen=True, slots=True)
+class EngineCounts:
+    """Numbers of engines."""
+
+    listed: int  # by any list, and not removed
+    avoided: int  # of those, the ones in maintenance, draining or ejected
+
+
+def count_engines(core: BrokerCore) -> EngineCounts:
+    """How many engines the lists name, and how many of these the broker avoids."""
     known = core.loop.manager.engines
     listed = [
-        core.engines.maintenance.effective_entry(endpoint.name, entry)
+        core.engines.maintenance.effective_entry(engine.endpoint.name, engine.entry)
         for engines in core.engines.engine_lists.values()
-        for entry, endpoint in engines
-        if entry.state is not EngineState.REMOVED
+        for engine in engines
+        if engine.entry.state is not EngineState.REMOVED
     ]
     avoided = sum(
         entry.state is not EngineState.READY or (entry.engine in known and known[entry.engine].ejected)
         for entry in listed
     )
-    return len(listed), avoided
+    return EngineCounts(len(listed), avoided)
