--- /dev/null
+++ b/tests/net/clickhouse/clickhouse_test_case.py
@@ -0,0 +1,93 @@
+"""A broker with the ClickHouse interface, DNS-SD and the administration API, and one client of each."""
+
+import hashlib
+import http.client
+import json
+import socket
+from contextlib import closing
+from urllib.parse import urlencode
+
+from cypressledge.lab.site import free_port
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.support import WAIT, wait_until
+
+KEY, TOKEN = "key-of-the-sales-office", "token-of-the-administrators"
+LOGIN = {"X-ClickHouse-User": "sales", "X-ClickHouse-Key": KEY}
+TYPE = "_clickhouse-http._tcp.cluster.lan."
+
+
+class ClickHouseTestCase(BrokerTestCase):
+    """A broker with the hosted service; its engines are found by DNS-SD."""
+
+    def service(self, *engines, lines=()):
+        self.port, self.admin = free_port(), free_port()
+        broker = self.broker(
+            *lines,
+            env={"ADMIN": TOKEN, "ENGINE": "secret"},
+            service=lambda b: f"""
+            [clickhouse]
+            listen = "127.0.0.1:{self.port}"
+            [engines]
+            user = "broker"
+            key_env = "ENGINE"
+            [dns_sd]
+            server = "127.0.0.1:{b.dns.port}"
+            service = "{TYPE}"
+            [admin]
+            listen = "127.0.0.1:{self.admin}"
+            token_env = "ADMIN"
+            [[tenant]]
+            name = "sales"
+            key_sha256 = "{hashlib.sha256(KEY.encode()).hexdigest()}"
+            """,
+        )
+        for n, engine in enumerate(engines):
+            broker.dns.instances[f"ch-{n}.{TYPE}"] = (engine.port, "ready")
+        if engines:
+            broker.wait_until_ready()
+            wait_until(lambda: len(self.api("GET", "/v1/engines")[1]["engines"]) == len(engines) + len(lines))
+        return broker
+
+    def ask(
+        self, body=b"SELECT a, b, c FROM sales_17.orders", method="POST", path="/", login=LOGIN, **params
+    ):
+        """One exchange: status, headers, body."""
+        with closing(http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT)) as conn:
+            conn.request(method, f"{path}?{urlencode(params)}", body if method == "POST" else None, login)
+            answer = conn.getresponse()
+            return answer.status, answer.headers, answer.read()
+
+    def begin(self, target):
+        """A query whose answer is not awaited."""
+        conn = http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT)
+        self.addCleanup(conn.close)
+        conn.request("POST", target, b"SELECT a FROM sales_1.t", LOGIN)
+        return conn
+
+    def code(self, *args, **more):
+        status, headers, body = self.ask(*args, **more)
+        code = headers["X-ClickHouse-Exception-Code"]
+        assert body.startswith(b"Code: %s. DB::Exception: " % code.encode()), body
+        return status, int(code)
+
+    def api(self, method, path, value=None, token=TOKEN):
+        with closing(http.client.HTTPConnection("127.0.0.1", self.admin, timeout=WAIT)) as conn:
+            conn.request(
+                method,
+                path,
+                json.dumps(value) if value is not None else None,
+                {"Authorization": f"Bearer {token}"},
+            )
+            answer = conn.getresponse()
+            body = answer.read()
+            return answer.status, json.loads(body) if body else None
+
+    def count(self, name):
+        return self.api("GET", "/v1/counters")[1].get(name, 0)
+
+    def raw(self, *parts):
+        """Bytes in, all bytes out."""
+        with closing(socket.create_connection(("127.0.0.1", self.port), WAIT)) as sock:
+            for part in parts:
+                sock.sendall(part)
+            return b"".join(iter(lambda: sock.recv(65536), b""))
--- /dev/null
+++ b/tests/net/clickhouse/test_clickhouse_authentication.py
@@ -0,0 +1,26 @@
+"""ClickHouse interface: how a request names and proves its tenant."""
+
+import base64
+
+from tests.fakes.fake_clickhouse_engine import (
+    FakeClickHouseEngine,
+)
+from tests.net.clickhouse.clickhouse_test_case import KEY, LOGIN, ClickHouseTestCase
+
+
+class Authentication(ClickHouseTestCase):
+    def test_ways_to_name_the_tenant(self):
+        self.service(self.engine(kind=FakeClickHouseEngine))
+        basic = {"Authorization": "Basic " + base64.b64encode(f"sales:{KEY}".encode()).decode()}
+        assert self.ask(login=basic)[0] == 200
+        assert self.ask(login={}, user="sales", password=KEY)[0] == 200
+        for login in (
+            {},
+            {"X-ClickHouse-User": "sales"},
+            LOGIN | {"X-ClickHouse-Key": "wrong"},
+            LOGIN | basic,
+            {"Authorization": "Bearer x"},
+            {"X-ClickHouse-User": "sahel"},
+        ):
+            with self.subTest(login):
+                assert self.code(login=login) == (403, 516)
