--- /dev/null
+++ b/tests/broker/test_reconfiguration.py
@@ -0,0 +1,71 @@
+"""A reload at SIGHUP: the configuration is read again while everything else goes on."""
+
+from cypressledge.lab.site import SETTINGS
+from tests.fakes.broker_process import BrokerTestCase
+from tests.fakes.fake_engines import ROW, answer_on_release
+from tests.fakes.fake_name_server import FakeNameServer
+from tests.fakes.json_rpc_client import result_rows
+from tests.fakes.support import wait_until
+
+
+class Reload(BrokerTestCase):
+    """SIGHUP: the configuration is read again while everything else lives on."""
+
+    def test_new_directory_is_asked_at_once_and_open_requests_live_on(self):
+        engine, other = self.engine(answer_on_release), self.engine(name="s-2")
+        engine.released = False
+        broker = self.broker(engine)
+        client = self.client(broker)
+        client.ask("report", wait=15000)
+        wait_until(lambda: engine.wants, "the attempt")
+        broker.dns.is_silent = True
+        moved = FakeNameServer()
+        self.addCleanup(moved.close)
+        moved.serial, moved.engines = 2, {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
+        broker.reload(dns=f"127.0.0.1:{moved.port}")
+        wait_until(lambda: moved.asked > 1, "the new directory")
+        client.ask()  # on the connection from before, and only s-2 is ready now
+        assert client.get()["id"] == 2
+        engine.released = True
+        assert result_rows(client.get()) == ROW
+        assert broker.process.poll() is None
+
+    def test_serial_is_kept_over_a_reload(self):
+        engine = self.engine()
+        broker = self.broker(engine)
+        broker.publish_list(7)
+        moved = FakeNameServer()
+        self.addCleanup(moved.close)
+        moved.serial = 3  # an older list, with no engine in it
+        broker.reload(dns=f"127.0.0.1:{moved.port}")
+        wait_until(lambda: moved.asked > 3, "the new directory")
+        client = self.client(broker)
+        client.ask()
+        assert result_rows(client.get()) == ROW
+
+    def test_unusable_file_leaves_the_old_configuration_in_force(self):
+        broker = self.broker(self.engine())
+        client = self.client(broker)
+        for text, change, word in (
+            ("{half a fi", {}, "Expecting"),
+            (None, {"dns": "nowhere"}, "HOST:PORT"),
+            (None, {"listen": "127.0.0.1:1"}, "restart"),
+            (None, {"settings": SETTINGS | {"Classes": SETTINGS["Classes"][:1]}}, "restart"),
+        ):
+            with self.subTest(word):
+                before = dict(broker.config)
+                line = broker.reload(text, **change)[-1]
+                broker.config = before
+                assert "the old configuration stays in force" in line
+                assert word in line
+                client.ask()
+                assert result_rows(client.get()) == ROW
+
+    def test_whatever_else_has_changed_counts_too(self):
+        broker = self.broker(self.engine())
+        client = self.client(broker)
+        client.ask(tenant="sud")
+        assert client.get()["error"]["code"] == -32602
+        broker.reload(settings=SETTINGS | {"Customers": [{"Name": "sud"}]})
+        client.ask(tenant="sud")
+        assert result_rows(client.get()) == ROW
--- /dev/null
+++ b/tests/net/jsonrpc/test_request_ids.py
@@ -0,0 +1,14 @@
+"""The numbers of a JSON-RPC connection: each is used once."""
+
+import unittest
+
+from cypressledge.net.jsonrpc.request_ids import MAX_SKIPPED, UsedRequestIds
+
+
+class RequestIds(unittest.TestCase):
+    def test_numbers_that_skip_are_not_all_remembered(self):
+        used = UsedRequestIds()
+        for number in range(2, 50_000, 2):
+            assert used.add(number)
+            assert not used.add(number)
+        assert len(used.above) <= MAX_SKIPPED
