--- a/tests/test_effects.py
+++ b/tests/race_conditions/test_retry_safety.py
@@ -1,5 +1,7 @@
-"""What a class's effect promises, for any run of engines' answers: Hypothesis draws them, the real program
-meets them on real connections, and the stand-ins' ledger is checked."""
+"""Retries are sent only where the class's idempotency allows them, whatever engines answer.
+
+Hypothesis draws sequences of engines' answers, the real program meets them on real connections, and the fake
+engines' record of attempts is checked."""
 
 import contextlib
 import re
@@ -101,7 +103,7 @@
 )
 
 
-class Effects(BrokerTestCase):
+class RetrySafety(BrokerTestCase):
     """No request is repeated unless its class allows it, and each has one final answer."""
 
     def test_attempts_keep_to_their_class_whatever_engines_answer(self):
@@ -143,8 +145,8 @@
         wait_until(lambda: broker.process.poll() is None, "a living broker")
 
 
-class Broken(BrokerTestCase):
-    """Answers and requests that break off."""
+class InterruptedConnections(BrokerTestCase):
+    """Connections that end in the middle of a request or an answer."""
 
     def test_an_answer_that_breaks_off_at_any_byte_is_never_passed_on(self):
         """Each byte in its turn is the last one of the first attempt's answer."""
