--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,5 +1,6 @@
-"""Pages name only modules that are there."""
+"""Pages name only modules, tests, classes and members that are there."""
 
+import ast
 import re
 from pathlib import Path
 
@@ -7,10 +8,25 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "cypressledge"
-PAGES = ["README.md", "docs/architecture.md", "docs/design.md", "docs/glossary.md"]
+PLANS = "docs/ROADMAP.md"  # may name what is still to be written
+PAGES = [
+    "README.md",
+    "CHANGELOG.md",
+    *sorted(
+        page for path in (ROOT / "docs").rglob("*.md") if (page := path.relative_to(ROOT).as_posix()) != PLANS
+    ),
+]
+PAGES_OF_MODULES = ["README.md", "docs/architecture.md", "docs/design.md", "docs/glossary.md"]
 FILE_NAME = re.compile(r"`(?:cypressledge/)?((?:\w+/)*\w+\.py)`")
 FOLDER_NAME = re.compile(r"`cypressledge/((?:\w+/)+)`")
 MODULE_NAME = re.compile(r"\bcypressledge((?:\.[a-z_]\w*)+)")
+TEST_NAME = re.compile(r"\b(tests/(?:\w+/)*(?:\w+\.py)?)")
+MEMBER_NAME = re.compile(r"`([A-Z]\w*)\.(\w+)(?:\(\))?`")
+
+
+def page_text(page: str) -> str:
+    """A page's text."""
+    return (ROOT / page).read_text()
 
 
 def named_files(text: str) -> set[str]:
@@ -26,14 +42,73 @@
     return path.exists() or path.with_suffix(".py").exists()
 
 
-@pytest.mark.parametrize("page", [page for page in PAGES if (ROOT / page).exists()])
+def class_members(source: str) -> dict[str, set[str]]:
+    """The classes of a module, each with its methods, its fields and the attributes set on `self`."""
+    members: dict[str, set[str]] = {}
+    for node in ast.walk(ast.parse(source)):
+        if not isinstance(node, ast.ClassDef):
+            continue
+        names = members.setdefault(node.name, set())
+        for inner in ast.walk(node):
+            if isinstance(inner, ast.FunctionDef):
+                names.add(inner.name)
+            elif isinstance(inner, ast.Attribute) and isinstance(inner.ctx, ast.Store):
+                names.add(inner.attr)
+            elif isinstance(inner, ast.Name) and isinstance(inner.ctx, ast.Store):
+                names.add(inner.id)
+    return members
+
+
+@pytest.fixture(scope="module")
+def members_by_class() -> dict[str, set[str]]:
+    """Members of all classes of the package; of classes that share a name, all of them together."""
+    members: dict[str, set[str]] = {}
+    for path in PACKAGE.rglob("*.py"):
+        for name, found in class_members(path.read_text()).items():
+            members.setdefault(name, set()).update(found)
+    return members
+
+
+@pytest.mark.parametrize("page", PAGES)
 def test_modules_that_a_page_names_exist(page):
-    names = named_files((ROOT / page).read_text())
-    assert names, "the page names no module: is its form another than this test reads?"
-    assert sorted(name for name in names if not exists(name)) == []
+    assert sorted(name for name in named_files(page_text(page)) if not exists(name)) == []
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_tests_that_a_page_names_exist(page):
+    assert sorted(name for name in TEST_NAME.findall(page_text(page)) if not (ROOT / name).exists()) == []
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_members_that_a_page_names_exist(page, members_by_class):
+    named = set(MEMBER_NAME.findall(page_text(page)))
+    unknown = [(owner, member) for owner, member in named if member not in members_by_class.get(owner, ())]
+    assert sorted(unknown) == []
+
+
+@pytest.mark.parametrize("page", PAGES_OF_MODULES)
+def test_a_page_of_the_code_names_modules(page):
+    assert named_files(page_text(page)), "the page names no module: is its form another than this test reads?"
 
 
 def test_a_module_that_is_not_there_is_noticed():
     names = named_files("see `net/nothing.py`, `cypressledge/nowhere/` and cypressledge.missing.module")
     assert names == {"net/nothing.py", "nowhere", "missing/module"}
     assert not any(map(exists, names))
+
+
+def test_a_member_that_is_not_there_is_noticed(members_by_class):
+    assert MEMBER_NAME.findall("`RequestLedger.submit` and `RequestLedger.take()`") == [
+        ("RequestLedger", "submit"),
+        ("RequestLedger", "take"),
+    ]
+    assert "submit" in members_by_class["RequestLedger"]
+    assert "take" not in members_by_class["RequestLedger"]
+
+
+def test_a_test_that_is_not_there_is_noticed():
+    names = TEST_NAME.findall(
+        "see `tests/race_conditions/`, `tests/test_docs.py` and `tests/fakes/nothing.py`"
+    )
+    assert names == ["tests/race_conditions/", "tests/test_docs.py", "tests/fakes/nothing.py"]
+    assert [(ROOT / name).exists() for name in names] == [True, True, False]
