--- a/cypressledge/lab/scaling/broker_process_costs.py
+++ b/cypressledge/lab/scaling/broker_process_costs.py
@@ -15,8 +15,8 @@
 from cypressledge.lab.engines import LabEngine
 from cypressledge.lab.load import STATEMENT, Client, answer
 from cypressledge.lab.processes import BrokerProcess, Brokers, until
-from cypressledge.lab.results import Fact, Slope, Source, slope
-from cypressledge.lab.scaling.measuring import Findings, Points
+from cypressledge.lab.results import Fact, Slope, Source
+from cypressledge.lab.scaling.measuring import CurveFamily, Findings
 
 ROLE = "broker, request path"
 SOCKETS = 8_192  # the broker's own limit in its file; what the system allows binds as well
@@ -154,48 +154,30 @@
     idle = idle_costs((50, 100) if quick else (100, 200, 400, 600))
     engine_counts = (4, 8) if quick else (4, 8, 16, 32)
     serving = {engines: serving_cost(engines, 1.0 if quick else 4.0) for engines in engine_counts}
-
-    def idle_curve(name: str, what: str, unit: str, points: Points) -> Slope:
-        return slope(name, ROLE, what, unit, "client connections", points, source)
-
-    def serving_curve(name: str, what: str, unit: str, points: Points) -> Slope:
-        return slope(name, ROLE, what, unit, "engines", points, source)
-
-    slopes = [
-        idle_curve(
-            "clients_mb", "memory of the process", "MB", [(n, cost.memory_mb) for n, cost in idle.items()]
-        ),
-        idle_curve(
-            "clients_fds",
-            "descriptors of the process",
-            "descriptors",
-            [(n, cost.descriptors) for n, cost in idle.items()],
-        ),
-        idle_curve(
-            "clients_idle_ms",
-            "processor time with nobody asking",
-            "ms/s",
-            [(n, cost.cpu_ms_per_s) for n, cost in idle.items()],
-        ),
-        idle_curve(
-            "connect_ms",
-            "a client's connection and its first statement",
-            "ms",
-            [(n, cost.connect_ms) for n, cost in idle.items()],
-        ),
-        serving_curve(
-            "statement_ms",
-            "the whole broker, a statement of JSON-RPC and lines",
-            "ms",
-            [(n, cost.statement_ms) for n, cost in serving.items()],
-        ),
-        serving_curve(
-            "links_fds",
-            "engine connections of one broker",
-            "descriptors",
-            [(n, cost.engine_connections) for n, cost in serving.items()],
-        ),
-    ]
+    slopes = [*_idle_curves(idle, source), *_serving_curves(serving, source)]
     rate = sum(cost.statements_per_s for cost in serving.values()) / len(serving)
     what = "statements/s as statement_ms was measured, mean"
     return Findings(slopes, [Fact("statement_rate", what, rate, "1/s", source)])
+
+
+def _idle_curves(costs: dict[int, IdleCost], source: Source) -> Iterator[Slope]:
+    """Yield the curves over idle client connections."""
+    family = CurveFamily(ROLE, "client connections", source)
+    memory = [(connections, cost.memory_mb) for connections, cost in costs.items()]
+    yield family.curve("clients_mb", "memory of the process", "MB", memory)
+    descriptor_counts = [(connections, cost.descriptors) for connections, cost in costs.items()]
+    yield family.curve("clients_fds", "descriptors of the process", "descriptors", descriptor_counts)
+    idle = [(connections, cost.cpu_ms_per_s) for connections, cost in costs.items()]
+    yield family.curve("clients_idle_ms", "processor time with nobody asking", "ms/s", idle)
+    connect = [(connections, cost.connect_ms) for connections, cost in costs.items()]
+    yield family.curve("connect_ms", "a client's connection and its first statement", "ms", connect)
+
+
+def _serving_curves(costs: dict[int, ServingCost], source: Source) -> Iterator[Slope]:
+    """Yield the curves over engines, of a broker under a small load."""
+    family = CurveFamily(ROLE, "engines", source)
+    statement = [(engines, cost.statement_ms) for engines, cost in costs.items()]
+    what = "the whole broker, a statement of JSON-RPC and lines"
+    yield family.curve("statement_ms", what, "ms", statement)
+    connections = [(engines, cost.engine_connections) for engines, cost in costs.items()]
+    yield family.curve("links_fds", "engine connections of one broker", "descriptors", connections)
--- a/cypressledge/lab/scaling/decision_costs.py
+++ b/cypressledge/lab/scaling/decision_costs.py
@@ -10,12 +10,13 @@
 
 from cypressledge.decisions import contract as c
 from cypressledge.decisions.manager import WorkloadManager
-from cypressledge.lab.results import Fact, Slope, Source, slope
+from cypressledge.lab.results import Fact, Slope, Source
 from cypressledge.lab.scaling.measuring import (
     ENGINE_COUNTS,
     SECOND_US,
     TARGET_BROKERS,
     ZONES,
+    CurveFamily,
     Findings,
     Points,
     cpu_ms,
@@ -29,6 +30,9 @@
 WORK_US = 10_000  # of a statement at its engine
 TABLES = 40  # groups of them
 WARM_UP_S = 0.5
+PART_OF_SECONDS = 5  # of those that many tables take: one table, and a fleet's size, are measured for less
+ONE_TABLE_ROUNDS = 3
+PEER_ENGINES = 60  # before which the fleet's size is measured
 
 
 def workload_manager(engines: int, peers: int, seed: int) -> WorkloadManager:
@@ -180,55 +184,65 @@
     return cpu_ms(lambda: manager.handle(2 * SECOND_US, [received, arrival]))
 
 
-def decision_costs(quick: bool, seed: int, source: Source) -> Findings:
+@dataclass(frozen=True, slots=True)
+class DecisionCosts:
+    """What the decisions cost, by the number of engines, and by that of brokers at `PEER_ENGINES` engines.
+
+    `seconds`, `rounds`: for how long and how often statements of many tables were measured.
+    """
+
+    seconds: float
+    rounds: int
+    many_tables: dict[int, StatementCost]
+    one_table: dict[int, StatementCost]
+    ms_by_peers: Points
+    kb_by_engines: Points
+    list_ms_by_engines: Points
+
+
+def measure_decisions(quick: bool, seed: int) -> DecisionCosts:
     """Measure the decisions against engines, peers and tables; `quick`: few and small points."""
     sizes = (12, 36, 60) if quick else ENGINE_COUNTS
+    fleets = (40, TARGET_BROKERS) if quick else (40, 120, 240, TARGET_BROKERS)
     seconds = 1.0 if quick else 10.0
     rounds = 3 if quick else 5
-    many_tables = statement_costs(sizes, TABLES, seconds, rounds, seed)
-    one_table = statement_costs(sizes, 1, seconds / 5, 3, seed)
-    fleets = (40, TARGET_BROKERS) if quick else (40, 120, 240, TARGET_BROKERS)
-    by_peers = [(peers, statement_cost(60, peers, TABLES, seconds / 5, seed).cpu_ms[0]) for peers in fleets]
+    part = seconds / PART_OF_SECONDS
+    return DecisionCosts(
+        seconds=seconds,
+        rounds=rounds,
+        many_tables=statement_costs(sizes, TABLES, seconds, rounds, seed),
+        one_table=statement_costs(sizes, 1, part, ONE_TABLE_ROUNDS, seed),
+        ms_by_peers=[
+            (peers, statement_cost(PEER_ENGINES, peers, TABLES, part, seed).cpu_ms[0]) for peers in fleets
+        ],
+        kb_by_engines=[(size, manager_kb(size, seed)) for size in sizes],
+        list_ms_by_engines=[(size, engine_list_ms(size, seed)) for size in sizes],
+    )
 
-    by_size_kb = [(size, manager_kb(size, seed)) for size in sizes]
 
-    def curve(name: str, what: str, unit: str, points: Points, x: str = "engines") -> Slope:
-        return slope(name, ROLE, what, unit, x, points, source)
-
-    slopes = [
-        curve(
-            "module_ms",
-            "the decision module, a statement, of 40 groups of tables",
-            "ms",
-            [(size, cost.cpu_ms[rounds // 2]) for size, cost in many_tables.items()],
-        ),
-        curve(
-            "engines_used",
-            f"different engines sent to within {seconds:g} s at 500 statements/s",
-            "engines",
-            [(size, cost.engines_used) for size, cost in many_tables.items()],
-        ),
-        curve(
-            "module_one_table_ms",
-            "the same, all statements of one group of tables",
-            "ms",
-            [(size, cost.cpu_ms[1]) for size, cost in one_table.items()],
-        ),
-        curve("module_peers_ms", "the decision module before 60 engines", "ms", by_peers, "brokers"),
-        curve(
-            "module_kb",
-            "memory of the decision module",
-            "KB",
-            by_size_kb,
-        ),
-        curve(
-            "module_list_ms",
-            "the decision module told a whole list, and the next statement",
-            "ms",
-            [(size, engine_list_ms(size, seed)) for size in sizes],
-        ),
-    ]
-    return Findings(slopes, _facts(many_tables, rounds, source))
+def decision_costs(quick: bool, seed: int, source: Source) -> Findings:
+    """Measure the decisions as `measure_decisions` does; return curves and facts."""
+    costs = measure_decisions(quick, seed)
+    return Findings(list(_curves(costs, source)), _facts(costs.many_tables, costs.rounds, source))
+
+
+def _curves(costs: DecisionCosts, source: Source) -> Iterator[Slope]:
+    by_engines = CurveFamily(ROLE, "engines", source)
+    by_brokers = CurveFamily(ROLE, "brokers", source)
+    many_tables = [(size, cost.cpu_ms[costs.rounds // 2]) for size, cost in costs.many_tables.items()]
+    what = "the decision module, a statement, of 40 groups of tables"
+    yield by_engines.curve("module_ms", what, "ms", many_tables)
+    used = [(size, cost.engines_used) for size, cost in costs.many_tables.items()]
+    what = f"different engines sent to within {costs.seconds:g} s at 500 statements/s"
+    yield by_engines.curve("engines_used", what, "engines", used)
+    one_table = [(size, cost.cpu_ms[ONE_TABLE_ROUNDS // 2]) for size, cost in costs.one_table.items()]
+    what = "the same, all statements of one group of tables"
+    yield by_engines.curve("module_one_table_ms", what, "ms", one_table)
+    what = "the decision module before 60 engines"
+    yield by_brokers.curve("module_peers_ms", what, "ms", costs.ms_by_peers)
+    yield by_engines.curve("module_kb", "memory of the decision module", "KB", costs.kb_by_engines)
+    what = "the decision module told a whole list, and the next statement"
+    yield by_engines.curve("module_list_ms", what, "ms", costs.list_ms_by_engines)
 
 
 def _facts(costs: dict[int, StatementCost], rounds: int, source: Source) -> list[Fact]:
--- a/cypressledge/lab/scaling/directory_costs.py
+++ b/cypressledge/lab/scaling/directory_costs.py
@@ -3,6 +3,7 @@
 import threading
 from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
+from functools import partial
 from socket import AF_INET, SOCK_DGRAM, socket
 from types import SimpleNamespace
 from typing import Any
@@ -14,12 +15,14 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.broker.stable_hash import stable_hash
-from cypressledge.lab.results import Fact, Slope, Source, slope
+from cypressledge.lab.results import Fact, Source
 from cypressledge.lab.scaling.measuring import (
     ENGINE_COUNTS,
     HEADER_BYTES,
     ZONES,
+    CurveFamily,
     Findings,
+    Points,
     cpu_ms,
     median_cpu_ms,
 )
@@ -30,36 +33,36 @@
 MAX_DNS_BYTES = 65_535  # of a DNS message: its length field over TCP, and just over what UDP carries
 MAX_ANSWER_BYTES = 8_000  # of the directory's answers, as the platform's page has it
 POLLS = 20  # measured together
+MAX_QUERY_BYTES = 4_096
+QUERY_ID_BYTES = 2  # a DNS message begins with its id
+END_OF_QUERIES = b"end"  # in place of a query: the name server ends
 
 
 def directory_answer(query: dns.message.Message, engines: int, serial: int = 1) -> dns.message.Message:
     """Return a directory's answer as the platform's page shows it: SRV, A and TXT of each, and the serial."""
     response = dns.message.make_response(query)
-    zones = len(ZONES)
-    hosts = [f"s-{stable_hash(f's-{i}', 4):08x}.{ZONES[i % zones]}.hosts." for i in range(engines)]
-
-    def add(section: list[dns.rrset.RRset], owner: str, kind: str, *texts: str) -> None:
-        section.append(dns.rrset.from_text_list(owner, 1, "IN", kind, texts))
-
-    add(
-        response.answer,
-        SERVICE_NAME + ".",
-        "SRV",
-        *(f"0 40 {6565 + i % 8} {host}" for i, host in enumerate(hosts)),
-    )
-    for i, host in enumerate(hosts):
-        started_ms = ENGINE_STARTED_MS + i
-        add(response.additional, host, "A", f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}")
-        add(
-            response.additional,
-            host,
-            "TXT",
-            f'"kind=node-8c" "cell={i % 2}" "started={started_ms}"',
-        )
-    add(response.authority, "cluster.lan.", "SOA", f"ns. root. {serial} 1 1 1 1")
+    hosts = [_host_name(number) for number in range(engines)]
+    services = [f"0 40 {6565 + number % 8} {host}" for number, host in enumerate(hosts)]
+    response.answer.append(_records(SERVICE_NAME + ".", "SRV", services))
+    for number, host in enumerate(hosts):
+        address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
+        response.additional.append(_records(host, "A", [address]))
+        properties = f'"kind=node-8c" "cell={number % 2}" "started={ENGINE_STARTED_MS + number}"'
+        response.additional.append(_records(host, "TXT", [properties]))
+    response.authority.append(_records("cluster.lan.", "SOA", [f"ns. root. {serial} 1 1 1 1"]))
     return response
 
 
+def _host_name(number: int) -> str:
+    zone = ZONES[number % len(ZONES)]
+    return f"s-{stable_hash(f's-{number}', 4):08x}.{zone}.hosts."
+
+
+def _records(owner: str, kind: str, texts: list[str]) -> dns.rrset.RRset:
+    """Return the DNS records of one name and kind, with a time to live of 1 s."""
+    return dns.rrset.from_text_list(owner, 1, "IN", kind, texts)
+
+
 def encoded_answer(query: dns.message.Message, engines: int, serial: int = 1) -> bytes | None:
     """Return the encoded answer; None where one message can't hold it."""
     try:
@@ -102,19 +105,23 @@
     """Run a name server on the loopback that gives one answer under each query's own id, on a thread."""
     with socket(AF_INET, SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
-
-        def serve() -> None:
-            while (got := sock.recvfrom(4096))[0] != b"end":
-                sock.sendto(got[0][:2] + raw[2:], got[1])
-
-        thread = threading.Thread(target=serve, daemon=True)
+        thread = threading.Thread(target=_answer_queries, args=(sock, raw), daemon=True)
         thread.start()
         yield sock.getsockname()
         with socket(AF_INET, SOCK_DGRAM) as last:
-            last.sendto(b"end", sock.getsockname())
+            last.sendto(END_OF_QUERIES, sock.getsockname())
         thread.join()
 
 
+def _answer_queries(sock: socket, raw: bytes) -> None:
+    """Send one encoded answer under each query's own id, until `END_OF_QUERIES` comes."""
+    while True:
+        query, client = sock.recvfrom(MAX_QUERY_BYTES)
+        if query == END_OF_QUERIES:
+            return
+        sock.sendto(query[:QUERY_ID_BYTES] + raw[QUERY_ID_BYTES:], client)
+
+
 def unchanged_poll_ms(engines: int, polls: int) -> float | None:
     """Return the ms of a poll that brings the same list as the last one; None where it can't be sent."""
     raw = encoded_answer(dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV), engines)
@@ -124,12 +131,12 @@
         poller = directory_poller()
         poller.server = server
         poller.poll()
+        return cpu_ms(partial(_poll_repeatedly, poller, polls)) / polls
 
-        def poll_repeatedly() -> None:
-            for _ in range(polls):
-                poller.poll()
 
-        return cpu_ms(poll_repeatedly) / polls
+def _poll_repeatedly(poller: DirectoryPoller, polls: int) -> None:
+    for _ in range(polls):
+        poller.poll()
 
 
 def directory_costs(quick: bool, seed: int, source: Source) -> Findings:
@@ -147,16 +154,14 @@
     reads = {size: list_read_ms(size) for size in sizes}
     polls = {size: unchanged_poll_ms(size, POLLS) for size in sizes}
 
-    def curve(name: str, role: str, what: str, unit: str, by_size: Mapping[int, float | None]) -> Slope:
-        points = [(size, y) for size, y in by_size.items() if y is not None]
-        return slope(name, role, what, unit, "engines", points, source)
-
+    at_directory = CurveFamily("directory", "engines", source)
+    at_broker = CurveFamily(ROLE, "engines", source)
+    list_size = "the list of engines as one DNS message"
+    list_read = "a changed list read, until the module is told"
     slopes = [
-        curve(
-            "directory_bytes", "directory", "the list of engines as one DNS message", "bytes", answer_bytes
-        ),
-        curve("directory_read_ms", ROLE, "a changed list read, until the module is told", "ms", reads),
-        curve("directory_poll_ms", ROLE, "a poll that brings no change", "ms", polls),
+        at_directory.curve("directory_bytes", list_size, "bytes", _measured_points(answer_bytes)),
+        at_broker.curve("directory_read_ms", list_read, "ms", _measured_points(reads)),
+        at_broker.curve("directory_poll_ms", "a poll that brings no change", "ms", _measured_points(polls)),
     ]
     facts = [
         Fact(
@@ -169,3 +174,8 @@
         for bound, what in bounds.items()
     ]
     return Findings(slopes, facts)
+
+
+def _measured_points(by_size: Mapping[int, float | None]) -> Points:
+    """Return the points of those sizes whose list could be sent."""
+    return [(size, value) for size, value in by_size.items() if value is not None]
--- a/cypressledge/lab/scaling/measuring.py
+++ b/cypressledge/lab/scaling/measuring.py
@@ -7,7 +7,7 @@
 
 from cypressledge.broker.stable_hash import stable_hash
 from cypressledge.decisions import contract as c
-from cypressledge.lab.results import Fact, Slope
+from cypressledge.lab.results import Fact, Slope, Source, slope
 
 SECOND_US = 1_000_000
 HEADER_BYTES = 28  # of UDP and IPv4 on each datagram
@@ -27,6 +27,19 @@
     facts: list[Fact] = field(default_factory=list)
 
 
+@dataclass(frozen=True, slots=True)
+class CurveFamily:
+    """Curves of one measurement over the same x. `role`: whose figures they are; `x`: what it counts."""
+
+    role: str
+    x: str
+    source: Source
+
+    def curve(self, name: str, what: str, unit: str, points: Points) -> Slope:
+        """Return one curve with its fit. `what`: its figure in words; `unit`: of that figure."""
+        return slope(name, self.role, what, unit, self.x, points, self.source)
+
+
 def cpu_ms(call: Callable[[], object]) -> float:
     """Return the processor time of one call on this thread, ms; garbage is collected before."""
     gc.collect()
--- a/cypressledge/lab/scaling/membership_costs.py
+++ b/cypressledge/lab/scaling/membership_costs.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cypressledge.lab.results import Slope, Source, slope
-from cypressledge.lab.scaling.measuring import HEADER_BYTES, SECOND_US, Findings, Points
+from cypressledge.lab.results import Slope, Source
+from cypressledge.lab.scaling.measuring import HEADER_BYTES, SECOND_US, CurveFamily, Findings, Points
 from cypressledge.lab.virtual_fleet import VirtualFleet, VirtualNode
 
 ROLE = "broker, control part"
@@ -28,20 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupLoad:
-    """The mean and the most of each figure of a group of nodes."""
+    """The mean and the largest of each figure of a group of nodes."""
 
     mean: Load
-    most: Load
+    largest: Load
 
 
 @dataclass(frozen=True, slots=True)
 class QuarterLoss:
-    """What the death of a quarter of the brokers asks of the others; what does not come to pass in time is
-    told as `LOSS_WATCH_S`."""
+    """What the death of a quarter of the brokers costs the others.
+
+    A time is `LOSS_WATCH_S` where what it stands for did not happen within it.
+    """
 
     noticed_s: float  # until each of the others holds all of them for gone
-    cpu_pct_most: float
-    kb_per_s_most: float
+    largest_cpu_pct: float
+    largest_kb_per_s: float
     leases_held_s: float  # until all leases are held again
 
 
@@ -62,9 +64,11 @@
 
     @staticmethod
     def of(node: VirtualNode) -> "_Counts":
+        """Return a node's counts since its start."""
         return _Counts(node.cpu_ns, node.datagrams_sent, node.payload_bytes)
 
     def load_since(self, before: "_Counts", seconds: float) -> Load:
+        """Return the load of the seconds since earlier counts."""
         sent = self.sent - before.sent
         size = self.payload_bytes - before.payload_bytes + HEADER_BYTES * sent
         return Load((self.cpu_ns - before.cpu_ns) / seconds / 1e7, sent / seconds, size / seconds / 1000)
@@ -78,12 +82,9 @@
     gc.collect()
     before = {name: _Counts.of(node) for name, node in world.nodes.items()}
     world.run(round(seconds * SECOND_US))
-
-    def group(members: list[str]) -> GroupLoad:
-        loads = [_Counts.of(world.nodes[name]).load_since(before[name], seconds) for name in members]
-        return _group_load(loads)
-
-    voters, others = group(names[:VOTERS]), group(names[VOTERS:])
+    loads = {name: _Counts.of(node).load_since(before[name], seconds) for name, node in world.nodes.items()}
+    voters = _group_load([loads[name] for name in names[:VOTERS]])
+    others = _group_load([loads[name] for name in names[VOTERS:]])
     return MembershipCost(voters, others, _quarter_loss(world) if brokers <= LOSS_MAX_BROKERS else None)
 
 
@@ -114,8 +115,8 @@
         if held == LOSS_WATCH_S and all(world.holders(f"lease-{i}") for i in range(LEASES)):
             held = step / LOSS_STEPS_PER_S
     loads = [_Counts.of(node).load_since(before[name], LOSS_WATCH_S) for name, node in world.nodes.items()]
-    most = _group_load(loads).most
-    return QuarterLoss(noticed, most.cpu_pct, most.kb_per_s, held)
+    largest = _group_load(loads).largest
+    return QuarterLoss(noticed, largest.cpu_pct, largest.kb_per_s, held)
 
 
 def membership_costs(quick: bool, seed: int, source: Source) -> Findings:
@@ -135,49 +136,35 @@
 
 
 def _load_curves(group: str, role: str, loads: dict[int, GroupLoad], source: Source) -> Iterable[Slope]:
+    family = CurveFamily(role, "brokers", source)
     figures = (
         ("cpu", "processor time", "% of a core", lambda load: load.cpu_pct),
         ("datagrams", "datagrams sent", "1/s", lambda load: load.datagrams_per_s),
         ("kb", "sent, with headers", "KB/s", lambda load: load.kb_per_s),
     )
     for key, what, unit, figure in figures:
-        for which in ("mean", "most"):
-            yield slope(
-                f"members_{group}_{key}_{which}",
-                role,
-                f"members and 50 leases: {what}, {which}",
-                unit,
-                "brokers",
-                [(size, figure(load.mean if which == "mean" else load.most)) for size, load in loads.items()],
-                source,
-            )
+        means = [(size, figure(load.mean)) for size, load in loads.items()]
+        yield _load_curve(family, f"{group}_{key}_mean", f"{what}, mean", unit, means)
+        largest = [(size, figure(load.largest)) for size, load in loads.items()]
+        yield _load_curve(family, f"{group}_{key}_most", f"{what}, most", unit, largest)
+
+
+def _load_curve(family: CurveFamily, name: str, what: str, unit: str, points: Points) -> Slope:
+    return family.curve(f"members_{name}", f"members and 50 leases: {what}", unit, points)
 
 
 def _loss_curves(losses: dict[int, QuarterLoss], source: Source) -> Iterable[Slope]:
-    def curve(name: str, what: str, unit: str, points: Points) -> Slope:
-        return slope(f"members_{name}", ROLE, what, unit, "brokers", points, source)
-
-    yield curve(
-        "noticed_s",
-        "a quarter dies: until each of the others holds all of them for gone",
-        "s",
-        [(size, loss.noticed_s) for size, loss in losses.items()],
-    )
-    yield curve(
-        "loss_cpu_most",
-        "the 15 s after: processor time, most of a broker",
-        "% of a core",
-        [(size, loss.cpu_pct_most) for size, loss in losses.items()],
-    )
-    yield curve(
-        "loss_kb_most",
-        "the 15 s after: sent, with headers, most of a broker",
-        "KB/s",
-        [(size, loss.kb_per_s_most) for size, loss in losses.items()],
-    )
-    yield curve(
-        "loss_held_s",
-        "a quarter dies: until all 50 leases are held again",
-        "s",
-        [(size, loss.leases_held_s) for size, loss in losses.items()],
+    family = CurveFamily(ROLE, "brokers", source)
+    noticed = [(size, loss.noticed_s) for size, loss in losses.items()]
+    what = "a quarter dies: until each of the others holds all of them for gone"
+    yield family.curve("members_noticed_s", what, "s", noticed)
+    cpu = [(size, loss.largest_cpu_pct) for size, loss in losses.items()]
+    what = "the 15 s after: processor time, most of a broker"
+    yield family.curve("members_loss_cpu_most", what, "% of a core", cpu)
+    kb = [(size, loss.largest_kb_per_s) for size, loss in losses.items()]
+    yield family.curve(
+        "members_loss_kb_most", "the 15 s after: sent, with headers, most of a broker", "KB/s", kb
     )
+    held = [(size, loss.leases_held_s) for size, loss in losses.items()]
+    what = "a quarter dies: until all 50 leases are held again"
+    yield family.curve("members_loss_held_s", what, "s", held)
--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -3,7 +3,9 @@
 import gc
 import random
 import time
+from collections.abc import Iterator
 from dataclasses import dataclass
+from functools import partial
 from types import SimpleNamespace
 from typing import Any
 
@@ -24,13 +26,14 @@
 from cypressledge.fleet.zones.failover import ZoneFailover
 from cypressledge.fleet.zones.failover_plan import FailoverPace
 from cypressledge.fleet.zones.topology import SiteTopology
-from cypressledge.lab.results import Fact, Slope, Source, slope
+from cypressledge.lab.results import Fact, Slope, Source
 from cypressledge.lab.scaling.measuring import (
     ENGINE_COUNTS,
     HEADER_BYTES,
     SECOND_US,
     ZONE_REGIONS,
     ZONES,
+    CurveFamily,
     Findings,
     Points,
     cpu_ms,
@@ -38,19 +41,22 @@
     median_cpu_ms,
 )
 
+ROLE = "planner"
 OBSERVED_ENGINES = 64  # that one message of observations names at most
 RECEIVED = 200  # messages of observations, measured together
 
 
 def observations_of(engines: list[int], bad: frozenset[int]) -> EngineObservations:
     """Return what a broker reports of the engines it used, as many as one message names at most."""
+    observations = [_observation(engine, engine in bad) for engine in engines[:OBSERVED_ENGINES]]
+    return EngineObservations(observations, {"sahel": 1_000}, [])
 
-    def observation(engine: int) -> EngineObservation:
-        if engine in bad:
-            return EngineObservation(engine, 0, 0, 0, 3, 1, 0, 4, 900)
-        return EngineObservation(engine, 40, 0, 0, 0, 0, 400_000, 0, 12)
 
-    return EngineObservations([observation(e) for e in engines[:OBSERVED_ENGINES]], {"sahel": 1_000}, [])
+def _observation(engine: int, is_bad: bool) -> EngineObservation:
+    """Return what a broker reports of one engine: only failures, or only answers."""
+    if is_bad:
+        return EngineObservation(engine, 0, 0, 0, 3, 1, 0, 4, 900)
+    return EngineObservation(engine, 40, 0, 0, 0, 0, 400_000, 0, 12)
 
 
 def planner_with_observations(
@@ -153,67 +159,77 @@
     zones, _ = planner_with_observations(2, OBSERVED_ENGINES, False, 1)
     observations = observations_of([stable_hash(f"s-{i}") for i in range(OBSERVED_ENGINES)], frozenset())
     raw = encode(Envelope(VERSION, "n001", "n000", 1 << 61, 3, 1, 1, [observations]))
+    return cpu_ms(partial(_receive_repeatedly, zones, raw)) * 1000 / RECEIVED
 
-    def receive_repeatedly() -> None:
-        for _ in range(RECEIVED):
-            received: Any = decode(raw).items[0]
-            zones.receive("n001", received)
 
-    return cpu_ms(receive_repeatedly) * 1000 / RECEIVED
+def _receive_repeatedly(zones: ZoneFailover, raw: bytes) -> None:
+    """Decode and take the same datagram `RECEIVED` times."""
+    for _ in range(RECEIVED):
+        received: Any = decode(raw).items[0]
+        zones.receive("n001", received)
 
 
-def planner_costs(quick: bool, seed: int, source: Source) -> Findings:
+@dataclass(frozen=True, slots=True)
+class PlannerCosts:
+    """What the planner and the summary cost, by the number of brokers.
+
+    `lost_by_engines`: ms of a run with a zone lost, by the number of engines, at `most_brokers` brokers.
+    """
+
+    well: dict[int, PlannerRun]
+    lost: dict[int, PlannerRun]
+    summaries: dict[int, SummaryCost]
+    most_brokers: int
+    lost_by_engines: Points
+
+
+def measure_planner(quick: bool, seed: int) -> PlannerCosts:
     """Measure the planner's run and the summary against brokers before 490 engines; `quick`: small points."""
     sizes = (20, 60, 120) if quick else (60, 120, 200, 320, 460)
     engines = 60 if quick else 490
-    well = {size: planner_run(size, engines, False, seed) for size in sizes}
-    lost = {size: planner_run(size, engines, True, seed) for size in sizes}
-    summaries = {size: summary_cost(size, engines) for size in sizes}
     engine_counts = (12, 60) if quick else ENGINE_COUNTS
-    by_engines = [(count, planner_run(sizes[-1], count, True, seed).total_ms) for count in engine_counts]
+    return PlannerCosts(
+        well={size: planner_run(size, engines, False, seed) for size in sizes},
+        lost={size: planner_run(size, engines, True, seed) for size in sizes},
+        summaries={size: summary_cost(size, engines) for size in sizes},
+        most_brokers=sizes[-1],
+        lost_by_engines=[
+            (count, planner_run(sizes[-1], count, True, seed).total_ms) for count in engine_counts
+        ],
+    )
 
-    def curve(name: str, what: str, unit: str, points: Points, x: str = "brokers") -> Slope:
-        return slope(name, "planner", what, unit, x, points, source)
 
-    slopes = [
-        curve(
-            "planner_well_ms",
-            "one act of the planner, all well",
-            "ms",
-            [(size, run.total_ms) for size, run in well.items()],
-        ),
-        curve(
-            "planner_lost_ms",
-            "one act of the planner, a zone lost",
-            "ms",
-            [(size, run.total_ms) for size, run in lost.items()],
-        ),
-        curve(
-            "planner_longest_ms",
-            "its longest step",
-            "ms",
-            [(size, run.longest_step_ms) for size, run in lost.items()],
-        ),
-        curve(
-            "planner_engines_ms", f"one act, a zone lost, {sizes[-1]} brokers", "ms", by_engines, "engines"
-        ),
-        curve("sight_bytes", "one broker's sight", "bytes", _observations_bytes(), "engines it names"),
-        curve(
-            "summary_ms",
-            "one summary added up, a quarter missing",
-            "ms",
-            [(size, summary.ms) for size, summary in summaries.items()],
-        ),
-        curve(
-            "summary_bytes",
-            "one summary, a quarter missing, a quarter of the engines avoided",
-            "bytes",
-            [(size, summary.size) for size, summary in summaries.items()],
-        ),
-    ]
+def planner_costs(quick: bool, seed: int, source: Source) -> Findings:
+    """Measure the planner as `measure_planner` does; return curves and facts."""
+    costs = measure_planner(quick, seed)
+    slopes = [*_run_curves(costs, source), *_message_curves(costs.summaries, source)]
     return Findings(slopes, _facts(seed, source))
 
 
+def _run_curves(costs: PlannerCosts, source: Source) -> Iterator[Slope]:
+    by_brokers = CurveFamily(ROLE, "brokers", source)
+    by_engines = CurveFamily(ROLE, "engines", source)
+    well = [(size, run.total_ms) for size, run in costs.well.items()]
+    yield by_brokers.curve("planner_well_ms", "one act of the planner, all well", "ms", well)
+    lost = [(size, run.total_ms) for size, run in costs.lost.items()]
+    yield by_brokers.curve("planner_lost_ms", "one act of the planner, a zone lost", "ms", lost)
+    longest = [(size, run.longest_step_ms) for size, run in costs.lost.items()]
+    yield by_brokers.curve("planner_longest_ms", "its longest step", "ms", longest)
+    what = f"one act, a zone lost, {costs.most_brokers} brokers"
+    yield by_engines.curve("planner_engines_ms", what, "ms", costs.lost_by_engines)
+
+
+def _message_curves(summaries: dict[int, SummaryCost], source: Source) -> Iterator[Slope]:
+    by_named_engines = CurveFamily(ROLE, "engines it names", source)
+    yield by_named_engines.curve("sight_bytes", "one broker's sight", "bytes", _observations_bytes())
+    by_brokers = CurveFamily(ROLE, "brokers", source)
+    times = [(size, summary.ms) for size, summary in summaries.items()]
+    yield by_brokers.curve("summary_ms", "one summary added up, a quarter missing", "ms", times)
+    sizes = [(size, summary.size) for size, summary in summaries.items()]
+    what = "one summary, a quarter missing, a quarter of the engines avoided"
+    yield by_brokers.curve("summary_bytes", what, "bytes", sizes)
+
+
 def _observations_bytes() -> list[tuple[int, int]]:
     """Return the size of one broker's observations, by the engines they name."""
     points = []
