--- /dev/null
+++ b/tests/fakes/control_plane.py
@@ -0,0 +1,98 @@
+"""Control processes with one settings file, and brokers that follow them, operated through commands."""
+
+import json
+import socket
+
+import yaml
+
+from cypressledge.lab.processes import until
+from cypressledge.lab.site import SETTINGS, free_port
+from tests.fakes.command_line import run
+from tests.fakes.control_processes import ControlProcess, ControlProcessGroup
+from tests.fakes.controlled_broker import ControlledBroker
+
+LEASE_TERM = 1.2  # s
+WAIT = 20.0  # seconds that a test waits for an event at most
+
+
+def local_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
+    """An address of the loopback that is free now."""
+    return f"127.0.0.1:{free_port(kind)}"
+
+
+class ControlPlane(ControlProcessGroup):
+    """So many control processes, of which `voters` vote; not started yet. `more`: for their settings."""
+
+    def __init__(self, count: int = 3, voters: int = 3, seed: dict | None = None, **more) -> None:
+        super().__init__(seed or {"config": SETTINGS})
+        self.file = self.folder / "control.yaml"
+        self.record_file = self.folder / "record.jsonl"
+        self.servers = {f"c{i + 1}": self._server_row(f"c{i + 1}", i < voters) for i in range(count)}
+        settings = {
+            "servers": list(self.servers.values()),
+            "term_s": LEASE_TERM,
+            "ping_s": 0.2,
+            "grace_s": 1.0,
+            "lab": {"record": str(self.record_file)},
+        }
+        self.file.write_text(yaml.safe_dump(settings | more))
+        self.controls = {name: self._control(row) for name, row in self.servers.items()}
+        self.brokers: dict[str, ControlledBroker] = {}
+        self._change_count = 0
+
+    @staticmethod
+    def _server_row(name: str, votes: bool) -> dict:
+        return {
+            "name": name,
+            "address": local_address(),
+            "fleet": local_address(socket.SOCK_DGRAM),
+            "management": local_address(),
+            "zone": "room1",
+            "votes": votes,
+        }
+
+    def _control(self, row: dict) -> ControlProcess:
+        management = int(row["management"].rpartition(":")[2])
+        return ControlProcess(
+            row["name"], self.folder, self.file, management, marker_file=self.folder / "once"
+        )
+
+    def beside(self) -> list[ControlledBroker]:
+        return list(self.brokers.values())
+
+    def start(self, fault: str = "") -> str:
+        """Start all of them; whoever comes to the fault first has it. The leader's name."""
+        for control in self.controls.values():
+            control.start("--first", str(self.seed_file), fault=fault)
+        return self.leader()
+
+    def leader(self, *but: str, timeout_s: float = WAIT) -> str:
+        """Wait for a leader, another one than these; its name."""
+        return self.wait_for(lambda: self.find_leader(*but), "a leader", timeout_s)
+
+    def broker(self, name: str, *arguments, **more) -> ControlledBroker:
+        """Start a broker that follows them."""
+        self.brokers[name] = ControlledBroker(name, self.folder, self.file, *arguments, **more)
+        self.brokers[name].start()
+        return self.brokers[name]
+
+    def at_options(self) -> list[str]:
+        """The options of a command that name all control processes."""
+        return [word for row in self.servers.values() for word in ("--at", row["management"])]
+
+    def change(self, content: dict, *options: str) -> tuple[int, str]:
+        """`control change` of plain data; (exit code, output and errors)."""
+        self._change_count += 1
+        file = self.folder / f"change-{self._change_count}.yaml"
+        file.write_text(yaml.safe_dump(content))
+        code, out, err = run("control", "change", str(file), *self.at_options(), *options)
+        return code, out + err
+
+    def records(self, event: str) -> list[dict]:
+        """What the control processes have recorded of an event."""
+        lines = self.record_file.read_text().splitlines() if self.record_file.exists() else []
+        return [record for record in map(json.loads, lines) if record["event"] == event]
+
+    def broker_has_version(self, broker: ControlledBroker, version: int) -> bool:
+        """Whether a broker has a version in force in time."""
+        return bool(until(lambda: broker.status().get("version", 0) >= version, WAIT, 0.05))
--- a/tests/fakes/control_processes.py
+++ b/tests/fakes/control_processes.py
@@ -1,225 +1,102 @@
-"""Control processes and brokers that follow them, as processes on the loopback; ended whatever happens."""
+"""Control processes that tests start on the loopback, and groups of them with their files in one folder."""
 
 import json
-import os
-import signal
-import socket
-import sys
+import sqlite3
 import tempfile
-import time
+from collections.abc import Callable, Iterable
 from pathlib import Path
 
-import gevent
+import msgspec
 import yaml
-from gevent import subprocess
-
-from cypressledge.lab.demo import ask
-from cypressledge.lab.load import Client
-from cypressledge.lab.processes import ROOT, until
-from cypressledge.lab.site import SETTINGS, config, free_port
-from tests.fakes.command_line import run
-
-TERM = 1.2
-WAIT = 20
-
-
-def local(kind=socket.SOCK_STREAM):
-    return f"127.0.0.1:{free_port(kind)}"
-
-
-class ProgramProcess:
-    """One process, its log in a file."""
-
-    def __init__(self, name, folder):
-        self.name, self.log = name, folder / f"{name}.log"
-        self.process = None
-
-    def launch(self, *args, **env):
-        # Guards against a second start that would leave the first one running for good.
-        assert self.process is None or self.process.poll() is not None, f"{self.name} runs already"
-        plain = {k: v for k, v in os.environ.items() if not k.startswith(("ROUTER_", "CYPRESSLEDGE_"))}
-        with open(self.log, "a", encoding="utf-8") as log:
-            self.process = subprocess.Popen(
-                [sys.executable, "-m", "cypressledge", *args],
-                cwd=ROOT,
-                env=plain | env,
-                stdout=log,
-                stderr=log,
-                start_new_session=True,
-            )
-
-    def kill(self):
-        if self.process is not None and self.process.poll() is None:
-            self.process.kill()
-            self.process.wait()
-
-    def terminate(self, seconds):
-        """SIGTERM; (exit code, seconds)."""
-        began = time.monotonic()
-        self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(seconds), time.monotonic() - began
-
-    def words(self):
-        return self.log.read_text(encoding="utf-8") if self.log.exists() else ""
-
-    def logged(self, name):
-        lines = [json.loads(x) for x in self.words().splitlines() if x.startswith("{") and x.endswith("}")]
-        return [e for e in lines if e["event"] == name]
-
-
-class Control(ProgramProcess):
-    """One control process."""
-
-    def __init__(self, plane, spec):
-        super().__init__(spec["name"], plane.folder)
-        self.plane, self.spec = plane, spec
-        self.management = int(spec["management"].rpartition(":")[2])
-
-    def start(self, *more, fault=""):
-        self.launch(
-            "control",
-            "serve",
-            "--settings",
-            str(self.plane.file),
-            "--name",
-            self.name,
-            "--store",
-            str(self.plane.folder / f"store-{self.name}"),
-            *more,
-            CYPRESSLEDGE_LAB_FAULT=fault,
-            CYPRESSLEDGE_LAB_ONCE=str(self.plane.folder / "once"),
-        )
-
-    def status(self):
-        return ask(self, "/control/status") or {}
-
-
-class Broker(ProgramProcess):
-    """A broker that follows them; `fleet`: what its fleet file holds, none without the fleet's part;
-    `settings`: of its own file, in place of the laboratory's."""
-
-    def __init__(self, plane, name, members=(), fleet=None, settings=None):
-        super().__init__(name, plane.folder)
-        self.plane, self.fleet = plane, fleet
-        self.port, self.management = free_port(), free_port()
-        self.config = plane.folder / f"{name}.json"
-        self.config.write_text(json.dumps(config(name, self.port, self.management, list(members), settings)))
-
-    def start(self):
-        more = []
-        if self.fleet is not None:
-            file = self.plane.folder / f"{self.name}-fleet.yaml"
-            file.write_text(yaml.safe_dump(self.fleet))
-            more = ["--fleet", str(file)]
-        self.launch(
-            "--control",
-            str(self.plane.file),
-            *more,
-            ROUTER_CONFIG=str(self.config),
-            TMPDIR=str(self.plane.folder),
-        )
-
-    def status(self):
-        return ask(self, "/control/status") or {}
-
-    def counter(self, name):
-        """A counter, from the log that SIGUSR1 makes it write."""
-
-        def lines():
-            return [x for x in self.words().splitlines(True) if x.startswith("counters (asked)")]
-
-        before = len(lines())
-        self.process.send_signal(signal.SIGUSR1)
-        assert until(lambda: len(lines()) > before and lines()[-1].endswith("\n"), WAIT), self.words()
-        return int(dict(w.split("=", 1) for w in lines()[-1].split() if "=" in w).get(name, 0))
-
-    def serves(self, count=5, seconds=WAIT):
-        """Whether so many lookups are answered with a result in time."""
-        client = Client([self.port], 0.02, 0)
-        asking = gevent.spawn(client.run)
+
+from cypressledge.controlplane.faults import FAULT_VARIABLE, ONCE_VARIABLE
+from cypressledge.lab.capacity.control_process import call_management
+from cypressledge.lab.processes import until
+from tests.fakes.program_process import ProgramProcess
+
+WAIT = 25.0  # seconds that a test waits for an event at most
+LEADER = "primary"  # a leader's role, as operators see it
+LOG_TAIL = 2_500  # characters of each log in a failed test's message
+
+
+class ControlProcess(ProgramProcess):
+    """One control process. `marker_file`: of those processes that share it, one is struck by a fault."""
+
+    def __init__(
+        self,
+        name: str,
+        folder: Path,
+        settings_file: Path,
+        management: int,
+        optimised: bool = False,
+        marker_file: Path | None = None,
+    ) -> None:
+        super().__init__(name, folder, optimised)
+        self.settings_file, self.management, self.marker_file = settings_file, management, marker_file
+        self.store = folder / f"store-{name}"
+
+    def start(self, *options: str, fault: str = "") -> None:
+        """Start it; `fault`: what happens to it (see `cypressledge.controlplane.faults`)."""
+        environment = {FAULT_VARIABLE: fault} if fault else {}
+        if fault and self.marker_file:
+            environment[ONCE_VARIABLE] = str(self.marker_file)
+        command = ("control", "serve", "--settings", str(self.settings_file), "--name", self.name)
+        self.launch(*command, "--store", str(self.store), *options, **environment)
+
+    def call(self, path: str, method: str = "GET", body: object = None) -> tuple[int, dict]:
+        """What it answers on /control/…; (0, {}) where it doesn't."""
+        if not self.running() or self.is_halted():
+            return 0, {}
+        raw = b"" if body is None else json.dumps(body).encode()
         try:
-            return bool(until(lambda: client.counts["served"] >= count, seconds))
-        finally:
-            asking.kill()
-
-
-class ControlPlane:
-    """So many control processes, of which `voters` vote; not started yet. `more`: for their settings."""
-
-    def __init__(self, count=3, voters=3, seed=None, **more):
-        self.own = tempfile.TemporaryDirectory(prefix="cypressledge-control-")
-        self.folder = Path(self.own.name)
-        self.file, self.seed = self.folder / "control.yaml", self.folder / "seed.yaml"
-        servers = [
-            {
-                "name": f"c{i + 1}",
-                "address": local(),
-                "fleet": local(socket.SOCK_DGRAM),
-                "management": local(),
-                "zone": "room1",
-                "votes": i < voters,
-            }
-            for i in range(count)
-        ]
-        self.record = self.folder / "record.jsonl"
-        self.file.write_text(
-            yaml.safe_dump(
-                {
-                    "servers": servers,
-                    "term_s": TERM,
-                    "ping_s": 0.2,
-                    "grace_s": 1.0,
-                    "lab": {"record": str(self.record)},
-                }
-                | more
-            )
-        )
-        self.seed.write_text(yaml.safe_dump(seed or {"config": SETTINGS}))
-        self.controls = {s["name"]: Control(self, s) for s in servers}
-        self.brokers = {}
-        self.count = 0
-
-    def start(self, fault=""):
-        """All of them; whoever comes to the fault first has it. The primary's name."""
-        for control in self.controls.values():
-            control.start("--first", str(self.seed), fault=fault)
-        return self.primary()
-
-    def primary(self, but="", seconds=WAIT):
-        """Waits for one; its name."""
-
-        def found():
-            said = {c.name: c.status() for c in self.controls.values() if c.name != but}
-            return next((n for n, s in said.items() if s.get("role") == "primary"), None)
-
-        got = until(found, seconds, 0.05)
-        assert got, self.words()
-        return got
-
-    def broker(self, name, *what, **how):
-        self.brokers[name] = Broker(self, name, *what, **how)
-        self.brokers[name].start()
-        return self.brokers[name]
-
-    def at(self):
-        return [w for c in self.controls.values() for w in ("--at", c.spec["management"])]
-
-    def change(self, what, *more):
-        """`control change` of plain data; (exit code, all words)."""
-        self.count += 1
-        file = self.folder / f"change-{self.count}.yaml"
-        file.write_text(yaml.safe_dump(what))
-        code, out, err = run("control", "change", str(file), *self.at(), *more)
-        return code, out + err
-
-    def records(self, event):
-        lines = self.record.read_text().splitlines() if self.record.exists() else []
-        return [told for told in map(json.loads, lines) if told["event"] == event]
-
-    def words(self):
-        return "\n".join(p.words()[-2500:] for p in [*self.controls.values(), *self.brokers.values()])
-
-    def end(self):
-        for process in [*self.controls.values(), *self.brokers.values()]:
+            return call_management(self.management, method, f"/control/{path}", raw, WAIT)
+        except (OSError, ValueError, IndexError):
+            return 0, {}
+
+    def status(self) -> dict:
+        """Its status; empty where it doesn't answer."""
+        return self.call("status")[1]
+
+    def last_stored_position(self) -> tuple[int, int]:
+        """(epoch, version) of the newest change on its disk, while it doesn't run."""
+        with sqlite3.connect(self.store / "history.sqlite") as db:
+            body = db.execute("SELECT body FROM changes ORDER BY version DESC LIMIT 1").fetchone()[0]
+        db.close()
+        return tuple(msgspec.msgpack.decode(body)[:2])
+
+
+class ControlProcessGroup:
+    """Control processes by their names, and other processes beside them, in a temporary folder."""
+
+    def __init__(self, seed: dict) -> None:
+        self._temporary = tempfile.TemporaryDirectory(prefix="cypressledge-control-")
+        self.folder = Path(self._temporary.name)
+        self.seed_file = self.folder / "seed.yaml"
+        self.seed_file.write_text(yaml.safe_dump(seed))
+        self.controls: dict[str, ControlProcess] = {}
+
+    def beside(self) -> Iterable[ProgramProcess]:
+        """The processes of the group that are no control processes."""
+        return ()
+
+    def find_leader(self, *but: str) -> str | None:
+        """The name of a control process that leads, another one than these; None where none does."""
+        others = (control for name, control in self.controls.items() if name not in but)
+        return next((c.name for c in others if c.status().get("role") == LEADER), None)
+
+    def wait_for(self, condition: Callable, what: str, timeout_s: float = WAIT):
+        """Wait, within bounds, until a condition holds; what it gave."""
+        found = until(condition, timeout_s)
+        assert found is not None, f"waited in vain for {what}\n" + self.log_text()
+        return found
+
+    def log_text(self) -> str:
+        """The ends of all logs."""
+        processes = (*self.controls.values(), *self.beside())
+        return "\n".join(f"--- {p.name}\n{p.log_text()[-LOG_TAIL:]}" for p in processes)
+
+    def close(self) -> None:
+        """End all processes and remove the folder."""
+        for process in (*self.controls.values(), *self.beside()):
             process.kill()
-        self.own.cleanup()
+        self._temporary.cleanup()
--- a/tests/recordings/test_mixed_versions_control.py
+++ b/tests/recordings/test_mixed_versions_control.py
@@ -7,15 +7,14 @@
 import io
 import os
 import subprocess
-import sys
 import tarfile
 
-import gevent.subprocess
 import pytest
 import yaml
 
 from cypressledge.lab.processes import ROOT, until
-from tests.fakes.control_processes import WAIT, Broker, Control, ControlPlane, ProgramProcess
+from tests.fakes.control_plane import WAIT, ControlPlane
+from tests.fakes.controlled_broker import ControlledBroker
 
 BEFORE = "9c5e980"
 OLD, NEW = "c1", "c2"  # a control process of each version; c3 is of this one, too
@@ -43,38 +42,6 @@
     return folder
 
 
-class FromTree(ProgramProcess):
-    """A process of the program as it is in the folder `tree`; a broker says that it is in `zone`."""
-
-    tree, zone = ROOT, ""
-
-    def launch(self, *args, **env):
-        """Start it there; its log goes on in the same file."""
-        assert self.process is None or self.process.poll() is not None, f"{self.name} runs already"
-        plain = {
-            k: v
-            for k, v in os.environ.items()
-            if not k.startswith(("ROUTER_", "CYPRESSLEDGE_")) and k != "PYTHONPATH"
-        }
-        with open(self.log, "a", encoding="utf-8") as log:
-            self.process = gevent.subprocess.Popen(
-                [sys.executable, "-m", "cypressledge", *args],
-                cwd=self.tree,
-                stdout=log,
-                stderr=log,
-                env=plain | env | {"ROUTER_ZONE": self.zone},
-                start_new_session=True,
-            )
-
-
-class ControlFromTree(FromTree, Control):
-    """A control process."""
-
-
-class BrokerFromTree(FromTree, Broker):
-    """A broker."""
-
-
 @pytest.fixture
 def plane(tree_before):
     """c1 of the version before, c2 and c3 of this one, each in a zone of its own, and four brokers."""
@@ -83,16 +50,15 @@
         settings = yaml.safe_load(made.file.read_text())
         for server in settings["servers"]:
             server["zone"] = server["name"]
-            made.controls[server["name"]] = ControlFromTree(made, server)
         made.file.write_text(yaml.safe_dump(settings))
         made.controls[OLD].tree = tree_before
         for name, (before, zone) in BROKERS.items():
-            broker = made.brokers[name] = BrokerFromTree(made, name)
+            broker = made.brokers[name] = ControlledBroker(name, made.folder, made.file)
             broker.zone = zone
             broker.tree = tree_before if before else ROOT
         yield made
     finally:
-        made.end()
+        made.close()
 
 
 def holds(process, told):
@@ -111,10 +77,10 @@
         {"engines": {f"s-{number}": ENGINE | {"address": f"127.0.0.1:{number}"}}}, "--request", f"r{number}"
     )
     running = [p for p in [*plane.controls.values(), *plane.brokers.values()] if p.process.poll() is None]
-    assert code == 0, words + plane.words()
-    assert f"in force at {len(BROKERS)} of {len(BROKERS)} brokers" in words, words + plane.words()
+    assert code == 0, words + plane.log_text()
+    assert f"in force at {len(BROKERS)} of {len(BROKERS)} brokers" in words, words + plane.log_text()
     told = next(s for c in plane.controls.values() if (s := c.status()).get("role") == "primary")
-    assert until(lambda: all(holds(p, told) for p in running), WAIT), plane.words()
+    assert until(lambda: all(holds(p, told) for p in running), WAIT), plane.log_text()
     return told
 
 
@@ -137,15 +103,15 @@
     for broker in plane.brokers.values():
         broker.start()
     for name in plane.brokers:
-        assert follow(plane, name), plane.words()
+        assert follow(plane, name), plane.log_text()
     reaches_all(plane, 1)
     plane.controls[first].terminate(WAIT)
-    second = plane.primary(first)
+    second = plane.leader(first)
     assert second != first
     told = reaches_all(plane, 2)
     assert told["name"] == second
     plane.controls[first].start()  # with the store that it has
-    assert until(lambda: holds(plane.controls[first], told), WAIT), plane.words()
+    assert until(lambda: holds(plane.controls[first], told), WAIT), plane.log_text()
     told = reaches_all(plane, 3)
     assert {c.status()["lineage"] for c in plane.controls.values()} == {told["lineage"]}
     refusals = {c.name: c.status()["traffic"].get("in.goodbye") for c in plane.controls.values()}
--- a/tests/recordings/test_operators_answers_recording.py
+++ b/tests/recordings/test_operators_answers_recording.py
@@ -16,7 +16,8 @@
 
 sys.path.insert(0, str(Path(__file__).parents[2]))
 
-from tests.fakes.fake_control import ControlCluster, call
+from cypressledge.lab.capacity.control_process import call_management
+from tests.fakes.control_cluster import ControlCluster
 
 FILE = Path(__file__).with_name("operators_answers.json")
 VOLATILE = frozenset(("at", "counters", "epoch", "lineage", "published", "run", "silent_ms", "traffic"))
@@ -140,19 +141,19 @@
     """Every call's answer, by its name."""
     plane = ControlCluster()
     try:
-        primary = plane.primary()
+        primary = plane.leader()
         found = Recorder(primary.name)
         other = plane.others(primary.name)[0]
-        plane.one_history()
-        plane.wait(lambda: len(primary.status().get("peers", ())) == 2, "both links")
+        plane.wait_for_one_history()
+        plane.wait_for(lambda: len(primary.status().get("peers", ())) == 2, "both links")
         taker = plane.follow("b1", "z1")
         refuser = plane.follow("b2", "z1")
         refuser.changed = lambda state, change: "not to my taste"
-        plane.wait(lambda: min(taker.version, refuser.version) == 1, "two brokers that follow")
+        plane.wait_for(lambda: min(taker.version, refuser.version) == 1, "two brokers that follow")
         for name, body in CHANGES.items():
-            found.keep(name, primary.ask("change", "POST", body))
+            found.keep(name, primary.call("change", "POST", body))
         newest = primary.status()["version"]
-        plane.wait(
+        plane.wait_for(
             lambda: lag(primary).get("refused") == 1
             and lag(primary)["in_force"] == 1
             and lag(primary)["unheard"] == []
@@ -160,38 +161,38 @@
             "reports",
         )
         for name, path in READS.items():
-            found.keep(name, primary.ask(path))
-        plane.wait(lambda: other.status()["version"] == newest, "a standby that has everything")
-        found.keep("state_at_a_standby", other.ask("state"))
-        found.keep("lag_at_a_standby", other.ask("lag"))
-        found.keep("change_at_a_standby", other.ask("change", "POST", change()))
-        found.keep("change_by_get", primary.ask("change"))
-        found.keep("state_by_post", primary.ask("state", "POST", {}))
-        found.keep("unknown_path", call(primary.management, "GET", "/elsewhere"))
-        plane.wait(
+            found.keep(name, primary.call(path))
+        plane.wait_for(lambda: other.status()["version"] == newest, "a standby that has everything")
+        found.keep("state_at_a_standby", other.call("state"))
+        found.keep("lag_at_a_standby", other.call("lag"))
+        found.keep("change_at_a_standby", other.call("change", "POST", change()))
+        found.keep("change_by_get", primary.call("change"))
+        found.keep("state_by_post", primary.call("state", "POST", {}))
+        found.keep("unknown_path", call_management(primary.management, "GET", "/elsewhere"))
+        plane.wait_for(
             lambda: primary.status()["match"].values()
             and set(primary.status()["match"].values()) == {newest},
             "voters that hold everything",
         )
         for agent in (taker, refuser):
             agent.stop()
-        plane.wait(lambda: primary.status()["brokers"] == other.status()["brokers"] == 0, "no broker")
-        found.keep("status", primary.ask("status"))
-        found.keep("status_at_a_standby", other.ask("status"))
+        plane.wait_for(lambda: primary.status()["brokers"] == other.status()["brokers"] == 0, "no broker")
+        found.keep("status", primary.call("status"))
+        found.keep("status_at_a_standby", other.call("status"))
         for server in plane.others(primary.name):
             server.kill()
         found.keep(
             "change_without_majority",
-            primary.ask("change", "POST", change(request="six", ops={"remove": ["engine/e0"]})),
+            primary.call("change", "POST", change(request="six", ops={"remove": ["engine/e0"]})),
         )
         return found.answers
     finally:
-        plane.end()
+        plane.close()
 
 
 def lag(server) -> dict:
     """What it says of its brokers."""
-    return server.ask("lag")[1]
+    return server.call("lag")[1]
 
 
 @pytest.fixture(scope="module")
