--- /dev/null
+++ b/tests/controlplane/test_control_connections.py
@@ -0,0 +1,68 @@
+"""Connections of control processes: one that does not vote, and peers that are slow, silent or garbled."""
+
+import time
+
+import pytest
+import yaml
+from gevent import socket
+
+from cypressledge.lab.processes import until
+from tests.controlplane.control_changes import ENGINE
+from tests.fakes.control_plane import WAIT, local_address
+
+
+@pytest.mark.parametrize("plane", [{"count": 4, "voters": 3}], indirect=True)
+def test_one_that_does_not_vote_hands_the_history_on(plane):
+    plane.start()
+    others = [c for c in plane.controls.values() if c.name != "c4"]
+    learner = plane.controls["c4"]
+    assert until(lambda: learner.status().get("version") == 1, WAIT), plane.log_text()
+    assert learner.status()["role"] == "learner"
+    told = yaml.safe_load(plane.file.read_text())
+    told["servers"] = [s for s in told["servers"] if s["name"] == "c4"] + [
+        s | {"address": local_address(), "votes": True} for s in told["servers"] if s["name"] != "c4"
+    ]
+    plane.file.write_text(yaml.safe_dump(told))  # to the broker the others are out of reach
+    broker = plane.broker("n1")
+    assert plane.broker_has_version(broker, 1), plane.log_text()
+    assert broker.status()["server"] == "c4"
+    code, words = plane.change({"engines": {"s-1": ENGINE}})
+    assert code == 0, words
+    assert "in force at 2 of 2 brokers" in words, words
+    assert [c.process.poll() for c in others] == [None] * 3
+
+
+def test_slow_silent_and_garbled_peers_are_given_up(plane):
+    control = plane.controls["c1"]
+    control.start("--first", str(plane.seed_file))
+    assert until(control.status, WAIT), plane.log_text()
+    host, port = plane.servers["c1"]["address"].split(":")
+
+    def ended(raw, pause=None):
+        """Seconds until the connection is ended, where a peer says that at once, or a byte at a time."""
+        with socket.create_connection((host, int(port)), 2) as sock:
+            began = time.monotonic()
+            sock.settimeout(0.5 if pause else 10)
+            for part in [raw[i : i + 1] for i in range(len(raw))] if pause else [raw]:
+                try:
+                    sock.sendall(part)
+                    if not pause:
+                        break
+                    if sock.recv(1) == b"":
+                        break
+                except TimeoutError:
+                    continue
+                except OSError:
+                    break
+            try:
+                while sock.recv(4096):
+                    pass
+            except OSError:
+                pass
+            return time.monotonic() - began
+
+    assert ended(b"\x00\x00\x00\x05abcde") < 2
+    assert ended(b"\xff\xff\xff\xff" + bytes(100)) < 2
+    assert ended(b"GET / HTTP/1.1\r\n\r\n") < 2
+    assert 4 < ended(b"\x00\x00\x00\x40" + bytes(40), pause=0.5) < 8  # Hello has 5 s
+    assert control.process.poll() is None
--- /dev/null
+++ b/tests/controlplane/test_leader_crashes.py
@@ -0,0 +1,136 @@
+"""A leader that is killed or stopped in the middle of a change, and all control processes killed at once."""
+
+import signal
+from typing import NamedTuple
+
+import gevent
+import pytest
+
+from cypressledge.lab.processes import until
+from tests.fakes.control_cluster import engine
+from tests.fakes.control_processes import WAIT
+
+
+@pytest.mark.parametrize("cluster", [{"fault": "kill-before-answer:3"}], indirect=True, ids=[""])
+def test_primary_killed_before_its_answer_and_then_all_at_once(cluster):
+    first = cluster.wait_for_settled_leader()
+    subscriber = cluster.follow("b1", "z1")
+    done = {f"engine/e{i}": cluster.change({f"engine/e{i}": engine(i)}, f"r{i}")["version"] for i in (1, 2)}
+    lose_the_answer(cluster, first)
+    restart_all_at_once(cluster, first, subscriber, done)
+
+
+def lose_the_answer(cluster, first):
+    """The first leader is killed before it answers; a repeat at the next one is in force once."""
+    # decided, and then nothing
+    assert cluster.post_change(first, {"engine/e3": engine(3)}, "r3") == (0, {})
+    first.process.wait(WAIT)
+    assert first.process.returncode == -signal.SIGKILL
+    answer = cluster.change({"engine/e3": engine(3)}, "r3")
+    assert answer["primary"] != first.name
+    assert answer["epoch"] < cluster.leader(first.name).status()["epoch"]
+    first.start()
+    cluster.wait_for_one_history(answer["version"])
+    assert cluster.times_in_history("r3") == 1
+    assert cluster.version_of_key("engine/e3") == answer["version"]
+    assert cluster.change({"engine/e3": engine(3)}, "r3")["version"] == answer["version"]
+
+
+def restart_all_at_once(cluster, first, subscriber, done):
+    position, entries = cluster.position(first), first.call("state")[1]["entries"]
+    cluster.wait_for(lambda: subscriber.version == position.version, "the subscriber")
+    digest = subscriber.state.digest
+    for control in cluster.controls.values():
+        control.kill()
+    cluster.wait_for(lambda: not subscriber.server(), "a subscriber that is alone")
+    assert subscriber.version == position.version
+    assert subscriber.state.digest == digest
+    for control in cluster.controls.values():
+        control.start()
+    cluster.leader()
+    version = cluster.wait_for_one_history(position.version + 1)
+    entries_after = first.call("state")[1]["entries"]
+    assert entries_after == entries
+    assert {key: entries_after[key]["version"] for key in done} == done
+    cluster.wait_for(lambda: subscriber.version == version, "a subscriber that goes on")
+    answer = cluster.change({"engine/e3": engine(3)}, "r3")
+    assert answer["version"] == cluster.version_of_key("engine/e3") < version  # known still
+    assert subscriber.has_never_gone_back()
+
+
+class StruckLeader(NamedTuple):
+    """What was asked of a leader until its fault struck."""
+
+    done: dict[str, int]  # keys acknowledged, and their versions
+    key: str  # of the change that was under way
+    request: str
+
+
+def change_until_the_fault(cluster, leader) -> StruckLeader:
+    """Ask for changes until the leader's fault strikes."""
+    done = {}
+    for number in range(1, 30):
+        key, request = f"engine/e{number}", f"r{number}"
+        asked = gevent.spawn(cluster.post_change, leader, {key: engine(number)}, request)
+        until(lambda a=asked: leader.is_halted() or not leader.running() or a.ready(), WAIT)
+        if leader.is_halted() or not leader.running():
+            return StruckLeader(done, key, request)
+        status, answer = asked.get(timeout=WAIT)
+        assert status == 200, answer
+        done[key] = answer["version"]
+    raise AssertionError("no fault has struck")
+
+
+@pytest.mark.parametrize(
+    "cluster",
+    [{"fault": "kill-before:append:13"}, {"fault": "stop-before:append:13"}],
+    indirect=True,
+    ids=["killed", "stopped"],
+)
+def test_primary_killed_or_stopped_between_its_own_disk_and_the_next(cluster):
+    leader = cluster.wait_for_settled_leader()
+    other, away = cluster.others(leader.name)
+    away.kill()  # so that every change has one way to go
+    cluster.wait_for(lambda: leader.status()["peers"] == [other.name], "a link that has ended")
+    struck = change_until_the_fault(cluster, leader)
+    halted = leader.is_halted()
+    assert len(struck.done) > 2
+    assert halted == leader.running()
+    away.start()
+    cluster.leader(leader.name)
+    later = cluster.change({"engine/late": engine(99)}, "late")
+    assert struck.request not in {change[2] for change in cluster.changes(other)}  # nobody else had it
+    if halted:
+        resume_deposed(cluster, leader)
+    else:
+        kept = leader.last_stored_position()
+        assert kept[1] > max(struck.done.values())
+        assert kept[0] < later["epoch"]
+        leader.start()
+    check_dropped_and_repeated(cluster, leader, struck, later["version"])
+
+
+def resume_deposed(cluster, leader):
+    """A leader that was stopped goes on, and steps down."""
+    ended = len(leader.logged("leader_stopped"))
+    leader.signal(signal.SIGCONT)
+    cluster.wait_for(lambda: len(leader.logged("leader_stopped")) > ended, "a leader that steps down")
+
+    def denials():
+        return leader.status()["traffic"].get("in.denied", {}).get("frames", 0)
+
+    # Its AppendEntries left after it went on: both turn it down.
+    cluster.wait_for(lambda: denials() >= 1, "a denial")
+
+
+def check_dropped_and_repeated(cluster, leader, struck, later_version):
+    """What was under way is dropped, all that was acknowledged stays, and a repeat is in force once."""
+    cluster.wait_for(lambda: leader.logged("truncated"), "a tail that is dropped")
+    cluster.wait_for_one_history(later_version)
+    assert leader.status()["role"] == "standby"
+    assert {key: cluster.version_of_key(key) for key in struck.done} == struck.done
+    assert cluster.version_of_key(struck.key) == -1
+    again = cluster.change({struck.key: engine(50)}, struck.request)
+    cluster.wait_for_one_history(again["version"])
+    assert cluster.times_in_history(struck.request) == 1
+    assert cluster.version_of_key(struck.key) == again["version"]
--- /dev/null
+++ b/tests/controlplane/test_network_partitions.py
@@ -0,0 +1,96 @@
+"""A region that is cut off during a change, and a control process whose disk was put back."""
+
+import shutil
+
+import gevent
+import pytest
+
+from tests.fakes.control_cluster import LEASE_TERM, engine
+from tests.fakes.control_processes import WAIT
+
+
+@pytest.mark.parametrize("cluster", [{"proxied": True}], indirect=True, ids=[""])
+def test_region_cut_off_during_a_change_and_a_disk_that_was_put_back(cluster):
+    leader = cluster.wait_for_settled_leader()
+    cluster.change({"engine/e1": engine(1)}, "r1")
+    inside = cluster.follow("inside", only=(leader.name,))
+    outside = cluster.follow("outside", only=tuple(other.name for other in cluster.others(leader.name)))
+    cluster.wait_for(lambda: inside.version == outside.version == leader.status()["version"], "subscribers")
+    second = cut_off_during_a_change(cluster, leader, inside, outside)
+    old = next(iter(cluster.others(cluster.leader().name)))
+    put_back_old_copy(cluster, old)
+    assert second.running()
+    assert all(subscriber.has_never_gone_back() for subscriber in cluster.subscribers)
+
+
+def cut_off_during_a_change(cluster, leader, inside, outside):
+    """Cut off a leader while it decides; the next leader."""
+    cluster.cut(leader.name)
+    asked = gevent.spawn(cluster.post_change, leader, {"engine/e2": engine(2)}, "r2")
+    second = cluster.leader(leader.name)
+    change = cluster.change({"engine/e3": engine(3)}, "r3")
+    cluster.wait_for(lambda: outside.version >= change["version"], "the majority's side goes on")
+    status, answer = asked.get(timeout=WAIT)
+    assert (status, answer["answer"]) == (503, "unknown"), answer
+    check_deposed(cluster, leader, inside, change["version"])
+    cluster.heal()
+    cluster.wait_for_one_history(change["version"])
+    assert cluster.times_in_history("r2") == cluster.times_in_history("r4") == 0
+    again = cluster.change({"engine/e2": engine(2)}, "r2")
+    cluster.wait_for(lambda: inside.version >= again["version"] <= outside.version, "all go on")
+    assert cluster.times_in_history("r2") == 1
+    assert inside.status().stale_ms < 3000 * LEASE_TERM
+    return second
+
+
+def check_deposed(cluster, leader, inside, newer_version):
+    """A leader that is cut off leads no more, and its subscriber knows that it is stale."""
+    shown = leader.status()
+    assert shown["role"] != "primary"
+    assert shown["primary"] == ""
+    assert shown["version"] < newer_version
+    assert cluster.post_change(leader, {"engine/e4": engine(4)}, "r4")[0] == 421
+    cluster.wait_for(
+        lambda: inside.status().stale_ms > 2000 * LEASE_TERM, "a subscriber that knows it is stale"
+    )
+    assert inside.server() == leader.name
+    assert inside.version == shown["version"]
+
+
+def put_back_old_copy(cluster, old):
+    """Its store is as it was some changes ago; the subscriber that holds more does not go back."""
+    subscriber = cluster.follow("after", only=(old.name,))
+    old.kill()
+    shutil.copytree(old.store, cluster.folder / "copy")
+    old.start()
+    for number in range(5, 9):
+        change = cluster.change({f"engine/e{number}": engine(number)}, f"r{number}")
+    cluster.wait_for(
+        lambda: subscriber.version >= change["version"], "a subscriber of the one to be put back"
+    )
+    held = subscriber.version
+    old.kill()
+    shutil.rmtree(old.store)
+    shutil.copytree(cluster.folder / "copy", old.store)
+    cluster.cut(old.name)  # it has its old copy alone, and its subscriber nobody else
+    old.start()
+    check_old_copy_is_not_taken(cluster, old, subscriber, held)
+    cluster.heal()
+    change = cluster.change({"engine/e9": engine(9)}, "r9")
+    cluster.wait_for(lambda: subscriber.version >= change["version"], "a subscriber that goes on")
+    cluster.wait_for_one_history(change["version"])
+
+
+def check_old_copy_is_not_taken(cluster, old, subscriber, held):
+    """Its subscriber, which holds a newer version, stays at that."""
+    cluster.wait_for(
+        lambda: subscriber.server() and old.status().get("brokers"), "an old one that is followed"
+    )
+    assert old.status()["version"] < held
+    heartbeats = subscriber.traffic.frames["in.beat"]
+    cluster.wait_for(
+        lambda: subscriber.traffic.frames["in.beat"] > heartbeats + 2, "some heartbeats of the old one"
+    )
+    assert subscriber.version == held
+    assert subscriber.subscriber.counters.show().get("update_rejected", 0) == 0
+    assert old.status()["role"] == "standby"
--- /dev/null
+++ b/tests/controlplane/test_operator_changes.py
@@ -0,0 +1,155 @@
+"""Changes that operators make: in force at brokers, refused, repeated, and two at once."""
+
+import signal
+
+import gevent
+import pytest
+import yaml
+
+from cypressledge.lab.engines import LabEngine
+from cypressledge.lab.processes import until
+from cypressledge.lab.site import SETTINGS
+from tests.controlplane.control_changes import ENGINE, version_of
+from tests.fakes.command_line import run
+from tests.fakes.control_cluster import SEED, engine
+from tests.fakes.control_plane import WAIT
+
+
+def test_operators_at_once_and_bad_changes(cluster):
+    leader = cluster.wait_for_settled_leader()
+    version = change_at_once(cluster, leader)
+    before = cluster.position(leader)
+    check_bad_changes_are_rejected(cluster, leader)
+    assert cluster.position(leader) == before
+    assert cluster.wait_for_one_history() == version
+    change_twice_by_command(cluster)
+    assert cluster.times_in_history("cli") == 1
+    assert cluster.wait_for_one_history() == version + 1
+
+
+def change_at_once(cluster, leader) -> int:
+    """Two changes of one key, asked for at once: one is done, one conflicts. The version after."""
+    base = leader.status()["version"]
+    both = [
+        gevent.spawn(
+            cluster.post_change,
+            leader,
+            {"engine/e1": engine(i), f"engine/o{i}": engine(10 + i)},
+            f"two{i}",
+            base=base,
+        )
+        for i in (1, 2)
+    ]
+    gevent.joinall(both, WAIT)
+    answers = sorted((asked.value for asked in both), key=lambda answer: answer[0])
+    assert [status for status, _ in answers] == [200, 409], answers
+    assert answers[1][1]["answer"] == "clash"
+    assert answers[1][1]["keys"] == ["engine/e1"]
+    return cluster.wait_for_one_history(answers[0][1]["version"])
+
+
+def check_bad_changes_are_rejected(cluster, leader):
+    bad = [
+        {"engine/e2": engine(1) | {"cell": -1}},
+        {"engine/e2": SEED["engines"]["e0"]},
+        {"nothing/e2": {}},
+        {"config/Rules": {"Fall": 1}},
+    ]
+    for number, sets in enumerate(bad):
+        status, answer = cluster.post_change(leader, sets, f"bad{number}")
+        assert (status, answer["answer"]) == (400, "bad"), answer
+        assert "\n" not in answer["why"], answer
+        assert answer["why"], answer
+
+
+def change_twice_by_command(cluster):
+    """A command that is refused in one line, and one that is repeated under its request."""
+    file = cluster.folder / "change.yaml"
+    file.write_text(yaml.safe_dump({"engines": {"e2": SEED["engines"]["e0"]}}))
+    at = [
+        word for control in cluster.controls.values() for word in ("--at", f"127.0.0.1:{control.management}")
+    ]
+    code, out, err = run("control", "change", str(file), *at)
+    assert (code, out, err.count("\n")) == (2, "", 1), (code, out, err)
+    assert "engine/e0" in err, (code, out, err)
+    file.write_text(yaml.safe_dump({"engines": {"e2": engine(30)}}))
+    codes = [run("control", "change", str(file), *at, "--request", "cli", "--why", "twice") for _ in range(2)]
+    assert [code for code, _, _ in codes] == [0, 0], codes
+    assert codes[0][1] == codes[1][1], codes
+
+
+def test_a_change_comes_into_force_at_a_broker(plane):
+    plane.start()
+    engine = LabEngine("s-1", "room1")
+    broker = plane.broker("n1")
+    assert plane.broker_has_version(broker, 1), plane.log_text()
+    port = engine.server.server_port
+    code, words = plane.change(
+        {
+            "engines": {"s-1": ENGINE | {"address": f"127.0.0.1:{port}"}},
+            "config": {"Customers": [{"Name": "sahel"}, {"Name": "dune"}]},
+        }
+    )
+    assert code == 0, words + plane.log_text()
+    assert "in force at 1 of 1 brokers" in words
+    told = broker.status()
+    assert (told["version"], told["refused"], told["engines_from_here"]) == (version_of(words), "", True)
+    assert told["digest"] == plane.controls[plane.leader()].status()["digest"]
+    assert broker.serves(), broker.log_text()
+    assert broker.counter("reloads") == 2  # the seed's settings, and the change's
+    engine.server.stop()
+
+
+MANY = {
+    f"node-{n:04d}.cluster": ENGINE
+    | {"address": f"10.0.{n // 250}.{n % 250}:8123", "born_ms": 1_790_000_000_000 + 977 * n}
+    for n in range(1_500)
+}
+
+
+@pytest.mark.parametrize("plane", [{"seed": {"config": SETTINGS, "engines": MANY}}], indirect=True)
+def test_a_large_state_reaches_everybody(plane):
+    """Its first change takes more than any first frame may, towards a voter and towards a broker."""
+    plane.start()
+    broker = plane.broker("n1")
+    assert plane.broker_has_version(broker, 1), plane.log_text()
+    code, words = plane.change({"engines": {name: None for name in list(MANY)[:700]}})
+    assert code == 0, words + plane.log_text()
+    assert "in force at 1 of 1 brokers" in words, words + plane.log_text()
+    digest = plane.controls[plane.leader()].status()["digest"]
+    assert until(lambda: all(c.status()["digest"] == digest for c in plane.controls.values()), WAIT)
+    assert broker.counter("ready_engines") == len(MANY) - 700
+
+
+def test_a_change_that_is_refused_changes_nothing(plane):
+    plane.start()
+    before = plane.controls[plane.leader()].status()["version"]
+    code, words = plane.change({"config": {"Classes": []}})
+    assert code == 2
+    assert "refused: bad: config:" in words
+    code, words = plane.change({"engines": {"s-1": ENGINE, "s-2": ENGINE}})
+    assert code == 2
+    assert "at the address of" in words
+    code, words = plane.change({"engines": {"s-1": ENGINE}}, "--dry-run")
+    assert (code, words) == (0, f"would be version {before + 1}: 1 keys\n")
+    assert plane.controls[plane.leader()].status()["version"] == before
+    assert plane.change({"engines": {"s-1": ENGINE}}, "--against", str(before))[0] == 0
+    code, words = plane.change({"engines": {"s-1": ENGINE | {"zone": "x"}}}, "--against", str(before))
+    assert code == 2
+    assert "refused: clash: changed meanwhile: engine/s-1" in words
+
+
+def test_a_lost_answer_is_had_again_under_the_same_request(plane):
+    first = plane.start("kill-before-answer:1")
+    code, words = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one", "--wait", "0.5")
+    assert code == 1, words + plane.log_text()
+    assert "repeat it with --request one" in words, words + plane.log_text()
+    assert plane.controls[first].process.wait(WAIT) == -signal.SIGKILL
+    before = {r["version"] for r in plane.records("committed")}
+    code, words = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one")
+    assert code == 0, words + plane.log_text()
+    assert version_of(words) in before, words + plane.log_text()
+    primary = plane.controls[plane.leader(first)]
+    code, told, _ = run("control", "history", "--at", plane.servers[primary.name]["management"], "--json")
+    assert code == 0
+    assert told.count('"request": "one"') == 1
--- /dev/null
+++ b/tests/controlplane/test_subscriber_failures.py
@@ -0,0 +1,208 @@
+"""Subscribers that cost a control process, one that lies to its subscriber, and one that dies with many."""
+
+import random
+import time
+from collections import Counter
+from dataclasses import dataclass
+
+import gevent
+import yaml
+
+from cypressledge.controlplane.messages import AppliedPosition, Hello, SnapshotRequest
+from cypressledge.controlplane.publisher import PublisherLimits
+from cypressledge.lab.processes import until
+from cypressledge.lab.site import free_port
+from tests.fakes.control_cluster import engine
+from tests.fakes.control_processes import WAIT
+from tests.fakes.controlled_broker import ControlledBroker
+from tests.fakes.fake_control import LyingControlServer, RawConnection
+
+MB = 1 << 20
+
+
+def incompressible_engines(count, salt):
+    """Engines that take some bytes, and do not pack well."""
+    draw = random.Random(salt)
+    return {
+        f"engine/x{i}": {
+            "address": f"127.{salt}.{i // 250}.{i % 250 + 1}:7002",
+            "kind": f"{draw.getrandbits(256):064x}",
+        }
+        for i in range(count)
+    }
+
+
+class BadSubscribers:
+    """Connections that do not read, read slowly, send malformed messages at once or later, or say nothing."""
+
+    def __init__(self, port: int) -> None:
+        draw = random.Random(5)
+        self.unread = [RawConnection(port, small_buffer=True).hello(f"deaf{i}") for i in range(4)]
+        self.slow = [RawConnection(port, small_buffer=True).hello(f"slow{i}") for i in range(2)]
+        malformed = [
+            b"\xff" * 8,
+            b"\0\0\0\0",
+            draw.randbytes(9000),
+            b"GET / HTTP/1.1\r\n\r\n",
+            b"\0\0\0\4\xc1\xc1\xc1\xc1",
+        ]
+        self.malformed = [RawConnection(port) for _ in malformed]
+        for connection, raw in zip(self.malformed, malformed, strict=True):
+            connection.sock.sendall(raw)
+        self.malformed_later = RawConnection(port).hello("late")
+        self.malformed_later.sock.sendall(b"\0\0\1\0" + draw.randbytes(256))
+        self.silent = RawConnection(port)  # never says Hello
+        self.readers = [gevent.spawn(connection.read_slowly) for connection in self.slow]
+        self.ends = [
+            gevent.spawn(connection.read_slowly, 65_536, 0)
+            for connection in (*self.malformed, self.malformed_later, self.silent)
+        ]
+
+    def check_ended_in_time(self) -> None:
+        gevent.joinall(self.ends, WAIT)
+        malformed = (*self.malformed, self.malformed_later)
+        assert all(raw.ended and raw.ended - raw.began < 4 for raw in malformed)
+        assert self.silent.ended
+        assert self.silent.ended - self.silent.began < 8
+
+    def close(self) -> None:
+        connections = (*self.unread, *self.slow, *self.malformed, self.malformed_later, self.silent)
+        for connection in connections:
+            connection.close()
+        gevent.killall(self.readers)
+
+
+@dataclass(slots=True)
+class ChangesMeanwhile:
+    """What changes cost while bad subscribers were connected."""
+
+    count: int
+    slowest_s: float
+    max_memory: int  # bytes of the control process
+
+
+def change_until_bad_ones_are_gone(cluster, leader, good, changes: ChangesMeanwhile) -> None:
+    """Change after change, each waited for at a subscriber, until the leader has the two good ones alone."""
+    until_all = time.monotonic() + PublisherLimits().answer_timeout_s + 6
+    while leader.status()["brokers"] > 2 and time.monotonic() < until_all:
+        changes.count += 1
+        began = time.monotonic()
+        key = f"engine/y{changes.count % 7}"
+        answer = cluster.change({key: engine(200 + changes.count)}, f"y{changes.count}")
+        cluster.wait_for(lambda v=answer["version"]: good.version >= v, "the good one, meanwhile")
+        changes.slowest_s = max(changes.slowest_s, time.monotonic() - began)
+        changes.max_memory = max(changes.max_memory, leader.memory_bytes())
+
+
+def test_followers_that_do_not_read_read_slowly_or_talk_nonsense(cluster):
+    leader = cluster.wait_for_settled_leader()
+    for salt in (1, 2):
+        engines = incompressible_engines(1500, salt)
+        cluster.change({f"{key}-{salt}": value for key, value in engines.items()}, f"many{salt}")
+    good = cluster.follow("good", only=(leader.name,))
+    cluster.wait_for(lambda: good.version == leader.status()["version"], "the good one")
+    memory = leader.memory_bytes()
+    bad = BadSubscribers(cluster.ports[leader.name])
+    new = cluster.follow("new", only=(leader.name,))
+    cluster.wait_for(lambda: new.version, "one that comes while snapshots are out to those")
+    changes = ChangesMeanwhile(0, time.monotonic() - new.dials[0], memory)
+    change_until_bad_ones_are_gone(cluster, leader, good, changes)
+    took, more = time.monotonic() - bad.unread[0].began, changes.max_memory - memory
+    print(
+        f"all ended after {took:.1f} s, {changes.count} changes, the slowest in force after "
+        f"{changes.slowest_s:.2f} s, {more / MB:.1f} MB more"
+    )
+    assert leader.status()["brokers"] == 2
+    assert changes.count > 5
+    assert more < 24 * MB
+    assert changes.slowest_s < 5
+    bad.check_ended_in_time()
+    assert leader.status()["counters"]["control.disconnected_silent"] == 6
+    assert good.has_never_gone_back()
+    assert new.has_never_gone_back()
+    bad.close()
+
+
+def broker_that_follows(server: LyingControlServer, folder) -> ControlledBroker:
+    """A broker that has this server first, and two that do not exist."""
+    addresses = [server.address, *(f"127.0.0.1:{free_port()}" for _ in range(2))]
+    servers = [
+        {
+            "name": f"c{number}",
+            "address": address,
+            "fleet": f"127.0.0.1:{free_port()}",
+            "zone": f"z{number}",
+            "management": f"127.0.0.1:{free_port()}",
+        }
+        for number, address in enumerate(addresses, 1)
+    ]
+    control_file = folder / "control.yaml"
+    control_file.write_text(yaml.safe_dump({"servers": servers}))
+    broker = ControlledBroker("n1", folder, control_file)
+    broker.zone, broker.optimised = "z1", True
+    return broker
+
+
+def test_a_change_whose_digest_differs_is_not_taken(tmp_path):
+    liar = LyingControlServer()
+    broker = broker_that_follows(liar, tmp_path)
+    broker.start()
+    try:
+        assert until(lambda: len(liar.received) == 4, WAIT), broker.log_text()
+        hello, first, asked, last = liar.received
+        assert isinstance(hello, Hello)
+        assert isinstance(first, AppliedPosition)
+        assert isinstance(last, AppliedPosition)
+        assert isinstance(asked, SnapshotRequest), asked
+        assert asked.reason == "digest", asked
+        assert (last.version, last.digest) == (2, liar.state.digest)
+        status = broker.status()
+        assert status["counts"]["change_digest_differs"] == 1
+        assert status["digest"] == liar.state.digest.hex()
+        assert [entry["version"] for entry in broker.logged("control_change_digest_differs")] == [2]
+    finally:
+        broker.kill()
+        liar.server.stop()
+
+
+def most_snapshots_a_second(subscribers) -> int:
+    """The most snapshots of one server that were taken within a second."""
+    moments = {}
+    for subscriber in subscribers:
+        for update in subscriber.taken:
+            if update.is_snapshot:
+                moments.setdefault(update.server, []).append(update.at)
+    return max(sum(m <= n < m + 1 for n in of_one) for of_one in moments.values() for m in of_one)
+
+
+def test_a_hundred_followers_whose_control_process_dies(cluster):
+    leader = cluster.wait_for_settled_leader()
+    cluster.change(incompressible_engines(1000, 3), "many")
+    began = time.monotonic()
+    subscribers = [cluster.follow(f"b{i}", seed=1000 + i) for i in range(100)]
+    cluster.wait_for(lambda: all(s.server() and s.version for s in subscribers), "all have it in force")
+    counts = Counter(s.server() for s in subscribers)
+    dead = cluster[max((name for name in counts if name != leader.name), key=counts.get)]
+    lost = [s for s in subscribers if s.server() == dead.name]
+    dials = {s: len(s.dials) for s in lost}
+    killed = time.monotonic()
+    dead.kill()
+    version = cluster.change({"engine/e1": engine(1)}, "r1")["version"]
+    cluster.wait_for(lambda: all(s.version >= version for s in subscribers), "all in force again")
+    took = time.monotonic() - killed
+    again = sorted(s.dials[dials[s]] - killed for s in lost)
+    limits, densest = PublisherLimits(), most_snapshots_a_second(subscribers)
+    print(
+        f"{dict(counts)}; {len(lost)} lost, dialled again {again[0]:.3f} to {again[-1]:.3f} s after; all in"
+        f" force {took:.2f} s after, {killed - began:.2f} s to begin; {densest} snapshots a second at most"
+    )
+    assert len(lost) > 15
+    assert again[-1] - again[0] > 0.05
+    # begun in the second, and out before it
+    assert densest <= limits.max_snapshots_per_s + limits.max_concurrent_snapshots
+    assert took < 15
+    assert all(s.has_never_gone_back() for s in subscribers)
+    lag = cluster.leader().call("lag")[1]
+    assert lag["connected"] >= 100 or cluster.wait_for(
+        lambda: cluster.leader().call("lag")[1].get("in_force") == 100, "all counted"
+    )
