--- a/tests/recordings/test_control_replica_recording.py
+++ b/tests/recordings/test_control_replica_recording.py
@@ -13,7 +13,8 @@
 from cypressledge.controlplane.messages import encode
 from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.replica_context import ReplicaHandlers
-from tests.fakes.replica_world import World, walk
+from tests.fakes.replica_random_walk import walk
+from tests.fakes.replica_world import World
 
 RECORDED = json.loads((Path(__file__).parent / "control_replica.json").read_text())
 # Events and reasons of stepping down: name of today -> name as recorded.
@@ -60,7 +61,7 @@
     digest = blake2b(digest_size=8)
     world = walk(numbers, names, recording_replica(digest), losses)
     assert isinstance(world, World)
-    digest.update(f"{sorted(world.truth.items())} {sorted(world.acked.items())}".encode())
+    digest.update(f"{sorted(world.truth.items())} {sorted(world.acknowledged.items())}".encode())
     return digest.hexdigest()
 
 
