--- a/tests/recordings/decisions_recorder.py
+++ b/tests/recordings/decisions_recorder.py
@@ -9,113 +9,43 @@
 import hashlib
 import heapq
 import random
-from dataclasses import dataclass, field, fields
+from dataclasses import dataclass, field
 from itertools import count
 
-from cypressledge.decisions import contract
 from cypressledge.decisions.contract import Settings
 from cypressledge.decisions.manager import WorkloadManager
+from tests.recordings.decisions_codes import (
+    CANCELLED,
+    CONNECT_FAILED,
+    ERROR,
+    FULL,
+    NOT_SENT,
+    OK,
+    READY,
+    REMOVED,
+    RESET,
+    TIMEOUT,
+    AttemptResult,
+    attempt_ended,
+    client_left,
+    delta_list,
+    full_list,
+    list_failed,
+    probed,
+    progress_note,
+    raw_values,
+    request_received,
+    spill_note,
+    stopping,
+    timer_fired,
+    waits_note,
+)
 
 SECOND = 1_000_000  # microseconds
 TICK = 5_000  # microseconds; events of one tick are told together
 START = 1_700_000_000 * SECOND
 REPEATED_KEYS = 40  # distinct ordering keys that a stream draws from
 
-# The one place that names actions: their codes in the digest are the positions here.
-ACTION_CODES = {
-    contract.StartAttempt: 0,
-    contract.SetAttemptResources: 1,
-    contract.CancelAttempt: 2,
-    contract.RejectRequest: 3,
-    contract.FailRequest: 4,
-    contract.StartTimer: 5,
-    contract.Subscribe: 6,
-    contract.Log: 7,
-}
-REASON_CODES = {reason: code for code, reason in enumerate(contract.Reason)}
-LOG_CODES = {
-    "answers again": 0,
-    "answers errors where others do not: ejected": 1,
-    "broke its connections: ejected until it answers": 2,
-    "is silent while others answer: ejected": 3,
-}
-
-
-def raw_values(action) -> tuple:
-    """The action as a fixed code and its values in field order, with reasons and log texts as codes."""
-    code = ACTION_CODES[type(action)]
-    if code == 7:
-        _, engine, text = action.text.split(" ", 2)
-        return code, engine, LOG_CODES[text]
-    values = (getattr(action, f.name) for f in fields(action))
-    return code, *(REASON_CODES[v] if isinstance(v, contract.Reason) else v for v in values)
-
-
-# The one place that builds events.
-
-
-def request_received(request, class_index, deadline, key, cost, memory, group):
-    return contract.RequestReceived(request, class_index, deadline, key, cost, memory, group)
-
-
-def attempt_ended(request, attempt, engine, outcome, final, latency, work=0, memory=0.0, report=()):
-    return contract.AttemptEnded(request, attempt, engine, outcome, final, latency, work, memory, report)
-
-
-def progress_note(request, attempt, engine, value):
-    return contract.AttemptProgress(request, attempt, engine, contract.ProgressKind.PROGRESS, value)
-
-
-def spill_note(request, attempt, engine, value):
-    return contract.AttemptProgress(request, attempt, engine, contract.ProgressKind.SPILLING, value)
-
-
-def waits_note(request, attempt, engine, value):
-    return contract.AttemptProgress(request, attempt, engine, contract.ProgressKind.WAITING, value)
-
-
-def client_left(request):
-    return contract.ClientDisconnected(request)
-
-
-def timer_fired(token):
-    return contract.TimerFired(token)
-
-
-def probed(engine):
-    return contract.HealthCheckEnded(engine, contract.Outcome.OK, 1_000)
-
-
-def stopping():
-    return contract.ShutdownStarted()
-
-
-def list_failed():
-    return contract.EngineListReceived(contract.EngineListKind.FAILED)
-
-
-def full_list(engines):
-    return contract.EngineListReceived(
-        contract.EngineListKind.FULL, tuple(list_entry(engine) for engine in engines)
-    )
-
-
-def delta_list(engines):
-    return contract.EngineListReceived(
-        contract.EngineListKind.DELTA, tuple(list_entry(engine) for engine in engines)
-    )
-
-
-def list_entry(engine):
-    state = contract.EngineState(engine.state)
-    return contract.EngineListEntry(engine.number, state, engine.kind, engine.zone, engine.cell, engine.born)
-
-
-CONNECT_FAILED, RESET = contract.Outcome.CONNECT_FAILED, contract.Outcome.RESET
-OK, ERROR, FULL = contract.Outcome.OK, contract.Outcome.ERROR, contract.Outcome.REJECTED
-TIMEOUT, CANCELLED, NOT_SENT = contract.Outcome.TIMEOUT, contract.Outcome.CANCELLED, contract.Outcome.NOT_SENT
-REMOVED, DRAINING, READY = 0, 1, 2
-
 
 @dataclass(slots=True)
 class Traffic:
@@ -349,12 +279,12 @@
             engine.loads[request.group] -= 1
         latency = now - request.sent_at
         final = outcome is OK or outcome is ERROR and self.rng.random() < 0.2
-        work, memory, report = 0, 0.0, ()
+        result = AttemptResult(outcome, final, latency)
         if outcome is OK:
-            work = request.work if self.scenario.settings.reports_cost else 0
-            memory = request.memory
-            report = self.report(engine)
-        return [attempt_ended(number, attempt, engine.number, outcome, final, latency, work, memory, report)]
+            result.work = request.work if self.scenario.settings.reports_cost else 0
+            result.memory = request.memory
+            result.report = self.report(engine)
+        return [attempt_ended(number, attempt, engine.number, result)]
 
     def report(self, engine: FakeEngine) -> tuple:
         threads = sum(engine.running.values()) + self.rng.randrange(6)
--- a/tests/recordings/decisions_scenarios.py
+++ b/tests/recordings/decisions_scenarios.py
@@ -3,10 +3,8 @@
 from dataclasses import replace
 
 from cypressledge.decisions.contract import ClassSettings, DeduplicationScope, Idempotency, Settings
+from tests.recordings.decisions_codes import DRAINING, READY, REMOVED
 from tests.recordings.decisions_recorder import (
-    DRAINING,
-    READY,
-    REMOVED,
     SECOND,
     TICK,
     Change,
