--- a/cypressledge/fleet/zones/failover_plan.py
+++ b/cypressledge/fleet/zones/failover_plan.py
@@ -6,7 +6,7 @@
 """
 
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, StrEnum
 from hashlib import blake2b
 
 PERMILLE = 1_000
@@ -25,7 +25,7 @@
     RETURNING = "returning"
 
 
-class OperatorOverride(Enum):
+class OperatorOverride(StrEnum):
     """What operators want of a zone for a time; the values are in plans."""
 
     NONE = ""
@@ -33,11 +33,6 @@
     PRACTICE = "practice"
     HOLD = "hold"
 
-    @property
-    def keeps_out(self) -> bool:
-        """Whether the zone is to be empty."""
-        return self is OperatorOverride.OUT or self is OperatorOverride.PRACTICE
-
 
 @dataclass(frozen=True, slots=True)
 class FailoverPace:
@@ -76,7 +71,8 @@
 @dataclass(slots=True)
 class ZoneState:
     """One zone as the planner has it. Moments in µs; `since`: when it came to its stage; `bad_since`:
-    from when on the finding on it has been bad; `failed_returns` double the time out."""
+    from when on the finding on it has been bad; `failed_returns` double the time out; `override`: an
+    `OperatorOverride`, or a later version's, which only expires."""
 
     name: str
     stage: ZoneStage = ZoneStage.SERVING
@@ -85,11 +81,16 @@
     reason: str = ""
     failed_returns: int = 0
     bad_since: int | None = None
-    override: OperatorOverride = OperatorOverride.NONE
+    override: str = OperatorOverride.NONE
     override_until: int = 0
     kept_reason: str = ""  # why it was not left, as last logged
     share_grew_at: int = 0
 
+    @property
+    def is_kept_out(self) -> bool:
+        """Whether an operator wants the zone to be empty."""
+        return self.override in (OperatorOverride.OUT, OperatorOverride.PRACTICE)
+
 
 def share_threshold(engine: int, broker: str) -> int:
     """The share above which an engine is open to a broker, permille: 0 to 999, the same at all brokers."""
--- a/cypressledge/fleet/zones/failover_planner.py
+++ b/cypressledge/fleet/zones/failover_planner.py
@@ -56,7 +56,7 @@
             zone.since = now - status.age
             zone.failed_returns = status.flaps
             zone.reason = status.reason
-            zone.override = OperatorOverride(status.operator_override)
+            zone.override = status.operator_override
             zone.override_until = now + status.override_remaining
         self._last_key = self._key()
 
@@ -121,7 +121,7 @@
             self._record_finding(zone, given)
         for zone in self.zones.values():
             self._step_override(zone, now)
-            if zone.override is not OperatorOverride.HOLD:
+            if zone.override != OperatorOverride.HOLD:
                 self._STAGE_STEPS[zone.stage](self, zone, given)
         if all(zone.stage is ZoneStage.SERVING for zone in self.zones.values()):
             self.sheds_load = False
@@ -136,14 +136,14 @@
 
     @staticmethod
     def _status(zone: ZoneState, now: int) -> ZoneStatus:
-        override_left = max(0, zone.override_until - now) if zone.override is not OperatorOverride.NONE else 0
+        override_left = max(0, zone.override_until - now) if zone.override != OperatorOverride.NONE else 0
         return ZoneStatus(
             zone.name,
             zone.stage.value,
             zone.share,
             now - zone.since,
             zone.failed_returns,
-            zone.override.value,
+            zone.override,
             override_left,
             zone.reason[:MAX_WHY],
         )
@@ -165,10 +165,10 @@
 
     def _step_override(self, zone: ZoneState, now: int) -> None:
         """End what is by hand once its time has passed, and a practice once another zone fails."""
-        if zone.override is not OperatorOverride.NONE and now >= zone.override_until:
-            self.log_event("zone_hand_over", zone.name, f"the time for {zone.override.value} has passed")
+        if zone.override != OperatorOverride.NONE and now >= zone.override_until:
+            self.log_event("zone_hand_over", zone.name, f"the time for {zone.override} has passed")
             zone.override = OperatorOverride.NONE
-        if zone.override is OperatorOverride.PRACTICE and (failing := self._another_failing(zone)):
+        if zone.override == OperatorOverride.PRACTICE and (failing := self._another_failing(zone)):
             self._end_practice(zone, f"{failing} fails")
             if zone.stage is not ZoneStage.SERVING:
                 self.bring_back(zone.name, now, f"practice over: {failing} fails")
@@ -204,14 +204,14 @@
         zone.share = FULL_SHARE
         if given.now - zone.since > self.pace.forget_failed_returns_after:
             zone.failed_returns = 0
-        if zone.override.keeps_out:
+        if zone.is_kept_out:
             self._leave(zone, given, zone.reason)
         elif zone.bad_since is not None:
             self._enter(zone, ZoneStage.SUSPECT, given.now, given.findings[zone.name].reason)
 
     def _step_suspect(self, zone: ZoneState, given: PlanningInput) -> None:
         finding = given.findings.get(zone.name)
-        if zone.override.keeps_out:
+        if zone.is_kept_out:
             self._leave(zone, given, zone.reason)
         elif zone.bad_since is None:
             self._enter(zone, ZoneStage.SERVING, given.now, "the failures have ended")
@@ -227,7 +227,7 @@
         self._leave_rest_if_lost(zone, given)
         time_out = given.now - zone.since
         waited = time_out >= min(self.pace.min_time_out << zone.failed_returns, self.pace.max_time_out)
-        if zone.override.keeps_out or not waited:
+        if zone.is_kept_out or not waited:
             return
         reason = f"out for {time_out / SECOND:.0f} s, flaps {zone.failed_returns}"
         self._enter(zone, ZoneStage.RETURNING, given.now, reason)
@@ -235,7 +235,7 @@
         self._begin_ramp(zone, given.now)
 
     def _step_returning(self, zone: ZoneState, given: PlanningInput) -> None:
-        if zone.override.keeps_out or self._is_confirmed_bad(zone, given.now):
+        if zone.is_kept_out or self._is_confirmed_bad(zone, given.now):
             self._end_return(zone, given)
             return
         self._grow_share(zone, given)
@@ -244,12 +244,12 @@
 
     def _end_return(self, zone: ZoneState, given: PlanningInput) -> None:
         """Out again: by hand, or because it failed again."""
-        failed = not zone.override.keeps_out
+        failed = not zone.is_kept_out
         zone.failed_returns = min(zone.failed_returns + failed, MAX_DOUBLINGS)
         zone.share = 0
         finding = given.findings.get(zone.name)
         failed_again = f"it failed again: {finding.reason if finding else zone.reason}"
-        by_hand = zone.override is not OperatorOverride.NONE
+        by_hand = zone.override != OperatorOverride.NONE
         self._enter(zone, ZoneStage.OUT, given.now, zone.reason if by_hand else failed_again)
 
     def _grow_share(self, zone: ZoneState, given: PlanningInput) -> None:
@@ -279,7 +279,7 @@
             self._keep(zone, "no other zone serves whole: the last ones are not left")
             return
         remainder = given.share_to_keep(zone.name, others, self.pace.max_utilization, 0.0)
-        if zone.override is OperatorOverride.PRACTICE and remainder:
+        if zone.override == OperatorOverride.PRACTICE and remainder:
             self._end_practice(zone, "the others can't bear its load")
             return
         self.sheds_load |= remainder > 0
@@ -304,7 +304,7 @@
             if other is not zone
             and other.share == FULL_SHARE
             and other.bad_since is None
-            and not other.override.keeps_out
+            and not other.is_kept_out
         ]
 
     def _leave_rest_if_lost(self, zone: ZoneState, given: PlanningInput) -> None:
--- a/tests/zones/test_failover_planner.py
+++ b/tests/zones/test_failover_planner.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from cypressledge.fleet.messages import ZoneStatus
 from cypressledge.fleet.zones.failover_plan import (
     FULL_SHARE,
     FailoverPace,
@@ -183,6 +184,39 @@
     assert play.share() <= heir.share() <= play.share() + FULL_SHARE / 16 + 1
 
 
+def test_an_override_of_a_later_version_is_passed_on_and_expires():
+    status = ZoneStatus("a", "serving", FULL_SHARE, 5 * S, 1, "canary", 2 * S, "by hand: a trial")
+    play = PlannerRun()
+    play.planner.resume(7, [status], False, play.now)
+    assert play.planner.statuses(play.now) == [
+        status,
+        ZoneStatus("b", "serving", FULL_SHARE, 0, 0, "", 0, ""),
+        ZoneStatus("c", "serving", FULL_SHARE, 0, 0, "", 0, ""),
+    ]
+    play.run(S)
+    assert play.planner.number == 7
+    assert play.planner.statuses(play.now)[0] == ZoneStatus(
+        "a", "serving", FULL_SHARE, 6 * S, 1, "canary", S, "by hand: a trial"
+    )
+    play.run(S)
+    assert play.events == [("zone_hand_over", "a")]
+    assert play.planner.number == 8
+    assert play.planner.statuses(play.now)[0].operator_override == ""
+
+
+@pytest.mark.parametrize(
+    ("override", "reason"), [("canary", "by hand: a trial"), ("", "it failed again: as drawn")]
+)
+def test_an_override_of_a_later_version_keeps_no_zone_in_its_stage(override, reason):
+    status = ZoneStatus("a", "returning", 500, 5 * S, 0, override, 60 * S, "by hand: a trial")
+    play = PlannerRun()
+    play.planner.resume(7, [status], False, play.now)
+    play.run(S, a=Verdict.LOST)
+    out = play.planner.statuses(play.now)[0]
+    assert (out.stage, out.share, out.flaps, out.operator_override) == ("out", 0, 1, override)
+    assert out.reason == reason
+
+
 def test_a_practice_ends_where_the_others_cannot_bear_it_or_another_zone_fails():
     heavy = {z: ZoneLoad(24.0, 32.0) for z in ZONES}
     play = PlannerRun(loads=heavy)
