--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -25,6 +25,10 @@
 MIN_ADOPTERS = 2  # brokers that have to have left a zone by themselves for the planner to adopt that
 
 
+class NotPlanningError(AttributeError):
+    """The lease was lost while the planner acted. An `AttributeError`: so it was before it had a name."""
+
+
 @dataclass(slots=True)
 class PlannerTerm:
     """The planners of zones and of regions, under one grant of the lease."""
@@ -73,7 +77,8 @@
         self.times_sent = 0  # and how often since it last changed
 
     def act(self, grant: HeldLease) -> Generator[None, None, None]:
-        """One step of the planner, in short steps of processor time."""
+        """One step of the planner, in short steps of processor time. Raises `NotPlanningError` where the
+        lease was lost between two of them."""
         now = self.links.now()
         if self.term is None or self.term.grant.token != grant.token:
             self._begin_term(grant, now)
@@ -82,11 +87,11 @@
         if self.topology.region_of:
             self.region_health = yield from assess_in_steps(*self.view.region_input(reports))
         yield None
-        term = self.term
-        if term is None:  # guards against planning on after stepping down between two steps
-            return
         now = self.links.now()
         self._log_isolated()
+        term = self.term
+        if term is None:  # guards against planning on after stepping down between two steps
+            raise NotPlanningError
         self._adopt(term.zones, reports, now)
         self._plan(term, grant, now)
 
--- /dev/null
+++ b/tests/zones/test_planner_duty.py
@@ -0,0 +1,78 @@
+"""The planner's work at the holder of its lease, where the lease is lost between two steps of an act."""
+
+from types import SimpleNamespace
+
+import pytest
+
+from cypressledge.decisions.contract import EngineListEntry, EngineState
+from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.messages import EngineObservation, EngineObservations
+from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.failover import ZoneFailover
+from cypressledge.fleet.zones.failover_plan import FailoverPace
+from cypressledge.fleet.zones.planner_duty import NotPlanningError
+from cypressledge.fleet.zones.topology import SiteTopology
+
+S = 1_000_000
+ZONES = ("a", "b")
+ENGINES = (1, 2, 3, 4)  # one half in each zone
+
+
+class Core:
+    """A core with engines, without requests."""
+
+    def __init__(self):
+        self.settings = SimpleNamespace(classes=[], kind_cores=(8,))
+        self.observer = self.is_closed = self.admission_filter = None
+        self.requests = {}
+        self.ledger = self.engines = self.loop = self
+        entries = [EngineListEntry(e, EngineState.READY, 0, (e - 1) // 2, 0, 0) for e in ENGINES]
+        self.engine_lists = {"one": [(entry, None) for entry in entries]}
+
+    def now(self):
+        return 0
+
+    def refresh(self):
+        pass
+
+
+class Planner:
+    """A broker that plans; two others report, one of which is isolated."""
+
+    def __init__(self):
+        self.events, self.sent = [], []
+        links = FleetLinks(
+            lambda: 100 * S,
+            lambda peer, message: self.sent.append((peer, message)),
+            lambda: ["n1", "n2"],
+            lambda: [],
+            lambda event, **fields: self.events.append((event, fields)),
+        )
+        self.zones = ZoneFailover("n0", Core(), SiteTopology(ZONES, {}, {}, {}), FailoverPace(), links)
+        answers = [EngineObservation(e, 9, 0, 0, 0, 0, 0, 0, 50) for e in ENGINES]
+        failures = [EngineObservation(e, 0, 0, 9, 0, 0, 0, 9) for e in ENGINES]
+        self.zones.receive("n1", EngineObservations(answers))
+        self.zones.receive("n2", EngineObservations(failures))
+
+    def act(self):
+        return self.zones.act(HeldLease("zones", "zones", 1, 7, 200 * S))
+
+
+def test_a_complete_act_logs_the_isolated_broker_and_sends_the_plan():
+    planner = Planner()
+    assert set(planner.act()) == {None}
+    assert [event for event, _ in planner.events] == ["planner", "broker_blind"]
+    assert {peer for peer, _ in planner.sent} == {"n1", "n2"}
+
+
+def test_an_act_whose_lease_is_lost_between_two_steps_fails_and_sends_no_plan():
+    planner = Planner()
+    act = planner.act()
+    next(act)
+    planner.zones.step_down_from("zones")
+    with pytest.raises(NotPlanningError):
+        list(act)
+    # What the fleet's health shows is known by then, and told.
+    assert [event for event, _ in planner.events] == ["planner", "broker_blind"]
+    assert planner.sent == []
+    assert planner.zones.dry_run("a", "leave", S, "works") is None
