--- a/cypressledge/fleet/zones/__init__.py
+++ b/cypressledge/fleet/zones/__init__.py
@@ -4,8 +4,9 @@
 
 - `observations`: what one broker's attempts show of each engine; `health`: what is wrong with a zone, from
   all brokers' observations
-- `failover_planner`: one state machine a zone, with `planning_input` (what a step goes by), `recovery_ramp`
-  (the pace of a return) and `failover_plan` (stages, shares and the pace that all share)
+- `failover_planner`: the bookkeeping of the plan; `stage_machines`: one state machine a zone, with
+  `planning_input` (what a step goes by), `recovery_ramp` (the pace of a return) and `failover_plan` (stages,
+  shares and the pace that all share)
 - `plan_follower`: the newest plan at a broker; `load_shedding`: what is shed while the others can't bear all
 
 One broker's part:
--- a/cypressledge/fleet/zones/failover_planner.py
+++ b/cypressledge/fleet/zones/failover_planner.py
@@ -1,52 +1,49 @@
-"""Decides which zones the fleet leaves and how it returns to them: one state machine a zone. No I/O.
+"""The failover plan as its planner keeps it: its number, what changes it, and handing it over. No I/O.
 
-The planner runs under a lease and is stepped by its holder; all brokers follow the newest plan. Callers pass
-the time (µs).
+The planner runs under a lease and is stepped by its holder; all brokers follow the newest plan. What moves
+zones from stage to stage is `stage_machines.py`'s. Callers pass the time (µs).
 """
 
-from collections.abc import Callable
-from copy import deepcopy
-from typing import ClassVar
+from collections.abc import Mapping, Sequence
 
 from cypressledge.fleet.messages import ZoneStatus
 from cypressledge.fleet.zones.failover_plan import (
-    FULL_SHARE,
-    SECOND,
-    SHARE_STEPS,
     FailoverPace,
     OperatorOverride,
     ZoneLoad,
     ZoneStage,
     ZoneState,
 )
-from cypressledge.fleet.zones.health import Verdict, ZoneFinding
+from cypressledge.fleet.zones.health import ZoneFinding
 from cypressledge.fleet.zones.planning_input import PlanningInput
-from cypressledge.fleet.zones.recovery_ramp import recovery_share
+from cypressledge.fleet.zones.stage_machines import LogZoneEvent, ZoneStageMachines
 
-MAX_DOUBLINGS = 16  # failed returns that are counted: guards against a shift without bounds
-MAX_WHY = 160  # characters of a reason in a plan: it has to fit into a datagram
-
-LogZoneEvent = Callable[[str, str, str], None]  # gets the event, the zone and why
-StageStep = Callable[["FailoverPlanner", ZoneState, PlanningInput], None]
+MAX_REASON = 160  # characters of a reason in a plan: it has to fit into a datagram
 
 
 class FailoverPlanner:
-    """The state machines of all zones."""
+    """The plan for zones, or for regions in their place."""
 
-    def __init__(self, zones: list[str], pace: FailoverPace, now: int, log_event: LogZoneEvent) -> None:
-        self.pace = pace
-        self.log_event = log_event
-        self.zones = {name: ZoneState(name, since=now) for name in zones}
+    def __init__(self, zones: Sequence[str], pace: FailoverPace, now: int, log_event: LogZoneEvent) -> None:
+        self.machines = ZoneStageMachines(zones, pace, now, log_event)
         self.number = 0  # of the plan: grows with each change
-        self.use = 1.0  # part of all cores that the work takes
-        self.sheds_load = False  # the others can't bear what has been left: requests are shed
         self._last_key = self._key()
 
+    @property
+    def zones(self) -> Mapping[str, ZoneState]:
+        """The zones by name, as they stand."""
+        return self.machines.zones
+
+    @property
+    def sheds_load(self) -> bool:
+        """Whether the others can't bear what has been left, so that requests are shed."""
+        return self.machines.sheds_load
+
     def resume(self, number: int, statuses: list[ZoneStatus], sheds: bool, now: int) -> None:
         """Go on from another planner's plan, with its shares and ages: guards against a jump of shares when
         the planner changes."""
         self.number = max(self.number, number)
-        self.sheds_load = sheds
+        self.machines.sheds_load = sheds
         for status in statuses:
             zone = self.zones.get(status.name)
             if zone is None:
@@ -61,12 +58,10 @@
         self._last_key = self._key()
 
     def trial(self, log_event: LogZoneEvent) -> "FailoverPlanner":
-        """A copy that can be stepped to see what would come of it."""
-        trial = FailoverPlanner(list(self.zones), self.pace, 0, log_event)
-        trial.zones = deepcopy(self.zones)
+        """A copy that can be stepped to see what would come of it; its events go to `log_event`."""
+        trial = FailoverPlanner((), self.machines.pace, 0, log_event)
+        trial.machines = self.machines.trial(log_event)
         trial.number = self.number
-        trial.use = self.use
-        trial.sheds_load = self.sheds_load
         trial._last_key = self._last_key
         return trial
 
@@ -90,20 +85,12 @@
 
     def bring_back(self, name: str, now: int, reason: str) -> None:
         """Return to a zone by hand: no override any more, and no waiting."""
-        zone = self.zones[name]
-        zone.override = OperatorOverride.NONE
-        if zone.stage in (ZoneStage.OUT, ZoneStage.LEAVING):
-            self._enter(zone, ZoneStage.RETURNING, now, reason)
-            zone.bad_since = None
-            self._begin_ramp(zone, now)
+        self.machines.bring_back(self.zones[name], now, reason)
 
     def adopt(self, name: str, now: int, reason: str) -> None:
         """Take on that brokers left a zone while there was no planner: it is out, and returns like any
         other."""
-        zone = self.zones[name]
-        zone.share = 0
-        zone.bad_since = None
-        self._enter(zone, ZoneStage.OUT, now, reason)
+        self.machines.adopt(self.zones[name], now, reason)
 
     # The step
 
@@ -115,16 +102,7 @@
         over_quota: float = 0.0,
     ) -> bool:
         """Let time and findings work; whether the plan has changed, also by commands since the last step."""
-        given = PlanningInput(now, findings, loads, over_quota)
-        self.use = given.use()
-        for zone in self.zones.values():
-            self._record_finding(zone, given)
-        for zone in self.zones.values():
-            self._step_override(zone, now)
-            if zone.override != OperatorOverride.HOLD:
-                self._STAGE_STEPS[zone.stage](self, zone, given)
-        if all(zone.stage is ZoneStage.SERVING for zone in self.zones.values()):
-            self.sheds_load = False
+        self.machines.step(PlanningInput(now, findings, loads, over_quota))
         before, self._last_key = self._last_key, self._key()
         changed = self._last_key != before
         self.number += changed
@@ -145,177 +123,9 @@
             zone.failed_returns,
             zone.override,
             override_left,
-            zone.reason[:MAX_WHY],
+            zone.reason[:MAX_REASON],
         )
 
     def _key(self) -> tuple:
         """What a change of makes a new plan."""
         return (self.sheds_load, *((zone.stage, zone.share, zone.override) for zone in self.zones.values()))
-
-    def _record_finding(self, zone: ZoneState, given: PlanningInput) -> None:
-        """Keep since when a zone has been bad. Insufficient data leaves it as it was."""
-        finding = given.findings.get(zone.name)
-        verdict = finding.verdict if finding else Verdict.INSUFFICIENT_DATA
-        if verdict is Verdict.LOST or (
-            verdict is Verdict.SLOW and given.is_slow_while_idle(zone.name, self.pace.idle_utilization)
-        ):
-            zone.bad_since = given.now if zone.bad_since is None else zone.bad_since
-        elif verdict is not Verdict.INSUFFICIENT_DATA:
-            zone.bad_since = None
-
-    def _step_override(self, zone: ZoneState, now: int) -> None:
-        """End what is by hand once its time has passed, and a practice once another zone fails."""
-        if zone.override != OperatorOverride.NONE and now >= zone.override_until:
-            self.log_event("zone_hand_over", zone.name, f"the time for {zone.override} has passed")
-            zone.override = OperatorOverride.NONE
-        if zone.override == OperatorOverride.PRACTICE and (failing := self._another_failing(zone)):
-            self._end_practice(zone, f"{failing} fails")
-            if zone.stage is not ZoneStage.SERVING:
-                self.bring_back(zone.name, now, f"practice over: {failing} fails")
-
-    def _another_failing(self, practising: ZoneState) -> str:
-        """Another zone that fails, if one does."""
-        failing = (ZoneStage.SUSPECT, ZoneStage.LEAVING, ZoneStage.OUT)
-        for zone in self.zones.values():
-            if zone is not practising and (zone.bad_since is not None or zone.stage in failing):
-                return zone.name
-        return ""
-
-    def _end_practice(self, zone: ZoneState, reason: str) -> None:
-        zone.override = OperatorOverride.NONE
-        self.log_event("zone_practice_over", zone.name, reason)
-
-    def _enter(self, zone: ZoneState, stage: ZoneStage, now: int, reason: str) -> None:
-        zone.stage = stage
-        zone.since = now
-        zone.reason = reason
-        self.log_event(f"zone_{stage.value}", zone.name, reason)
-
-    def _begin_ramp(self, zone: ZoneState, now: int) -> None:
-        zone.share = max(zone.share, recovery_share(0, self.pace, self.use))
-        zone.share_grew_at = now
-
-    def _is_confirmed_bad(self, zone: ZoneState, now: int) -> bool:
-        return zone.bad_since is not None and now - zone.bad_since >= self.pace.confirmation_time
-
-    # One step of each stage
-
-    def _step_serving(self, zone: ZoneState, given: PlanningInput) -> None:
-        zone.share = FULL_SHARE
-        if given.now - zone.since > self.pace.forget_failed_returns_after:
-            zone.failed_returns = 0
-        if zone.is_kept_out:
-            self._leave(zone, given, zone.reason)
-        elif zone.bad_since is not None:
-            self._enter(zone, ZoneStage.SUSPECT, given.now, given.findings[zone.name].reason)
-
-    def _step_suspect(self, zone: ZoneState, given: PlanningInput) -> None:
-        finding = given.findings.get(zone.name)
-        if zone.is_kept_out:
-            self._leave(zone, given, zone.reason)
-        elif zone.bad_since is None:
-            self._enter(zone, ZoneStage.SERVING, given.now, "the failures have ended")
-        elif self._is_confirmed_bad(zone, given.now) and finding is not None:
-            self._leave(zone, given, finding.reason)
-
-    def _step_leaving(self, zone: ZoneState, given: PlanningInput) -> None:
-        self._leave_rest_if_lost(zone, given)
-        if given.now - zone.since >= self.pace.drain_time:
-            self._enter(zone, ZoneStage.OUT, given.now, zone.reason)
-
-    def _step_out(self, zone: ZoneState, given: PlanningInput) -> None:
-        self._leave_rest_if_lost(zone, given)
-        time_out = given.now - zone.since
-        waited = time_out >= min(self.pace.min_time_out << zone.failed_returns, self.pace.max_time_out)
-        if zone.is_kept_out or not waited:
-            return
-        reason = f"out for {time_out / SECOND:.0f} s, flaps {zone.failed_returns}"
-        self._enter(zone, ZoneStage.RETURNING, given.now, reason)
-        zone.bad_since = None
-        self._begin_ramp(zone, given.now)
-
-    def _step_returning(self, zone: ZoneState, given: PlanningInput) -> None:
-        if zone.is_kept_out or self._is_confirmed_bad(zone, given.now):
-            self._end_return(zone, given)
-            return
-        self._grow_share(zone, given)
-        if zone.share >= FULL_SHARE:
-            self._enter(zone, ZoneStage.SERVING, given.now, "back whole")
-
-    def _end_return(self, zone: ZoneState, given: PlanningInput) -> None:
-        """Out again: by hand, or because it failed again."""
-        failed = not zone.is_kept_out
-        zone.failed_returns = min(zone.failed_returns + failed, MAX_DOUBLINGS)
-        zone.share = 0
-        finding = given.findings.get(zone.name)
-        failed_again = f"it failed again: {finding.reason if finding else zone.reason}"
-        by_hand = zone.override != OperatorOverride.NONE
-        self._enter(zone, ZoneStage.OUT, given.now, zone.reason if by_hand else failed_again)
-
-    def _grow_share(self, zone: ZoneState, given: PlanningInput) -> None:
-        """One step up at most. Strain halts the return where it is; after it, it goes on a step at a time."""
-        waited = given.now - zone.share_grew_at >= self.pace.share_step_interval
-        if zone.bad_since is not None or given.is_strained(zone.name) or not waited:
-            return
-        target = recovery_share(given.now - zone.since, self.pace, self.use)
-        if target > zone.share:
-            zone.share = min(target, zone.share + -(-FULL_SHARE // SHARE_STEPS))
-            zone.share_grew_at = given.now
-
-    _STAGE_STEPS: ClassVar[dict[ZoneStage, StageStep]] = {
-        ZoneStage.SERVING: _step_serving,
-        ZoneStage.SUSPECT: _step_suspect,
-        ZoneStage.LEAVING: _step_leaving,
-        ZoneStage.OUT: _step_out,
-        ZoneStage.RETURNING: _step_returning,
-    }
-
-    # Leaving
-
-    def _leave(self, zone: ZoneState, given: PlanningInput, reason: str) -> None:
-        """Leave a zone, in part where the others can't bear all of a zone that still serves."""
-        others = self._serving_others(zone)
-        if not others:
-            self._keep(zone, "no other zone serves whole: the last ones are not left")
-            return
-        remainder = given.share_to_keep(zone.name, others, self.pace.max_utilization, 0.0)
-        if zone.override == OperatorOverride.PRACTICE and remainder:
-            self._end_practice(zone, "the others can't bear its load")
-            return
-        self.sheds_load |= remainder > 0
-        share = 0
-        if remainder and not given.is_lost(zone.name):
-            share = given.share_to_keep(zone.name, others, self.pace.max_utilization, given.over_quota)
-        if share >= FULL_SHARE:
-            self._keep(zone, "the other zones can't bear any of its load")
-            return
-        zone.share = share
-        zone.kept_reason = ""
-        limits = f"{100 - share // 10}% of it: the others can't bear more; " if share else ""
-        if remainder and given.over_quota > 0:
-            limits += f"what is over its tenants' shares ({given.over_quota:.0%}) is refused first; "
-        self._enter(zone, ZoneStage.LEAVING, given.now, limits + reason)
-
-    def _serving_others(self, zone: ZoneState) -> list[str]:
-        """The other zones that can take its load on."""
-        return [
-            other.name
-            for other in self.zones.values()
-            if other is not zone
-            and other.share == FULL_SHARE
-            and other.bad_since is None
-            and not other.is_kept_out
-        ]
-
-    def _leave_rest_if_lost(self, zone: ZoneState, given: PlanningInput) -> None:
-        """Leave the rest of a zone that was left in part and is lost now."""
-        if zone.share and given.is_lost(zone.name) and self._is_confirmed_bad(zone, given.now):
-            zone.share = 0
-            zone.reason = given.findings[zone.name].reason
-            self.log_event("zone_left_whole", zone.name, zone.reason)
-
-    def _keep(self, zone: ZoneState, reason: str) -> None:
-        """A zone is not left after all; logged once."""
-        if zone.kept_reason != reason:
-            zone.kept_reason = reason
-            self.log_event("zone_kept", zone.name, reason)
--- a/tests/recordings/test_zone_decisions_recording.py
+++ b/tests/recordings/test_zone_decisions_recording.py
@@ -176,9 +176,9 @@
             changed,
             planner.number,
             planner.sheds_load,
-            planner.use,
+            planner.machines.use,
             planner.statuses(now),
-            [usable_fraction(z, now, planner.pace) for z in planner.zones.values()],
+            [usable_fraction(z, now, planner.machines.pace) for z in planner.zones.values()],
         )
         if number % 1_000 == 999:
             stood, heir = planner.statuses(now), FailoverPlanner(list(ZONES), FailoverPace(), 0, out.event)
--- a/tests/zones/test_failover_planner.py
+++ b/tests/zones/test_failover_planner.py
@@ -65,7 +65,7 @@
         shares.append((play.now - began, play.share()))
         can = PACE.cold_capacity + (1 - PACE.cold_capacity) * (play.now - began) / PACE.warm_up_time
         work = (
-            play.share() / FULL_SHARE * play.planner.use
+            play.share() / FULL_SHARE * play.planner.machines.use
         )  # of its cores, while the fleet's work stays as it is
         assert play.now - began >= 1.25 * PACE.warm_up_time or work <= PACE.safety_margin * can + 1e-9
     assert shares[0][1] > 0
