--- a/cypressledge/decisions/lifecycle.py
+++ b/cypressledge/decisions/lifecycle.py
@@ -85,7 +85,7 @@
             return True
         if request.engine is not None:
             return False
-        return request.may_have_executed_since is None or (
+        return request.first_possible_execution is None or (
             class_settings.idempotency is Idempotency.WITH_KEY
             and class_settings.deduplication_scope is DeduplicationScope.ALL
         )
--- a/cypressledge/decisions/outcomes.py
+++ b/cypressledge/decisions/outcomes.py
@@ -13,7 +13,7 @@
 from cypressledge.decisions.lost_responses import LostResponses
 from cypressledge.decisions.pace import FleetPace
 from cypressledge.decisions.queues import ClassQueues
-from cypressledge.decisions.request import Request
+from cypressledge.decisions.request import PossibleExecution, Request
 from cypressledge.decisions.retries import RetryPolicy, window_end
 
 
@@ -59,8 +59,8 @@
         self._release(engine, request)
         self._learn(engine, request, ended)
         request.engine, request.cancelling = None, False
-        if ended.outcome not in NEVER_EXECUTED and request.may_have_executed_since is None:
-            request.may_have_executed_since, request.may_have_executed_on = request.sent_at, engine
+        if ended.outcome not in NEVER_EXECUTED and request.first_possible_execution is None:
+            request.first_possible_execution = PossibleExecution(request.sent_at, engine)
         self._lifecycle.key_order.record_end(request, ended.outcome)
         if request.finished:
             self._lifecycle.forget(request)
@@ -82,10 +82,10 @@
             self._lifecycle.give_up(request, reason)
             return
         request.avoided_engine = failed_engine
-        class_settings, may_have_executed_since = request.class_settings, request.may_have_executed_since
-        if class_settings.idempotency is Idempotency.WITH_KEY and may_have_executed_since is not None:
+        class_settings, execution = request.class_settings, request.first_possible_execution
+        if class_settings.idempotency is Idempotency.WITH_KEY and execution is not None:
             # it waits within its deduplication window only
-            end = window_end(class_settings, may_have_executed_since)
+            end = window_end(class_settings, execution)
             self._lifecycle.deadlines.schedule(end, request.id)
         self._queues.enqueue(request)
 
--- a/cypressledge/decisions/request.py
+++ b/cypressledge/decisions/request.py
@@ -11,6 +11,14 @@
     from cypressledge.decisions.engines import Engine
 
 
+@dataclass(frozen=True, slots=True)
+class PossibleExecution:
+    """An attempt that ended without an answer, or with an error: the engine may have executed it."""
+
+    started_at: int  # µs
+    engine: Engine
+
+
 @dataclass(slots=True, eq=False)
 class Request:
     """State of one request; moments and spans are in µs, compared by identity."""
@@ -34,8 +42,7 @@
     last_activity_at: int = 0  # last news of the attempt
     reserved_memory_mb: float = 0.0  # counted against the engine while the attempt runs
     resources: tuple[float, int] | None = None  # grant in MB and priority, as last set
-    may_have_executed_since: int | None = None  # start of the first attempt that may have been executed
-    may_have_executed_on: Engine | None = None  # engine of that attempt
+    first_possible_execution: PossibleExecution | None = None
     avoided_engine: Engine | None = None  # engine of the last attempt that failed
     queued: bool = False
     finished: bool = False  # nothing more is owed to the client
--- a/cypressledge/decisions/retries.py
+++ b/cypressledge/decisions/retries.py
@@ -6,7 +6,7 @@
 from cypressledge.decisions.contract import ClassSettings, DeduplicationScope, Idempotency, Reason
 from cypressledge.decisions.deadlines import DEADLINE_MARGIN
 from cypressledge.decisions.engines import Engine
-from cypressledge.decisions.request import Request
+from cypressledge.decisions.request import PossibleExecution, Request
 from cypressledge.decisions.units import MS
 
 WINDOW_MARGIN = 600 * MS  # before a deduplication window ends: a send may wait 500 ms for its connection
@@ -69,8 +69,8 @@
         """What keeps a retry from leaving now: asked again as an engine becomes free, which may be late."""
         if not self._budget.allows_retry():
             return Reason.RETRY_BUDGET
-        since = request.may_have_executed_since
-        return reason_against_repeat(request.class_settings, since, self._context.now)
+        execution = request.first_possible_execution
+        return reason_against_repeat(request.class_settings, execution, self._context.now)
 
 
 def _drop_until(moments: deque[int], last: int) -> None:
@@ -78,23 +78,23 @@
         moments.popleft()
 
 
-def window_end(class_settings: ClassSettings, may_have_executed_since: int) -> int:
-    """Last moment, µs, at which a request with a key that may have been executed since then is sent again."""
-    return may_have_executed_since + class_settings.deduplication_window - WINDOW_MARGIN
+def window_end(class_settings: ClassSettings, execution: PossibleExecution) -> int:
+    """Moment, µs, from which a request with a key that may have been executed is not sent again."""
+    return execution.started_at + class_settings.deduplication_window - WINDOW_MARGIN
 
 
 def reason_against_repeat(
-    class_settings: ClassSettings, may_have_executed_since: int | None, now: int
+    class_settings: ClassSettings, execution: PossibleExecution | None, now: int
 ) -> Reason | None:
-    """What keeps a request that may have been executed from being sent again now; None where nothing does.
+    """What keeps a request from being sent again at `now`, µs; None where nothing does.
 
-    `may_have_executed_since` is the start of the first attempt that may have been executed, None without any.
+    `execution` is the first attempt that may have been executed, None without any.
     """
-    if may_have_executed_since is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
+    if execution is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
         return None
     if class_settings.idempotency is not Idempotency.WITH_KEY:
         return Reason.MAY_HAVE_EXECUTED
-    if now < window_end(class_settings, may_have_executed_since):
+    if now < window_end(class_settings, execution):
         return None
     return Reason.DEDUPLICATION_WINDOW_OVER
 
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -107,7 +107,8 @@
             engines = [engine for engine in engines if engine.kind in kinds]
         if (zones := class_settings.required_zones) is not None:
             engines = [engine for engine in engines if engine.zone in zones]
-        if (first := request.may_have_executed_on) is not None:
+        if (execution := request.first_possible_execution) is not None:
+            first = execution.engine
             engines = [engine for engine in engines if deduplicates(class_settings, first, engine)]
         if class_settings.is_load or class_settings.blocked_by_loads:
             excluded = self._affinity.excluded_engines(request)
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -23,6 +23,7 @@
 from cypressledge.decisions.odds import OddsController
 from cypressledge.decisions.outcomes import AnswerObservers, AttemptOutcomes
 from cypressledge.decisions.queues import ClassQueues
+from cypressledge.decisions.request import PossibleExecution
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
 from tests.decisions.parts import LOOKUP, SECOND, context, registry, sent
 
@@ -147,7 +148,7 @@
     if state == "in flight":
         f.send(made)
     elif state == "may have run":
-        made.may_have_executed_since, made.may_have_executed_on = f.context.now, f.engine
+        made.first_possible_execution = PossibleExecution(f.context.now, f.engine)
     f.life.give_up(made, Reason.DEADLINE)
     assert f.answers() == [(answer, Reason.DEADLINE)]
 
@@ -237,10 +238,9 @@
     made = f.send(f.receive())
     began = f.context.now
     f.end(made, outcome, after=1_000)
-    assert made.may_have_executed_since == (began if since else None)
-    assert made.may_have_executed_on is (f.engine if since else None)
+    assert made.first_possible_execution == (PossibleExecution(began, f.engine) if since else None)
     f.end(f.send(made), Outcome.RESET, after=1_000)
-    assert made.may_have_executed_since == (began if since else began + 1_000)
+    assert made.first_possible_execution.started_at == (began if since else began + 1_000)
 
 
 def test_a_request_with_a_key_waits_within_its_window_only():
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -3,6 +3,7 @@
 import pytest
 
 from cypressledge.decisions.contract import ClassSettings, DeduplicationScope, Idempotency, Reason
+from cypressledge.decisions.request import PossibleExecution
 from cypressledge.decisions.retries import (
     RetryBudget,
     RetryPolicy,
@@ -12,6 +13,7 @@
 )
 from tests.decisions.parts import SECOND, START, context, entry, registry, request
 
+EXECUTION = PossibleExecution(START, engine=None)  # the rules on time ask for no engine
 UNSAFE = ClassSettings(latency_objective=SECOND, deadline=5 * SECOND, idempotency=Idempotency.NOT_IDEMPOTENT)
 
 
@@ -101,15 +103,15 @@
 
 
 def test_what_may_have_run_is_repeated_by_its_class_alone():
-    assert reason_against_repeat(ClassSettings(SECOND, SECOND), START, START + 99 * SECOND) is None
-    assert reason_against_repeat(UNSAFE, START, START) is Reason.MAY_HAVE_EXECUTED
+    assert reason_against_repeat(ClassSettings(SECOND, SECOND), EXECUTION, START + 99 * SECOND) is None
+    assert reason_against_repeat(UNSAFE, EXECUTION, START) is Reason.MAY_HAVE_EXECUTED
 
 
 def test_a_key_allows_repeats_until_short_of_its_windows_end():
     end = START + 5 * SECOND - 600_000
-    assert window_end(keyed(), START) == end
-    assert reason_against_repeat(keyed(), START, end - 1) is None
-    assert reason_against_repeat(keyed(), START, end) is Reason.DEDUPLICATION_WINDOW_OVER
+    assert window_end(keyed(), EXECUTION) == end
+    assert reason_against_repeat(keyed(), EXECUTION, end - 1) is None
+    assert reason_against_repeat(keyed(), EXECUTION, end) is Reason.DEDUPLICATION_WINDOW_OVER
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -11,8 +11,9 @@
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.load_reports import LoadReports
 from cypressledge.decisions.pace import FleetPace
+from cypressledge.decisions.request import PossibleExecution
 from cypressledge.decisions.routing import Router
-from tests.decisions.parts import LOOKUP, SECOND, context, entry, registry, request
+from tests.decisions.parts import LOOKUP, SECOND, START, context, entry, registry, request
 
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
 LOAD = replace(LOOKUP, is_load=True, latency_objective=10 * SECOND)
@@ -94,7 +95,7 @@
     keyed = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ZONE)
     f = Routing(keyed, engines=[entry(1), entry(2, zone=1), entry(3)])
     made = request(f.context)
-    made.may_have_executed_on = f.engine(2)
+    made.first_possible_execution = PossibleExecution(START, f.engine(2))
     assert f.chosen_for(made) == {2: 200}
 
 
