--- a/cypressledge/decisions/retries.py
+++ b/cypressledge/decisions/retries.py
@@ -9,7 +9,9 @@
 from cypressledge.decisions.request import PossibleExecution, Request
 from cypressledge.decisions.units import MS
 
-WINDOW_MARGIN = 600 * MS  # before a deduplication window ends: a send may wait 500 ms for its connection
+# Time before a deduplication window's end from which nothing is repeated. It has to be over the time that a
+# send may wait for its connection (Settings.max_send_delay, which the broker sets to 500 ms).
+WINDOW_MARGIN = 600 * MS
 
 
 class RetryBudget:
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -2,9 +2,11 @@
 
 import pytest
 
+from cypressledge.broker.requests import MAX_SEND_DELAY
 from cypressledge.decisions.contract import ClassSettings, DeduplicationScope, Idempotency, Reason
 from cypressledge.decisions.request import PossibleExecution
 from cypressledge.decisions.retries import (
+    WINDOW_MARGIN,
     RetryBudget,
     RetryPolicy,
     deduplicates,
@@ -114,6 +116,10 @@
     assert reason_against_repeat(keyed(), EXECUTION, end) is Reason.DEDUPLICATION_WINDOW_OVER
 
 
+def test_the_margin_covers_the_longest_wait_of_a_send():
+    assert WINDOW_MARGIN > MAX_SEND_DELAY
+
+
 @pytest.mark.parametrize(
     ("scope", "dropped_at"),
     [
