--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -4,7 +4,7 @@
 from the queries that they block.
 """
 
-from collections.abc import Collection
+from collections.abc import Collection, Mapping
 from math import ceil
 
 from cypressledge.decisions.context import DecisionContext
@@ -117,8 +117,11 @@
         ahead = engine.loads_in_flight.get(load.table_group, 0) * broker_count * work / threads
         return ahead <= LOADS_AHEAD_SHARE * (load.objective_at - load.received_at)
 
-    def preference_distances(self, preferred_count: int) -> dict[Engine, float]:
-        """0.0 for this broker's own engines; the further in its order of engines the more for any other."""
+    def preference_distances(self, preferred_count: int) -> Mapping[Engine, float]:
+        """By engine, how far it is from the first `preferred_count` in this broker's order of engines.
+
+        0.0 for those; 1.0 for the next one, and one more for every `preferred_count` further.
+        """
         ranks = self.ranked(-1 - self._context.settings.broker_index)
         return {
             engine: (i >= preferred_count) * (1.0 + (i - preferred_count) / preferred_count)
--- a/cypressledge/decisions/manager.py
+++ b/cypressledge/decisions/manager.py
@@ -4,7 +4,7 @@
 odds a PI loop tunes; a router chooses the engine. docs/design.md names each departure from the paper.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Sequence
 from random import Random
 from typing import Any
 
@@ -90,7 +90,7 @@
 
     def _reactions_by_event(
         self, outcomes: AttemptOutcomes, progress: ProgressNotifications
-    ) -> dict[type, Callable[[Any], None]]:
+    ) -> Mapping[type, Callable[[Any], None]]:
         return {
             EngineListReceived: self.subscription.list_received,
             RequestReceived: self.lifecycle.receive,
@@ -114,18 +114,18 @@
         return self.context.settings
 
     @property
-    def engines(self) -> dict[int, Engine]:
+    def engines(self) -> Mapping[int, Engine]:
         """Engines by id: those listed, and those removed where attempts still run."""
         return self.registry.engines
 
     @property
-    def latency_ratios(self) -> list[float]:
+    def latency_ratios(self) -> Sequence[float]:
         """By class: latency over run time of recent answers, over all engines."""
         return self.estimates.latency_ratios
 
     @property
-    def requests(self) -> dict[int, Request]:
-        """Open requests by id."""
+    def requests(self) -> Mapping[int, Request]:
+        """Requests by id that are owed an answer, or have an attempt whose outcome has not come yet."""
         return self.lifecycle.requests
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -3,7 +3,7 @@
 A cost is in threads a core: own work in flight, and terms of the same unit for what speaks against an engine.
 """
 
-from collections.abc import Collection, Sequence
+from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
 
 from cypressledge.decisions.affinity import Affinity
@@ -44,7 +44,7 @@
     fleet_slowdown: float
     mean_load: float  # threads a core, of load reports
     load_spread: float
-    distances: dict[Engine, float]  # from the broker's own engines
+    distances: Mapping[Engine, float]  # from the broker's own engines
     group_engines: Collection[Engine]
     load_engines: Collection[Engine]
 
