--- a/cypressledge/simulator_adapter.py
+++ b/cypressledge/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The decision module on the simulator's wire: events on standard input, actions on standard output.
+"""Runs the decisions under the simulator: events on standard input, actions on standard output.
 
-Run with `python -m cypressledge.simulator_adapter`. It hosts one WorkloadManager per instance and decides
-nothing.
+Run with `python -m cypressledge.simulator_adapter`. It hosts one WorkloadManager for each instance, and makes
+no decision itself. The wire format is that of `cypressledge.simulator_wire`.
 """
 
 import sys
@@ -10,15 +10,15 @@
 from typing import BinaryIO
 
 from cypressledge import simulator_wire as wire
-from cypressledge.decisions import contract as c
+from cypressledge.decisions import contract
 from cypressledge.decisions.manager import WorkloadManager
 from cypressledge.settings import SettingsError, parse_settings_json
 from cypressledge.simulator_wire import EventCode, WireError
 
-EXIT_BAD_INPUT = 2
-_BATCH_NUMBER_AT = wire.FRAME_HEAD.size - 2 * wire.LENGTH.size  # in a frame without its length
+EXIT_BAD_INPUT = 2  # exit status after input that is not in the wire format
+_BATCH_NUMBER_OFFSET = wire.FRAME_HEAD.size - 2 * wire.LENGTH.size  # in a frame without its length
 
-Decoder = Callable[[bytes, int], c.Event | None]
+Decoder = Callable[[bytes, int], contract.Event | None]
 
 _DECODERS: dict[int, Decoder] = {
     EventCode.ANSWER: wire.decode_answer,
@@ -31,15 +31,15 @@
 
 
 class Batch:
-    """One frame of events while it is read: what each instance is to be told, and the reply so far."""
+    """One frame of events while it is read, with the events of each instance and the reply so far."""
 
     __slots__ = ("frame", "now", "tail", "events", "reply")
 
     def __init__(self, frame: bytes, now: int, tail: int) -> None:
         self.frame = frame
         self.now = now
-        self.tail = tail  # where the content without fixed size begins
-        self.events: dict[int, list[c.Event]] = {}
+        self.tail = tail  # offset of the content of variable size
+        self.events: dict[int, list[contract.Event]] = {}
         self.reply = wire.Reply()
 
 
@@ -48,23 +48,23 @@
 
     def __init__(self) -> None:
         self.managers: dict[int, WorkloadManager] = {}
-        self._catalogues: dict[int, tuple[c.EngineListEntry, ...]] = {}
+        self._catalogues: dict[int, tuple[contract.EngineListEntry, ...]] = {}
 
     def handle_batch(self, frame: bytes) -> bytes:
-        """Answer one frame of events."""
+        """The frame that answers one frame of events; raises `WireError` for a malformed one."""
         _, now, count, number = wire.FRAME_HEAD.unpack_from(frame)
         tail = wire.FRAME_HEAD.size + wire.EVENT_BYTES * count
         if tail > len(frame):
             raise WireError(f"{count} records do not fit into {len(frame)} bytes")
         batch = Batch(frame, now, tail)
-        for at in range(wire.FRAME_HEAD.size, tail, wire.EVENT_BYTES):
-            self._read_record(batch, at)
+        for offset in range(wire.FRAME_HEAD.size, tail, wire.EVENT_BYTES):
+            self._read_record(batch, offset)
         for instance, events in batch.events.items():
             self._run(batch, instance, events)
         return batch.reply.encode(number)
 
-    def _run(self, batch: Batch, instance: int, events: list[c.Event]) -> None:
-        """Hand an instance its events; an exception of its module becomes a record that ends its day."""
+    def _run(self, batch: Batch, instance: int, events: list[contract.Event]) -> None:
+        """Hand an instance its events; an exception of its decisions becomes a record, which ends its run."""
         try:
             manager = self.managers.get(instance)
             actions = manager.handle(batch.now, events) if manager is not None else ()
@@ -75,47 +75,47 @@
         for action in actions:
             batch.reply.add(instance, action)
 
-    def _read_record(self, batch: Batch, at: int) -> None:
-        """Take one event; those that concern no decision are checked and skipped."""
+    def _read_record(self, batch: Batch, offset: int) -> None:
+        """Decode one record; those that concern no decision are checked and skipped."""
         frame = batch.frame
-        code = frame[at]
+        code = frame[offset]
         decode = _DECODERS.get(code)
         if decode is not None:
-            event = decode(frame, at)
+            event = decode(frame, offset)
         elif code == EventCode.DIRECTORY_UPDATE:
-            event = wire.decode_directory_update(frame, at, self._catalogues)
+            event = wire.decode_directory_update(frame, offset, self._catalogues)
         else:
-            self._read_control_record(batch, at, code)
+            self._read_control_record(batch, offset, code)
             return
         if event is not None:
-            batch.events.setdefault(wire.INSTANCE.unpack_from(frame, at)[0], []).append(event)
+            batch.events.setdefault(wire.INSTANCE.unpack_from(frame, offset)[0], []).append(event)
 
-    def _read_control_record(self, batch: Batch, at: int, code: int) -> None:
-        """Take a record that is no event of the decision module."""
+    def _read_control_record(self, batch: Batch, offset: int, code: int) -> None:
+        """Handle a record that is no event of the decisions."""
         frame = batch.frame
         if code == EventCode.CATALOG:
-            number, offset, count = wire.CATALOG.unpack_from(frame, at)
-            raw = wire.tail_slice(frame, batch.tail, offset, count * wire.CATALOG_ENTRY.size)
+            number, tail_offset, count = wire.CATALOG.unpack_from(frame, offset)
+            raw = wire.tail_slice(frame, batch.tail, tail_offset, count * wire.CATALOG_ENTRY.size)
             self._catalogues[number] = wire.decode_entries(raw)
         elif code == EventCode.START:
-            self._start(batch, at)
+            self._start(batch, offset)
         elif code == EventCode.SHUTDOWN:
-            instance = wire.INSTANCE.unpack_from(frame, at)[0]
+            instance = wire.INSTANCE.unpack_from(frame, offset)[0]
             self.managers.pop(instance, None)
             batch.events.pop(instance, None)
         elif code == EventCode.PEER_MESSAGE:
             wire.tail_slice(
-                frame, batch.tail, *wire.PEER_MESSAGE.unpack_from(frame, at + wire.PEER_MESSAGE_AT)
+                frame, batch.tail, *wire.PEER_MESSAGE.unpack_from(frame, offset + wire.PEER_MESSAGE_OFFSET)
             )
         elif code != EventCode.STREAM_STARTED:
             raise WireError(f"unknown event code {code}")
 
-    def _start(self, batch: Batch, at: int) -> None:
-        """An instance starts with no state; settings that no site can mean are its crash."""
-        instance, seed, offset, size = wire.START.unpack_from(batch.frame, at)
+    def _start(self, batch: Batch, offset: int) -> None:
+        """Start an instance with no state; invalid settings are reported as its crash."""
+        instance, seed, tail_offset, size = wire.START.unpack_from(batch.frame, offset)
         batch.events[instance] = []
         try:
-            settings = parse_settings_json(wire.tail_slice(batch.frame, batch.tail, offset, size))
+            settings = parse_settings_json(wire.tail_slice(batch.frame, batch.tail, tail_offset, size))
             self.managers[instance] = WorkloadManager(settings, seed)
         except ValueError as err:
             self.managers.pop(instance, None)
@@ -124,7 +124,7 @@
 
 
 def _read_frame(source: BinaryIO, head: bytes) -> bytes:
-    """The rest of a frame whose length has come."""
+    """The rest of a frame after its length; raises `WireError` where the input ends before it is complete."""
     if len(head) < wire.LENGTH.size:
         raise WireError("frame is cut short")
     size = wire.LENGTH.unpack(head)[0]
@@ -137,14 +137,14 @@
 
 
 def main() -> int:
-    """Answer frames until the input ends."""
+    """Answer frames until the input ends; the exit status of the process."""
     adapter, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
     number = 0
     try:
         while head := source.read(wire.LENGTH.size):
             where = f"batch {number} of this run"
             rest = _read_frame(source, head)
-            where = f"batch {wire.LENGTH.unpack_from(rest, _BATCH_NUMBER_AT)[0]}"
+            where = f"batch {wire.LENGTH.unpack_from(rest, _BATCH_NUMBER_OFFSET)[0]}"
             sink.write(adapter.handle_batch(head + rest))
             sink.flush()
             number += 1
--- a/cypressledge/simulator_wire.py
+++ b/cypressledge/simulator_wire.py
@@ -1,8 +1,9 @@
-"""The simulator's wire: records of events and actions, field by field.
+"""The simulator's wire format: encoding and decoding of the records of events and actions.
 
-A frame is a head, records of fixed size, and a tail for content without one. Every record but a catalogue's
-begins with its code and the number of the instance that it concerns; all numbers are little-endian, times are
-µs. The structs below skip a record's code with `x` when they read, and write it as their first field.
+A frame is a header, records of fixed size, and a tail with their content of variable size. Every record but a
+catalogue's begins with its code and the number of the instance that it concerns. All numbers are
+little-endian, times are in µs. The structs below skip a record's code with `x` when they read, and write it
+as their first field. Records are named as in the simulator's specification.
 """
 
 import struct
@@ -11,16 +12,16 @@
 from functools import partial
 from typing import TypeVar
 
-from cypressledge.decisions import contract as c
+from cypressledge.decisions import contract
 
-FRAME_HEAD = struct.Struct("<IQII")  # length, clock, number of records, number of the batch
-REPLY_HEAD = struct.Struct("<III")  # length, number of records, number of the batch
-EVENT_BYTES = 48
-ACTION_BYTES = 24
-LENGTH = struct.Struct("<I")
+FRAME_HEAD = struct.Struct("<IQII")  # length in bytes, clock in µs, number of records, number of the batch
+REPLY_HEAD = struct.Struct("<III")  # length in bytes, number of records, number of the batch
+EVENT_BYTES = 48  # size of a record of the input
+ACTION_BYTES = 24  # size of a record of the output
+LENGTH = struct.Struct("<I")  # of a frame, its own bytes included
 INSTANCE = struct.Struct("<xI")
 
-# Events, as their records are laid out.
+# Layouts of the events.
 CATALOG = struct.Struct("<xHII")
 CATALOG_ENTRY = struct.Struct("<HHQBB6sf")
 START = struct.Struct("<xIQII")
@@ -31,17 +32,17 @@
 CLIENT_DISCONNECTED = struct.Struct("<xII")
 ALARM = struct.Struct("<xIQ")
 PONG = struct.Struct("<xI6sBIB4f")
-PEER_MESSAGE = struct.Struct("<II")  # of the tail: offset and length
-PEER_MESSAGE_AT = 9
+PEER_MESSAGE = struct.Struct("<II")  # offset and length in the tail
+PEER_MESSAGE_OFFSET = 9  # of these in their record
 
 REQUEST_HAS_COST = 1  # bits of a request's flags
 REQUEST_IS_RETRY = 2
-BILL_WORK_SHIFT = 12  # a bill is milliseconds of work above so many bits ...
-BILL_MEMORY_MASK = 4095  # ... and memory below them,
-BILL_MEMORY_MB = 4.0  # in units of so many MB
+BILL_WORK_SHIFT = 12  # a bill has milliseconds of work in the bits from this one up
+BILL_MEMORY_MASK = 4095  # and memory in the bits below it
+BILL_MEMORY_MB = 4.0  # unit of that memory
 US_PER_MS = 1_000
 MAX_U32 = 0xFFFFFFFF
-ENGINE_BYTES = 6  # four of the address, two of the port
+ENGINE_BYTES = 6  # of an engine's id: four of the address, two of the port
 
 
 class EventCode(IntEnum):
@@ -76,18 +77,18 @@
 
 
 class WireError(Exception):
-    """Input that breaks the wire's rules."""
+    """The input is not in the simulator's wire format."""
 
 
-_OUTCOMES = {outcome.value: outcome for outcome in c.Outcome}
-_STATES = {state.value: state for state in c.EngineState}
-_PROGRESS_KINDS = {kind.value: kind for kind in c.ProgressKind}
-_LIST_KINDS = {kind.value: kind for kind in c.EngineListKind}
+_OUTCOMES = {outcome.value: outcome for outcome in contract.Outcome}
+_STATES = {state.value: state for state in contract.EngineState}
+_PROGRESS_KINDS = {kind.value: kind for kind in contract.ProgressKind}
+_LIST_KINDS = {kind.value: kind for kind in contract.EngineListKind}
 _Value = TypeVar("_Value")
 
 
 def lookup(table: Mapping[int, _Value], number: int, what: str) -> _Value:
-    """What a number stands for; `WireError` for one that stands for nothing."""
+    """The value of a code; raises `WireError` for an unknown one."""
     try:
         return table[number]
     except KeyError:
@@ -95,96 +96,105 @@
 
 
 def tail_slice(frame: bytes, tail: int, offset: int, size: int) -> bytes:
-    """A piece of a frame's tail, which begins at `tail`."""
+    """`size` bytes of a frame's tail, which begins at `tail`; raises `WireError` beyond the frame's end."""
     if tail + offset + size > len(frame):
         raise WireError(f"tail offset {offset} with length {size} lies outside the frame")
     return frame[tail + offset : tail + offset + size]
 
 
 def engine_number(raw: bytes) -> int:
-    """An engine's six bytes as one number."""
+    """The number of an engine from the six bytes of its id."""
     return int.from_bytes(raw, "big")
 
 
 # Events
 
 
-def decode_entries(raw: bytes) -> tuple[c.EngineListEntry, ...]:
+def decode_entries(raw: bytes) -> tuple[contract.EngineListEntry, ...]:
     """The entries of a catalogue."""
     return tuple(
-        c.EngineListEntry(
-            engine_number(engine), lookup(_STATES, state, "engine state"), kind, zone, cell, born
+        contract.EngineListEntry(
+            engine=engine_number(engine),
+            state=lookup(_STATES, state, "engine state"),
+            kind=kind,
+            zone=zone,
+            cell=cell,
+            started_at=started_at,
         )
-        for zone, cell, born, state, kind, engine, _ in CATALOG_ENTRY.iter_unpack(raw)
+        for zone, cell, started_at, state, kind, engine, _ in CATALOG_ENTRY.iter_unpack(raw)
     )
 
 
-def decode_answer(frame: bytes, at: int) -> c.AttemptEnded:
-    """How an attempt ended."""
-    _, request, final, latency, attempt, engine, bill, outcome, count, *report = ANSWER.unpack_from(frame, at)
-    return c.AttemptEnded(
-        request,
-        attempt,
-        engine_number(engine),
-        lookup(_OUTCOMES, outcome, "outcome"),
-        final != 0,
-        latency,
-        (bill >> BILL_WORK_SHIFT) * US_PER_MS,
-        (bill & BILL_MEMORY_MASK) * BILL_MEMORY_MB,
-        tuple(report[:count]),
+def decode_answer(frame: bytes, offset: int) -> contract.AttemptEnded:
+    """The end of an attempt."""
+    _, request, final, latency, attempt, engine, bill, outcome, count, *report = ANSWER.unpack_from(
+        frame, offset
+    )
+    return contract.AttemptEnded(
+        request=request,
+        attempt=attempt,
+        engine=engine_number(engine),
+        outcome=lookup(_OUTCOMES, outcome, "outcome"),
+        final=final != 0,
+        latency=latency,
+        work=(bill >> BILL_WORK_SHIFT) * US_PER_MS,
+        memory_mb=(bill & BILL_MEMORY_MASK) * BILL_MEMORY_MB,
+        load_report=tuple(report[:count]),
     )
 
 
-def decode_request(frame: bytes, at: int) -> c.RequestReceived:
-    """A request came in."""
-    _, request, class_index, _, key, deadline, cost, memory_mb, group, flags = REQUEST.unpack_from(frame, at)
-    return c.RequestReceived(
-        request,
-        class_index,
-        deadline,
-        key,
-        cost if flags & REQUEST_HAS_COST else 0,
-        memory_mb,
-        int(group),
-        bool(flags & REQUEST_IS_RETRY),
+def decode_request(frame: bytes, offset: int) -> contract.RequestReceived:
+    """A request that arrived."""
+    _, request, class_index, _, key, deadline, cost, memory_mb, group, flags = REQUEST.unpack_from(
+        frame, offset
+    )
+    return contract.RequestReceived(
+        request=request,
+        class_index=class_index,
+        deadline=deadline,
+        key=key,
+        cost=cost if flags & REQUEST_HAS_COST else 0,
+        memory_mb=memory_mb,
+        table_group=int(group),
+        is_client_retry=bool(flags & REQUEST_IS_RETRY),
     )
 
 
-def decode_alarm(frame: bytes, at: int) -> c.TimerFired:
-    """A timer has run out."""
-    return c.TimerFired(ALARM.unpack_from(frame, at)[1])
+def decode_alarm(frame: bytes, offset: int) -> contract.TimerFired:
+    """A timer that ran out."""
+    return contract.TimerFired(ALARM.unpack_from(frame, offset)[1])
 
 
-def decode_hint(frame: bytes, at: int) -> c.AttemptProgress | None:
-    """Progress of a running attempt; None for kinds that the module knows nothing of."""
-    _, request, attempt, engine, value, kind = HINT.unpack_from(frame, at)
+def decode_hint(frame: bytes, offset: int) -> contract.AttemptProgress | None:
+    """A progress notification of an attempt in flight; None for kinds that the decisions do not use."""
+    _, request, attempt, engine, value, kind = HINT.unpack_from(frame, offset)
     if kind not in _PROGRESS_KINDS:
         return None
-    return c.AttemptProgress(request, attempt, engine_number(engine), _PROGRESS_KINDS[kind], value)
+    return contract.AttemptProgress(request, attempt, engine_number(engine), _PROGRESS_KINDS[kind], value)
 
 
-def decode_client_disconnected(frame: bytes, at: int) -> c.ClientDisconnected:
-    """Nobody waits for a request any more."""
-    return c.ClientDisconnected(CLIENT_DISCONNECTED.unpack_from(frame, at)[1])
+def decode_client_disconnected(frame: bytes, offset: int) -> contract.ClientDisconnected:
+    """A client that disconnected."""
+    return contract.ClientDisconnected(CLIENT_DISCONNECTED.unpack_from(frame, offset)[1])
 
 
-def decode_pong(frame: bytes, at: int) -> c.HealthCheckEnded:
-    """A health check was answered."""
-    _, engine, outcome, latency, count, *report = PONG.unpack_from(frame, at)
-    return c.HealthCheckEnded(
+def decode_pong(frame: bytes, offset: int) -> contract.HealthCheckEnded:
+    """The answer to a health check."""
+    _, engine, outcome, latency, count, *report = PONG.unpack_from(frame, offset)
+    return contract.HealthCheckEnded(
         engine_number(engine), lookup(_OUTCOMES, outcome, "outcome"), latency, tuple(report[:count])
     )
 
 
 def decode_directory_update(
-    frame: bytes, at: int, catalogues: Mapping[int, tuple[c.EngineListEntry, ...]]
-) -> c.EngineListReceived:
-    """News of the engines: the entries are those of a catalogue that came before."""
-    _, number, _, catalogue = DIRECTORY_UPDATE.unpack_from(frame, at)
+    frame: bytes, offset: int, catalogues: Mapping[int, tuple[contract.EngineListEntry, ...]]
+) -> contract.EngineListReceived:
+    """An update of the engine list, whose entries are those of an earlier catalogue."""
+    _, number, _, catalogue = DIRECTORY_UPDATE.unpack_from(frame, offset)
     kind = lookup(_LIST_KINDS, number, "list kind")
-    if kind is c.EngineListKind.FAILED:
-        return c.EngineListReceived(kind)
-    return c.EngineListReceived(kind, lookup(catalogues, catalogue, "list"))
+    if kind is contract.EngineListKind.FAILED:
+        return contract.EngineListReceived(kind)
+    return contract.EngineListReceived(kind, lookup(catalogues, catalogue, "list"))
 
 
 # Actions
@@ -202,7 +212,7 @@
 
 
 class Reply:
-    """The actions of one batch, as their records and the tail of their texts."""
+    """The encoded actions of one batch: their records, and the tail with their texts."""
 
     __slots__ = ("_records", "_texts")
 
@@ -211,34 +221,34 @@
         self._texts = bytearray()
 
     def encode(self, batch: int) -> bytes:
-        """The frame that answers a batch."""
+        """The frame that answers the batch of this number."""
         size = REPLY_HEAD.size + ACTION_BYTES * len(self._records) + len(self._texts)
         head = REPLY_HEAD.pack(size, len(self._records), batch)
         return head + b"".join(self._records) + bytes(self._texts)
 
     def add_crash(self, instance: int, text: str) -> None:
-        """The decision module of an instance has failed."""
+        """Add the failure of an instance's decisions."""
         self._add_text(ActionCode.CRASH, instance, text)
 
-    def add(self, instance: int, action: c.Action) -> None:
-        """One action of an instance."""
-        if isinstance(action, c.StartAttempt):
+    def add(self, instance: int, action: contract.Action) -> None:
+        """Add one action of an instance; raises TypeError for an unknown type of action."""
+        if isinstance(action, contract.StartAttempt):
             engine = action.engine.to_bytes(ENGINE_BYTES, "big")
             timeout = min(action.timeout, MAX_U32)
             self._records.append(_pack_start_attempt(instance, action.request, engine, timeout))
-        elif isinstance(action, c.StartTimer):
+        elif isinstance(action, contract.StartTimer):
             self._records.append(_pack_timer(instance, min(action.after, MAX_U32), action.token))
-        elif isinstance(action, c.SetAttemptResources):
+        elif isinstance(action, contract.SetAttemptResources):
             self._records.append(_pack_resources(instance, action.request, action.grant_mb, action.priority))
-        elif isinstance(action, c.CancelAttempt):
+        elif isinstance(action, contract.CancelAttempt):
             self._records.append(_pack_cancel(instance, action.request, action.attempt))
-        elif isinstance(action, c.RejectRequest):
+        elif isinstance(action, contract.RejectRequest):
             self._records.append(_pack_reject(instance, action.request, _NO_RETRY_AFTER))
-        elif isinstance(action, c.FailRequest):
+        elif isinstance(action, contract.FailRequest):
             self._records.append(_pack_fail(instance, action.request))
-        elif isinstance(action, c.Subscribe):
+        elif isinstance(action, contract.Subscribe):
             self._records.append(_pack_subscribe(instance, _SUBSCRIBE_ON))
-        elif isinstance(action, c.Log):
+        elif isinstance(action, contract.Log):
             self._add_text(ActionCode.LOG, instance, action.text)
         else:
             raise TypeError(f"no wire form for {type(action).__name__}")
