--- a/cypressledge/decisions/__init__.py
+++ b/cypressledge/decisions/__init__.py
@@ -4,7 +4,7 @@
 
 Requests: `lifecycle` (from coming to the final answer), `request` (state), `ordering` (by key), `deadlines`.
 Turns: `queues` (of the classes), `odds` (PI loop and weighted draw), `odds_loop` (its inputs), `dispatch`.
-Choice of an engine: `routing` (filters and costs), `affinity` (groups, loads, ranks), `load_reports`.
+Choice of an engine: `routing` (filters and costs), `affinity` (groups, loads), `rank_hash`, `load_reports`.
 Limits of an engine: `engine_admission`, `concurrency_limits`, `slow_start`, `health` (ejection).
 Attempts: `attempts` (cancel, move), `attempt_resources`, `retries`, `outcomes`, `progress`, `lost_responses`.
 State and means: `engines`, `subscription` (engine lists), `estimates` (costs and needs), `pace` (slowdowns).
--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -10,6 +10,7 @@
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.engines import Engine, EngineRegistry
 from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.rank_hash import rank_hash
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA
 
@@ -19,14 +20,6 @@
 LOAD_ENGINES_FACTOR = 1.6  # engines for a group's loads, against how many of them run at once
 LOAD_FREE_SHARE = 0.2  # part of the engines that a group's loads are kept from
 LOADS_AHEAD_SHARE = 0.75  # part of a load's latency objective that the loads ahead of it may take
-MASK = 0xFFFFFFFFFFFFFFFF  # 64 bits
-
-
-def rank_hash(token: int, engine: int) -> int:
-    """A number of 64 bits that orders engines for a token, the same at every broker."""
-    x = (token * 0x9E3779B97F4A7C15 ^ engine * 0xBF58476D1CE4E5B9) & MASK
-    x = (x ^ x >> 31) * 0x94D049BB133111EB & MASK
-    return x ^ x >> 29
 
 
 class Affinity:
--- a/cypressledge/decisions/slow_start.py
+++ b/cypressledge/decisions/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: the budget of work that an engine which warms up, or is on trial, gets from all brokers."""
 
-from cypressledge.decisions.affinity import rank_hash
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.engines import Engine
 from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.rank_hash import HASH_RANGE, rank_hash
 from cypressledge.decisions.request import Request
 
 FEW_REQUESTS = 8  # requests of a class that a budget must hold for a share of it to be drawn by chance
@@ -48,7 +48,7 @@
         budget = settings.overload_multiple * settings.slow_start_capacity * engine.cores * window * SAFETY
         if work * FEW_REQUESTS < budget:
             turn = (now + settings.broker_index * window // settings.broker_count) // window
-            work *= rank_hash(settings.broker_index + turn, engine.id) / 2.0**64
+            work *= rank_hash(settings.broker_index + turn, engine.id) / HASH_RANGE
         return engine.recent_work + work <= budget / settings.broker_count
 
     def _work_to_count(self, class_index: int) -> float:
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from cypressledge.decisions.affinity import Affinity, blocks_queries, rank_hash
+from cypressledge.decisions.affinity import Affinity, blocks_queries
 from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.rank_hash import rank_hash
 from tests.decisions.parts import LOOKUP, SECOND, context, registry, request
 
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
