--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -12,13 +12,14 @@
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.rank_hash import rank_hash
 from cypressledge.decisions.request import Request
-from cypressledge.decisions.units import EWMA
+from cypressledge.decisions.units import EWMA_WEIGHT
 
 REQUEST_COUNT_FADE = 0.95  # weight that a group's count of requests keeps from period to period
 REQUEST_COUNT_MIN = 0.1  # a group with a lower count is forgotten
 GROUP_ENGINES_FACTOR = 1.5  # engines of a group, against its share of the traffic: room for its swings
 LOAD_ENGINES_FACTOR = 1.6  # engines for a group's loads, against how many of them run at once
 LOAD_FREE_SHARE = 0.2  # part of the engines that a group's loads are kept from
+RUNNING_LOADS_WEIGHT = EWMA_WEIGHT / 2  # weight of one new count in the mean of this broker's running loads
 LOADS_AHEAD_SHARE = 0.75  # part of a load's latency objective that the loads ahead of it may take
 
 
@@ -40,7 +41,7 @@
     def record_running_loads(self) -> None:
         """Take the loads that run now into their mean."""
         running = sum(sum(engine.loads_in_flight.values()) for engine in self._registry.ready)
-        self._running_loads += EWMA / 2 * (running - self._running_loads)
+        self._running_loads += RUNNING_LOADS_WEIGHT * (running - self._running_loads)
 
     def end_period(self) -> None:
         """Fade the counts of requests; forget groups of which hardly any came."""
--- a/cypressledge/decisions/concurrency_limits.py
+++ b/cypressledge/decisions/concurrency_limits.py
@@ -23,6 +23,9 @@
 SHORT_WORK_SHARE = 0.5  # of the mean run time, up to which work is short
 SHORT_WORK_ALLOWANCE = 0.3  # part of the initial bound kept beyond it for short work
 MEMORY_SWING_MAX = 0.25  # part of an engine's memory that one large query counts as, at most
+BOUND_MIN_DIVISOR = 2  # of the initial bound: no bound shrinks below what it gives
+NARROW_QUERIES_MIN = 2.0  # narrowest queries that every bound has space for
+MEMORY_NEEDS_MIN = 2.0  # multiples of a request's own need that every share of memory has space for
 
 
 class ConcurrencyLimits:
@@ -80,7 +83,7 @@
         engine.rejected_until = now + REJECTION_PRESSURE
         engine.next_overflow_at = now + OVERFLOW_INTERVAL
         engine.threads_at_rejection = engine.threads
-        engine.bound = max(min(engine.bound, engine.threads), engine.initial_bound / 2)
+        engine.bound = max(min(engine.bound, engine.threads), engine.initial_bound / BOUND_MIN_DIVISOR)
 
     def end_period(self) -> None:
         """Bounds grow a thread a period while requests wait and answers meet objectives; else they shrink."""
@@ -92,7 +95,7 @@
     def _adjust_bound(engine: Engine) -> None:
         slowdown = max(engine.slowdown, engine.overdue_ratio)
         if slowdown > SHRINK_SLOWDOWN:
-            engine.bound = max(engine.bound * SHRINK_FACTOR, engine.initial_bound / 2)
+            engine.bound = max(engine.bound * SHRINK_FACTOR, engine.initial_bound / BOUND_MIN_DIVISOR)
         elif not engine.queue_waited:
             # threads that no request waits for are returned
             engine.bound = max(engine.bound - 1, min(engine.bound, engine.initial_bound))
@@ -121,7 +124,7 @@
             and threads > engine.threads_at_rejection
             and now < engine.next_overflow_at
         )
-        limit = max(bound, 2.0 * self._narrowest) + allowance * engine.initial_bound
+        limit = max(bound, NARROW_QUERIES_MIN * self._narrowest) + allowance * engine.initial_bound
         if is_full or threads > limit and engine.in_flight:
             engine.queue_waited = True
             return False
@@ -129,7 +132,7 @@
             return True
         needed = self._estimates.memory_to_reserve_mb(request)
         share = min(1.0, bound / engine.initial_bound / self._context.settings.broker_count)
-        return engine.reserved_memory_mb + needed <= max(engine.memory_mb * share, 2.0 * needed)
+        return engine.reserved_memory_mb + needed <= max(engine.memory_mb * share, MEMORY_NEEDS_MIN * needed)
 
     def fleet_has_capacity(self, request: Request, allowance: float) -> bool:
         """Whether this broker's work stays within the sum of the engines' bounds, and its part of all memory.
--- a/cypressledge/decisions/estimates.py
+++ b/cypressledge/decisions/estimates.py
@@ -3,11 +3,13 @@
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import AttemptEnded, RequestReceived
 from cypressledge.decisions.request import Request
-from cypressledge.decisions.units import EWMA
+from cypressledge.decisions.units import EWMA_WEIGHT
 
 MEAN_RUN_TIME_WEIGHT = 0.01  # weight of one new request in the mean run time
 RATIO_LIMIT = 8.0  # largest actual over estimated work or memory that counts
 LATENCY_RATIO_LIMIT = 20.0  # largest latency over run time that counts
+RUN_TIME_MIN = 1.0  # µs, least run time that latencies and other run times are compared with
+MEMORY_RATIO_WEIGHT = EWMA_WEIGHT / 2  # weight of one new answer in the mean memory ratio
 GRANT_QUANTILE = 0.9  # share of needs that the corrected grant covers: a spill costs more than idle memory
 GRANT_STEP = 0.04  # step of that quantile's estimate, as a share of it
 INITIAL_GRANT_RATIO = 1.25  # of estimated memory, before answers tell
@@ -49,8 +51,8 @@
 
     def record_attempt(self, request: Request) -> None:
         """Take an attempt's reserved memory into that of large queries."""
-        weight = min(request.run_time / max(self.mean_run_time, 1.0), LARGE_RUN_TIME)
-        self.large_memory_mb += EWMA * weight / 2 * (request.reserved_memory_mb - self.large_memory_mb)
+        weight = min(request.run_time / max(self.mean_run_time, RUN_TIME_MIN), LARGE_RUN_TIME)
+        self.large_memory_mb += EWMA_WEIGHT * weight / 2 * (request.reserved_memory_mb - self.large_memory_mb)
 
     def record_answer(self, request: Request, ended: AttemptEnded) -> float:
         """Learn what an answered request cost; its run time in µs."""
@@ -59,20 +61,22 @@
         self.answer_counts[class_index] += 1
         reports_cost = self._context.settings.reports_cost
         work = ended.work if reports_cost and ended.work else request.cost or ended.latency * threads
-        self.work[class_index] += (EWMA if self.work[class_index] else 1.0) * (work - self.work[class_index])
+        self.work[class_index] += (EWMA_WEIGHT if self.work[class_index] else 1.0) * (
+            work - self.work[class_index]
+        )
         if request.estimated_cost and ended.work:
             ratio = min(ended.work / request.estimated_cost, RATIO_LIMIT)
-            self.cost_ratios[class_index] += EWMA * (ratio - self.cost_ratios[class_index])
+            self.cost_ratios[class_index] += EWMA_WEIGHT * (ratio - self.cost_ratios[class_index])
         if request.memory_mb and ended.memory_mb:
             self._record_memory(class_index, request.memory_mb, ended.memory_mb)
-        run_time = max(work / threads, 1.0)
+        run_time = max(work / threads, RUN_TIME_MIN)
         ratio = min(ended.latency / run_time, LATENCY_RATIO_LIMIT)
-        self.latency_ratios[class_index] += EWMA * (ratio - self.latency_ratios[class_index])
+        self.latency_ratios[class_index] += EWMA_WEIGHT * (ratio - self.latency_ratios[class_index])
         return run_time
 
     def _record_memory(self, class_index: int, estimated_mb: float, used_mb: float) -> None:
         ratio = min(used_mb / estimated_mb, RATIO_LIMIT)
-        self.memory_ratios[class_index] += EWMA / 2 * (ratio - self.memory_ratios[class_index])
+        self.memory_ratios[class_index] += MEMORY_RATIO_WEIGHT * (ratio - self.memory_ratios[class_index])
         was_short = used_mb > estimated_mb * self.grant_ratios[class_index]
         self.grant_ratios[class_index] *= 1 + GRANT_STEP * (
             GRANT_QUANTILE if was_short else GRANT_QUANTILE - 1
--- a/cypressledge/decisions/health.py
+++ b/cypressledge/decisions/health.py
@@ -5,7 +5,7 @@
 from cypressledge.decisions.engines import Engine, EngineRegistry
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.slow_start import SlowStart
-from cypressledge.decisions.units import EWMA, MS
+from cypressledge.decisions.units import EWMA_WEIGHT, MS
 
 SILENCE_LIMIT = 14.0  # missing answers from which an engine is ejected; work varies widely
 SILENCE_OF_ATTEMPT_MAX = 4.0  # most that one attempt adds to it: work's own spread must not count
@@ -13,6 +13,7 @@
 WITNESSES = 3  # other engines that must have answered: tells one engine's silence from silence everywhere
 TRIAL_INTERVAL = 1_000 * MS  # between trial requests at an ejected engine
 ERROR_LIMIT = 0.25  # part of an engine's answers that are errors, from which it is ejected
+OTHERS_ERROR_MULTIPLE = 2.0  # of the other engines' mean error rate, that an outlier's is over besides
 RESETS_OF_ENDED_PROCESS = 2  # resets with no answer between, and nothing in flight, that show it has ended
 
 
@@ -37,7 +38,7 @@
 
     def record_answer(self, engine: Engine) -> None:
         """The engine answered: it is readmitted where it was ejected."""
-        engine.error_rate += EWMA * (0 - engine.error_rate)
+        engine.error_rate += EWMA_WEIGHT * (0 - engine.error_rate)
         engine.last_activity_at, engine.consecutive_resets = self._context.now, 0
         if engine.ejected:
             engine.ejected, engine.error_rate = False, min(engine.error_rate, ERROR_LIMIT / 2)
@@ -49,10 +50,14 @@
         Guards against an engine that answers errors at once, and so has the fewest queries and is given the
         most. Errors everywhere are the queries' own.
         """
-        engine.error_rate += EWMA * (1 - engine.error_rate)
+        engine.error_rate += EWMA_WEIGHT * (1 - engine.error_rate)
         ready = self._registry.ready
         others = sum(other.error_rate for other in ready if other is not engine) / max(len(ready) - 1, 1)
-        if engine.error_rate > ERROR_LIMIT + 2.0 * others and not engine.ejected and self._may_eject():
+        if (
+            engine.error_rate > ERROR_LIMIT + OTHERS_ERROR_MULTIPLE * others
+            and not engine.ejected
+            and self._may_eject()
+        ):
             self._eject(engine, "answers errors where others do not: ejected")
 
     def record_connection_failure(self, engine: Engine, outcome: Outcome) -> None:
--- a/cypressledge/decisions/load_reports.py
+++ b/cypressledge/decisions/load_reports.py
@@ -4,7 +4,7 @@
 from cypressledge.decisions.contract import AttemptEnded
 from cypressledge.decisions.engines import Engine
 from cypressledge.decisions.request import Request
-from cypressledge.decisions.units import EWMA
+from cypressledge.decisions.units import EWMA_WEIGHT
 
 INITIAL_LOAD = 0.5  # threads a core, before reports tell
 
@@ -22,8 +22,8 @@
     def record_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
         """Take an answer's report: busy cores, and threads a core beyond them."""
         threads = request.class_settings.threads
-        self._latency_sum += ended.latency - EWMA * self._latency_sum
-        self._thread_time_sum += ended.latency * threads - EWMA * self._thread_time_sum
+        self._latency_sum += ended.latency - EWMA_WEIGHT * self._latency_sum
+        self._thread_time_sum += ended.latency * threads - EWMA_WEIGHT * self._thread_time_sum
         if not ended.load_report:
             return
         fields = self._context.settings.load_report_fields
@@ -34,5 +34,5 @@
             queries_to_load * report.get("inflight", 0.0) - 1.0, 0.0
         )
         engine.reported_load, engine.reported_at = load, self._context.now
-        self.load_spread += EWMA * (abs(load - self.mean_load) - self.load_spread)
-        self.mean_load += EWMA * (load - self.mean_load)
+        self.load_spread += EWMA_WEIGHT * (abs(load - self.mean_load) - self.load_spread)
+        self.mean_load += EWMA_WEIGHT * (load - self.mean_load)
--- a/cypressledge/decisions/lost_responses.py
+++ b/cypressledge/decisions/lost_responses.py
@@ -7,9 +7,10 @@
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.lifecycle import RequestLifecycle
 from cypressledge.decisions.request import Request
-from cypressledge.decisions.units import EWMA, MS
+from cypressledge.decisions.units import EWMA_WEIGHT, MS
 
 LOST_AFTER_INTERVALS = 1.8  # progress intervals without news of an attempt, from which its response is lost
+LOSS_RATE_WEIGHT = EWMA_WEIGHT / 10  # weight of one new response in the loss rate
 LOSS_RATE_HIGH = 0.02  # part of responses lost, from which short work is moved as soon as it is overdue
 OVERDUE_MULTIPLE = 3.0  # of the expected latency: silence from which work is overdue, with
 OVERDUE_MIN = 40 * MS  # this beyond it
@@ -37,7 +38,7 @@
 
     def record_answer(self) -> None:
         """An answer came."""
-        self.loss_rate -= EWMA / 10 * self.loss_rate
+        self.loss_rate -= LOSS_RATE_WEIGHT * self.loss_rate
 
     def check(self, engine: Engine, request: Request) -> bool:
         """Whether the response to the request's attempt is lost."""
@@ -47,7 +48,7 @@
             return request.response_lost
         quiet = now - request.last_activity_at
         if quiet > LOST_AFTER_INTERVALS * interval:
-            self.loss_rate += EWMA / 10 * (1.0 - self.loss_rate) * (not request.response_lost)
+            self.loss_rate += LOSS_RATE_WEIGHT * (1.0 - self.loss_rate) * (not request.response_lost)
             request.response_lost = True
             self._end_attempt(request)
         elif self.loss_rate > LOSS_RATE_HIGH and not request.blocked and self._is_overdue(request, quiet):
--- a/cypressledge/decisions/pace.py
+++ b/cypressledge/decisions/pace.py
@@ -1,18 +1,17 @@
-"""The pace of the fleet and of each engine: slowdowns as answers tell them, and answers a second."""
+"""The pace of the fleet and of each engine: slowdowns measured on recent answers, and answers a second."""
 
 from cypressledge.decisions.engines import Engine, EngineRegistry
-from cypressledge.decisions.estimates import ClassEstimates
-from cypressledge.decisions.units import EWMA, MS, SECOND
+from cypressledge.decisions.estimates import LATENCY_RATIO_LIMIT, RUN_TIME_MIN, ClassEstimates
+from cypressledge.decisions.units import EWMA_WEIGHT, MS, SECOND
 
 CONTROL_PERIOD = 2_000 * MS  # sampling period of the PI loop, the bounds and the answer rate (design page)
-OVERLOAD_SLOWDOWN = 1.5  # slowdown over the work's own time from which a bound binds
+OVERLOAD_SLOWDOWN = 1.5  # slowdown from which a bound binds
 FADE = 0.7  # weight that old answers keep from period to period in slowdowns
-LATENCY_LIMIT = 20.0  # multiple of the run time as which a longer latency counts
-SLOWDOWN_MIN = 0.5  # of one engine
+SLOWDOWN_MIN = 0.5  # least slowdown of one engine
 
 
 class FleetPace:
-    """How much longer answers take than the work's own time, over the whole fleet."""
+    """How much longer answers take than their work would take by itself, over all engines."""
 
     def __init__(self, registry: EngineRegistry, estimates: ClassEstimates) -> None:
         self._registry = registry
@@ -21,18 +20,18 @@
         self.latency_sum = 0.0  # µs, faded
         self.run_time_sum = 0.0  # µs, faded
         self.answer_rate = 1.0  # answers a second, running mean
-        self.answer_count = 0  # in this period
+        self.answer_count = 0  # in this control period
 
     def record_answer(self, engine: Engine, latency: int, run_time: float) -> None:
-        """An engine answered after this latency what runs this long by itself, both in µs."""
+        """An engine answered after `latency` µs a request whose work takes `run_time` µs by itself."""
         self.answer_count += 1
         for pool in (engine, self):
-            pool.latency_sum += min(latency, LATENCY_LIMIT * run_time) - EWMA * pool.latency_sum
-            pool.run_time_sum += run_time - EWMA * pool.run_time_sum
+            pool.latency_sum += min(latency, LATENCY_RATIO_LIMIT * run_time) - EWMA_WEIGHT * pool.latency_sum
+            pool.run_time_sum += run_time - EWMA_WEIGHT * pool.run_time_sum
         self._update(engine)
 
     def end_period(self) -> None:
-        """Fade what answers of the period before told."""
+        """Fade the answers of earlier periods, and update the answer rate."""
         self.answer_rate = (self.answer_rate + self.answer_count * SECOND / CONTROL_PERIOD) / 2
         self.answer_count = 0
         self.latency_sum, self.run_time_sum = self.latency_sum * FADE, self.run_time_sum * FADE
@@ -41,8 +40,12 @@
             self._update(engine)
 
     def _update(self, engine: Engine) -> None:
-        """Slowdowns: an engine's answers beside one at the pace of all, those beside one without delay."""
-        one = max(self._estimates.mean_run_time, 1.0)
-        self.slowdown = (self.latency_sum + one) / (self.run_time_sum + one)
-        slowdown = (engine.latency_sum + one * self.slowdown) / (engine.run_time_sum + one)
+        """Work out the fleet's slowdown and an engine's.
+
+        With few answers each is drawn to a prior, which weighs as much as one request of mean run time: 1.0
+        for the fleet, the fleet's slowdown for the engine.
+        """
+        prior = max(self._estimates.mean_run_time, RUN_TIME_MIN)
+        self.slowdown = (self.latency_sum + prior) / (self.run_time_sum + prior)
+        slowdown = (engine.latency_sum + prior * self.slowdown) / (engine.run_time_sum + prior)
         engine.slowdown = max(slowdown, SLOWDOWN_MIN)
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -20,9 +20,8 @@
 
 REPORT_WEIGHT = 2.0  # of others' reported load against own threads a core: own work is only a sample
 REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about as long as the dearer work runs
-PREFERRED_ENGINES_MIN = (
-    3  # engines that a broker keeps to at the least; one more for every two answers a second
-)
+PREFERRED_ENGINES_MIN = 3  # engines that a broker prefers at the least
+ANSWERS_PER_PREFERRED_ENGINE = 2  # answers a second for which it prefers one more
 UNPREFERRED_ENGINE_COST = 1.0  # of any engine that is not the broker's own, in threads a core
 UNCACHED_COST = 0.25  # of engines that are not the group's own, in threads a core
 BLOCKED_COST = 2.0  # of an engine where a load blocks the group, in threads a core
@@ -130,11 +129,15 @@
             fleet_slowdown=self._pace.slowdown,
             mean_load=self._load_reports.mean_load,
             load_spread=self._load_reports.load_spread,
-            distances=affinity.preference_distances(PREFERRED_ENGINES_MIN + int(self._pace.answer_rate / 2)),
+            distances=affinity.preference_distances(self._preferred_count()),
             group_engines=self._registry.ready if is_load else affinity.group_engines(group),
             load_engines=affinity.load_engines(group) if has_load_engines else (),
         )
 
+    def _preferred_count(self) -> int:
+        """Engines that this broker prefers, by its traffic."""
+        return PREFERRED_ENGINES_MIN + int(self._pace.answer_rate / ANSWERS_PER_PREFERRED_ENGINE)
+
     # Cost terms, each in threads a core; they are added in this order.
 
     def _cost(self, engine: Engine, facts: RoutingFacts) -> float:
--- a/cypressledge/decisions/units.py
+++ b/cypressledge/decisions/units.py
@@ -1,5 +1,5 @@
-"""Units of time, and the weight of running means that several modules use."""
+"""Units of time, and the weight of new values in the running means of several modules."""
 
 MS = 1_000  # µs
 SECOND = 1_000 * MS  # µs
-EWMA = 0.1  # weight of one new answer in exponentially weighted moving averages
+EWMA_WEIGHT = 0.1  # weight of one new value in an exponentially weighted moving average (EWMA)
