--- a/cypressledge/decisions/estimates.py
+++ b/cypressledge/decisions/estimates.py
@@ -33,9 +33,11 @@
         self.has_cost_estimates = False  # whether any request came with an estimate
 
     def corrected_cost(self, received: RequestReceived) -> float:
-        """Work of a new request, µs: its estimate as such estimates turn out, or the usual."""
+        """Work of a new request, µs: its estimate corrected by earlier ones of its class, or the usual."""
         class_index = received.class_index
-        return received.cost * self.cost_ratios[class_index] if received.cost else self.work[class_index]
+        if received.cost:
+            return received.cost * self.cost_ratios[class_index]
+        return self.work[class_index]
 
     def record_request(self, request: Request) -> None:
         """Take a new request into the usual work and the mean run time."""
@@ -55,15 +57,13 @@
         self.large_memory_mb += EWMA_WEIGHT * weight / 2 * (request.reserved_memory_mb - self.large_memory_mb)
 
     def record_answer(self, request: Request, ended: AttemptEnded) -> float:
-        """Learn what an answered request cost; its run time in µs."""
+        """Learn what an answered request cost; return its run time in µs."""
         class_index = request.class_index
         threads = request.class_settings.threads
         self.answer_counts[class_index] += 1
-        reports_cost = self._context.settings.reports_cost
-        work = ended.work if reports_cost and ended.work else request.cost or ended.latency * threads
-        self.work[class_index] += (EWMA_WEIGHT if self.work[class_index] else 1.0) * (
-            work - self.work[class_index]
-        )
+        work = self._work_done(request, ended)
+        weight = EWMA_WEIGHT if self.work[class_index] else 1.0
+        self.work[class_index] += weight * (work - self.work[class_index])
         if request.estimated_cost and ended.work:
             ratio = min(ended.work / request.estimated_cost, RATIO_LIMIT)
             self.cost_ratios[class_index] += EWMA_WEIGHT * (ratio - self.cost_ratios[class_index])
@@ -74,13 +74,18 @@
         self.latency_ratios[class_index] += EWMA_WEIGHT * (ratio - self.latency_ratios[class_index])
         return run_time
 
+    def _work_done(self, request: Request, ended: AttemptEnded) -> float:
+        """Work of an answered request, µs: as reported, or as estimated, or its latency on all threads."""
+        if self._context.settings.reports_cost and ended.work:
+            return ended.work
+        return request.cost or ended.latency * request.class_settings.threads
+
     def _record_memory(self, class_index: int, estimated_mb: float, used_mb: float) -> None:
         ratio = min(used_mb / estimated_mb, RATIO_LIMIT)
         self.memory_ratios[class_index] += MEMORY_RATIO_WEIGHT * (ratio - self.memory_ratios[class_index])
         was_short = used_mb > estimated_mb * self.grant_ratios[class_index]
-        self.grant_ratios[class_index] *= 1 + GRANT_STEP * (
-            GRANT_QUANTILE if was_short else GRANT_QUANTILE - 1
-        )
+        step = GRANT_QUANTILE if was_short else GRANT_QUANTILE - 1
+        self.grant_ratios[class_index] *= 1 + GRANT_STEP * step
 
     def memory_grant_mb(self, request: Request) -> float:
         """Memory that covers what most requests of the class use."""
@@ -98,11 +103,8 @@
 
     def delay_reference(self, class_index: int) -> float:
         """Reference of a class's queueing delay: its latency objective, by work against priority weight."""
-        class_settings, work = self._context.settings.classes[class_index], self.work[class_index]
-        objective = class_settings.latency_objective
-        stretch = class_settings.latency_objective_stretch
-        return (
-            (objective + stretch * work / class_settings.threads)
-            * (work or 1.0)
-            / class_settings.priority_weight
-        )
+        class_settings = self._context.settings.classes[class_index]
+        work = self.work[class_index]
+        stretch = class_settings.latency_objective_stretch * work / class_settings.threads
+        objective = class_settings.latency_objective + stretch
+        return objective * (work or 1.0) / class_settings.priority_weight
--- a/cypressledge/decisions/inspection.py
+++ b/cypressledge/decisions/inspection.py
@@ -1,4 +1,4 @@
-"""The regular look at attempts that run: overdue, lost or silent ones, and priorities near objectives."""
+"""Regular inspection of the attempts in flight: overdue, lost and silent ones, and their priorities."""
 
 from cypressledge.decisions.attempt_resources import AttemptResources
 from cypressledge.decisions.attempts import AttemptControl
@@ -14,7 +14,7 @@
 
 
 class Inspection:
-    """Looks at all attempts in flight, engine by engine."""
+    """Inspects all attempts in flight, engine by engine."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._attempts = attempts
 
     def run(self) -> None:
-        """Look at what runs now."""
+        """Inspect the attempts of every engine that takes requests."""
         for engine in self._registry.ready:
             if not engine.in_flight:
                 engine.overdue_ratio = 1.0
@@ -46,26 +46,30 @@
                 self._move_from_ejected(engine)
 
     def _inspect_attempts(self, engine: Engine) -> float:
-        """Update an engine's overdue ratio and priorities; the answers missing there, in expected times."""
+        """Update an engine's overdue ratio and its attempts' priorities; return the answers missing there.
+
+        An attempt's missing answer is the engine's silence during it, as a multiple of its expected latency.
+        """
         now = self._context.now
-        ages, run_times, missing = 0.0, 1.0, 0.0
+        age_sum, missing = 0.0, 0.0
+        run_time_sum = 1.0  # µs, guards against a division by zero
         missing_by_group: dict[int, float] = {}
         for request in list(engine.in_flight.values()):
             if self._lost_responses.check(engine, request):
                 continue
             age = now - request.sent_at
-            ages += max(age, request.run_time)
-            run_times += request.run_time
-            quiet = min(age, now - engine.last_activity_at)
-            lack = min(quiet / self._estimates.expected_latency(request), SILENCE_OF_ATTEMPT_MAX)
+            age_sum += max(age, request.run_time)
+            run_time_sum += request.run_time
+            silence = min(age, now - engine.last_activity_at)
+            multiple = min(silence / self._estimates.expected_latency(request), SILENCE_OF_ATTEMPT_MAX)
             if request.class_settings.blocked_by_loads:
-                # those of one group may all be blocked by one load: they count once
+                # One load may block all attempts of its group: they count once.
                 group = request.table_group
-                missing_by_group[group] = max(missing_by_group.get(group, 0.0), lack)
+                missing_by_group[group] = max(missing_by_group.get(group, 0.0), multiple)
             else:
-                missing += lack
+                missing += multiple
             self._resources.update(request)
-        engine.overdue_ratio = ages / run_times
+        engine.overdue_ratio = age_sum / run_time_sum
         return missing + sum(missing_by_group.values())
 
     def _move_from_ejected(self, engine: Engine) -> None:
--- a/cypressledge/decisions/lost_responses.py
+++ b/cypressledge/decisions/lost_responses.py
@@ -1,4 +1,4 @@
-"""Responses that never come although their engine speaks: found by missing progress notifications."""
+"""Responses that never come although their engine is active: found by missing progress notifications."""
 
 from cypressledge.decisions.attempts import AttemptControl
 from cypressledge.decisions.context import DecisionContext
@@ -9,18 +9,20 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA_WEIGHT, MS
 
-LOST_AFTER_INTERVALS = 1.8  # progress intervals without news of an attempt, from which its response is lost
+LOST_AFTER_INTERVALS = (
+    1.8  # progress intervals without activity of an attempt after which its response is lost
+)
 LOSS_RATE_WEIGHT = EWMA_WEIGHT / 10  # weight of one new response in the loss rate
-LOSS_RATE_HIGH = 0.02  # part of responses lost, from which short work is moved as soon as it is overdue
-OVERDUE_MULTIPLE = 3.0  # of the expected latency: silence from which work is overdue, with
-OVERDUE_MIN = 40 * MS  # this beyond it
+LOSS_RATE_HIGH = 0.02  # loss rate from which short work is moved as soon as it is overdue
+OVERDUE_MULTIPLE = 3.0  # multiple of the expected latency that silence of overdue work exceeds,
+OVERDUE_MIN = 40 * MS  # by this much at the least
 
 
 class LostResponses:
     """Finds lost responses and cancels their attempts, as far as class and budget allow.
 
-    Guards against responses that never come, which hold capacity until the client leaves: an engine that
-    speaks notifies of all it runs at each interval.
+    Guards against responses that never come, which keep capacity reserved until the client disconnects. An
+    active engine sends a progress notification of each attempt that it runs at each interval.
     """
 
     def __init__(
@@ -41,17 +43,20 @@
         self.loss_rate -= LOSS_RATE_WEIGHT * self.loss_rate
 
     def check(self, engine: Engine, request: Request) -> bool:
-        """Whether the response to the request's attempt is lost."""
+        """Whether the response to the request's attempt is lost.
+
+        Such an attempt is ended; while many responses are lost, an overdue one is moved.
+        """
         now, interval = self._context.now, self._context.settings.progress_interval
-        engine_is_quiet = now - engine.last_activity_at > interval
-        if not interval or request.finished or request.cancelling or engine_is_quiet:
+        engine_is_silent = now - engine.last_activity_at > interval
+        if not interval or request.finished or request.cancelling or engine_is_silent:
             return request.response_lost
-        quiet = now - request.last_activity_at
-        if quiet > LOST_AFTER_INTERVALS * interval:
+        silence = now - request.last_activity_at
+        if silence > LOST_AFTER_INTERVALS * interval:
             self.loss_rate += LOSS_RATE_WEIGHT * (1.0 - self.loss_rate) * (not request.response_lost)
             request.response_lost = True
             self._end_attempt(request)
-        elif self.loss_rate > LOSS_RATE_HIGH and not request.blocked and self._is_overdue(request, quiet):
+        elif self.loss_rate > LOSS_RATE_HIGH and not request.blocked and self._is_overdue(request, silence):
             self._attempts.move(request, Reason.RESPONSE_LOST)
         return request.response_lost
 
@@ -63,5 +68,5 @@
         elif idempotency is not Idempotency.NOT_IDEMPOTENT and self._attempts.may_be_retried(request):
             self._attempts.cancel(request, Reason.RESPONSE_LOST)
 
-    def _is_overdue(self, request: Request, quiet: int) -> bool:
-        return quiet > OVERDUE_MULTIPLE * self._estimates.expected_latency(request) + OVERDUE_MIN
+    def _is_overdue(self, request: Request, silence: int) -> bool:
+        return silence > OVERDUE_MULTIPLE * self._estimates.expected_latency(request) + OVERDUE_MIN
--- a/cypressledge/decisions/progress.py
+++ b/cypressledge/decisions/progress.py
@@ -8,9 +8,9 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import MS
 
-RUNAWAY_MULTIPLE = 3.0  # of a fresh start's latency: an attempt whose rest is over this is moved
-PROGRESS_MIN = 0.01  # least progress that the rest is worked out from
-BLOCKED_BELIEF = 2_000 * MS  # a notification of waiting for a load counts against engine and group this long
+RUNAWAY_MULTIPLE = 3.0  # of a new attempt's expected latency: one that would still take longer is moved
+PROGRESS_MIN = 0.01  # least progress from which the time remaining is worked out
+BLOCKED_BY_LOAD_TTL = 2_000 * MS  # for which one notification marks its group as blocked at its engine
 
 
 class ProgressNotifications:
@@ -29,7 +29,7 @@
         self._lifecycle = lifecycle
 
     def received(self, progress: AttemptProgress) -> None:
-        """Take a notification; those of former attempts and of finished requests say nothing."""
+        """Handle a notification; those of former attempts and of finished requests are ignored."""
         request = self._lifecycle.requests.get(progress.request)
         if request is None or request.finished or request.cancelling or request.engine is None:
             return
@@ -42,12 +42,12 @@
             if self._is_runaway(request, progress.value):
                 self._attempts.move(request, Reason.RUNAWAY)
         elif progress.kind is ProgressKind.WAITING and progress.value == WAITS_FOR_LOAD:
-            request.engine.blocked_until[request.table_group] = now + BLOCKED_BELIEF
+            request.engine.blocked_until[request.table_group] = now + BLOCKED_BY_LOAD_TTL
             self._attempts.move(request, Reason.BEHIND_LOAD)
 
     def _is_runaway(self, request: Request, progress: float) -> bool:
-        """Whether the rest of the attempt would take far longer than a fresh start."""
+        """Whether the rest of the attempt would take far longer than a new one; `progress`: the part done."""
         age = self._context.now - request.sent_at
-        fresh = self._estimates.expected_latency(request)
-        rest = age * (1.0 - progress) / max(progress, PROGRESS_MIN)
-        return rest > RUNAWAY_MULTIPLE * fresh and age > fresh
+        fresh_latency = self._estimates.expected_latency(request)
+        remaining = age * (1.0 - progress) / max(progress, PROGRESS_MIN)
+        return remaining > RUNAWAY_MULTIPLE * fresh_latency and age > fresh_latency
