--- a/cypressledge/decisions/lifecycle.py
+++ b/cypressledge/decisions/lifecycle.py
@@ -42,8 +42,8 @@
         self._odds = odds
         self._queues = queues
         self.requests: dict[int, Request] = {}
-        self.deadlines = DeadlineQueue()
         self.key_order = KeyOrder(context)
+        self._deadlines = DeadlineQueue()
 
     def receive(self, received: RequestReceived) -> None:
         """Take a new request, and queue it unless another one of its key comes first."""
@@ -54,7 +54,7 @@
         self.requests[request.id] = request
         self._affinity.record_request(request.table_group)
         self._retry_budget.record_request()
-        self.deadlines.schedule(request.deadline - DEADLINE_MARGIN, request.id)
+        self._deadlines.schedule(request.deadline - DEADLINE_MARGIN, request.id)
         if not self.key_order.applies_to(request):
             self._queues.enqueue(request)
         elif self.key_order.join(request):
@@ -90,6 +90,12 @@
             and class_settings.deduplication_scope is DeduplicationScope.ALL
         )
 
+    def retry(self, request: Request, wait_until: int | None) -> None:
+        """Queue the request for another attempt; after `wait_until`, µs, it is given up if it still waits."""
+        if wait_until is not None:
+            self._deadlines.schedule(wait_until, request.id)
+        self._queues.enqueue(request)
+
     def reject_late(self, request: Request) -> None:
         """End a request that can't be answered in time."""
         self.give_up(request, Reason.OBJECTIVE_MISSED)
@@ -115,7 +121,7 @@
     def expire(self) -> None:
         """End requests whose time is over; queue those whose key's pause is over."""
         now = self._context.now
-        for request_id in self.deadlines.expired(now):
+        for request_id in self._deadlines.expired(now):
             request = self.requests.get(request_id)
             if request is None or request.finished:
                 continue
@@ -134,7 +140,7 @@
 
     def next_moment(self) -> int | None:
         """The next moment, µs, at which a request expires or a key's pause ends; None without any."""
-        moments = (self.deadlines.next_moment(), self.key_order.cooldowns.next_moment())
+        moments = (self._deadlines.next_moment(), self.key_order.cooldowns.next_moment())
         return min((moment for moment in moments if moment is not None), default=None)
 
     def _queue_first_of_key(self, request: Request) -> None:
--- a/cypressledge/decisions/manager.py
+++ b/cypressledge/decisions/manager.py
@@ -83,7 +83,7 @@
         periodic = (self.odds_loop, affinity, lifecycle.key_order, limits, pace)
         self.housekeeping = Housekeeping(context, lifecycle, inspections, periodic)
         observers = AnswerObservers(estimates, pace, limits, health, load_reports, losses)
-        outcomes = AttemptOutcomes(context, registry, lifecycle, queues, retry_policy, observers)
+        outcomes = AttemptOutcomes(context, registry, lifecycle, retry_policy, observers)
         progress = ProgressNotifications(context, estimates, attempts, lifecycle)
         self._is_started = False
         self._reactions = self._reactions_by_event(outcomes, progress)
--- a/cypressledge/decisions/outcomes.py
+++ b/cypressledge/decisions/outcomes.py
@@ -12,7 +12,6 @@
 from cypressledge.decisions.load_reports import LoadReports
 from cypressledge.decisions.lost_responses import LostResponses
 from cypressledge.decisions.pace import FleetPace
-from cypressledge.decisions.queues import ClassQueues
 from cypressledge.decisions.request import PossibleExecution, Request
 from cypressledge.decisions.retries import RetryPolicy, window_end
 
@@ -37,14 +36,12 @@
         context: DecisionContext,
         registry: EngineRegistry,
         lifecycle: RequestLifecycle,
-        queues: ClassQueues,
         retry_policy: RetryPolicy,
         observers: AnswerObservers,
     ) -> None:
         self._context = context
         self._registry = registry
         self._lifecycle = lifecycle
-        self._queues = queues
         self._retry_policy = retry_policy
         self._observers = observers
 
@@ -83,11 +80,10 @@
             return
         request.avoided_engine = failed_engine
         class_settings, execution = request.class_settings, request.first_possible_execution
+        wait_until = None
         if class_settings.idempotency is Idempotency.WITH_KEY and execution is not None:
-            # it waits within its deduplication window only
-            end = window_end(class_settings, execution)
-            self._lifecycle.deadlines.schedule(end, request.id)
-        self._queues.enqueue(request)
+            wait_until = window_end(class_settings, execution)
+        self._lifecycle.retry(request, wait_until)
 
     def _learn(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
         """Learn from one outcome: costs, needs, the engine's pace and health."""
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -63,7 +63,7 @@
         self.life = RequestLifecycle(ctx, estimates, affinity, self.budget, control, self.odds, queues)
         self.observed = Observed()
         observers = AnswerObservers(*[self.observed] * 6)
-        self.outcomes = AttemptOutcomes(ctx, self.registry, self.life, queues, policy, observers)
+        self.outcomes = AttemptOutcomes(ctx, self.registry, self.life, policy, observers)
 
     def receive(self, number=1, key=0, due=5 * SECOND):
         self.life.receive(RequestReceived(number, 0, self.context.now + due, key, cost=100_000))
