--- a/cypressledge/decisions/__init__.py
+++ b/cypressledge/decisions/__init__.py
@@ -1,9 +1,9 @@
-"""The decisions: which request goes to which engine and when. Free of I/O and told the time.
+"""The decisions: which request goes to which engine and when. Free of I/O; the time is an argument.
 
 Entry point: `manager.WorkloadManager`; `contract` holds the settings, the events and the actions.
 
-Requests: `lifecycle` (from coming to the final answer), `request` (state), `ordering` (by key), `deadlines`.
-Turns: `queues` (of the classes), `odds` (PI loop and weighted draw), `odds_loop` (its inputs), `dispatch`.
+Requests: `lifecycle` (from arrival to the final answer), `request` (state), `ordering` (by key), `deadlines`.
+Scheduling: `queues` (of the classes), `odds` (PI loop, weighted draw), `odds_loop` (its inputs), `dispatch`.
 Choice of an engine: `routing` (filters and costs), `affinity` (groups, loads), `rank_hash`, `load_reports`.
 Limits of an engine: `engine_admission`, `concurrency_limits`, `slow_start`, `health` (ejection).
 Attempts: `attempts` (cancel, move), `attempt_resources`, `retries`, `outcomes`, `progress`, `lost_responses`.
--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -1,7 +1,7 @@
-"""Which engines a group's requests and loads keep to: ranks by hash, the same at every broker.
+"""Affinity of table groups, their loads and this broker to engines, by ranks that are equal at every broker.
 
-Brokers tell each other nothing: equal ranks keep the tables of a group warm at a few engines, and loads apart
-from the queries that they block.
+Brokers exchange no messages about it: equal ranks concentrate a group on a few engines, where its tables are
+cached, and separate loads from the queries that they block.
 """
 
 from collections.abc import Collection, Mapping
@@ -14,17 +14,17 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA_WEIGHT
 
-REQUEST_COUNT_FADE = 0.95  # weight that a group's count of requests keeps from period to period
-REQUEST_COUNT_MIN = 0.1  # a group with a lower count is forgotten
-GROUP_ENGINES_FACTOR = 1.5  # engines of a group, against its share of the traffic: room for its swings
-LOAD_ENGINES_FACTOR = 1.6  # engines for a group's loads, against how many of them run at once
-LOAD_FREE_SHARE = 0.2  # part of the engines that a group's loads are kept from
+REQUEST_COUNT_FADE = 0.95  # weight of a group's earlier requests after each control period
+REQUEST_COUNT_MIN = 0.1  # a group with a lower count is dropped
+GROUP_ENGINES_FACTOR = 1.5  # engines of a group over its share of all engines, as its traffic varies
+LOAD_ENGINES_FACTOR = 1.6  # engines of a group's loads over the number that run at once
+LOAD_FREE_SHARE = 0.2  # part of the engines that a group's loads do not use
 RUNNING_LOADS_WEIGHT = EWMA_WEIGHT / 2  # weight of one new count in the mean of this broker's running loads
 LOADS_AHEAD_SHARE = 0.75  # part of a load's latency objective that the loads ahead of it may take
 
 
 class Affinity:
-    """Engines that the groups, their loads and this broker prefer or avoid."""
+    """Engines that table groups, their loads and this broker prefer or avoid."""
 
     def __init__(self, context: DecisionContext, registry: EngineRegistry, estimates: ClassEstimates) -> None:
         self._context = context
@@ -35,16 +35,16 @@
         self._running_loads = 0.0  # running mean of this broker's own
 
     def record_request(self, group: int) -> None:
-        """A request of the group came."""
+        """Count a request of the group."""
         self._request_counts[group] = self._request_counts.get(group, 0.0) + 1.0
 
     def record_running_loads(self) -> None:
-        """Take the loads that run now into their mean."""
+        """Update the mean number of this broker's running loads."""
         running = sum(sum(engine.loads_in_flight.values()) for engine in self._registry.ready)
         self._running_loads += RUNNING_LOADS_WEIGHT * (running - self._running_loads)
 
     def end_period(self) -> None:
-        """Fade the counts of requests; forget groups of which hardly any came."""
+        """Fade the counts of requests; drop groups with hardly any."""
         self._request_counts = {
             group: count * REQUEST_COUNT_FADE
             for group, count in self._request_counts.items()
@@ -52,11 +52,11 @@
         }
 
     def engines_changed(self) -> None:
-        """The registry has taken a list: ranks are worked out anew."""
+        """The registry has changed: ranks are computed anew."""
         self._ranks.clear()
 
     def ranked(self, token: int) -> list[Engine]:
-        """The engines that take requests in an order of the token's own, the same at every broker."""
+        """The engines that take requests, in an order of the token that is equal at every broker."""
         ranks = self._ranks.get(token)
         if ranks is None:
             ranks = sorted(self._registry.ready, key=lambda engine: rank_hash(token, engine.id))
@@ -64,17 +64,17 @@
         return ranks
 
     def group_engines(self, group: int) -> list[Engine]:
-        """Engines that all brokers take as a group's own: as many as its part of the traffic fills."""
+        """Engines that all brokers prefer for a group, as many as its part of the traffic fills."""
         ready_count = len(self._registry.ready)
         return self.ranked(group)[
             : 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_fraction(group) * ready_count)
         ]
 
     def load_engines(self, group: int) -> list[Engine]:
-        """Engines that all brokers take for a group's loads: as many as its part of them keeps busy.
+        """Engines that all brokers prefer for a group's loads, as many as its part of all loads occupies.
 
-        Guards against queries that are blocked by other brokers' loads, which nobody reports: queries go
-        elsewhere, as long as there is an engine left.
+        Guards against queries that are blocked by other brokers' loads, which this broker does not know of:
+        queries prefer other engines.
         """
         broker_count = self._context.settings.broker_count
         needed = ceil(
@@ -86,8 +86,8 @@
     def excluded_engines(self, request: Request) -> Collection[Engine]:
         """Engines that a load leaves to its group's queries, or where such a query would be blocked.
 
-        Guards against queries of a group of which loads run everywhere, nearly all the time: they would be
-        blocked at every engine, and so would what is moved. With no other engine usable none is excluded.
+        Guards against a group with loads at every engine, nearly all the time, whose queries would be blocked
+        wherever they are sent or moved. Where no other engine is usable, none is excluded.
         """
         ready, now = self._registry.ready, self._context.now
         group = request.table_group
@@ -101,10 +101,11 @@
         return excluded if any(_is_usable(engine, now) for engine in rest) else ()
 
     def load_would_start_soon(self, engine: Engine, load: Request) -> bool:
-        """Whether the loads of its group ahead of it at an engine, at all brokers together, leave it time.
+        """Whether a load would start in time behind the loads of its group that run at an engine.
 
-        Guards against loads that wait at an engine, in order of coming and in others' way, until they are
-        late: at the broker they wait shortest first, and take no capacity.
+        Guards against loads that wait at an engine, in order of arrival and occupying its capacity, until
+        they are late: at the broker they wait shortest first, and occupy none. The other brokers are taken to
+        have as many loads there as this one.
         """
         broker_count = self._context.settings.broker_count
         work, threads = self._estimates.work[load.class_index], load.class_settings.threads
--- a/cypressledge/decisions/attempt_resources.py
+++ b/cypressledge/decisions/attempt_resources.py
@@ -1,4 +1,4 @@
-"""Memory grants and priorities of attempts, where the engines heed them."""
+"""Memory grants and priorities of attempts, where the engines support them."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import SetAttemptResources
@@ -10,14 +10,14 @@
 
 
 class AttemptResources:
-    """Short work and loads go first, work near its latency objective is raised, late work goes last."""
+    """Sets grants, and priorities: highest for short work and loads, lowest for work past its objective."""
 
     def __init__(self, context: DecisionContext, estimates: ClassEstimates) -> None:
         self._context = context
         self._estimates = estimates
 
     def update(self, request: Request) -> None:
-        """Set the resources of a request's attempt, where they have changed."""
+        """Set the resources of a request's attempt; nothing is sent where they have not changed."""
         settings = self._context.settings
         if not (settings.supports_priorities or settings.supports_memory_grants):
             return
@@ -32,10 +32,12 @@
     def _priority(self, request: Request) -> int:
         now = self._context.now
         if request.class_settings.is_load:
-            return URGENT_PRIORITY  # however late it is: its group's queries are blocked by it
+            return URGENT_PRIORITY  # even when it is late, since it blocks its group's queries
         if now > request.objective_at:
             return LATE_PRIORITY
         if request.run_time <= self._estimates.mean_run_time:
             return URGENT_PRIORITY
-        is_near = now - request.received_at > RAISED_SHARE * (request.objective_at - request.received_at)
-        return RAISED_PRIORITY if is_near else USUAL_PRIORITY
+        time_to_objective = request.objective_at - request.received_at
+        if now - request.received_at > RAISED_SHARE * time_to_objective:
+            return RAISED_PRIORITY
+        return USUAL_PRIORITY
--- a/cypressledge/decisions/attempts.py
+++ b/cypressledge/decisions/attempts.py
@@ -1,11 +1,11 @@
-"""Attempts that run: cancelling one, and moving its request to another engine."""
+"""Attempts in flight: cancelling one, and moving its request to another engine."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import CancelAttempt, Idempotency, Reason
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.retries import RetryPolicy
 
-LITTLE_LATE_WEIGHT = 0.2  # priority weight of late answers under which late work is not moved
+LOW_LATE_PRIORITY_WEIGHT = 0.2  # late priority weight under which late work is not moved
 
 
 class AttemptControl:
@@ -16,7 +16,7 @@
         self._retry_policy = retry_policy
 
     def cancel(self, request: Request, reason: Reason) -> None:
-        """Cancel the request's attempt; its outcome still comes."""
+        """Cancel the request's attempt; its AttemptEnded is still to arrive."""
         request.cancelling = True
         self._context.actions.append(CancelAttempt(request.id, request.attempts - 1, reason))
 
@@ -34,9 +34,9 @@
             self.cancel(request, reason)
 
     def is_late_and_of_low_value(self, request: Request) -> bool:
-        """Whether a fresh start would miss the latency objective, and late answers have little weight.
+        """Whether a new attempt would miss the latency objective, and late answers have a low weight.
 
         Guards against spending the retry budget on such work.
         """
         is_late = self._context.now + request.run_time > request.objective_at
-        return is_late and request.class_settings.late_priority_weight < LITTLE_LATE_WEIGHT
+        return is_late and request.class_settings.late_priority_weight < LOW_LATE_PRIORITY_WEIGHT
--- a/cypressledge/decisions/concurrency_limits.py
+++ b/cypressledge/decisions/concurrency_limits.py
@@ -16,12 +16,12 @@
 SHRINK_SLOWDOWN = 2.0  # slowdown from which the bound shrinks
 GROWTH_SLOWDOWN = 1.4  # slowdown under which it may grow: short work meets its objective longest
 GROWTH_MET_RATIO = 4  # answers that meet their objective for each that misses it, from which a bound may grow
-BURST_MULTIPLE = 1.25  # of the initial bound, past which the bound binds without pressure
-WIDE_QUERIES_ALLOWANCE = 2.0  # widest queries that the sum of bounds may be passed by: for chance
+BURST_MULTIPLE = 1.25  # of the initial bound, from which a bound binds without pressure
+WIDE_QUERIES_ALLOWANCE = 2.0  # widest queries by which the sum of bounds may be exceeded, as arrivals scatter
 REJECTION_PRESSURE = 2_000 * MS  # a rejection counts as pressure this long
-OVERFLOW_INTERVAL = 250 * MS  # between attempts past the threads an engine had when it last rejected
+OVERFLOW_INTERVAL = 250 * MS  # between attempts beyond the threads an engine had when it last rejected
 SHORT_WORK_SHARE = 0.5  # of the mean run time, up to which work is short
-SHORT_WORK_ALLOWANCE = 0.3  # part of the initial bound kept beyond it for short work
+SHORT_WORK_ALLOWANCE = 0.3  # part of the initial bound that short work may exceed a bound by
 MEMORY_SWING_MAX = 0.25  # part of an engine's memory that one large query counts as, at most
 BOUND_MIN_DIVISOR = 2  # of the initial bound: no bound shrinks below what it gives
 NARROW_QUERIES_MIN = 2.0  # narrowest queries that every bound has space for
@@ -69,7 +69,7 @@
             pool.reserved_memory_mb -= request.reserved_memory_mb
 
     def record_answer(self, engine: Engine, request: Request, latency_objective: float) -> None:
-        """The engine answered: it bore what was in flight; whether the answer met its objective, in µs."""
+        """The engine answered under the threads in flight; count whether it met the latency objective, µs."""
         threads = engine.threads + request.class_settings.threads
         engine.threads_at_rejection = max(engine.threads_at_rejection, threads)
         if self._context.now - request.received_at <= latency_objective:
@@ -78,7 +78,7 @@
             engine.objectives_missed += 1
 
     def record_rejection(self, engine: Engine) -> None:
-        """The engine rejected an attempt for want of capacity: it gets no more than it has for a while."""
+        """The engine rejected an attempt for lack of capacity: its threads are limited for a while."""
         now = self._context.now
         engine.rejected_until = now + REJECTION_PRESSURE
         engine.next_overflow_at = now + OVERFLOW_INTERVAL
@@ -86,7 +86,7 @@
         engine.bound = max(min(engine.bound, engine.threads), engine.initial_bound / BOUND_MIN_DIVISOR)
 
     def end_period(self) -> None:
-        """Bounds grow a thread a period while requests wait and answers meet objectives; else they shrink."""
+        """Grow bounds by a thread where requests wait and answers meet objectives; shrink the others."""
         for engine in self._registry.engines.values():
             self._adjust_bound(engine)
             engine.queue_waited, engine.objectives_met, engine.objectives_missed = False, 0, 0
@@ -97,7 +97,7 @@
         if slowdown > SHRINK_SLOWDOWN:
             engine.bound = max(engine.bound * SHRINK_FACTOR, engine.initial_bound / BOUND_MIN_DIVISOR)
         elif not engine.queue_waited:
-            # threads that no request waits for are returned
+            # No request waits for the threads beyond the initial bound: they are returned one by one.
             engine.bound = max(engine.bound - 1, min(engine.bound, engine.initial_bound))
         elif (
             engine.objectives_met > GROWTH_MET_RATIO * engine.objectives_missed and slowdown < GROWTH_SLOWDOWN
@@ -105,15 +105,15 @@
             engine.bound = min(engine.bound + 1, GROWTH_LIMIT * engine.initial_bound)
 
     def short_work_allowance(self, request: Request) -> float:
-        """Part of the bounds that the request may pass them by: short work finds room beside long work."""
+        """Part of the initial bound by which the request may exceed a bound; 0 but for short work."""
         is_short = request.run_time <= SHORT_WORK_SHARE * self._estimates.mean_run_time
         return SHORT_WORK_ALLOWANCE if is_short else 0.0
 
     def engine_has_capacity(self, engine: Engine, request: Request, allowance: float) -> bool:
-        """Whether the engine has threads and memory left for the request; with an allowance for short work.
+        """Whether the engine has threads and memory left for the request, with its allowance for short work.
 
-        Guards against sudden traffic, of which latency tells late: past BURST_MULTIPLE initial bounds a bound
-        binds at once. Hurts where this broker suddenly carries most of the traffic.
+        Guards against sudden traffic, which latency shows late: from BURST_MULTIPLE initial bounds on a bound
+        binds without pressure. The price: it also limits a broker that suddenly carries most of the traffic.
         """
         now = self._context.now
         threads = engine.threads + request.class_settings.threads
@@ -137,9 +137,8 @@
     def fleet_has_capacity(self, request: Request, allowance: float) -> bool:
         """Whether this broker's work stays within the sum of the engines' bounds, and its part of all memory.
 
-        A share of less than a query limits nothing on its own engine; the sum does, to the nearest query.
-        What other brokers send scatters: a deviation of it stays free. Two wide queries more are left for
-        chance.
+        A broker's share of one engine may be less than a query, and then limits nothing there; the sum of the
+        shares does. The work of other brokers scatters, so a standard deviation of it stays free.
         """
         threads, memory_mb = self._fleet_limits()
         wanted = self.threads + request.class_settings.threads / 2
--- a/cypressledge/decisions/contract.py
+++ b/cypressledge/decisions/contract.py
@@ -1,7 +1,7 @@
 """The contract of the decisions: the settings, the events they are given and the actions they answer with.
 
 All times are integer microseconds of one monotonic clock, all spans integer microseconds. Engines and
-requests are named by opaque integers, table groups and ordering keys by hashes.
+requests are identified by opaque integers, table groups and ordering keys by hashes.
 """
 
 from dataclasses import dataclass, field
@@ -78,7 +78,7 @@
 
 
 class ProgressKind(IntEnum):
-    """What a progress notification of a running attempt tells."""
+    """What a progress notification of an attempt in flight reports."""
 
     PROGRESS = 1  # value: the part done, 0 to 1
     SPILLING = 2  # value: megabytes of memory missing
@@ -103,16 +103,16 @@
     ordered: bool = False  # requests of one ordering key run one after the other
     threads: int = 1  # that a request runs on at an engine
     is_load: bool = False  # it locks its table group at its engine until it ends
-    blocked_by_loads: bool = False  # it stands still while a load locks its table group
+    blocked_by_loads: bool = False  # it is blocked while a load locks its table group
     required_kinds: frozenset[int] | None = None  # engine kinds that may run it; None: all
     required_zones: frozenset[int] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a workload manager is told at its start.
+    """The settings of a workload manager.
 
-    Raises ValueError, naming the field, for a value that no deployment can mean.
+    Raises ValueError, naming the field, for a value out of range.
     """
 
     classes: tuple[ClassSettings, ...]
@@ -122,7 +122,7 @@
     broker_count: int = 1
     supports_memory_grants: bool = False
     supports_priorities: bool = False
-    reports_cost: bool = False  # answers tell the work and the memory that a request took
+    reports_cost: bool = False  # answers report the work and the memory that a request took
     kind_memory_mb: tuple[float, ...] = ()
     max_memory_grant: float = 1.0  # part of an engine's memory
     supports_cancel: bool = False
@@ -130,7 +130,7 @@
     list_on_request: bool = False  # the engine list is sent only to who subscribes
     slow_start_capacity: float = 1.0  # part of its capacity that an engine has at its start
     slow_start_window: int = 0  # µs until it has all of it
-    overload_multiple: float = 0.0  # of its capacity, sent for overload_window, fells a starting engine
+    overload_multiple: float = 0.0  # of its capacity, under which a starting engine fails in overload_window
     overload_window: int = 0  # µs
     ordering_key_cooldown: int = 0  # µs after an attempt of unknown end before the key's next request
     load_report_fields: tuple[str, ...] = ()
@@ -212,8 +212,8 @@
     outcome: Outcome
     final: bool
     latency: int
-    work: int = 0  # µs of work that it took; 0: not told
-    memory_mb: float = 0.0  # that it needed; 0: not told
+    work: int = 0  # µs of work that it took; 0: not reported
+    memory_mb: float = 0.0  # that it needed; 0: not reported
     load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
 
 
@@ -230,19 +230,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """Nobody waits for the request any more."""
+    """The client of the request disconnected."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process is about to end: every open request has to be answered now."""
+    """The process is shutting down: every open request has to be answered now."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was started has run out."""
+    """A timer that was started ran out."""
 
     token: int
 
@@ -289,7 +289,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt; its AttemptEnded still comes."""
+    """Stop waiting for one attempt; its AttemptEnded is still to arrive."""
 
     request: int
     attempt: int
@@ -329,7 +329,7 @@
 class Log:
     """A line for the operators."""
 
-    text: str = field(default="")
+    text: str = ""
 
 
 Action = (
--- a/cypressledge/decisions/dispatch.py
+++ b/cypressledge/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: free capacity goes to the classes by weighted draws, and attempts start."""
+"""Dispatch: weighted draws give free capacity to the classes, and attempts start."""
 
 from cypressledge.decisions.attempt_resources import AttemptResources
 from cypressledge.decisions.context import DecisionContext
@@ -13,11 +13,11 @@
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
 from cypressledge.decisions.routing import Router
 
-BLOCKED_ROWS_MAX = 3  # rows of a class that may be found without an engine in one go: looking costs time
+BLOCKED_ROWS_MAX = 3  # rows of a class found without an engine after which a dispatch skips it, to save time
 
 
 class AttemptStarter:
-    """Starts attempts, and tells all that counts them."""
+    """Starts attempts, and notifies the parts that count them."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         self._class_count = len(context.settings.classes)
 
     def dispatch(self) -> None:
-        """Send what can be sent now."""
+        """Start attempts until every class is blocked or empty."""
         blocked: list[set[int]] = [set() for _ in range(self._class_count)]
         while (request := self._draw(blocked)) is not None:
             engine = self._router.choose(request)
--- a/cypressledge/decisions/engine_admission.py
+++ b/cypressledge/decisions/engine_admission.py
@@ -8,7 +8,7 @@
 
 
 class EngineAdmission:
-    """The limits that change with every attempt."""
+    """Combines the limits of an engine that change with every attempt."""
 
     def __init__(self, health: HealthMonitor, slow_start: SlowStart, limits: ConcurrencyLimits) -> None:
         self._health = health
@@ -16,9 +16,9 @@
         self._limits = limits
 
     def admits(self, engine: Engine, request: Request, allowance: float) -> bool:
-        """Whether the engine may be sent the request; `allowance` for short work as the limits give it.
+        """Whether the engine may be sent the request; `allowance` as in `ConcurrencyLimits`.
 
-        The order counts: the limit that is met last marks its engine as one that a request waited for.
+        The order matters: the limits come last, as they mark an engine that only they keep a request from.
         """
         if engine.ejected and not self._health.allows_trial(engine, request):
             return False
--- a/cypressledge/decisions/engines.py
+++ b/cypressledge/decisions/engines.py
@@ -1,4 +1,4 @@
-"""Engines as this broker knows them, and the registry of those that engine lists name."""
+"""Engines as this broker knows them, and the registry of those in the engine list."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -12,8 +12,13 @@
 
 @dataclass(slots=True, eq=False)
 class Engine:
-    """State of one engine; moments and spans are in µs, compared by identity."""
+    """State of one engine, compared by identity; times and spans are in µs.
 
+    One flat object, since routing reads most of its fields for every request. The comments name the modules
+    that change each group of fields.
+    """
+
+    # The engine list (EngineRegistry).
     id: int
     started_at: int  # of its process; 0: unknown, and long ago
     state: EngineState
@@ -22,44 +27,53 @@
     cell: int
     cores: int
     memory_mb: float  # 0: not known
+
+    # Bound on the threads in flight (concurrency_limits).
     initial_bound: float  # threads: this broker's share of the bound that all start with
     bound: float  # threads that this broker may have in flight there under pressure
+    objectives_met: int = 0  # answers of this control period
+    objectives_missed: int = 0
+    queue_waited: bool = False  # a request waited for the bound in this control period
 
+    # Work in flight (dispatch, outcomes, concurrency_limits).
     in_flight: dict[int, Request] = field(default_factory=dict)  # attempts without an outcome, by request
     threads: int = 0  # of the attempts in flight
     reserved_memory_mb: float = 0.0  # of the attempts in flight
 
+    # Pace (pace, inspection; the registry resets the slowdown of a restarted engine).
     slowdown: float = 1.0  # latency over run time of recent answers
     overdue_ratio: float = 1.0  # age over run time of the attempts in flight
     latency_sum: float = 0.0  # µs, faded: latencies of recent answers
     run_time_sum: float = 0.0  # µs, faded: run times of the same answers
-    objectives_met: int = 0  # answers of this period
-    objectives_missed: int = 0
-    queue_waited: bool = False  # a request was kept waiting by the bound in this period
 
+    # Health (health, progress; the registry readmits a restarted engine).
     last_activity_at: int = 0  # last answer or progress notification
     ejected: bool = False  # only single trial requests go there
     next_trial_at: int = 0
     error_rate: float = 0.0  # running mean
     consecutive_resets: int = 0
 
+    # Rejections (concurrency_limits).
     rejected_until: int = 0  # a rejection counts as pressure until then
-    threads_at_rejection: int = 0  # in flight when it last rejected, or more that it has borne since
-    next_overflow_at: int = 0  # next attempt past those threads
+    threads_at_rejection: int = 0  # in flight when it last rejected, or more that it has answered under since
+    next_overflow_at: int = 0  # next attempt beyond those threads
 
+    # Slow start (slow_start, and the registry from the engine's start).
     warm_at: int = 0  # end of the slow start
-    recent_sends: deque[tuple[int, float]] = field(default_factory=deque)  # moment and work in µs
+    recent_sends: deque[tuple[int, float]] = field(default_factory=deque)  # time and work, both in µs
     recent_work: float = 0.0  # µs, sum of the work of recent sends
 
-    reported_load: float = 0.0  # threads a core, as its last load report tells
+    # Load reports (load_reports).
+    reported_load: float = 0.0  # threads a core, by its last load report
     reported_at: int = 0
 
+    # Loads that lock table groups (dispatch, outcomes, progress).
     loads_in_flight: dict[int, int] = field(default_factory=dict)  # by group: this broker's own loads
-    blocked_until: dict[int, int] = field(default_factory=dict)  # by group: another broker's load seen
+    blocked_until: dict[int, int] = field(default_factory=dict)  # by group: a load was reported there
 
 
 class EngineRegistry:
-    """Engines by id, and in order of their ids those that take requests."""
+    """All known engines by id, and those that take requests in order of their ids."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -67,7 +81,7 @@
         self.ready: list[Engine] = []
 
     def update(self, received: EngineListReceived) -> None:
-        """Take an engine list; what is removed stays known while attempts run there."""
+        """Apply an engine list; removed engines stay known while attempts are in flight there."""
         for entry in received.entries:
             self._update_entry(entry)
         if received.kind is not EngineListKind.DELTA:
--- a/cypressledge/decisions/estimates.py
+++ b/cypressledge/decisions/estimates.py
@@ -1,4 +1,4 @@
-"""What requests of each class cost: work, memory and expected latency, learnt from answers."""
+"""Estimates of what requests of each class cost: work, memory and latency, from recent answers."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import AttemptEnded, RequestReceived
@@ -12,7 +12,7 @@
 MEMORY_RATIO_WEIGHT = EWMA_WEIGHT / 2  # weight of one new answer in the mean memory ratio
 GRANT_QUANTILE = 0.9  # share of needs that the corrected grant covers: a spill costs more than idle memory
 GRANT_STEP = 0.04  # step of that quantile's estimate, as a share of it
-INITIAL_GRANT_RATIO = 1.25  # of estimated memory, before answers tell
+INITIAL_GRANT_RATIO = 1.25  # of estimated memory, before the first answers
 LARGE_RUN_TIME = 5.0  # multiple of the mean run time beyond which a query weighs no more in large memory
 
 
@@ -30,7 +30,7 @@
         self.memory_ratios = [1.0] * class_count  # mean of used over estimated memory
         self.mean_run_time = 0.0  # µs, of all requests received
         self.large_memory_mb = 0.0  # memory of an attempt, weighted by run time
-        self.has_cost_estimates = False  # whether any request came with an estimate
+        self.has_cost_estimates = False  # whether any request had an estimate
 
     def corrected_cost(self, received: RequestReceived) -> float:
         """Work of a new request, µs: its estimate corrected by earlier ones of its class, or the usual."""
@@ -40,7 +40,7 @@
         return self.work[class_index]
 
     def record_request(self, request: Request) -> None:
-        """Take a new request into the usual work and the mean run time."""
+        """Update the usual work and the mean run time with a new request."""
         class_index = request.class_index
         if not self.work[class_index]:
             self.work[class_index] = request.cost
@@ -52,12 +52,12 @@
             self.mean_run_time += run_time
 
     def record_attempt(self, request: Request) -> None:
-        """Take an attempt's reserved memory into that of large queries."""
+        """Update the memory of large queries with an attempt's reserved memory."""
         weight = min(request.run_time / max(self.mean_run_time, RUN_TIME_MIN), LARGE_RUN_TIME)
         self.large_memory_mb += EWMA_WEIGHT * weight / 2 * (request.reserved_memory_mb - self.large_memory_mb)
 
     def record_answer(self, request: Request, ended: AttemptEnded) -> float:
-        """Learn what an answered request cost; return its run time in µs."""
+        """Update the estimates with an answered request; return its run time in µs."""
         class_index = request.class_index
         threads = request.class_settings.threads
         self.answer_counts[class_index] += 1
--- a/cypressledge/decisions/health.py
+++ b/cypressledge/decisions/health.py
@@ -1,4 +1,4 @@
-"""Health of engines: outliers that are silent, answer errors or reset are ejected, and tried again."""
+"""Health of engines: outliers that are silent, answer errors or reset connections are ejected."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import Idempotency, Log, Outcome
@@ -8,9 +8,9 @@
 from cypressledge.decisions.units import EWMA_WEIGHT, MS
 
 SILENCE_LIMIT = 14.0  # missing answers from which an engine is ejected; work varies widely
-SILENCE_OF_ATTEMPT_MAX = 4.0  # most that one attempt adds to it: work's own spread must not count
+SILENCE_OF_ATTEMPT_MAX = 4.0  # most that one attempt adds to them, so that one long request ejects no engine
 SILENCE_MIN = 400 * MS  # shortest silence that counts, and age from which attempts at an ejected engine move
-WITNESSES = 3  # other engines that must have answered: tells one engine's silence from silence everywhere
+WITNESSES = 3  # other engines that must have answered lately: else the silence may be everywhere
 TRIAL_INTERVAL = 1_000 * MS  # between trial requests at an ejected engine
 ERROR_LIMIT = 0.25  # part of an engine's answers that are errors, from which it is ejected
 OTHERS_ERROR_MULTIPLE = 2.0  # of the other engines' mean error rate, that an outlier's is over besides
@@ -47,8 +47,8 @@
     def record_error(self, engine: Engine) -> None:
         """The engine answered an error.
 
-        Guards against an engine that answers errors at once, and so has the fewest queries and is given the
-        most. Errors everywhere are the queries' own.
+        Guards against an engine that answers errors at once, and so has the fewest queries in flight and
+        attracts the most. Errors at all engines are taken to be the queries' fault.
         """
         engine.error_rate += EWMA_WEIGHT * (1 - engine.error_rate)
         ready = self._registry.ready
@@ -63,8 +63,9 @@
     def record_connection_failure(self, engine: Engine, outcome: Outcome) -> None:
         """A connection to the engine was refused or reset.
 
-        A process that has ended resets all it had and refuses what is new: it is ejected until it answers,
-        and warms up if it was seen to refuse. Single resets are the network's fault, not the engine's.
+        A process that has ended resets all its connections and refuses new ones: it is ejected until it
+        answers, and begins a slow start where it refused one. Single resets are taken to be the network's
+        fault.
         """
         engine.consecutive_resets += 1
         if outcome is Outcome.CONNECT_FAILED:
@@ -77,11 +78,11 @@
             self._eject(engine, "broke its connections: ejected until it answers")
 
     def record_silence(self, engine: Engine, missing_answers: float) -> None:
-        """Answers are missing at the engine, as a multiple of their expected times.
+        """Answers are missing at the engine, as a multiple of their expected latencies.
 
-        Guards against an engine that takes work and answers nothing, whatever the reason. Expected times
-        follow the whole fleet's answers, so slowness everywhere ejects no engine; others must have answered
-        meanwhile. Hurts an engine far slower than all.
+        Guards against an engine that takes work and answers nothing, whatever the reason. Expected latencies
+        follow the answers of all engines, so that slowness everywhere ejects none, and others must have
+        answered meanwhile. The price: an engine that is far slower than all others is ejected as well.
         """
         last_heard = self._context.now - SILENCE_MIN
         if missing_answers <= SILENCE_LIMIT or engine.ejected or engine.last_activity_at >= last_heard:
@@ -92,7 +93,7 @@
             self._eject(engine, "is silent while others answer: ejected")
 
     def _may_eject(self) -> bool:
-        """One more ejected engine makes at most half the fleet."""
+        """Whether at most half of the engines would be ejected with one more."""
         ready = self._registry.ready
         return 2 * (sum(engine.ejected for engine in ready) + 1) <= len(ready)
 
--- a/cypressledge/decisions/housekeeping.py
+++ b/cypressledge/decisions/housekeeping.py
@@ -1,4 +1,4 @@
-"""Work that is done at intervals, and the timer that asks for it."""
+"""Work that is done at intervals, and the timer for it."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -18,7 +18,7 @@
 
 
 class Housekeeping:
-    """Runs what is due, and asks for a timer while a request is open."""
+    """Runs inspections and control periods when due; keeps a timer running while a request is open."""
 
     def __init__(
         self,
@@ -32,15 +32,15 @@
         self._inspections = inspections
         self._periodic = periodic
         self._next_period = self._next_inspection = 0  # µs
-        self._timer_at = 0  # µs, moment of the timer that was last started
+        self._timer_at = 0  # µs, when the timer that was last started fires
 
     def start(self) -> None:
-        """The first events have come: intervals begin."""
+        """Begin the intervals, at the first events."""
         now = self._context.now
         self._next_period, self._next_inspection = now + CONTROL_PERIOD, now + INSPECTION_INTERVAL
 
     def run(self) -> None:
-        """Do what is due."""
+        """Run what is due."""
         now = self._context.now
         if now >= self._next_inspection:
             self._next_inspection = now + INSPECTION_INTERVAL
@@ -50,7 +50,7 @@
             self.end_period()
 
     def inspect(self) -> None:
-        """Look at what runs."""
+        """Run the inspections of the attempts in flight."""
         for inspect in self._inspections:
             inspect()
 
@@ -60,13 +60,13 @@
             part.end_period()
 
     def schedule_timer(self) -> None:
-        """Ask for the next timer; with no request open there is none."""
+        """Start the next timer, unless an earlier one is running or no request is open."""
         if not self._lifecycle.requests:
             return
-        now, at = self._context.now, self._next_inspection
-        next_moment = self._lifecycle.next_moment()
-        if next_moment is not None and next_moment < at:
-            at = next_moment
-        if self._timer_at <= now or at < self._timer_at:
-            self._timer_at = max(at, now + self._context.settings.timer_resolution)
+        now, due_at = self._context.now, self._next_inspection
+        next_due_at = self._lifecycle.next_due_at()
+        if next_due_at is not None and next_due_at < due_at:
+            due_at = next_due_at
+        if self._timer_at <= now or due_at < self._timer_at:
+            self._timer_at = max(due_at, now + self._context.settings.timer_resolution)
             self._context.actions.append(StartTimer(self._timer_at - now))
--- a/cypressledge/decisions/lifecycle.py
+++ b/cypressledge/decisions/lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from their coming to their final answer."""
+"""Requests from their arrival to their final answer."""
 
 from cypressledge.decisions.affinity import Affinity
 from cypressledge.decisions.attempts import AttemptControl
@@ -22,7 +22,7 @@
 
 
 class RequestLifecycle:
-    """Requests that are owed an answer, or have an attempt whose outcome has not come yet."""
+    """Requests that are owed an answer, or have an attempt in flight."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._deadlines = DeadlineQueue()
 
     def receive(self, received: RequestReceived) -> None:
-        """Take a new request, and queue it unless another one of its key comes first."""
+        """Add a new request, and queue it unless it waits for an earlier one of its key."""
         class_settings = self._context.settings.classes[received.class_index]
         cost = self._estimates.corrected_cost(received)
         request = new_request(received, class_settings, self._context.now, cost)
@@ -61,7 +61,7 @@
             self._queue_first_of_key(request)
 
     def client_disconnected(self, event: ClientDisconnected) -> None:
-        """The client waits no longer."""
+        """The client disconnected: no answer is owed any more."""
         request = self.requests.get(event.request)
         if request is None or request.finished:
             return
@@ -70,7 +70,7 @@
         self.finish(request)
 
     def give_up(self, request: Request, reason: Reason) -> None:
-        """End the request unserved: rejected where it is harmless to send it again, else failed."""
+        """End the request without a result: rejected where the client may safely retry it, else failed."""
         if self._is_harmless_to_repeat(request):
             self._context.actions.append(RejectRequest(request.id, reason))
         else:
@@ -79,7 +79,7 @@
 
     @staticmethod
     def _is_harmless_to_repeat(request: Request) -> bool:
-        """Whether the client may send the request again: it can't have an effect twice."""
+        """Whether the client may retry the request without it being executed twice."""
         class_settings = request.class_settings
         if class_settings.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -101,7 +101,7 @@
         self.give_up(request, Reason.OBJECTIVE_MISSED)
 
     def finish(self, request: Request) -> None:
-        """Nothing more is owed for the request; a running attempt keeps its capacity and its key."""
+        """Nothing more is owed for the request; an attempt in flight still occupies capacity and its key."""
         if request.attempts == 0:
             self._odds.record_delay(request.class_index, self._context.now - request.received_at)
         request.finished, request.queued = True, False
@@ -119,7 +119,7 @@
             self._queue_first_of_key(following)
 
     def expire(self) -> None:
-        """End requests whose time is over; queue those whose key's pause is over."""
+        """End requests that are due; queue those whose key's cooldown is over."""
         now = self._context.now
         for request_id in self._deadlines.expired(now):
             request = self.requests.get(request_id)
@@ -133,15 +133,15 @@
                 self._queue_first_of_key(request)
 
     def shutdown_started(self) -> None:
-        """The process is about to end: whatever is open is answered now."""
+        """The process is shutting down: all open requests are answered now."""
         for request in list(self.requests.values()):
             if not request.finished:
                 self.give_up(request, Reason.SHUTTING_DOWN)
 
-    def next_moment(self) -> int | None:
-        """The next moment, µs, at which a request expires or a key's pause ends; None without any."""
-        moments = (self._deadlines.next_moment(), self.key_order.cooldowns.next_moment())
-        return min((moment for moment in moments if moment is not None), default=None)
+    def next_due_at(self) -> int | None:
+        """The next time, µs, at which a request expires or a key's cooldown ends; None without any."""
+        due_times = (self._deadlines.next_due_at(), self.key_order.cooldowns.next_due_at())
+        return min((due_at for due_at in due_times if due_at is not None), default=None)
 
     def _queue_first_of_key(self, request: Request) -> None:
         if self.key_order.may_start(request):
@@ -153,7 +153,7 @@
         return self.key_order.is_first(request)
 
     def _reason_expired(self, request: Request) -> Reason:
-        """Why a request that has waited, or run, for too long ends."""
+        """Why a request that is due ends."""
         if not request.queued:
             return Reason.DEADLINE
         is_due = self._context.now >= request.deadline - DEADLINE_MARGIN
--- a/cypressledge/decisions/load_reports.py
+++ b/cypressledge/decisions/load_reports.py
@@ -1,4 +1,4 @@
-"""Engines' load reports: how busy they are with all brokers' work."""
+"""Load reports of engines: how busy they are with the work of all brokers."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import AttemptEnded
@@ -6,11 +6,11 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA_WEIGHT
 
-INITIAL_LOAD = 0.5  # threads a core, before reports tell
+INITIAL_LOAD = 0.5  # threads a core, before the first reports
 
 
 class LoadReports:
-    """The load of the reports, in threads a core, and how wide queries are."""
+    """Mean and spread of the reported loads, in threads a core."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -20,7 +20,7 @@
         self._thread_time_sum = 0.0  # µs of threads, running
 
     def record_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
-        """Take an answer's report: busy cores, and threads a core beyond them."""
+        """Update an engine's load from its answer's report: busy cores, and threads a core beyond them."""
         threads = request.class_settings.threads
         self._latency_sum += ended.latency - EWMA_WEIGHT * self._latency_sum
         self._thread_time_sum += ended.latency * threads - EWMA_WEIGHT * self._thread_time_sum
--- a/cypressledge/decisions/lost_responses.py
+++ b/cypressledge/decisions/lost_responses.py
@@ -9,9 +9,7 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA_WEIGHT, MS
 
-LOST_AFTER_INTERVALS = (
-    1.8  # progress intervals without activity of an attempt after which its response is lost
-)
+LOST_AFTER_INTERVALS = 1.8  # progress intervals without activity after which an attempt's response is lost
 LOSS_RATE_WEIGHT = EWMA_WEIGHT / 10  # weight of one new response in the loss rate
 LOSS_RATE_HIGH = 0.02  # loss rate from which short work is moved as soon as it is overdue
 OVERDUE_MULTIPLE = 3.0  # multiple of the expected latency that silence of overdue work exceeds,
--- a/cypressledge/decisions/manager.py
+++ b/cypressledge/decisions/manager.py
@@ -1,7 +1,8 @@
-"""The workload manager: all decisions of one broker. Events come in, actions go out; it does no I/O.
+"""The workload manager: all decisions of one broker, from events to actions, without I/O.
 
-Requests wait in queues of their classes. Free capacity goes to the class that a weighted draw names, whose
-odds a PI loop tunes; a router chooses the engine. docs/design.md names each departure from the paper.
+Requests wait in the queues of their classes. Free capacity goes to the class that a weighted draw selects,
+with odds that a PI loop adjusts; a router chooses the engine. docs/design.md names each departure from the
+paper.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -50,7 +51,7 @@
 
 
 class WorkloadManager:
-    """The decisions of one broker: `handle` takes what happened and returns what to do."""
+    """The decisions of one broker: `handle` takes events and returns actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = context = DecisionContext(settings, Random(seed))
@@ -103,7 +104,7 @@
         }
 
     def configure(self, settings: Settings) -> None:
-        """Take changed settings; the classes are as many, in the same order."""
+        """Apply changed settings; the number and the order of the classes must be the same."""
         self.context.settings = settings
         self.limits.configure()
         self.router.configure()
@@ -125,11 +126,11 @@
 
     @property
     def requests(self) -> Mapping[int, Request]:
-        """Requests by id that are owed an answer, or have an attempt whose outcome has not come yet."""
+        """Requests by id that are owed an answer, or have an attempt in flight."""
         return self.lifecycle.requests
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of one moment, µs; return the actions in order."""
+        """Handle the events of one batch at time `now`, µs; return the actions in order."""
         context = self.context
         context.now, context.actions = now, []
         if not self._is_started:
--- a/cypressledge/decisions/odds.py
+++ b/cypressledge/decisions/odds.py
@@ -35,12 +35,12 @@
         self.sample_counts = [0] * class_count
 
     def record_delay(self, class_index: int, delay: int) -> None:
-        """A request of the class has waited this long, in µs, for its first attempt or in vain."""
+        """Record how long, in µs, a request waited for its first attempt, or until it ended without one."""
         self.delay_sums[class_index] += delay
         self.sample_counts[class_index] += 1
 
     def update(self, reference: Callable[[int], float], shortest_delay: int) -> None:
-        """One period of all loops; delays count as `shortest_delay` µs at least, and tell nothing there."""
+        """Run one period of all loops; `shortest_delay` µs is the least delay that can be measured."""
         class_count = len(self.odds)
         samples = zip(self.delay_sums, self.sample_counts, strict=True)
         means = [delay_sum / max(count, 1) for delay_sum, count in samples]
@@ -49,7 +49,7 @@
         for pair in range(class_count - 1):
             longer_delay = max(delays[pair], delays[pair + 1])
             if not (enough[pair] and enough[pair + 1]) or longer_delay <= shortest_delay:
-                continue  # too few delays to tell: hold the integral
+                continue  # too few delays for an error: hold the integral
             error = reference(pair) / reference(pair + 1) - delays[pair] / delays[pair + 1]
             self._step(pair, max(-ERROR_LIMIT, min(ERROR_LIMIT, error)))
         self._normalise()
--- a/cypressledge/decisions/outcomes.py
+++ b/cypressledge/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means for its request, its engine and the estimates."""
+"""Ends of attempts: the effects on the request, its engine and the estimates."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerObservers:
-    """All that learns from an answer."""
+    """The parts that are updated by outcomes."""
 
     estimates: ClassEstimates
     pace: FleetPace
@@ -29,7 +29,7 @@
 
 
 class AttemptOutcomes:
-    """Takes the ends of attempts."""
+    """Handles the ends of attempts."""
 
     def __init__(
         self,
@@ -46,7 +46,10 @@
         self._observers = observers
 
     def attempt_ended(self, ended: AttemptEnded) -> None:
-        """Take the end of an attempt: free its capacity, learn from it, then retry or end its request."""
+        """Free an attempt's capacity, update the observers, then retry or end its request.
+
+        Ends of former attempts, and of attempts at unknown engines, are ignored.
+        """
         engine = self._registry.engines.get(ended.engine)
         if engine is None:
             return
@@ -86,7 +89,7 @@
         self._lifecycle.retry(request, wait_until)
 
     def _learn(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
-        """Learn from one outcome: costs, needs, the engine's pace and health."""
+        """Update costs, needs, and the engine's pace and health with an outcome."""
         outcome, observers = ended.outcome, self._observers
         if outcome is Outcome.OK:
             self._learn_from_answer(engine, request, ended)
@@ -100,7 +103,8 @@
     def _learn_from_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
         observers, class_settings = self._observers, request.class_settings
         if class_settings.blocked_by_loads:
-            engine.blocked_until.pop(request.table_group, None)  # it ran: no load blocks the group now
+            # It was executed, so no load blocks its group any more.
+            engine.blocked_until.pop(request.table_group, None)
         observers.lost_responses.record_answer()
         observers.health.record_answer(engine)
         run_time = observers.estimates.record_answer(request, ended)
--- a/cypressledge/decisions/queues.py
+++ b/cypressledge/decisions/queues.py
@@ -1,7 +1,7 @@
 """Queues of the classes: shortest first among requests that can meet their latency objective, then late ones.
 
-A class's queue has a row for each group where loads can block it, so that a group without a free engine keeps
-no other group of the class waiting.
+A class's queue has a row for each table group where loads can block it, so that a group without a free engine
+does not block the others of the class.
 """
 
 from collections.abc import Callable, Container, Iterator
@@ -25,15 +25,15 @@
         class_count = len(context.settings.classes)
         self._on_time: list[Rows] = [{} for _ in range(class_count)]
         self._late: list[Rows] = [{} for _ in range(class_count)]
-        self._queued = 0  # number of the last request queued: breaks ties in order of queueing
+        self._sequence_number = 0  # of the last request queued: breaks ties in order of queueing
 
     def enqueue(self, request: Request) -> None:
-        """Have the request wait for an engine."""
+        """Queue the request for an engine."""
         request.queued = True
         self._push(self._on_time, request)
 
     def waiting_for_first_attempt(self) -> Iterator[Request]:
-        """Requests that wait and have had no attempt yet."""
+        """Queued requests without an attempt so far."""
         for rows in self._on_time + self._late:
             for _, _, request in chain.from_iterable(rows.values()):
                 if request.queued and request.attempts == 0:
@@ -74,9 +74,9 @@
         return None
 
     def _push(self, queues: list[Rows], request: Request) -> None:
-        self._queued += 1
+        self._sequence_number += 1
         row = queues[request.class_index].setdefault(request.queue_row, [])
-        heappush(row, (request.run_time, self._queued, request))
+        heappush(row, (request.run_time, self._sequence_number, request))
 
     def _can_meet_objective(self, request: Request) -> bool:
         return self._context.now + request.run_time <= request.objective_at
@@ -95,7 +95,7 @@
 def _discard_unservable(
     rows: Rows, row: int, is_servable: Callable[[Request], bool], discard: Callable[[Request], None]
 ) -> None:
-    """Take away heads of the row that left the queue another way, or can't be served in time any more."""
+    """Remove heads of the row that have left the queue another way, or can't be served in time any more."""
     queue = rows[row]
     while queue:
         request = queue[0][2]
--- a/cypressledge/decisions/request.py
+++ b/cypressledge/decisions/request.py
@@ -1,4 +1,4 @@
-"""A request as the decisions see it: owed an answer, or with an attempt whose outcome has not come yet."""
+"""The state of one request: it is owed an answer, or has an attempt in flight."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """State of one request; moments and spans are in µs, compared by identity."""
+    """State of one request, compared by identity; times and spans are in µs."""
 
     id: int
     class_index: int
@@ -35,24 +35,24 @@
     run_time: float  # µs, the cost over the threads that it runs on
     memory_mb: float  # estimated; 0: no estimate
     queue_row: int  # row of the class's queue: its group where loads can block it, else 0
-    objective_at: int  # moment at which the latency objective of its class ends
+    objective_at: int  # end of the latency objective
     attempts: int = 0  # attempts started
     engine: Engine | None = None  # where an attempt runs
-    sent_at: int = 0  # moment of the last attempt's start
-    last_activity_at: int = 0  # last news of the attempt
+    sent_at: int = 0  # start of the last attempt
+    last_activity_at: int = 0  # start of the attempt, or its last progress notification
     reserved_memory_mb: float = 0.0  # counted against the engine while the attempt runs
     resources: tuple[float, int] | None = None  # grant in MB and priority, as last set
     first_possible_execution: PossibleExecution | None = None
     avoided_engine: Engine | None = None  # engine of the last attempt that failed
-    queued: bool = False
+    queued: bool = False  # it waits in its class's queue
     finished: bool = False  # nothing more is owed to the client
-    cancelling: bool = False  # the attempt was cancelled; its outcome is still to come
-    blocked: bool = False  # the engine said that the attempt waits
-    response_lost: bool = False
+    cancelling: bool = False  # the attempt was cancelled; its AttemptEnded is still to arrive
+    blocked: bool = False  # the attempt waits at the engine, by its last progress notification
+    response_lost: bool = False  # the response to the attempt in flight will not arrive
 
 
 def new_request(received: RequestReceived, class_settings: ClassSettings, now: int, cost: float) -> Request:
-    """The state of a request that has just come, with its corrected cost in µs of work."""
+    """The state of a request that arrives at `now`, with its corrected cost in µs of work."""
     run_time = cost / class_settings.threads
     objective = class_settings.latency_objective + int(class_settings.latency_objective_stretch * run_time)
     has_rows = class_settings.blocked_by_loads or class_settings.is_load
--- a/cypressledge/decisions/retries.py
+++ b/cypressledge/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the budget of further attempts, and when a request may be sent to an engine again."""
+"""Retries: their budget, and the rules on sending a request again."""
 
 from collections import deque
 
@@ -19,8 +19,8 @@
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
-        self._received: deque[int] = deque()  # moments, µs
-        self._retries: deque[int] = deque()
+        self._received: deque[int] = deque()  # times in µs
+        self._retries: deque[int] = deque()  # times in µs
 
     def record_request(self) -> None:
         """A request was received."""
@@ -28,9 +28,9 @@
             self._received.append(self._context.now)
 
     def withdraw_request(self, received_at: int) -> None:
-        """A request was never sent, and its client has left: it allows no retry.
+        """Uncount a request that was never sent and whose client disconnected.
 
-        Guards against clients that take back hundreds of requests at once.
+        Guards against clients that withdraw hundreds of requests at once, which would enlarge the budget.
         """
         if self._received and self._received[0] <= received_at:
             self._received.remove(received_at)
@@ -41,7 +41,7 @@
             self._retries.append(self._context.now)
 
     def allows_retry(self) -> bool:
-        """Whether one more retry keeps within the budget, whenever it leaves."""
+        """Whether one more retry is within the budget, however long its send waits."""
         settings, now = self._context.settings, self._context.now
         if settings.retry_budget_ratio is None:
             return True
@@ -60,7 +60,7 @@
         self._budget = budget
 
     def reason_against_retry(self, request: Request) -> Reason | None:
-        """What keeps the request from another attempt; None where nothing does."""
+        """The reason why the request gets no further attempt; None where it gets one."""
         if request.attempts >= self._context.settings.max_attempts:
             return Reason.ATTEMPTS_USED
         if self._context.now + request.run_time > request.deadline - DEADLINE_MARGIN:
@@ -68,27 +68,31 @@
         return self.reason_against_sending(request)
 
     def reason_against_sending(self, request: Request) -> Reason | None:
-        """What keeps a retry from leaving now: asked again as an engine becomes free, which may be late."""
+        """The reason why a retry may not be sent now, None where it may.
+
+        Asked once more when an engine is found, which may be much later than the end of the last attempt.
+        """
         if not self._budget.allows_retry():
             return Reason.RETRY_BUDGET
         execution = request.first_possible_execution
         return reason_against_repeat(request.class_settings, execution, self._context.now)
 
 
-def _drop_until(moments: deque[int], last: int) -> None:
-    while moments and moments[0] <= last:
-        moments.popleft()
+def _drop_until(times: deque[int], last: int) -> None:
+    """Remove times up to the last one that lies before the window."""
+    while times and times[0] <= last:
+        times.popleft()
 
 
 def window_end(class_settings: ClassSettings, execution: PossibleExecution) -> int:
-    """Moment, µs, from which a request with a key that may have been executed is not sent again."""
+    """Time, µs, from which a request with a key that may have been executed is not sent again."""
     return execution.started_at + class_settings.deduplication_window - WINDOW_MARGIN
 
 
 def reason_against_repeat(
     class_settings: ClassSettings, execution: PossibleExecution | None, now: int
 ) -> Reason | None:
-    """What keeps a request from being sent again at `now`, µs; None where nothing does.
+    """The reason why a request may not be sent again at `now`, µs; None where it may.
 
     `execution` is the first attempt that may have been executed, None without any.
     """
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -1,6 +1,6 @@
-"""Routing: the engine for a request, the one of least cost among those that may take it; ties at random.
+"""Routing: a request goes to the engine of least cost among those that admit it; ties are broken at random.
 
-A cost is in threads a core: own work in flight, and terms of the same unit for what speaks against an engine.
+A cost is in threads a core: this broker's work in flight, and penalties in the same unit.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -18,12 +18,12 @@
 from cypressledge.decisions.retries import deduplicates
 from cypressledge.decisions.units import MS
 
-REPORT_WEIGHT = 2.0  # of others' reported load against own threads a core: own work is only a sample
-REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about as long as the dearer work runs
+REPORT_WEIGHT = 2.0  # of the other brokers' reported load against this broker's threads a core
+REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about the run time of expensive work
 PREFERRED_ENGINES_MIN = 3  # engines that a broker prefers at the least
 ANSWERS_PER_PREFERRED_ENGINE = 2  # answers a second for which it prefers one more
-UNPREFERRED_ENGINE_COST = 1.0  # of any engine that is not the broker's own, in threads a core
-UNCACHED_COST = 0.25  # of engines that are not the group's own, in threads a core
+UNPREFERRED_ENGINE_COST = 1.0  # of the first engine that the broker does not prefer, in threads a core
+UNCACHED_COST = 0.25  # of engines that are not among the group's, in threads a core
 BLOCKED_COST = 2.0  # of an engine where a load blocks the group, in threads a core
 FAILED_COST = 2.0  # of an engine that just failed the request or rejects, in threads a core
 RESERVED_COST = 0.5  # to a class free to go anywhere, of engines that another class must use
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class RoutingFacts:
-    """What the cost of an engine depends on besides the engine, worked out once for each choice."""
+    """What the cost of an engine depends on besides the engine, computed once for each choice."""
 
     request: Request
     threads: int  # that the request runs on
@@ -43,7 +43,7 @@
     fleet_slowdown: float
     mean_load: float  # threads a core, of load reports
     load_spread: float
-    distances: Mapping[Engine, float]  # from the broker's own engines
+    distances: Mapping[Engine, float]  # as Affinity.preference_distances gives them
     group_engines: Collection[Engine]
     load_engines: Collection[Engine]
 
@@ -72,7 +72,7 @@
         self.configure()
 
     def configure(self) -> None:
-        """Take the context's settings."""
+        """Apply the context's settings."""
         settings = self._context.settings
         self._reserved_kinds = frozenset().union(*(c.required_kinds or () for c in settings.classes))
         self._reserved_zones = frozenset().union(*(c.required_zones or () for c in settings.classes))
@@ -99,7 +99,7 @@
         return self._context.random.choice(ties) if ties else None
 
     def _candidates(self, request: Request) -> Sequence[Engine]:
-        """Engines that the rules on kinds, zones, repeats and loads leave for the request."""
+        """Engines that the rules on kinds, zones, retries and loads allow for the request."""
         class_settings = request.class_settings
         engines = self._registry.ready
         if (kinds := class_settings.required_kinds) is not None:
@@ -156,7 +156,11 @@
         return cost
 
     def _reported_load_cost(self, engine: Engine, facts: RoutingFacts) -> float:
-        """Others' load as the engine last reported it; the older a report, the more of it is guessed."""
+        """The other brokers' load as the engine last reported it.
+
+        The older the report, the more of it is replaced by a random guess, so that brokers do not all choose
+        the engine with the lowest old report.
+        """
         known = 1.0 / (1.0 + (facts.now - engine.reported_at) / REPORT_HALF_LIFE)
         deviation = 2.0 * self._random() - 1.0
         guess = (1.0 - known) * facts.load_spread * deviation * (engine.reported_at > 0)
@@ -170,27 +174,27 @@
 
 
 def _in_flight_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """This broker's threads a core with the request, by how much slower than all the engine answers."""
+    """This broker's threads a core with the request, times how much slower than the fleet the engine is."""
     load = (engine.threads + facts.threads) / engine.cores
     relative_slowdown = engine.slowdown / facts.fleet_slowdown
     return load * (relative_slowdown if relative_slowdown > 1.0 else 1.0)
 
 
 def _affinity_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Of engines that aren't the group's own, and of warm ones that aren't the broker's own."""
+    """Penalty on engines that are not among the group's, and on warm ones that the broker does not prefer."""
     is_uncached = engine not in facts.group_engines
     is_warm = facts.now >= engine.warm_at
     return is_uncached * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * facts.distances[engine]
 
 
 def _blocked_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Of an engine where loads block the group."""
+    """Penalty on an engine where loads block the group."""
     is_blocked = engine.blocked_until.get(facts.table_group, 0) > facts.now
     return BLOCKED_COST * max(engine.loads_in_flight.get(facts.table_group, 0), is_blocked)
 
 
 def _load_placement_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Keeps loads to engines of their own, and what they block away from these."""
+    """Penalty that separates loads from the queries that they block."""
     is_load_engine = engine in facts.load_engines
     if facts.request.class_settings.is_load:
         return (not is_load_engine) * NOT_LOAD_ENGINE_COST
--- a/cypressledge/decisions/slow_start.py
+++ b/cypressledge/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budget of work that an engine which warms up, or is on trial, gets from all brokers."""
+"""Slow start: the budget of work that all brokers together send to an engine that warms up or is ejected."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.engines import Engine
@@ -6,8 +6,8 @@
 from cypressledge.decisions.rank_hash import HASH_RANGE, rank_hash
 from cypressledge.decisions.request import Request
 
-FEW_REQUESTS = 8  # requests of a class that a budget must hold for a share of it to be drawn by chance
-SAFETY = 0.6  # part of the budget that is used: the engine's speed and the spread of work are not known
+FEW_REQUESTS = 8  # of a class: with more in a budget, shares under one request are drawn at random
+SAFETY_FACTOR = 0.6  # part of the budget that is used: the engine's speed and the spread of work are unknown
 RECENT_SENDS_MAX = 400  # sends that are remembered of each engine
 
 
@@ -19,11 +19,11 @@
         self._estimates = estimates
 
     def restart(self, engine: Engine) -> None:
-        """The engine's process has ended: it warms up from now on."""
+        """The engine's process has ended: a slow start begins now."""
         engine.warm_at = self._context.now + self._context.settings.slow_start_window
 
     def record_send(self, engine: Engine, request: Request) -> None:
-        """An attempt was sent to the engine; those that it rejects count too."""
+        """Count an attempt sent to the engine; those that it rejects count as well."""
         work = self._estimates.work[request.class_index]
         engine.recent_sends.append((self._context.now, work))
         engine.recent_work += work
@@ -31,10 +31,10 @@
             engine.recent_work -= engine.recent_sends.popleft()[1]
 
     def has_budget(self, engine: Engine, class_index: int) -> bool:
-        """Whether this broker's share of the engine's budget takes one more request of the class.
+        """Whether this broker's share of the engine's budget has space for one more request of the class.
 
-        A share under one request is a chance of one, so that all brokers together send the budget but for
-        scatter. Work of which the whole budget holds few needs a whole share.
+        A share under one request is a probability of one, so that all brokers together send about the budget.
+        Where the budget of all brokers has space for few requests of the class, a full share is required.
         """
         now = self._context.now
         if now >= engine.warm_at and not engine.ejected:
@@ -45,14 +45,16 @@
         sends = engine.recent_sends
         while sends and sends[0][0] < now - window - settings.timer_resolution:
             engine.recent_work -= sends.popleft()[1]
-        budget = settings.overload_multiple * settings.slow_start_capacity * engine.cores * window * SAFETY
+        budget = (
+            settings.overload_multiple * settings.slow_start_capacity * engine.cores * window * SAFETY_FACTOR
+        )
         if work * FEW_REQUESTS < budget:
             turn = (now + settings.broker_index * window // settings.broker_count) // window
             work *= rank_hash(settings.broker_index + turn, engine.id) / HASH_RANGE
         return engine.recent_work + work <= budget / settings.broker_count
 
     def _work_to_count(self, class_index: int) -> float:
-        """Usual work of the class, µs; without estimates and answers, what its latency objective allows."""
+        """Usual work of the class, µs; with few answers, at least what its latency objective allows."""
         estimates, class_settings = self._estimates, self._context.settings.classes[class_index]
         is_unknown = estimates.answer_counts[class_index] < FEW_REQUESTS and not estimates.has_cost_estimates
         allowed = is_unknown * class_settings.latency_objective * class_settings.threads
--- a/cypressledge/decisions/subscription.py
+++ b/cypressledge/decisions/subscription.py
@@ -1,4 +1,4 @@
-"""The subscription to engine lists: the lists that come, and what is done where one could not be had."""
+"""The subscription to engine lists: handling them, and retrying where one could not be fetched."""
 
 from cypressledge.decisions.affinity import Affinity
 from cypressledge.decisions.context import DecisionContext
@@ -6,12 +6,12 @@
 from cypressledge.decisions.engines import EngineRegistry
 from cypressledge.decisions.units import MS
 
-SUBSCRIPTION_TIMER = 1  # token; the timer of housekeeping has 0
-RETRY_INTERVAL = 1_000 * MS  # after a list could not be had
+SUBSCRIPTION_TIMER = 1  # token of its timer; the timer of housekeeping has 0
+RETRY_INTERVAL = 1_000 * MS  # after a list could not be fetched
 
 
 class EngineListSubscription:
-    """Asks for engine lists where the site sends them only to who subscribes, and takes them."""
+    """Subscribes to engine lists, where they are sent on request only, and applies them."""
 
     def __init__(self, context: DecisionContext, registry: EngineRegistry, affinity: Affinity) -> None:
         self._context = context
@@ -19,16 +19,16 @@
         self._affinity = affinity
 
     def start(self) -> None:
-        """The first events have come."""
+        """Subscribe where lists are sent on request only, at the first events."""
         if self._context.settings.list_on_request:
             self.subscribe()
 
     def subscribe(self) -> None:
-        """Ask for engine lists."""
+        """Request the engine lists."""
         self._context.actions.append(Subscribe())
 
     def list_received(self, received: EngineListReceived) -> None:
-        """Take an engine list; after a failure the engines stay as they are, and are asked for again."""
+        """Apply an engine list; after a failure keep the engines, and request the list again later."""
         if received.kind is EngineListKind.FAILED:
             self._context.actions.append(StartTimer(RETRY_INTERVAL, SUBSCRIPTION_TIMER))
             return
--- a/tests/decisions/test_deadlines.py
+++ b/tests/decisions/test_deadlines.py
@@ -9,9 +9,9 @@
         queue.schedule(moment, number)
     assert list(queue.expired(30)) == [2, 3, 1]
     assert list(queue.expired(30)) == []
-    assert queue.next_moment() == 40
+    assert queue.next_due_at() == 40
     assert list(queue.expired(40)) == [4]
-    assert queue.next_moment() is None
+    assert queue.next_due_at() is None
 
 
 def test_what_is_scheduled_while_others_come_out_comes_out_too():
--- a/tests/decisions/test_inspection.py
+++ b/tests/decisions/test_inspection.py
@@ -120,9 +120,9 @@
         self.periods += 1
 
 
-def housekeeping(requests, next_moment=None):
+def housekeeping(requests, next_due_at=None):
     ctx, looks, part = context(), [], Periodic()
-    lifecycle = SimpleNamespace(requests=requests, next_moment=lambda: next_moment)
+    lifecycle = SimpleNamespace(requests=requests, next_due_at=lambda: next_due_at)
     made = Housekeeping(ctx, lifecycle, [lambda: looks.append(ctx.now)], [part])
     made.start()
     return ctx, made, looks, part
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -87,7 +87,7 @@
     f = Life()
     made = f.receive()
     assert made.queued
-    assert f.life.next_moment() == made.deadline - 30_000
+    assert f.life.next_due_at() == made.deadline - 30_000
 
 
 def test_requests_of_a_key_are_queued_one_after_the_other():
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -41,7 +41,7 @@
     one, two = request(ctx, 1, key=7), request(ctx, 2, key=7)
     order.record_end(one, outcome)
     assert not order.may_start(two)
-    assert order.cooldowns.next_moment() == START + PAUSE
+    assert order.cooldowns.next_due_at() == START + PAUSE
     ctx.now += PAUSE
     assert list(order.cooldowns.expired(ctx.now)) == [2]
     assert order.may_start(two)
