--- a/cypressledge/decisions/slow_start.py
+++ b/cypressledge/decisions/slow_start.py
@@ -42,15 +42,13 @@
         settings = self._context.settings
         window = max(settings.overload_window, 1)
         work = self._work_to_count(class_index)
-        sends = engine.recent_sends
-        while sends and sends[0][0] < now - window - settings.timer_resolution:
-            engine.recent_work -= sends.popleft()[1]
-        budget = (
-            settings.overload_multiple * settings.slow_start_capacity * engine.cores * window * SAFETY_FACTOR
-        )
+        _drop_sends_before(engine, now - window - settings.timer_resolution)
+        capacity = settings.overload_multiple * settings.slow_start_capacity * engine.cores
+        budget = capacity * window * SAFETY_FACTOR
         if work * FEW_REQUESTS < budget:
-            turn = (now + settings.broker_index * window // settings.broker_count) // window
-            work *= rank_hash(settings.broker_index + turn, engine.id) / HASH_RANGE
+            # A new draw for each window; the windows of the brokers are spread over time.
+            window_number = (now + settings.broker_index * window // settings.broker_count) // window
+            work *= rank_hash(settings.broker_index + window_number, engine.id) / HASH_RANGE
         return engine.recent_work + work <= budget / settings.broker_count
 
     def _work_to_count(self, class_index: int) -> float:
@@ -59,3 +57,10 @@
         is_unknown = estimates.answer_counts[class_index] < FEW_REQUESTS and not estimates.has_cost_estimates
         allowed = is_unknown * class_settings.latency_objective * class_settings.threads
         return max(estimates.work[class_index], allowed)
+
+
+def _drop_sends_before(engine: Engine, oldest: int) -> None:
+    """Take sends before the time `oldest`, µs, out of the engine's recent work."""
+    sends = engine.recent_sends
+    while sends and sends[0][0] < oldest:
+        engine.recent_work -= sends.popleft()[1]
