--- a/cypressledge/decisions/concurrency_limits.py
+++ b/cypressledge/decisions/concurrency_limits.py
@@ -4,6 +4,8 @@
 grows while requests wait for it and answers meet their objectives, and shrinks as latency grows.
 """
 
+from typing import NamedTuple
+
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.engines import THREADS_PER_CORE, Engine, EngineRegistry
 from cypressledge.decisions.estimates import ClassEstimates
@@ -28,6 +30,13 @@
 MEMORY_NEEDS_MIN = 2.0  # multiples of a request's own need that every share of memory has space for
 
 
+class FleetLimits(NamedTuple):
+    """What this broker may have in flight over all engines."""
+
+    threads: float
+    memory_mb: float  # 0: no engine's memory is known
+
+
 class ConcurrencyLimits:
     """Threads and memory in flight of this broker, and whether one more request keeps within the limits."""
 
@@ -131,7 +140,7 @@
         if not engine.memory_mb or not engine.in_flight:
             return True
         needed = self._estimates.memory_to_reserve_mb(request)
-        share = min(1.0, bound / engine.initial_bound / self._context.settings.broker_count)
+        share = _memory_share(engine, bound, self._context.settings.broker_count)
         return engine.reserved_memory_mb + needed <= max(engine.memory_mb * share, MEMORY_NEEDS_MIN * needed)
 
     def fleet_has_capacity(self, request: Request, allowance: float) -> bool:
@@ -140,21 +149,20 @@
         A broker's share of one engine may be less than a query, and then limits nothing there; the sum of the
         shares does. The work of other brokers scatters, so a standard deviation of it stays free.
         """
-        threads, memory_mb = self._fleet_limits()
+        limits = self._fleet_limits()
         wanted = self.threads + request.class_settings.threads / 2
-        has_threads = wanted <= threads * (1.0 + allowance) + WIDE_QUERIES_ALLOWANCE * self._widest
+        has_threads = wanted <= limits.threads * (1.0 + allowance) + WIDE_QUERIES_ALLOWANCE * self._widest
         if not has_threads:
             for engine in self._registry.ready:
                 engine.queue_waited = True
         has_memory = (
-            not memory_mb
+            not limits.memory_mb
             or request.run_time <= self._estimates.mean_run_time
-            or self.reserved_memory_mb + self._estimates.memory_to_reserve_mb(request) <= memory_mb
+            or self.reserved_memory_mb + self._estimates.memory_to_reserve_mb(request) <= limits.memory_mb
         )
         return not self.threads or has_threads and has_memory
 
-    def _fleet_limits(self) -> tuple[float, float]:
-        """Threads, and memory in MB, that this broker may have in flight over all engines."""
+    def _fleet_limits(self) -> FleetLimits:
         threads = memory_mb = 0.0
         broker_count = self._context.settings.broker_count
         others = 1.0 - 1.0 / broker_count
@@ -164,9 +172,9 @@
             threads += bound * (1.0 - others * (widest / THREADS_PER_CORE / engine.cores) ** 0.5)
             if engine.memory_mb:
                 swing = others * min(large_memory_mb / engine.memory_mb, MEMORY_SWING_MAX) ** 0.5
-                share = min(1.0, bound / engine.initial_bound / broker_count)
+                share = _memory_share(engine, bound, broker_count)
                 memory_mb += engine.memory_mb * share * (1.0 - swing)
-        return threads, memory_mb
+        return FleetLimits(threads, memory_mb)
 
     def _binding_bound(self, engine: Engine) -> float:
         """Threads in flight at which the engine's bound binds now."""
@@ -179,3 +187,8 @@
             return bound
         burst = BURST_MULTIPLE * engine.initial_bound
         return burst if burst > bound else bound
+
+
+def _memory_share(engine: Engine, bound: float, broker_count: int) -> float:
+    """Part of the engine's memory that this broker may have reserved: it grows and shrinks with the bound."""
+    return min(1.0, bound / engine.initial_bound / broker_count)
