--- a/tests/decisions/manager_driver.py
+++ b/tests/decisions/manager_driver.py
@@ -68,10 +68,10 @@
         """Give events at a later moment; return the actions."""
         self.now += after
         actions = self.manager.handle(self.now, list(events))
-        for a in actions:
-            if isinstance(a, StartAttempt):
-                self.attempts[a.request] = self.attempts.get(a.request, -1) + 1
-                self.sends.append(a)
+        for action in actions:
+            if isinstance(action, StartAttempt):
+                self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
+                self.sends.append(action)
         self.done += actions
         return actions
 
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -47,97 +47,102 @@
 
 
 def test_ranks_follow_the_registry_once_they_are_told_of_a_change():
-    f = Ranks()
-    before = f.affinity.ranked(1)
-    f.registry.ready = f.registry.ready[:5]
-    assert f.affinity.ranked(1) is before
-    f.affinity.engines_changed()
-    assert len(f.affinity.ranked(1)) == 5
+    broker = Ranks()
+    before = broker.affinity.ranked(1)
+    broker.registry.ready = broker.registry.ready[:5]
+    assert broker.affinity.ranked(1) is before
+    broker.affinity.engines_changed()
+    assert len(broker.affinity.ranked(1)) == 5
 
 
 def test_a_group_has_engines_by_its_share_of_the_traffic():
-    f = Ranks()
-    f.requests(90, group=1)
-    f.requests(10, group=2)
-    assert len(f.affinity.group_engines(1)) == 10  # 1 + 13.5 of ten
-    assert f.affinity.group_engines(2) == f.affinity.ranked(2)[:3]  # 1 + 1.5, rounded up
-    assert f.affinity.group_engines(3) == f.affinity.ranked(3)[:1]
+    broker = Ranks()
+    broker.requests(90, group=1)
+    broker.requests(10, group=2)
+    assert len(broker.affinity.group_engines(1)) == 10  # 1 + 13.5 of ten
+    assert broker.affinity.group_engines(2) == broker.affinity.ranked(2)[:3]  # 1 + 1.5, rounded up
+    assert broker.affinity.group_engines(3) == broker.affinity.ranked(3)[:1]
 
 
 def test_counts_fade_and_are_forgotten():
-    f = Ranks()
-    f.requests(1, group=1)
+    broker = Ranks()
+    broker.requests(1, group=1)
     for _ in range(45):
-        f.affinity.end_period()
-    f.requests(1, group=2)
-    assert len(f.affinity.group_engines(1)) == 1 + 2  # 0.1 of the traffic still
-    f.affinity.end_period()
-    assert len(f.affinity.group_engines(1)) == 1
+        broker.affinity.end_period()
+    broker.requests(1, group=2)
+    assert len(broker.affinity.group_engines(1)) == 1 + 2  # 0.1 of the traffic still
+    broker.affinity.end_period()
+    assert len(broker.affinity.group_engines(1)) == 1
 
 
 def test_loads_have_the_last_engines_by_how_many_run_and_never_the_first_fifth():
-    f = Ranks()
-    f.requests(1, group=1)
-    assert f.affinity.load_engines(1) == []
-    f.registry.ready[0].loads_in_flight[1] = 1
+    broker = Ranks()
+    broker.requests(1, group=1)
+    assert broker.affinity.load_engines(1) == []
+    broker.registry.ready[0].loads_in_flight[1] = 1
     for _ in range(1_000):
-        f.affinity.record_running_loads()
-    assert f.affinity.load_engines(1) == f.affinity.ranked(1)[-2:]  # 1.6 of them, rounded up
-    f.registry.ready[0].loads_in_flight[1] = 100
+        broker.affinity.record_running_loads()
+    assert broker.affinity.load_engines(1) == broker.affinity.ranked(1)[-2:]  # 1.6 of them, rounded up
+    broker.registry.ready[0].loads_in_flight[1] = 100
     for _ in range(1_000):
-        f.affinity.record_running_loads()
-    assert f.affinity.load_engines(1) == f.affinity.ranked(1)[2:]
+        broker.affinity.record_running_loads()
+    assert broker.affinity.load_engines(1) == broker.affinity.ranked(1)[2:]
 
 
 def test_loads_are_excluded_from_the_first_fifth_while_another_engine_is_usable():
-    f = Ranks()
-    load = request(f.context, class_index=1, table_group=1)
-    assert set(f.affinity.excluded_engines(load)) == set(f.affinity.ranked(1)[:2])
-    for engine in f.affinity.ranked(1)[2:]:
+    broker = Ranks()
+    load = request(broker.context, class_index=1, table_group=1)
+    assert set(broker.affinity.excluded_engines(load)) == set(broker.affinity.ranked(1)[:2])
+    for engine in broker.affinity.ranked(1)[2:]:
         engine.ejected = True
-    assert not f.affinity.excluded_engines(load)
+    assert not broker.affinity.excluded_engines(load)
 
 
 def test_queries_are_excluded_where_a_load_blocks_them_while_the_first_fifth_is_usable():
-    f = Ranks()
-    query, ranks = request(f.context, table_group=1), f.affinity.ranked(1)
-    assert not f.affinity.excluded_engines(query)
+    broker = Ranks()
+    query, ranks = request(broker.context, table_group=1), broker.affinity.ranked(1)
+    assert not broker.affinity.excluded_engines(query)
     ranks[0].loads_in_flight[1] = ranks[4].loads_in_flight[1] = 1
-    ranks[5].blocked_until[1] = f.context.now + 1
-    ranks[6].blocked_until[1] = f.context.now
-    assert set(f.affinity.excluded_engines(query)) == {ranks[4], ranks[5]}
-    ranks[0].warm_at = ranks[1].rejected_until = f.context.now + 1
-    assert not f.affinity.excluded_engines(query)
+    ranks[5].blocked_until[1] = broker.context.now + 1
+    ranks[6].blocked_until[1] = broker.context.now
+    assert set(broker.affinity.excluded_engines(query)) == {ranks[4], ranks[5]}
+    ranks[0].warm_at = ranks[1].rejected_until = broker.context.now + 1
+    assert not broker.affinity.excluded_engines(query)
 
 
 def test_blocking_is_of_the_group():
-    f = Ranks()
-    engine = f.registry.ready[0]
+    broker = Ranks()
+    engine = broker.registry.ready[0]
     engine.loads_in_flight[1] = 1
-    assert blocks_queries(engine, 1, f.context.now)
-    assert not blocks_queries(engine, 2, f.context.now)
+    assert blocks_queries(engine, 1, broker.context.now)
+    assert not blocks_queries(engine, 2, broker.context.now)
 
 
 @pytest.mark.parametrize(("work", "soon"), [(6 * SECOND, True), (6 * SECOND + 2, False)])
 def test_a_load_starts_soon_where_those_ahead_leave_it_a_quarter_of_its_objective(work, soon):
-    f = Ranks()
-    f.estimates.work[1] = work  # on two threads; three quarters of 4 s are 3 s
-    engine = f.registry.ready[0]
+    broker = Ranks()
+    broker.estimates.work[1] = work  # on two threads; three quarters of 4 s are 3 s
+    engine = broker.registry.ready[0]
     engine.loads_in_flight[1] = 1
-    assert f.affinity.load_would_start_soon(engine, request(f.context, class_index=1, table_group=1)) is soon
-    assert f.affinity.load_would_start_soon(engine, request(f.context, class_index=1, table_group=2))
+    assert (
+        broker.affinity.load_would_start_soon(engine, request(broker.context, class_index=1, table_group=1))
+        is soon
+    )
+    assert broker.affinity.load_would_start_soon(
+        engine, request(broker.context, class_index=1, table_group=2)
+    )
 
 
 def test_other_brokers_loads_count_as_own_ones_do():
-    f = Ranks(broker_count=2)
-    f.estimates.work[1] = 4 * SECOND
-    f.registry.ready[0].loads_in_flight[1] = 1
-    load = request(f.context, class_index=1, table_group=1)
-    assert not f.affinity.load_would_start_soon(f.registry.ready[0], load)
+    broker = Ranks(broker_count=2)
+    broker.estimates.work[1] = 4 * SECOND
+    broker.registry.ready[0].loads_in_flight[1] = 1
+    load = request(broker.context, class_index=1, table_group=1)
+    assert not broker.affinity.load_would_start_soon(broker.registry.ready[0], load)
 
 
 def test_distances_grow_past_the_preferred_engines_of_the_broker():
-    f = Ranks(broker_index=3, broker_count=5)
-    distances = f.affinity.preference_distances(4)
-    ranks = f.affinity.ranked(-4)
+    broker = Ranks(broker_index=3, broker_count=5)
+    distances = broker.affinity.preference_distances(4)
+    ranks = broker.affinity.ranked(-4)
     assert [distances[engine] for engine in ranks] == [0, 0, 0, 0, 1.0, 1.25, 1.5, 1.75, 2.0, 2.25]
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -53,49 +53,49 @@
 
 
 def test_all_that_finds_an_engine_starts():
-    f = Dispatch()
+    dispatch = Dispatch()
     for number in range(1, 6):
-        f.add(number, cost=number)
-    f.dispatcher.dispatch()
-    assert f.started == [1, 2, 3, 4, 5]
+        dispatch.add(number, cost=number)
+    dispatch.dispatcher.dispatch()
+    assert dispatch.started == [1, 2, 3, 4, 5]
 
 
 def test_a_group_without_an_engine_is_asked_for_once_and_holds_up_no_other():
-    f = Dispatch(BLOCKED)
-    f.free = {8}
+    dispatch = Dispatch(BLOCKED)
+    dispatch.free = {8}
     for number, group in ((1, 7), (2, 7), (3, 8)):
-        f.add(number, cost=number, table_group=group)
-    f.dispatcher.dispatch()
-    assert f.asked == [1, 3]
-    assert f.started == [3]
+        dispatch.add(number, cost=number, table_group=group)
+    dispatch.dispatcher.dispatch()
+    assert dispatch.asked == [1, 3]
+    assert dispatch.started == [3]
 
 
 def test_after_three_groups_without_an_engine_a_class_is_left_for_now():
-    f = Dispatch(BLOCKED)
-    f.free = {9}
+    dispatch = Dispatch(BLOCKED)
+    dispatch.free = {9}
     for number in range(1, 10):
-        f.add(number, cost=number, table_group=number)
-    f.dispatcher.dispatch()
-    assert f.asked == [1, 2, 3]
-    assert f.started == []
+        dispatch.add(number, cost=number, table_group=number)
+    dispatch.dispatcher.dispatch()
+    assert dispatch.asked == [1, 2, 3]
+    assert dispatch.started == []
 
 
 def test_a_retry_that_may_not_leave_any_more_is_given_up():
-    f = Dispatch()
-    f.reason = "budget"
-    f.add(1).attempts = 1
-    f.add(2)  # a first attempt needs no leave
-    f.dispatcher.dispatch()
-    assert f.given_up == [(1, "budget")]
-    assert f.started == [2]
+    dispatch = Dispatch()
+    dispatch.reason = "budget"
+    dispatch.add(1).attempts = 1
+    dispatch.add(2)  # a first attempt needs no leave
+    dispatch.dispatcher.dispatch()
+    assert dispatch.given_up == [(1, "budget")]
+    assert dispatch.started == [2]
 
 
 def test_late_requests_are_given_up():
-    f = Dispatch()
-    f.add(1)
-    f.context.now += SECOND
-    f.dispatcher.dispatch()
-    assert f.given_up == [(1, "late")]
+    dispatch = Dispatch()
+    dispatch.add(1)
+    dispatch.context.now += SECOND
+    dispatch.dispatcher.dispatch()
+    assert dispatch.given_up == [(1, "late")]
 
 
 class Calls:
--- a/tests/decisions/test_estimates.py
+++ b/tests/decisions/test_estimates.py
@@ -97,8 +97,8 @@
 def test_nine_in_ten_needs_are_within_the_grant():
     ctx, made = estimates()
     asked = request(ctx, memory_mb=100.0)
-    for n in range(5_000):
-        made.record_answer(asked, ended_of(ctx, 0, 1_000, 1_000, memory_mb=100.0 + n * 37 % 100))
+    for number in range(5_000):
+        made.record_answer(asked, ended_of(ctx, 0, 1_000, 1_000, memory_mb=100.0 + number * 37 % 100))
     assert made.memory_grant_mb(asked) == pytest.approx(190, abs=12)
 
 
--- a/tests/decisions/test_inspection.py
+++ b/tests/decisions/test_inspection.py
@@ -45,69 +45,69 @@
 
 
 def test_an_idle_engine_is_not_overdue_and_not_silent():
-    f = Inspected()
-    f.engine.overdue_ratio = 5.0
-    f.run()
-    assert f.engine.overdue_ratio == 1.0
-    assert f.silences == {}
+    inspected = Inspected()
+    inspected.engine.overdue_ratio = 5.0
+    inspected.run()
+    assert inspected.engine.overdue_ratio == 1.0
+    assert inspected.silences == {}
 
 
 def test_the_overdue_ratio_is_age_over_run_time():
-    f = Inspected()
-    f.send(1, cost=100_000)
-    f.run(after=50_000)
-    assert f.engine.overdue_ratio == pytest.approx(1.0, abs=1e-4)
-    f.send(2, cost=300_000)
-    f.run(after=350_000)  # 400 ms and 350 ms old
-    assert f.engine.overdue_ratio == pytest.approx(750 / 400, abs=1e-4)
+    inspected = Inspected()
+    inspected.send(1, cost=100_000)
+    inspected.run(after=50_000)
+    assert inspected.engine.overdue_ratio == pytest.approx(1.0, abs=1e-4)
+    inspected.send(2, cost=300_000)
+    inspected.run(after=350_000)  # 400 ms and 350 ms old
+    assert inspected.engine.overdue_ratio == pytest.approx(750 / 400, abs=1e-4)
 
 
 def test_missing_answers_add_up_and_one_attempt_adds_four_at_most():
-    f = Inspected()
-    f.send(1, cost=100_000)
-    f.send(2, cost=200_000)
-    f.run(after=300_000)
-    assert f.silences == {1: pytest.approx(3.0 + 1.5)}
-    f.run(after=10 * SECOND)
-    assert f.silences == {1: 8.0}
+    inspected = Inspected()
+    inspected.send(1, cost=100_000)
+    inspected.send(2, cost=200_000)
+    inspected.run(after=300_000)
+    assert inspected.silences == {1: pytest.approx(3.0 + 1.5)}
+    inspected.run(after=10 * SECOND)
+    assert inspected.silences == {1: 8.0}
 
 
 def test_attempts_of_a_group_that_a_load_may_block_count_once():
-    f = Inspected()
+    inspected = Inspected()
     for number in range(1, 6):
-        f.send(number, class_index=1, table_group=7)
-    f.send(6, class_index=1, table_group=8)
-    f.run(after=300_000)
-    assert f.silences == {1: pytest.approx(6.0)}
+        inspected.send(number, class_index=1, table_group=7)
+    inspected.send(6, class_index=1, table_group=8)
+    inspected.run(after=300_000)
+    assert inspected.silences == {1: pytest.approx(6.0)}
 
 
 def test_silence_ends_with_the_engines_last_word():
-    f = Inspected()
-    f.send(1)
-    f.engine.last_activity_at = f.context.now + 200_000
-    f.run(after=300_000)
-    assert f.silences == {1: pytest.approx(1.0)}
+    inspected = Inspected()
+    inspected.send(1)
+    inspected.engine.last_activity_at = inspected.context.now + 200_000
+    inspected.run(after=300_000)
+    assert inspected.silences == {1: pytest.approx(1.0)}
 
 
 def test_lost_responses_are_no_silence_and_no_slowness():
-    f = Inspected()
-    f.send(1)
-    f.lost = {1}
-    f.run(after=SECOND)
-    assert f.silences == {1: 0.0}
-    assert f.engine.overdue_ratio == 0.0
-    assert f.updated == []
+    inspected = Inspected()
+    inspected.send(1)
+    inspected.lost = {1}
+    inspected.run(after=SECOND)
+    assert inspected.silences == {1: 0.0}
+    assert inspected.engine.overdue_ratio == 0.0
+    assert inspected.updated == []
 
 
 def test_what_runs_at_an_ejected_engine_is_moved_unless_it_is_new_or_over():
-    f = Inspected()
-    f.send(1)
-    f.send(2).finished = True
-    f.context.now += 1
-    f.send(3)
-    f.engine.ejected = True
-    f.run(after=400_000)
-    assert f.moved == [(1, Reason.ENGINE_SILENT)]
+    inspected = Inspected()
+    inspected.send(1)
+    inspected.send(2).finished = True
+    inspected.context.now += 1
+    inspected.send(3)
+    inspected.engine.ejected = True
+    inspected.run(after=400_000)
+    assert inspected.moved == [(1, Reason.ENGINE_SILENT)]
 
 
 class Periodic:
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -47,7 +47,7 @@
         return told
 
 
-class Life:
+class Lifecycle:
     """The lifecycle of one class, over two engines."""
 
     def __init__(self, class_settings=LOOKUP, **changes):
@@ -60,14 +60,14 @@
         queues = ClassQueues(ctx, SimpleNamespace(slowdown=1.0))
         affinity = Affinity(ctx, self.registry, estimates)
         control = AttemptControl(ctx, policy)
-        self.life = RequestLifecycle(ctx, estimates, affinity, self.budget, control, self.odds, queues)
+        self.lifecycle = RequestLifecycle(ctx, estimates, affinity, self.budget, control, self.odds, queues)
         self.observed = Observed()
         observers = AnswerObservers(*[self.observed] * 6)
-        self.outcomes = AttemptOutcomes(ctx, self.registry, self.life, policy, observers)
+        self.outcomes = AttemptOutcomes(ctx, self.registry, self.lifecycle, policy, observers)
 
     def receive(self, number=1, key=0, due=5 * SECOND):
-        self.life.receive(RequestReceived(number, 0, self.context.now + due, key, cost=100_000))
-        return self.life.requests[number]
+        self.lifecycle.receive(RequestReceived(number, 0, self.context.now + due, key, cost=100_000))
+        return self.lifecycle.requests[number]
 
     def send(self, made):
         made.queued = False
@@ -84,47 +84,47 @@
 
 
 def test_a_request_is_queued_as_it_comes():
-    f = Life()
-    made = f.receive()
+    setup = Lifecycle()
+    made = setup.receive()
     assert made.queued
-    assert f.life.next_due_at() == made.deadline - 30_000
+    assert setup.lifecycle.next_due_at() == made.deadline - 30_000
 
 
 def test_requests_of_a_key_are_queued_one_after_the_other():
-    f = Life(ORDERED)
-    one, two = f.receive(1, key=7), f.receive(2, key=7)
+    setup = Lifecycle(ORDERED)
+    one, two = setup.receive(1, key=7), setup.receive(2, key=7)
     assert (one.queued, two.queued) == (True, False)
-    f.life.give_up(one, Reason.NO_CAPACITY)
+    setup.lifecycle.give_up(one, Reason.NO_CAPACITY)
     assert two.queued
 
 
 def test_a_client_that_leaves_ends_its_request_without_an_answer():
-    f = Life()
-    f.receive()
-    f.life.client_disconnected(ClientDisconnected(1))
-    f.life.client_disconnected(ClientDisconnected(1))
-    assert f.life.requests == {}
-    assert f.context.actions == []
-    assert f.odds.sample_counts == [1]  # it has waited in vain
+    setup = Lifecycle()
+    setup.receive()
+    setup.lifecycle.client_disconnected(ClientDisconnected(1))
+    setup.lifecycle.client_disconnected(ClientDisconnected(1))
+    assert setup.lifecycle.requests == {}
+    assert setup.context.actions == []
+    assert setup.odds.sample_counts == [1]  # it has waited in vain
 
 
 @pytest.mark.parametrize(("class_settings", "cancels"), [(LOOKUP, 1), (KEYED, 1), (UNSAFE, 0)])
 def test_what_runs_for_a_client_that_left_is_cancelled_where_that_is_harmless(class_settings, cancels):
-    f = Life(class_settings)
-    made = f.send(f.receive())
-    f.life.client_disconnected(ClientDisconnected(1))
-    assert len(f.context.actions) == cancels
+    setup = Lifecycle(class_settings)
+    made = setup.send(setup.receive())
+    setup.lifecycle.client_disconnected(ClientDisconnected(1))
+    assert len(setup.context.actions) == cancels
     assert made.finished
-    f.end(made, Outcome.CANCELLED)
-    assert f.life.requests == {}
+    setup.end(made, Outcome.CANCELLED)
+    assert setup.lifecycle.requests == {}
 
 
 def test_a_request_that_is_taken_back_unsent_allows_no_retry():
-    f = Life(retry_budget_ratio=1.0, retry_budget_window=10 * SECOND)
-    f.receive()
-    assert f.budget.allows_retry()
-    f.life.client_disconnected(ClientDisconnected(1))
-    assert not f.budget.allows_retry()
+    setup = Lifecycle(retry_budget_ratio=1.0, retry_budget_window=10 * SECOND)
+    setup.receive()
+    assert setup.budget.allows_retry()
+    setup.lifecycle.client_disconnected(ClientDisconnected(1))
+    assert not setup.budget.allows_retry()
 
 
 @pytest.mark.parametrize(
@@ -143,60 +143,60 @@
     ],
 )
 def test_a_request_is_rejected_only_where_its_client_may_send_it_again(class_settings, state, answer):
-    f = Life(class_settings)
-    made = f.receive()
+    setup = Lifecycle(class_settings)
+    made = setup.receive()
     if state == "in flight":
-        f.send(made)
+        setup.send(made)
     elif state == "may have run":
-        made.first_possible_execution = PossibleExecution(f.context.now, f.engine)
-    f.life.give_up(made, Reason.DEADLINE)
-    assert f.answers() == [(answer, Reason.DEADLINE)]
+        made.first_possible_execution = PossibleExecution(setup.context.now, setup.engine)
+    setup.lifecycle.give_up(made, Reason.DEADLINE)
+    assert setup.answers() == [(answer, Reason.DEADLINE)]
 
 
 @pytest.mark.parametrize(("is_sent", "reason"), [(False, Reason.NO_CAPACITY), (True, Reason.DEADLINE)])
 def test_a_request_ends_30_ms_before_its_deadline(is_sent, reason):
     """The margin stands in deadlines.py."""
-    f = Life()
-    made = f.receive()
+    setup = Lifecycle()
+    made = setup.receive()
     if is_sent:
-        f.send(made)
-    f.context.now = made.deadline - 30_001
-    f.life.expire()
-    assert f.answers() == []
-    f.context.now += 1
-    f.life.expire()
-    assert f.answers() == [(RejectRequest, reason)]
+        setup.send(made)
+    setup.context.now = made.deadline - 30_001
+    setup.lifecycle.expire()
+    assert setup.answers() == []
+    setup.context.now += 1
+    setup.lifecycle.expire()
+    assert setup.answers() == [(RejectRequest, reason)]
 
 
 def test_at_the_shutdown_all_that_is_open_is_answered_once():
-    f = Life()
-    f.receive(1)
-    f.send(f.receive(2))
-    f.life.shutdown_started()
-    f.life.shutdown_started()
-    assert f.answers() == [(RejectRequest, Reason.SHUTTING_DOWN)] * 2
+    setup = Lifecycle()
+    setup.receive(1)
+    setup.send(setup.receive(2))
+    setup.lifecycle.shutdown_started()
+    setup.lifecycle.shutdown_started()
+    assert setup.answers() == [(RejectRequest, Reason.SHUTTING_DOWN)] * 2
 
 
 def test_a_keys_pause_is_waited_for():
-    f = Life(ORDERED, ordering_key_cooldown=300_000)
-    one, two = f.receive(1, key=7), f.receive(2, key=7)
-    f.end(f.send(one), Outcome.RESET)
+    setup = Lifecycle(ORDERED, ordering_key_cooldown=300_000)
+    one, two = setup.receive(1, key=7), setup.receive(2, key=7)
+    setup.end(setup.send(one), Outcome.RESET)
     assert not two.queued
-    f.context.now += 305_000 - 1
-    f.life.expire()
+    setup.context.now += 305_000 - 1
+    setup.lifecycle.expire()
     assert not two.queued
-    f.context.now += 1
-    f.life.expire()
+    setup.context.now += 1
+    setup.lifecycle.expire()
     assert two.queued
 
 
 def test_an_answer_ends_the_request_and_everything_learns_from_it():
-    f = Life()
-    made = f.send(f.receive())
-    f.end(made, Outcome.OK, final=True)
-    assert f.life.requests == {}
-    assert f.engine.in_flight == {}
-    assert f.observed.names == ["release"] + ["record_answer"] * 6
+    setup = Lifecycle()
+    made = setup.send(setup.receive())
+    setup.end(made, Outcome.OK, final=True)
+    assert setup.lifecycle.requests == {}
+    assert setup.engine.in_flight == {}
+    assert setup.observed.names == ["release"] + ["record_answer"] * 6
 
 
 @pytest.mark.parametrize(
@@ -212,12 +212,12 @@
     ],
 )
 def test_who_learns_from_other_outcomes_and_a_retry_is_queued(outcome, told):
-    f = Life()
-    made = f.send(f.receive())
-    f.end(made, outcome)
-    assert f.observed.names == ["release", *told]
+    setup = Lifecycle()
+    made = setup.send(setup.receive())
+    setup.end(made, outcome)
+    assert setup.observed.names == ["release", *told]
     assert made.queued
-    assert made.avoided_engine is f.engine
+    assert made.avoided_engine is setup.engine
     assert made.engine is None
 
 
@@ -234,50 +234,50 @@
     ],
 )
 def test_what_may_have_run_is_remembered_from_its_first_such_attempt(outcome, since):
-    f = Life(KEYED)
-    made = f.send(f.receive())
-    began = f.context.now
-    f.end(made, outcome, after=1_000)
-    assert made.first_possible_execution == (PossibleExecution(began, f.engine) if since else None)
-    f.end(f.send(made), Outcome.RESET, after=1_000)
+    setup = Lifecycle(KEYED)
+    made = setup.send(setup.receive())
+    began = setup.context.now
+    setup.end(made, outcome, after=1_000)
+    assert made.first_possible_execution == (PossibleExecution(began, setup.engine) if since else None)
+    setup.end(setup.send(made), Outcome.RESET, after=1_000)
     assert made.first_possible_execution.started_at == (began if since else began + 1_000)
 
 
 def test_a_request_with_a_key_waits_within_its_window_only():
-    f = Life(KEYED)
-    made = f.send(f.receive())
-    f.end(made, Outcome.RESET, after=1_000)
-    f.context.now += 1_400_000 - 1_000  # two seconds less the margin of 600 ms since it was sent
-    f.life.expire()
-    assert f.answers() == [(RejectRequest, Reason.DEDUPLICATION_WINDOW_OVER)]
+    setup = Lifecycle(KEYED)
+    made = setup.send(setup.receive())
+    setup.end(made, Outcome.RESET, after=1_000)
+    setup.context.now += 1_400_000 - 1_000  # two seconds less the margin of 600 ms since it was sent
+    setup.lifecycle.expire()
+    assert setup.answers() == [(RejectRequest, Reason.DEDUPLICATION_WINDOW_OVER)]
 
 
 def test_a_request_that_may_not_be_repeated_fails():
-    f = Life(UNSAFE)
-    f.end(f.send(f.receive()), Outcome.RESET)
-    assert f.answers() == [(FailRequest, Reason.MAY_HAVE_EXECUTED)]
-    assert f.life.requests == {}
+    setup = Lifecycle(UNSAFE)
+    setup.end(setup.send(setup.receive()), Outcome.RESET)
+    assert setup.answers() == [(FailRequest, Reason.MAY_HAVE_EXECUTED)]
+    assert setup.lifecycle.requests == {}
 
 
 def test_ends_of_other_attempts_change_nothing():
-    f = Life()
-    made = f.send(f.receive())
+    setup = Lifecycle()
+    made = setup.send(setup.receive())
     for attempt, engine in ((1, 1), (0, 2), (0, 99)):
-        f.outcomes.attempt_ended(AttemptEnded(1, attempt, engine, Outcome.OK, True, 1_000))
-    assert f.engine.in_flight == {1: made}
-    assert f.observed.names == []
+        setup.outcomes.attempt_ended(AttemptEnded(1, attempt, engine, Outcome.OK, True, 1_000))
+    assert setup.engine.in_flight == {1: made}
+    assert setup.observed.names == []
 
 
 def test_a_load_that_ends_blocks_no_longer():
-    f = Life(replace(LOOKUP, is_load=True))
-    made = f.send(f.receive())
-    f.engine.loads_in_flight[0] = 1
-    f.end(made, Outcome.OK, final=True)
-    assert f.engine.loads_in_flight == {0: 0}
+    setup = Lifecycle(replace(LOOKUP, is_load=True))
+    made = setup.send(setup.receive())
+    setup.engine.loads_in_flight[0] = 1
+    setup.end(made, Outcome.OK, final=True)
+    assert setup.engine.loads_in_flight == {0: 0}
 
 
 def test_an_answer_to_what_loads_block_tells_that_none_does():
-    f = Life(replace(LOOKUP, blocked_by_loads=True))
-    f.engine.blocked_until = {0: f.context.now + SECOND, 1: f.context.now + SECOND}
-    f.end(f.send(f.receive()), Outcome.OK, final=True)
-    assert f.engine.blocked_until == {1: f.context.now + SECOND}
+    setup = Lifecycle(replace(LOOKUP, blocked_by_loads=True))
+    setup.engine.blocked_until = {0: setup.context.now + SECOND, 1: setup.context.now + SECOND}
+    setup.end(setup.send(setup.receive()), Outcome.OK, final=True)
+    assert setup.engine.blocked_until == {1: setup.context.now + SECOND}
--- a/tests/decisions/test_lost_responses.py
+++ b/tests/decisions/test_lost_responses.py
@@ -49,25 +49,25 @@
 
 
 def test_a_response_is_lost_after_nearly_two_intervals_without_news():
-    f = InFlight()
-    assert not f.check(900_000)
-    assert f.check(1)
-    assert f.cancelled() == [Reason.RESPONSE_LOST]
-    assert f.losses.loss_rate == pytest.approx(0.01)
+    in_flight = InFlight()
+    assert not in_flight.check(900_000)
+    assert in_flight.check(1)
+    assert in_flight.cancelled() == [Reason.RESPONSE_LOST]
+    assert in_flight.losses.loss_rate == pytest.approx(0.01)
 
 
 def test_it_counts_as_lost_once():
-    f = InFlight()
-    assert f.check(SECOND)
-    f.request.cancelling = False
-    assert f.check(SECOND)
-    assert f.losses.loss_rate == pytest.approx(0.01)
+    in_flight = InFlight()
+    assert in_flight.check(SECOND)
+    in_flight.request.cancelling = False
+    assert in_flight.check(SECOND)
+    assert in_flight.losses.loss_rate == pytest.approx(0.01)
 
 
 def test_an_engine_that_is_quiet_itself_loses_nothing():
-    f = InFlight()
-    f.engine.last_activity_at = f.context.now
-    assert not f.check(5 * SECOND, engine_speaks=False)
+    in_flight = InFlight()
+    in_flight.engine.last_activity_at = in_flight.context.now
+    assert not in_flight.check(5 * SECOND, engine_speaks=False)
 
 
 def test_nothing_is_lost_where_there_are_no_notifications():
@@ -76,84 +76,84 @@
 
 @pytest.mark.parametrize("state", ["finished", "cancelling"])
 def test_what_is_over_is_not_looked_for(state):
-    f = InFlight()
-    setattr(f.request, state, True)
-    assert not f.check(60 * SECOND)
+    in_flight = InFlight()
+    setattr(in_flight.request, state, True)
+    assert not in_flight.check(60 * SECOND)
 
 
 def test_late_idempotent_work_of_little_weight_is_given_up():
-    f = InFlight(LOOKUP)
-    f.check(SECOND)
-    assert f.given_up == [Reason.RESPONSE_LOST]
-    assert f.cancelled() == []
+    in_flight = InFlight(LOOKUP)
+    in_flight.check(SECOND)
+    assert in_flight.given_up == [Reason.RESPONSE_LOST]
+    assert in_flight.cancelled() == []
 
 
 def test_work_with_a_key_is_cancelled_and_work_that_may_not_be_repeated_is_left():
     keyed = replace(PATIENT, idempotency=Idempotency.WITH_KEY, deduplication_window=60 * SECOND)
-    f = InFlight(keyed)
-    assert f.check(SECOND)
-    assert f.cancelled() == [Reason.RESPONSE_LOST]
-    f = InFlight(replace(PATIENT, idempotency=Idempotency.NOT_IDEMPOTENT))
-    assert f.check(SECOND)
-    assert f.cancelled() == f.given_up == []
+    in_flight = InFlight(keyed)
+    assert in_flight.check(SECOND)
+    assert in_flight.cancelled() == [Reason.RESPONSE_LOST]
+    in_flight = InFlight(replace(PATIENT, idempotency=Idempotency.NOT_IDEMPOTENT))
+    assert in_flight.check(SECOND)
+    assert in_flight.cancelled() == in_flight.given_up == []
 
 
 @pytest.mark.parametrize(
     ("rate", "blocked", "moved"), [(0.02, False, 0), (0.021, False, 1), (0.021, True, 0)]
 )
 def test_where_many_are_lost_work_is_moved_as_soon_as_it_is_overdue(rate, blocked, moved):
-    f = InFlight()
-    f.losses.loss_rate, f.request.blocked = rate, blocked
-    f.check(340_000)  # three times 100 ms, and 40
-    assert f.cancelled() == []
-    f.check(1)
-    assert len(f.cancelled()) == moved
+    in_flight = InFlight()
+    in_flight.losses.loss_rate, in_flight.request.blocked = rate, blocked
+    in_flight.check(340_000)  # three times 100 ms, and 40
+    assert in_flight.cancelled() == []
+    in_flight.check(1)
+    assert len(in_flight.cancelled()) == moved
 
 
 def test_answers_lower_the_rate():
-    f = InFlight()
-    f.losses.loss_rate = 0.5
-    f.losses.record_answer()
-    assert f.losses.loss_rate == pytest.approx(0.495)
+    in_flight = InFlight()
+    in_flight.losses.loss_rate = 0.5
+    in_flight.losses.record_answer()
+    assert in_flight.losses.loss_rate == pytest.approx(0.495)
 
 
 def test_a_runaway_is_moved_once_a_fresh_start_would_take_a_third_of_its_rest():
-    f = InFlight()
-    f.notify(ProgressKind.PROGRESS, 0.1, after=100_000)
-    assert f.cancelled() == []  # not older than a fresh start
-    f.notify(ProgressKind.PROGRESS, 0.5, after=150_000)
-    assert f.cancelled() == []  # its rest is 250 ms
-    f.notify(ProgressKind.PROGRESS, 0.4)
-    assert f.cancelled() == [Reason.RUNAWAY]  # 375 ms
+    in_flight = InFlight()
+    in_flight.notify(ProgressKind.PROGRESS, 0.1, after=100_000)
+    assert in_flight.cancelled() == []  # not older than a fresh start
+    in_flight.notify(ProgressKind.PROGRESS, 0.5, after=150_000)
+    assert in_flight.cancelled() == []  # its rest is 250 ms
+    in_flight.notify(ProgressKind.PROGRESS, 0.4)
+    assert in_flight.cancelled() == [Reason.RUNAWAY]  # 375 ms
 
 
 def test_an_attempt_behind_a_load_is_moved_and_its_group_kept_off():
-    f = InFlight()
-    f.notify(ProgressKind.WAITING, 1.0)  # for memory
-    assert f.cancelled() == []
-    assert f.request.blocked
-    f.notify(ProgressKind.WAITING, 2.0)
-    assert f.cancelled() == [Reason.BEHIND_LOAD]
-    assert f.engine.blocked_until == {0: f.context.now + 2 * SECOND}
+    in_flight = InFlight()
+    in_flight.notify(ProgressKind.WAITING, 1.0)  # for memory
+    assert in_flight.cancelled() == []
+    assert in_flight.request.blocked
+    in_flight.notify(ProgressKind.WAITING, 2.0)
+    assert in_flight.cancelled() == [Reason.BEHIND_LOAD]
+    assert in_flight.engine.blocked_until == {0: in_flight.context.now + 2 * SECOND}
 
 
 def test_news_is_activity_of_attempt_and_engine_and_ends_the_wait():
-    f = InFlight()
-    f.request.blocked = True
-    f.notify(ProgressKind.SPILLING, 12.0, after=SECOND)
-    assert f.request.last_activity_at == f.engine.last_activity_at == f.context.now
-    assert not f.request.blocked
+    in_flight = InFlight()
+    in_flight.request.blocked = True
+    in_flight.notify(ProgressKind.SPILLING, 12.0, after=SECOND)
+    assert in_flight.request.last_activity_at == in_flight.engine.last_activity_at == in_flight.context.now
+    assert not in_flight.request.blocked
 
 
 @pytest.mark.parametrize("what", ["former attempt", "finished", "cancelling", "no attempt"])
 def test_notifications_of_what_is_over_say_nothing(what):
-    f = InFlight()
+    in_flight = InFlight()
     if what == "former attempt":
-        f.request.attempts = 2
+        in_flight.request.attempts = 2
     elif what == "no attempt":
-        f.request.engine = None
+        in_flight.request.engine = None
     else:
-        setattr(f.request, what, True)
-    f.notify(ProgressKind.WAITING, 2.0, after=SECOND)
-    assert f.engine.blocked_until == {}
-    assert f.engine.last_activity_at == 0
+        setattr(in_flight.request, what, True)
+    in_flight.notify(ProgressKind.WAITING, 2.0, after=SECOND)
+    assert in_flight.engine.blocked_until == {}
+    assert in_flight.engine.last_activity_at == 0
--- a/tests/decisions/test_manager_mechanism.py
+++ b/tests/decisions/test_manager_mechanism.py
@@ -26,15 +26,15 @@
 def loop(means, count=10, classes=None):
     """A manager whose last period saw these mean waits."""
     classes = classes or [ClassSettings(latency_objective=S, deadline=20 * S) for _ in means]
-    f = ManagerDriver(settings(*classes))
-    m = f.manager
-    observe(m, means, count)
-    return m
+    driver = ManagerDriver(settings(*classes))
+    manager = driver.manager
+    observe(manager, means, count)
+    return manager
 
 
-def observe(m, means, count=10):
-    m.odds.delay_sums, m.odds.sample_counts = [w * count for w in means], [count] * len(means)
-    m.odds_loop.end_period()
+def observe(manager, means, count=10):
+    manager.odds.delay_sums, manager.odds.sample_counts = [w * count for w in means], [count] * len(means)
+    manager.odds_loop.end_period()
 
 
 def test_odds_start_even():
@@ -43,16 +43,16 @@
 
 def test_first_step_of_the_loop():
     # e = 1/1 - 100/200 = 0.5; x = 1 + 0.42 * 0.5 - 0.1 * 0 = 1.21; P1 = 1 / 2.21
-    m = loop([100_000, 200_000])
-    assert m.odds.ratios == pytest.approx([1.21])
-    assert m.odds.odds == pytest.approx([1 / 2.21, 1.21 / 2.21])
+    manager = loop([100_000, 200_000])
+    assert manager.odds.ratios == pytest.approx([1.21])
+    assert manager.odds.odds == pytest.approx([1 / 2.21, 1.21 / 2.21])
 
 
 def test_second_step_takes_off_the_last_error():
     # e(2) = 1 - 300/200 = -0.5; x = 1.21 + 0.42 * -0.5 - 0.1 * 0.5 = 0.95
-    m = loop([100_000, 200_000])
-    observe(m, [300_000, 200_000])
-    assert m.odds.ratios == pytest.approx([0.95])
+    manager = loop([100_000, 200_000])
+    observe(manager, [300_000, 200_000])
+    assert manager.odds.ratios == pytest.approx([0.95])
 
 
 def test_references_follow_the_aims():
@@ -70,23 +70,23 @@
         ClassSettings(latency_objective=S, deadline=20 * S),
         ClassSettings(latency_objective=S, deadline=20 * S, priority_weight=4.0),
     ]
-    m = ManagerDriver(settings(*classes)).manager
-    m.estimates.work = [1000.0, 8000.0]
-    observe(m, [100_000, 200_000])
-    assert m.odds.ratios == pytest.approx([1.0])
+    manager = ManagerDriver(settings(*classes)).manager
+    manager.estimates.work = [1000.0, 8000.0]
+    observe(manager, [100_000, 200_000])
+    assert manager.odds.ratios == pytest.approx([1.0])
 
 
 def test_three_classes_by_neighbour_loops():
     # x1 = 1 + 0.42 * 0.5 = 1.21, x2 = 1 + 0.42 * (1 - 2) = 0.58: weights 1, 1.21, 0.7018
-    m = loop([100_000, 200_000, 100_000])
-    assert m.odds.odds == pytest.approx([w / 2.9118 for w in (1, 1.21, 0.7018)])
-    assert sum(m.odds.odds) == pytest.approx(1)
+    manager = loop([100_000, 200_000, 100_000])
+    assert manager.odds.odds == pytest.approx([w / 2.9118 for w in (1, 1.21, 0.7018)])
+    assert sum(manager.odds.odds) == pytest.approx(1)
 
 
 def test_few_samples_hold_the_integral_until_enough_came():
-    m = loop([0, 900_000], count=2)
-    assert m.odds.ratios == [1.0]
-    assert m.odds.sample_counts == [2, 2]
+    manager = loop([0, 900_000], count=2)
+    assert manager.odds.ratios == [1.0]
+    assert manager.odds.sample_counts == [2, 2]
 
 
 def test_no_waits_at_all_hold_the_integral():
@@ -94,198 +94,202 @@
 
 
 def test_odds_stay_positive_and_return_after_a_long_one_sided_spell():
-    m = loop([0, 900_000])
+    manager = loop([0, 900_000])
     for _ in range(200):
-        observe(m, [0, 900_000])
-    assert m.odds.ratios == [16.0]
-    assert all(p > 0 for p in m.odds.odds)
+        observe(manager, [0, 900_000])
+    assert manager.odds.ratios == [16.0]
+    assert all(p > 0 for p in manager.odds.odds)
     for _ in range(25):
-        observe(m, [900_000, 5_000])
-    assert m.odds.ratios[0] < 1
+        observe(manager, [900_000, 5_000])
+    assert manager.odds.ratios[0] < 1
 
 
 def test_those_still_waiting_and_those_who_left_count():
-    f = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
+    driver = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     for request in range(8):
-        f.arrive(request, cls=request % 2)
-    f.run(S)
-    m = f.manager
-    m.odds_loop.end_period()
-    assert m.odds.previous_errors == [0.0]  # both waited alike: 1/1 - 1/1
-    f.run(19 * S)
-    assert m.odds.sample_counts[0] >= 4 or m.odds.delay_sums == [0.0, 0.0]
-    assert not m.requests
+        driver.arrive(request, cls=request % 2)
+    driver.run(S)
+    manager = driver.manager
+    manager.odds_loop.end_period()
+    assert manager.odds.previous_errors == [0.0]  # both waited alike: 1/1 - 1/1
+    driver.run(19 * S)
+    assert manager.odds.sample_counts[0] >= 4 or manager.odds.delay_sums == [0.0, 0.0]
+    assert not manager.requests
 
 
 def test_draw_follows_the_odds_and_an_empty_queue_yields():
-    f = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
-    m = f.manager
+    driver = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
+    manager = driver.manager
     for request in range(2000):
-        m.lifecycle.receive(RequestReceived(request, request % 2, f.now + 20 * S, cost=1000))
-    m.odds.ratios, m.odds.odds = [3.0], [0.25, 0.75]
+        manager.lifecycle.receive(RequestReceived(request, request % 2, driver.now + 20 * S, cost=1000))
+    manager.odds.ratios, manager.odds.odds = [3.0], [0.25, 0.75]
     sent = []
 
     def start(request, engine):
         sent.append(request.class_index)
         request.queued = False
 
-    router = SimpleNamespace(choose=lambda request: m.engines[1])
+    router = SimpleNamespace(choose=lambda request: manager.engines[1])
     starter = SimpleNamespace(start=start)
-    policy = RetryPolicy(m.context, m.retry_budget)
-    Dispatcher(m.context, m.odds, m.queues, router, m.lifecycle, policy, starter).dispatch()
+    policy = RetryPolicy(manager.context, manager.retry_budget)
+    Dispatcher(
+        manager.context, manager.odds, manager.queues, router, manager.lifecycle, policy, starter
+    ).dispatch()
     assert len(sent) == 2000
     assert sum(sent[:1000]) == pytest.approx(750, abs=50)
     assert sent[-200:] == [0] * 200
 
 
 def test_bound_starts_at_two_threads_a_core_times_the_share():
-    f = ManagerDriver(settings(broker_count=1), entries=[entry(1), entry(2, kind=1)])
-    assert [e.bound for e in f.manager.registry.ready] == [16, 8]
-    f = ManagerDriver(settings(broker_count=4), entries=[entry(1), entry(2, kind=1)])
-    assert [e.bound for e in f.manager.registry.ready] == [4, 2]
-    f = ManagerDriver(settings(broker_count=8), entries=[entry(1), entry(2, kind=1)])
-    assert [e.bound for e in f.manager.registry.ready] == [2, 1]
-    f.manager.registry.ready[1].slowdown = f.manager.pace.slowdown = 2.5
-    has_room = f.manager.limits.engine_has_capacity
-    engine = f.manager.registry.ready[1]
+    driver = ManagerDriver(settings(broker_count=1), entries=[entry(1), entry(2, kind=1)])
+    assert [e.bound for e in driver.manager.registry.ready] == [16, 8]
+    driver = ManagerDriver(settings(broker_count=4), entries=[entry(1), entry(2, kind=1)])
+    assert [e.bound for e in driver.manager.registry.ready] == [4, 2]
+    driver = ManagerDriver(settings(broker_count=8), entries=[entry(1), entry(2, kind=1)])
+    assert [e.bound for e in driver.manager.registry.ready] == [2, 1]
+    driver.manager.registry.ready[1].slowdown = driver.manager.pace.slowdown = 2.5
+    has_room = driver.manager.limits.engine_has_capacity
+    engine = driver.manager.registry.ready[1]
     # two lookups' worth at least
-    assert [has_room(engine, probe(f, n), 0.0) for n in (0, 1, 2)] == [True, True, False]
+    assert [has_room(engine, probe(driver, n), 0.0) for n in (0, 1, 2)] == [True, True, False]
 
 
-def probe(f, out):
+def probe(driver, out):
     """A lookup that is about to be placed on an engine where so many are out."""
-    f.manager.registry.ready[1].in_flight = dict.fromkeys(range(out))
-    f.manager.registry.ready[1].threads = out
-    return new_request(RequestReceived(1, 0, f.now + S), LOOKUP, f.now, 0.0)
+    driver.manager.registry.ready[1].in_flight = dict.fromkeys(range(out))
+    driver.manager.registry.ready[1].threads = out
+    return new_request(RequestReceived(1, 0, driver.now + S), LOOKUP, driver.now, 0.0)
 
 
 def test_bound_grows_a_place_a_period_up_to_thrice_and_shrinks_with_latency():
-    f = ManagerDriver()
-    e = f.manager.registry.ready[0]
+    driver = ManagerDriver()
+    engine = driver.manager.registry.ready[0]
     for _ in range(100):
-        e.queue_waited, e.objectives_met = True, 10
-        f.manager.housekeeping.end_period()
-        assert e.bound <= 48
-    assert e.bound == 48
-    e.queue_waited = e.objectives_met = 0
-    f.manager.housekeeping.end_period()
-    assert e.bound == 47  # nothing waited: a place goes back, down to the start
+        engine.queue_waited, engine.objectives_met = True, 10
+        driver.manager.housekeeping.end_period()
+        assert engine.bound <= 48
+    assert engine.bound == 48
+    engine.queue_waited = engine.objectives_met = 0
+    driver.manager.housekeeping.end_period()
+    assert engine.bound == 47  # nothing waited: a place goes back, down to the start
     for _ in range(60):
-        f.manager.housekeeping.end_period()
-    assert e.bound == 16
-    e.bound = 48
+        driver.manager.housekeeping.end_period()
+    assert engine.bound == 16
+    engine.bound = 48
     for _ in range(3):
-        e.slowdown = 5.0
-        f.manager.housekeeping.end_period()
-    assert e.bound == pytest.approx(48 * 0.8**3)
+        engine.slowdown = 5.0
+        driver.manager.housekeeping.end_period()
+    assert engine.bound == pytest.approx(48 * 0.8**3)
 
 
 def test_bound_binds_only_under_pressure_or_when_passed_by_a_quarter():
-    f = ManagerDriver(settings(LOOKUP), engines=1)
+    driver = ManagerDriver(settings(LOOKUP), engines=1)
     for request in range(30):
-        f.arrive(request)
-    assert len(f.sends) == 20  # 1.25 times 16
-    f = ManagerDriver(settings(LOOKUP), engines=1)
-    f.manager.registry.ready[0].slowdown = 2.5
+        driver.arrive(request)
+    assert len(driver.sends) == 20  # 1.25 times 16
+    driver = ManagerDriver(settings(LOOKUP), engines=1)
+    driver.manager.registry.ready[0].slowdown = 2.5
     for request in range(30):
-        f.arrive(request)
-    assert len(f.sends) == 16
+        driver.arrive(request)
+    assert len(driver.sends) == 16
 
 
 def test_memory_counts_as_places_do():
-    f = ManagerDriver(
+    driver = ManagerDriver(
         settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0), supports_memory_grants=True), engines=1
     )
     for request in range(30):
-        f.arrive(request, memory_mb=200.0)
-    assert len(f.sends) == 4  # 225 MB each: between the starting mean and the starting grant
+        driver.arrive(request, memory_mb=200.0)
+    assert len(driver.sends) == 4  # 225 MB each: between the starting mean and the starting grant
 
 
 def test_waiting_for_memory_does_not_grow_the_bound():
-    f = ManagerDriver(settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0)), engines=1)
+    driver = ManagerDriver(settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0)), engines=1)
     for request in range(30):
-        f.arrive(request, memory_mb=200.0)
-    f.end(0)
-    f.manager.housekeeping.end_period()
-    assert f.manager.registry.ready[0].bound == 16
+        driver.arrive(request, memory_mb=200.0)
+    driver.end(0)
+    driver.manager.housekeeping.end_period()
+    assert driver.manager.registry.ready[0].bound == 16
 
 
 def test_full_refusal_is_pressure():
-    f = ManagerDriver(engines=1)
+    driver = ManagerDriver(engines=1)
     for request in range(20):
-        f.arrive(request)
-    f.end(19, Outcome.REJECTED)
-    assert f.manager.registry.ready[0].bound == 16
-    assert f.manager.requests[19].queued
+        driver.arrive(request)
+    driver.end(19, Outcome.REJECTED)
+    assert driver.manager.registry.ready[0].bound == 16
+    assert driver.manager.requests[19].queued
 
 
 def test_fewest_own_first_and_ties_at_random():
     firsts = set()
     for seed in range(20):
-        f = ManagerDriver(seed=seed)
-        f.arrive(1)
-        firsts.add(f.sends[0].engine)
-        f.arrive(2, table_group=1)
-        f.arrive(3, table_group=2)
-        assert {s.engine for s in f.sends} == {1, 2, 3}
+        driver = ManagerDriver(seed=seed)
+        driver.arrive(1)
+        firsts.add(driver.sends[0].engine)
+        driver.arrive(2, table_group=1)
+        driver.arrive(3, table_group=2)
+        assert {s.engine for s in driver.sends} == {1, 2, 3}
     assert firsts == {1, 2, 3}
 
 
 def test_free_classes_leave_room_on_engines_that_a_bound_class_must_use():
     bound = dataclasses.replace(REPORT, required_kinds=frozenset((0,)))
-    f = ManagerDriver(settings(LOOKUP, bound), entries=[entry(1), entry(2, kind=1)])
+    driver = ManagerDriver(settings(LOOKUP, bound), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
-        f.arrive(request)
-    assert [s.engine for s in f.sends].count(2) == 3  # half a thread a core ahead, on four cores
-    f = ManagerDriver(settings(LOOKUP), entries=[entry(1), entry(2, kind=1)])
+        driver.arrive(request)
+    assert [s.engine for s in driver.sends].count(2) == 3  # half a thread a core ahead, on four cores
+    driver = ManagerDriver(settings(LOOKUP), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
-        f.arrive(request)
-    assert [s.engine for s in f.sends].count(2) == 2
+        driver.arrive(request)
+    assert [s.engine for s in driver.sends].count(2) == 2
 
 
 def test_shortest_first_within_a_class():
-    f = ManagerDriver(engines=1, entries=[entry(1, EngineState.DRAINING)])
+    driver = ManagerDriver(engines=1, entries=[entry(1, EngineState.DRAINING)])
     for request, cost in enumerate((300_000, 100_000, 200_000)):
-        f.arrive(request, cost=cost)
-    f.tell(EngineListReceived(EngineListKind.DELTA, (entry(1),)))
-    assert [s.request for s in f.sends] == [1, 2, 0]
+        driver.arrive(request, cost=cost)
+    driver.tell(EngineListReceived(EngineListKind.DELTA, (entry(1),)))
+    assert [s.request for s in driver.sends] == [1, 2, 0]
 
 
 def test_grants_follow_what_answers_bill():
-    f = ManagerDriver(settings(dataclasses.replace(LOOKUP), supports_memory_grants=True))
+    driver = ManagerDriver(settings(dataclasses.replace(LOOKUP), supports_memory_grants=True))
     for request in range(300):
-        f.arrive(request, memory_mb=100.0)
-        f.end(request, memory=300.0)
-    f.arrive(999, memory_mb=100.0)
-    assert 270 <= of(SetAttemptResources, f.done)[-1].grant_mb <= 330
+        driver.arrive(request, memory_mb=100.0)
+        driver.end(request, memory=300.0)
+    driver.arrive(999, memory_mb=100.0)
+    assert 270 <= of(SetAttemptResources, driver.done)[-1].grant_mb <= 330
 
 
 def test_no_terms_where_they_are_not_heeded():
-    f = ManagerDriver()
-    f.arrive(1, memory_mb=100.0)
-    assert not of(SetAttemptResources, f.done)
+    driver = ManagerDriver()
+    driver.arrive(1, memory_mb=100.0)
+    assert not of(SetAttemptResources, driver.done)
 
 
 def test_short_work_is_not_held_for_the_memory_that_long_work_has():
-    f = ManagerDriver(
+    driver = ManagerDriver(
         settings(LOOKUP, REPORT, broker_count=100, kind_memory_mb=(16_000.0, 8_000.0)), engines=10
     )
-    f.arrive(8, cost=100_000)
-    f.end(8)
-    f.sends.clear()
+    driver.arrive(8, cost=100_000)
+    driver.end(8)
+    driver.sends.clear()
     for request in range(3):
-        f.arrive(request, cls=1, cost=3 * S, memory_mb=1500.0)
-    assert len(f.sends) == 1  # ten engines of 16 GB by 100: one long query fills this manager's part
-    f.arrive(9, cost=100_000, memory_mb=200.0)
-    assert f.sends[-1].request == 9
+        driver.arrive(request, cls=1, cost=3 * S, memory_mb=1500.0)
+    assert len(driver.sends) == 1  # ten engines of 16 GB by 100: one long query fills this manager's part
+    driver.arrive(9, cost=100_000, memory_mb=200.0)
+    assert driver.sends[-1].request == 9
 
 
 def test_load_reports_steer_away_from_a_crowded_engine():
-    f = ManagerDriver(settings(LOOKUP, broker_count=100, load_report_fields=("util", "inflight")), engines=2)
+    driver = ManagerDriver(
+        settings(LOOKUP, broker_count=100, load_report_fields=("util", "inflight")), engines=2
+    )
     for request in range(200):
-        f.arrive(request)
-        engine = f.engine_of(request)
-        f.tell(
+        driver.arrive(request)
+        engine = driver.engine_of(request)
+        driver.tell(
             AttemptEnded(
                 request,
                 0,
@@ -299,12 +303,12 @@
             ),
             after=300_000,
         )
-    late = [s.engine for s in f.sends[50:]]
+    late = [s.engine for s in driver.sends[50:]]
     assert late.count(2) > 3 * late.count(1)
 
 
 def test_an_idle_manager_asks_for_no_timer():
-    f = ManagerDriver()
-    assert of(StartTimer, f.arrive(1))
-    assert not of(StartTimer, f.end(1))
-    assert not of(StartTimer, f.tell(TimerFired(0), after=S))
+    driver = ManagerDriver()
+    assert of(StartTimer, driver.arrive(1))
+    assert not of(StartTimer, driver.end(1))
+    assert not of(StartTimer, driver.tell(TimerFired(0), after=S))
--- a/tests/decisions/test_manager_scale.py
+++ b/tests/decisions/test_manager_scale.py
@@ -6,19 +6,19 @@
 def engines_met(slot, seed=1, peers=40, engines=30):
     """Engines one manager of a large fleet sends to over 20 s of light traffic: a lookup every 100 ms,
     each answered 300 ms later, as one of 40 brokers sees it."""
-    f = ManagerDriver(
+    driver = ManagerDriver(
         settings(LOOKUP, REPORT, broker_count=peers, broker_index=slot), engines=engines, seed=seed
     )
     owed = []
     for step in range(1000):
         if step % 5 == 0:
-            f.arrive(step + 1, cost=100_000)
+            driver.arrive(step + 1, cost=100_000)
             owed.append((step + 15, step + 1))
         while owed and owed[0][0] <= step:
-            f.end(owed.pop(0)[1])
-        f.tell(after=STEP)
-    assert len(f.sends) == 200
-    return {s.engine for s in f.sends}
+            driver.end(owed.pop(0)[1])
+        driver.tell(after=STEP)
+    assert len(driver.sends) == 200
+    return {s.engine for s in driver.sends}
 
 
 def test_a_broker_of_many_keeps_to_engines_of_its_own():
--- a/tests/decisions/test_queues.py
+++ b/tests/decisions/test_queues.py
@@ -37,73 +37,73 @@
 
 
 def test_shortest_first_then_in_order_of_queueing():
-    q = Queues()
-    requests = [q.add(number, cost) for number, cost in ((1, 300), (2, 100), (3, 100), (4, 200))]
+    queues = Queues()
+    requests = [queues.add(number, cost) for number, cost in ((1, 300), (2, 100), (3, 100), (4, 200))]
     order = []
-    while (number := q.head()) is not None:
+    while (number := queues.head()) is not None:
         order.append(number)
         requests[number - 1].queued = False
     assert order == [2, 3, 4, 1]
 
 
 def test_late_requests_without_value_are_rejected():
-    q = Queues()
-    q.add(1)
-    q.context.now += SECOND
-    assert q.head() is None
-    assert q.rejected == [1]
+    queues = Queues()
+    queues.add(1)
+    queues.context.now += SECOND
+    assert queues.head() is None
+    assert queues.rejected == [1]
 
 
 def test_late_requests_of_value_come_after_those_on_time():
-    q = Queues(LATE)
-    q.add(1, cost=50_000)
-    q.context.now += SECOND
-    q.add(2, cost=400_000)
-    assert q.head() == 2
-    assert q.rejected == []
-    q.queues.head(0, set(), q.reject).queued = False
-    assert q.head() == 1
+    queues = Queues(LATE)
+    queues.add(1, cost=50_000)
+    queues.context.now += SECOND
+    queues.add(2, cost=400_000)
+    assert queues.head() == 2
+    assert queues.rejected == []
+    queues.queues.head(0, set(), queues.reject).queued = False
+    assert queues.head() == 1
 
 
 @pytest.mark.parametrize(("slowdown", "served"), [(1.4, 1), (1.6, None)])
 def test_late_requests_are_served_only_without_overload(slowdown, served):
-    q = Queues(LATE)
-    q.add(1)
-    q.pace.slowdown = slowdown
-    q.context.now += SECOND
-    assert q.head() == served
-    assert q.rejected == ([] if served else [1])
+    queues = Queues(LATE)
+    queues.add(1)
+    queues.pace.slowdown = slowdown
+    queues.context.now += SECOND
+    assert queues.head() == served
+    assert queues.rejected == ([] if served else [1])
 
 
 def test_late_requests_are_rejected_once_they_miss_their_deadline():
-    q = Queues(LATE)
-    q.add(1)
-    q.context.now += SECOND
-    assert q.head() == 1
-    q.context.now += 4 * SECOND
-    assert q.head() is None
-    assert q.rejected == [1]
+    queues = Queues(LATE)
+    queues.add(1)
+    queues.context.now += SECOND
+    assert queues.head() == 1
+    queues.context.now += 4 * SECOND
+    assert queues.head() is None
+    assert queues.rejected == [1]
 
 
 def test_a_blocked_row_holds_up_no_other():
-    q = Queues(BLOCKED)
-    q.add(1, cost=100, table_group=7)
-    q.add(2, cost=200, table_group=8)
-    assert q.head() == 1
-    assert q.head(7) == 2
-    assert q.head(7, 8) is None
+    queues = Queues(BLOCKED)
+    queues.add(1, cost=100, table_group=7)
+    queues.add(2, cost=200, table_group=8)
+    assert queues.head() == 1
+    assert queues.head(7) == 2
+    assert queues.head(7, 8) is None
 
 
 def test_requests_without_loads_share_one_row():
-    q = Queues()
-    q.add(1, table_group=7)
-    assert q.head(7) == 1
-    assert q.head(0) is None
+    queues = Queues()
+    queues.add(1, table_group=7)
+    assert queues.head(7) == 1
+    assert queues.head(0) is None
 
 
 def test_only_first_attempts_count_as_waiting():
-    q = Queues()
-    first, repeated, finished = q.add(1), q.add(2), q.add(3)
+    queues = Queues()
+    first, repeated, finished = queues.add(1), queues.add(2), queues.add(3)
     repeated.attempts = 1
     finished.queued = False
-    assert list(q.queues.waiting_for_first_attempt()) == [first]
+    assert list(queues.queues.waiting_for_first_attempt()) == [first]
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -52,144 +52,144 @@
 
 
 def test_equal_engines_are_chosen_at_random():
-    f = Routing()
+    routing = Routing()
     for group in range(3):
-        f.affinity.record_request(group)
-    f.affinity.group_engines = lambda group: f.registry.ready
-    assert all(count > 40 for count in f.chosen().values())
-    assert len(f.chosen()) == 3
+        routing.affinity.record_request(group)
+    routing.affinity.group_engines = lambda group: routing.registry.ready
+    assert all(count > 40 for count in routing.chosen().values())
+    assert len(routing.chosen()) == 3
 
 
 def test_the_fewest_own_threads_a_core_win():
-    f = Routing(engines=[entry(1), entry(2, kind=1)])  # eight and four cores
-    f.affinity.group_engines = lambda group: f.registry.ready
-    f.engine(1).threads, f.engine(2).threads = 3, 2
-    assert f.chosen() == {1: 200}
-    f.engine(1).threads, f.engine(2).threads = 4, 1
-    assert f.chosen() == {2: 200}
+    routing = Routing(engines=[entry(1), entry(2, kind=1)])  # eight and four cores
+    routing.affinity.group_engines = lambda group: routing.registry.ready
+    routing.engine(1).threads, routing.engine(2).threads = 3, 2
+    assert routing.chosen() == {1: 200}
+    routing.engine(1).threads, routing.engine(2).threads = 4, 1
+    assert routing.chosen() == {2: 200}
 
 
 def test_engines_without_capacity_are_left_out():
-    f = Routing()
-    f.full = {1, 3}
-    assert f.chosen() == {2: 200}
-    f.full = {1, 2, 3}
-    assert f.chosen() == {None: 200}
+    routing = Routing()
+    routing.full = {1, 3}
+    assert routing.chosen() == {2: 200}
+    routing.full = {1, 2, 3}
+    assert routing.chosen() == {None: 200}
 
 
 def test_a_full_fleet_takes_nothing_and_draws_nothing():
-    f = Routing()
-    f.fleet_is_full = True
-    before = f.context.random.getstate()
-    assert f.chosen() == {None: 200}
-    assert f.context.random.getstate() == before
+    routing = Routing()
+    routing.fleet_is_full = True
+    before = routing.context.random.getstate()
+    assert routing.chosen() == {None: 200}
+    assert routing.context.random.getstate() == before
 
 
 def test_required_kinds_and_zones_bind():
     bound = replace(LOOKUP, required_kinds=frozenset((1,)), required_zones=frozenset((0,)))
-    f = Routing(bound, engines=[entry(1), entry(2, kind=1), entry(3, kind=1, zone=1)])
-    assert f.chosen() == {2: 200}
+    routing = Routing(bound, engines=[entry(1), entry(2, kind=1), entry(3, kind=1, zone=1)])
+    assert routing.chosen() == {2: 200}
 
 
 def test_a_repeat_with_a_key_stays_within_its_scope():
     keyed = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ZONE)
-    f = Routing(keyed, engines=[entry(1), entry(2, zone=1), entry(3)])
-    made = request(f.context)
-    made.first_possible_execution = PossibleExecution(START, f.engine(2))
-    assert f.chosen_for(made) == {2: 200}
+    routing = Routing(keyed, engines=[entry(1), entry(2, zone=1), entry(3)])
+    made = request(routing.context)
+    made.first_possible_execution = PossibleExecution(START, routing.engine(2))
+    assert routing.chosen_for(made) == {2: 200}
 
 
 def test_engines_slower_than_all_cost_as_much_more():
-    f = Routing(engines=(1, 2))
-    f.affinity.group_engines = lambda group: f.registry.ready
-    f.engine(1).threads, f.engine(2).threads = 1, 3
-    f.engine(1).slowdown = 2.1  # two threads count as four and a bit
-    assert f.chosen() == {2: 200}
-    f.pace.slowdown = 2.1
-    assert f.chosen() == {1: 200}
+    routing = Routing(engines=(1, 2))
+    routing.affinity.group_engines = lambda group: routing.registry.ready
+    routing.engine(1).threads, routing.engine(2).threads = 1, 3
+    routing.engine(1).slowdown = 2.1  # two threads count as four and a bit
+    assert routing.chosen() == {2: 200}
+    routing.pace.slowdown = 2.1
+    assert routing.chosen() == {1: 200}
 
 
 @pytest.mark.parametrize("what", ["avoided", "rejecting"])
 def test_an_engine_that_just_failed_comes_last(what):
-    f = Routing()
-    f.affinity.group_engines = lambda group: f.registry.ready
-    made = request(f.context)
-    assert 1 in f.chosen_for(made)
+    routing = Routing()
+    routing.affinity.group_engines = lambda group: routing.registry.ready
+    made = request(routing.context)
+    assert 1 in routing.chosen_for(made)
     if what == "avoided":
-        made.avoided_engine = f.engine(1)
+        made.avoided_engine = routing.engine(1)
     else:
-        f.engine(1).rejected_until = f.context.now + 1
-    assert 1 not in f.chosen_for(made)
-    f.full = {2, 3}
-    assert f.chosen_for(made) == {1: 200}
+        routing.engine(1).rejected_until = routing.context.now + 1
+    assert 1 not in routing.chosen_for(made)
+    routing.full = {2, 3}
+    assert routing.chosen_for(made) == {1: 200}
 
 
 def test_engines_that_another_class_must_use_are_spared():
     bound = replace(LOOKUP, required_kinds=frozenset((1,)))
-    f = Routing(LOOKUP, bound, engines=[entry(1), entry(2, kind=1)])
-    f.affinity.group_engines = lambda group: f.registry.ready
-    assert f.chosen() == {1: 200}
-    f.engine(1).threads = 5
-    assert set(f.chosen()) == {1, 2}  # 6/8 of a thread a core here, 1/4 and the reserve of 1/2 there
-    f.engine(1).threads = 0
-    assert f.chosen(class_index=1) == {2: 200}
-    f.context.settings = replace(f.context.settings, classes=(LOOKUP, LOOKUP))
-    f.router.configure()
-    f.engine(1).threads = 3  # half a thread a core, which the reserve cost before
-    assert f.chosen() == {2: 200}
+    routing = Routing(LOOKUP, bound, engines=[entry(1), entry(2, kind=1)])
+    routing.affinity.group_engines = lambda group: routing.registry.ready
+    assert routing.chosen() == {1: 200}
+    routing.engine(1).threads = 5
+    assert set(routing.chosen()) == {1, 2}  # 6/8 of a thread a core here, 1/4 and the reserve of 1/2 there
+    routing.engine(1).threads = 0
+    assert routing.chosen(class_index=1) == {2: 200}
+    routing.context.settings = replace(routing.context.settings, classes=(LOOKUP, LOOKUP))
+    routing.router.configure()
+    routing.engine(1).threads = 3  # half a thread a core, which the reserve cost before
+    assert routing.chosen() == {2: 200}
 
 
 def test_a_groups_own_engines_are_preferred():
-    f = Routing(engines=range(1, 11))
-    f.affinity.record_request(7)
-    f.affinity.record_request(8)
-    assert set(f.chosen(table_group=9)) == {f.affinity.ranked(9)[0].id}
+    routing = Routing(engines=range(1, 11))
+    routing.affinity.record_request(7)
+    routing.affinity.record_request(8)
+    assert set(routing.chosen(table_group=9)) == {routing.affinity.ranked(9)[0].id}
 
 
 def test_a_broker_prefers_its_own_engines_where_they_are_warm():
-    f = Routing(engines=range(1, 11), broker_index=4, broker_count=20)
-    f.affinity.group_engines = lambda group: f.registry.ready
-    own = {engine.id for engine in f.affinity.ranked(-5)[:3]}
-    assert set(f.chosen()) == own
-    other = next(engine for engine in f.registry.ready if engine.id not in own)
-    other.warm_at = f.context.now + 1
-    assert set(f.chosen()) == own | {other.id}
+    routing = Routing(engines=range(1, 11), broker_index=4, broker_count=20)
+    routing.affinity.group_engines = lambda group: routing.registry.ready
+    own = {engine.id for engine in routing.affinity.ranked(-5)[:3]}
+    assert set(routing.chosen()) == own
+    other = next(engine for engine in routing.registry.ready if engine.id not in own)
+    other.warm_at = routing.context.now + 1
+    assert set(routing.chosen()) == own | {other.id}
 
 
 def test_an_engine_that_others_load_is_avoided_as_its_report_tells():
-    f = Routing(engines=(1, 2), broker_count=100)
-    f.affinity.group_engines = lambda group: f.registry.ready
-    f.engine(1).reported_load, f.engine(1).reported_at = 1.0, f.context.now
-    f.engine(2).reported_load, f.engine(2).reported_at = 0.5, f.context.now
-    assert f.chosen() == {2: 200}
-    f.context.now += 60 * SECOND  # the older, the more is guessed
-    assert min(f.chosen().values()) > 60
+    routing = Routing(engines=(1, 2), broker_count=100)
+    routing.affinity.group_engines = lambda group: routing.registry.ready
+    routing.engine(1).reported_load, routing.engine(1).reported_at = 1.0, routing.context.now
+    routing.engine(2).reported_load, routing.engine(2).reported_at = 0.5, routing.context.now
+    assert routing.chosen() == {2: 200}
+    routing.context.now += 60 * SECOND  # the older, the more is guessed
+    assert min(routing.chosen().values()) > 60
 
 
 def test_queries_keep_off_engines_where_a_load_blocks_their_group():
-    f = Routing(BLOCKED)
-    f.affinity.group_engines = lambda group: f.registry.ready
-    f.affinity.excluded_engines = lambda request: ()  # as where no other engine is usable
-    f.engine(1).blocked_until[7] = f.context.now + 1
-    f.engine(2).loads_in_flight[7] = 1
-    assert f.chosen(table_group=7) == {3: 200}
+    routing = Routing(BLOCKED)
+    routing.affinity.group_engines = lambda group: routing.registry.ready
+    routing.affinity.excluded_engines = lambda request: ()  # as where no other engine is usable
+    routing.engine(1).blocked_until[7] = routing.context.now + 1
+    routing.engine(2).loads_in_flight[7] = 1
+    assert routing.chosen(table_group=7) == {3: 200}
 
 
 def test_loads_and_what_they_block_keep_apart():
-    f = Routing(BLOCKED, LOAD, engines=range(1, 6))
-    f.pace.answer_rate = 10.0  # so many that the broker prefers all five
-    ranks = f.affinity.ranked(7)
-    f.affinity.load_engines = lambda group: ranks[3:]
-    f.affinity.group_engines = lambda group: f.registry.ready
+    routing = Routing(BLOCKED, LOAD, engines=range(1, 6))
+    routing.pace.answer_rate = 10.0  # so many that the broker prefers all five
+    ranks = routing.affinity.ranked(7)
+    routing.affinity.load_engines = lambda group: ranks[3:]
+    routing.affinity.group_engines = lambda group: routing.registry.ready
     loads = {engine.id for engine in ranks[3:]}
-    assert set(f.chosen(class_index=1, table_group=7)) == loads
-    assert not set(f.chosen(class_index=0, table_group=7)) & loads
+    assert set(routing.chosen(class_index=1, table_group=7)) == loads
+    assert not set(routing.chosen(class_index=0, table_group=7)) & loads
 
 
 def test_a_load_waits_where_those_ahead_would_make_it_late():
-    f = Routing(BLOCKED, LOAD, engines=(1, 2))
-    f.estimates.work[1] = 8 * SECOND
-    allowed = f.affinity.ranked(7)[1]  # the first is left to the group's queries
-    assert f.chosen(class_index=1, table_group=7) == {allowed.id: 200}
+    routing = Routing(BLOCKED, LOAD, engines=(1, 2))
+    routing.estimates.work[1] = 8 * SECOND
+    allowed = routing.affinity.ranked(7)[1]  # the first is left to the group's queries
+    assert routing.chosen(class_index=1, table_group=7) == {allowed.id: 200}
     allowed.loads_in_flight[7] = 1
-    assert f.chosen(class_index=1, table_group=7) == {None: 200}
+    assert routing.chosen(class_index=1, table_group=7) == {None: 200}
