--- a/tests/decisions/manager_driver.py
+++ b/tests/decisions/manager_driver.py
@@ -1,14 +1,21 @@
-"""Helpers to drive the module alone: a small fleet, and attempts that end as the test says."""
+"""Drives a workload manager in a test: virtual time, a small fleet, and attempts that end as the test says.
+
+Times and spans are in µs. `parts.py` is for tests of one module alone.
+"""
+
+import dataclasses
 
 from cypressledge.decisions.contract import (
     AttemptEnded,
     CancelAttempt,
     ClassSettings,
+    DeduplicationScope,
     EngineListEntry,
     EngineListKind,
     EngineListReceived,
     EngineState,
     FailRequest,
+    Idempotency,
     Outcome,
     RejectRequest,
     RequestReceived,
@@ -18,20 +25,36 @@
 )
 from cypressledge.decisions.manager import WorkloadManager
 
-S = 1_000_000
-STEP = 20_000
-LOOKUP = ClassSettings(latency_objective=1 * S, deadline=5 * S, latency_objective_stretch=2.0)
+SECOND = 1_000_000
+STEP = 20_000  # between two timers of ManagerDriver.run
+START = 100 * SECOND
+LOOKUP = ClassSettings(latency_objective=1 * SECOND, deadline=5 * SECOND, latency_objective_stretch=2.0)
 REPORT = ClassSettings(
-    latency_objective=2 * S,
-    deadline=20 * S,
+    latency_objective=2 * SECOND,
+    deadline=20 * SECOND,
     latency_objective_stretch=2.5,
     late_priority_weight=0.4,
     threads=2,
 )
+NOT_IDEMPOTENT = ClassSettings(
+    latency_objective=4 * SECOND, deadline=20 * SECOND, idempotency=Idempotency.NOT_IDEMPOTENT
+)
+ORDERED = dataclasses.replace(NOT_IDEMPOTENT, ordered=True)
 
 
-def settings(*classes, **more):
-    """Settings of a plain site, with changes."""
+def with_key(scope: DeduplicationScope) -> ClassSettings:
+    """A class whose requests have an idempotency key, which engines of this scope remember for 5 s."""
+    return ClassSettings(
+        latency_objective=SECOND,
+        deadline=20 * SECOND,
+        idempotency=Idempotency.WITH_KEY,
+        deduplication_scope=scope,
+        deduplication_window=5 * SECOND,
+    )
+
+
+def settings(*classes, **changes):
+    """Settings of a plain site of these classes (LOOKUP and REPORT by default), with changes."""
     plain = {
         "timer_resolution": 5000,
         "kind_cores": (8, 4),
@@ -39,80 +62,104 @@
         "supports_cancel": True,
         "max_attempts": 4,
         "slow_start_capacity": 0.3,
-        "slow_start_window": 10 * S,
+        "slow_start_window": 10 * SECOND,
         "overload_multiple": 2.0,
-        "overload_window": 2 * S,
+        "overload_window": 2 * SECOND,
     }
-    return Settings(classes=classes or (LOOKUP, REPORT), **(plain | more))
+    return Settings(classes=classes or (LOOKUP, REPORT), **(plain | changes))
 
 
-def entry(engine, state=EngineState.READY, kind=0, zone=0, cell=0, born=0):
-    return EngineListEntry(engine, state, kind, zone, cell, born)
+def entry(engine, state=EngineState.READY, kind=0, zone=0, cell=0, started_at=0):
+    """An entry of an engine list: a ready engine that started long ago."""
+    return EngineListEntry(engine, state, kind, zone, cell, started_at)
 
 
 class ManagerDriver:
-    """One manager under test, its clock, and what it did."""
+    """A manager under test with its clock, the actions it answered with, and the attempts it started.
+
+    It begins with a list of `entries`, or of as many plain engines as `engines` says, numbered from 1.
+    """
 
     def __init__(self, config=None, engines=3, seed=1, entries=None):
         self.manager = WorkloadManager(config or settings(), seed)
-        self.now = 100 * S
-        self.done, self.sends = [], []
-        self.attempts = {}
-        self.tell(
-            EngineListReceived(
-                EngineListKind.CACHED, tuple(entries or (entry(i + 1) for i in range(engines)))
-            )
-        )
-
-    def tell(self, *events, after=0):
-        """Give events at a later moment; return the actions."""
+        self.now = START
+        self.actions = []  # all so far
+        self.sends = []  # the StartAttempt actions among them
+        self.attempts = {}  # number of the last attempt, by request
+        listed = tuple(entries or (entry(number + 1) for number in range(engines)))
+        self.handle(EngineListReceived(EngineListKind.CACHED, listed))
+
+    def handle(self, *events, after=0):
+        """Give the manager events after a span; return the actions that it answers with."""
         self.now += after
         actions = self.manager.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, StartAttempt):
                 self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
                 self.sends.append(action)
-        self.done += actions
+        self.actions += actions
         return actions
 
-    def arrive(self, request, cls=0, cost=100_000, span=None, **more):
-        due = self.now + (span or self.manager.settings.classes[cls].deadline)
-        return self.tell(RequestReceived(request, cls, due, cost=cost, **more))
+    def arrive(self, request, class_index=0, cost=100_000, time_limit=None, **fields):
+        """A request arrives, with the deadline of its class or a time limit; return the actions."""
+        deadline = self.now + (time_limit or self.manager.settings.classes[class_index].deadline)
+        return self.handle(RequestReceived(request, class_index, deadline, cost=cost, **fields))
 
     def engine_of(self, request):
-        return next(s.engine for s in reversed(self.sends) if s.request == request)
+        """The engine of the request's last attempt."""
+        return next(send.engine for send in reversed(self.sends) if send.request == request)
 
     def end(self, request, outcome=Outcome.OK, final=None, after=0, work=100_000, latency=100_000, memory=0):
+        """The request's last attempt ends after a span; return the actions. `final` unless told: with OK."""
         final = outcome is Outcome.OK if final is None else final
-        return self.tell(
+        return self.handle(
             AttemptEnded(
-                request,
-                self.attempts[request],
-                self.engine_of(request),
-                outcome,
-                final,
-                latency,
-                work,
-                memory,
+                request=request,
+                attempt=self.attempts[request],
+                engine=self.engine_of(request),
+                outcome=outcome,
+                final=final,
+                latency=latency,
+                work=work,
+                memory_mb=memory,
             ),
             after=after,
         )
 
     def run(self, span):
-        """Let the housekeeping timer run for a span; return all actions."""
-        got = []
+        """Let the housekeeping timer fire each STEP for a span; return all actions."""
+        actions = []
         for _ in range(0, span, STEP):
-            got += self.tell(TimerFired(0), after=STEP)
-        return got
+            actions += self.handle(TimerFired(0), after=STEP)
+        return actions
+
+
+def run_with_silent_engine(driver, silent=1, span=3 * SECOND):
+    """Traffic for a span on all engines, of which one answers nothing: the others do after 100 ms."""
+    request = 1000
+    for _ in range(span // STEP):
+        for _ in range(2):
+            driver.arrive(request)
+            request += 1
+        for send in list(driver.sends):
+            open_request = driver.manager.requests.get(send.request)
+            if open_request is None or open_request.engine is None or open_request.engine.id == silent:
+                continue
+            if driver.now - open_request.sent_at >= 100_000:
+                driver.end(send.request)
+        driver.run(STEP)
 
 
-def of(kind, actions):
-    return [a for a in actions if isinstance(a, kind)]
+def actions_of(kind, actions):
+    """The actions of a type, or of one of several types."""
+    return [action for action in actions if isinstance(action, kind)]
 
 
-def finals(actions):
-    return of((RejectRequest, FailRequest), actions)
+def final_answers(actions):
+    """The rejections and failures among actions."""
+    return actions_of((RejectRequest, FailRequest), actions)
 
 
-def cancels(actions):
-    return of(CancelAttempt, actions)
+def cancellations(actions):
+    """The cancellations among actions."""
+    return actions_of(CancelAttempt, actions)
--- a/tests/decisions/test_manager_mechanism.py
+++ b/tests/decisions/test_manager_mechanism.py
@@ -20,12 +20,12 @@
 from cypressledge.decisions.dispatch import Dispatcher
 from cypressledge.decisions.request import new_request
 from cypressledge.decisions.retries import RetryPolicy
-from tests.decisions.manager_driver import LOOKUP, REPORT, ManagerDriver, S, entry, of, settings
+from tests.decisions.manager_driver import LOOKUP, REPORT, SECOND, ManagerDriver, actions_of, entry, settings
 
 
 def loop(means, count=10, classes=None):
     """A manager whose last period saw these mean waits."""
-    classes = classes or [ClassSettings(latency_objective=S, deadline=20 * S) for _ in means]
+    classes = classes or [ClassSettings(latency_objective=SECOND, deadline=20 * SECOND) for _ in means]
     driver = ManagerDriver(settings(*classes))
     manager = driver.manager
     observe(manager, means, count)
@@ -58,8 +58,8 @@
 def test_references_follow_the_aims():
     # aims 1 s and 4 s: the reference is 0.25, so waits of 50 and 200 ms are no error
     classes = [
-        ClassSettings(latency_objective=S, deadline=20 * S),
-        ClassSettings(latency_objective=4 * S, deadline=20 * S),
+        ClassSettings(latency_objective=SECOND, deadline=20 * SECOND),
+        ClassSettings(latency_objective=4 * SECOND, deadline=20 * SECOND),
     ]
     assert loop([50_000, 200_000], classes=classes).odds.ratios == pytest.approx([1.0])
 
@@ -67,8 +67,8 @@
 def test_references_weigh_work_against_worth():
     # equal aims; work of 1 and 8 for worths of 1 and 4: the reference is 1 / 2
     classes = [
-        ClassSettings(latency_objective=S, deadline=20 * S),
-        ClassSettings(latency_objective=S, deadline=20 * S, priority_weight=4.0),
+        ClassSettings(latency_objective=SECOND, deadline=20 * SECOND),
+        ClassSettings(latency_objective=SECOND, deadline=20 * SECOND, priority_weight=4.0),
     ]
     manager = ManagerDriver(settings(*classes)).manager
     manager.estimates.work = [1000.0, 8000.0]
@@ -107,12 +107,12 @@
 def test_those_still_waiting_and_those_who_left_count():
     driver = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     for request in range(8):
-        driver.arrive(request, cls=request % 2)
-    driver.run(S)
+        driver.arrive(request, class_index=request % 2)
+    driver.run(SECOND)
     manager = driver.manager
     manager.odds_loop.end_period()
     assert manager.odds.previous_errors == [0.0]  # both waited alike: 1/1 - 1/1
-    driver.run(19 * S)
+    driver.run(19 * SECOND)
     assert manager.odds.sample_counts[0] >= 4 or manager.odds.delay_sums == [0.0, 0.0]
     assert not manager.requests
 
@@ -121,7 +121,7 @@
     driver = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     manager = driver.manager
     for request in range(2000):
-        manager.lifecycle.receive(RequestReceived(request, request % 2, driver.now + 20 * S, cost=1000))
+        manager.lifecycle.receive(RequestReceived(request, request % 2, driver.now + 20 * SECOND, cost=1000))
     manager.odds.ratios, manager.odds.odds = [3.0], [0.25, 0.75]
     sent = []
 
@@ -158,7 +158,7 @@
     """A lookup that is about to be placed on an engine where so many are out."""
     driver.manager.registry.ready[1].in_flight = dict.fromkeys(range(out))
     driver.manager.registry.ready[1].threads = out
-    return new_request(RequestReceived(1, 0, driver.now + S), LOOKUP, driver.now, 0.0)
+    return new_request(RequestReceived(1, 0, driver.now + SECOND), LOOKUP, driver.now, 0.0)
 
 
 def test_bound_grows_a_place_a_period_up_to_thrice_and_shrinks_with_latency():
@@ -249,7 +249,7 @@
     driver = ManagerDriver(engines=1, entries=[entry(1, EngineState.DRAINING)])
     for request, cost in enumerate((300_000, 100_000, 200_000)):
         driver.arrive(request, cost=cost)
-    driver.tell(EngineListReceived(EngineListKind.DELTA, (entry(1),)))
+    driver.handle(EngineListReceived(EngineListKind.DELTA, (entry(1),)))
     assert [s.request for s in driver.sends] == [1, 2, 0]
 
 
@@ -259,13 +259,13 @@
         driver.arrive(request, memory_mb=100.0)
         driver.end(request, memory=300.0)
     driver.arrive(999, memory_mb=100.0)
-    assert 270 <= of(SetAttemptResources, driver.done)[-1].grant_mb <= 330
+    assert 270 <= actions_of(SetAttemptResources, driver.actions)[-1].grant_mb <= 330
 
 
 def test_no_terms_where_they_are_not_heeded():
     driver = ManagerDriver()
     driver.arrive(1, memory_mb=100.0)
-    assert not of(SetAttemptResources, driver.done)
+    assert not actions_of(SetAttemptResources, driver.actions)
 
 
 def test_short_work_is_not_held_for_the_memory_that_long_work_has():
@@ -276,7 +276,7 @@
     driver.end(8)
     driver.sends.clear()
     for request in range(3):
-        driver.arrive(request, cls=1, cost=3 * S, memory_mb=1500.0)
+        driver.arrive(request, class_index=1, cost=3 * SECOND, memory_mb=1500.0)
     assert len(driver.sends) == 1  # ten engines of 16 GB by 100: one long query fills this manager's part
     driver.arrive(9, cost=100_000, memory_mb=200.0)
     assert driver.sends[-1].request == 9
@@ -289,7 +289,7 @@
     for request in range(200):
         driver.arrive(request)
         engine = driver.engine_of(request)
-        driver.tell(
+        driver.handle(
             AttemptEnded(
                 request,
                 0,
@@ -309,6 +309,6 @@
 
 def test_an_idle_manager_asks_for_no_timer():
     driver = ManagerDriver()
-    assert of(StartTimer, driver.arrive(1))
-    assert not of(StartTimer, driver.end(1))
-    assert not of(StartTimer, driver.tell(TimerFired(0), after=S))
+    assert actions_of(StartTimer, driver.arrive(1))
+    assert not actions_of(StartTimer, driver.end(1))
+    assert not actions_of(StartTimer, driver.handle(TimerFired(0), after=SECOND))
--- a/tests/decisions/test_manager_scale.py
+++ b/tests/decisions/test_manager_scale.py
@@ -16,7 +16,7 @@
             owed.append((step + 15, step + 1))
         while owed and owed[0][0] <= step:
             driver.end(owed.pop(0)[1])
-        driver.tell(after=STEP)
+        driver.handle(after=STEP)
     assert len(driver.sends) == 200
     return {s.engine for s in driver.sends}
 
