--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -66,9 +66,8 @@
     def group_engines(self, group: int) -> list[Engine]:
         """Engines that all brokers prefer for a group, as many as its part of the traffic fills."""
         ready_count = len(self._registry.ready)
-        return self.ranked(group)[
-            : 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_fraction(group) * ready_count)
-        ]
+        count = 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_fraction(group) * ready_count)
+        return self.ranked(group)[:count]
 
     def load_engines(self, group: int) -> list[Engine]:
         """Engines that all brokers prefer for a group's loads, as many as its part of all loads occupies.
@@ -77,11 +76,11 @@
         queries prefer other engines.
         """
         broker_count = self._context.settings.broker_count
-        needed = ceil(
-            LOAD_ENGINES_FACTOR * broker_count * self._running_loads * self._traffic_fraction(group)
-        )
+        fraction = self._traffic_fraction(group)
+        needed = ceil(LOAD_ENGINES_FACTOR * broker_count * self._running_loads * fraction)
         ready_count = len(self._registry.ready)
-        return self.ranked(group)[max(ready_count - needed, ceil(LOAD_FREE_SHARE * ready_count)) :]
+        first = max(ready_count - needed, ceil(LOAD_FREE_SHARE * ready_count))
+        return self.ranked(group)[first:]
 
     def excluded_engines(self, request: Request) -> Collection[Engine]:
         """Engines that a load leaves to its group's queries, or where such a query would be blocked.
@@ -91,14 +90,16 @@
         """
         ready, now = self._registry.ready, self._context.now
         group = request.table_group
-        free = set(self.ranked(group)[: ceil(LOAD_FREE_SHARE * len(ready))])
-        others = [engine for engine in ready if engine not in free]
-        rest: Collection[Engine]
+        load_free_count = ceil(LOAD_FREE_SHARE * len(ready))
+        load_free = set(self.ranked(group)[:load_free_count])
+        others = [engine for engine in ready if engine not in load_free]
+        alternatives: Collection[Engine]
         if request.class_settings.is_load:
-            excluded, rest = free, others
+            excluded, alternatives = load_free, others
         else:
-            excluded, rest = {engine for engine in others if blocks_queries(engine, group, now)}, free
-        return excluded if any(_is_usable(engine, now) for engine in rest) else ()
+            excluded = {engine for engine in others if blocks_queries(engine, group, now)}
+            alternatives = load_free
+        return excluded if any(_is_usable(engine, now) for engine in alternatives) else ()
 
     def load_would_start_soon(self, engine: Engine, load: Request) -> bool:
         """Whether a load would start in time behind the loads of its group that run at an engine.
@@ -109,8 +110,8 @@
         """
         broker_count = self._context.settings.broker_count
         work, threads = self._estimates.work[load.class_index], load.class_settings.threads
-        ahead = engine.loads_in_flight.get(load.table_group, 0) * broker_count * work / threads
-        return ahead <= LOADS_AHEAD_SHARE * (load.objective_at - load.received_at)
+        run_time_ahead = engine.loads_in_flight.get(load.table_group, 0) * broker_count * work / threads
+        return run_time_ahead <= LOADS_AHEAD_SHARE * (load.objective_at - load.received_at)
 
     def preference_distances(self, preferred_count: int) -> Mapping[Engine, float]:
         """By engine, how far it is from the first `preferred_count` in this broker's order of engines.
@@ -119,8 +120,8 @@
         """
         ranks = self.ranked(-1 - self._context.settings.broker_index)
         return {
-            engine: (i >= preferred_count) * (1.0 + (i - preferred_count) / preferred_count)
-            for i, engine in enumerate(ranks)
+            engine: (rank >= preferred_count) * (1.0 + (rank - preferred_count) / preferred_count)
+            for rank, engine in enumerate(ranks)
         }
 
     def _traffic_fraction(self, group: int) -> float:
--- a/cypressledge/decisions/attempts.py
+++ b/cypressledge/decisions/attempts.py
@@ -18,7 +18,7 @@
     def cancel(self, request: Request, reason: Reason) -> None:
         """Cancel the request's attempt; its AttemptEnded is still to arrive."""
         request.cancelling = True
-        self._context.actions.append(CancelAttempt(request.id, request.attempts - 1, reason))
+        self._context.actions.append(CancelAttempt(request.id, request.last_attempt, reason))
 
     def may_be_retried(self, request: Request) -> bool:
         """Whether engines can cancel the request's attempt, and another one is allowed."""
--- a/cypressledge/decisions/concurrency_limits.py
+++ b/cypressledge/decisions/concurrency_limits.py
@@ -150,7 +150,7 @@
         shares does. The work of other brokers scatters, so a standard deviation of it stays free.
         """
         limits = self._fleet_limits()
-        wanted = self.threads + request.class_settings.threads / 2
+        wanted = self.threads + request.class_settings.threads / 2  # rounded to the nearest query
         has_threads = wanted <= limits.threads * (1.0 + allowance) + WIDE_QUERIES_ALLOWANCE * self._widest
         if not has_threads:
             for engine in self._registry.ready:
@@ -163,6 +163,7 @@
         return not self.threads or has_threads and has_memory
 
     def _fleet_limits(self) -> FleetLimits:
+        """Sum the engines' bounds and memory shares, less a standard deviation of the others' work."""
         threads = memory_mb = 0.0
         broker_count = self._context.settings.broker_count
         others = 1.0 - 1.0 / broker_count
--- a/cypressledge/decisions/outcomes.py
+++ b/cypressledge/decisions/outcomes.py
@@ -54,7 +54,7 @@
         if engine is None:
             return
         request = engine.in_flight.get(ended.request)
-        if request is None or request.attempts - 1 != ended.attempt:
+        if request is None or request.last_attempt != ended.attempt:
             return
         self._release(engine, request)
         self._learn(engine, request, ended)
--- a/cypressledge/decisions/progress.py
+++ b/cypressledge/decisions/progress.py
@@ -33,7 +33,7 @@
         request = self._lifecycle.requests.get(progress.request)
         if request is None or request.finished or request.cancelling or request.engine is None:
             return
-        if request.attempts - 1 != progress.attempt:
+        if request.last_attempt != progress.attempt:
             return
         now = self._context.now
         request.engine.last_activity_at = request.last_activity_at = now
--- a/cypressledge/decisions/request.py
+++ b/cypressledge/decisions/request.py
@@ -50,6 +50,11 @@
     blocked: bool = False  # the attempt waits at the engine, by its last progress notification
     response_lost: bool = False  # the response to the attempt in flight will not arrive
 
+    @property
+    def last_attempt(self) -> int:
+        """Number of the last attempt that was started; the first has 0, -1: none."""
+        return self.attempts - 1
+
 
 def new_request(received: RequestReceived, class_settings: ClassSettings, now: int, cost: float) -> Request:
     """The state of a request that arrives at `now`, with its corrected cost in µs of work."""
