--- a/tests/decisions/parts.py
+++ b/tests/decisions/parts.py
@@ -1,4 +1,7 @@
-"""Parts of the decisions for tests of one module alone: a context, engines and requests."""
+"""Builds what a test of one module of the decisions needs: a context, engines, requests and their attempts.
+
+Times and spans are in µs. `manager_driver.py` is for tests of the whole manager.
+"""
 
 from random import Random
 
@@ -17,61 +20,68 @@
 from cypressledge.decisions.engines import EngineRegistry
 from cypressledge.decisions.request import new_request
 
-SECOND = 1_000_000  # µs
+SECOND = 1_000_000
 START = 100 * SECOND
 LOOKUP = ClassSettings(latency_objective=SECOND, deadline=5 * SECOND)
 
 
-def context(*classes, now=START, seed=1, **changes):
-    """A context of a plain site, at a moment."""
+def make_context(*classes, now=START, seed=1, **changes):
+    """A context of a plain site of these classes (LOOKUP by default), with changes of its settings."""
     usual = {"kind_cores": (8, 4), "timer_resolution": 5_000, "supports_cancel": True, "max_attempts": 4}
     return DecisionContext(Settings(classes=classes or (LOOKUP,), **(usual | changes)), Random(seed), now)
 
 
-def entry(number, state=EngineState.READY, kind=0, zone=0, cell=0, started_at=0):
-    return EngineListEntry(number, state, kind, zone, cell, started_at)
+def list_entry(engine, state=EngineState.READY, kind=0, zone=0, cell=0, started_at=0):
+    """An entry of an engine list: a ready engine that started long ago."""
+    return EngineListEntry(engine, state, kind, zone, cell, started_at)
+
 
+def make_registry(context, *engines):
+    """A registry that has a list of these engines: list entries, or numbers of plain ones."""
+    registry = EngineRegistry(context)
+    entries = tuple(
+        engine if isinstance(engine, EngineListEntry) else list_entry(engine) for engine in engines
+    )
+    registry.update(EngineListReceived(EngineListKind.FULL, entries))
+    return registry
 
-def registry(ctx, *entries):
-    """A registry that has taken a list of these engines: entries, or numbers of plain ones."""
-    made = EngineRegistry(ctx)
-    listed = tuple(e if isinstance(e, EngineListEntry) else entry(e) for e in entries)
-    made.update(EngineListReceived(EngineListKind.FULL, listed))
-    return made
 
+def make_request(context, number=1, class_index=0, cost=100_000, work=None, **fields):
+    """A request that arrives now, with further fields of RequestReceived.
 
-def request(ctx, number=1, class_index=0, cost=100_000, work=None, memory_mb=0.0, table_group=0, key=0):
-    """A request that has just come; `work` is its corrected cost where that differs from the estimate."""
-    class_settings = ctx.settings.classes[class_index]
-    received = RequestReceived(
-        number, class_index, ctx.now + class_settings.deadline, key, cost, memory_mb, table_group
-    )
-    return new_request(received, class_settings, ctx.now, cost if work is None else work)
+    `work` is its corrected cost where that differs from the estimate `cost`.
+    """
+    class_settings = context.settings.classes[class_index]
+    deadline = context.now + class_settings.deadline
+    received = RequestReceived(number, class_index, deadline, cost=cost, **fields)
+    return new_request(received, class_settings, context.now, cost if work is None else work)
 
 
-def sent(ctx, made, engine, attempts=1):
-    """The request with an attempt in flight at an engine since now."""
-    made.attempts, made.engine, made.sent_at, made.last_activity_at = attempts, engine, ctx.now, ctx.now
-    engine.in_flight[made.id] = made
-    return made
+def start_attempt(context, request, engine, attempts=1):
+    """Put the last of so many attempts of a request in flight at an engine, since now; return the request."""
+    request.attempts = attempts
+    request.engine = engine
+    request.sent_at = request.last_activity_at = context.now
+    engine.in_flight[request.id] = request
+    return request
 
 
-def ended(made, outcome=Outcome.OK, latency=100_000, work=0, memory_mb=0.0, load_report=()):
-    """The end of the request's attempt."""
-    engine = made.engine.id if made.engine else 0
+def attempt_ended(request, outcome=Outcome.OK, latency=100_000, work=0, memory_mb=0.0, load_report=()):
+    """The end of the request's last attempt, final with OK."""
+    engine = request.engine.id if request.engine else 0
     return AttemptEnded(
-        made.id,
-        made.attempts - 1,
-        engine,
-        outcome,
-        outcome is Outcome.OK,
-        latency,
-        work,
-        memory_mb,
-        load_report,
+        request=request.id,
+        attempt=request.last_attempt,
+        engine=engine,
+        outcome=outcome,
+        final=outcome is Outcome.OK,
+        latency=latency,
+        work=work,
+        memory_mb=memory_mb,
+        load_report=load_report,
     )
 
 
-def texts(ctx):
+def log_texts(context):
     """The log lines among the actions."""
-    return [action.text for action in ctx.actions if hasattr(action, "text")]
+    return [action.text for action in context.actions if hasattr(action, "text")]
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -7,7 +7,7 @@
 from cypressledge.decisions.affinity import Affinity, blocks_queries
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.rank_hash import rank_hash
-from tests.decisions.parts import LOOKUP, SECOND, context, registry, request
+from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request
 
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
 LOAD = replace(LOOKUP, is_load=True, latency_objective=4 * SECOND, threads=2)
@@ -17,8 +17,8 @@
     """The affinity of a broker over ten engines."""
 
     def __init__(self, engines=10, **changes):
-        self.context = context(BLOCKED, LOAD, **changes)
-        self.registry = registry(self.context, *range(1, engines + 1))
+        self.context = make_context(BLOCKED, LOAD, **changes)
+        self.registry = make_registry(self.context, *range(1, engines + 1))
         self.estimates = ClassEstimates(self.context)
         self.affinity = Affinity(self.context, self.registry, self.estimates)
 
@@ -91,7 +91,7 @@
 
 def test_loads_are_excluded_from_the_first_fifth_while_another_engine_is_usable():
     broker = Ranks()
-    load = request(broker.context, class_index=1, table_group=1)
+    load = make_request(broker.context, class_index=1, table_group=1)
     assert set(broker.affinity.excluded_engines(load)) == set(broker.affinity.ranked(1)[:2])
     for engine in broker.affinity.ranked(1)[2:]:
         engine.ejected = True
@@ -100,7 +100,7 @@
 
 def test_queries_are_excluded_where_a_load_blocks_them_while_the_first_fifth_is_usable():
     broker = Ranks()
-    query, ranks = request(broker.context, table_group=1), broker.affinity.ranked(1)
+    query, ranks = make_request(broker.context, table_group=1), broker.affinity.ranked(1)
     assert not broker.affinity.excluded_engines(query)
     ranks[0].loads_in_flight[1] = ranks[4].loads_in_flight[1] = 1
     ranks[5].blocked_until[1] = broker.context.now + 1
@@ -125,11 +125,13 @@
     engine = broker.registry.ready[0]
     engine.loads_in_flight[1] = 1
     assert (
-        broker.affinity.load_would_start_soon(engine, request(broker.context, class_index=1, table_group=1))
+        broker.affinity.load_would_start_soon(
+            engine, make_request(broker.context, class_index=1, table_group=1)
+        )
         is soon
     )
     assert broker.affinity.load_would_start_soon(
-        engine, request(broker.context, class_index=1, table_group=2)
+        engine, make_request(broker.context, class_index=1, table_group=2)
     )
 
 
@@ -137,7 +139,7 @@
     broker = Ranks(broker_count=2)
     broker.estimates.work[1] = 4 * SECOND
     broker.registry.ready[0].loads_in_flight[1] = 1
-    load = request(broker.context, class_index=1, table_group=1)
+    load = make_request(broker.context, class_index=1, table_group=1)
     assert not broker.affinity.load_would_start_soon(broker.registry.ready[0], load)
 
 
--- a/tests/decisions/test_concurrency_limits.py
+++ b/tests/decisions/test_concurrency_limits.py
@@ -7,7 +7,7 @@
 from cypressledge.decisions.concurrency_limits import ConcurrencyLimits
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.pace import FleetPace
-from tests.decisions.parts import LOOKUP, SECOND, context, registry, request, sent
+from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request, start_attempt
 
 WIDE = replace(LOOKUP, threads=2)
 
@@ -16,8 +16,8 @@
     """Engines of eight cores with an initial bound of sixteen threads each, and the limits over them."""
 
     def __init__(self, *classes, engines=1, **changes):
-        self.context = context(*(classes or (LOOKUP,)), **({"kind_cores": (8,)} | changes))
-        self.registry = registry(self.context, *range(1, engines + 1))
+        self.context = make_context(*(classes or (LOOKUP,)), **({"kind_cores": (8,)} | changes))
+        self.registry = make_registry(self.context, *range(1, engines + 1))
         self.estimates = ClassEstimates(self.context)
         self.pace = FleetPace(self.registry, self.estimates)
         self.limits = ConcurrencyLimits(self.context, self.registry, self.pace, self.estimates)
@@ -26,12 +26,12 @@
 
     def request(self, **what):
         self.number += 1
-        return request(self.context, self.number, **what)
+        return make_request(self.context, self.number, **what)
 
     def send(self, **what):
-        made = sent(self.context, self.request(**what), self.engine)
-        self.limits.reserve(self.engine, made)
-        return made
+        request = start_attempt(self.context, self.request(**what), self.engine)
+        self.limits.reserve(self.engine, request)
+        return request
 
     def fill(self, most=1_000, **what):
         """Send until the engine has no capacity; how many."""
@@ -159,11 +159,11 @@
 
 def test_answers_count_by_their_objective():
     fleet = LimitedFleet()
-    made = fleet.request()
+    request = fleet.request()
     fleet.context.now += SECOND
-    fleet.limits.record_answer(fleet.engine, made, SECOND)
+    fleet.limits.record_answer(fleet.engine, request, SECOND)
     fleet.context.now += 1
-    fleet.limits.record_answer(fleet.engine, made, SECOND)
+    fleet.limits.record_answer(fleet.engine, request, SECOND)
     assert (fleet.engine.objectives_met, fleet.engine.objectives_missed) == (1, 1)
 
 
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -7,7 +7,7 @@
 from cypressledge.decisions.dispatch import AttemptStarter, Dispatcher
 from cypressledge.decisions.odds import OddsController
 from cypressledge.decisions.queues import ClassQueues
-from tests.decisions.parts import LOOKUP, SECOND, context, registry, request
+from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request
 
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
 
@@ -16,8 +16,8 @@
     """A dispatcher whose router finds the engine for the groups that are free."""
 
     def __init__(self, *classes):
-        self.context = context(*(classes or (LOOKUP,)))
-        self.engine = registry(self.context, 1).engines[1]
+        self.context = make_context(*(classes or (LOOKUP,)))
+        self.engine = make_registry(self.context, 1).engines[1]
         self.queues = ClassQueues(self.context, SimpleNamespace(slowdown=1.0))
         self.started, self.given_up, self.asked = [], [], []
         self.free, self.reason = None, None
@@ -27,29 +27,29 @@
             self.queues,
             SimpleNamespace(choose=self.choose),
             SimpleNamespace(reject_late=self.reject_late, give_up=self.give_up),
-            SimpleNamespace(reason_against_sending=lambda made: self.reason),
+            SimpleNamespace(reason_against_sending=lambda request: self.reason),
             SimpleNamespace(start=self.start),
         )
 
-    def choose(self, made):
-        self.asked.append(made.id)
-        return self.engine if self.free is None or made.table_group in self.free else None
+    def choose(self, request):
+        self.asked.append(request.id)
+        return self.engine if self.free is None or request.table_group in self.free else None
 
-    def start(self, made, engine):
-        made.queued = False
-        self.started.append(made.id)
+    def start(self, request, engine):
+        request.queued = False
+        self.started.append(request.id)
 
-    def give_up(self, made, reason):
-        made.queued = False
-        self.given_up.append((made.id, reason))
+    def give_up(self, request, reason):
+        request.queued = False
+        self.given_up.append((request.id, reason))
 
-    def reject_late(self, made):
-        self.give_up(made, "late")
+    def reject_late(self, request):
+        self.give_up(request, "late")
 
     def add(self, number, **what):
-        made = request(self.context, number, **what)
-        self.queues.enqueue(made)
-        return made
+        request = make_request(self.context, number, **what)
+        self.queues.enqueue(request)
+        return request
 
 
 def test_all_that_finds_an_engine_starts():
@@ -108,33 +108,38 @@
         return lambda *arguments: self.names.append(name)
 
 
-def started(ctx, made, calls):
-    engine = registry(ctx, 1).engines[1]
+def started(context, request, calls):
+    engine = make_registry(context, 1).engines[1]
     odds = OddsController(2)
-    AttemptStarter(ctx, odds, calls, calls, calls, calls).start(made, engine)
+    AttemptStarter(context, odds, calls, calls, calls, calls).start(request, engine)
     return engine, odds
 
 
 def test_a_start_counts_the_delay_and_the_attempt():
-    ctx, calls = context(LOOKUP, replace(LOOKUP, is_load=True)), Calls()
-    made = request(ctx, class_index=1, table_group=7)
-    made.queued = made.blocked = made.response_lost = True
-    ctx.now += 30_000
-    engine, odds = started(ctx, made, calls)
+    context, calls = make_context(LOOKUP, replace(LOOKUP, is_load=True)), Calls()
+    request = make_request(context, class_index=1, table_group=7)
+    request.queued = request.blocked = request.response_lost = True
+    context.now += 30_000
+    engine, odds = started(context, request, calls)
     assert (odds.delay_sums, odds.sample_counts) == ([0.0, 30_000], [0, 1])
-    assert (made.attempts, made.engine, made.sent_at, made.last_activity_at) == (1, engine, ctx.now, ctx.now)
-    assert not any((made.queued, made.blocked, made.response_lost))
-    assert engine.in_flight == {1: made}
+    assert (request.attempts, request.engine, request.sent_at, request.last_activity_at) == (
+        1,
+        engine,
+        context.now,
+        context.now,
+    )
+    assert not any((request.queued, request.blocked, request.response_lost))
+    assert engine.in_flight == {1: request}
     assert engine.loads_in_flight == {7: 1}
     assert calls.names == ["record_attempt", "record_attempt", "update"]
-    assert ctx.actions == [StartAttempt(1, 1)]
+    assert context.actions == [StartAttempt(1, 1)]
 
 
 def test_a_retry_takes_from_the_budget_and_adds_no_delay():
-    ctx, calls = context(), Calls()
-    made = request(ctx)
-    made.attempts = 1
-    _, odds = started(ctx, made, calls)
+    context, calls = make_context(), Calls()
+    request = make_request(context)
+    request.attempts = 1
+    _, odds = started(context, request, calls)
     assert calls.names[0] == "record_retry"
     assert odds.sample_counts == [0, 0]
-    assert made.attempts == 2
+    assert request.attempts == 2
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -8,17 +8,25 @@
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.health import HealthMonitor
 from cypressledge.decisions.slow_start import SlowStart
-from tests.decisions.parts import LOOKUP, SECOND, context, registry, request, sent, texts
+from tests.decisions.parts import (
+    LOOKUP,
+    SECOND,
+    log_texts,
+    make_context,
+    make_registry,
+    make_request,
+    start_attempt,
+)
 
 
 class Health:
     """The monitor over a few engines."""
 
     def __init__(self, engines=4):
-        self.context = context(
+        self.context = make_context(
             LOOKUP, replace(LOOKUP, idempotency=Idempotency.NOT_IDEMPOTENT), slow_start_window=10 * SECOND
         )
-        self.registry = registry(self.context, *range(1, engines + 1))
+        self.registry = make_registry(self.context, *range(1, engines + 1))
         slow_start = SlowStart(self.context, ClassEstimates(self.context))
         self.monitor = HealthMonitor(self.context, self.registry, slow_start)
         self.engine = self.registry.engines[1]
@@ -39,7 +47,7 @@
     assert health.ejected() == []
     health.monitor.record_silence(health.engine, 14.1)
     assert health.ejected() == [1]
-    assert texts(health.context) == ["engine 1 is silent while others answer: ejected"]
+    assert log_texts(health.context) == ["engine 1 is silent while others answer: ejected"]
 
 
 def test_silence_everywhere_ejects_no_engine():
@@ -103,17 +111,17 @@
     health.monitor.record_connection_failure(health.engine, Outcome.CONNECT_FAILED)
     assert health.ejected() == [1]
     assert health.engine.warm_at == health.context.now + 10 * SECOND
-    assert texts(health.context) == ["engine 1 broke its connections: ejected until it answers"]
+    assert log_texts(health.context) == ["engine 1 broke its connections: ejected until it answers"]
 
 
 def test_resets_eject_once_nothing_is_in_flight_and_no_answer_came_between():
     health = Health()
-    made = sent(health.context, request(health.context), health.engine)
+    request = start_attempt(health.context, make_request(health.context), health.engine)
     for _ in range(5):
         health.monitor.record_connection_failure(health.engine, Outcome.RESET)
     assert health.ejected() == []
     health.monitor.record_answer(health.engine)
-    del health.engine.in_flight[made.id]
+    del health.engine.in_flight[request.id]
     health.monitor.record_connection_failure(health.engine, Outcome.RESET)
     assert health.ejected() == []
     health.monitor.record_connection_failure(health.engine, Outcome.RESET)
@@ -127,7 +135,7 @@
     health.context.now += 500_000
     health.monitor.record_connection_failure(health.engine, Outcome.CONNECT_FAILED)
     assert health.engine.next_trial_at == health.context.now + SECOND
-    assert len(texts(health.context)) == 1
+    assert len(log_texts(health.context)) == 1
 
 
 def test_an_answer_readmits():
@@ -138,19 +146,19 @@
     health.monitor.record_answer(health.engine)
     assert health.ejected() == []
     assert health.engine.error_rate == 0.125  # a few errors eject it again
-    assert texts(health.context)[-1] == "engine 1 answers again"
+    assert log_texts(health.context)[-1] == "engine 1 answers again"
 
 
 @pytest.mark.parametrize(("class_index", "allowed"), [(0, True), (1, False)])
 def test_a_trial_request_is_one_at_a_time_and_may_be_repeated(class_index, allowed):
     health = Health()
     health.monitor.record_connection_failure(health.engine, Outcome.CONNECT_FAILED)
-    made = request(health.context, class_index=class_index)
-    assert not health.monitor.allows_trial(health.engine, made)
+    request = make_request(health.context, class_index=class_index)
+    assert not health.monitor.allows_trial(health.engine, request)
     health.context.now += SECOND
-    assert health.monitor.allows_trial(health.engine, made) is allowed
-    sent(health.context, request(health.context, 2), health.engine)
-    assert not health.monitor.allows_trial(health.engine, made)
+    assert health.monitor.allows_trial(health.engine, request) is allowed
+    start_attempt(health.context, make_request(health.context, 2), health.engine)
+    assert not health.monitor.allows_trial(health.engine, request)
 
 
 def test_a_trial_request_puts_the_next_off():
--- a/tests/decisions/test_inspection.py
+++ b/tests/decisions/test_inspection.py
@@ -12,32 +12,32 @@
 from cypressledge.decisions.inspection import Inspection
 from cypressledge.decisions.odds import OddsController
 from cypressledge.decisions.odds_loop import OddsLoop
-from tests.decisions.parts import LOOKUP, SECOND, context, registry, request, sent
+from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request, start_attempt
 
 
 class Inspected:
     """Two engines, and what an inspection of them finds."""
 
     def __init__(self):
-        self.context = context(LOOKUP, replace(LOOKUP, blocked_by_loads=True))
-        self.registry = registry(self.context, 1, 2)
+        self.context = make_context(LOOKUP, replace(LOOKUP, blocked_by_loads=True))
+        self.registry = make_registry(self.context, 1, 2)
         self.engine = self.registry.engines[1]
         self.lost, self.moved, self.silences, self.updated = set(), [], {}, []
         self.inspection = Inspection(
             self.context,
             self.registry,
             ClassEstimates(self.context),
-            SimpleNamespace(update=lambda made: self.updated.append(made.id)),
+            SimpleNamespace(update=lambda request: self.updated.append(request.id)),
             SimpleNamespace(record_silence=self.record_silence),
-            SimpleNamespace(check=lambda engine, made: made.id in self.lost),
-            SimpleNamespace(move=lambda made, reason: self.moved.append((made.id, reason))),
+            SimpleNamespace(check=lambda engine, request: request.id in self.lost),
+            SimpleNamespace(move=lambda request, reason: self.moved.append((request.id, reason))),
         )
 
     def record_silence(self, engine, missing):
         self.silences[engine.id] = missing
 
     def send(self, number, **what):
-        return sent(self.context, request(self.context, number, **what), self.engine)
+        return start_attempt(self.context, make_request(self.context, number, **what), self.engine)
 
     def run(self, after=0):
         self.context.now += after
@@ -120,45 +120,45 @@
         self.periods += 1
 
 
-def housekeeping(requests, next_due_at=None):
-    ctx, looks, part = context(), [], Periodic()
+def make_housekeeping(requests, next_due_at=None):
+    context, looks, part = make_context(), [], Periodic()
     lifecycle = SimpleNamespace(requests=requests, next_due_at=lambda: next_due_at)
-    made = Housekeeping(ctx, lifecycle, [lambda: looks.append(ctx.now)], [part])
-    made.start()
-    return ctx, made, looks, part
+    housekeeping = Housekeeping(context, lifecycle, [lambda: looks.append(context.now)], [part])
+    housekeeping.start()
+    return context, housekeeping, looks, part
 
 
 def test_looks_are_100_ms_apart_and_periods_two_seconds():
-    ctx, made, looks, part = housekeeping({})
+    context, housekeeping, looks, part = make_housekeeping({})
     for _ in range(400):
-        ctx.now += 10_000
-        made.run()
+        context.now += 10_000
+        housekeeping.run()
     assert len(looks) == 40
     assert part.periods == 2
 
 
 def test_without_an_open_request_there_is_no_timer():
-    ctx, made, _, _ = housekeeping({})
-    made.schedule_timer()
-    assert ctx.actions == []
+    context, housekeeping, _, _ = make_housekeeping({})
+    housekeeping.schedule_timer()
+    assert context.actions == []
 
 
 @pytest.mark.parametrize(("due", "after"), [(None, 100_000), (40_000, 40_000), (1, 5_000), (10**9, 100_000)])
 def test_a_timer_is_for_what_is_due_next_and_one_resolution_away_at_least(due, after):
-    ctx, made, _, _ = housekeeping({1: None}, due and context().now + due)
-    made.schedule_timer()
-    assert ctx.actions == [StartTimer(after)]
-    made.schedule_timer()
-    assert len(ctx.actions) == 1 + (due == 1)  # one that is still to come is not asked for twice
+    context, housekeeping, _, _ = make_housekeeping({1: None}, due and make_context().now + due)
+    housekeeping.schedule_timer()
+    assert context.actions == [StartTimer(after)]
+    housekeeping.schedule_timer()
+    assert len(context.actions) == 1 + (due == 1)  # one that is still to come is not asked for twice
 
 
 def test_requests_that_still_wait_count_in_the_odds_loop():
-    ctx = context(LOOKUP, LOOKUP)
+    context = make_context(LOOKUP, LOOKUP)
     odds = OddsController(2)
-    waiting = [request(ctx, number, class_index=number % 2) for number in range(8)]
+    waiting = [make_request(context, number, class_index=number % 2) for number in range(8)]
     queues = SimpleNamespace(waiting_for_first_attempt=lambda: waiting)
-    loop = OddsLoop(ctx, odds, queues, ClassEstimates(ctx))
-    ctx.now += 100_000
+    loop = OddsLoop(context, odds, queues, ClassEstimates(context))
+    context.now += 100_000
     loop.end_period()
     assert odds.ratios == [1.0]  # both waited alike
     assert odds.previous_errors == [0.0]
@@ -183,14 +183,14 @@
 def test_admission_asks_health_of_ejected_engines_then_slow_start_then_capacity(ejected, asked):
     calls = []
     parts = [Limit(calls, name) for name in ("health", "slow_start", "limits")]
-    ctx = context()
-    engine = registry(ctx, 1).engines[1]
+    context = make_context()
+    engine = make_registry(context, 1).engines[1]
     engine.ejected = ejected
     admission = EngineAdmission(*parts)
-    assert admission.admits(engine, request(ctx), 0.0)
+    assert admission.admits(engine, make_request(context), 0.0)
     assert [name for name, _ in calls] == ["health", "slow_start", "limits"][-asked:]
     for closed in parts[-asked:]:
         closed.is_open = False
-        assert not admission.admits(engine, request(ctx), 0.0)
+        assert not admission.admits(engine, make_request(context), 0.0)
         assert calls[-1][0] == closed.name  # what comes behind it is not asked
         closed.is_open = True
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -25,7 +25,7 @@
 from cypressledge.decisions.queues import ClassQueues
 from cypressledge.decisions.request import PossibleExecution
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
-from tests.decisions.parts import LOOKUP, SECOND, context, registry, sent
+from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, start_attempt
 
 KEYED = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_window=2 * SECOND)
 ZONED = replace(KEYED, deduplication_scope=DeduplicationScope.ZONE)
@@ -51,31 +51,33 @@
     """The lifecycle of one class, over two engines."""
 
     def __init__(self, class_settings=LOOKUP, **changes):
-        self.context = ctx = context(class_settings, **changes)
-        self.registry = registry(ctx, 1, 2)
+        self.context = context = make_context(class_settings, **changes)
+        self.registry = make_registry(context, 1, 2)
         self.engine = self.registry.engines[1]
-        estimates = ClassEstimates(ctx)
-        self.budget, self.odds = RetryBudget(ctx), OddsController(1)
-        policy = RetryPolicy(ctx, self.budget)
-        queues = ClassQueues(ctx, SimpleNamespace(slowdown=1.0))
-        affinity = Affinity(ctx, self.registry, estimates)
-        control = AttemptControl(ctx, policy)
-        self.lifecycle = RequestLifecycle(ctx, estimates, affinity, self.budget, control, self.odds, queues)
+        estimates = ClassEstimates(context)
+        self.budget, self.odds = RetryBudget(context), OddsController(1)
+        policy = RetryPolicy(context, self.budget)
+        queues = ClassQueues(context, SimpleNamespace(slowdown=1.0))
+        affinity = Affinity(context, self.registry, estimates)
+        control = AttemptControl(context, policy)
+        self.lifecycle = RequestLifecycle(
+            context, estimates, affinity, self.budget, control, self.odds, queues
+        )
         self.observed = Observed()
         observers = AnswerObservers(*[self.observed] * 6)
-        self.outcomes = AttemptOutcomes(ctx, self.registry, self.lifecycle, policy, observers)
+        self.outcomes = AttemptOutcomes(context, self.registry, self.lifecycle, policy, observers)
 
     def receive(self, number=1, key=0, due=5 * SECOND):
         self.lifecycle.receive(RequestReceived(number, 0, self.context.now + due, key, cost=100_000))
         return self.lifecycle.requests[number]
 
-    def send(self, made):
-        made.queued = False
-        return sent(self.context, made, self.engine, made.attempts + 1)
+    def send(self, request):
+        request.queued = False
+        return start_attempt(self.context, request, self.engine, request.attempts + 1)
 
-    def end(self, made, outcome, final=False, after=0):
+    def end(self, request, outcome, final=False, after=0):
         self.context.now += after
-        self.outcomes.attempt_ended(AttemptEnded(made.id, made.attempts - 1, 1, outcome, final, 1_000))
+        self.outcomes.attempt_ended(AttemptEnded(request.id, request.attempts - 1, 1, outcome, final, 1_000))
 
     def answers(self):
         return [
@@ -85,9 +87,9 @@
 
 def test_a_request_is_queued_as_it_comes():
     setup = Lifecycle()
-    made = setup.receive()
-    assert made.queued
-    assert setup.lifecycle.next_due_at() == made.deadline - 30_000
+    request = setup.receive()
+    assert request.queued
+    assert setup.lifecycle.next_due_at() == request.deadline - 30_000
 
 
 def test_requests_of_a_key_are_queued_one_after_the_other():
@@ -111,11 +113,11 @@
 @pytest.mark.parametrize(("class_settings", "cancels"), [(LOOKUP, 1), (KEYED, 1), (UNSAFE, 0)])
 def test_what_runs_for_a_client_that_left_is_cancelled_where_that_is_harmless(class_settings, cancels):
     setup = Lifecycle(class_settings)
-    made = setup.send(setup.receive())
+    request = setup.send(setup.receive())
     setup.lifecycle.client_disconnected(ClientDisconnected(1))
     assert len(setup.context.actions) == cancels
-    assert made.finished
-    setup.end(made, Outcome.CANCELLED)
+    assert request.finished
+    setup.end(request, Outcome.CANCELLED)
     assert setup.lifecycle.requests == {}
 
 
@@ -144,12 +146,12 @@
 )
 def test_a_request_is_rejected_only_where_its_client_may_send_it_again(class_settings, state, answer):
     setup = Lifecycle(class_settings)
-    made = setup.receive()
+    request = setup.receive()
     if state == "in flight":
-        setup.send(made)
+        setup.send(request)
     elif state == "may have run":
-        made.first_possible_execution = PossibleExecution(setup.context.now, setup.engine)
-    setup.lifecycle.give_up(made, Reason.DEADLINE)
+        request.first_possible_execution = PossibleExecution(setup.context.now, setup.engine)
+    setup.lifecycle.give_up(request, Reason.DEADLINE)
     assert setup.answers() == [(answer, Reason.DEADLINE)]
 
 
@@ -157,10 +159,10 @@
 def test_a_request_ends_30_ms_before_its_deadline(is_sent, reason):
     """The margin stands in deadlines.py."""
     setup = Lifecycle()
-    made = setup.receive()
+    request = setup.receive()
     if is_sent:
-        setup.send(made)
-    setup.context.now = made.deadline - 30_001
+        setup.send(request)
+    setup.context.now = request.deadline - 30_001
     setup.lifecycle.expire()
     assert setup.answers() == []
     setup.context.now += 1
@@ -192,8 +194,8 @@
 
 def test_an_answer_ends_the_request_and_everything_learns_from_it():
     setup = Lifecycle()
-    made = setup.send(setup.receive())
-    setup.end(made, Outcome.OK, final=True)
+    request = setup.send(setup.receive())
+    setup.end(request, Outcome.OK, final=True)
     assert setup.lifecycle.requests == {}
     assert setup.engine.in_flight == {}
     assert setup.observed.names == ["release"] + ["record_answer"] * 6
@@ -213,12 +215,12 @@
 )
 def test_who_learns_from_other_outcomes_and_a_retry_is_queued(outcome, told):
     setup = Lifecycle()
-    made = setup.send(setup.receive())
-    setup.end(made, outcome)
+    request = setup.send(setup.receive())
+    setup.end(request, outcome)
     assert setup.observed.names == ["release", *told]
-    assert made.queued
-    assert made.avoided_engine is setup.engine
-    assert made.engine is None
+    assert request.queued
+    assert request.avoided_engine is setup.engine
+    assert request.engine is None
 
 
 @pytest.mark.parametrize(
@@ -235,18 +237,18 @@
 )
 def test_what_may_have_run_is_remembered_from_its_first_such_attempt(outcome, since):
     setup = Lifecycle(KEYED)
-    made = setup.send(setup.receive())
+    request = setup.send(setup.receive())
     began = setup.context.now
-    setup.end(made, outcome, after=1_000)
-    assert made.first_possible_execution == (PossibleExecution(began, setup.engine) if since else None)
-    setup.end(setup.send(made), Outcome.RESET, after=1_000)
-    assert made.first_possible_execution.started_at == (began if since else began + 1_000)
+    setup.end(request, outcome, after=1_000)
+    assert request.first_possible_execution == (PossibleExecution(began, setup.engine) if since else None)
+    setup.end(setup.send(request), Outcome.RESET, after=1_000)
+    assert request.first_possible_execution.started_at == (began if since else began + 1_000)
 
 
 def test_a_request_with_a_key_waits_within_its_window_only():
     setup = Lifecycle(KEYED)
-    made = setup.send(setup.receive())
-    setup.end(made, Outcome.RESET, after=1_000)
+    request = setup.send(setup.receive())
+    setup.end(request, Outcome.RESET, after=1_000)
     setup.context.now += 1_400_000 - 1_000  # two seconds less the margin of 600 ms since it was sent
     setup.lifecycle.expire()
     assert setup.answers() == [(RejectRequest, Reason.DEDUPLICATION_WINDOW_OVER)]
@@ -261,18 +263,18 @@
 
 def test_ends_of_other_attempts_change_nothing():
     setup = Lifecycle()
-    made = setup.send(setup.receive())
+    request = setup.send(setup.receive())
     for attempt, engine in ((1, 1), (0, 2), (0, 99)):
         setup.outcomes.attempt_ended(AttemptEnded(1, attempt, engine, Outcome.OK, True, 1_000))
-    assert setup.engine.in_flight == {1: made}
+    assert setup.engine.in_flight == {1: request}
     assert setup.observed.names == []
 
 
 def test_a_load_that_ends_blocks_no_longer():
     setup = Lifecycle(replace(LOOKUP, is_load=True))
-    made = setup.send(setup.receive())
+    request = setup.send(setup.receive())
     setup.engine.loads_in_flight[0] = 1
-    setup.end(made, Outcome.OK, final=True)
+    setup.end(request, Outcome.OK, final=True)
     assert setup.engine.loads_in_flight == {0: 0}
 
 
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -3,15 +3,15 @@
 import pytest
 
 from cypressledge.decisions.load_reports import LoadReports
-from tests.decisions.parts import START, context, ended, registry, request
+from tests.decisions.parts import START, attempt_ended, make_context, make_registry, make_request
 
 
 def reported(*values, fields=("util", "queue", "inflight")):
-    ctx = context(load_report_fields=fields)
-    reports, engine = LoadReports(ctx), registry(ctx, 1).engines[1]
-    made = request(ctx)
-    made.attempts = 1
-    reports.record_answer(engine, made, ended(made, load_report=values))
+    context = make_context(load_report_fields=fields)
+    reports, engine = LoadReports(context), make_registry(context, 1).engines[1]
+    request = make_request(context)
+    request.attempts = 1
+    reports.record_answer(engine, request, attempt_ended(request, load_report=values))
     return reports, engine
 
 
--- a/tests/decisions/test_lost_responses.py
+++ b/tests/decisions/test_lost_responses.py
@@ -11,7 +11,7 @@
 from cypressledge.decisions.lost_responses import LostResponses
 from cypressledge.decisions.progress import ProgressNotifications
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
-from tests.decisions.parts import LOOKUP, SECOND, context, registry, request, sent
+from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request, start_attempt
 
 PATIENT = replace(LOOKUP, latency_objective=4 * SECOND)
 INTERVAL = SECOND // 2
@@ -21,13 +21,13 @@
     """One attempt in flight, with what watches it."""
 
     def __init__(self, class_settings=PATIENT, **changes):
-        self.context = context(class_settings, **({"progress_interval": INTERVAL} | changes))
-        self.engine = registry(self.context, 1).engines[1]
-        self.request = sent(self.context, request(self.context), self.engine)
+        self.context = make_context(class_settings, **({"progress_interval": INTERVAL} | changes))
+        self.engine = make_registry(self.context, 1).engines[1]
+        self.request = start_attempt(self.context, make_request(self.context), self.engine)
         self.given_up = []
         lifecycle = SimpleNamespace(
             requests={1: self.request},
-            give_up=lambda made, reason: self.given_up.append(reason),
+            give_up=lambda request, reason: self.given_up.append(reason),
         )
         control = AttemptControl(self.context, RetryPolicy(self.context, RetryBudget(self.context)))
         estimates = ClassEstimates(self.context)
--- a/tests/decisions/test_pace.py
+++ b/tests/decisions/test_pace.py
@@ -5,12 +5,12 @@
 import pytest
 
 from cypressledge.decisions.pace import FleetPace
-from tests.decisions.parts import context, registry
+from tests.decisions.parts import make_context, make_registry
 
 
 def paced(engines=2, mean_run_time=1.0):
-    made = registry(context(), *range(1, engines + 1))
-    return FleetPace(made, SimpleNamespace(mean_run_time=mean_run_time)), made.ready
+    registry = make_registry(make_context(), *range(1, engines + 1))
+    return FleetPace(registry, SimpleNamespace(mean_run_time=mean_run_time)), registry.ready
 
 
 def test_answers_at_the_pace_of_their_work_are_no_slowdown():
--- a/tests/decisions/test_queues.py
+++ b/tests/decisions/test_queues.py
@@ -7,7 +7,7 @@
 
 from cypressledge.decisions.contract import ClassSettings
 from cypressledge.decisions.queues import ClassQueues
-from tests.decisions.parts import LOOKUP, SECOND, context, request
+from tests.decisions.parts import LOOKUP, SECOND, make_context, make_request
 
 LATE = replace(LOOKUP, late_priority_weight=0.4)
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
@@ -17,23 +17,23 @@
     """The queues of one class, and what they rejected."""
 
     def __init__(self, class_settings: ClassSettings = LOOKUP) -> None:
-        self.context = context(class_settings)
+        self.context = make_context(class_settings)
         self.pace = SimpleNamespace(slowdown=1.0)
         self.queues = ClassQueues(self.context, self.pace)
         self.rejected = []
 
     def add(self, number, cost=100_000, table_group=0):
-        made = request(self.context, number, cost=cost, table_group=table_group)
-        self.queues.enqueue(made)
-        return made
+        request = make_request(self.context, number, cost=cost, table_group=table_group)
+        self.queues.enqueue(request)
+        return request
 
-    def reject(self, made):
-        made.queued = False
-        self.rejected.append(made.id)
+    def reject(self, request):
+        request.queued = False
+        self.rejected.append(request.id)
 
     def head(self, *blocked_rows):
-        made = self.queues.head(0, set(blocked_rows), self.reject)
-        return made and made.id
+        request = self.queues.head(0, set(blocked_rows), self.reject)
+        return request and request.id
 
 
 def test_shortest_first_then_in_order_of_queueing():
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -13,7 +13,7 @@
     reason_against_repeat,
     window_end,
 )
-from tests.decisions.parts import SECOND, START, context, entry, registry, request
+from tests.decisions.parts import SECOND, START, list_entry, make_context, make_registry, make_request
 
 EXECUTION = PossibleExecution(START, engine=None)  # the rules on time ask for no engine
 UNSAFE = ClassSettings(latency_objective=SECOND, deadline=5 * SECOND, idempotency=Idempotency.NOT_IDEMPOTENT)
@@ -29,57 +29,57 @@
     )
 
 
-def budget(floor=1.0, ratio=0.5, window=10 * SECOND, delay=0):
-    ctx = context(
+def make_budget(floor=1.0, ratio=0.5, window=10 * SECOND, delay=0):
+    context = make_context(
         retry_budget_ratio=ratio,
         retry_budget_floor=floor,
         retry_budget_window=window,
         max_send_delay=delay,
     )
-    return ctx, RetryBudget(ctx)
+    return context, RetryBudget(context)
 
 
 def test_no_budget_allows_all():
-    ctx = context()
-    made = RetryBudget(ctx)
+    context = make_context()
+    budget = RetryBudget(context)
     for _ in range(1_000):
-        made.record_retry()
-    assert made.allows_retry()
+        budget.record_retry()
+    assert budget.allows_retry()
 
 
 def test_the_floor_and_a_part_of_the_requests_are_allowed():
-    _, made = budget()
-    assert made.allows_retry()  # the floor
-    made.record_retry()
-    assert not made.allows_retry()
-    made.record_request()
-    assert not made.allows_retry()  # 2 of 1.5
-    made.record_request()
-    assert made.allows_retry()  # 2 of 2
+    _, budget = make_budget()
+    assert budget.allows_retry()  # the floor
+    budget.record_retry()
+    assert not budget.allows_retry()
+    budget.record_request()
+    assert not budget.allows_retry()  # 2 of 1.5
+    budget.record_request()
+    assert budget.allows_retry()  # 2 of 2
 
 
 def test_requests_leave_the_window_early_and_retries_late():
     """By the resolution and the longest delay of a send: the budget must hold whenever the retry leaves."""
-    ctx, made = budget(floor=0.0, ratio=1.0, delay=500_000)
-    made.record_request()
-    ctx.now = START + 10 * SECOND - 505_000 - 1
-    assert made.allows_retry()
-    ctx.now += 1
-    assert not made.allows_retry()
-    ctx, made = budget(floor=1.0, ratio=0.0, delay=500_000)
-    made.record_retry()
-    ctx.now = START + 10 * SECOND + 505_000 - 1
-    assert not made.allows_retry()
-    ctx.now += 1
-    assert made.allows_retry()
+    context, budget = make_budget(floor=0.0, ratio=1.0, delay=500_000)
+    budget.record_request()
+    context.now = START + 10 * SECOND - 505_000 - 1
+    assert budget.allows_retry()
+    context.now += 1
+    assert not budget.allows_retry()
+    context, budget = make_budget(floor=1.0, ratio=0.0, delay=500_000)
+    budget.record_retry()
+    context.now = START + 10 * SECOND + 505_000 - 1
+    assert not budget.allows_retry()
+    context.now += 1
+    assert budget.allows_retry()
 
 
 def test_a_request_that_is_withdrawn_allows_nothing():
-    _, made = budget(floor=0.0, ratio=1.0)
-    made.record_request()
-    assert made.allows_retry()
-    made.withdraw_request(START)
-    assert not made.allows_retry()
+    _, budget = make_budget(floor=0.0, ratio=1.0)
+    budget.record_request()
+    assert budget.allows_retry()
+    budget.withdraw_request(START)
+    assert not budget.allows_retry()
 
 
 @pytest.mark.parametrize(
@@ -87,16 +87,16 @@
     [(1, 0, None), (4, 0, Reason.ATTEMPTS_USED), (1, 5 * SECOND - 130_000 + 1, Reason.NO_TIME)],
 )
 def test_attempts_and_time_limit_retries(attempts, after, reason):
-    ctx = context()
-    made = request(ctx)
-    made.attempts = attempts
-    ctx.now += after
-    assert RetryPolicy(ctx, RetryBudget(ctx)).reason_against_retry(made) is reason
+    context = make_context()
+    request = make_request(context)
+    request.attempts = attempts
+    context.now += after
+    assert RetryPolicy(context, RetryBudget(context)).reason_against_retry(request) is reason
 
 
 def test_the_budget_limits_retries():
-    ctx, made = budget(floor=0.0)
-    assert RetryPolicy(ctx, made).reason_against_sending(request(ctx)) is Reason.RETRY_BUDGET
+    context, budget = make_budget(floor=0.0)
+    assert RetryPolicy(context, budget).reason_against_sending(make_request(context)) is Reason.RETRY_BUDGET
 
 
 def test_what_surely_never_ran_may_be_repeated_whatever_its_class():
@@ -129,6 +129,8 @@
     ],
 )
 def test_duplicates_are_dropped_within_the_scope(scope, dropped_at):
-    engines = registry(context(), entry(1), entry(2, cell=1), entry(3, zone=1)).engines
+    engines = make_registry(
+        make_context(), list_entry(1), list_entry(2, cell=1), list_entry(3, zone=1)
+    ).engines
     dropping = {n for n, engine in engines.items() if deduplicates(keyed(scope), engines[1], engine)}
     assert dropping == dropped_at
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -13,7 +13,7 @@
 from cypressledge.decisions.pace import FleetPace
 from cypressledge.decisions.request import PossibleExecution
 from cypressledge.decisions.routing import Router
-from tests.decisions.parts import LOOKUP, SECOND, START, context, entry, registry, request
+from tests.decisions.parts import LOOKUP, SECOND, START, list_entry, make_context, make_registry, make_request
 
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
 LOAD = replace(LOOKUP, is_load=True, latency_objective=10 * SECOND)
@@ -23,8 +23,8 @@
     """A router over engines that all have capacity, unless the test says otherwise."""
 
     def __init__(self, *classes, engines=(1, 2, 3), **changes):
-        self.context = context(*(classes or (LOOKUP,)), **changes)
-        self.registry = registry(self.context, *engines)
+        self.context = make_context(*(classes or (LOOKUP,)), **changes)
+        self.registry = make_registry(self.context, *engines)
         self.estimates = ClassEstimates(self.context)
         self.affinity = Affinity(self.context, self.registry, self.estimates)
         self.pace = FleetPace(self.registry, self.estimates)
@@ -44,10 +44,10 @@
 
     def chosen(self, times=200, **what):
         """How often each engine is chosen for a request."""
-        return self.chosen_for(request(self.context, **what), times)
+        return self.chosen_for(make_request(self.context, **what), times)
 
-    def chosen_for(self, made, times=200):
-        engines = (self.router.choose(made) for _ in range(times))
+    def chosen_for(self, request, times=200):
+        engines = (self.router.choose(request) for _ in range(times))
         return Counter(engine and engine.id for engine in engines)
 
 
@@ -61,7 +61,7 @@
 
 
 def test_the_fewest_own_threads_a_core_win():
-    routing = Routing(engines=[entry(1), entry(2, kind=1)])  # eight and four cores
+    routing = Routing(engines=[list_entry(1), list_entry(2, kind=1)])  # eight and four cores
     routing.affinity.group_engines = lambda group: routing.registry.ready
     routing.engine(1).threads, routing.engine(2).threads = 3, 2
     assert routing.chosen() == {1: 200}
@@ -87,16 +87,16 @@
 
 def test_required_kinds_and_zones_bind():
     bound = replace(LOOKUP, required_kinds=frozenset((1,)), required_zones=frozenset((0,)))
-    routing = Routing(bound, engines=[entry(1), entry(2, kind=1), entry(3, kind=1, zone=1)])
+    routing = Routing(bound, engines=[list_entry(1), list_entry(2, kind=1), list_entry(3, kind=1, zone=1)])
     assert routing.chosen() == {2: 200}
 
 
 def test_a_repeat_with_a_key_stays_within_its_scope():
     keyed = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ZONE)
-    routing = Routing(keyed, engines=[entry(1), entry(2, zone=1), entry(3)])
-    made = request(routing.context)
-    made.first_possible_execution = PossibleExecution(START, routing.engine(2))
-    assert routing.chosen_for(made) == {2: 200}
+    routing = Routing(keyed, engines=[list_entry(1), list_entry(2, zone=1), list_entry(3)])
+    request = make_request(routing.context)
+    request.first_possible_execution = PossibleExecution(START, routing.engine(2))
+    assert routing.chosen_for(request) == {2: 200}
 
 
 def test_engines_slower_than_all_cost_as_much_more():
@@ -113,20 +113,20 @@
 def test_an_engine_that_just_failed_comes_last(what):
     routing = Routing()
     routing.affinity.group_engines = lambda group: routing.registry.ready
-    made = request(routing.context)
-    assert 1 in routing.chosen_for(made)
+    request = make_request(routing.context)
+    assert 1 in routing.chosen_for(request)
     if what == "avoided":
-        made.avoided_engine = routing.engine(1)
+        request.avoided_engine = routing.engine(1)
     else:
         routing.engine(1).rejected_until = routing.context.now + 1
-    assert 1 not in routing.chosen_for(made)
+    assert 1 not in routing.chosen_for(request)
     routing.full = {2, 3}
-    assert routing.chosen_for(made) == {1: 200}
+    assert routing.chosen_for(request) == {1: 200}
 
 
 def test_engines_that_another_class_must_use_are_spared():
     bound = replace(LOOKUP, required_kinds=frozenset((1,)))
-    routing = Routing(LOOKUP, bound, engines=[entry(1), entry(2, kind=1)])
+    routing = Routing(LOOKUP, bound, engines=[list_entry(1), list_entry(2, kind=1)])
     routing.affinity.group_engines = lambda group: routing.registry.ready
     assert routing.chosen() == {1: 200}
     routing.engine(1).threads = 5
