--- a/tests/decisions/test_manager_mechanism.py
+++ b/tests/decisions/test_manager_mechanism.py
@@ -23,16 +23,17 @@
 from tests.decisions.manager_driver import LOOKUP, REPORT, SECOND, ManagerDriver, actions_of, entry, settings
 
 
-def loop(means, count=10, classes=None):
-    """A manager whose last period saw these mean waits."""
+def manager_after_period(means, count=10, classes=None):
+    """A manager whose last control period saw these mean delays of its classes, in µs."""
     classes = classes or [ClassSettings(latency_objective=SECOND, deadline=20 * SECOND) for _ in means]
     driver = ManagerDriver(settings(*classes))
     manager = driver.manager
-    observe(manager, means, count)
+    end_period_with_delays(manager, means, count)
     return manager
 
 
-def observe(manager, means, count=10):
+def end_period_with_delays(manager, means, count=10):
+    """End a control period in which each class had so many requests with this mean delay, in µs."""
     manager.odds.delay_sums, manager.odds.sample_counts = [w * count for w in means], [count] * len(means)
     manager.odds_loop.end_period()
 
@@ -43,75 +44,75 @@
 
 def test_first_step_of_the_loop():
     # e = 1/1 - 100/200 = 0.5; x = 1 + 0.42 * 0.5 - 0.1 * 0 = 1.21; P1 = 1 / 2.21
-    manager = loop([100_000, 200_000])
+    manager = manager_after_period([100_000, 200_000])
     assert manager.odds.ratios == pytest.approx([1.21])
     assert manager.odds.odds == pytest.approx([1 / 2.21, 1.21 / 2.21])
 
 
-def test_second_step_takes_off_the_last_error():
+def test_second_step_subtracts_the_previous_error():
     # e(2) = 1 - 300/200 = -0.5; x = 1.21 + 0.42 * -0.5 - 0.1 * 0.5 = 0.95
-    manager = loop([100_000, 200_000])
-    observe(manager, [300_000, 200_000])
+    manager = manager_after_period([100_000, 200_000])
+    end_period_with_delays(manager, [300_000, 200_000])
     assert manager.odds.ratios == pytest.approx([0.95])
 
 
-def test_references_follow_the_aims():
-    # aims 1 s and 4 s: the reference is 0.25, so waits of 50 and 200 ms are no error
+def test_references_follow_the_objectives():
+    # objectives of 1 s and 4 s: the reference is 0.25, so delays of 50 and 200 ms are no error
     classes = [
         ClassSettings(latency_objective=SECOND, deadline=20 * SECOND),
         ClassSettings(latency_objective=4 * SECOND, deadline=20 * SECOND),
     ]
-    assert loop([50_000, 200_000], classes=classes).odds.ratios == pytest.approx([1.0])
+    assert manager_after_period([50_000, 200_000], classes=classes).odds.ratios == pytest.approx([1.0])
 
 
-def test_references_weigh_work_against_worth():
-    # equal aims; work of 1 and 8 for worths of 1 and 4: the reference is 1 / 2
+def test_references_weigh_work_against_priority_weight():
+    # equal objectives; work of 1 and 8 for weights of 1 and 4: the reference is 1 / 2
     classes = [
         ClassSettings(latency_objective=SECOND, deadline=20 * SECOND),
         ClassSettings(latency_objective=SECOND, deadline=20 * SECOND, priority_weight=4.0),
     ]
     manager = ManagerDriver(settings(*classes)).manager
     manager.estimates.work = [1000.0, 8000.0]
-    observe(manager, [100_000, 200_000])
+    end_period_with_delays(manager, [100_000, 200_000])
     assert manager.odds.ratios == pytest.approx([1.0])
 
 
 def test_three_classes_by_neighbour_loops():
     # x1 = 1 + 0.42 * 0.5 = 1.21, x2 = 1 + 0.42 * (1 - 2) = 0.58: weights 1, 1.21, 0.7018
-    manager = loop([100_000, 200_000, 100_000])
+    manager = manager_after_period([100_000, 200_000, 100_000])
     assert manager.odds.odds == pytest.approx([w / 2.9118 for w in (1, 1.21, 0.7018)])
     assert sum(manager.odds.odds) == pytest.approx(1)
 
 
-def test_few_samples_hold_the_integral_until_enough_came():
-    manager = loop([0, 900_000], count=2)
+def test_few_samples_hold_the_integral_and_are_not_dropped():
+    manager = manager_after_period([0, 900_000], count=2)
     assert manager.odds.ratios == [1.0]
     assert manager.odds.sample_counts == [2, 2]
 
 
 def test_no_waits_at_all_hold_the_integral():
-    assert loop([0, 0]).odds.ratios == [1.0]
+    assert manager_after_period([0, 0]).odds.ratios == [1.0]
 
 
-def test_odds_stay_positive_and_return_after_a_long_one_sided_spell():
-    manager = loop([0, 900_000])
+def test_odds_stay_positive_and_recover_after_long_saturation():
+    manager = manager_after_period([0, 900_000])
     for _ in range(200):
-        observe(manager, [0, 900_000])
+        end_period_with_delays(manager, [0, 900_000])
     assert manager.odds.ratios == [16.0]
     assert all(p > 0 for p in manager.odds.odds)
     for _ in range(25):
-        observe(manager, [900_000, 5_000])
+        end_period_with_delays(manager, [900_000, 5_000])
     assert manager.odds.ratios[0] < 1
 
 
-def test_those_still_waiting_and_those_who_left_count():
+def test_delays_of_waiting_and_of_unserved_requests_count():
     driver = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     for request in range(8):
         driver.arrive(request, class_index=request % 2)
     driver.run(SECOND)
     manager = driver.manager
     manager.odds_loop.end_period()
-    assert manager.odds.previous_errors == [0.0]  # both waited alike: 1/1 - 1/1
+    assert manager.odds.previous_errors == [0.0]  # equal delays: 1/1 - 1/1
     driver.run(19 * SECOND)
     assert manager.odds.sample_counts[0] >= 4 or manager.odds.delay_sums == [0.0, 0.0]
     assert not manager.requests
@@ -148,20 +149,24 @@
     driver = ManagerDriver(settings(broker_count=8), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in driver.manager.registry.ready] == [2, 1]
     driver.manager.registry.ready[1].slowdown = driver.manager.pace.slowdown = 2.5
-    has_room = driver.manager.limits.engine_has_capacity
+    has_capacity = driver.manager.limits.engine_has_capacity
     engine = driver.manager.registry.ready[1]
-    # two lookups' worth at least
-    assert [has_room(engine, probe(driver, n), 0.0) for n in (0, 1, 2)] == [True, True, False]
+    # at least two lookups are admitted
+    assert [has_capacity(engine, request_with_threads_in_flight(driver, n), 0.0) for n in (0, 1, 2)] == [
+        True,
+        True,
+        False,
+    ]
 
 
-def probe(driver, out):
-    """A lookup that is about to be placed on an engine where so many are out."""
-    driver.manager.registry.ready[1].in_flight = dict.fromkeys(range(out))
-    driver.manager.registry.ready[1].threads = out
+def request_with_threads_in_flight(driver, threads):
+    """A lookup that is about to be sent to the second engine, where so many threads are in flight."""
+    driver.manager.registry.ready[1].in_flight = dict.fromkeys(range(threads))
+    driver.manager.registry.ready[1].threads = threads
     return new_request(RequestReceived(1, 0, driver.now + SECOND), LOOKUP, driver.now, 0.0)
 
 
-def test_bound_grows_a_place_a_period_up_to_thrice_and_shrinks_with_latency():
+def test_bound_grows_a_thread_a_period_up_to_thrice_and_shrinks_with_latency():
     driver = ManagerDriver()
     engine = driver.manager.registry.ready[0]
     for _ in range(100):
@@ -171,7 +176,7 @@
     assert engine.bound == 48
     engine.queue_waited = engine.objectives_met = 0
     driver.manager.housekeeping.end_period()
-    assert engine.bound == 47  # nothing waited: a place goes back, down to the start
+    assert engine.bound == 47  # nothing waited: a thread is returned, down to the initial bound
     for _ in range(60):
         driver.manager.housekeeping.end_period()
     assert engine.bound == 16
@@ -194,7 +199,7 @@
     assert len(driver.sends) == 16
 
 
-def test_memory_counts_as_places_do():
+def test_memory_limits_as_threads_do():
     driver = ManagerDriver(
         settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0), supports_memory_grants=True), engines=1
     )
@@ -212,7 +217,7 @@
     assert driver.manager.registry.ready[0].bound == 16
 
 
-def test_full_refusal_is_pressure():
+def test_a_rejection_is_pressure():
     driver = ManagerDriver(engines=1)
     for request in range(20):
         driver.arrive(request)
@@ -233,7 +238,7 @@
     assert firsts == {1, 2, 3}
 
 
-def test_free_classes_leave_room_on_engines_that_a_bound_class_must_use():
+def test_free_classes_leave_capacity_on_engines_that_another_class_requires():
     bound = dataclasses.replace(REPORT, required_kinds=frozenset((0,)))
     driver = ManagerDriver(settings(LOOKUP, bound), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
@@ -253,7 +258,7 @@
     assert [s.request for s in driver.sends] == [1, 2, 0]
 
 
-def test_grants_follow_what_answers_bill():
+def test_grants_follow_the_memory_that_answers_report():
     driver = ManagerDriver(settings(dataclasses.replace(LOOKUP), supports_memory_grants=True))
     for request in range(300):
         driver.arrive(request, memory_mb=100.0)
@@ -262,13 +267,13 @@
     assert 270 <= actions_of(SetAttemptResources, driver.actions)[-1].grant_mb <= 330
 
 
-def test_no_terms_where_they_are_not_heeded():
+def test_no_resources_are_set_where_they_are_not_supported():
     driver = ManagerDriver()
     driver.arrive(1, memory_mb=100.0)
     assert not actions_of(SetAttemptResources, driver.actions)
 
 
-def test_short_work_is_not_held_for_the_memory_that_long_work_has():
+def test_short_work_does_not_wait_for_memory_that_long_work_reserves():
     driver = ManagerDriver(
         settings(LOOKUP, REPORT, broker_count=100, kind_memory_mb=(16_000.0, 8_000.0)), engines=10
     )
@@ -307,7 +312,7 @@
     assert late.count(2) > 3 * late.count(1)
 
 
-def test_an_idle_manager_asks_for_no_timer():
+def test_an_idle_manager_starts_no_timer():
     driver = ManagerDriver()
     assert actions_of(StartTimer, driver.arrive(1))
     assert not actions_of(StartTimer, driver.end(1))
--- a/tests/decisions/test_slow_start_of_all_brokers.py
+++ b/tests/decisions/test_slow_start_of_all_brokers.py
@@ -131,7 +131,7 @@
 def test_the_sum_of_all_instances_stays_within_the_budget_and_chance(peers, restart, kinds, estimates):
     """Without estimates, classes of which no answer had come weighed nothing: 86 calls of 24."""
     for seed in (1, 2):
-        most, sent_count, got = play(peers, seed, kinds, estimates, restart)
-        print(f"seed {seed}: {most:.1f} calls of N = {sent_count:.1f}, by class {got}")
-        assert most <= sent_count + 2 * sent_count**0.5 + 2
+        most, budgeted_calls, got = play(peers, seed, kinds, estimates, restart)
+        print(f"seed {seed}: {most:.1f} calls of N = {budgeted_calls:.1f}, by class {got}")
+        assert most <= budgeted_calls + 2 * budgeted_calls**0.5 + 2
         assert got[0]
