--- a/tests/decisions/test_slow_start_of_all_brokers.py
+++ b/tests/decisions/test_slow_start_of_all_brokers.py
@@ -1,9 +1,13 @@
-"""Cold engines fall under the sum of all processes: many instances of the module, which share nothing, and
-one that starts, in virtual time. Beyond the budget of N calls of mean work only 2 root N + 2 is chance."""
+"""The slow start budget of one engine over all brokers: many managers, which share nothing, in virtual time.
+
+A starting engine fails under the work of all brokers together. In any overload window they may send it its
+budget of N calls of mean work, and 2 sqrt(N) + 2 calls more by chance.
+"""
 
 import heapq
 import random
 from collections import deque
+from dataclasses import dataclass
 from itertools import count
 
 import pytest
@@ -26,112 +30,153 @@
 
 TICK, SECOND = 5_000, 1_000_000
 START = 1_700_000_000 * SECOND
-BORN = START + 2 * SECOND
-COLD, WARM, WINDOW = 1, range(10, 13), 2 * SECOND
-KINDS = ((14.0, 100_000, 1), (2.6, 3_100_000, 2), (0.9, 2_600_000, 2))  # share, mean work in µs, threads
-DUE = 18 * SECOND
+STARTED_AT = START + 2 * SECOND  # of the starting engine
+STARTING, WARM, WINDOW = 1, range(10, 13), 2 * SECOND  # engines, and the overload window
+TIME_LIMIT = 18 * SECOND  # of a request
+SLOW_START_CAPACITY, OVERLOAD_MULTIPLE, CORES = 0.31, 2.0, 8
+
+
+@dataclass(frozen=True)
+class Kind:
+    """Requests of one class."""
+
+    share: float  # of all requests, relative to the other kinds
+    mean_work: int  # µs
+    threads: int
+
 
+KINDS = (Kind(14.0, 100_000, 1), Kind(2.6, 3_100_000, 2), Kind(0.9, 2_600_000, 2))
 
-class Instance:
-    """One process: its module, what it has out, and its clients."""
 
-    def __init__(self, slot, peers, seed, kinds, estimates, warm):
+class Broker:
+    """One broker: its manager, its attempts in flight, and its clients."""
+
+    def __init__(self, broker_index, broker_count, seed, kinds, estimates, warm):
         self.seed, self.kinds, self.estimates, self.warm = seed, kinds, estimates, warm
-        self.site = Settings(
+        self.settings = Settings(
             classes=tuple(
-                ClassSettings(latency_objective=600_000 * threads * 2, deadline=20 * SECOND, threads=threads)
-                for _, _, threads in kinds
+                ClassSettings(
+                    latency_objective=600_000 * kind.threads * 2, deadline=20 * SECOND, threads=kind.threads
+                )
+                for kind in kinds
             ),
-            kind_cores=(8,),
+            kind_cores=(CORES,),
             timer_resolution=TICK,
-            broker_index=slot,
-            broker_count=peers,
+            broker_index=broker_index,
+            broker_count=broker_count,
             supports_cancel=True,
             max_attempts=3,
-            slow_start_capacity=0.31,
+            slow_start_capacity=SLOW_START_CAPACITY,
             slow_start_window=14 * SECOND,
-            overload_multiple=2.0,
+            overload_multiple=OVERLOAD_MULTIPLE,
             overload_window=WINDOW,
             retry_budget_ratio=0.1,
             retry_budget_floor=3.0,
             retry_budget_window=5 * SECOND,
         )
-        self.numbers, self.rng, self.next = count(1), random.Random(seed), START
+        self.numbers, self.random, self.next_arrival = count(1), random.Random(seed), START
         self.start(START)
 
     def start(self, now):
-        """It starts (anew), and knows only the list."""
-        self.module = WorkloadManager(self.site, self.seed + now % 997)
-        self.running, self.timers, self.work = [], [], {}
-        self.news = [listed(now, self.warm)]
+        """The broker starts, for the first time or anew, and knows only the engine list."""
+        self.manager = WorkloadManager(self.settings, self.seed + now % 997)
+        self.running = []  # heap of end, request and engine of the attempts in flight
+        self.timers = []  # heap of times
+        self.work = {}  # kind and work in µs by request
+        self.list_updates = [engine_list(now, self.warm)]
 
     def step(self, now, rate):
-        """One tick; the works sent to the cold engine in it, by class."""
-        events, self.news = self.news, []
-        while self.next < now:
-            self.next += int(self.rng.expovariate(rate) * SECOND)
-            kind = self.rng.choices(range(len(self.kinds)), [k[0] for k in self.kinds])[0]
-            number, work = next(self.numbers), int(self.kinds[kind][1] * self.rng.lognormvariate(-0.3, 0.8))
-            self.work[number] = kind, work
-            events.append(RequestReceived(number, kind, now + DUE, cost=work if self.estimates else 0))
-        while self.running and self.running[0][0] <= now:
-            _, number, engine = heapq.heappop(self.running)
-            kind, work = self.work.pop(number)
-            events.append(AttemptEnded(number, 0, engine, Outcome.OK, True, work // self.kinds[kind][2]))
+        """One tick with `rate` requests a second; the kinds of what it sends to the starting engine."""
+        events, self.list_updates = self.list_updates, []
+        events += self.arrivals(now, rate)
+        events += self.attempt_ends(now)
         while self.timers and self.timers[0] <= now:
             heapq.heappop(self.timers)
             events.append(TimerFired(0))
         sent = []
-        for action in self.module.handle(now, events) if events else ():
+        for action in self.manager.handle(now, events) if events else ():
             if isinstance(action, StartAttempt):
                 kind, work = self.work[action.request]
-                end = now + work // self.kinds[kind][2]
+                end = now + work // self.kinds[kind].threads
                 heapq.heappush(self.running, (end, action.request, action.engine))
-                if action.engine == COLD:
+                if action.engine == STARTING:
                     sent.append(kind)
             elif isinstance(action, StartTimer):
                 heapq.heappush(self.timers, now + action.after)
         return sent
 
+    def arrivals(self, now, rate):
+        """The requests that have arrived until now."""
+        events = []
+        while self.next_arrival < now:
+            self.next_arrival += int(self.random.expovariate(rate) * SECOND)
+            shares = [kind.share for kind in self.kinds]
+            kind = self.random.choices(range(len(self.kinds)), shares)[0]
+            number = next(self.numbers)
+            work = int(self.kinds[kind].mean_work * self.random.lognormvariate(-0.3, 0.8))
+            self.work[number] = kind, work
+            cost = work if self.estimates else 0
+            events.append(RequestReceived(number, kind, now + TIME_LIMIT, cost=cost))
+        return events
+
+    def attempt_ends(self, now):
+        """The attempts that have ended until now."""
+        events = []
+        while self.running and self.running[0][0] <= now:
+            _, number, engine = heapq.heappop(self.running)
+            kind, work = self.work.pop(number)
+            latency = work // self.kinds[kind].threads
+            events.append(AttemptEnded(number, 0, engine, Outcome.OK, True, latency))
+        return events
+
 
-def listed(now, warm):
-    entries = [EngineListEntry(n, EngineState.READY, 0, 0, 0, 0) for n in warm]
-    if now > BORN:
-        entries.append(EngineListEntry(COLD, EngineState.READY, 0, 0, 0, BORN))
+def engine_list(now, warm):
+    """The warm engines, with the starting one once it has started."""
+    entries = [EngineListEntry(number, EngineState.READY, 0, 0, 0, 0) for number in warm]
+    if now > STARTED_AT:
+        entries.append(EngineListEntry(STARTING, EngineState.READY, 0, 0, 0, STARTED_AT))
     return EngineListReceived(EngineListKind.FULL, tuple(entries))
 
 
-def play(peers, seed, kinds, estimates, restart, warm=WARM):
-    """The largest sum in a window, in calls of mean work; N; and how many of each class it got."""
-    fleet = [Instance(slot, peers, seed * 1000 + slot, kinds, estimates, warm) for slot in range(peers)]
-    mean = sum(share * work for share, work, _ in kinds) / sum(share for share, _, _ in kinds)
-    window, most, got, rate = deque(), 0.0, [0] * len(kinds), 4.0 if len(kinds) > 1 else 10.0
+def simulate(broker_count, seed, kinds, estimates, restart, warm=WARM):
+    """14 s of many brokers, of which the starting engine's largest sum of work in any window is of interest.
+
+    Returns that sum in calls of mean work, the budget in the same unit, and the number of calls of each kind.
+    """
+    brokers = [
+        Broker(index, broker_count, seed * 1000 + index, kinds, estimates, warm)
+        for index in range(broker_count)
+    ]
+    mean_work = sum(kind.share * kind.mean_work for kind in kinds) / sum(kind.share for kind in kinds)
+    window, largest, calls = deque(), 0.0, [0] * len(kinds)
+    rate = 4.0 if len(kinds) > 1 else 10.0
     for now in range(START + TICK, START + 14 * SECOND, TICK):
-        for instance in fleet:
-            if now == BORN + SECOND:
-                instance.news.append(listed(now, warm))
-            if restart and now == BORN + 3 * SECOND:
-                instance.start(now)
-            for kind in instance.step(now, rate):
-                window.append((now, kinds[kind][1] / mean))
-                got[kind] += 1
+        for broker in brokers:
+            if now == STARTED_AT + SECOND:
+                broker.list_updates.append(engine_list(now, warm))
+            if restart and now == STARTED_AT + 3 * SECOND:
+                broker.start(now)
+            for kind in broker.step(now, rate):
+                window.append((now, kinds[kind].mean_work / mean_work))
+                calls[kind] += 1
         while window and window[0][0] <= now - WINDOW:
             window.popleft()
-        most = max(most, sum(work for _, work in window))
-    return most, 2.0 * 0.31 * 8 * WINDOW / mean, got
+        largest = max(largest, sum(work for _, work in window))
+    budget = OVERLOAD_MULTIPLE * SLOW_START_CAPACITY * CORES * WINDOW / mean_work
+    return largest, budget, calls
 
 
-@pytest.mark.parametrize("peers", [20, 30])
+@pytest.mark.parametrize("broker_count", [20, 30])
 @pytest.mark.parametrize("restart", [False, True], ids=["running", "all start anew"])
 @pytest.mark.parametrize(
     ("kinds", "estimates"),
     [(KINDS, True), (KINDS, False), (KINDS[:1], True)],
     ids=["mixed", "no estimates", "short work"],
 )
-def test_the_sum_of_all_instances_stays_within_the_budget_and_chance(peers, restart, kinds, estimates):
+def test_the_sum_of_all_brokers_stays_within_the_budget_and_chance(broker_count, restart, kinds, estimates):
     """Without estimates, classes of which no answer had come weighed nothing: 86 calls of 24."""
     for seed in (1, 2):
-        most, budgeted_calls, got = play(peers, seed, kinds, estimates, restart)
-        print(f"seed {seed}: {most:.1f} calls of N = {budgeted_calls:.1f}, by class {got}")
-        assert most <= budgeted_calls + 2 * budgeted_calls**0.5 + 2
-        assert got[0]
+        largest, budget, calls = simulate(broker_count, seed, kinds, estimates, restart)
+        print(f"seed {seed}: {largest:.1f} calls of N = {budget:.1f}, by class {calls}")
+        assert largest <= budget + 2 * budget**0.5 + 2
+        assert calls[0]
