--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -46,7 +46,7 @@
     assert len({tuple(e.id for e in one.affinity.ranked(group)) for group in range(20)}) > 10
 
 
-def test_ranks_follow_the_registry_once_they_are_told_of_a_change():
+def test_ranks_follow_the_registry_after_a_change():
     broker = Ranks()
     before = broker.affinity.ranked(1)
     broker.registry.ready = broker.registry.ready[:5]
@@ -64,7 +64,7 @@
     assert broker.affinity.group_engines(3) == broker.affinity.ranked(3)[:1]
 
 
-def test_counts_fade_and_are_forgotten():
+def test_request_counts_fade_and_are_dropped():
     broker = Ranks()
     broker.requests(1, group=1)
     for _ in range(45):
--- a/tests/decisions/test_attempts.py
+++ b/tests/decisions/test_attempts.py
@@ -80,7 +80,7 @@
     return [action.priority for action in context.actions]
 
 
-def test_sites_without_either_are_told_nothing():
+def test_no_resources_are_set_where_neither_is_supported():
     context, resources = make_resources(supports_priorities=False)
     resources.update(make_request(context))
     assert context.actions == []
@@ -93,7 +93,7 @@
     assert priorities(context) == [3, 1]
 
 
-def test_long_work_is_raised_near_its_objective_and_lowered_behind_it():
+def test_long_work_is_raised_close_to_its_objective_and_lowered_past_it():
     context, resources = make_resources()
     long = make_request(context, cost=500_000)
     for after in (0, SECOND // 2, 1, SECOND // 2 - 1, 1):
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -60,7 +60,7 @@
     assert dispatch.started == [1, 2, 3, 4, 5]
 
 
-def test_a_group_without_an_engine_is_asked_for_once_and_holds_up_no_other():
+def test_a_group_without_an_engine_is_tried_once_and_blocks_no_other():
     dispatch = Dispatch(BLOCKED)
     dispatch.free = {8}
     for number, group in ((1, 7), (2, 7), (3, 8)):
@@ -70,7 +70,7 @@
     assert dispatch.started == [3]
 
 
-def test_after_three_groups_without_an_engine_a_class_is_left_for_now():
+def test_after_three_groups_without_an_engine_a_class_is_skipped():
     dispatch = Dispatch(BLOCKED)
     dispatch.free = {9}
     for number in range(1, 10):
@@ -80,7 +80,7 @@
     assert dispatch.started == []
 
 
-def test_a_retry_that_may_not_leave_any_more_is_given_up():
+def test_a_retry_that_may_not_be_sent_any_more_is_given_up():
     dispatch = Dispatch()
     dispatch.reason = "budget"
     dispatch.add(1).attempts = 1
--- a/tests/decisions/test_engines.py
+++ b/tests/decisions/test_engines.py
@@ -63,7 +63,7 @@
     assert 1 not in registry.engines
 
 
-def test_a_new_process_begins_a_slow_start_and_is_not_held_to_what_was_before():
+def test_a_new_process_begins_a_slow_start_without_the_former_ones_faults():
     registry = make_registry(
         make_context(slow_start_window=10 * SECOND), list_entry(1, started_at=START - 60 * SECOND)
     )
@@ -101,7 +101,7 @@
     return context, engines, changes_seen, EngineListSubscription(context, engines, affinity)
 
 
-def test_lists_are_asked_for_where_the_site_sends_them_only_so():
+def test_lists_are_requested_where_they_are_sent_on_request_only():
     context, _, _, subscription = make_subscription()
     subscription.start()
     assert context.actions == []
@@ -110,14 +110,14 @@
     assert context.actions == [Subscribe()]
 
 
-def test_a_list_is_taken_and_ranks_are_told():
+def test_a_list_is_applied_and_the_affinity_notified():
     _, engines, changes_seen, subscription = make_subscription()
     subscription.list_received(EngineListReceived(EngineListKind.FULL, (list_entry(1),)))
     assert ready(engines) == [1]
     assert changes_seen == [1]
 
 
-def test_after_a_failure_the_engines_stay_and_are_asked_for_again():
+def test_after_a_failure_the_engines_stay_and_the_list_is_requested_again():
     context, engines, changes_seen, subscription = make_subscription()
     subscription.list_received(EngineListReceived(EngineListKind.FULL, (list_entry(1),)))
     subscription.list_received(EngineListReceived(EngineListKind.FAILED))
--- a/tests/decisions/test_estimates.py
+++ b/tests/decisions/test_estimates.py
@@ -16,7 +16,7 @@
     return context, ClassEstimates(context)
 
 
-def test_a_cost_is_the_estimate_as_such_estimates_turn_out():
+def test_a_cost_is_the_estimate_corrected_by_earlier_ones():
     context, estimates = make_estimates()
     estimates.cost_ratios[0] = 1.5
     assert estimates.corrected_cost(RequestReceived(1, 0, 0, cost=1_000)) == 1_500
--- a/tests/decisions/test_inspection.py
+++ b/tests/decisions/test_inspection.py
@@ -81,7 +81,7 @@
     assert inspected.silences == {1: pytest.approx(6.0)}
 
 
-def test_silence_ends_with_the_engines_last_word():
+def test_silence_begins_with_the_engines_last_activity():
     inspected = Inspected()
     inspected.send(1)
     inspected.engine.last_activity_at = inspected.context.now + 200_000
@@ -128,7 +128,7 @@
     return context, housekeeping, looks, part
 
 
-def test_looks_are_100_ms_apart_and_periods_two_seconds():
+def test_inspections_are_100_ms_apart_and_control_periods_two_seconds():
     context, housekeeping, looks, part = make_housekeeping({})
     for _ in range(400):
         context.now += 10_000
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("ejected", "asked"), [(False, 2), (True, 3)])
-def test_admission_asks_health_of_ejected_engines_then_slow_start_then_capacity(ejected, asked):
+def test_admission_checks_the_health_of_ejected_engines_then_slow_start_then_capacity(ejected, asked):
     calls = []
     parts = [Limit(calls, name) for name in ("health", "slow_start", "limits")]
     context = make_context()
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -85,7 +85,7 @@
         ]
 
 
-def test_a_request_is_queued_as_it_comes():
+def test_a_request_is_queued_at_its_arrival():
     setup = Lifecycle()
     request = setup.receive()
     assert request.queued
@@ -100,7 +100,7 @@
     assert two.queued
 
 
-def test_a_client_that_leaves_ends_its_request_without_an_answer():
+def test_a_client_that_disconnects_ends_its_request_without_an_answer():
     setup = Lifecycle()
     setup.receive()
     setup.lifecycle.client_disconnected(ClientDisconnected(1))
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(("class_settings", "cancels"), [(LOOKUP, 1), (KEYED, 1), (UNSAFE, 0)])
-def test_what_runs_for_a_client_that_left_is_cancelled_where_that_is_harmless(class_settings, cancels):
+def test_attempts_of_a_disconnected_client_are_cancelled_unless_not_idempotent(class_settings, cancels):
     setup = Lifecycle(class_settings)
     request = setup.send(setup.receive())
     setup.lifecycle.client_disconnected(ClientDisconnected(1))
@@ -121,7 +121,7 @@
     assert setup.lifecycle.requests == {}
 
 
-def test_a_request_that_is_taken_back_unsent_allows_no_retry():
+def test_a_request_that_is_withdrawn_unsent_allows_no_retry():
     setup = Lifecycle(retry_budget_ratio=1.0, retry_budget_window=10 * SECOND)
     setup.receive()
     assert setup.budget.allows_retry()
@@ -179,7 +179,7 @@
     assert setup.answers() == [(RejectRequest, Reason.SHUTTING_DOWN)] * 2
 
 
-def test_a_keys_pause_is_waited_for():
+def test_a_request_waits_for_the_cooldown_of_its_key():
     setup = Lifecycle(ORDERED, ordering_key_cooldown=300_000)
     one, two = setup.receive(1, key=7), setup.receive(2, key=7)
     setup.end(setup.send(one), Outcome.RESET)
@@ -192,7 +192,7 @@
     assert two.queued
 
 
-def test_an_answer_ends_the_request_and_everything_learns_from_it():
+def test_an_answer_ends_the_request_and_updates_every_observer():
     setup = Lifecycle()
     request = setup.send(setup.receive())
     setup.end(request, Outcome.OK, final=True)
@@ -213,7 +213,7 @@
         (Outcome.NOT_SENT, []),
     ],
 )
-def test_who_learns_from_other_outcomes_and_a_retry_is_queued(outcome, told):
+def test_other_outcomes_update_their_observers_and_a_retry_is_queued(outcome, told):
     setup = Lifecycle()
     request = setup.send(setup.receive())
     setup.end(request, outcome)
@@ -235,7 +235,7 @@
         (Outcome.ERROR, True),
     ],
 )
-def test_what_may_have_run_is_remembered_from_its_first_such_attempt(outcome, since):
+def test_the_first_attempt_that_may_have_been_executed_is_remembered(outcome, since):
     setup = Lifecycle(KEYED)
     request = setup.send(setup.receive())
     began = setup.context.now
@@ -278,7 +278,7 @@
     assert setup.engine.loads_in_flight == {0: 0}
 
 
-def test_an_answer_to_what_loads_block_tells_that_none_does():
+def test_an_answer_of_a_class_that_loads_block_ends_the_blocking():
     setup = Lifecycle(replace(LOOKUP, blocked_by_loads=True))
     setup.engine.blocked_until = {0: setup.context.now + SECOND, 1: setup.context.now + SECOND}
     setup.end(setup.send(setup.receive()), Outcome.OK, final=True)
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -41,7 +41,7 @@
     assert reports.load_spread == pytest.approx(0.5)
 
 
-def test_an_answer_without_a_report_says_nothing():
+def test_an_answer_without_a_report_changes_no_load():
     reports, engine = reported()
     assert engine.reported_at == 0
     assert reports.mean_load == 0.5
--- a/tests/decisions/test_lost_responses.py
+++ b/tests/decisions/test_lost_responses.py
@@ -64,7 +64,7 @@
     assert in_flight.losses.loss_rate == pytest.approx(0.01)
 
 
-def test_an_engine_that_is_quiet_itself_loses_nothing():
+def test_a_silent_engine_loses_no_responses():
     in_flight = InFlight()
     in_flight.engine.last_activity_at = in_flight.context.now
     assert not in_flight.check(5 * SECOND, engine_speaks=False)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("state", ["finished", "cancelling"])
-def test_what_is_over_is_not_looked_for(state):
+def test_finished_and_cancelled_attempts_are_not_checked(state):
     in_flight = InFlight()
     setattr(in_flight.request, state, True)
     assert not in_flight.check(60 * SECOND)
@@ -127,7 +127,7 @@
     assert in_flight.cancelled() == [Reason.RUNAWAY]  # 375 ms
 
 
-def test_an_attempt_behind_a_load_is_moved_and_its_group_kept_off():
+def test_an_attempt_that_waits_for_a_load_is_moved_and_its_group_blocked():
     in_flight = InFlight()
     in_flight.notify(ProgressKind.WAITING, 1.0)  # for memory
     assert in_flight.cancelled() == []
@@ -137,7 +137,7 @@
     assert in_flight.engine.blocked_until == {0: in_flight.context.now + 2 * SECOND}
 
 
-def test_news_is_activity_of_attempt_and_engine_and_ends_the_wait():
+def test_a_notification_is_activity_of_attempt_and_engine_and_ends_the_wait():
     in_flight = InFlight()
     in_flight.request.blocked = True
     in_flight.notify(ProgressKind.SPILLING, 12.0, after=SECOND)
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("what", ["former attempt", "finished", "cancelling", "no attempt"])
-def test_notifications_of_what_is_over_say_nothing(what):
+def test_notifications_of_finished_attempts_are_ignored(what):
     in_flight = InFlight()
     if what == "former attempt":
         in_flight.request.attempts = 2
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -8,7 +8,7 @@
 from cypressledge.decisions.ordering import KeyOrder
 from tests.decisions.parts import LOOKUP, START, make_context, make_request
 
-PAUSE = 300_000 + 5_000  # µs: the settings' and the timer's resolution
+COOLDOWN = 300_000 + 5_000  # µs: the settings' and the timer's resolution
 
 
 def ordered():
@@ -16,7 +16,7 @@
     return context, KeyOrder(context)
 
 
-def test_order_applies_to_classes_that_ask_for_it_and_requests_with_a_key():
+def test_order_applies_to_ordered_classes_and_requests_with_a_key():
     context, order = ordered()
     assert order.applies_to(make_request(context, key=7))
     assert not order.applies_to(make_request(context, key=0))
@@ -36,28 +36,28 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_a_key_pauses_after_an_uncertain_end(outcome):
+def test_an_uncertain_end_starts_the_cooldown_of_a_key(outcome):
     context, order = ordered()
     one, two = make_request(context, 1, key=7), make_request(context, 2, key=7)
     order.record_end(one, outcome)
     assert not order.may_start(two)
-    assert order.cooldowns.next_due_at() == START + PAUSE
-    context.now += PAUSE
+    assert order.cooldowns.next_due_at() == START + COOLDOWN
+    context.now += COOLDOWN
     assert list(order.cooldowns.expired(context.now)) == [2]
     assert order.may_start(two)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED])
-def test_no_pause_after_an_end_that_is_known(outcome):
+def test_no_cooldown_after_a_certain_end(outcome):
     context, order = ordered()
     order.record_end(make_request(context, 1, key=7), outcome)
     assert order.may_start(make_request(context, 2, key=7))
 
 
-def test_pauses_that_are_over_are_forgotten():
+def test_cooldowns_that_are_over_are_dropped():
     context, order = ordered()
     for key in range(1, 100):
         order.record_end(make_request(context, key, key=key), Outcome.RESET)
-    context.now += PAUSE
+    context.now += COOLDOWN
     order.end_period()
     assert order._cooldown_until == {}
--- a/tests/decisions/test_queues.py
+++ b/tests/decisions/test_queues.py
@@ -85,7 +85,7 @@
     assert queues.rejected == [1]
 
 
-def test_a_blocked_row_holds_up_no_other():
+def test_a_blocked_row_blocks_no_other():
     queues = Queues(BLOCKED)
     queues.add(1, cost=100, table_group=7)
     queues.add(2, cost=200, table_group=8)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -99,17 +99,17 @@
     assert RetryPolicy(context, budget).reason_against_sending(make_request(context)) is Reason.RETRY_BUDGET
 
 
-def test_what_surely_never_ran_may_be_repeated_whatever_its_class():
+def test_what_was_never_executed_may_be_sent_again_whatever_its_class():
     for class_settings in (UNSAFE, keyed()):
         assert reason_against_repeat(class_settings, None, START) is None
 
 
-def test_what_may_have_run_is_repeated_by_its_class_alone():
+def test_what_may_have_been_executed_is_sent_again_by_its_idempotency():
     assert reason_against_repeat(ClassSettings(SECOND, SECOND), EXECUTION, START + 99 * SECOND) is None
     assert reason_against_repeat(UNSAFE, EXECUTION, START) is Reason.MAY_HAVE_EXECUTED
 
 
-def test_a_key_allows_repeats_until_short_of_its_windows_end():
+def test_with_a_key_retries_are_allowed_until_the_margin_before_the_windows_end():
     end = START + 5 * SECOND - 600_000
     assert window_end(keyed(), EXECUTION) == end
     assert reason_against_repeat(keyed(), EXECUTION, end - 1) is None
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -85,13 +85,13 @@
     assert routing.context.random.getstate() == before
 
 
-def test_required_kinds_and_zones_bind():
+def test_only_required_kinds_and_zones_are_chosen():
     bound = replace(LOOKUP, required_kinds=frozenset((1,)), required_zones=frozenset((0,)))
     routing = Routing(bound, engines=[list_entry(1), list_entry(2, kind=1), list_entry(3, kind=1, zone=1)])
     assert routing.chosen() == {2: 200}
 
 
-def test_a_repeat_with_a_key_stays_within_its_scope():
+def test_a_retry_with_a_key_stays_within_its_deduplication_scope():
     keyed = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ZONE)
     routing = Routing(keyed, engines=[list_entry(1), list_entry(2, zone=1), list_entry(3)])
     request = make_request(routing.context)
@@ -124,7 +124,7 @@
     assert routing.chosen_for(request) == {1: 200}
 
 
-def test_engines_that_another_class_must_use_are_spared():
+def test_engines_that_another_class_requires_are_spared():
     bound = replace(LOOKUP, required_kinds=frozenset((1,)))
     routing = Routing(LOOKUP, bound, engines=[list_entry(1), list_entry(2, kind=1)])
     routing.affinity.group_engines = lambda group: routing.registry.ready
@@ -166,7 +166,7 @@
     assert min(routing.chosen().values()) > 60
 
 
-def test_queries_keep_off_engines_where_a_load_blocks_their_group():
+def test_queries_avoid_engines_where_a_load_blocks_their_group():
     routing = Routing(BLOCKED)
     routing.affinity.group_engines = lambda group: routing.registry.ready
     routing.affinity.excluded_engines = lambda request: ()  # as where no other engine is usable
@@ -175,7 +175,7 @@
     assert routing.chosen(table_group=7) == {3: 200}
 
 
-def test_loads_and_what_they_block_keep_apart():
+def test_loads_and_queries_that_they_block_go_to_separate_engines():
     routing = Routing(BLOCKED, LOAD, engines=range(1, 6))
     routing.pace.answer_rate = 10.0  # so many that the broker prefers all five
     ranks = routing.affinity.ranked(7)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -61,7 +61,7 @@
     assert not engine.recent_sends
 
 
-def test_small_work_is_sent_by_a_chance_that_adds_up_to_the_budget():
+def test_small_work_is_sent_at_random_and_adds_up_to_the_budget():
     """Over all brokers: each has a share of less than a request."""
     sends = 0
     for broker in range(400):
