--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -1,36 +1,30 @@
-"""Which engines a group's requests and loads keep to: ranks by hash, the same at every broker.
+"""Affinity of table groups, their loads and this broker to engines, by ranks that are equal at every broker.
 
-Brokers tell each other nothing: equal ranks keep the tables of a group warm at a few engines, and loads apart
-from the queries that they block.
+Brokers exchange no messages about it: equal ranks concentrate a group on a few engines, where its tables are
+cached, and separate loads from the queries that they block.
 """
 
-from collections.abc import Collection
+from collections.abc import Collection, Mapping
 from math import ceil
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.engines import Engine, EngineRegistry
 from cypressledge.decisions.estimates import ClassEstimates
+from cypressledge.decisions.rank_hash import rank_hash
 from cypressledge.decisions.request import Request
-from cypressledge.decisions.units import EWMA
-
-REQUEST_COUNT_FADE = 0.95  # weight that a group's count of requests keeps from period to period
-REQUEST_COUNT_MIN = 0.1  # a group with a lower count is forgotten
-GROUP_ENGINES_FACTOR = 1.5  # engines of a group, against its share of the traffic: room for its swings
-LOAD_ENGINES_FACTOR = 1.6  # engines for a group's loads, against how many of them run at once
-LOAD_FREE_SHARE = 0.2  # part of the engines that a group's loads are kept from
+from cypressledge.decisions.units import EWMA_WEIGHT
+
+REQUEST_COUNT_FADE = 0.95  # weight of a group's earlier requests after each control period
+REQUEST_COUNT_MIN = 0.1  # a group with a lower count is dropped
+GROUP_ENGINES_FACTOR = 1.5  # engines of a group over its share of all engines, as its traffic varies
+LOAD_ENGINES_FACTOR = 1.6  # engines of a group's loads over the number that run at once
+LOAD_FREE_SHARE = 0.2  # part of the engines that a group's loads do not use
+RUNNING_LOADS_WEIGHT = EWMA_WEIGHT / 2  # weight of one new count in the mean of this broker's running loads
 LOADS_AHEAD_SHARE = 0.75  # part of a load's latency objective that the loads ahead of it may take
-MASK = 0xFFFFFFFFFFFFFFFF  # 64 bits
-
-
-def rank_hash(token: int, engine: int) -> int:
-    """A number of 64 bits that orders engines for a token, the same at every broker."""
-    x = (token * 0x9E3779B97F4A7C15 ^ engine * 0xBF58476D1CE4E5B9) & MASK
-    x = (x ^ x >> 31) * 0x94D049BB133111EB & MASK
-    return x ^ x >> 29
 
 
 class Affinity:
-    """Engines that the groups, their loads and this broker prefer or avoid."""
+    """Engines that table groups, their loads and this broker prefer or avoid."""
 
     def __init__(self, context: DecisionContext, registry: EngineRegistry, estimates: ClassEstimates) -> None:
         self._context = context
@@ -41,16 +35,16 @@
         self._running_loads = 0.0  # running mean of this broker's own
 
     def record_request(self, group: int) -> None:
-        """A request of the group came."""
+        """Count a request of the group."""
         self._request_counts[group] = self._request_counts.get(group, 0.0) + 1.0
 
     def record_running_loads(self) -> None:
-        """Take the loads that run now into their mean."""
+        """Update the mean number of this broker's running loads."""
         running = sum(sum(engine.loads_in_flight.values()) for engine in self._registry.ready)
-        self._running_loads += EWMA / 2 * (running - self._running_loads)
+        self._running_loads += RUNNING_LOADS_WEIGHT * (running - self._running_loads)
 
     def end_period(self) -> None:
-        """Fade the counts of requests; forget groups of which hardly any came."""
+        """Fade the counts of requests; drop groups with hardly any."""
         self._request_counts = {
             group: count * REQUEST_COUNT_FADE
             for group, count in self._request_counts.items()
@@ -58,11 +52,11 @@
         }
 
     def engines_changed(self) -> None:
-        """The registry has taken a list: ranks are worked out anew."""
+        """The registry has changed: ranks are computed anew."""
         self._ranks.clear()
 
     def ranked(self, token: int) -> list[Engine]:
-        """The engines that take requests in an order of the token's own, the same at every broker."""
+        """The engines that take requests, in an order of the token that is equal at every broker."""
         ranks = self._ranks.get(token)
         if ranks is None:
             ranks = sorted(self._registry.ready, key=lambda engine: rank_hash(token, engine.id))
@@ -70,59 +64,64 @@
         return ranks
 
     def group_engines(self, group: int) -> list[Engine]:
-        """Engines that all brokers take as a group's own: as many as its part of the traffic fills."""
+        """Engines that all brokers prefer for a group, as many as its part of the traffic fills."""
         ready_count = len(self._registry.ready)
-        return self.ranked(group)[
-            : 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_fraction(group) * ready_count)
-        ]
+        count = 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_fraction(group) * ready_count)
+        return self.ranked(group)[:count]
 
     def load_engines(self, group: int) -> list[Engine]:
-        """Engines that all brokers take for a group's loads: as many as its part of them keeps busy.
+        """Engines that all brokers prefer for a group's loads, as many as its part of all loads occupies.
 
-        Guards against queries that are blocked by other brokers' loads, which nobody reports: queries go
-        elsewhere, as long as there is an engine left.
+        Guards against queries that are blocked by other brokers' loads, which this broker does not know of:
+        queries prefer other engines.
         """
         broker_count = self._context.settings.broker_count
-        needed = ceil(
-            LOAD_ENGINES_FACTOR * broker_count * self._running_loads * self._traffic_fraction(group)
-        )
+        fraction = self._traffic_fraction(group)
+        needed = ceil(LOAD_ENGINES_FACTOR * broker_count * self._running_loads * fraction)
         ready_count = len(self._registry.ready)
-        return self.ranked(group)[max(ready_count - needed, ceil(LOAD_FREE_SHARE * ready_count)) :]
+        first = max(ready_count - needed, ceil(LOAD_FREE_SHARE * ready_count))
+        return self.ranked(group)[first:]
 
     def excluded_engines(self, request: Request) -> Collection[Engine]:
         """Engines that a load leaves to its group's queries, or where such a query would be blocked.
 
-        Guards against queries of a group of which loads run everywhere, nearly all the time: they would be
-        blocked at every engine, and so would what is moved. With no other engine usable none is excluded.
+        Guards against a group with loads at every engine, nearly all the time, whose queries would be blocked
+        wherever they are sent or moved. Where no other engine is usable, none is excluded.
         """
         ready, now = self._registry.ready, self._context.now
         group = request.table_group
-        free = set(self.ranked(group)[: ceil(LOAD_FREE_SHARE * len(ready))])
-        others = [engine for engine in ready if engine not in free]
-        rest: Collection[Engine]
+        load_free_count = ceil(LOAD_FREE_SHARE * len(ready))
+        load_free = set(self.ranked(group)[:load_free_count])
+        others = [engine for engine in ready if engine not in load_free]
+        alternatives: Collection[Engine]
         if request.class_settings.is_load:
-            excluded, rest = free, others
+            excluded, alternatives = load_free, others
         else:
-            excluded, rest = {engine for engine in others if blocks_queries(engine, group, now)}, free
-        return excluded if any(_is_usable(engine, now) for engine in rest) else ()
+            excluded = {engine for engine in others if blocks_queries(engine, group, now)}
+            alternatives = load_free
+        return excluded if any(_is_usable(engine, now) for engine in alternatives) else ()
 
     def load_would_start_soon(self, engine: Engine, load: Request) -> bool:
-        """Whether the loads of its group ahead of it at an engine, at all brokers together, leave it time.
+        """Whether a load would start in time behind the loads of its group that run at an engine.
 
-        Guards against loads that wait at an engine, in order of coming and in others' way, until they are
-        late: at the broker they wait shortest first, and take no capacity.
+        Guards against loads that wait at an engine, in order of arrival and occupying its capacity, until
+        they are late: at the broker they wait shortest first, and occupy none. The other brokers are taken to
+        have as many loads there as this one.
         """
         broker_count = self._context.settings.broker_count
         work, threads = self._estimates.work[load.class_index], load.class_settings.threads
-        ahead = engine.loads_in_flight.get(load.table_group, 0) * broker_count * work / threads
-        return ahead <= LOADS_AHEAD_SHARE * (load.objective_at - load.received_at)
+        run_time_ahead = engine.loads_in_flight.get(load.table_group, 0) * broker_count * work / threads
+        return run_time_ahead <= LOADS_AHEAD_SHARE * (load.objective_at - load.received_at)
 
-    def preference_distances(self, preferred_count: int) -> dict[Engine, float]:
-        """0.0 for this broker's own engines; the further in its order of engines the more for any other."""
+    def preference_distances(self, preferred_count: int) -> Mapping[Engine, float]:
+        """By engine, how far it is from the first `preferred_count` in this broker's order of engines.
+
+        0.0 for those; 1.0 for the next one, and one more for every `preferred_count` further.
+        """
         ranks = self.ranked(-1 - self._context.settings.broker_index)
         return {
-            engine: (i >= preferred_count) * (1.0 + (i - preferred_count) / preferred_count)
-            for i, engine in enumerate(ranks)
+            engine: (rank >= preferred_count) * (1.0 + (rank - preferred_count) / preferred_count)
+            for rank, engine in enumerate(ranks)
         }
 
     def _traffic_fraction(self, group: int) -> float:
--- a/cypressledge/decisions/estimates.py
+++ b/cypressledge/decisions/estimates.py
@@ -1,16 +1,18 @@
-"""What requests of each class cost: work, memory and expected latency, learnt from answers."""
+"""Estimates of what requests of each class cost: work, memory and latency, from recent answers."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import AttemptEnded, RequestReceived
 from cypressledge.decisions.request import Request
-from cypressledge.decisions.units import EWMA
+from cypressledge.decisions.units import EWMA_WEIGHT
 
 MEAN_RUN_TIME_WEIGHT = 0.01  # weight of one new request in the mean run time
 RATIO_LIMIT = 8.0  # largest actual over estimated work or memory that counts
 LATENCY_RATIO_LIMIT = 20.0  # largest latency over run time that counts
+RUN_TIME_MIN = 1.0  # µs, least run time that latencies and other run times are compared with
+MEMORY_RATIO_WEIGHT = EWMA_WEIGHT / 2  # weight of one new answer in the mean memory ratio
 GRANT_QUANTILE = 0.9  # share of needs that the corrected grant covers: a spill costs more than idle memory
 GRANT_STEP = 0.04  # step of that quantile's estimate, as a share of it
-INITIAL_GRANT_RATIO = 1.25  # of estimated memory, before answers tell
+INITIAL_GRANT_RATIO = 1.25  # of estimated memory, before the first answers
 LARGE_RUN_TIME = 5.0  # multiple of the mean run time beyond which a query weighs no more in large memory
 
 
@@ -28,15 +30,17 @@
         self.memory_ratios = [1.0] * class_count  # mean of used over estimated memory
         self.mean_run_time = 0.0  # µs, of all requests received
         self.large_memory_mb = 0.0  # memory of an attempt, weighted by run time
-        self.has_cost_estimates = False  # whether any request came with an estimate
+        self.has_cost_estimates = False  # whether any request had an estimate
 
     def corrected_cost(self, received: RequestReceived) -> float:
-        """Work of a new request, µs: its estimate as such estimates turn out, or the usual."""
+        """Work of a new request, µs: its estimate corrected by earlier ones of its class, or the usual."""
         class_index = received.class_index
-        return received.cost * self.cost_ratios[class_index] if received.cost else self.work[class_index]
+        if received.cost:
+            return received.cost * self.cost_ratios[class_index]
+        return self.work[class_index]
 
     def record_request(self, request: Request) -> None:
-        """Take a new request into the usual work and the mean run time."""
+        """Update the usual work and the mean run time with a new request."""
         class_index = request.class_index
         if not self.work[class_index]:
             self.work[class_index] = request.cost
@@ -48,35 +52,40 @@
             self.mean_run_time += run_time
 
     def record_attempt(self, request: Request) -> None:
-        """Take an attempt's reserved memory into that of large queries."""
-        weight = min(request.run_time / max(self.mean_run_time, 1.0), LARGE_RUN_TIME)
-        self.large_memory_mb += EWMA * weight / 2 * (request.reserved_memory_mb - self.large_memory_mb)
+        """Update the memory of large queries with an attempt's reserved memory."""
+        weight = min(request.run_time / max(self.mean_run_time, RUN_TIME_MIN), LARGE_RUN_TIME)
+        self.large_memory_mb += EWMA_WEIGHT * weight / 2 * (request.reserved_memory_mb - self.large_memory_mb)
 
     def record_answer(self, request: Request, ended: AttemptEnded) -> float:
-        """Learn what an answered request cost; its run time in µs."""
+        """Update the estimates with an answered request; return its run time in µs."""
         class_index = request.class_index
         threads = request.class_settings.threads
         self.answer_counts[class_index] += 1
-        reports_cost = self._context.settings.reports_cost
-        work = ended.work if reports_cost and ended.work else request.cost or ended.latency * threads
-        self.work[class_index] += (EWMA if self.work[class_index] else 1.0) * (work - self.work[class_index])
+        work = self._work_done(request, ended)
+        weight = EWMA_WEIGHT if self.work[class_index] else 1.0
+        self.work[class_index] += weight * (work - self.work[class_index])
         if request.estimated_cost and ended.work:
             ratio = min(ended.work / request.estimated_cost, RATIO_LIMIT)
-            self.cost_ratios[class_index] += EWMA * (ratio - self.cost_ratios[class_index])
+            self.cost_ratios[class_index] += EWMA_WEIGHT * (ratio - self.cost_ratios[class_index])
         if request.memory_mb and ended.memory_mb:
             self._record_memory(class_index, request.memory_mb, ended.memory_mb)
-        run_time = max(work / threads, 1.0)
+        run_time = max(work / threads, RUN_TIME_MIN)
         ratio = min(ended.latency / run_time, LATENCY_RATIO_LIMIT)
-        self.latency_ratios[class_index] += EWMA * (ratio - self.latency_ratios[class_index])
+        self.latency_ratios[class_index] += EWMA_WEIGHT * (ratio - self.latency_ratios[class_index])
         return run_time
 
+    def _work_done(self, request: Request, ended: AttemptEnded) -> float:
+        """Work of an answered request, µs: as reported, or as estimated, or its latency on all threads."""
+        if self._context.settings.reports_cost and ended.work:
+            return ended.work
+        return request.cost or ended.latency * request.class_settings.threads
+
     def _record_memory(self, class_index: int, estimated_mb: float, used_mb: float) -> None:
         ratio = min(used_mb / estimated_mb, RATIO_LIMIT)
-        self.memory_ratios[class_index] += EWMA / 2 * (ratio - self.memory_ratios[class_index])
+        self.memory_ratios[class_index] += MEMORY_RATIO_WEIGHT * (ratio - self.memory_ratios[class_index])
         was_short = used_mb > estimated_mb * self.grant_ratios[class_index]
-        self.grant_ratios[class_index] *= 1 + GRANT_STEP * (
-            GRANT_QUANTILE if was_short else GRANT_QUANTILE - 1
-        )
+        step = GRANT_QUANTILE if was_short else GRANT_QUANTILE - 1
+        self.grant_ratios[class_index] *= 1 + GRANT_STEP * step
 
     def memory_grant_mb(self, request: Request) -> float:
         """Memory that covers what most requests of the class use."""
@@ -94,11 +103,8 @@
 
     def delay_reference(self, class_index: int) -> float:
         """Reference of a class's queueing delay: its latency objective, by work against priority weight."""
-        class_settings, work = self._context.settings.classes[class_index], self.work[class_index]
-        objective = class_settings.latency_objective
-        stretch = class_settings.latency_objective_stretch
-        return (
-            (objective + stretch * work / class_settings.threads)
-            * (work or 1.0)
-            / class_settings.priority_weight
-        )
+        class_settings = self._context.settings.classes[class_index]
+        work = self.work[class_index]
+        stretch = class_settings.latency_objective_stretch * work / class_settings.threads
+        objective = class_settings.latency_objective + stretch
+        return objective * (work or 1.0) / class_settings.priority_weight
--- a/cypressledge/decisions/load_reports.py
+++ b/cypressledge/decisions/load_reports.py
@@ -1,16 +1,16 @@
-"""Engines' load reports: how busy they are with all brokers' work."""
+"""Load reports of engines: how busy they are with the work of all brokers."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import AttemptEnded
 from cypressledge.decisions.engines import Engine
 from cypressledge.decisions.request import Request
-from cypressledge.decisions.units import EWMA
+from cypressledge.decisions.units import EWMA_WEIGHT
 
-INITIAL_LOAD = 0.5  # threads a core, before reports tell
+INITIAL_LOAD = 0.5  # threads a core, before the first reports
 
 
 class LoadReports:
-    """The load of the reports, in threads a core, and how wide queries are."""
+    """Mean and spread of the reported loads, in threads a core."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -20,19 +20,18 @@
         self._thread_time_sum = 0.0  # µs of threads, running
 
     def record_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
-        """Take an answer's report: busy cores, and threads a core beyond them."""
+        """Update an engine's load from its answer's report: busy cores, and threads a core beyond them."""
         threads = request.class_settings.threads
-        self._latency_sum += ended.latency - EWMA * self._latency_sum
-        self._thread_time_sum += ended.latency * threads - EWMA * self._thread_time_sum
+        self._latency_sum += ended.latency - EWMA_WEIGHT * self._latency_sum
+        self._thread_time_sum += ended.latency * threads - EWMA_WEIGHT * self._thread_time_sum
         if not ended.load_report:
             return
         fields = self._context.settings.load_report_fields
         report = dict(zip(fields, ended.load_report, strict=False))
-        load = report.get("util", 0.0)
         queries_to_load = self._thread_time_sum / max(self._latency_sum, 1.0) / engine.cores
-        load += queries_to_load * report.get("queue", 0.0) + max(
-            queries_to_load * report.get("inflight", 0.0) - 1.0, 0.0
-        )
+        queued_load = queries_to_load * report.get("queue", 0.0)
+        excess_load = max(queries_to_load * report.get("inflight", 0.0) - 1.0, 0.0)
+        load = report.get("util", 0.0) + (queued_load + excess_load)
         engine.reported_load, engine.reported_at = load, self._context.now
-        self.load_spread += EWMA * (abs(load - self.mean_load) - self.load_spread)
-        self.mean_load += EWMA * (load - self.mean_load)
+        self.load_spread += EWMA_WEIGHT * (abs(load - self.mean_load) - self.load_spread)
+        self.mean_load += EWMA_WEIGHT * (load - self.mean_load)
--- a/cypressledge/decisions/manager.py
+++ b/cypressledge/decisions/manager.py
@@ -1,10 +1,11 @@
-"""The workload manager: all decisions of one broker. Events come in, actions go out; it does no I/O.
+"""The workload manager: all decisions of one broker, from events to actions, without I/O.
 
-Requests wait in queues of their classes. Free capacity goes to the class that a weighted draw names, whose
-odds a PI loop tunes; a router chooses the engine. docs/design.md names each departure from the paper.
+Requests wait in the queues of their classes. Free capacity goes to the class that a weighted draw selects,
+with odds that a PI loop adjusts; a router chooses the engine. docs/design.md names each departure from the
+paper.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Sequence
 from random import Random
 from typing import Any
 
@@ -50,7 +51,7 @@
 
 
 class WorkloadManager:
-    """The decisions of one broker: `handle` takes what happened and returns what to do."""
+    """The decisions of one broker: `handle` takes events and returns actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = context = DecisionContext(settings, Random(seed))
@@ -83,14 +84,14 @@
         periodic = (self.odds_loop, affinity, lifecycle.key_order, limits, pace)
         self.housekeeping = Housekeeping(context, lifecycle, inspections, periodic)
         observers = AnswerObservers(estimates, pace, limits, health, load_reports, losses)
-        outcomes = AttemptOutcomes(context, registry, lifecycle, queues, retry_policy, observers)
+        outcomes = AttemptOutcomes(context, registry, lifecycle, retry_policy, observers)
         progress = ProgressNotifications(context, estimates, attempts, lifecycle)
         self._is_started = False
         self._reactions = self._reactions_by_event(outcomes, progress)
 
     def _reactions_by_event(
         self, outcomes: AttemptOutcomes, progress: ProgressNotifications
-    ) -> dict[type, Callable[[Any], None]]:
+    ) -> Mapping[type, Callable[[Any], None]]:
         return {
             EngineListReceived: self.subscription.list_received,
             RequestReceived: self.lifecycle.receive,
@@ -103,7 +104,7 @@
         }
 
     def configure(self, settings: Settings) -> None:
-        """Take changed settings; the classes are as many, in the same order."""
+        """Apply changed settings; the number and the order of the classes must be the same."""
         self.context.settings = settings
         self.limits.configure()
         self.router.configure()
@@ -114,22 +115,22 @@
         return self.context.settings
 
     @property
-    def engines(self) -> dict[int, Engine]:
+    def engines(self) -> Mapping[int, Engine]:
         """Engines by id: those listed, and those removed where attempts still run."""
         return self.registry.engines
 
     @property
-    def latency_ratios(self) -> list[float]:
+    def latency_ratios(self) -> Sequence[float]:
         """By class: latency over run time of recent answers, over all engines."""
         return self.estimates.latency_ratios
 
     @property
-    def requests(self) -> dict[int, Request]:
-        """Open requests by id."""
+    def requests(self) -> Mapping[int, Request]:
+        """Requests by id that are owed an answer, or have an attempt in flight."""
         return self.lifecycle.requests
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of one moment, µs; return the actions in order."""
+        """Handle the events of one batch at time `now`, µs; return the actions in order."""
         context = self.context
         context.now, context.actions = now, []
         if not self._is_started:
--- a/cypressledge/decisions/outcomes.py
+++ b/cypressledge/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means for its request, its engine and the estimates."""
+"""Ends of attempts: the effects on the request, its engine and the estimates."""
 
 from dataclasses import dataclass
 
@@ -12,14 +12,13 @@
 from cypressledge.decisions.load_reports import LoadReports
 from cypressledge.decisions.lost_responses import LostResponses
 from cypressledge.decisions.pace import FleetPace
-from cypressledge.decisions.queues import ClassQueues
-from cypressledge.decisions.request import Request
+from cypressledge.decisions.request import PossibleExecution, Request
 from cypressledge.decisions.retries import RetryPolicy, window_end
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerObservers:
-    """All that learns from an answer."""
+    """The parts that are updated by outcomes."""
 
     estimates: ClassEstimates
     pace: FleetPace
@@ -30,37 +29,38 @@
 
 
 class AttemptOutcomes:
-    """Takes the ends of attempts."""
+    """Handles the ends of attempts."""
 
     def __init__(
         self,
         context: DecisionContext,
         registry: EngineRegistry,
         lifecycle: RequestLifecycle,
-        queues: ClassQueues,
         retry_policy: RetryPolicy,
         observers: AnswerObservers,
     ) -> None:
         self._context = context
         self._registry = registry
         self._lifecycle = lifecycle
-        self._queues = queues
         self._retry_policy = retry_policy
         self._observers = observers
 
     def attempt_ended(self, ended: AttemptEnded) -> None:
-        """Take the end of an attempt: free its capacity, learn from it, then retry or end its request."""
+        """Free an attempt's capacity, update the observers, then retry or end its request.
+
+        Ends of former attempts, and of attempts at unknown engines, are ignored.
+        """
         engine = self._registry.engines.get(ended.engine)
         if engine is None:
             return
         request = engine.in_flight.get(ended.request)
-        if request is None or request.attempts - 1 != ended.attempt:
+        if request is None or request.last_attempt != ended.attempt:
             return
         self._release(engine, request)
         self._learn(engine, request, ended)
         request.engine, request.cancelling = None, False
-        if ended.outcome not in NEVER_EXECUTED and request.may_have_executed_since is None:
-            request.may_have_executed_since, request.may_have_executed_on = request.sent_at, engine
+        if ended.outcome not in NEVER_EXECUTED and request.first_possible_execution is None:
+            request.first_possible_execution = PossibleExecution(request.sent_at, engine)
         self._lifecycle.key_order.record_end(request, ended.outcome)
         if request.finished:
             self._lifecycle.forget(request)
@@ -82,15 +82,14 @@
             self._lifecycle.give_up(request, reason)
             return
         request.avoided_engine = failed_engine
-        class_settings, may_have_executed_since = request.class_settings, request.may_have_executed_since
-        if class_settings.idempotency is Idempotency.WITH_KEY and may_have_executed_since is not None:
-            # it waits within its deduplication window only
-            end = window_end(class_settings, may_have_executed_since)
-            self._lifecycle.deadlines.schedule(end, request.id)
-        self._queues.enqueue(request)
+        class_settings, execution = request.class_settings, request.first_possible_execution
+        wait_until = None
+        if class_settings.idempotency is Idempotency.WITH_KEY and execution is not None:
+            wait_until = window_end(class_settings, execution)
+        self._lifecycle.retry(request, wait_until)
 
     def _learn(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
-        """Learn from one outcome: costs, needs, the engine's pace and health."""
+        """Update costs, needs, and the engine's pace and health with an outcome."""
         outcome, observers = ended.outcome, self._observers
         if outcome is Outcome.OK:
             self._learn_from_answer(engine, request, ended)
@@ -104,7 +103,8 @@
     def _learn_from_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
         observers, class_settings = self._observers, request.class_settings
         if class_settings.blocked_by_loads:
-            engine.blocked_until.pop(request.table_group, None)  # it ran: no load blocks the group now
+            # It was executed, so no load blocks its group any more.
+            engine.blocked_until.pop(request.table_group, None)
         observers.lost_responses.record_answer()
         observers.health.record_answer(engine)
         run_time = observers.estimates.record_answer(request, ended)
--- a/cypressledge/decisions/retries.py
+++ b/cypressledge/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the budget of further attempts, and when a request may be sent to an engine again."""
+"""Retries: their budget, and the rules on sending a request again."""
 
 from collections import deque
 
@@ -6,10 +6,12 @@
 from cypressledge.decisions.contract import ClassSettings, DeduplicationScope, Idempotency, Reason
 from cypressledge.decisions.deadlines import DEADLINE_MARGIN
 from cypressledge.decisions.engines import Engine
-from cypressledge.decisions.request import Request
+from cypressledge.decisions.request import PossibleExecution, Request
 from cypressledge.decisions.units import MS
 
-WINDOW_MARGIN = 600 * MS  # before a deduplication window ends: a send may wait 500 ms for its connection
+# Time before a deduplication window's end from which nothing is repeated. It has to be over the time that a
+# send may wait for its connection (Settings.max_send_delay, which the broker sets to 500 ms).
+WINDOW_MARGIN = 600 * MS
 
 
 class RetryBudget:
@@ -17,8 +19,8 @@
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
-        self._received: deque[int] = deque()  # moments, µs
-        self._retries: deque[int] = deque()
+        self._received: deque[int] = deque()  # times in µs
+        self._retries: deque[int] = deque()  # times in µs
 
     def record_request(self) -> None:
         """A request was received."""
@@ -26,9 +28,9 @@
             self._received.append(self._context.now)
 
     def withdraw_request(self, received_at: int) -> None:
-        """A request was never sent, and its client has left: it allows no retry.
+        """Uncount a request that was never sent and whose client disconnected.
 
-        Guards against clients that take back hundreds of requests at once.
+        Guards against clients that withdraw hundreds of requests at once, which would enlarge the budget.
         """
         if self._received and self._received[0] <= received_at:
             self._received.remove(received_at)
@@ -39,7 +41,7 @@
             self._retries.append(self._context.now)
 
     def allows_retry(self) -> bool:
-        """Whether one more retry keeps within the budget, whenever it leaves."""
+        """Whether one more retry is within the budget, however long its send waits."""
         settings, now = self._context.settings, self._context.now
         if settings.retry_budget_ratio is None:
             return True
@@ -58,7 +60,7 @@
         self._budget = budget
 
     def reason_against_retry(self, request: Request) -> Reason | None:
-        """What keeps the request from another attempt; None where nothing does."""
+        """The reason why the request gets no further attempt; None where it gets one."""
         if request.attempts >= self._context.settings.max_attempts:
             return Reason.ATTEMPTS_USED
         if self._context.now + request.run_time > request.deadline - DEADLINE_MARGIN:
@@ -66,35 +68,39 @@
         return self.reason_against_sending(request)
 
     def reason_against_sending(self, request: Request) -> Reason | None:
-        """What keeps a retry from leaving now: asked again as an engine becomes free, which may be late."""
+        """The reason why a retry may not be sent now, None where it may.
+
+        Asked once more when an engine is found, which may be much later than the end of the last attempt.
+        """
         if not self._budget.allows_retry():
             return Reason.RETRY_BUDGET
-        since = request.may_have_executed_since
-        return reason_against_repeat(request.class_settings, since, self._context.now)
+        execution = request.first_possible_execution
+        return reason_against_repeat(request.class_settings, execution, self._context.now)
 
 
-def _drop_until(moments: deque[int], last: int) -> None:
-    while moments and moments[0] <= last:
-        moments.popleft()
+def _drop_until(times: deque[int], last: int) -> None:
+    """Remove times up to the last one that lies before the window."""
+    while times and times[0] <= last:
+        times.popleft()
 
 
-def window_end(class_settings: ClassSettings, may_have_executed_since: int) -> int:
-    """Last moment, µs, at which a request with a key that may have been executed since then is sent again."""
-    return may_have_executed_since + class_settings.deduplication_window - WINDOW_MARGIN
+def window_end(class_settings: ClassSettings, execution: PossibleExecution) -> int:
+    """Time, µs, from which a request with a key that may have been executed is not sent again."""
+    return execution.started_at + class_settings.deduplication_window - WINDOW_MARGIN
 
 
 def reason_against_repeat(
-    class_settings: ClassSettings, may_have_executed_since: int | None, now: int
+    class_settings: ClassSettings, execution: PossibleExecution | None, now: int
 ) -> Reason | None:
-    """What keeps a request that may have been executed from being sent again now; None where nothing does.
+    """The reason why a request may not be sent again at `now`, µs; None where it may.
 
-    `may_have_executed_since` is the start of the first attempt that may have been executed, None without any.
+    `execution` is the first attempt that may have been executed, None without any.
     """
-    if may_have_executed_since is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
+    if execution is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
         return None
     if class_settings.idempotency is not Idempotency.WITH_KEY:
         return Reason.MAY_HAVE_EXECUTED
-    if now < window_end(class_settings, may_have_executed_since):
+    if now < window_end(class_settings, execution):
         return None
     return Reason.DEDUPLICATION_WINDOW_OVER
 
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -1,9 +1,9 @@
-"""Routing: the engine for a request, the one of least cost among those that may take it; ties at random.
+"""Routing: a request goes to the engine of least cost among those that admit it; ties are broken at random.
 
-A cost is in threads a core: own work in flight, and terms of the same unit for what speaks against an engine.
+A cost is in threads a core: this broker's work in flight, and penalties in the same unit.
 """
 
-from collections.abc import Collection, Sequence
+from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
 
 from cypressledge.decisions.affinity import Affinity
@@ -18,13 +18,12 @@
 from cypressledge.decisions.retries import deduplicates
 from cypressledge.decisions.units import MS
 
-REPORT_WEIGHT = 2.0  # of others' reported load against own threads a core: own work is only a sample
-REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about as long as the dearer work runs
-PREFERRED_ENGINES_MIN = (
-    3  # engines that a broker keeps to at the least; one more for every two answers a second
-)
-UNPREFERRED_ENGINE_COST = 1.0  # of any engine that is not the broker's own, in threads a core
-UNCACHED_COST = 0.25  # of engines that are not the group's own, in threads a core
+REPORT_WEIGHT = 2.0  # of the other brokers' reported load against this broker's threads a core
+REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about the run time of expensive work
+PREFERRED_ENGINES_MIN = 3  # engines that a broker prefers at the least
+ANSWERS_PER_PREFERRED_ENGINE = 2  # answers a second for which it prefers one more
+UNPREFERRED_ENGINE_COST = 1.0  # of the first engine that the broker does not prefer, in threads a core
+UNCACHED_COST = 0.25  # of engines that are not among the group's, in threads a core
 BLOCKED_COST = 2.0  # of an engine where a load blocks the group, in threads a core
 FAILED_COST = 2.0  # of an engine that just failed the request or rejects, in threads a core
 RESERVED_COST = 0.5  # to a class free to go anywhere, of engines that another class must use
@@ -35,7 +34,7 @@
 
 @dataclass(slots=True)
 class RoutingFacts:
-    """What the cost of an engine depends on besides the engine, worked out once for each choice."""
+    """What the cost of an engine depends on besides the engine, computed once for each choice."""
 
     request: Request
     threads: int  # that the request runs on
@@ -44,7 +43,7 @@
     fleet_slowdown: float
     mean_load: float  # threads a core, of load reports
     load_spread: float
-    distances: dict[Engine, float]  # from the broker's own engines
+    distances: Mapping[Engine, float]  # as Affinity.preference_distances gives them
     group_engines: Collection[Engine]
     load_engines: Collection[Engine]
 
@@ -73,7 +72,7 @@
         self.configure()
 
     def configure(self) -> None:
-        """Take the context's settings."""
+        """Apply the context's settings."""
         settings = self._context.settings
         self._reserved_kinds = frozenset().union(*(c.required_kinds or () for c in settings.classes))
         self._reserved_zones = frozenset().union(*(c.required_zones or () for c in settings.classes))
@@ -100,14 +99,15 @@
         return self._context.random.choice(ties) if ties else None
 
     def _candidates(self, request: Request) -> Sequence[Engine]:
-        """Engines that the rules on kinds, zones, repeats and loads leave for the request."""
+        """Engines that the rules on kinds, zones, retries and loads allow for the request."""
         class_settings = request.class_settings
         engines = self._registry.ready
         if (kinds := class_settings.required_kinds) is not None:
             engines = [engine for engine in engines if engine.kind in kinds]
         if (zones := class_settings.required_zones) is not None:
             engines = [engine for engine in engines if engine.zone in zones]
-        if (first := request.may_have_executed_on) is not None:
+        if (execution := request.first_possible_execution) is not None:
+            first = execution.engine
             engines = [engine for engine in engines if deduplicates(class_settings, first, engine)]
         if class_settings.is_load or class_settings.blocked_by_loads:
             excluded = self._affinity.excluded_engines(request)
@@ -129,11 +129,15 @@
             fleet_slowdown=self._pace.slowdown,
             mean_load=self._load_reports.mean_load,
             load_spread=self._load_reports.load_spread,
-            distances=affinity.preference_distances(PREFERRED_ENGINES_MIN + int(self._pace.answer_rate / 2)),
+            distances=affinity.preference_distances(self._preferred_count()),
             group_engines=self._registry.ready if is_load else affinity.group_engines(group),
             load_engines=affinity.load_engines(group) if has_load_engines else (),
         )
 
+    def _preferred_count(self) -> int:
+        """Engines that this broker prefers, by its traffic."""
+        return PREFERRED_ENGINES_MIN + int(self._pace.answer_rate / ANSWERS_PER_PREFERRED_ENGINE)
+
     # Cost terms, each in threads a core; they are added in this order.
 
     def _cost(self, engine: Engine, facts: RoutingFacts) -> float:
@@ -152,7 +156,11 @@
         return cost
 
     def _reported_load_cost(self, engine: Engine, facts: RoutingFacts) -> float:
-        """Others' load as the engine last reported it; the older a report, the more of it is guessed."""
+        """The other brokers' load as the engine last reported it.
+
+        The older the report, the more of it is replaced by a random guess, so that brokers do not all choose
+        the engine with the lowest old report.
+        """
         known = 1.0 / (1.0 + (facts.now - engine.reported_at) / REPORT_HALF_LIFE)
         deviation = 2.0 * self._random() - 1.0
         guess = (1.0 - known) * facts.load_spread * deviation * (engine.reported_at > 0)
@@ -166,27 +174,27 @@
 
 
 def _in_flight_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """This broker's threads a core with the request, by how much slower than all the engine answers."""
+    """This broker's threads a core with the request, times how much slower than the fleet the engine is."""
     load = (engine.threads + facts.threads) / engine.cores
     relative_slowdown = engine.slowdown / facts.fleet_slowdown
     return load * (relative_slowdown if relative_slowdown > 1.0 else 1.0)
 
 
 def _affinity_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Of engines that aren't the group's own, and of warm ones that aren't the broker's own."""
+    """Penalty on engines that are not among the group's, and on warm ones that the broker does not prefer."""
     is_uncached = engine not in facts.group_engines
     is_warm = facts.now >= engine.warm_at
     return is_uncached * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * facts.distances[engine]
 
 
 def _blocked_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Of an engine where loads block the group."""
+    """Penalty on an engine where loads block the group."""
     is_blocked = engine.blocked_until.get(facts.table_group, 0) > facts.now
     return BLOCKED_COST * max(engine.loads_in_flight.get(facts.table_group, 0), is_blocked)
 
 
 def _load_placement_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Keeps loads to engines of their own, and what they block away from these."""
+    """Penalty that separates loads from the queries that they block."""
     is_load_engine = engine in facts.load_engines
     if facts.request.class_settings.is_load:
         return (not is_load_engine) * NOT_LOAD_ENGINE_COST
--- a/tests/decisions/test_inspection.py
+++ b/tests/decisions/test_inspection.py
@@ -12,32 +12,32 @@
 from cypressledge.decisions.inspection import Inspection
 from cypressledge.decisions.odds import OddsController
 from cypressledge.decisions.odds_loop import OddsLoop
-from tests.decisions.parts import LOOKUP, SECOND, context, registry, request, sent
+from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request, start_attempt
 
 
 class Inspected:
     """Two engines, and what an inspection of them finds."""
 
     def __init__(self):
-        self.context = context(LOOKUP, replace(LOOKUP, blocked_by_loads=True))
-        self.registry = registry(self.context, 1, 2)
+        self.context = make_context(LOOKUP, replace(LOOKUP, blocked_by_loads=True))
+        self.registry = make_registry(self.context, 1, 2)
         self.engine = self.registry.engines[1]
         self.lost, self.moved, self.silences, self.updated = set(), [], {}, []
         self.inspection = Inspection(
             self.context,
             self.registry,
             ClassEstimates(self.context),
-            SimpleNamespace(update=lambda made: self.updated.append(made.id)),
+            SimpleNamespace(update=lambda request: self.updated.append(request.id)),
             SimpleNamespace(record_silence=self.record_silence),
-            SimpleNamespace(check=lambda engine, made: made.id in self.lost),
-            SimpleNamespace(move=lambda made, reason: self.moved.append((made.id, reason))),
+            SimpleNamespace(check=lambda engine, request: request.id in self.lost),
+            SimpleNamespace(move=lambda request, reason: self.moved.append((request.id, reason))),
         )
 
     def record_silence(self, engine, missing):
         self.silences[engine.id] = missing
 
     def send(self, number, **what):
-        return sent(self.context, request(self.context, number, **what), self.engine)
+        return start_attempt(self.context, make_request(self.context, number, **what), self.engine)
 
     def run(self, after=0):
         self.context.now += after
@@ -45,69 +45,69 @@
 
 
 def test_an_idle_engine_is_not_overdue_and_not_silent():
-    f = Inspected()
-    f.engine.overdue_ratio = 5.0
-    f.run()
-    assert f.engine.overdue_ratio == 1.0
-    assert f.silences == {}
+    inspected = Inspected()
+    inspected.engine.overdue_ratio = 5.0
+    inspected.run()
+    assert inspected.engine.overdue_ratio == 1.0
+    assert inspected.silences == {}
 
 
 def test_the_overdue_ratio_is_age_over_run_time():
-    f = Inspected()
-    f.send(1, cost=100_000)
-    f.run(after=50_000)
-    assert f.engine.overdue_ratio == pytest.approx(1.0, abs=1e-4)
-    f.send(2, cost=300_000)
-    f.run(after=350_000)  # 400 ms and 350 ms old
-    assert f.engine.overdue_ratio == pytest.approx(750 / 400, abs=1e-4)
+    inspected = Inspected()
+    inspected.send(1, cost=100_000)
+    inspected.run(after=50_000)
+    assert inspected.engine.overdue_ratio == pytest.approx(1.0, abs=1e-4)
+    inspected.send(2, cost=300_000)
+    inspected.run(after=350_000)  # 400 ms and 350 ms old
+    assert inspected.engine.overdue_ratio == pytest.approx(750 / 400, abs=1e-4)
 
 
 def test_missing_answers_add_up_and_one_attempt_adds_four_at_most():
-    f = Inspected()
-    f.send(1, cost=100_000)
-    f.send(2, cost=200_000)
-    f.run(after=300_000)
-    assert f.silences == {1: pytest.approx(3.0 + 1.5)}
-    f.run(after=10 * SECOND)
-    assert f.silences == {1: 8.0}
+    inspected = Inspected()
+    inspected.send(1, cost=100_000)
+    inspected.send(2, cost=200_000)
+    inspected.run(after=300_000)
+    assert inspected.silences == {1: pytest.approx(3.0 + 1.5)}
+    inspected.run(after=10 * SECOND)
+    assert inspected.silences == {1: 8.0}
 
 
 def test_attempts_of_a_group_that_a_load_may_block_count_once():
-    f = Inspected()
+    inspected = Inspected()
     for number in range(1, 6):
-        f.send(number, class_index=1, table_group=7)
-    f.send(6, class_index=1, table_group=8)
-    f.run(after=300_000)
-    assert f.silences == {1: pytest.approx(6.0)}
+        inspected.send(number, class_index=1, table_group=7)
+    inspected.send(6, class_index=1, table_group=8)
+    inspected.run(after=300_000)
+    assert inspected.silences == {1: pytest.approx(6.0)}
 
 
-def test_silence_ends_with_the_engines_last_word():
-    f = Inspected()
-    f.send(1)
-    f.engine.last_activity_at = f.context.now + 200_000
-    f.run(after=300_000)
-    assert f.silences == {1: pytest.approx(1.0)}
+def test_silence_begins_with_the_engines_last_activity():
+    inspected = Inspected()
+    inspected.send(1)
+    inspected.engine.last_activity_at = inspected.context.now + 200_000
+    inspected.run(after=300_000)
+    assert inspected.silences == {1: pytest.approx(1.0)}
 
 
 def test_lost_responses_are_no_silence_and_no_slowness():
-    f = Inspected()
-    f.send(1)
-    f.lost = {1}
-    f.run(after=SECOND)
-    assert f.silences == {1: 0.0}
-    assert f.engine.overdue_ratio == 0.0
-    assert f.updated == []
+    inspected = Inspected()
+    inspected.send(1)
+    inspected.lost = {1}
+    inspected.run(after=SECOND)
+    assert inspected.silences == {1: 0.0}
+    assert inspected.engine.overdue_ratio == 0.0
+    assert inspected.updated == []
 
 
 def test_what_runs_at_an_ejected_engine_is_moved_unless_it_is_new_or_over():
-    f = Inspected()
-    f.send(1)
-    f.send(2).finished = True
-    f.context.now += 1
-    f.send(3)
-    f.engine.ejected = True
-    f.run(after=400_000)
-    assert f.moved == [(1, Reason.ENGINE_SILENT)]
+    inspected = Inspected()
+    inspected.send(1)
+    inspected.send(2).finished = True
+    inspected.context.now += 1
+    inspected.send(3)
+    inspected.engine.ejected = True
+    inspected.run(after=400_000)
+    assert inspected.moved == [(1, Reason.ENGINE_SILENT)]
 
 
 class Periodic:
@@ -120,45 +120,45 @@
         self.periods += 1
 
 
-def housekeeping(requests, next_moment=None):
-    ctx, looks, part = context(), [], Periodic()
-    lifecycle = SimpleNamespace(requests=requests, next_moment=lambda: next_moment)
-    made = Housekeeping(ctx, lifecycle, [lambda: looks.append(ctx.now)], [part])
-    made.start()
-    return ctx, made, looks, part
+def make_housekeeping(requests, next_due_at=None):
+    context, looks, part = make_context(), [], Periodic()
+    lifecycle = SimpleNamespace(requests=requests, next_due_at=lambda: next_due_at)
+    housekeeping = Housekeeping(context, lifecycle, [lambda: looks.append(context.now)], [part])
+    housekeeping.start()
+    return context, housekeeping, looks, part
 
 
-def test_looks_are_100_ms_apart_and_periods_two_seconds():
-    ctx, made, looks, part = housekeeping({})
+def test_inspections_are_100_ms_apart_and_control_periods_two_seconds():
+    context, housekeeping, looks, part = make_housekeeping({})
     for _ in range(400):
-        ctx.now += 10_000
-        made.run()
+        context.now += 10_000
+        housekeeping.run()
     assert len(looks) == 40
     assert part.periods == 2
 
 
 def test_without_an_open_request_there_is_no_timer():
-    ctx, made, _, _ = housekeeping({})
-    made.schedule_timer()
-    assert ctx.actions == []
+    context, housekeeping, _, _ = make_housekeeping({})
+    housekeeping.schedule_timer()
+    assert context.actions == []
 
 
 @pytest.mark.parametrize(("due", "after"), [(None, 100_000), (40_000, 40_000), (1, 5_000), (10**9, 100_000)])
 def test_a_timer_is_for_what_is_due_next_and_one_resolution_away_at_least(due, after):
-    ctx, made, _, _ = housekeeping({1: None}, due and context().now + due)
-    made.schedule_timer()
-    assert ctx.actions == [StartTimer(after)]
-    made.schedule_timer()
-    assert len(ctx.actions) == 1 + (due == 1)  # one that is still to come is not asked for twice
+    context, housekeeping, _, _ = make_housekeeping({1: None}, due and make_context().now + due)
+    housekeeping.schedule_timer()
+    assert context.actions == [StartTimer(after)]
+    housekeeping.schedule_timer()
+    assert len(context.actions) == 1 + (due == 1)  # one that is still to come is not asked for twice
 
 
 def test_requests_that_still_wait_count_in_the_odds_loop():
-    ctx = context(LOOKUP, LOOKUP)
+    context = make_context(LOOKUP, LOOKUP)
     odds = OddsController(2)
-    waiting = [request(ctx, number, class_index=number % 2) for number in range(8)]
+    waiting = [make_request(context, number, class_index=number % 2) for number in range(8)]
     queues = SimpleNamespace(waiting_for_first_attempt=lambda: waiting)
-    loop = OddsLoop(ctx, odds, queues, ClassEstimates(ctx))
-    ctx.now += 100_000
+    loop = OddsLoop(context, odds, queues, ClassEstimates(context))
+    context.now += 100_000
     loop.end_period()
     assert odds.ratios == [1.0]  # both waited alike
     assert odds.previous_errors == [0.0]
@@ -180,17 +180,17 @@
 
 
 @pytest.mark.parametrize(("ejected", "asked"), [(False, 2), (True, 3)])
-def test_admission_asks_health_of_ejected_engines_then_slow_start_then_capacity(ejected, asked):
+def test_admission_checks_the_health_of_ejected_engines_then_slow_start_then_capacity(ejected, asked):
     calls = []
     parts = [Limit(calls, name) for name in ("health", "slow_start", "limits")]
-    ctx = context()
-    engine = registry(ctx, 1).engines[1]
+    context = make_context()
+    engine = make_registry(context, 1).engines[1]
     engine.ejected = ejected
     admission = EngineAdmission(*parts)
-    assert admission.admits(engine, request(ctx), 0.0)
+    assert admission.admits(engine, make_request(context), 0.0)
     assert [name for name, _ in calls] == ["health", "slow_start", "limits"][-asked:]
     for closed in parts[-asked:]:
         closed.is_open = False
-        assert not admission.admits(engine, request(ctx), 0.0)
+        assert not admission.admits(engine, make_request(context), 0.0)
         assert calls[-1][0] == closed.name  # what comes behind it is not asked
         closed.is_open = True
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -3,15 +3,15 @@
 import pytest
 
 from cypressledge.decisions.load_reports import LoadReports
-from tests.decisions.parts import START, context, ended, registry, request
+from tests.decisions.parts import START, attempt_ended, make_context, make_registry, make_request
 
 
 def reported(*values, fields=("util", "queue", "inflight")):
-    ctx = context(load_report_fields=fields)
-    reports, engine = LoadReports(ctx), registry(ctx, 1).engines[1]
-    made = request(ctx)
-    made.attempts = 1
-    reports.record_answer(engine, made, ended(made, load_report=values))
+    context = make_context(load_report_fields=fields)
+    reports, engine = LoadReports(context), make_registry(context, 1).engines[1]
+    request = make_request(context)
+    request.attempts = 1
+    reports.record_answer(engine, request, attempt_ended(request, load_report=values))
     return reports, engine
 
 
@@ -41,7 +41,7 @@
     assert reports.load_spread == pytest.approx(0.5)
 
 
-def test_an_answer_without_a_report_says_nothing():
+def test_an_answer_without_a_report_changes_no_load():
     reports, engine = reported()
     assert engine.reported_at == 0
     assert reports.mean_load == 0.5
