--- a/tests/decisions/manager_driver.py
+++ b/tests/decisions/manager_driver.py
@@ -110,7 +110,7 @@
         return next(send.engine for send in reversed(self.sends) if send.request == request)
 
     def end(self, request, outcome=Outcome.OK, final=None, after=0, work=100_000, latency=100_000, memory=0):
-        """The request's last attempt ends after a span; return the actions. `final` unless told: with OK."""
+        """The request's last attempt ends after a span; return the actions. Final with OK by default."""
         final = outcome is Outcome.OK if final is None else final
         return self.handle(
             AttemptEnded(
--- a/tests/decisions/parts.py
+++ b/tests/decisions/parts.py
@@ -82,6 +82,21 @@
     )
 
 
+class CallRecorder:
+    """Takes the place of any part: records the names of the methods called, which all return `answer`."""
+
+    def __init__(self, answer=None):
+        self.names = []
+        self._answer = answer
+
+    def __getattr__(self, name):
+        def record(*arguments):
+            self.names.append(name)
+            return self._answer
+
+        return record
+
+
 def log_texts(context):
     """The log lines among the actions."""
     return [action.text for action in context.actions if hasattr(action, "text")]
--- a/tests/decisions/test_attempts.py
+++ b/tests/decisions/test_attempts.py
@@ -121,14 +121,14 @@
 
 def test_a_grant_covers_what_most_use_and_is_set_anew_only_at_a_start():
     context, resources = make_resources(supports_priorities=False, supports_memory_grants=True)
-    asked = make_request(context, memory_mb=100.0)
-    asked.sent_at = START
-    resources.update(asked)
+    request = make_request(context, memory_mb=100.0)
+    request.sent_at = START
+    resources.update(request)
     assert context.actions == [SetAttemptResources(1, 125.0, 1)]
     resources._estimates.grant_ratios[0] = 2.0
     context.now += 1
-    resources.update(asked)
+    resources.update(request)
     assert len(context.actions) == 1
-    asked.sent_at = context.now
-    resources.update(asked)
+    request.sent_at = context.now
+    resources.update(request)
     assert context.actions[1:] == [SetAttemptResources(1, 200.0, 1)]
--- a/tests/decisions/test_concurrency_limits.py
+++ b/tests/decisions/test_concurrency_limits.py
@@ -24,20 +24,20 @@
         self.engine = self.registry.engines[1]
         self.number = 0
 
-    def request(self, **what):
+    def request(self, **fields):
         self.number += 1
-        return make_request(self.context, self.number, **what)
+        return make_request(self.context, self.number, **fields)
 
-    def send(self, **what):
-        request = start_attempt(self.context, self.request(**what), self.engine)
+    def send(self, **fields):
+        request = start_attempt(self.context, self.request(**fields), self.engine)
         self.limits.reserve(self.engine, request)
         return request
 
-    def fill(self, most=1_000, **what):
+    def fill(self, limit=1_000, **fields):
         """Send until the engine has no capacity; how many."""
         count = 0
-        while count < most and self.limits.engine_has_capacity(self.engine, self.request(**what), 0.0):
-            self.send(**what)
+        while count < limit and self.limits.engine_has_capacity(self.engine, self.request(**fields), 0.0):
+            self.send(**fields)
             count += 1
         return count
 
--- a/tests/decisions/test_deadlines.py
+++ b/tests/decisions/test_deadlines.py
@@ -1,12 +1,12 @@
-"""The queue of requests by moment."""
+"""The queue of request ids by due time."""
 
 from cypressledge.decisions.deadlines import DeadlineQueue
 
 
 def test_what_is_due_comes_out_earliest_first_and_once():
     queue = DeadlineQueue()
-    for moment, number in ((30, 1), (10, 2), (20, 3), (40, 4)):
-        queue.schedule(moment, number)
+    for due_at, number in ((30, 1), (10, 2), (20, 3), (40, 4)):
+        queue.schedule(due_at, number)
     assert list(queue.expired(30)) == [2, 3, 1]
     assert list(queue.expired(30)) == []
     assert queue.next_due_at() == 40
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -7,7 +7,7 @@
 from cypressledge.decisions.dispatch import AttemptStarter, Dispatcher
 from cypressledge.decisions.odds import OddsController
 from cypressledge.decisions.queues import ClassQueues
-from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request
+from tests.decisions.parts import LOOKUP, SECOND, CallRecorder, make_context, make_registry, make_request
 
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
 
@@ -19,7 +19,7 @@
         self.context = make_context(*(classes or (LOOKUP,)))
         self.engine = make_registry(self.context, 1).engines[1]
         self.queues = ClassQueues(self.context, SimpleNamespace(slowdown=1.0))
-        self.started, self.given_up, self.asked = [], [], []
+        self.started, self.given_up, self.tried = [], [], []
         self.free, self.reason = None, None
         self.dispatcher = Dispatcher(
             self.context,
@@ -32,7 +32,7 @@
         )
 
     def choose(self, request):
-        self.asked.append(request.id)
+        self.tried.append(request.id)
         return self.engine if self.free is None or request.table_group in self.free else None
 
     def start(self, request, engine):
@@ -46,8 +46,8 @@
     def reject_late(self, request):
         self.give_up(request, "late")
 
-    def add(self, number, **what):
-        request = make_request(self.context, number, **what)
+    def add(self, number, **fields):
+        request = make_request(self.context, number, **fields)
         self.queues.enqueue(request)
         return request
 
@@ -66,7 +66,7 @@
     for number, group in ((1, 7), (2, 7), (3, 8)):
         dispatch.add(number, cost=number, table_group=group)
     dispatch.dispatcher.dispatch()
-    assert dispatch.asked == [1, 3]
+    assert dispatch.tried == [1, 3]
     assert dispatch.started == [3]
 
 
@@ -76,7 +76,7 @@
     for number in range(1, 10):
         dispatch.add(number, cost=number, table_group=number)
     dispatch.dispatcher.dispatch()
-    assert dispatch.asked == [1, 2, 3]
+    assert dispatch.tried == [1, 2, 3]
     assert dispatch.started == []
 
 
@@ -98,17 +98,8 @@
     assert dispatch.given_up == [(1, "late")]
 
 
-class Calls:
-    """Notes the methods that are called."""
-
-    def __init__(self):
-        self.names = []
-
-    def __getattr__(self, name):
-        return lambda *arguments: self.names.append(name)
-
-
-def started(context, request, calls):
+def start(context, request, calls):
+    """Start an attempt of the request at a new engine; return the engine and the odds."""
     engine = make_registry(context, 1).engines[1]
     odds = OddsController(2)
     AttemptStarter(context, odds, calls, calls, calls, calls).start(request, engine)
@@ -116,11 +107,11 @@
 
 
 def test_a_start_counts_the_delay_and_the_attempt():
-    context, calls = make_context(LOOKUP, replace(LOOKUP, is_load=True)), Calls()
+    context, calls = make_context(LOOKUP, replace(LOOKUP, is_load=True)), CallRecorder()
     request = make_request(context, class_index=1, table_group=7)
     request.queued = request.blocked = request.response_lost = True
     context.now += 30_000
-    engine, odds = started(context, request, calls)
+    engine, odds = start(context, request, calls)
     assert (odds.delay_sums, odds.sample_counts) == ([0.0, 30_000], [0, 1])
     assert (request.attempts, request.engine, request.sent_at, request.last_activity_at) == (
         1,
@@ -136,10 +127,10 @@
 
 
 def test_a_retry_takes_from_the_budget_and_adds_no_delay():
-    context, calls = make_context(), Calls()
+    context, calls = make_context(), CallRecorder()
     request = make_request(context)
     request.attempts = 1
-    _, odds = started(context, request, calls)
+    _, odds = start(context, request, calls)
     assert calls.names[0] == "record_retry"
     assert odds.sample_counts == [0, 0]
     assert request.attempts == 2
--- a/tests/decisions/test_estimates.py
+++ b/tests/decisions/test_estimates.py
@@ -88,30 +88,30 @@
 
 def test_memory_follows_what_answers_used():
     context, estimates = make_estimates()
-    asked = make_request(context, memory_mb=100.0)
-    estimates.record_answer(asked, ended_of(context, 0, 1_000, 1_000, memory_mb=200.0))
+    request = make_request(context, memory_mb=100.0)
+    estimates.record_answer(request, ended_of(context, 0, 1_000, 1_000, memory_mb=200.0))
     assert estimates.memory_ratios[0] == pytest.approx(1.05)
     assert estimates.grant_ratios[0] == pytest.approx(1.25 * 1.036)
-    assert estimates.memory_grant_mb(asked) == pytest.approx(129.5)
-    assert estimates.memory_to_reserve_mb(asked) == pytest.approx(100 * (1.05 + 1.295) / 2)
-    estimates.record_answer(asked, ended_of(context, 0, 1_000, 1_000, memory_mb=50.0))
+    assert estimates.memory_grant_mb(request) == pytest.approx(129.5)
+    assert estimates.memory_to_reserve_mb(request) == pytest.approx(100 * (1.05 + 1.295) / 2)
+    estimates.record_answer(request, ended_of(context, 0, 1_000, 1_000, memory_mb=50.0))
     assert estimates.grant_ratios[0] == pytest.approx(1.295 * 0.996)
 
 
 def test_nine_in_ten_needs_are_within_the_grant():
     context, estimates = make_estimates()
-    asked = make_request(context, memory_mb=100.0)
+    request = make_request(context, memory_mb=100.0)
     for number in range(5_000):
         estimates.record_answer(
-            asked, ended_of(context, 0, 1_000, 1_000, memory_mb=100.0 + number * 37 % 100)
+            request, ended_of(context, 0, 1_000, 1_000, memory_mb=100.0 + number * 37 % 100)
         )
-    assert estimates.memory_grant_mb(asked) == pytest.approx(190, abs=12)
+    assert estimates.memory_grant_mb(request) == pytest.approx(190, abs=12)
 
 
 def test_expected_latency_is_the_run_time_as_the_fleet_answers():
     context, estimates = make_estimates()
     assert estimates.expected_latency(make_request(context, cost=100_000)) == 100_000
-    assert estimates.expected_latency(make_request(context, cost=1)) == 5_000  # nothing is told sooner
+    assert estimates.expected_latency(make_request(context, cost=1)) == 5_000  # the timer resolution at least
     estimates.latency_ratios[0] = 0.5
     assert estimates.expected_latency(make_request(context, cost=100_000)) == 100_000
     estimates.latency_ratios[0] = 3.0
--- a/tests/decisions/test_inspection.py
+++ b/tests/decisions/test_inspection.py
@@ -1,4 +1,4 @@
-"""The regular look at attempts in flight, and when it and the control period are due."""
+"""The inspection of attempts in flight, and when it and the control period are due."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 
 
 class Inspected:
-    """Two engines, and what an inspection of them finds."""
+    """Two engines, and the findings of an inspection."""
 
     def __init__(self):
         self.context = make_context(LOOKUP, replace(LOOKUP, blocked_by_loads=True))
@@ -36,8 +36,8 @@
     def record_silence(self, engine, missing):
         self.silences[engine.id] = missing
 
-    def send(self, number, **what):
-        return start_attempt(self.context, make_request(self.context, number, **what), self.engine)
+    def send(self, number, **fields):
+        return start_attempt(self.context, make_request(self.context, number, **fields), self.engine)
 
     def run(self, after=0):
         self.context.now += after
@@ -121,19 +121,19 @@
 
 
 def make_housekeeping(requests, next_due_at=None):
-    context, looks, part = make_context(), [], Periodic()
+    context, inspections, part = make_context(), [], Periodic()
     lifecycle = SimpleNamespace(requests=requests, next_due_at=lambda: next_due_at)
-    housekeeping = Housekeeping(context, lifecycle, [lambda: looks.append(context.now)], [part])
+    housekeeping = Housekeeping(context, lifecycle, [lambda: inspections.append(context.now)], [part])
     housekeeping.start()
-    return context, housekeeping, looks, part
+    return context, housekeeping, inspections, part
 
 
 def test_inspections_are_100_ms_apart_and_control_periods_two_seconds():
-    context, housekeeping, looks, part = make_housekeeping({})
+    context, housekeeping, inspections, part = make_housekeeping({})
     for _ in range(400):
         context.now += 10_000
         housekeeping.run()
-    assert len(looks) == 40
+    assert len(inspections) == 40
     assert part.periods == 2
 
 
@@ -149,7 +149,7 @@
     housekeeping.schedule_timer()
     assert context.actions == [StartTimer(after)]
     housekeeping.schedule_timer()
-    assert len(context.actions) == 1 + (due == 1)  # one that is still to come is not asked for twice
+    assert len(context.actions) == 1 + (due == 1)  # a running timer is not started again
 
 
 def test_requests_that_still_wait_count_in_the_odds_loop():
@@ -160,7 +160,7 @@
     loop = OddsLoop(context, odds, queues, ClassEstimates(context))
     context.now += 100_000
     loop.end_period()
-    assert odds.ratios == [1.0]  # both waited alike
+    assert odds.ratios == [1.0]  # equal delays
     assert odds.previous_errors == [0.0]
     assert odds.sample_counts == [0, 0]  # there were enough
 
@@ -179,8 +179,8 @@
         return call
 
 
-@pytest.mark.parametrize(("ejected", "asked"), [(False, 2), (True, 3)])
-def test_admission_checks_the_health_of_ejected_engines_then_slow_start_then_capacity(ejected, asked):
+@pytest.mark.parametrize(("ejected", "check_count"), [(False, 2), (True, 3)])
+def test_admission_checks_the_health_of_ejected_engines_then_slow_start_then_capacity(ejected, check_count):
     calls = []
     parts = [Limit(calls, name) for name in ("health", "slow_start", "limits")]
     context = make_context()
@@ -188,9 +188,9 @@
     engine.ejected = ejected
     admission = EngineAdmission(*parts)
     assert admission.admits(engine, make_request(context), 0.0)
-    assert [name for name, _ in calls] == ["health", "slow_start", "limits"][-asked:]
-    for closed in parts[-asked:]:
+    assert [name for name, _ in calls] == ["health", "slow_start", "limits"][-check_count:]
+    for closed in parts[-check_count:]:
         closed.is_open = False
         assert not admission.admits(engine, make_request(context), 0.0)
-        assert calls[-1][0] == closed.name  # what comes behind it is not asked
+        assert calls[-1][0] == closed.name  # the limits after it are not checked
         closed.is_open = True
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from their coming to their final answer, and what ends of attempts mean for them."""
+"""Requests from their arrival to their final answer, and the effects of ends of attempts on them."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -25,7 +25,7 @@
 from cypressledge.decisions.queues import ClassQueues
 from cypressledge.decisions.request import PossibleExecution
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
-from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, start_attempt
+from tests.decisions.parts import LOOKUP, SECOND, CallRecorder, make_context, make_registry, start_attempt
 
 KEYED = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_window=2 * SECOND)
 ZONED = replace(KEYED, deduplication_scope=DeduplicationScope.ZONE)
@@ -33,20 +33,6 @@
 ORDERED = replace(UNSAFE, ordered=True)
 
 
-class Observed:
-    """Stands for whatever learns from answers; notes what it is told."""
-
-    def __init__(self):
-        self.names = []
-
-    def __getattr__(self, name):
-        def told(*arguments):
-            self.names.append(name)
-            return 1_000.0
-
-        return told
-
-
 class Lifecycle:
     """The lifecycle of one class, over two engines."""
 
@@ -63,12 +49,12 @@
         self.lifecycle = RequestLifecycle(
             context, estimates, affinity, self.budget, control, self.odds, queues
         )
-        self.observed = Observed()
+        self.observed = CallRecorder(answer=1_000.0)
         observers = AnswerObservers(*[self.observed] * 6)
         self.outcomes = AttemptOutcomes(context, self.registry, self.lifecycle, policy, observers)
 
-    def receive(self, number=1, key=0, due=5 * SECOND):
-        self.lifecycle.receive(RequestReceived(number, 0, self.context.now + due, key, cost=100_000))
+    def receive(self, number=1, key=0, time_limit=5 * SECOND):
+        self.lifecycle.receive(RequestReceived(number, 0, self.context.now + time_limit, key, cost=100_000))
         return self.lifecycle.requests[number]
 
     def send(self, request):
@@ -157,7 +143,7 @@
 
 @pytest.mark.parametrize(("is_sent", "reason"), [(False, Reason.NO_CAPACITY), (True, Reason.DEADLINE)])
 def test_a_request_ends_30_ms_before_its_deadline(is_sent, reason):
-    """The margin stands in deadlines.py."""
+    """The margin is DEADLINE_MARGIN."""
     setup = Lifecycle()
     request = setup.receive()
     if is_sent:
@@ -202,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "told"),
+    ("outcome", "updates"),
     [
         (Outcome.ERROR, ["record_error"]),
         (Outcome.REJECTED, ["record_rejection"]),
@@ -213,11 +199,11 @@
         (Outcome.NOT_SENT, []),
     ],
 )
-def test_other_outcomes_update_their_observers_and_a_retry_is_queued(outcome, told):
+def test_other_outcomes_update_their_observers_and_a_retry_is_queued(outcome, updates):
     setup = Lifecycle()
     request = setup.send(setup.receive())
     setup.end(request, outcome)
-    assert setup.observed.names == ["release", *told]
+    assert setup.observed.names == ["release", *updates]
     assert request.queued
     assert request.avoided_engine is setup.engine
     assert request.engine is None
--- a/tests/decisions/test_lost_responses.py
+++ b/tests/decisions/test_lost_responses.py
@@ -13,14 +13,14 @@
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
 from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request, start_attempt
 
-PATIENT = replace(LOOKUP, latency_objective=4 * SECOND)
+LONG_OBJECTIVE = replace(LOOKUP, latency_objective=4 * SECOND)
 INTERVAL = SECOND // 2
 
 
 class InFlight:
-    """One attempt in flight, with what watches it."""
+    """One attempt in flight, with the parts that check it for losses and progress."""
 
-    def __init__(self, class_settings=PATIENT, **changes):
+    def __init__(self, class_settings=LONG_OBJECTIVE, **changes):
         self.context = make_context(class_settings, **({"progress_interval": INTERVAL} | changes))
         self.engine = make_registry(self.context, 1).engines[1]
         self.request = start_attempt(self.context, make_request(self.context), self.engine)
@@ -34,9 +34,9 @@
         self.losses = LostResponses(self.context, estimates, control, lifecycle)
         self.progress = ProgressNotifications(self.context, estimates, control, lifecycle)
 
-    def check(self, after, engine_speaks=True):
+    def check(self, after, engine_is_active=True):
         self.context.now += after
-        if engine_speaks:
+        if engine_is_active:
             self.engine.last_activity_at = self.context.now
         return self.losses.check(self.engine, self.request)
 
@@ -67,7 +67,7 @@
 def test_a_silent_engine_loses_no_responses():
     in_flight = InFlight()
     in_flight.engine.last_activity_at = in_flight.context.now
-    assert not in_flight.check(5 * SECOND, engine_speaks=False)
+    assert not in_flight.check(5 * SECOND, engine_is_active=False)
 
 
 def test_nothing_is_lost_where_there_are_no_notifications():
@@ -89,11 +89,11 @@
 
 
 def test_work_with_a_key_is_cancelled_and_work_that_may_not_be_repeated_is_left():
-    keyed = replace(PATIENT, idempotency=Idempotency.WITH_KEY, deduplication_window=60 * SECOND)
+    keyed = replace(LONG_OBJECTIVE, idempotency=Idempotency.WITH_KEY, deduplication_window=60 * SECOND)
     in_flight = InFlight(keyed)
     assert in_flight.check(SECOND)
     assert in_flight.cancelled() == [Reason.RESPONSE_LOST]
-    in_flight = InFlight(replace(PATIENT, idempotency=Idempotency.NOT_IDEMPOTENT))
+    in_flight = InFlight(replace(LONG_OBJECTIVE, idempotency=Idempotency.NOT_IDEMPOTENT))
     assert in_flight.check(SECOND)
     assert in_flight.cancelled() == in_flight.given_up == []
 
@@ -145,15 +145,15 @@
     assert not in_flight.request.blocked
 
 
-@pytest.mark.parametrize("what", ["former attempt", "finished", "cancelling", "no attempt"])
-def test_notifications_of_finished_attempts_are_ignored(what):
+@pytest.mark.parametrize("state", ["former attempt", "finished", "cancelling", "no attempt"])
+def test_notifications_of_finished_attempts_are_ignored(state):
     in_flight = InFlight()
-    if what == "former attempt":
+    if state == "former attempt":
         in_flight.request.attempts = 2
-    elif what == "no attempt":
+    elif state == "no attempt":
         in_flight.request.engine = None
     else:
-        setattr(in_flight.request, what, True)
+        setattr(in_flight.request, state, True)
     in_flight.notify(ProgressKind.WAITING, 2.0, after=SECOND)
     assert in_flight.engine.blocked_until == {}
     assert in_flight.engine.last_activity_at == 0
--- a/tests/decisions/test_manager_final_answers.py
+++ b/tests/decisions/test_manager_final_answers.py
@@ -38,8 +38,8 @@
 def test_a_queued_request_is_rejected_before_its_deadline():
     driver = ManagerDriver(entries=[entry(1, EngineState.DRAINING)])
     driver.arrive(1, class_index=1, time_limit=2 * SECOND)
-    got = final_answers(driver.run(2 * SECOND))
-    assert got == [RejectRequest(1)]
+    answers = final_answers(driver.run(2 * SECOND))
+    assert answers == [RejectRequest(1)]
 
 
 def test_a_timeout_at_the_deadline_still_gets_an_answer():
--- a/tests/decisions/test_manager_retry_budget.py
+++ b/tests/decisions/test_manager_retry_budget.py
@@ -14,10 +14,10 @@
             max_attempts=1000,
         )
     )
-    taken, extra = [], []
+    arrivals, retries = [], []  # times
     for request in range(60):
         driver.arrive(request)
-        taken.append(driver.now)
+        arrivals.append(driver.now)
         before = len(driver.sends)
         while (
             request in driver.manager.requests and driver.manager.requests[request].engine and before < 1000
@@ -25,16 +25,16 @@
             driver.end(request, Outcome.ERROR)
             if len(driver.sends) == before:
                 break
-            extra += [driver.now] * (len(driver.sends) - before)
+            retries += [driver.now] * (len(driver.sends) - before)
             before = len(driver.sends)
-        inside = [t for t in taken if t > driver.now - 10 * SECOND]
-        assert len([t for t in extra if t > driver.now - 10 * SECOND]) <= 2 + 0.2 * len(inside)
+        recent_arrivals = [t for t in arrivals if t > driver.now - 10 * SECOND]
+        assert len([t for t in retries if t > driver.now - 10 * SECOND]) <= 2 + 0.2 * len(recent_arrivals)
         driver.now += 100_000
-    assert len(extra) >= 10
+    assert len(retries) >= 10
 
 
 def test_requests_withdrawn_unsent_do_not_enlarge_the_budget():
-    """A client that takes back hundreds at once must not buy further attempts for the others."""
+    """A client that withdraws hundreds at once must not enlarge the budget for the others."""
     driver = ManagerDriver(
         settings(
             LOOKUP,
--- a/tests/decisions/test_manager_retry_safety.py
+++ b/tests/decisions/test_manager_retry_safety.py
@@ -30,9 +30,9 @@
 def test_not_idempotent_that_may_have_executed_fails(outcome):
     driver = ManagerDriver(settings(NOT_IDEMPOTENT))
     driver.arrive(1)
-    got = driver.end(1, outcome)
-    assert final_answers(got) == [FailRequest(1)]
-    assert not actions_of(StartAttempt, got)
+    actions = driver.end(1, outcome)
+    assert final_answers(actions) == [FailRequest(1)]
+    assert not actions_of(StartAttempt, actions)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
@@ -52,9 +52,9 @@
 def test_not_idempotent_in_flight_fails_at_its_deadline_and_is_not_cancelled():
     driver = ManagerDriver(settings(NOT_IDEMPOTENT))
     driver.arrive(1, time_limit=SECOND)
-    got = driver.run(SECOND)
-    assert final_answers(got) == [FailRequest(1)]
-    assert not cancellations(got)
+    actions = driver.run(SECOND)
+    assert final_answers(actions) == [FailRequest(1)]
+    assert not cancellations(actions)
 
 
 def test_with_key_is_retried_only_within_its_deduplication_scope():
@@ -73,24 +73,24 @@
 def test_with_key_fails_outside_its_deduplication_window():
     driver = ManagerDriver(settings(with_key(DeduplicationScope.CELL)))
     driver.arrive(1)
-    got = driver.end(1, Outcome.RESET, after=5 * SECOND)
-    assert final_answers(got) == [FailRequest(1)]
-    assert not actions_of(StartAttempt, got)
+    actions = driver.end(1, Outcome.RESET, after=5 * SECOND)
+    assert final_answers(actions) == [FailRequest(1)]
+    assert not actions_of(StartAttempt, actions)
 
 
 def test_with_key_is_not_retried_when_the_send_may_leave_outside_its_window():
-    """A link lets a send wait 0.5 s for its connection before it leaves."""
+    """A transport lets a send wait 0.5 s for its connection."""
     for window, again in ((SECOND // 2, 0), (SECOND, 1)):
         driver = ManagerDriver(
             settings(dataclasses.replace(with_key(DeduplicationScope.ALL), deduplication_window=window))
         )
         driver.arrive(1)
-        got = driver.end(1, Outcome.RESET, after=SECOND // 10)
-        assert len(actions_of(StartAttempt, got)) == again
+        actions = driver.end(1, Outcome.RESET, after=SECOND // 10)
+        assert len(actions_of(StartAttempt, actions)) == again
 
 
 def test_with_key_is_not_queued_beyond_its_window():
-    """A repeat that found no place was sent as soon as one came free, window or not."""
+    """Guards against a retry that is sent when an engine becomes free after the window."""
     driver = ManagerDriver(
         settings(
             dataclasses.replace(
@@ -102,10 +102,10 @@
     for request in range(30):
         driver.arrive(request)
     first = driver.sends[0].request
-    got = driver.end(first, Outcome.RESET, after=SECOND // 10)  # the next in the queue takes its place
-    assert not final_answers(got)
+    actions = driver.end(first, Outcome.RESET, after=SECOND // 10)  # the next in the queue is sent instead
+    assert not final_answers(actions)
     assert RejectRequest(first) in driver.run(SECOND)
-    for number in range(1, 30):  # places come free
+    for number in range(1, 30):  # engines become free
         if number < len(driver.sends):
             driver.end(driver.sends[number].request, after=SECOND // 20)
     assert [s.request for s in driver.sends].count(first) == 1
@@ -113,7 +113,7 @@
 
 
 def test_never_two_attempts_in_flight():
-    """A cancelled attempt is out until its outcome comes."""
+    """A cancelled attempt is in flight until it has ended."""
     driver = ManagerDriver(settings(dataclasses.replace(LOOKUP, latency_objective=4 * SECOND)))
     run_with_silent_engine(driver)
     moved = {a.request for a in cancellations(driver.actions)}
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -42,9 +42,9 @@
     def engine(self, number):
         return self.registry.engines[number]
 
-    def chosen(self, times=200, **what):
+    def chosen(self, times=200, **fields):
         """How often each engine is chosen for a request."""
-        return self.chosen_for(make_request(self.context, **what), times)
+        return self.chosen_for(make_request(self.context, **fields), times)
 
     def chosen_for(self, request, times=200):
         engines = (self.router.choose(request) for _ in range(times))
