--- a/cypressledge/controlplane/applied_versions.py
+++ b/cypressledge/controlplane/applied_versions.py
@@ -4,13 +4,12 @@
 the newest version.
 """
 
-from collections.abc import Collection
+from collections.abc import Collection, Mapping
 from dataclasses import dataclass
-from itertools import islice
 
 from cypressledge.controlplane.messages import AppliedReport
 
-MAX_NAMES = 50  # of brokers that an answer lists
+MAX_NAMES = 50  # of brokers that an answer or event lists
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,37 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LagReport:
-    """How far connected brokers are behind a version.
+    """Which connected brokers have not a version in force.
 
-    `behind`: those that have not reached it; `rejections`: those that hold it but have rejected some of it,
+    `lagging`: those that have not reached it; `rejections`: those that hold it but have rejected some of it,
     and why; `unreachable`: those that are registered but connected nowhere; `unheard`: control processes that
     are alive but have not reported yet: until they have, nobody knows who lags.
     """
 
     version: int
     connected: int
-    behind: list[str]
+    lagging: list[str]
     rejections: dict[str, str]
     registered: int
     unreachable: list[str]
     unheard: list[str]
 
-    def to_json(self) -> dict[str, object]:
-        """As the operators' call answers it, with `MAX_NAMES` names of a kind at the most."""
-        return {
-            "version": self.version,
-            "connected": self.connected,
-            "in_force": self.connected - len(self.behind) - len(self.rejections),
-            "refused": len(self.rejections),
-            "refused_by": dict(islice(self.rejections.items(), MAX_NAMES)),
-            "lagging": len(self.behind),
-            "names": self.behind[:MAX_NAMES],
-            "registered": self.registered,
-            "unreachable": len(self.unreachable),
-            "unreachable_names": self.unreachable[:MAX_NAMES],
-            "unheard": self.unheard,
-        }
-
 
 class AppliedVersions:
     """The newest reports of all control processes about their brokers."""
@@ -85,8 +68,8 @@
         """This process leads no more."""
         self._reports.clear()
 
-    def latest(self) -> dict[str, AppliedVersion]:
-        """Each connected broker, as last reported."""
+    def latest(self) -> Mapping[str, AppliedVersion]:
+        """Each connected broker, by name, as last reported."""
         latest: dict[str, AppliedVersion] = {}
         for brokers in self._reports.values():
             for name, applied in brokers.items():
@@ -112,7 +95,7 @@
         return LagReport(
             version=version,
             connected=len(latest),
-            behind=sorted(name for name, applied in latest.items() if applied.version < version),
+            lagging=sorted(name for name, applied in latest.items() if applied.version < version),
             rejections={
                 name: applied.rejection
                 for name, applied in sorted(latest.items())
--- a/cypressledge/controlplane/change_proposals.py
+++ b/cypressledge/controlplane/change_proposals.py
@@ -4,13 +4,25 @@
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
+from msgspec import UNSET
+
 from cypressledge.controlplane.activity_record import ActivityRecord
 from cypressledge.controlplane.errors import NotLeaderError, VersionConflictError
 from cypressledge.controlplane.faults import FaultInjection
 from cypressledge.controlplane.inbox import Inbox, InboxFullError
 from cypressledge.controlplane.leadership import Leadership
 from cypressledge.controlplane.messages import Op
-from cypressledge.controlplane.operator_calls import ChangeRequest, reject
+from cypressledge.controlplane.operator_calls import ChangeRequest, reject, send_answer
+from cypressledge.controlplane.operator_messages import (
+    AcknowledgedAnswer,
+    Answer,
+    AnswerBody,
+    ConflictAnswer,
+    DryRunAnswer,
+    LeaderAddresses,
+    NotLeaderAnswer,
+    OutcomeUnknownAnswer,
+)
 from cypressledge.controlplane.process_events import ProcessEvents
 from cypressledge.controlplane.proposals import PendingProposal
 from cypressledge.controlplane.settings import ServerSpec
@@ -30,12 +42,13 @@
     leadership: Leadership
     servers: list[ServerSpec]
 
-    def locate(self) -> dict[str, object]:
-        """Part of most answers: the leader's name and address, empty where there is none, and the addresses
-        of all control processes."""
+    def locate(self) -> LeaderAddresses:
+        """As far as is known here."""
         addresses = {server.name: server.management for server in self.servers}
         leader = self.leadership.leader
-        return {"primary": leader, "at": addresses.get(leader, ""), "servers": list(addresses.values())}
+        return LeaderAddresses(
+            leader=leader, address=addresses.get(leader, ""), servers=list(addresses.values())
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +83,7 @@
         try:
             self.inbox.put_nowait(self._propose, change, exchange)
         except InboxFullError:
-            self._answer(exchange, HTTPStatus.SERVICE_UNAVAILABLE, {"answer": "unknown", "why": "busy"})
+            self._answer(exchange, HTTPStatus.SERVICE_UNAVAILABLE, OutcomeUnknownAnswer(UNSET, "busy"))
 
     def settle(self, now: int) -> int:
         """Answer the changes of which it is known what became of them; when to call again, µs."""
@@ -100,17 +113,10 @@
                 now, change.ops, base, change.request, change.who, change.why, time.time_ns() // 1_000_000
             )
         except NotLeaderError:
-            self._answer(exchange, HTTPStatus.MISDIRECTED_REQUEST, {"answer": "not primary"})
+            self._answer(exchange, HTTPStatus.MISDIRECTED_REQUEST, NotLeaderAnswer())
         except VersionConflictError as err:
-            exchange.json(
-                HTTPStatus.CONFLICT,
-                {
-                    "answer": "clash",
-                    "why": str(err),
-                    "keys": err.keys,
-                    "version": leadership.latest_state().version,
-                },
-            )
+            conflict = ConflictAnswer(str(err), err.keys, leadership.latest_state().version)
+            send_answer(exchange, Answer(HTTPStatus.CONFLICT, conflict))
         except StateError as err:
             reject(exchange, HTTPStatus.BAD_REQUEST, str(err))
         else:
@@ -123,11 +129,7 @@
         validate_change(state, change.ops)
         if keys := find_conflicts(state, base, change.ops):
             raise VersionConflictError(keys)
-        self._answer(
-            exchange,
-            HTTPStatus.OK,
-            {"answer": "would do", "version": state.version + 1, "keys": len(change.ops)},
-        )
+        self._answer(exchange, HTTPStatus.OK, DryRunAnswer(state.version + 1, len(change.ops)))
 
     def _acknowledge(self, waiting: _WaitingChange) -> None:
         ticket, change = waiting.ticket, waiting.change
@@ -142,24 +144,18 @@
             why=change.why,
         )
         self.record.write("acknowledged", epoch=ticket.epoch, version=ticket.version, request=change.request)
-        self._answer(
-            waiting.exchange,
-            HTTPStatus.OK,
-            {"answer": "done", "version": ticket.version, "epoch": ticket.epoch, "request": change.request},
-        )
+        acknowledged = AcknowledgedAnswer(ticket.version, ticket.epoch, change.request)
+        self._answer(waiting.exchange, HTTPStatus.OK, acknowledged)
 
     def _answer_unknown(self, waiting: _WaitingChange) -> None:
         version = waiting.ticket.version
         self.events.emit("change_unknown", version=version, request=waiting.change.request)
-        self._answer(
-            waiting.exchange,
-            HTTPStatus.SERVICE_UNAVAILABLE,
-            {"answer": "unknown", "version": version, "why": "no majority in time"},
-        )
+        unknown = OutcomeUnknownAnswer(version, "no majority in time")
+        self._answer(waiting.exchange, HTTPStatus.SERVICE_UNAVAILABLE, unknown)
 
-    def _answer(self, exchange: HttpExchange, status: HTTPStatus, body: dict[str, object]) -> None:
+    def _answer(self, exchange: HttpExchange, status: HTTPStatus, body: AnswerBody) -> None:
         """With where the leader is: the caller asks there next time."""
-        exchange.json(status, body | self.locator.locate())
+        send_answer(exchange, Answer(status, body, self.locator.locate()))
 
 
 def check_new(state: FleetState, change: ChangeRequest) -> None:
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -28,7 +28,6 @@
     HELLO_TIMEOUT_S,
     ConnectionEndedError,
     FramedConnection,
-    TrafficCounters,
 )
 from cypressledge.controlplane.inbox import Inbox
 from cypressledge.controlplane.leader_reports import (
@@ -52,6 +51,7 @@
 from cypressledge.controlplane.sqlite_storage import OpenMode, SqliteStorage, StorageUnusableError
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError, encode_value
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.leases.electorate import Electorate
--- a/cypressledge/controlplane/framing.py
+++ b/cypressledge/controlplane/framing.py
@@ -1,5 +1,4 @@
 """Messages (`messages.py`) framed over TCP, on a gevent socket: one reader, and a writer nobody waits for.
-for.
 
 Guards against peers that send nothing, a byte a second, too much or nonsense, and against those that don't
 read: each is bounded in time and in bytes, and costs its own connection alone.
@@ -7,12 +6,11 @@
 
 import errno
 import time
-from collections import Counter
-from typing import Literal
 
 from gevent import Timeout, sleep, socket
 
 from cypressledge.controlplane.messages import MAX_FRAME_BYTES, InvalidFrameError, Message, decode, encode
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.net import socket_io
 from cypressledge.net.receive_buffer import BufferLimitError, ReceiveBuffer
 from cypressledge.net.socket_io import close_socket, shutdown_write
@@ -34,26 +32,6 @@
     """The connection has ended, and why: closed, nonsense, too long, too slow, or the system's words."""
 
 
-class TrafficCounters:
-    """Frames and bytes, by tag and direction."""
-
-    def __init__(self) -> None:
-        self.frames: Counter[str] = Counter()
-        self.bytes: Counter[str] = Counter()
-
-    def add(self, direction: Literal["in", "out"], message: Message, size: int) -> None:
-        """Count one more frame of `size` bytes, its length prefix included."""
-        key = f"{direction}.{message.__struct_config__.tag}"
-        self.frames[key] += 1
-        self.bytes[key] += size
-
-    def show(self) -> dict[str, dict[str, int]]:
-        """By direction and tag, as operators' calls answer it."""
-        return {
-            key: {"frames": count, "bytes": self.bytes[key]} for key, count in sorted(self.frames.items())
-        }
-
-
 class FramedConnection:
     """One connection. Whoever calls `receive` is its only reader, and closes it in the end.
 
--- a/cypressledge/controlplane/operator_api.py
+++ b/cypressledge/controlplane/operator_api.py
@@ -1,5 +1,6 @@
 """What a control process shows operators: its status, who lags, the state and its history."""
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from http import HTTPStatus
 
@@ -7,13 +8,23 @@
 from cypressledge.controlplane.applied_versions import AppliedVersions
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.change_proposals import ChangeProposals, LeaderLocator
-from cypressledge.controlplane.framing import TrafficCounters
 from cypressledge.controlplane.leadership import Leadership
 from cypressledge.controlplane.messages import Change
-from cypressledge.controlplane.operator_calls import Answer, Call, read_version
+from cypressledge.controlplane.operator_calls import Call, read_version
+from cypressledge.controlplane.operator_messages import (
+    Answer,
+    ChangeSummary,
+    HistoryAnswer,
+    LagAnswer,
+    NotLeaderAnswer,
+    StateAnswer,
+    StateEntry,
+    StatusAnswer,
+)
 from cypressledge.controlplane.peer_connections import PeerSender
 from cypressledge.controlplane.publisher import Publisher
 from cypressledge.controlplane.state_values import decode_value
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.net.http_server import HttpRequest
 
 MAX_CHANGES_SHOWN = 500
@@ -41,8 +52,8 @@
     locator: LeaderLocator
     counts: ProcessCounts
 
-    def calls(self) -> dict[str, Call]:
-        """By path."""
+    def calls(self) -> Mapping[str, Call]:
+        """The calls by path."""
         return {
             "/control/status": self.status,
             "/control/lag": self.lag,
@@ -52,86 +63,73 @@
 
     def status(self, request: HttpRequest) -> Answer:
         """How this process stands."""
-        now, state, counts = self.leadership.clock.now(), self.history.state, self.counts
-        replica = self.leadership.replica.status(now)
-        return Answer(
-            HTTPStatus.OK,
-            {
-                "name": self.leadership.name,
-                "run": f"{self.run_id:x}",
-                "role": replica.role,
-                "epoch": replica.epoch,
-                "version": state.version,
-                "digest": state.digest.hex(),
-                "lineage": state.cluster_id,
-                "last": replica.last,
-                "commit": replica.commit,
-                "match": replica.match,
-                "silent_ms": replica.leader_silence_ms,
-                "joining": replica.joining,
-                "brokers": len(counts.publisher.subscriptions),
-                "peers": sorted(counts.sender.reachable),
-                "keys": len(state.entries),
-                "bytes": state.size_bytes,
-                "waiting": counts.proposals.waiting,
-                "traffic": counts.traffic.show(),
-                "counters": counts.counters.show(),
-                "published": counts.publisher.counters.show(),
-            }
-            | self.locator.locate(),
+        replica = self.leadership.replica.status(self.leadership.clock.now())
+        state, counts = self.history.state, self.counts
+        status = StatusAnswer(
+            name=self.leadership.name,
+            run=f"{self.run_id:x}",
+            role=replica.role,
+            epoch=replica.epoch,
+            version=state.version,
+            digest=state.digest.hex(),
+            cluster_id=state.cluster_id,
+            last=replica.last,
+            commit=replica.commit,
+            match=replica.match,
+            leader_silence_ms=replica.leader_silence_ms,
+            joining=replica.joining,
+            brokers=len(counts.publisher.subscriptions),
+            peers=sorted(counts.sender.reachable),
+            key_count=len(state.entries),
+            size_bytes=state.size_bytes,
+            waiting=counts.proposals.waiting,
+            traffic=counts.traffic.show(),
+            counters=counts.counters.show(),
+            published=counts.publisher.counters.show(),
         )
+        return Answer(HTTPStatus.OK, status, self.locator.locate())
 
     def lag(self, request: HttpRequest) -> Answer:
         """Which brokers have not a version yet. Only the leader knows."""
         if not self.leadership.is_leader:
-            return Answer(HTTPStatus.MISDIRECTED_REQUEST, {"answer": "not primary"} | self.locator.locate())
+            return Answer(HTTPStatus.MISDIRECTED_REQUEST, NotLeaderAnswer(), self.locator.locate())
         state = self.history.state
         registered = [key.removeprefix("broker/") for key in state.entries if key.startswith("broker/")]
         version = read_version(request, "version", 0) or state.version
-        lag = self.applied.lag(version, registered, self.leadership.node.alive())
-        return Answer(HTTPStatus.OK, {"answer": "lag", "newest": state.version} | lag.to_json())
+        report = self.applied.lag(version, registered, self.leadership.node.alive())
+        return Answer(HTTPStatus.OK, LagAnswer.from_report(report, newest=state.version))
 
     def state(self, request: HttpRequest) -> Answer:
         """The committed state: the keys with a prefix."""
         prefix, state = request.params.get("prefix", ""), self.history.state
         entries = {
-            key: {"value": decode_value(entry.value), "version": entry.version}
+            key: StateEntry(decode_value(entry.value), entry.version)
             for key, entry in sorted(state.entries.items())
             if key.startswith(prefix)
         }
-        return Answer(
-            HTTPStatus.OK,
-            {
-                "epoch": state.epoch,
-                "version": state.version,
-                "digest": state.digest.hex(),
-                "lineage": state.cluster_id,
-                "entries": entries,
-            },
-        )
+        shown = StateAnswer(state.epoch, state.version, state.digest.hex(), state.cluster_id, entries)
+        return Answer(HTTPStatus.OK, shown)
 
     def changes(self, request: HttpRequest) -> Answer:
         """The changes that are kept, from a version on, oldest first."""
         first = read_version(request, "from", 0)
         kept = [change for change in self.history.changes if change.version >= first]
-        return Answer(
-            HTTPStatus.OK,
-            {
-                "from": self.history.base.version + 1,
-                "to": self.history.state.version,
-                "changes": [_shown_change(change) for change in kept[:MAX_CHANGES_SHOWN]],
-            },
+        history = HistoryAnswer(
+            first_kept=self.history.base.version + 1,
+            newest=self.history.state.version,
+            changes=[_summarize(change) for change in kept[:MAX_CHANGES_SHOWN]],
         )
-
-
-def _shown_change(change: Change) -> dict[str, object]:
-    return {
-        "version": change.version,
-        "epoch": change.epoch,
-        "at": change.created_at_ms,
-        "who": change.author,
-        "why": change.reason,
-        "request": change.request_id,
-        "set": [op.key for op in change.ops if op.value is not None],
-        "removed": [op.key for op in change.ops if op.value is None],
-    }
+        return Answer(HTTPStatus.OK, history)
+
+
+def _summarize(change: Change) -> ChangeSummary:
+    return ChangeSummary(
+        version=change.version,
+        epoch=change.epoch,
+        created_at_ms=change.created_at_ms,
+        author=change.author,
+        reason=change.reason,
+        request_id=change.request_id,
+        assigned=[op.key for op in change.ops if op.value is not None],
+        removed=[op.key for op in change.ops if op.value is None],
+    )
--- a/cypressledge/controlplane/operator_calls.py
+++ b/cypressledge/controlplane/operator_calls.py
@@ -4,12 +4,13 @@
 """
 
 import json
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from http import HTTPStatus
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import Op
+from cypressledge.controlplane.operator_messages import Answer, RejectedAnswer
 from cypressledge.controlplane.state_values import StateError, encode_value
 from cypressledge.net.http_server import HttpExchange, HttpRequest, HttpServer
 
@@ -36,14 +37,6 @@
     dry_run: bool
 
 
-@dataclass(frozen=True, slots=True)
-class Answer:
-    """What a call answers: an HTTP status, and what is shown as JSON."""
-
-    status: HTTPStatus
-    body: dict[str, object]
-
-
 def read_change(body: bytes) -> ChangeRequest:
     """A change from its JSON. Raises `BadRequestError`."""
     try:
@@ -98,7 +91,7 @@
         listen: tuple[str, int],
         counters: Counters,
         submit_change: Callable[[ChangeRequest, HttpExchange], None],
-        calls: dict[str, Call],
+        calls: Mapping[str, Call],
     ) -> None:
         self._counters, self._submit_change, self._calls = counters, submit_change, calls
         self._server = HttpServer(listen, counters, "management", MAX_BODY_BYTES, self._handle)
@@ -124,12 +117,16 @@
             elif request.method != "GET":
                 reject(exchange, HTTPStatus.METHOD_NOT_ALLOWED, "only GET")
             else:
-                answer = call(request)
-                exchange.json(answer.status, answer.body)
+                send_answer(exchange, call(request))
         except BadRequestError as err:
             reject(exchange, HTTPStatus.BAD_REQUEST, str(err))
 
 
+def send_answer(exchange: HttpExchange, answer: Answer) -> None:
+    """Send a call's complete answer."""
+    exchange.json(answer.status, answer.to_json())
+
+
 def reject(exchange: HttpExchange, status: HTTPStatus, why: str) -> None:
     """Answer a call that can't be made as it is."""
-    exchange.json(status, {"answer": "bad", "why": why})
+    send_answer(exchange, Answer(status, RejectedAnswer(why)))
--- /dev/null
+++ b/cypressledge/controlplane/operator_messages.py
@@ -0,0 +1,208 @@
+"""The JSON bodies of operators' calls: what is answered.
+
+The fields of a struct stand in the order of its JSON. Where a field's key is another word than its name,
+`msgspec.field(name=...)` says which. An answer with a tag has it under `answer`, first.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from http import HTTPStatus
+
+import msgspec
+
+from cypressledge.controlplane.applied_versions import MAX_NAMES, LagReport
+from cypressledge.controlplane.traffic_counters import FrameCounts
+
+
+class LeaderAddresses(msgspec.Struct, frozen=True, kw_only=True):
+    """Where operators find the leader: the last fields of most answers.
+
+    `leader` and `address` (HOST:PORT) are empty where there is none; `servers`: addresses of all control
+    processes.
+    """
+
+    leader: str = msgspec.field(default="", name="primary")
+    address: str = msgspec.field(default="", name="at")
+    servers: list[str] = []
+
+
+class StatusAnswer(msgspec.Struct, frozen=True, kw_only=True):
+    """`GET /control/status`: how a control process stands.
+
+    `run`: its instance id, hexadecimal; `role`: one of `Role`, or `learner`; `cluster_id` (key `lineage`): of
+    the history held. `last`, `commit`, `match`: see `ReplicaStatus`; `leader_silence_ms` (key `silent_ms`):
+    since a leader was last heard from, -1: never. `brokers`: how many are connected here; `peers`: names of
+    the control processes that can be reached; `key_count` (key `keys`) and `size_bytes` (key `bytes`): of the
+    committed state; `waiting`: changes that wait for their majority. `traffic`: by direction and tag of a
+    message; `counters` and `published`: by name, of the process and of its publisher.
+    """
+
+    name: str
+    run: str
+    role: str
+    epoch: int
+    version: int
+    digest: str
+    cluster_id: str = msgspec.field(name="lineage")
+    last: int
+    commit: int
+    match: Mapping[str, int]
+    leader_silence_ms: int = msgspec.field(name="silent_ms")
+    joining: bool
+    brokers: int
+    peers: list[str]
+    key_count: int = msgspec.field(name="keys")
+    size_bytes: int = msgspec.field(name="bytes")
+    waiting: int
+    traffic: Mapping[str, FrameCounts]
+    counters: Mapping[str, int]
+    published: Mapping[str, int]
+
+
+class LagAnswer(msgspec.Struct, frozen=True, kw_only=True, tag_field="answer", tag="lag"):
+    """`GET /control/lag`: which connected brokers have not a version in force, of each kind `MAX_NAMES` names
+    at the most. Leaders of older releases leave out fields that have a default.
+
+    `newest`: the newest committed version. `connected`, `in_force`, `rejection_count` (key `refused`),
+    `lagging_count` (key `lagging`), `registered` and `unreachable_count` (key `unreachable`) count brokers;
+    see `LagReport` for the others.
+    """
+
+    newest: int = 0
+    version: int
+    connected: int
+    in_force: int
+    rejection_count: int = msgspec.field(default=0, name="refused")
+    rejections: Mapping[str, str] = msgspec.field(default_factory=dict, name="refused_by")
+    lagging_count: int = msgspec.field(name="lagging")
+    lagging: list[str] = msgspec.field(name="names")
+    registered: int = 0
+    unreachable_count: int = msgspec.field(name="unreachable")
+    unreachable: list[str] = msgspec.field(name="unreachable_names")
+    unheard: list[str]
+
+    @classmethod
+    def from_report(cls, report: LagReport, newest: int) -> "LagAnswer":
+        """The answer that tells of a report."""
+        lagging, rejections = report.lagging, report.rejections
+        return cls(
+            newest=newest,
+            version=report.version,
+            connected=report.connected,
+            in_force=report.connected - len(lagging) - len(rejections),
+            rejection_count=len(rejections),
+            rejections=dict(list(rejections.items())[:MAX_NAMES]),
+            lagging_count=len(lagging),
+            lagging=lagging[:MAX_NAMES],
+            registered=report.registered,
+            unreachable_count=len(report.unreachable),
+            unreachable=report.unreachable[:MAX_NAMES],
+            unheard=report.unheard,
+        )
+
+
+class StateEntry(msgspec.Struct, frozen=True):
+    """One key of the state: its value as plain data, and the version that set it."""
+
+    value: object
+    version: int
+
+
+class StateAnswer(msgspec.Struct, frozen=True):
+    """`GET /control/state`: the committed state; `entries`: by key, those with the prefix asked for."""
+
+    epoch: int
+    version: int
+    digest: str
+    cluster_id: str = msgspec.field(name="lineage")
+    entries: Mapping[str, StateEntry]
+
+
+class ChangeSummary(msgspec.Struct, frozen=True, kw_only=True):
+    """One change of the history: when it was asked for (ms, wall clock), by whom and why, and its keys."""
+
+    version: int
+    epoch: int
+    created_at_ms: int = msgspec.field(name="at")
+    author: str = msgspec.field(name="who")
+    reason: str = msgspec.field(name="why")
+    request_id: str = msgspec.field(name="request")
+    assigned: list[str] = msgspec.field(name="set")
+    removed: list[str]
+
+
+class HistoryAnswer(msgspec.Struct, frozen=True):
+    """`GET /control/history`: changes, oldest first; `first_kept` (key `from`) and `newest` (key `to`):
+    versions between which all changes are kept."""
+
+    first_kept: int = msgspec.field(name="from")
+    newest: int = msgspec.field(name="to")
+    changes: list[ChangeSummary]
+
+
+class DryRunAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag="would do"):
+    """A dry run: the version that the change would be, and how many keys it would touch (key `keys`)."""
+
+    version: int
+    key_count: int = msgspec.field(name="keys")
+
+
+class AcknowledgedAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag="done"):
+    """A change is committed, as this version."""
+
+    version: int
+    epoch: int
+    request: str
+
+
+class ConflictAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag="clash"):
+    """A change was refused: `keys` have changed since its base. `version`: the newest there is."""
+
+    why: str
+    keys: list[str]
+    version: int
+
+
+class OutcomeUnknownAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag="unknown"):
+    """It isn't known what became of a change. `version`: the one it may have become, if it was proposed."""
+
+    version: int | msgspec.UnsetType
+    why: str
+
+
+class NotLeaderAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag="not primary"):
+    """Only the leader answers this call."""
+
+
+class RejectedAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag="bad"):
+    """A call that can't be made as it is, and why."""
+
+    why: str
+
+
+AnswerBody = (
+    StatusAnswer
+    | LagAnswer
+    | StateAnswer
+    | HistoryAnswer
+    | DryRunAnswer
+    | AcknowledgedAnswer
+    | ConflictAnswer
+    | OutcomeUnknownAnswer
+    | NotLeaderAnswer
+    | RejectedAnswer
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """What a call answers: an HTTP status and a body, where it helps the caller with where the leader is."""
+
+    status: HTTPStatus
+    body: AnswerBody
+    leader: LeaderAddresses | None = None
+
+    def to_json(self) -> Mapping[str, object]:
+        """The JSON object, with the leader's addresses last."""
+        fields = msgspec.to_builtins(self.body)
+        return fields if self.leader is None else fields | msgspec.to_builtins(self.leader)
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -19,7 +19,6 @@
     HELLO_TIMEOUT_S,
     ConnectionEndedError,
     FramedConnection,
-    TrafficCounters,
     connect,
 )
 from cypressledge.controlplane.inbox import Inbox
@@ -34,6 +33,7 @@
 )
 from cypressledge.controlplane.process_events import EventLogger, ProcessEvents
 from cypressledge.controlplane.settings import ServerSpec
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 
 BACKOFF_MIN_S, BACKOFF_MAX_S = 0.05, 1.0  # between attempts to reach a peer, doubling
 REJECTED_RETRY_MS = 1_000  # that a peer which was turned down stays away
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -13,7 +13,7 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import parse_address
 from cypressledge.controlplane.activity_record import ActivityRecord
-from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters, connect
+from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, connect
 from cypressledge.controlplane.messages import Change, Message
 from cypressledge.controlplane.process_events import EventLogger
 from cypressledge.controlplane.server_selection import Server
@@ -25,6 +25,7 @@
     SubscriberCallbacks,
     SubscriberStatus,
 )
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
 
--- a/tests/controlplane/test_control_framing.py
+++ b/tests/controlplane/test_control_framing.py
@@ -6,8 +6,9 @@
 import pytest
 from gevent import socket
 
-from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters
+from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection
 from cypressledge.controlplane.messages import CompleteSnapshot
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 
 
 @pytest.fixture
--- a/tests/controlplane/test_control_parts.py
+++ b/tests/controlplane/test_control_parts.py
@@ -5,6 +5,7 @@
 from types import SimpleNamespace
 
 import gevent
+import msgspec
 import pytest
 from gevent import socket
 
@@ -12,12 +13,12 @@
 from cypressledge.config import ConfigError
 from cypressledge.controlplane import cli
 from cypressledge.controlplane import framing as frames_module
-from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions
+from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions, LagReport
 from cypressledge.controlplane.broker_integration import BrokerIntegration
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.change_proposals import check_new
 from cypressledge.controlplane.faults import FaultInjection
-from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters
+from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection
 from cypressledge.controlplane.log_storage import StorageError
 from cypressledge.controlplane.messages import (
     MAX_FRAME_BYTES,
@@ -31,8 +32,10 @@
     encode,
 )
 from cypressledge.controlplane.operator_calls import BadRequestError, ChangeRequest, read_change
+from cypressledge.controlplane.operator_messages import LagAnswer
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError, decode_value, encode_value
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 
 ONE, TWO = AppliedPosition(7, 3, bytes(16)), Disconnect("stopping", 5)
 
@@ -144,22 +147,27 @@
         reader.receive(2)
 
 
+def lag_json(report: LagReport) -> dict:
+    """A report as the operators' call answers it."""
+    return msgspec.to_builtins(LagAnswer.from_report(report, newest=report.version))
+
+
 def test_who_lags_is_said_by_those_who_know():
     table = AppliedVersions()
     table.report(1, "c1", AppliedReport(True, [("b1", 11, 5), ("b2", 12, 4)]))
-    told = table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"}).to_json()
+    told = lag_json(table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"}))
     assert (told["connected"], told["in_force"], told["names"]) == (2, 1, ["b2"])
     assert (told["unreachable_names"], told["unheard"]) == (["b3"], ["c2"])
     table.report(2, "c2", AppliedReport(False, [("b3", 13, 5)]))  # changes of what isn't known here
-    assert table.lag(5, {"b3"}, {"c1", "c2"}).to_json()["unheard"] == ["c2"]
+    assert lag_json(table.lag(5, {"b3"}, {"c1", "c2"}))["unheard"] == ["c2"]
     table.report(3, "c2", AppliedReport(True, [("b2", 12, 5)]))  # b2 has moved
-    assert table.lag(5, (), {"c1", "c2"}).to_json()["lagging"] == 0
+    assert lag_json(table.lag(5, (), {"c1", "c2"}))["lagging"] == 0
     table.report(4, "c1", AppliedReport(False, [("b2", 12, -1)]))
     assert table.latest()["b2"].version == 5
     table.drop("c2")
-    assert table.lag(5, {"b2"}, {"c1"}).to_json()["unreachable_names"] == ["b2"]
+    assert lag_json(table.lag(5, {"b2"}, {"c1"}))["unreachable_names"] == ["b2"]
     table.report(5, "c1", AppliedReport(True, [(f"x{i}", 1, 0) for i in range(200)]))
-    told = table.lag(1, (), {"c1"}).to_json()
+    told = lag_json(table.lag(1, (), {"c1"}))
     assert (told["lagging"], len(told["names"])) == (200, MAX_NAMES)
 
 
@@ -169,15 +177,15 @@
     table.report(
         1, "c1", AppliedReport(True, [("b1", 1, 5), ("b2", 1, 4), ("b3", 1, 5)], {"b3": why, "b2": "older"})
     )
-    told = table.lag(5, (), {"c1"}).to_json()
+    told = lag_json(table.lag(5, (), {"c1"}))
     assert (told["connected"], told["in_force"], told["lagging"], told["refused"]) == (3, 1, 1, 1)
     assert told["refused_by"] == {"b3": why}  # b2 has yet to say what it does with this version
     table.report(2, "c1", AppliedReport(False, [("b3", 1, 6)]))
-    told = table.lag(5, (), {"c1"}).to_json()
+    told = lag_json(table.lag(5, (), {"c1"}))
     assert (told["in_force"], told["refused"], told["refused_by"]) == (2, 0, {})
     many = [(f"x{i}", 1, 9) for i in range(200)]
     table.report(3, "c1", AppliedReport(True, many, {f"x{i}": why for i in range(99)}))
-    told = table.lag(9, (), {"c1"}).to_json()
+    told = lag_json(table.lag(9, (), {"c1"}))
     assert (told["in_force"], told["refused"], len(told["refused_by"])) == (101, 99, MAX_NAMES)
 
 
--- a/tests/fakes/fake_control.py
+++ b/tests/fakes/fake_control.py
@@ -11,7 +11,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.change_history import compress_snapshot
-from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters
+from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection
 from cypressledge.controlplane.messages import (
     FORMAT,
     Change,
@@ -27,6 +27,7 @@
 from cypressledge.controlplane.state_values import encode_value
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 
 WAIT = 25.0  # seconds that a lying control process waits for a message at most
 SMALL_BUFFER_BYTES = 4096
--- a/tests/recordings/test_control_messages_recording.py
+++ b/tests/recordings/test_control_messages_recording.py
@@ -14,8 +14,9 @@
 
 from cypressledge.controlplane import messages
 from cypressledge.controlplane.change_history import compress_snapshot, decompress_snapshot
-from cypressledge.controlplane.framing import FramedConnection, TrafficCounters
+from cypressledge.controlplane.framing import FramedConnection
 from cypressledge.controlplane.messages import Change, Message, Op, Snapshot, StateEntry
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 
 RECORDED = json.loads((Path(__file__).parent / "control_messages.json").read_text())
 
