--- a/cypressledge/controlplane/change_history.py
+++ b/cypressledge/controlplane/change_history.py
@@ -9,7 +9,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import MAX_BATCH_BYTES, MAX_FRAME_BYTES, Change, Snapshot
-from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state import DigestPosition, FleetState
 from cypressledge.controlplane.state_values import StateError
 
 MAX_KEPT_CHANGES = 4_096
@@ -21,14 +21,6 @@
 _decode_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
-class DigestPosition(NamedTuple):
-    """A position and the digest of the state there: equal ones are of one history."""
-
-    epoch: int
-    version: int
-    digest: bytes
-
-
 class _KeptChange(NamedTuple):
     change: Change
     size: int  # encoded bytes
@@ -64,7 +56,7 @@
 
     def _start_from(self, state: FleetState) -> None:
         self.state = state
-        self.base = DigestPosition(state.epoch, state.version, state.digest)  # the changes kept follow it
+        self.base = state.digest_position  # the changes kept follow it
         self._kept: deque[_KeptChange] = deque()
         self.kept_bytes = 0  # encoded
         self._compressed: tuple[DigestPosition, bytes] | None = None
@@ -128,8 +120,7 @@
 
     def compressed_snapshot(self) -> bytes:
         """The snapshot of the newest version as it goes into a message; made once a version."""
-        state = self.state
-        position = DigestPosition(state.epoch, state.version, state.digest)
+        position = self.state.digest_position
         if self._compressed is None or self._compressed[0] != position:
-            self._compressed = position, compress_snapshot(state.snapshot())
+            self._compressed = position, compress_snapshot(self.state.snapshot())
         return self._compressed[1]
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -27,8 +27,9 @@
     to_printable_line,
 )
 from cypressledge.controlplane.snapshot_throttle import SnapshotThrottle
+from cypressledge.controlplane.state import DigestPosition
 from cypressledge.controlplane.state_values import KEY_PATTERN, Broker, StateError, address_of, encode_value
-from cypressledge.controlplane.subscription import Position, Subscription
+from cypressledge.controlplane.subscription import Subscription
 from cypressledge.controlplane.subscription_table import SubscriptionTable
 
 MIN_TICK = 50_000  # µs between ticks at least: guards against one wake for each broker's heartbeat
@@ -94,7 +95,7 @@
             hello.name,
             hello.instance_id,
             hello.cluster_id,
-            (hello.epoch, hello.version, hello.digest),
+            DigestPosition(hello.epoch, hello.version, hello.digest),
             self._registration(hello),
             now,
             rejection_reason=to_printable_line(hello.rejection_reason),
@@ -126,7 +127,7 @@
         if subscription is None:
             return
         if isinstance(message, AppliedPosition) and subscription.expected_position is not None:
-            position = message.epoch, message.version, message.digest
+            position = DigestPosition(message.epoch, message.version, message.digest)
             self._on_position(subscription, position, to_printable_line(message.rejection_reason))
         elif isinstance(message, SnapshotRequest) and subscription.may_request_snapshot():
             subscription.expected_position, subscription.needs_snapshot = None, True
@@ -208,7 +209,7 @@
             self._event(
                 "broker_ahead",
                 broker=subscription.name,
-                theirs=subscription.position[:2],
+                theirs=subscription.held.position,
                 ours=self.history.state.position,
             )
 
@@ -223,23 +224,26 @@
 
     # One message at a time
 
-    def _on_position(self, subscription: Subscription, position: Position, rejection_reason: str) -> None:
+    def _on_position(self, subscription: Subscription, held: DigestPosition, rejection_reason: str) -> None:
         """An answer: what the broker holds after the message that was in flight."""
         expected, was_snapshot = subscription.expected_position, subscription.is_snapshot_in_flight
         assert expected is not None, "an answer to nothing"
         self._clear_in_flight(subscription)
-        if (*position[:2], rejection_reason) != (*subscription.position[:2], subscription.rejection_reason):
+        has_moved = held.position != subscription.held.position
+        if has_moved or rejection_reason != subscription.rejection_reason:
             self.subscriptions.mark_changed(subscription)
         subscription.rejection_reason = rejection_reason
-        if was_snapshot and position[1]:
+        if was_snapshot and held.version:
             subscription.cluster_id = self.history.state.cluster_id
         # Guards against sending the same again and again to one who does not take it.
-        if position != expected and was_snapshot:
-            subscription.rejected_snapshot = expected[:2]
-            self._event("snapshot_rejected", broker=subscription.name, theirs=position[:2], ours=expected[:2])
-        elif position[:2] <= subscription.position[:2] and not was_snapshot:
+        if held != expected and was_snapshot:
+            subscription.rejected_snapshot = expected.position
+            self._event(
+                "snapshot_rejected", broker=subscription.name, theirs=held.position, ours=expected.position
+            )
+        elif held.position <= subscription.held.position and not was_snapshot:
             subscription.needs_snapshot = True
-        subscription.position = position
+        subscription.held = held
 
     def _clear_in_flight(self, subscription: Subscription) -> None:
         subscription.expected_position = None
@@ -262,19 +266,20 @@
         changes = None
         if subscription.cluster_id and not subscription.needs_snapshot:
             self._compare_digests(subscription)
-            changes = self.history.changes_since(*subscription.position)
+            changes = self.history.changes_since(*subscription.held)
         if changes is None:
             subscription.needs_snapshot = subscription.is_queued = True
             self.snapshot_queue.append(subscription.connection)
             self._send_queued_snapshots(now)
         elif changes:
             last = changes[-1]
-            self._send(now, subscription, Deltas(changes), (last.epoch, last.version, last.digest))
+            after = DigestPosition(last.epoch, last.version, last.digest)
+            self._send(now, subscription, Deltas(changes), after)
 
     def _is_ahead(self, now: int, subscription: Subscription) -> bool:
         """Whether a broker holds what we have not heard of yet: a standby may be a moment behind."""
         state = self.history.state
-        if subscription.position[1] <= state.version and subscription.position[0] <= state.epoch:
+        if subscription.held.version <= state.version and subscription.held.epoch <= state.epoch:
             subscription.ahead_since, subscription.is_ahead_reported = None, False
             return False
         if subscription.ahead_since is None:
@@ -282,9 +287,10 @@
         return True
 
     def _compare_digests(self, subscription: Subscription) -> None:
-        theirs, ours = subscription.position, self.history.position_at(subscription.position[1])
-        if ours is not None and ours != theirs:
-            self._event("digest_differs", broker=subscription.name, theirs=theirs[:2], ours=ours[:2])
+        ours = self.history.position_at(subscription.held.version)
+        if ours is not None and ours != subscription.held:
+            theirs = subscription.held.position
+            self._event("digest_differs", broker=subscription.name, theirs=theirs, ours=ours.position)
 
     def _send_queued_snapshots(self, now: int) -> None:
         """Send the snapshots that the throttle allows."""
@@ -302,10 +308,10 @@
                 now,
                 subscription,
                 CompleteSnapshot(self.history.compressed_snapshot()),
-                (state.epoch, state.version, state.digest),
+                state.digest_position,
             )
 
-    def _send(self, now: int, subscription: Subscription, message: Message, after: Position) -> None:
+    def _send(self, now: int, subscription: Subscription, message: Message, after: DigestPosition) -> None:
         """Send a message; `after`: what the broker holds once it has taken it."""
         self.counters.invariant(subscription.expected_position is None, "one_message_out")
         subscription.expected_position = after
--- a/cypressledge/controlplane/server_selection.py
+++ b/cypressledge/controlplane/server_selection.py
@@ -6,6 +6,8 @@
 
 import random
 from dataclasses import dataclass
+from enum import IntEnum
+from typing import NamedTuple
 
 from cypressledge.fleet.leases.candidate_order import weight
 
@@ -30,15 +32,35 @@
     region: str = ""
 
 
+class _Distance(IntEnum):
+    """Of a server from the broker, the nearest first."""
+
+    SAME_ZONE = 0
+    SAME_REGION = 1
+    ELSEWHERE = 2
+
+
+class _Preference(NamedTuple):
+    """Where a server stands in a broker's order: the least first."""
+
+    distance: _Distance
+    negated_weight: int  # the heaviest first among equally distant ones
+
+
 def order(broker: str, zone: str, region: str, servers: list[Server]) -> list[Server]:
     """Own zone first, then own region, then the others; within each an order of the broker's own (rendezvous
     hashing: Thaler and Ravishankar 1998), so brokers spread and a dead server's spread over the others."""
 
-    def rank(server: Server) -> tuple[int, int]:
-        distance = 0 if zone and server.zone == zone else 1 if region and server.region == region else 2
-        return distance, -weight(server.name, broker)
+    def preference(server: Server) -> _Preference:
+        if zone and server.zone == zone:
+            distance = _Distance.SAME_ZONE
+        elif region and server.region == region:
+            distance = _Distance.SAME_REGION
+        else:
+            distance = _Distance.ELSEWHERE
+        return _Preference(distance, -weight(server.name, broker))
 
-    return sorted(servers, key=rank)
+    return sorted(servers, key=preference)
 
 
 class ServerSelector:
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -47,6 +47,19 @@
     version: int
 
 
+class DigestPosition(NamedTuple):
+    """A position and the digest of the state there: equal ones are of one history."""
+
+    epoch: int
+    version: int
+    digest: bytes
+
+    @property
+    def position(self) -> Position:
+        """Without the digest."""
+        return Position(self.epoch, self.version)
+
+
 def _digest_term(key: str, value: bytes, version: int) -> int:
     """A key's part of the digest's sum."""
     return int.from_bytes(blake2b(_encode((key, value, version)), digest_size=DIGEST_BYTES).digest(), "big")
@@ -91,6 +104,11 @@
         """Epoch and version of the last change applied."""
         return Position(self.epoch, self.version)
 
+    @property
+    def digest_position(self) -> DigestPosition:
+        """The same, with the digest."""
+        return DigestPosition(self.epoch, self.version, self.digest)
+
     @property
     def digest(self) -> bytes:
         """Of all keys, values and versions that set them; 16 bytes."""
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -29,7 +29,7 @@
     to_printable_line,
 )
 from cypressledge.controlplane.server_selection import Server, ServerSelector, order
-from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state import FleetState, Position
 from cypressledge.controlplane.state_values import StateError
 
 CONNECT_TIMEOUT = 1_500_000  # for a TCP connection
@@ -325,9 +325,10 @@
         self._reject(snapshot.epoch, snapshot.version)
         return False
 
-    def _taken(self, before: tuple[int, int], change: Change | None) -> None:
+    def _taken(self, before: Position, change: Change | None) -> None:
         after = self.state.position
-        self.counters.invariant(after[0] >= before[0] and after[1] >= before[1], "never_back")
+        has_not_gone_back = after.epoch >= before.epoch and after.version >= before.version
+        self.counters.invariant(has_not_gone_back, "never_back")
         self.counters.add("snapshots_applied" if change is None else "changes_applied")
         self.refused = to_printable_line(self.callbacks.changed(self.state, change) or "")
 
--- a/cypressledge/controlplane/subscription.py
+++ b/cypressledge/controlplane/subscription.py
@@ -3,27 +3,26 @@
 from dataclasses import dataclass
 
 from cypressledge.controlplane.messages import Op
-
-Position = tuple[int, int, bytes]  # epoch, version, digest
+from cypressledge.controlplane.state import DigestPosition, Position
 
 
 @dataclass(slots=True)
 class Subscription:
-    """One connected broker. Times in µs."""
+    """One connected broker. `held`: the position that it has answered with last."""
 
     connection: int
     name: str
     instance_id: int
     cluster_id: str
-    position: Position
+    held: DigestPosition
     registration: Op | None
     heartbeat_at: int
-    expected_position: Position | None = None  # what it holds once it has taken the message in flight
+    expected_position: DigestPosition | None = None  # what it holds once it has taken the message in flight
     is_snapshot_in_flight: bool = False
     answer_deadline: int = 0
     needs_snapshot: bool = False
     is_queued: bool = False
-    rejected_snapshot: tuple[int, int] | None = None  # our position of a snapshot that it did not take
+    rejected_snapshot: Position | None = None  # our position of a snapshot that it did not take
     rejection_reason: str = ""  # why its process has rejected some of what it holds
     ahead_since: int | None = None
     is_ahead_reported: bool = False
--- a/cypressledge/controlplane/subscription_table.py
+++ b/cypressledge/controlplane/subscription_table.py
@@ -1,6 +1,7 @@
 """The brokers connected to one control process, and what the leader is told of them. No I/O."""
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Mapping
+from typing import NamedTuple
 
 from cypressledge.controlplane.messages import AppliedReport, Op
 from cypressledge.controlplane.state import FleetState
@@ -10,6 +11,16 @@
 MAX_NAMED_CHANGES = 4  # times the subscribers: names of changed ones that are kept for the next report
 
 
+class BrokerVersion(NamedTuple):
+    """Which version a broker holds, and which instance of it."""
+
+    instance_id: int
+    version: int
+
+
+NOT_CONNECTED = BrokerVersion(0, -1)  # in a report: the broker has left
+
+
 class SubscriptionTable:
     """The subscriptions by connection and by broker, and whose position has changed since the last report."""
 
@@ -66,12 +77,12 @@
         """How many names are kept for the next report."""
         return len(self._changed)
 
-    def applied_versions(self) -> dict[str, tuple[int, int]]:
-        """(instance id, version) of each broker: in force there but for what `rejections` says."""
-        return {s.name: (s.instance_id, s.position[1]) for s in self._by_connection.values()}
+    def applied_versions(self) -> Mapping[str, BrokerVersion]:
+        """By name of a broker: in force there but for what `rejections` says."""
+        return {s.name: BrokerVersion(s.instance_id, s.held.version) for s in self._by_connection.values()}
 
     def rejections(self, names: Iterable[str]) -> dict[str, str]:
-        """Who of them has rejected some of what it holds, and why, the latter for `MAX_REASONS`."""
+        """By name, who of them has rejected some of what it holds, and why, the latter for `MAX_REASONS`."""
         found: dict[str, str] = {}
         for name in names:
             subscription = self._by_name.get(name)
@@ -85,7 +96,7 @@
         is_complete = is_complete or self._is_complete_report_due
         applied = self.applied_versions()
         names = sorted(applied if is_complete else self._changed)
-        brokers = [(name, *applied.get(name, (0, -1))) for name in names]
+        brokers = [(name, *applied.get(name, NOT_CONNECTED)) for name in names]
         self._changed.clear()
         self._is_complete_report_due = False
         return AppliedReport(is_complete, brokers, self.rejections(names)) if brokers or is_complete else None
