--- a/cypressledge/controlplane/leader_recovery.py
+++ b/cypressledge/controlplane/leader_recovery.py
@@ -49,7 +49,7 @@
         self._source = ""  # the voter whose log is fetched
         self._fetch_attempts = 0
         self._fetch_from = Position(0, 0)  # what is fetched follows it
-        self._reported_behind: tuple[str, ...] = ()
+        self._reported_voters: tuple[str, ...] = ()
 
     # Promises
 
@@ -74,8 +74,8 @@
             return
         source = max(counted, key=lambda v: (counted[v].last_epoch, counted[v].last_version, v == own_name))
         newest = counted[source]
-        if self._is_behind_commit(newest):
-            self._report_behind(newest)
+        if self._lacks_committed_entries(newest):
+            self._report_missing_entries(newest)
         elif newest.last_version < 0:
             self._start_first_log()
         elif (newest.last_epoch, newest.last_version) == self._log.last:
@@ -95,14 +95,17 @@
             if not promise.joining and not (is_any_committed and promise.last_version < 0)
         }
 
-    def _is_behind_commit(self, newest: Promise) -> bool:
-        """Guards against a majority of disks that were put back."""
+    def _lacks_committed_entries(self, newest: Promise) -> bool:
+        """Whether some voter knows of a commit that even the newest log lacks.
+
+        Guards against a majority of disks that were put back.
+        """
         return any(promise.commit > newest.last_version for promise in self._promises.values())
 
-    def _report_behind(self, newest: Promise) -> None:
+    def _report_missing_entries(self, newest: Promise) -> None:
         voters = tuple(sorted(self._promises))
-        if voters != self._reported_behind:  # guards against a line in the log at each repeat
-            self._reported_behind = voters
+        if voters != self._reported_voters:  # guards against a line in the log at each repeat
+            self._reported_voters = voters
             known = max(promise.commit for promise in self._promises.values())
             self._context.report("history_behind", last=newest.last_version, committed=known, voters=voters)
 
--- a/cypressledge/controlplane/leader_reports.py
+++ b/cypressledge/controlplane/leader_reports.py
@@ -125,7 +125,7 @@
         if not ops:
             return
         try:
-            self.leadership.replica.propose_own(now, ops, description, time.time_ns() // 1_000_000)
+            self.leadership.replica.propose_internal(now, ops, description, time.time_ns() // 1_000_000)
         except (NotLeaderError, StateError) as err:
             self.events.emit(failure_event, why=str(err))
             return
--- a/cypressledge/controlplane/log_replication.py
+++ b/cypressledge/controlplane/log_replication.py
@@ -60,7 +60,7 @@
         ops, reason, first = [], FIRST_ENTRY_REASON, self._context.first_version
         if not self._log.last.version and first:  # a first log of which only the empty version 0 was written
             ops, reason = first.ops, FIRST_VERSION_REASON
-        change = self._log.append_own(ops, "", "", reason, 0)
+        change = self._log.append_next(ops, "", "", reason, 0)
         if change is None:
             return False
         self._first_version = change.version
@@ -110,7 +110,7 @@
         epoch = self._log.entries.epoch_at(version) or 0
         return pending or PendingProposal(version, epoch, ProposalState.DONE)
 
-    def propose_own(self, ops: list[Op], reason: str, created_at_ms: int) -> PendingProposal:
+    def propose_internal(self, ops: list[Op], reason: str, created_at_ms: int) -> PendingProposal:
         """A change that the leader makes by itself. Raises `StateError`."""
         validate_change(self._log.latest_state, ops)
         return self._propose(ops, "", self._context.name, reason, created_at_ms)
@@ -124,7 +124,7 @@
         self, ops: list[Op], request_id: str, author: str, reason: str, created_at_ms: int
     ) -> PendingProposal:
         proposal = PendingProposal(self._log.latest_state.version + 1, self._log.epoch)
-        if self._log.append_own(ops, request_id, author, reason, created_at_ms) is None:
+        if self._log.append_next(ops, request_id, author, reason, created_at_ms) is None:
             proposal.state = ProposalState.UNKNOWN
             return proposal
         self._proposals[proposal.version] = proposal
@@ -209,7 +209,7 @@
         """What a majority has on disk is committed, if it is of the own epoch."""
         voters, now = self._context.voters, self._context.now
         version = sorted(map(self._acknowledged_version, voters), reverse=True)[len(voters) // 2]
-        if version <= self._log.commit or not self._log.is_of_own_epoch(version):
+        if version <= self._log.commit or not self._log.is_of_current_epoch(version):
             return
         if not self._leadership.is_leased(now):
             self._leadership.step_down("lease")
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -96,7 +96,7 @@
         """Raises `NotLeaderError`."""
         raise NotLeaderError(self.leader)
 
-    def propose_own(
+    def propose_internal(
         self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
     ) -> PendingProposal:
         """Raises `NotLeaderError`."""
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -147,7 +147,7 @@
         return "lineage" if self._is_other_history(hello.cluster_id) else ""
 
     def check_answer(self, peer: str, message: Message | None) -> None:
-        """Raises `Ended` unless the other end is who it should be."""
+        """Raises `ConnectionEndedError` unless the other end is who it should be."""
         if isinstance(message, Disconnect):
             raise ConnectionEndedError(f"goodbye {message.reason}")
         if not isinstance(message, HelloAccepted) or message.name != peer:
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -236,12 +236,12 @@
         leading = self._leader_role.require_leading()
         return leading.propose(ops, base_version, request_id, author, reason, created_at_ms)
 
-    def propose_own(
+    def propose_internal(
         self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
     ) -> PendingProposal:
         """A change that the leader makes by itself. Raises `NotLeaderError`, `StateError`."""
         self._context.now = now
-        return self._leader_role.require_leading().propose_own(ops, reason, created_at_ms)
+        return self._leader_role.require_leading().propose_internal(ops, reason, created_at_ms)
 
     # Time
 
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -158,10 +158,10 @@
 
     # Entries
 
-    def append_own(
+    def append_next(
         self, ops: list[Op], request_id: str, author: str, reason: str, at_ms: int
     ) -> Change | None:
-        """Write the leader's next entry; none where the storage failed and this is no leader any more."""
+        """Write the leader's next entry; none where the storage failed, and this is no leader any more."""
         change = self.latest_state.draft_change(self.epoch, ops, request_id, author, reason, at_ms)
         if not self._persist("append", [change]):
             return None
@@ -211,7 +211,7 @@
         """Guards against entries behind others than the leader has."""
         return self.entries.epoch_at(version) == epoch
 
-    def is_of_own_epoch(self, version: int) -> bool:
+    def is_of_current_epoch(self, version: int) -> bool:
         """Guards against counting copies of older epochs: a newer log may still replace those."""
         return self.entries.epoch_at(version) == self.epoch
 
--- a/cypressledge/controlplane/sqlite_wal.py
+++ b/cypressledge/controlplane/sqlite_wal.py
@@ -20,9 +20,9 @@
 def _checksum(words: tuple[int, ...], sums: tuple[int, int]) -> tuple[int, int]:
     """Continues the checksum over more words (section 4.2)."""
     first, second = sums
-    for i in range(0, len(words), 2):
-        first = first + words[i] + second & 0xFFFFFFFF
-        second = second + words[i + 1] + first & 0xFFFFFFFF
+    for at in range(0, len(words), 2):
+        first = first + words[at] + second & 0xFFFFFFFF
+        second = second + words[at + 1] + first & 0xFFFFFFFF
     return first, second
 
 
--- a/tests/controlplane/test_replica.py
+++ b/tests/controlplane/test_replica.py
@@ -21,7 +21,7 @@
         leader.propose(world.now, engine("x"), 1, "s", "me", "", 0)
     assert clash.value.keys == ["engine/x-0"]
     with pytest.raises(StateError):
-        leader.propose_own(world.now, engine("/"))
+        leader.propose_internal(world.now, engine("/"))
     # The epoch was promised already: another token is needed.
     assert not world.running["b"].lease(world.now, 1, 1 << 60)
 
--- a/tests/controlplane/test_replica_guards.py
+++ b/tests/controlplane/test_replica_guards.py
@@ -72,7 +72,10 @@
         lambda self, commit, matching: min(commit, self.last.version),
     ),
     Guard(
-        scenes.entry_of_an_older_epoch_counted, ReplicatedLog, "is_of_own_epoch", lambda self, version: True
+        scenes.entry_of_an_older_epoch_counted,
+        ReplicatedLog,
+        "is_of_current_epoch",
+        lambda self, version: True,
     ),
     Guard(scenes.acknowledgement_after_the_lease, LeaderRole, "is_leased", lambda self, now: True),
     Guard(scenes.lost_disk_counted_for_a_promise, LeaderRecovery, "_counted_promises", count_all_promises),
@@ -91,7 +94,10 @@
     ),
     Guard(scenes.lost_promise, Replica, "_is_muted", lambda self, now: False),
     Guard(
-        scenes.disks_restored_from_old_copies, LeaderRecovery, "_is_behind_commit", lambda self, newest: False
+        scenes.disks_restored_from_old_copies,
+        LeaderRecovery,
+        "_lacks_committed_entries",
+        lambda self, newest: False,
     ),
     Guard(scenes.less_than_a_majority, ReplicaContext, "is_majority", lambda self, count: True),
     Guard(scenes.other_cluster, ReplicatedLog, "_is_same_cluster", lambda self, cluster_id: True),
