--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -36,7 +36,7 @@
         self.broker, self.counters = broker, broker.counters
         settings = read_control_settings(file)
         self.fleet = broker.fleet
-        self.run = new_instance_id() if self.fleet is None else self.fleet.node.instance_id
+        self.instance_id = new_instance_id() if self.fleet is None else self.fleet.node.instance_id
         self._touched_kinds: set[str] = set()  # of which something has come that isn't in force yet
         self._rejections: dict[str, str] = {}  # by kind: why the newest of that kind is not in force
         self.client = SubscriberClient(
@@ -55,15 +55,15 @@
         """Zone and region by the environment, else by the fleet's file; no address without that."""
         name, zone, region = self.broker.config.name, env.get("ROUTER_ZONE", ""), env.get("ROUTER_REGION", "")
         if self.fleet is None:
-            return BrokerIdentity(name, self.run, zone, region)
+            return BrokerIdentity(name, self.instance_id, zone, region)
         settings = self.fleet.settings
         own = next(peer for peer in settings.peers if peer.name == name)
         zone = zone or own.zone
         regions = (r.name for r in settings.regions if zone in r.zones)
-        return BrokerIdentity(name, self.run, zone, region or next(regions, ""), own.address)
+        return BrokerIdentity(name, self.instance_id, zone, region or next(regions, ""), own.address)
 
     @property
-    def refused(self) -> str:
+    def rejection_reason(self) -> str:
         """Why some of the newest state is not in force; empty: all of it is."""
         return "; ".join(self._rejections.values())
 
@@ -73,8 +73,8 @@
 
     def _status(self) -> bytes:
         status = asdict(self.client.status()) | {
-            "run": f"{self.run:x}",
-            "refused": self.refused,
+            "run": f"{self.instance_id:x}",
+            "refused": self.rejection_reason,
             "engines_from_here": self.broker.configuration.has_external_engine_list,
             "sections": sorted(self.broker.configuration.sections),
             "traffic": self.client.traffic.show(),
@@ -88,7 +88,7 @@
         self._touched_kinds |= (
             set(KINDS) if change is None else {op.key.partition("/")[0] for op in change.ops}
         )
-        return self.refused
+        return self.rejection_reason
 
     def _settled(self) -> str:
         """Take what differs; why some of it is not in force. Guards against requests that stand still while
@@ -102,7 +102,7 @@
         ):
             if kind in touched:
                 self._apply(kind, apply)
-        return self.refused
+        return self.rejection_reason
 
     def _apply(self, kind: str, apply: Callable[[], None]) -> None:
         """One kind of key. The control processes check what they take; an older one may not have."""
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -90,12 +90,12 @@
     def __init__(self, settings: ControlSettings, options: ProcessOptions) -> None:
         self.settings, self.options, self.name = settings, options, options.name
         self.server = settings.server(self.name)
-        self.run_id = new_instance_id()
+        self.instance_id = new_instance_id()
         self._is_stopping, self._stop_asked = False, Event()
         self.clock = LeaseClock(settings.lab.clock_rate, round(settings.lab.clock_offset_s * 1e6))
         self.counters, self.traffic = Counters(), TrafficCounters()
-        self.log = event_logger(self.name, self.run_id)
-        self.record = ActivityRecord(settings.lab.record, {"who": self.name, "run": self.run_id})
+        self.log = event_logger(self.name, self.instance_id)
+        self.record = ActivityRecord(settings.lab.record, {"who": self.name, "run": self.instance_id})
         self.events = ProcessEvents(self.counters, self.log)
         self.inbox = Inbox(self.clock)
         self.history, self.applied = ChangeHistory(FleetState()), AppliedVersions()
@@ -112,7 +112,7 @@
         )
         self._subscribe()
         if options.seed is not None and isinstance(self.replica, Replica):
-            self.replica.permit_first_version(f"{self.name}-{self.run_id:x}", options.seed)
+            self.replica.permit_first_version(f"{self.name}-{self.instance_id:x}", options.seed)
         self._make_leader_reports()
         peers = self._make_peer_connections()
         self.listener = Listener(
@@ -130,7 +130,7 @@
         limits = PublisherLimits(max_subscribers=self.settings.max_brokers)
         return Publisher(
             self.name,
-            self.run_id,
+            self.instance_id,
             self.history,
             limits,
             self.brokers.send,
@@ -156,7 +156,7 @@
                 slots=[LeaseSlot(PRIMARY_LEASE, PRIMARY_LEASE, settings.term, on_demand=True)],
                 drift_ppm=settings.drift_ppm,
                 ping_s=settings.ping_s,
-                instance_id=self.run_id,
+                instance_id=self.instance_id,
             ),
             electorate,
             self.counters,
@@ -170,7 +170,7 @@
         if options.disk is None:
             return NonVotingReplica(
                 self.name,
-                self.run_id,
+                self.instance_id,
                 settings,
                 self.server.zone,
                 self.server.region,
@@ -178,7 +178,7 @@
                 self.committed.apply_elsewhere,
             )
         return Replica(
-            ReplicaIdentity(self.name, self.run_id, settings.voters),
+            ReplicaIdentity(self.name, self.instance_id, settings.voters),
             options.disk,
             now,
             ReplicaHandlers(self.sender.send, self.committed.apply, self.events.emit),
@@ -207,7 +207,7 @@
         servers = self.settings.servers
         handshake = PeerHandshake(
             self.name,
-            self.run_id,
+            self.instance_id,
             frozenset(s.name for s in servers),
             self.history,
             self.replica,
@@ -226,7 +226,7 @@
             self.leadership, locator, self.inbox, self.events, self.record, self.options.faults
         )
         counts = ProcessCounts(self.traffic, self.counters, self.publisher, self.sender, self.proposals)
-        api = OperatorApi(self.run_id, self.leadership, self.history, self.applied, locator, counts)
+        api = OperatorApi(self.instance_id, self.leadership, self.history, self.applied, locator, counts)
         return OperatorServer(
             parse_address(self.server.management), self.counters, self.proposals.submit, api.calls()
         )
--- a/cypressledge/controlplane/operator_api.py
+++ b/cypressledge/controlplane/operator_api.py
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorApi:
-    """The calls that are answered at once. `run_id`: of this process."""
+    """The calls that are answered at once. `instance_id`: of this process."""
 
-    run_id: int
+    instance_id: int
     leadership: Leadership
     history: ChangeHistory
     applied: AppliedVersions
@@ -67,7 +67,7 @@
         state, counts = self.history.state, self.counts
         status = StatusAnswer(
             name=self.leadership.name,
-            run=f"{self.run_id:x}",
+            instance_id=f"{self.instance_id:x}",
             role=replica.role,
             epoch=replica.epoch,
             version=state.version,
--- a/cypressledge/controlplane/operator_messages.py
+++ b/cypressledge/controlplane/operator_messages.py
@@ -95,59 +95,46 @@
 
 
 class StatusAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """`GET /control/status`: how a control process stands.
-
-    `run`: its instance id, hexadecimal; `role`: one of `Role`, or `learner`; `cluster_id` (key `lineage`): of
-    the history held. `last`, `commit`, `match`: see `ReplicaStatus`; `leader_silence_ms` (key `silent_ms`):
-    since a leader was last heard from, -1: never. `brokers`: how many are connected here; `peers`: names of
-    the control processes that can be reached; `key_count` (key `keys`) and `size_bytes` (key `bytes`): of the
-    committed state; `waiting`: changes that wait for their majority. `traffic`: by direction and tag of a
-    message; `counters` and `published`: by name, of the process and of its publisher.
-    """
+    """`GET /control/status`: how a control process stands."""
 
     name: str
-    run: str
-    role: str
-    epoch: int
+    instance_id: str = msgspec.field(name="run")  # hexadecimal
+    role: str  # one of `Role`, or "learner"
+    epoch: int  # the one promised last
     version: int
-    digest: str
+    digest: str  # of the committed state, hexadecimal
     cluster_id: str = msgspec.field(name="lineage")
-    last: int
+    last: int  # version of the newest entry held
     commit: int
-    match: Mapping[str, int]
-    leader_silence_ms: int = msgspec.field(name="silent_ms")
+    match: Mapping[str, int]  # at the leader, by voter: the version known to be on its disk, -1: none known
+    leader_silence_ms: int = msgspec.field(name="silent_ms")  # since one was last heard from; -1: never
     joining: bool
-    brokers: int
-    peers: list[str]
+    brokers: int  # connected to this process
+    peers: list[str]  # control processes that can be reached
     key_count: int = msgspec.field(name="keys")
-    size_bytes: int = msgspec.field(name="bytes")
-    waiting: int
-    traffic: Mapping[str, FrameCounts]
-    counters: Mapping[str, int]
-    published: Mapping[str, int]
+    size_bytes: int = msgspec.field(name="bytes")  # of keys and values
+    waiting: int  # changes that wait for their majority
+    traffic: Mapping[str, FrameCounts]  # by direction and tag of a message
+    counters: Mapping[str, int]  # of the process, by name
+    published: Mapping[str, int]  # of its publisher, by name
 
 
 class LagAnswer(msgspec.Struct, frozen=True, kw_only=True, tag_field="answer", tag=AnswerTag.LAG.value):
     """`GET /control/lag`: which connected brokers have not a version in force, of each kind `MAX_NAMES` names
-    at the most. Leaders of older releases leave out fields that have a default.
+    at the most. Leaders of older releases leave out fields that have a default."""
 
-    `newest`: the newest committed version. `connected`, `in_force`, `rejection_count` (key `refused`),
-    `lagging_count` (key `lagging`), `registered` and `unreachable_count` (key `unreachable`) count brokers;
-    see `LagReport` for the others.
-    """
-
-    newest: int = 0
-    version: int
+    newest: int = 0  # committed version
+    version: int  # the one asked for
     connected: int
-    in_force: int
+    in_force: int  # brokers that have it, and have rejected nothing of it
     rejection_count: int = msgspec.field(default=0, name="refused")
-    rejections: Mapping[str, str] = msgspec.field(default_factory=dict, name="refused_by")
+    rejections: Mapping[str, str] = msgspec.field(default_factory=dict, name="refused_by")  # why, by broker
     lagging_count: int = msgspec.field(name="lagging")
     lagging: list[str] = msgspec.field(name="names")
     registered: int = 0
-    unreachable_count: int = msgspec.field(name="unreachable")
+    unreachable_count: int = msgspec.field(name="unreachable")  # registered, but connected nowhere
     unreachable: list[str] = msgspec.field(name="unreachable_names")
-    unheard: list[str]
+    unheard: list[str]  # control processes that have not reported yet
 
     @classmethod
     def from_report(cls, report: LagReport, newest: int) -> "LagAnswer":
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -114,7 +114,7 @@
     """Says and checks who is at the two ends of a connection. `owner`: who knows the history's identity."""
 
     name: str
-    run_id: int
+    instance_id: int
     server_names: frozenset[str]
     history: ChangeHistory
     owner: HistoryOwner
@@ -127,7 +127,7 @@
             FORMAT,
             "control",
             self.name,
-            self.run_id,
+            self.instance_id,
             self.owner.cluster_id,
             state.epoch,
             state.version,
@@ -136,7 +136,7 @@
 
     def answer(self) -> HelloAccepted:
         """The first frame over a connection that is taken."""
-        return HelloAccepted(self.name, self.run_id, self.owner.cluster_id)
+        return HelloAccepted(self.name, self.instance_id, self.owner.cluster_id)
 
     def rejection_reason(self, hello: Hello) -> str:
         """Why a control process is turned down; empty: it isn't."""
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -61,14 +61,14 @@
     def __init__(
         self,
         name: str,
-        run: int,
+        instance_id: int,
         history: ChangeHistory,
         limits: PublisherLimits,
         send: Callable[[int, Message], None],
         end: Callable[[int, Disconnect], None],
         event: Callable[..., None],
     ) -> None:
-        self.name, self.run, self.history, self.limits = name, run, history, limits
+        self.name, self.instance_id, self.history, self.limits = name, instance_id, history, limits
         self._send_message, self._end_connection, self._event = send, end, event
         self.counters = Counters()
         self.subscriptions = SubscriptionTable(limits.max_subscribers)
@@ -101,7 +101,9 @@
             rejection_reason=to_printable_line(hello.rejection_reason),
         )
         self.subscriptions.add(subscription)
-        self._send_message(connection, HelloAccepted(self.name, self.run, self.history.state.cluster_id))
+        self._send_message(
+            connection, HelloAccepted(self.name, self.instance_id, self.history.state.cluster_id)
+        )
         if connection in self.subscriptions:
             self._send_heartbeat(now, subscription)
             self._send_next(now, subscription)
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokerIdentity:
-    """Who follows. `run`: of the broker's process, never 0; `address`: HOST:PORT of its fleet socket, empty
+    """Who follows. `instance_id`: of its process, never 0; `address`: HOST:PORT of its fleet socket, empty
     where it is not to be registered."""
 
     name: str
-    run: int
+    instance_id: int
     zone: str = ""
     region: str = ""
     address: str = ""
@@ -114,7 +114,7 @@
         self.selector = ServerSelector(order(identity.name, identity.zone, identity.region, servers), seed)
         self.counters = Counters()
         self.state = FleetState()  # of no cluster while nothing is held
-        self.refused = ""  # why some of it is not in force
+        self.rejection_reason = ""  # why some of it is not in force
         self.phase = Phase.WAITING
         self._started_at: int | None = None
         self._phase_at = 0  # of the wait, the end; of the others, the beginning
@@ -163,7 +163,7 @@
                 FORMAT,
                 "broker",
                 identity.name,
-                identity.run,
+                identity.instance_id,
                 state.cluster_id,
                 state.epoch,
                 state.version,
@@ -171,7 +171,7 @@
                 identity.address,
                 identity.zone,
                 identity.region,
-                self.refused,
+                self.rejection_reason,
             )
         )
 
@@ -330,18 +330,18 @@
         has_not_gone_back = after.epoch >= before.epoch and after.version >= before.version
         self.counters.invariant(has_not_gone_back, "never_back")
         self.counters.add("snapshots_applied" if change is None else "changes_applied")
-        self.refused = to_printable_line(self.callbacks.changed(self.state, change) or "")
+        self.rejection_reason = to_printable_line(self.callbacks.changed(self.state, change) or "")
 
     def _settle(self) -> None:
         if self.callbacks.settled is not None:
-            self.refused = to_printable_line(self.callbacks.settled() or "")
+            self.rejection_reason = to_printable_line(self.callbacks.settled() or "")
 
     def _reject(self, epoch: int, version: int) -> None:
         self._report("update_rejected", epoch=epoch, version=version, own=self.state.position)
 
     def _send_position(self) -> None:
         state = self.state
-        self.callbacks.send(AppliedPosition(state.epoch, state.version, state.digest, self.refused))
+        self.callbacks.send(AppliedPosition(state.epoch, state.version, state.digest, self.rejection_reason))
 
     def _report(self, event: str, **fields: object) -> None:
         self.counters.add(event)
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -37,7 +37,7 @@
 @dataclass(frozen=True, slots=True)
 class SubscriberOptions:
     """What few callers need. `record`: for the laboratory, a file of what was in force when; `log`: in place
-    of a logger of its own; `seed`: of random waits, in place of the run."""
+    of a logger of its own; `seed`: of random waits, in place of the instance id."""
 
     record: str = ""
     log: EventLogger | None = None
@@ -65,8 +65,8 @@
         options = options or SubscriberOptions()
         self.changed, self.settled, self.counters = changed, settled, counters
         self.clock, self.traffic = LeaseClock(), TrafficCounters()
-        self._log = options.log or event_logger(identity.name, identity.run)
-        self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.run})
+        self._log = options.log or event_logger(identity.name, identity.instance_id)
+        self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.instance_id})
         self._frames: FramedConnection | None = None
         self._to_dial: Server | None = None
         self._woken, self._is_stopped = Event(), False
@@ -79,7 +79,7 @@
             self._on_event,
             None if settled is None else partial(self._on_settled, settled),
         )
-        seed = identity.run if options.seed is None else options.seed
+        seed = identity.instance_id if options.seed is None else options.seed
         self.subscriber = ConfigSubscriber(identity, servers, seed, callbacks)
         self.loops = [self.run]
         self._record.write("start")
--- a/tests/controlplane/test_control_parts.py
+++ b/tests/controlplane/test_control_parts.py
@@ -340,7 +340,7 @@
     history.apply(history.state.draft_change(1, [Op("config/Bad", encode_value(1))]))
     follower.received(now, Deltas(history.changes[1:]))
     assert [len(names) for names in broker.lists] == [1, 300]
-    assert part.refused == follower.refused == "not these"
+    assert part.rejection_reason == follower.rejection_reason == "not these"
     in_force = [told for told in map(json.loads, record.read_text().splitlines()) if "version" in told]
     assert [told["version"] for told in in_force] == [1, 301]  # nothing is said to be in force before it is
     spoilt = history.state.draft_change(1, [engine(301)])
