--- a/cypressledge/controlplane/errors.py
+++ b/cypressledge/controlplane/errors.py
@@ -9,7 +9,7 @@
     """This replica is not the leader. `leader`: who is, as far as is known here; empty where it isn't."""
 
     def __init__(self, leader: str) -> None:
-        super().__init__(f"the primary is {leader or 'not known'}")
+        super().__init__(f"the leader is {leader or 'not known'}")
         self.leader = leader
 
 
--- a/cypressledge/controlplane/framing.py
+++ b/cypressledge/controlplane/framing.py
@@ -1,7 +1,7 @@
 """Messages (`messages.py`) framed over TCP, on a gevent socket: one reader, and a writer nobody waits for.
 
-Guards against peers that send nothing, a byte a second, too much or nonsense, and against those that don't
-read: each is bounded in time and in bytes, and costs its own connection alone.
+Guards against peers that send nothing, a byte a second, too much or invalid frames, and against those that
+don't read: each is bounded in time and in bytes, and costs its own connection alone.
 """
 
 import errno
@@ -29,7 +29,7 @@
 
 
 class ConnectionEndedError(Exception):
-    """The connection has ended, and why: closed, nonsense, too long, too slow, or the system's words."""
+    """The connection has ended, and why: closed, an invalid frame, too slow, or the system's words."""
 
 
 class FramedConnection:
@@ -97,7 +97,7 @@
         try:
             message = decode(body)
         except InvalidFrameError as err:
-            raise ConnectionEndedError(f"nonsense: {err}") from None
+            raise ConnectionEndedError(f"invalid frame: {err}") from None
         self.traffic.add("in", message, len(body) + LENGTH_PREFIX_BYTES)
         return message
 
--- a/cypressledge/controlplane/leadership.py
+++ b/cypressledge/controlplane/leadership.py
@@ -81,7 +81,7 @@
             if grant.token <= self.replica.epoch:
                 self.node.token_rejected(PRIMARY_LEASE, self.replica.epoch)
             else:
-                self.node.release(PRIMARY_LEASE, "of no use here", GIVE_BACK_REST_S)
+                self.node.release(PRIMARY_LEASE, "replica cannot lead", GIVE_BACK_REST_S)
 
     def _request_lease(self, now: int) -> None:
         is_eligible = self.replica.is_eligible(now) and not self.is_suspended(now) and self.is_voter
--- a/cypressledge/controlplane/operator_client.py
+++ b/cypressledge/controlplane/operator_client.py
@@ -123,7 +123,7 @@
             addresses = status.read(LeaderAddresses)
             self._learn_addresses(addresses)
             if not addresses.address:
-                raise NoAnswerError("there is no primary")
+                raise NoAnswerError("there is no leader")
 
     def _learn_addresses(self, addresses: LeaderAddresses) -> None:
         """Where the others are, the leader first."""
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -149,12 +149,12 @@
     def check_answer(self, peer: str, message: Message | None) -> None:
         """Raises `ConnectionEndedError` unless the other end is who it should be."""
         if isinstance(message, Disconnect):
-            raise ConnectionEndedError(f"goodbye {message.reason}")
+            raise ConnectionEndedError(f"peer disconnected: {message.reason}")
         if not isinstance(message, HelloAccepted) or message.name != peer:
-            raise ConnectionEndedError("no welcome")
+            raise ConnectionEndedError("no answer to hello")
         if self._is_other_history(message.cluster_id):
             self.events.emit("peer_rejected", peer=peer, why="lineage", lineage=message.cluster_id)
-            raise ConnectionEndedError("lineage")
+            raise ConnectionEndedError("other cluster")
 
     def _is_other_history(self, cluster_id: str) -> bool:
         own = self.owner.cluster_id
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -208,7 +208,7 @@
             return False
         is_candidate_or_leader = self.role is not Role.FOLLOWER
         if is_candidate_or_leader and epoch == self.epoch and not self._leader_role.is_preparing:
-            raise LogInvariantError(f"two primaries of epoch {epoch}: {sender} and {self._context.name}")
+            raise LogInvariantError(f"two leaders of epoch {epoch}: {sender} and {self._context.name}")
         self._leader_role.step_down("other_leader")
         if epoch > self.epoch and not self.log.promise(epoch, 0):
             return False
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -215,7 +215,7 @@
         is_following = self.phase is Phase.FOLLOWING
         if isinstance(message, Disconnect):
             self.selector.rejected(now, message.retry_after_ms)
-            self._leave(now, f"goodbye {message.reason[:MAX_REASON_CHARS]}")
+            self._leave(now, f"server disconnected: {message.reason[:MAX_REASON_CHARS]}")
         elif isinstance(message, HelloAccepted) and not is_following:
             self._on_accepted(now, message)
         elif isinstance(message, Deltas) and is_following:
@@ -225,11 +225,11 @@
         elif isinstance(message, Heartbeat) and is_following:
             self._on_heartbeat(now, message)
         else:
-            self._leave(now, "nonsense")
+            self._leave(now, "unexpected message")
 
     def _on_accepted(self, now: int, message: HelloAccepted) -> None:
         if not self._is_same_cluster(message.cluster_id):
-            self._leave(now, "lineage")
+            self._leave(now, "other cluster")
             return
         self.phase = Phase.FOLLOWING
         self.selector.accepted(now)
@@ -294,10 +294,10 @@
             state = FleetState.restore(snapshot)
         except StateError as err:
             self._report("invalid_snapshot", why=str(err))
-            self._leave(now, "bad snapshot")
+            self._leave(now, "invalid snapshot")
             return
         if not snapshot.cluster_id or not self._is_same_cluster(snapshot.cluster_id):
-            self._leave(now, "lineage")
+            self._leave(now, "other cluster")
             return
         if self._is_newer(snapshot):
             before, self.state = self.state.position, state
--- a/tests/controlplane/test_control_parts.py
+++ b/tests/controlplane/test_control_parts.py
@@ -100,7 +100,7 @@
     [
         (b"\x00\x00\x00\x00", "a frame of 0 bytes"),
         (b"\xff\xff\xff\xff", "a frame of 4294967295 bytes"),
-        (b"\x00\x00\x00\x03abc", "nonsense"),
+        (b"\x00\x00\x00\x03abc", "invalid frame"),
         ((MAX_FRAME_BYTES + 1).to_bytes(4, "big"), "a frame of 4194305 bytes"),
     ],
 )
--- a/tests/controlplane/test_subscriber.py
+++ b/tests/controlplane/test_subscriber.py
@@ -142,12 +142,12 @@
         assert not receiver.applied
         assert receiver.subscriber.selector.current == 1
     receiver = SubscriberHarness(server_count=2, cluster_id="line").connect(cluster_id="other")
-    assert receiver.ended == ["lineage"]
+    assert receiver.ended == ["other cluster"]
     receiver = SubscriberHarness().connect()
     receiver.receive(m.CompleteSnapshot(compress_snapshot(good)))
     receiver.subscriber.disconnected(receiver.now, "x")
     receiver.connect(receiver.now, "other")
-    assert receiver.ended == ["lineage"]
+    assert receiver.ended == ["other cluster"]
     assert position_of(receiver.subscriber.state)[1] == 3
 
 
