--- a/cypressledge/controlplane/broker_connections.py
+++ b/cypressledge/controlplane/broker_connections.py
@@ -12,7 +12,7 @@
 
 MAX_FRAME_BYTES = 64 << 10  # of a broker's frames after its first
 MAX_SILENCE_S = 60.0  # between two frames of a peer; it may be silent for longer: only its end is waited for
-LAST_READ_S = 1.0  # for what a peer that was turned down still says
+LAST_READ_S = 1.0  # for what a rejected peer still sends
 RETRY_AFTER_MS = 5_000  # that a broker stays away from a control process that stops, or whose disk refuses
 
 
@@ -41,7 +41,7 @@
         self._encoded = b""
 
     def serve(self, hello: Hello, frames: FramedConnection, handler: BrokerHandler) -> None:
-        """Read what a broker sends until its connection ends. Raises `Ended` then."""
+        """Read what a broker sends until its connection ends. Raises `ConnectionEndedError` then."""
         frames.set_max_frame_bytes(MAX_FRAME_BYTES)
         number = next(self._numbers)
         self._open[number] = frames
@@ -73,8 +73,8 @@
             gevent.spawn_later(socket_io.LINGER_TIMEOUT, frames.close)
 
 
-def turn_away(frames: FramedConnection, message: Disconnect) -> None:
-    """Take no connection from this peer: say why, and read what it still says. Raises `Ended`."""
+def reject_connection(frames: FramedConnection, message: Disconnect) -> None:
+    """Send a peer why it is rejected, and read what it still sends. Raises `ConnectionEndedError`."""
     frames.send(message)
     frames.finish_sending()
     frames.receive(LAST_READ_S)
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -120,7 +120,7 @@
         if sections != self.broker.configuration.sections:
             self.broker.configuration.apply_sections(sections)
 
-    def _apply_engines(self, engines: dict[str, Engine]) -> None:
+    def _apply_engines(self, engines: Mapping[str, Engine]) -> None:
         """The list is the control plane's from the first engine on that it names."""
         if not engines and not self.broker.configuration.has_external_engine_list:
             return
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -18,7 +18,7 @@
 from cypressledge.config import ConfigError, parse_address
 from cypressledge.controlplane.activity_record import ActivityRecord
 from cypressledge.controlplane.applied_versions import AppliedVersions
-from cypressledge.controlplane.broker_connections import RETRY_AFTER_MS, BrokerConnections, turn_away
+from cypressledge.controlplane.broker_connections import RETRY_AFTER_MS, BrokerConnections, reject_connection
 from cypressledge.controlplane.broker_registry import BrokerRegistry
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.change_proposals import ChangeProposals, LeaderLocator
@@ -272,7 +272,7 @@
             if hello.role == "control":
                 self.receiver.serve(hello, frames)
             elif self._is_stopping or self.leadership.is_suspended(self.clock.now()):
-                turn_away(frames, Disconnect("stopping", RETRY_AFTER_MS))
+                reject_connection(frames, Disconnect("stopping", RETRY_AFTER_MS))
             else:
                 self.brokers.serve(hello, frames, self.publisher)
         except ConnectionEndedError as err:
--- a/cypressledge/controlplane/faults.py
+++ b/cypressledge/controlplane/faults.py
@@ -52,7 +52,7 @@
         os.kill(os.getpid(), SIGNALS[self.what])
 
     def check_disk(self, step: str) -> None:
-        """Called before each durable step of the store. Raises `DiskError` from the step named on."""
+        """Called before each durable step of the store. Raises `StorageError` from the step named on."""
         if self.what != "disk" or step != self.step:
             return
         self._count += 1
--- a/cypressledge/controlplane/leader_role.py
+++ b/cypressledge/controlplane/leader_role.py
@@ -1,5 +1,7 @@
 """What a replica does with the lease: it recovers the newest log, leads, and steps down."""
 
+from collections.abc import Mapping
+
 from cypressledge.controlplane.errors import NotLeaderError
 from cypressledge.controlplane.leader_recovery import LeaderRecovery, RecoveryPhase
 from cypressledge.controlplane.log_replication import LeaderReplication
@@ -30,8 +32,8 @@
         self.lease_until = NEVER  # µs
 
     @property
-    def progress(self) -> dict[str, PeerProgress]:
-        """How far each other voter is, while this replica leads or is about to."""
+    def progress(self) -> Mapping[str, PeerProgress]:
+        """By name, how far each other voter is, while this replica leads or is about to."""
         return {} if self._leading is None else self._leading.progress
 
     @property
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -12,7 +12,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import parse_address
-from cypressledge.controlplane.broker_connections import MAX_SILENCE_S, turn_away
+from cypressledge.controlplane.broker_connections import MAX_SILENCE_S, reject_connection
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.faults import FaultInjection
 from cypressledge.controlplane.framing import (
@@ -36,7 +36,7 @@
 from cypressledge.controlplane.traffic_counters import TrafficCounters
 
 BACKOFF_MIN_S, BACKOFF_MAX_S = 0.05, 1.0  # between attempts to reach a peer, doubling
-REJECTED_RETRY_MS = 1_000  # that a peer which was turned down stays away
+REJECTED_RETRY_MS = 1_000  # that a rejected peer stays away
 FLUSH_S = 1.0  # for a frame to leave before the laboratory's fault
 
 
@@ -139,7 +139,7 @@
         return HelloAccepted(self.name, self.instance_id, self.owner.cluster_id)
 
     def rejection_reason(self, hello: Hello) -> str:
-        """Why a control process is turned down; empty: it isn't."""
+        """Why a control process is rejected; empty: it isn't."""
         if hello.format != FORMAT:
             return "format"
         if hello.name == self.name or hello.name not in self.server_names:
@@ -207,11 +207,11 @@
         self._connections: dict[str, FramedConnection] = {}
 
     def serve(self, hello: Hello, frames: FramedConnection) -> None:
-        """Read what a peer sends until its connection ends. Raises `Ended` then."""
+        """Read what a peer sends until its connection ends. Raises `ConnectionEndedError` then."""
         why = self._handshake.rejection_reason(hello)
         if why:
             self._handshake.events.emit("peer_rejected", peer=hello.name, why=why, lineage=hello.cluster_id)
-            turn_away(frames, Disconnect(why, REJECTED_RETRY_MS))
+            reject_connection(frames, Disconnect(why, REJECTED_RETRY_MS))
             return
         former = self._connections.get(hello.name)
         if former is not None:
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -10,6 +10,8 @@
 way from a lease to the newest log, `log_replication.py` the way of an entry to a majority.
 """
 
+from collections.abc import Mapping
+
 from cypressledge.controlplane.errors import LogInvariantError
 from cypressledge.controlplane.leader_recovery import answer_fetch
 from cypressledge.controlplane.leader_role import LeaderRole
@@ -113,8 +115,8 @@
         return self.log.latest_state
 
     @property
-    def progress(self) -> dict[str, PeerProgress]:
-        """How far each other voter is, while this replica leads or is about to."""
+    def progress(self) -> Mapping[str, PeerProgress]:
+        """By name, how far each other voter is, while this replica leads or is about to."""
         return self._leader_role.progress
 
     # The lease
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -5,7 +5,7 @@
 forger.
 """
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from hashlib import blake2b
 from typing import NamedTuple
 
@@ -202,7 +202,7 @@
 
     # Addresses
 
-    def addresses(self) -> dict[Address, str]:
+    def addresses(self) -> Mapping[Address, str]:
         """Which key is at which address."""
         if self._key_at is None:
             self._key_at = {}
@@ -277,12 +277,12 @@
             if key.startswith(CONFIG_PREFIX)
         }
 
-    def engines(self) -> dict[str, Engine]:
-        """By name. Raises `StateError` where one can't be read."""
+    def engines(self) -> Mapping[str, Engine]:
+        """The engines by name. Raises `StateError` where one can't be read."""
         return {name: decode_engine(value) for name, value in self._values("engine/")}
 
-    def brokers(self) -> dict[str, Broker]:
-        """By name. Raises `StateError` where one can't be read."""
+    def brokers(self) -> Mapping[str, Broker]:
+        """The brokers by name. Raises `StateError` where one can't be read."""
         return {name: decode_broker(value) for name, value in self._values("broker/")}
 
     def _values(self, prefix: str) -> Iterable[tuple[str, bytes]]:
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -160,15 +160,15 @@
             self._frames = None
 
     def _on_changed(self, state: FleetState, change: Change | None) -> str | None:
-        refused = self.changed(state, change)
+        rejection = self.changed(state, change)
         if self.settled is None:
             self._note_in_force()
-        return refused
+        return rejection
 
     def _on_settled(self, settled: Callable[[], str | None]) -> str | None:
-        refused = settled()
+        rejection = settled()
         self._note_in_force()
-        return refused
+        return rejection
 
     def _on_event(self, event: str, **fields: object) -> None:
         self.counters.add(f"control.{event}")
