--- a/cypressledge/controlplane/cli.py
+++ b/cypressledge/controlplane/cli.py
@@ -70,11 +70,11 @@
 @click.option("--rejoin", is_flag=True, help="The disk was lost: take the history from the others.")
 def serve(file: str, name: str, folder: str, seed: str, rejoin: bool) -> None:
     """Run one control process."""
-    from cypressledge.controlplane.control_process import main
+    from cypressledge.controlplane.startup import run_control_process
 
     if seed and rejoin:
         raise click.UsageError("--first begins a new history, --rejoin takes the others': not both")
-    sys.exit(main(file, name, folder, read_ops(seed) if seed else None, rejoin))
+    sys.exit(run_control_process(file, name, folder, read_ops(seed) if seed else None, rejoin))
 
 
 @control.command()
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -3,11 +3,9 @@
 One greenlet owns replica, history and publisher; sockets reach it through an inbox of bounded length.
 """
 
-import gc
 import os
-import resource
 import signal
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 from functools import partial
 
@@ -15,7 +13,7 @@
 from gevent.event import Event
 
 from cypressledge.broker.metrics import Counters, log
-from cypressledge.config import ConfigError, parse_address
+from cypressledge.config import parse_address
 from cypressledge.controlplane.activity_record import ActivityRecord
 from cypressledge.controlplane.applied_versions import AppliedVersions
 from cypressledge.controlplane.broker_connections import RETRY_AFTER_MS, BrokerConnections, reject_connection
@@ -23,7 +21,7 @@
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.change_proposals import ChangeProposals, LeaderLocator
 from cypressledge.controlplane.committed_changes import CommittedChanges
-from cypressledge.controlplane.faults import FAULT_VARIABLE, ONCE_VARIABLE, FaultInjection
+from cypressledge.controlplane.faults import FaultInjection
 from cypressledge.controlplane.framing import (
     HELLO_TIMEOUT_S,
     ConnectionEndedError,
@@ -37,39 +35,31 @@
     PeerMessageRouter,
 )
 from cypressledge.controlplane.leadership import PRIMARY_LEASE, Leadership
-from cypressledge.controlplane.log_storage import StorageError
 from cypressledge.controlplane.messages import Disconnect, Hello, Op
 from cypressledge.controlplane.non_voting_replica import NonVotingReplica
 from cypressledge.controlplane.operator_api import OperatorApi, ProcessCounts
 from cypressledge.controlplane.operator_calls import OperatorServer
-from cypressledge.controlplane.operator_messages import ChangeOps
 from cypressledge.controlplane.peer_connections import PeerDialer, PeerHandshake, PeerReceiver, PeerSender
 from cypressledge.controlplane.process_events import ProcessEvents
 from cypressledge.controlplane.publisher import Publisher, PublisherLimits
 from cypressledge.controlplane.replica import Replica
 from cypressledge.controlplane.replica_context import ReplicaHandlers, ReplicaIdentity
-from cypressledge.controlplane.settings import ControlSettings, read_control_settings
-from cypressledge.controlplane.sqlite_storage import OpenMode, SqliteStorage, StorageUnusableError
+from cypressledge.controlplane.settings import ControlSettings
+from cypressledge.controlplane.sqlite_storage import SqliteStorage
 from cypressledge.controlplane.state import FleetState
-from cypressledge.controlplane.state_values import StateError, encode_value
 from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.participation import LeaseSlot
 from cypressledge.fleet.node import FleetNode, NodeHooks, NodeSettings, new_instance_id
-from cypressledge.net import receive_buffer, socket_writer
 from cypressledge.net.connection_registry import ConnectionRegistry
 from cypressledge.net.listener import Listener
 
 MAX_HELLO_BYTES = 4 << 10  # of the first frame
 SPARE_CONNECTIONS = 64  # beyond the brokers': peers, and those that haven't said Hello
-OWN_DESCRIPTORS = 128  # that are nobody's connection, or an operator's
-MAX_QUEUED_BYTES = 256 << 20  # to all peers and brokers together
-MAX_BUFFERED_BYTES = 64 << 20  # from all of them
 STOP_DELAY_S = 0.5  # for the last frames to leave
 FAILED_EXIT_CODE = 3  # a part ended by an exception
-STORE_FILE = "history.sqlite"  # in the folder that a control process is given
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,31 +88,36 @@
         self.record = ActivityRecord(settings.lab.record, {"who": self.name, "run": self.instance_id})
         self.events = ProcessEvents(self.counters, self.log)
         self.inbox = Inbox(self.clock)
+
+        # The history, and the brokers that get it
         self.history, self.applied = ChangeHistory(FleetState()), AppliedVersions()
         self.registry = BrokerRegistry(round(settings.forget_s * 1e6))
         self.committed = CommittedChanges(self.history, self.record, self.inbox)
         self.brokers = BrokerConnections(self.inbox)
         self.publisher = self._make_publisher()
+
+        # The lease and the replicated log
         self.sender = PeerSender(self.counters, options.faults)
         now = self.clock.now()
         self.node = self._make_node(now)
         self.replica = self._make_replica(now)
-        self.leadership = Leadership(
-            self.name, self.server.votes, settings.term, self.clock, self.node, self.replica
-        )
+        self.leadership = self._make_leadership()
         self._subscribe()
-        if options.seed is not None and isinstance(self.replica, Replica):
-            self.replica.permit_first_version(f"{self.name}-{self.instance_id:x}", options.seed)
-        self._make_leader_reports()
-        peers = self._make_peer_connections()
-        self.listener = Listener(
-            parse_address(self.server.address), self.counters, "control", self._serve, ConnectionRegistry()
-        )
-        self.listener.max_connections = settings.max_brokers + SPARE_CONNECTIONS
+        self._permit_first_version()
+
+        # The other control processes
+        self.reports = AppliedVersionReports(self.leadership, self.publisher, self.sender, self.applied)
+        self.registrations = self._make_registrations()
+        self._handshake = self._make_handshake()
+        self._router = PeerMessageRouter(self.leadership, self.applied, self.registry, self.reports)
+        self.receiver = PeerReceiver(self._handshake, self._router, self.inbox)
+
+        # Listening sockets
+        self.listener = self._make_listener()
+        self._locator = LeaderLocator(self.leadership, settings.servers)
+        self.proposals = self._make_proposals()
         self.operators = self._make_operator_server()
-        replica_loops = self.replica.loops if isinstance(self.replica, NonVotingReplica) else []
-        own_loops = [self.run_owner, self.listener.run, self.operators.run]
-        self.loops: list[Callable[[], None]] = [*self.node.loops, *own_loops, *peers, *replica_loops]
+        self.loops = self._make_loops()
 
     # Assembly
 
@@ -194,43 +189,72 @@
             self.events.subscribe(event, self._forget_reports)
         self.events.subscribe("disk_error", self._suspend)
 
-    def _make_leader_reports(self) -> None:
-        server_names = frozenset(s.name for s in self.settings.servers)
-        connected = ConnectedBrokers(self.name, server_names, self.node, self.sender, self.applied)
-        self.reports = AppliedVersionReports(self.leadership, self.publisher, self.sender, self.applied)
-        self.registrations = BrokerRegistrations(
+    def _make_leadership(self) -> Leadership:
+        return Leadership(
+            self.name, self.server.votes, self.settings.term, self.clock, self.node, self.replica
+        )
+
+    def _permit_first_version(self) -> None:
+        """Raises `StateError` where the seed is no change that can be made."""
+        seed = self.options.seed
+        if seed is not None and isinstance(self.replica, Replica):
+            self.replica.permit_first_version(f"{self.name}-{self.instance_id:x}", seed)
+
+    def _make_registrations(self) -> BrokerRegistrations:
+        connected = ConnectedBrokers(self.name, self._server_names(), self.node, self.sender, self.applied)
+        return BrokerRegistrations(
             self.leadership, self.history, self.publisher, self.sender, self.registry, connected, self.events
         )
 
-    def _make_peer_connections(self) -> list[Callable[[], None]]:
-        """The greenlets that keep connections to the other control processes."""
-        servers = self.settings.servers
-        handshake = PeerHandshake(
-            self.name,
-            self.instance_id,
-            frozenset(s.name for s in servers),
-            self.history,
-            self.replica,
-            self.events,
+    def _server_names(self) -> frozenset[str]:
+        return frozenset(spec.name for spec in self.settings.servers)
+
+    def _make_handshake(self) -> PeerHandshake:
+        return PeerHandshake(
+            self.name, self.instance_id, self._server_names(), self.history, self.replica, self.events
         )
-        router = PeerMessageRouter(self.leadership, self.applied, self.registry, self.reports)
-        self.receiver = PeerReceiver(handshake, router, self.inbox)
-        dialer = PeerDialer(handshake, self.sender, router, self.inbox, self.traffic, self.counters, self.log)
-        return [
-            partial(dialer.maintain, s, lambda: self._is_stopping) for s in servers if s.name != self.name
-        ]
 
-    def _make_operator_server(self) -> OperatorServer:
-        locator = LeaderLocator(self.leadership, self.settings.servers)
-        self.proposals = ChangeProposals(
-            self.leadership, locator, self.inbox, self.events, self.record, self.options.faults
+    def _make_listener(self) -> Listener:
+        address = parse_address(self.server.address)
+        listener = Listener(address, self.counters, "control", self._serve, ConnectionRegistry())
+        listener.max_connections = self.settings.max_brokers + SPARE_CONNECTIONS
+        return listener
+
+    def _make_proposals(self) -> ChangeProposals:
+        return ChangeProposals(
+            self.leadership, self._locator, self.inbox, self.events, self.record, self.options.faults
         )
+
+    def _make_operator_server(self) -> OperatorServer:
         counts = ProcessCounts(self.traffic, self.counters, self.publisher, self.sender, self.proposals)
-        api = OperatorApi(self.instance_id, self.leadership, self.history, self.applied, locator, counts)
+        api = OperatorApi(
+            self.instance_id, self.leadership, self.history, self.applied, self._locator, counts
+        )
         return OperatorServer(
             parse_address(self.server.management), self.counters, self.proposals.submit, api.calls()
         )
 
+    def _make_loops(self) -> list[Callable[[], None]]:
+        """What runs in a greenlet each, from start to end."""
+        own_loops = [self.run_owner, self.listener.run, self.operators.run]
+        replica_loops = self.replica.loops if isinstance(self.replica, NonVotingReplica) else []
+        return [*self.node.loops, *own_loops, *self._peer_loops(), *replica_loops]
+
+    def _peer_loops(self) -> Iterator[Callable[[], None]]:
+        """Those that keep connections to the other control processes."""
+        dialer = PeerDialer(
+            self._handshake,
+            self.sender,
+            self._router,
+            self.inbox,
+            self.traffic,
+            self.counters,
+            self.log,
+        )
+        for spec in self.settings.servers:
+            if spec.name != self.name:
+                yield partial(dialer.maintain, spec, lambda: self._is_stopping)
+
     # Events
 
     def _note_leadership(self, event: str, fields: dict[str, object]) -> None:
@@ -314,50 +338,3 @@
         """A part that ended by an exception can't be done without: end, to be started anew."""
         log(f"a part of the control process failed: {greenlet.exception!r}")
         os._exit(FAILED_EXIT_CODE)
-
-
-def allow_descriptors(brokers: int) -> None:
-    """Raise this process's limit of descriptors as far as so many brokers need. Guards against brokers that
-    take the descriptors which the store and the other processes need. Raises `ConfigError`."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    needed = brokers + SPARE_CONNECTIONS + OWN_DESCRIPTORS
-    if soft < needed:
-        soft = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    if soft < needed:
-        raise ConfigError(f"brokers_most needs {needed} descriptors; this process may have {soft}")
-
-
-def main(file: str, name: str, folder: str, seed: ChangeOps | None, rejoin: bool) -> int:
-    """Run one control process; what is wrong with its settings or its store is one plain line, and 2."""
-    receive_buffer.BUFFER_GROWTH.limit, socket_writer.QUEUED_BYTES.limit = (
-        MAX_BUFFERED_BYTES,
-        MAX_QUEUED_BYTES,
-    )
-    try:
-        settings = read_control_settings(file)
-        allow_descriptors(settings.max_brokers)
-        process = ControlProcess(settings, _read_options(settings, name, folder, seed, rejoin))
-    except (ConfigError, StateError, StorageUnusableError, StorageError) as err:
-        log(f"cypressledge: {err}")
-        return 2
-    except OSError as err:
-        log(f"cypressledge: cannot begin: {err}")
-        return 2
-    gc.collect()
-    gc.freeze()
-    process.run()
-    return 0
-
-
-def _read_options(
-    settings: ControlSettings, name: str, folder: str, seed: ChangeOps | None, rejoin: bool
-) -> ProcessOptions:
-    faults = FaultInjection(os.environ.get(FAULT_VARIABLE, ""), os.environ.get(ONCE_VARIABLE, ""))
-    create = OpenMode.REJOIN if rejoin else OpenMode.EXISTING if seed is None else OpenMode.FIRST
-    disk = None
-    if settings.server(name).votes:
-        os.makedirs(folder, exist_ok=True)
-        disk = SqliteStorage(os.path.join(folder, STORE_FILE), name, create, faults.check_disk)
-    ops = None if seed is None else [Op(key, encode_value(value)) for key, value in seed.assigned.items()]
-    return ProcessOptions(name, disk, faults, ops, rejoin)
