--- a/cypressledge/controlplane/sqlite_storage.py
+++ b/cypressledge/controlplane/sqlite_storage.py
@@ -7,10 +7,8 @@
 without its end, and damage to the last step in it. Then, as when an old copy was put back: --rejoin.
 """
 
-import contextlib
 import sqlite3
 from collections.abc import Callable, Iterator
-from contextlib import contextmanager
 from enum import StrEnum
 from hashlib import blake2b
 from pathlib import Path
@@ -19,12 +17,12 @@
 
 from cypressledge.controlplane.log_storage import PromisedEpoch, StorageError, StoredLog
 from cypressledge.controlplane.messages import Change, Snapshot
+from cypressledge.controlplane.sqlite_file import SqliteFile
 from cypressledge.controlplane.sqlite_wal import transactions_after_damage
 
 FORMAT = 1  # of the file
 COMPACTION_CHANGES = 8_192  # changes behind the snapshot from which a compaction is due
 COMPACTION_BYTES = 16 << 20  # or so many bytes of them
-MAX_WAL_BYTES = 4 << 20  # that the write-ahead log keeps once it has been copied back
 DIGEST_BYTES = 16  # of a row
 ALL_VERSIONS = 1 << 62  # above each version
 
@@ -86,17 +84,17 @@
         before_step: Callable[[str], None] = _no_fault,
     ) -> None:
         self.path = Path(path)
-        self.count = self.bytes = 0  # of the changes behind the snapshot
+        self.change_count = self.change_bytes = 0  # of the changes behind the snapshot
         self._name = name
-        self._before_step = before_step
         self._header = StorageHeader(FORMAT, name)
         mode = OpenMode(mode)
         is_new = not self.path.exists() or not self.path.stat().st_size
         self._check_files(is_new, mode)
         try:
-            self.db = sqlite3.connect(self.path, isolation_level=None, timeout=0, check_same_thread=False)
+            self._file = SqliteFile(self.path, before_step)
         except sqlite3.Error as err:
             raise StorageUnusableError(self._damaged(err)) from None
+        self.db = self._file.db
         try:
             self._prepare(is_new, mode)
             self._load()
@@ -123,11 +121,12 @@
             raise StorageUnusableError(
                 f"{path}: only a log of it is left. Move that away and start with --rejoin."
             )
-        log = Path(f"{path}-wal")
-        if log.exists() and transactions_after_damage(log.read_bytes()) > 1:
+        wal = Path(f"{path}-wal")
+        if wal.exists() and transactions_after_damage(wal.read_bytes()) > 1:
             raise StorageUnusableError(self._damaged("its log is garbled"))
 
     def _damaged(self, err: Exception | str) -> str:
+        """What an operator has to do where the file can't be read."""
         if "locked" in str(err):
             return f"{self.path}: another process has it open. Stop that one first."
         return (
@@ -137,23 +136,14 @@
 
     def _prepare(self, is_new: bool, mode: OpenMode) -> None:
         """Set sqlite up, make the tables where there are none, and have it check the file."""
-        execute = self.db.execute
-        execute("PRAGMA locking_mode=EXCLUSIVE")  # guards against two processes on one file
-        if is_new:
-            execute("PRAGMA auto_vacuum=INCREMENTAL")
-        execute("PRAGMA journal_mode=WAL")
-        execute("PRAGMA synchronous=FULL")
-        execute(f"PRAGMA journal_size_limit={MAX_WAL_BYTES}")
+        self._file.configure(is_new)
         # One that was stopped before its tables were there is new too.
-        has_tables = execute("SELECT COUNT(*) FROM sqlite_master").fetchone()[0]
-        if mode is not OpenMode.EXISTING and not has_tables:
+        if mode is not OpenMode.EXISTING and not self._file.has_tables():
             self._create_tables()
-        found = [row[0] for row in execute("PRAGMA quick_check(1)")]
-        if found != ["ok"]:
-            raise StorageError(found[0].splitlines()[-1])
+        self._file.check()
 
     def _create_tables(self) -> None:
-        with self._step("create"):
+        with self._file.transaction("create"):
             self.db.execute(
                 "CREATE TABLE rows (name TEXT PRIMARY KEY, body BLOB NOT NULL, digest BLOB NOT NULL)"
             )
@@ -176,31 +166,10 @@
 
     def close(self) -> None:
         """Close the file; no call follows."""
-        with contextlib.suppress(sqlite3.Error):
-            self.db.close()
+        self._file.close()
 
     # Rows
 
-    @contextmanager
-    def _step(self, step: str) -> Iterator[None]:
-        """A transaction: durable when it is left, or nothing of it. Raises `StorageError`."""
-        self._before_step(step)
-        try:
-            self.db.execute("BEGIN IMMEDIATE")
-            yield
-            self.db.execute("COMMIT")
-        except sqlite3.Error as err:
-            self._roll_back()
-            raise StorageError(f"{step}: {err}") from None
-        except BaseException:
-            self._roll_back()
-            raise
-
-    def _roll_back(self) -> None:
-        with contextlib.suppress(sqlite3.Error):  # sqlite has rolled back itself
-            if self.db.in_transaction:
-                self.db.execute("ROLLBACK")
-
     def _put(self, name: str, body: bytes) -> None:
         self.db.execute("INSERT OR REPLACE INTO rows VALUES (?, ?, ?)", (name, body, _digest(body)))
 
@@ -214,7 +183,7 @@
 
     def _replace_header(self, step: str, **fields: object) -> None:
         header = msgspec.structs.replace(self._header, **fields)
-        with self._step(step):
+        with self._file.transaction(step):
             self._put(HEADER_ROW, _encode(header))
         self._header = header
 
@@ -257,7 +226,7 @@
 
     def _load_changes(self, after_version: int) -> Iterator[Change]:
         """The changes that must follow a version without a gap."""
-        self.count = self.bytes = 0
+        self.change_count = self.change_bytes = 0
         expected = after_version
         for version, body, digest in self.db.execute("SELECT * FROM changes ORDER BY version"):
             expected += 1
@@ -266,8 +235,8 @@
             change = _decode_change(body)
             if not version == change.version == expected:
                 raise StorageError(f"change {expected} is lost")
-            self.count += 1
-            self.bytes += len(body)
+            self.change_count += 1
+            self.change_bytes += len(body)
             yield change
 
     def _check_complete(self, snapshot: Snapshot | None, changes: list[Change]) -> None:
@@ -285,7 +254,7 @@
     @property
     def needs_compaction(self) -> bool:
         """See `LogStorage`."""
-        return self.count > COMPACTION_CHANGES or self.bytes > COMPACTION_BYTES
+        return self.change_count > COMPACTION_CHANGES or self.change_bytes > COMPACTION_BYTES
 
     def promise(self, epoch: int, instance_id: int) -> None:
         """See `LogStorage`."""
@@ -307,17 +276,17 @@
         if [version for version, _, _ in rows] != list(range(self._header.last + 1, last + 1)):
             raise StorageError(f"append: the changes don't follow {self._header.last}")
         header = msgspec.structs.replace(self._header, last=last)
-        with self._step("append"):
+        with self._file.transaction("append"):
             self.db.executemany("INSERT INTO changes VALUES (?, ?, ?)", rows)
             self._put(HEADER_ROW, _encode(header))
         self._header = header
-        self.count += len(rows)
-        self.bytes += sum(map(len, bodies))
+        self.change_count += len(rows)
+        self.change_bytes += sum(map(len, bodies))
 
     def truncate(self, after_version: int) -> None:
         """See `LogStorage`."""
         header = msgspec.structs.replace(self._header, last=min(after_version, self._header.last))
-        with self._step("truncate"):
+        with self._file.transaction("truncate"):
             self.db.execute("DELETE FROM changes WHERE version > ?", (after_version,))
             self._put(HEADER_ROW, _encode(header))
         self._header = header
@@ -334,23 +303,17 @@
 
     def _replace_base(self, step: str, snapshot: Snapshot, header: StorageHeader, to_version: int) -> None:
         """A snapshot in place of the changes up to a version."""
-        with self._step(step):
+        with self._file.transaction(step):
             self.db.execute("DELETE FROM changes WHERE version <= ?", (to_version,))
             self._put(SNAPSHOT_ROW, _encode(snapshot))
             self._put(HEADER_ROW, _encode(header))
         self._header = header
         self._count_changes()
-        self._release_free_pages()
+        self._file.release_free_pages()
 
     def _count_changes(self) -> None:
         try:
             row = self.db.execute("SELECT COUNT(*), COALESCE(SUM(LENGTH(body)), 0) FROM changes").fetchone()
         except sqlite3.Error as err:
             raise StorageError(f"count: {err}") from None
-        self.count, self.bytes = row
-
-    def _release_free_pages(self) -> None:
-        """Guards against a file that only grows. What was asked for is on the disk: a failure is retried."""
-        with contextlib.suppress(sqlite3.Error):
-            self.db.executescript("PRAGMA incremental_vacuum")  # execute would release one page
-            self.db.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchall()
+        self.change_count, self.change_bytes = row
--- a/tests/controlplane/test_sqlite_storage.py
+++ b/tests/controlplane/test_sqlite_storage.py
@@ -263,7 +263,7 @@
     print(f"largest {max(sizes):,} bytes, last {sizes[-1]:,}, file {path.stat().st_size:,}")
     assert max(sizes) < 10 << 20
     assert max(sizes[250:]) <= 1.2 * max(sizes[:250])
-    assert w.store.count <= module.COMPACTION_CHANGES
+    assert w.store.change_count <= module.COMPACTION_CHANGES
     assert state_of(w.store.load()) == (50_000, w.state.digest)
     w.store.close()
 
@@ -275,8 +275,8 @@
         change = w.state.draft_change(1, ops)
         w.state.apply(change)
         w.store.append([change])
-    assert w.store.count < 200
-    assert w.store.bytes > module.COMPACTION_BYTES
+    assert w.store.change_count < 200
+    assert w.store.change_bytes > module.COMPACTION_BYTES
     w.store.commit(w.state.version)
     before = (tmp_path / "large").stat().st_size
     w.store.compact(w.state.snapshot())
