--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -1,10 +1,7 @@
-"""A broker's end of the control plane: which states it accepts. No I/O; time is passed in, µs.
+"""A broker's end of the control plane: its one connection, from the first attempt to the last message.
 
-What it accepts only goes on: no version at or below its own, no epoch below its own, no other history. One
-exception: at the same version, a snapshot of a higher epoch, or, where the broker's own entries no longer
-sum to its digest, one of the same epoch. Two sound states of one epoch and version can't both be of the
-history; who is right can't be known here, so the broker keeps what it has, counts and logs it, and the next
-version ends it.
+Which states it accepts is in `accepted_state.py`, which control process it tries in `server_selection.py`.
+No I/O; time is passed in, µs.
 """
 
 from collections.abc import Callable
@@ -12,6 +9,7 @@
 from enum import Enum
 
 from cypressledge.broker.metrics import Counters
+from cypressledge.controlplane.accepted_state import AcceptedState
 from cypressledge.controlplane.change_history import decompress_snapshot
 from cypressledge.controlplane.messages import (
     FORMAT,
@@ -24,12 +22,9 @@
     Hello,
     HelloAccepted,
     Message,
-    Snapshot,
-    SnapshotRequest,
-    to_printable_line,
 )
 from cypressledge.controlplane.server_selection import Server, ServerSelector, order
-from cypressledge.controlplane.state import FleetState, Position
+from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError
 
 CONNECT_TIMEOUT = 1_500_000  # for a TCP connection
@@ -110,18 +105,26 @@
         callbacks: SubscriberCallbacks,
         cluster_id: str = "",
     ) -> None:
-        self.identity, self.callbacks, self.cluster_id = identity, callbacks, cluster_id
+        self.identity, self.callbacks = identity, callbacks
         self.selector = ServerSelector(order(identity.name, identity.zone, identity.region, servers), seed)
         self.counters = Counters()
-        self.state = FleetState()  # of no cluster while nothing is held
-        self.rejection_reason = ""  # why some of it is not in force
+        self._held = AcceptedState(self.counters, callbacks, self._report, cluster_id)
         self.phase = Phase.WAITING
         self._started_at: int | None = None
         self._phase_at = 0  # of the wait, the end; of the others, the beginning
         self._last_frame = 0
         self._leader_heard_at: int | None = None
         self._leader = ""
-        self._differing_version = -1  # at which a heartbeat's digest differed
+
+    @property
+    def state(self) -> FleetState:
+        """What is held; of no cluster while nothing is."""
+        return self._held.state
+
+    @property
+    def rejection_reason(self) -> str:
+        """Why some of what is held is not in force; empty: all of it is."""
+        return self._held.rejection_reason
 
     # Time and the connection
 
@@ -228,66 +231,33 @@
             self._leave(now, "unexpected message")
 
     def _on_accepted(self, now: int, message: HelloAccepted) -> None:
-        if not self._is_same_cluster(message.cluster_id):
+        if not self._held.is_same_cluster(message.cluster_id):
             self._leave(now, "other cluster")
             return
         self.phase = Phase.FOLLOWING
         self.selector.accepted(now)
         self._report("subscribed", server=self.selector.server.name)
 
-    def _is_same_cluster(self, cluster_id: str) -> bool:
-        """Whether a history may be ours; one that has no name yet has nothing to send."""
-        return not cluster_id or cluster_id == (self.state.cluster_id or self.cluster_id or cluster_id)
-
     def _on_heartbeat(self, now: int, heartbeat: Heartbeat) -> None:
         if heartbeat.leader_silence_ms >= 0:
             heard_at = now - heartbeat.leader_silence_ms * 1000
             if self._leader_heard_at is None or heard_at > self._leader_heard_at:
                 self._leader_heard_at = heard_at
             self._leader = heartbeat.leader
-        self._compare_digest(heartbeat)
+        self._held.compare_digest(heartbeat)
         if 0 <= heartbeat.leader_silence_ms < STALE_MS:
             self.selector.on_leader_contact()
         elif self.selector.avoid_stale(now, self._phase_at):
             self._leave(now, "stale")
 
-    def _compare_digest(self, heartbeat: Heartbeat) -> None:
-        state = self.state
-        if not state.cluster_id or heartbeat.version != state.version or heartbeat.digest == state.digest:
-            return
-        if self._differing_version != state.version:  # guards against a log line a second
-            self._differing_version = state.version
-            self._report("digest_differs", epoch=heartbeat.epoch, version=heartbeat.version)
-
     def _on_changes(self, changes: list[Change]) -> None:
         """Take what follows; one answer in any case."""
-        version_before = self.state.version
-        request = self._apply(changes)
-        if self.state.version > version_before:
-            self._settle()
+        request = self._held.apply(changes)
         if request is None:
             self._send_position()
         else:
             self.callbacks.send(request)
 
-    def _apply(self, changes: list[Change]) -> SnapshotRequest | None:
-        """Take what follows, up to where a snapshot is needed instead, if anywhere."""
-        for change in changes:
-            if not self.state.cluster_id or change.version > self.state.version + 1:
-                self._report("version_gap", version=change.version, own=self.state.version)
-                return SnapshotRequest("gap")
-            if change.version <= self.state.version or change.epoch < self.state.epoch:
-                self._reject(change.epoch, change.version)
-                continue
-            before = self.state.position
-            try:
-                self.state.apply(change)
-            except StateError as err:
-                self._report("change_digest_differs", version=change.version, why=str(err))
-                return SnapshotRequest("digest")
-            self._taken(before, change)
-        return None
-
     def _on_snapshot(self, now: int, compressed: bytes) -> None:
         try:
             snapshot = decompress_snapshot(compressed)
@@ -296,49 +266,12 @@
             self._report("invalid_snapshot", why=str(err))
             self._leave(now, "invalid snapshot")
             return
-        if not snapshot.cluster_id or not self._is_same_cluster(snapshot.cluster_id):
+        if not snapshot.cluster_id or not self._held.is_same_cluster(snapshot.cluster_id):
             self._leave(now, "other cluster")
             return
-        if self._is_newer(snapshot):
-            before, self.state = self.state.position, state
-            self._taken(before, None)
-            self._settle()
+        self._held.replace(snapshot, state)
         self._send_position()
 
-    def _is_newer(self, snapshot: Snapshot) -> bool:
-        """Whether a snapshot is to be taken: see the head of this file."""
-        own = self.state
-        if not own.cluster_id:
-            return True
-        if snapshot.version < own.version or snapshot.epoch < own.epoch:
-            self._reject(snapshot.epoch, snapshot.version)
-            return False
-        if snapshot.version > own.version:
-            return True
-        if snapshot.digest != own.digest:
-            self._report("digest_differs", epoch=snapshot.epoch, version=snapshot.version)
-        if snapshot.epoch > own.epoch:
-            return True
-        if not own.digest_matches():
-            self._report("state_corrupted", version=own.version)
-            return True
-        self._reject(snapshot.epoch, snapshot.version)
-        return False
-
-    def _taken(self, before: Position, change: Change | None) -> None:
-        after = self.state.position
-        has_not_gone_back = after.epoch >= before.epoch and after.version >= before.version
-        self.counters.invariant(has_not_gone_back, "never_back")
-        self.counters.add("snapshots_applied" if change is None else "changes_applied")
-        self.rejection_reason = to_printable_line(self.callbacks.changed(self.state, change) or "")
-
-    def _settle(self) -> None:
-        if self.callbacks.settled is not None:
-            self.rejection_reason = to_printable_line(self.callbacks.settled() or "")
-
-    def _reject(self, epoch: int, version: int) -> None:
-        self._report("update_rejected", epoch=epoch, version=version, own=self.state.position)
-
     def _send_position(self) -> None:
         state = self.state
         self.callbacks.send(AppliedPosition(state.epoch, state.version, state.digest, self.rejection_reason))
