--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 
 from cypressledge.broker.metrics import Counters
+from cypressledge.controlplane.broker_hello import is_valid_hello, registration_of
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.messages import (
     FORMAT,
@@ -28,7 +29,7 @@
 )
 from cypressledge.controlplane.snapshot_throttle import SnapshotThrottle
 from cypressledge.controlplane.state import DigestPosition
-from cypressledge.controlplane.state_values import KEY_PATTERN, Broker, StateError, address_of, encode_value
+from cypressledge.controlplane.state_values import StateError
 from cypressledge.controlplane.subscription import Subscription
 from cypressledge.controlplane.subscription_table import SubscriptionTable
 
@@ -113,7 +114,7 @@
         limits = self.limits
         if hello.format != FORMAT:
             return Disconnect("format", limits.mismatch_retry_after_ms)
-        if connection in self.subscriptions or hello.role != "broker" or not _is_valid(hello):
+        if connection in self.subscriptions or hello.role != "broker" or not is_valid_hello(hello):
             return Disconnect("nonsense")
         former = self.subscriptions.named(hello.name)
         if former is not None:
@@ -322,21 +323,8 @@
 
     def _registration(self, hello: Hello) -> Op | None:
         """What the state should say of a broker; none where it isn't to be registered, or can't be."""
-        if not hello.address:
-            return None
-        key = f"broker/{hello.name}"
-        value = encode_value(Broker(hello.address, hello.zone, hello.region))
         try:
-            address_of(key, value)
+            return registration_of(hello)
         except StateError as err:
             self._event("invalid_address", broker=hello.name, why=str(err)[:MAX_ERROR_CHARS])
             return None
-        return Op(key, value)
-
-
-def _is_valid(hello: Hello) -> bool:
-    """Whether a Hello says a name and a position that can be."""
-    is_held = hello.version > 0 and hello.epoch >= 0 and len(hello.digest) == 16
-    if not KEY_PATTERN.fullmatch(f"broker/{hello.name}"):
-        return False
-    return is_held if hello.cluster_id else hello.version == 0
