--- /dev/null
+++ b/cypressledge/controlplane/change_file.py
@@ -0,0 +1,37 @@
+"""An operator's YAML file of changes: the parts config, engines and brokers, where null removes a key."""
+
+import click
+import yaml
+
+from cypressledge.controlplane.operator_messages import ChangeOps
+
+KEY_KINDS = {"config": "config", "engines": "engine", "brokers": "broker"}  # parts of a file -> kinds of keys
+
+
+def read_change_file(path: str) -> ChangeOps:
+    """What a file's parts assign, and remove by null. Raises `click.UsageError`."""
+    sections = _read_yaml(path)
+    if not isinstance(sections, dict) or not sections or not set(sections) <= set(KEY_KINDS):
+        raise click.UsageError(f"{path}: a change has the parts {', '.join(KEY_KINDS)}, and nothing else")
+    assigned: dict[str, object] = {}
+    removed: list[str] = []
+    for kind, section in sections.items():
+        if not isinstance(section, dict):
+            raise click.UsageError(f"{path}: {kind} is no mapping")
+        for name, value in section.items():
+            key = f"{KEY_KINDS[kind]}/{name}"
+            if value is None:
+                removed.append(key)
+            else:
+                assigned[key] = value
+    return ChangeOps(assigned, removed)
+
+
+def _read_yaml(path: str) -> object:
+    try:
+        with open(path, encoding="utf-8") as file:
+            return yaml.safe_load(file)
+    except (OSError, UnicodeDecodeError) as err:
+        raise click.UsageError(f"{path}: {err}") from None
+    except (yaml.YAMLError, RecursionError) as err:
+        raise click.UsageError(f"{path} is not YAML: {' '.join(str(err).split())}") from None
--- a/cypressledge/controlplane/cli.py
+++ b/cypressledge/controlplane/cli.py
@@ -13,9 +13,9 @@
 
 import click
 import msgspec
-import yaml
 
 from cypressledge.cli_support import ManagementAddress, as_json, show
+from cypressledge.controlplane.change_file import read_change_file
 from cypressledge.controlplane.operator_client import (
     PAUSE_S,
     Address,
@@ -28,7 +28,6 @@
     AcknowledgedAnswer,
     AnswerTag,
     ChangeBody,
-    ChangeOps,
     DryRunAnswer,
     HistoryAnswer,
     LagAnswer,
@@ -36,7 +35,6 @@
 )
 
 LAG_TIMEOUT_S = 6.0  # for finding the leader and its answer
-KINDS = {"config": "config", "engines": "engine", "brokers": "broker"}  # parts of a file -> kinds of keys
 STATUS_COLUMNS = ("name", "role", "primary", "epoch", "version", "commit", "brokers", "peers", "digest")
 EXIT_IN_FORCE, EXIT_LAGGING_OR_UNKNOWN, EXIT_REFUSED = 0, 1, 2
 
@@ -74,7 +72,7 @@
 
     if seed and rejoin:
         raise click.UsageError("--first begins a new history, --rejoin takes the others': not both")
-    sys.exit(run_control_process(file, name, folder, read_ops(seed) if seed else None, rejoin))
+    sys.exit(run_control_process(file, name, folder, read_change_file(seed) if seed else None, rejoin))
 
 
 @control.command()
@@ -160,31 +158,6 @@
         click.echo(f"{lag.unreachable_count} are registered, but connected nowhere: {names}")
 
 
-def read_ops(path: str) -> ChangeOps:
-    """What a file's sections assign, and remove by null. Raises `UsageError`."""
-    try:
-        with open(path, encoding="utf-8") as file:
-            sections = yaml.safe_load(file)
-    except (OSError, UnicodeDecodeError) as err:
-        raise click.UsageError(f"{path}: {err}") from None
-    except (yaml.YAMLError, RecursionError) as err:
-        raise click.UsageError(f"{path} is not YAML: {' '.join(str(err).split())}") from None
-    if not isinstance(sections, dict) or not sections or not set(sections) <= set(KINDS):
-        raise click.UsageError(f"{path}: a change has the parts {', '.join(KINDS)}, and nothing else")
-    assigned: dict[str, object] = {}
-    removed: list[str] = []
-    for kind, section in sections.items():
-        if not isinstance(section, dict):
-            raise click.UsageError(f"{path}: {kind} is no mapping")
-        for name, value in section.items():
-            key = f"{KINDS[kind]}/{name}"
-            if value is None:
-                removed.append(key)
-            else:
-                assigned[key] = value
-    return ChangeOps(assigned, removed)
-
-
 @control.command()
 @click.argument("file", metavar="FILE.yaml")
 @at_control
@@ -217,7 +190,7 @@
 
     Exit code 0: taken, and in force at every connected broker. 1: taken, but some lag after the wait or have
     rejected it, or not known: repeat it under the same --request. 2: refused, nothing changed."""
-    ops = read_ops(file)
+    ops = read_change_file(file)
     user = os.environ.get("USER", "")
     request = request or f"{os.environ.get('USER', 'operator')}-{uuid.uuid4().hex[:12]}"
     try:
