--- a/cypressledge/controlplane/change_history.py
+++ b/cypressledge/controlplane/change_history.py
@@ -44,6 +44,21 @@
         raise StateError(f"snapshot: {err}") from None
 
 
+class CompressedSnapshotCache:
+    """The last snapshot made of one state, as it goes into a message."""
+
+    def __init__(self) -> None:
+        self._position: DigestPosition | None = None
+        self._compressed = b""
+
+    def get(self, state: FleetState) -> bytes:
+        """The snapshot of a state; made once a version."""
+        position = state.digest_position
+        if position != self._position:
+            self._position, self._compressed = position, compress_snapshot(state.snapshot())
+        return self._compressed
+
+
 class ChangeHistory:
     """The state at its newest version, and the changes from version `base` on that can be sent."""
 
@@ -59,7 +74,7 @@
         self.base = state.digest_position  # the changes kept follow it
         self._kept: deque[_KeptChange] = deque()
         self.kept_bytes = 0  # encoded
-        self._compressed: tuple[DigestPosition, bytes] | None = None
+        self._snapshots = CompressedSnapshotCache()
 
     @property
     def changes(self) -> list[Change]:
@@ -120,7 +135,4 @@
 
     def compressed_snapshot(self) -> bytes:
         """The snapshot of the newest version as it goes into a message; made once a version."""
-        position = self.state.digest_position
-        if self._compressed is None or self._compressed[0] != position:
-            self._compressed = position, compress_snapshot(self.state.snapshot())
-        return self._compressed[1]
+        return self._snapshots.get(self.state)
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Sequence
 
-from cypressledge.controlplane.change_history import compress_snapshot
+from cypressledge.controlplane.change_history import CompressedSnapshotCache
 from cypressledge.controlplane.errors import LogInvariantError
 from cypressledge.controlplane.log_entries import LogEntries
 from cypressledge.controlplane.log_storage import NOTHING_PROMISED, LogStorage, PromisedEpoch, StorageError
@@ -36,7 +36,7 @@
         self._storage = storage
         self._on_commit = on_commit
         self._on_storage_failure = on_storage_failure
-        self._compressed: tuple[Position, bytes] | None = None
+        self._snapshots = CompressedSnapshotCache()
         self.is_uncertain = False  # a durable step failed: the storage is read again before anything else
         self.commit = -1  # newest version known to be committed; -1: no history
         self.joining = False  # this voter has lost its disk, or has an old one: it does not count
@@ -271,10 +271,7 @@
 
     def compressed_snapshot(self) -> bytes:
         """The committed state as it goes into a message, made once a version."""
-        position = self.committed_state.position
-        if self._compressed is None or self._compressed[0] != position:
-            self._compressed = position, compress_snapshot(self.committed_state.snapshot())
-        return self._compressed[1]
+        return self._snapshots.get(self.committed_state)
 
     # Joining
 
