--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -6,6 +6,7 @@
 """
 
 from collections.abc import Callable, Sequence
+from functools import partial
 
 from cypressledge.controlplane.change_history import CompressedSnapshotCache
 from cypressledge.controlplane.errors import LogInvariantError
@@ -122,10 +123,10 @@
         for change in self.entries.between(self.commit, self.last.version):
             self._latest_state.apply(change)
 
-    def _persist(self, step: str, *args: object) -> bool:
-        """One durable step of the storage; whether it was taken."""
+    def _persist(self, step: str, write: Callable[[], None]) -> bool:
+        """One durable step of the storage, with its name in reports; whether it was taken."""
         try:
-            getattr(self._storage, step)(*args)
+            write()
             return True
         except StorageError as err:
             self.is_uncertain = True
@@ -139,7 +140,7 @@
         """Promise an epoch to an instance (0: to whoever leads it); whether the promise is stored."""
         if (epoch, instance_id) == self.promised:
             return True
-        if not self._persist("promise", epoch, instance_id):
+        if not self._persist("promise", partial(self._storage.promise, epoch, instance_id)):
             return False
         self.promised = PromisedEpoch(epoch, instance_id)
         return True
@@ -163,7 +164,7 @@
     ) -> Change | None:
         """Write the leader's next entry; none where the storage failed, and this is no leader any more."""
         change = self.latest_state.draft_change(self.epoch, ops, request_id, author, reason, at_ms)
-        if not self._persist("append", [change]):
+        if not self._persist("append", partial(self._storage.append, [change])):
             return None
         self.latest_state.apply(change)
         self.entries.extend([change])
@@ -185,7 +186,7 @@
             self._context.report("invalid_log_data", why=str(err))
             self._rebuild_latest_state()
             return False
-        if not self._persist("append", new):
+        if not self._persist("append", partial(self._storage.append, new)):
             return False
         self.entries.extend(new)
         return True
@@ -196,7 +197,7 @@
             raise LogInvariantError(
                 f"entries after {after_version} would be dropped, committed up to {self.commit}"
             )
-        if not self._persist("truncate", after_version):
+        if not self._persist("truncate", partial(self._storage.truncate, after_version)):
             return False
         self._context.report("truncated", after=after_version, last=self.last.version)
         self.entries.truncate(after_version)
@@ -221,7 +222,7 @@
         """Everything up to a version is committed: stored first, then handed on. Whether it is stored."""
         if version <= self.commit:
             return True
-        if not self._persist("commit", version):
+        if not self._persist("commit", partial(self._storage.commit, version)):
             return False
         changes, is_first = self.entries.between(self.commit, version), self.commit < 1
         for change in changes:
@@ -231,10 +232,15 @@
             self._on_commit(None, self.committed_state.snapshot())
         else:
             self._on_commit(changes, None)
-        if self._storage.needs_compaction and self._persist("compact", self.committed_state.snapshot()):
-            self.entries.drop_compacted(self.commit)
+        if self._storage.needs_compaction:
+            self._compact()
         return not self.is_uncertain
 
+    def _compact(self) -> None:
+        """Replace the changes up to the commit by a snapshot, here and in the storage."""
+        if self._persist("compact", partial(self._storage.compact, self.committed_state.snapshot())):
+            self.entries.drop_compacted(self.commit)
+
     def committed_here(self, leader_commit: int, matching: int) -> int:
         """Guards against calling committed what is held here but not known to be the leader's."""
         return min(leader_commit, matching)
@@ -256,7 +262,7 @@
         except StateError as err:
             self._context.report("invalid_log_data", why=str(err))
             return False
-        if not self._persist("install", snapshot):
+        if not self._persist("install", partial(self._storage.install, snapshot)):
             return False
         self._committed_state, self._latest_state = state, state.copy()
         self.entries = LogEntries(state.position)
@@ -277,7 +283,9 @@
 
     def finish_joining(self, epoch: int, leader_commit: int) -> bool:
         """Count in majorities again, where all is back; whether this voter has just begun to."""
-        if not self.joining or not self._has_caught_up(epoch, leader_commit) or not self._persist("joined"):
+        if not self.joining or not self._has_caught_up(epoch, leader_commit):
+            return False
+        if not self._persist("joined", self._storage.joined):
             return False
         self.joining = False
         return True
