--- a/cypressledge/controlplane/broker_hello.py
+++ b/cypressledge/controlplane/broker_hello.py
@@ -2,7 +2,13 @@
 
 from cypressledge.controlplane.messages import Hello, Op
 from cypressledge.controlplane.state import DIGEST_BYTES
-from cypressledge.controlplane.state_values import KEY_PATTERN, Broker, address_of, encode_value
+from cypressledge.controlplane.state_values import (
+    BROKER_PREFIX,
+    KEY_PATTERN,
+    Broker,
+    address_of,
+    encode_value,
+)
 
 
 def is_valid_hello(hello: Hello) -> bool:
@@ -28,4 +34,4 @@
 
 
 def _broker_key(name: str) -> str:
-    return f"broker/{name}"
+    return BROKER_PREFIX + name
--- a/cypressledge/controlplane/broker_registry.py
+++ b/cypressledge/controlplane/broker_registry.py
@@ -12,7 +12,7 @@
 from cypressledge.controlplane.messages import MAX_OPS_PER_CHANGE, Op
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_validation import validate_change
-from cypressledge.controlplane.state_values import Address, StateError, address_of
+from cypressledge.controlplane.state_values import BROKER_PREFIX, Address, StateError, address_of
 
 RETRY_INTERVAL_US = 1_000_000  # after which a registration is sent, or proposed, once more
 MAX_REGISTRATIONS = MAX_OPS_PER_CHANGE // 2  # in one change: each may remove another key
@@ -21,7 +21,6 @@
 # Guards against a broker that only changes its control process being taken for gone: it notices silence after
 # 3.5 s, waits up to 5 for its next attempt, which may take 1.5.
 DISPLACEABLE_AFTER_US = 10_000_000
-BROKER_PREFIX = "broker/"
 
 
 class _SentRegistration(NamedTuple):
--- a/cypressledge/controlplane/change_proposals.py
+++ b/cypressledge/controlplane/change_proposals.py
@@ -28,11 +28,11 @@
 from cypressledge.controlplane.settings import ServerSpec
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_validation import find_conflicts, validate_change
-from cypressledge.controlplane.state_values import StateError, decode_value
+from cypressledge.controlplane.state_values import CONFIG_PREFIX, StateError, decode_value
 from cypressledge.net.http_server import HttpExchange
 
 MAJORITY_TIMEOUT_US = 5_000_000  # for a change's majority
-CLASSES_KEY = "config/Classes"
+CLASSES_KEY = CONFIG_PREFIX + "Classes"
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypressledge/controlplane/operator_api.py
+++ b/cypressledge/controlplane/operator_api.py
@@ -23,7 +23,7 @@
 )
 from cypressledge.controlplane.peer_connections import PeerSender
 from cypressledge.controlplane.publisher import Publisher
-from cypressledge.controlplane.state_values import decode_value
+from cypressledge.controlplane.state_values import BROKER_PREFIX, decode_value
 from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.net.http_server import HttpRequest
 
@@ -94,7 +94,9 @@
         if not self.leadership.is_leader:
             return Answer(HTTPStatus.MISDIRECTED_REQUEST, NotLeaderAnswer(), self.locator.locate())
         state = self.history.state
-        registered = [key.removeprefix("broker/") for key in state.entries if key.startswith("broker/")]
+        registered = [
+            key.removeprefix(BROKER_PREFIX) for key in state.entries if key.startswith(BROKER_PREFIX)
+        ]
         version = read_version(request, "version", 0) or state.version
         report = self.applied.lag(version, registered, self.leadership.node.alive())
         return Answer(HTTPStatus.OK, LagAnswer.from_report(report, newest=state.version))
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -20,7 +20,9 @@
     StateEntry,
 )
 from cypressledge.controlplane.state_values import (
+    BROKER_PREFIX,
     CONFIG_PREFIX,
+    ENGINE_PREFIX,
     Address,
     Broker,
     Engine,
@@ -279,11 +281,11 @@
 
     def engines(self) -> Mapping[str, Engine]:
         """The engines by name. Raises `StateError` where one can't be read."""
-        return {name: decode_engine(value) for name, value in self._values("engine/")}
+        return {name: decode_engine(value) for name, value in self._values(ENGINE_PREFIX)}
 
     def brokers(self) -> Mapping[str, Broker]:
         """The brokers by name. Raises `StateError` where one can't be read."""
-        return {name: decode_broker(value) for name, value in self._values("broker/")}
+        return {name: decode_broker(value) for name, value in self._values(BROKER_PREFIX)}
 
     def _values(self, prefix: str) -> Iterable[tuple[str, bytes]]:
         return (
--- a/cypressledge/controlplane/state_values.py
+++ b/cypressledge/controlplane/state_values.py
@@ -9,7 +9,7 @@
 
 # Names as in fleet.settings.Name.
 KEY_PATTERN = re.compile(r"(config|engine|broker)/[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
-CONFIG_PREFIX = "config/"
+CONFIG_PREFIX, ENGINE_PREFIX, BROKER_PREFIX = "config/", "engine/", "broker/"  # of keys
 MAX_HOST_LENGTH = 253  # characters of a DNS name (RFC 1035)
 
 ShortText = Annotated[str, msgspec.Meta(max_length=64)]
