--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -7,9 +7,10 @@
 import json
 import os
 from collections.abc import Callable, Mapping
-from dataclasses import asdict
 from typing import TYPE_CHECKING
 
+import msgspec
+
 from cypressledge.broker.discovered_engine import DiscoveredEngine
 from cypressledge.broker.metrics import log
 from cypressledge.config import ConfigError, parse_address
@@ -17,8 +18,9 @@
 from cypressledge.controlplane.settings import read_control_settings
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import Engine, StateError
-from cypressledge.controlplane.subscriber import BrokerIdentity
+from cypressledge.controlplane.subscriber import BrokerIdentity, SubscriberStatus
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
+from cypressledge.controlplane.traffic_counters import FrameCounts
 from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.node import new_instance_id
 
@@ -29,6 +31,16 @@
 ENGINE_STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
 
 
+class BrokerStatusAnswer(SubscriberStatus, frozen=True, kw_only=True):
+    """`GET /control/status` of a broker: its subscriber's status, and what the broker makes of the state."""
+
+    instance_id: str = msgspec.field(name="run")  # hexadecimal
+    rejection_reason: str = msgspec.field(name="refused")  # why some is not in force; empty: all of it is
+    has_external_engine_list: bool = msgspec.field(name="engines_from_here")  # the control plane's
+    sections: list[str]  # of the settings that are in force from the control plane
+    traffic: Mapping[str, FrameCounts]  # by direction and tag of a message
+
+
 class BrokerIntegration:
     """Follows the control plane for a broker. Raises `ConfigError` where the file can't be used."""
 
@@ -72,14 +84,15 @@
         self.client.stop()
 
     def _status(self) -> bytes:
-        status = asdict(self.client.status()) | {
-            "run": f"{self.instance_id:x}",
-            "refused": self.rejection_reason,
-            "engines_from_here": self.broker.configuration.has_external_engine_list,
-            "sections": sorted(self.broker.configuration.sections),
-            "traffic": self.client.traffic.show(),
-        }
-        return json.dumps(status).encode() + b"\n"
+        status = BrokerStatusAnswer(
+            **msgspec.structs.asdict(self.client.status()),
+            instance_id=f"{self.instance_id:x}",
+            rejection_reason=self.rejection_reason,
+            has_external_engine_list=self.broker.configuration.has_external_engine_list,
+            sections=sorted(self.broker.configuration.sections),
+            traffic=self.client.traffic.show(),
+        )
+        return json.dumps(msgspec.to_builtins(status)).encode() + b"\n"
 
     # What a new state brings
 
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -105,8 +105,8 @@
     def tick(self, now: int) -> int:
         """Learn from the voter that is followed when a leader was last heard; the next tick's moment, µs."""
         status = self._subscriber.status()
-        if status.primary:
-            self.leader = status.primary
+        if status.leader:
+            self.leader = status.leader
             self.leader_heard_at = now - status.stale_ms * 1_000
         self.epoch = status.epoch
         return now + TICK_INTERVAL_US
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -4,10 +4,12 @@
 No I/O; time is passed in, µs.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from enum import Enum
 
+import msgspec
+
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.accepted_state import AcceptedState
 from cypressledge.controlplane.change_history import decompress_snapshot
@@ -75,22 +77,19 @@
     settled: Callable[[], str | None] | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class SubscriberStatus:
-    """For operators: the JSON of a broker's `GET /control/status` has these names. `server` and `address`: of
-    whom is followed, or tried next, None where the settings name nobody; `primary`: the leader heard of
-    last."""
+class SubscriberStatus(msgspec.Struct, frozen=True):
+    """For operators: what a subscriber holds, and from whom; the first fields of `BrokerStatusAnswer`."""
 
     phase: str
-    server: str | None
-    address: str | None
-    lineage: str
+    server: str | None  # that is followed, or tried next; none where the settings name nobody
+    address: str | None  # of the same
+    cluster_id: str = msgspec.field(name="lineage")
     epoch: int
     version: int
-    digest: str
-    primary: str
-    stale_ms: int
-    counts: dict[str, int]
+    digest: str  # hexadecimal
+    leader: str = msgspec.field(name="primary")  # heard of last
+    stale_ms: int  # since a leader was heard
+    counts: Mapping[str, int]  # of events, by name
 
 
 class ConfigSubscriber:
