--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -212,7 +212,7 @@
             self._event(
                 "broker_ahead",
                 broker=subscription.name,
-                theirs=subscription.held.position,
+                theirs=subscription.applied.position,
                 ours=self.history.state.position,
             )
 
@@ -227,26 +227,28 @@
 
     # One message at a time
 
-    def _on_position(self, subscription: Subscription, held: DigestPosition, rejection_reason: str) -> None:
+    def _on_position(
+        self, subscription: Subscription, applied: DigestPosition, rejection_reason: str
+    ) -> None:
         """An answer: what the broker holds after the message that was in flight."""
         expected, was_snapshot = subscription.expected_position, subscription.is_snapshot_in_flight
         assert expected is not None, "an answer to nothing"
         self._clear_in_flight(subscription)
-        has_moved = held.position != subscription.held.position
+        has_moved = applied.position != subscription.applied.position
         if has_moved or rejection_reason != subscription.rejection_reason:
             self.subscriptions.mark_changed(subscription)
         subscription.rejection_reason = rejection_reason
-        if was_snapshot and held.version:
+        if was_snapshot and applied.version:
             subscription.cluster_id = self.history.state.cluster_id
         # Guards against sending the same again and again to one who does not take it.
-        if held != expected and was_snapshot:
+        if applied != expected and was_snapshot:
             subscription.rejected_snapshot = expected.position
             self._event(
-                "snapshot_rejected", broker=subscription.name, theirs=held.position, ours=expected.position
+                "snapshot_rejected", broker=subscription.name, theirs=applied.position, ours=expected.position
             )
-        elif held.position <= subscription.held.position and not was_snapshot:
+        elif applied.position <= subscription.applied.position and not was_snapshot:
             subscription.needs_snapshot = True
-        subscription.held = held
+        subscription.applied = applied
 
     def _clear_in_flight(self, subscription: Subscription) -> None:
         subscription.expected_position = None
@@ -269,7 +271,7 @@
         changes = None
         if subscription.cluster_id and not subscription.needs_snapshot:
             self._compare_digests(subscription)
-            changes = self.history.changes_since(*subscription.held)
+            changes = self.history.changes_since(*subscription.applied)
         if changes is None:
             subscription.needs_snapshot = subscription.is_queued = True
             self.snapshot_queue.append(subscription.connection)
@@ -282,7 +284,7 @@
     def _is_ahead(self, now: int, subscription: Subscription) -> bool:
         """Whether a broker holds what we have not heard of yet: a standby may be a moment behind."""
         state = self.history.state
-        if subscription.held.version <= state.version and subscription.held.epoch <= state.epoch:
+        if subscription.applied.version <= state.version and subscription.applied.epoch <= state.epoch:
             subscription.ahead_since, subscription.is_ahead_reported = None, False
             return False
         if subscription.ahead_since is None:
@@ -290,9 +292,9 @@
         return True
 
     def _compare_digests(self, subscription: Subscription) -> None:
-        ours = self.history.position_at(subscription.held.version)
-        if ours is not None and ours != subscription.held:
-            theirs = subscription.held.position
+        ours = self.history.position_at(subscription.applied.version)
+        if ours is not None and ours != subscription.applied:
+            theirs = subscription.applied.position
             self._event("digest_differs", broker=subscription.name, theirs=theirs, ours=ours.position)
 
     def _send_queued_snapshots(self, now: int) -> None:
--- a/cypressledge/controlplane/server_selection.py
+++ b/cypressledge/controlplane/server_selection.py
@@ -52,6 +52,7 @@
     hashing: Thaler and Ravishankar 1998), so brokers spread and a dead server's spread over the others."""
 
     def preference(server: Server) -> _Preference:
+        """The sort key of one server."""
         if zone and server.zone == zone:
             distance = _Distance.SAME_ZONE
         elif region and server.region == region:
--- a/cypressledge/controlplane/subscription.py
+++ b/cypressledge/controlplane/subscription.py
@@ -8,13 +8,13 @@
 
 @dataclass(slots=True)
 class Subscription:
-    """One connected broker. `held`: the position that it has answered with last."""
+    """One connected broker. `applied`: the position that it has answered with last."""
 
     connection: int
     name: str
     instance_id: int
     cluster_id: str
-    held: DigestPosition
+    applied: DigestPosition
     registration: Op | None
     heartbeat_at: int
     expected_position: DigestPosition | None = None  # what it holds once it has taken the message in flight
--- a/cypressledge/controlplane/subscription_table.py
+++ b/cypressledge/controlplane/subscription_table.py
@@ -79,7 +79,7 @@
 
     def applied_versions(self) -> Mapping[str, BrokerVersion]:
         """By name of a broker: in force there but for what `rejections` says."""
-        return {s.name: BrokerVersion(s.instance_id, s.held.version) for s in self._by_connection.values()}
+        return {s.name: BrokerVersion(s.instance_id, s.applied.version) for s in self._by_connection.values()}
 
     def rejections(self, names: Iterable[str]) -> dict[str, str]:
         """By name, who of them has rejected some of what it holds, and why, the latter for `MAX_REASONS`."""
