--- a/cypressledge/controlplane/change_proposals.py
+++ b/cypressledge/controlplane/change_proposals.py
@@ -24,7 +24,7 @@
     OutcomeUnknownAnswer,
 )
 from cypressledge.controlplane.process_events import ProcessEvents
-from cypressledge.controlplane.proposals import PendingProposal
+from cypressledge.controlplane.proposals import PendingProposal, ProposalState
 from cypressledge.controlplane.settings import ServerSpec
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_validation import find_conflicts, validate_change
@@ -55,7 +55,7 @@
 class _WaitingChange:
     """A change that waits for its majority, until a moment (µs)."""
 
-    ticket: PendingProposal
+    proposal: PendingProposal
     change: ChangeRequest
     exchange: HttpExchange
     deadline: int
@@ -89,9 +89,9 @@
         """Answer the changes of which it is known what became of them; when to call again, µs."""
         still_waiting = []
         for waiting in self._waiting:
-            if waiting.ticket.state == "open" and now < waiting.deadline:
+            if waiting.proposal.state is ProposalState.OPEN and now < waiting.deadline:
                 still_waiting.append(waiting)
-            elif waiting.ticket.state == "done":
+            elif waiting.proposal.state is ProposalState.DONE:
                 self._acknowledge(waiting)
             else:
                 self._answer_unknown(waiting)
@@ -99,56 +99,53 @@
         return min((waiting.deadline for waiting in still_waiting), default=now + MAJORITY_TIMEOUT_US)
 
     def _propose(self, now: int, change: ChangeRequest, exchange: HttpExchange) -> None:
-        leadership = self.leadership
+        """In the owner's greenlet: propose a change, or answer why not, or what would come of it."""
         try:
-            if not leadership.is_leader:
-                raise NotLeaderError(leadership.leader)
-            state = leadership.latest_state()
+            state = self._leader_state()
             base = state.version if change.base is None else change.base
             check_new(state, change)
             if change.dry_run:
-                self._answer_dry_run(change, state, base, exchange)
+                self._answer(exchange, HTTPStatus.OK, dry_run(state, base, change))
                 return
-            ticket = leadership.voter().propose(
+            proposal = self.leadership.voter().propose(
                 now, change.ops, base, change.request, change.who, change.why, time.time_ns() // 1_000_000
             )
         except NotLeaderError:
             self._answer(exchange, HTTPStatus.MISDIRECTED_REQUEST, NotLeaderAnswer())
         except VersionConflictError as err:
-            conflict = ConflictAnswer(str(err), err.keys, leadership.latest_state().version)
+            conflict = ConflictAnswer(str(err), err.keys, self.leadership.latest_state().version)
             send_answer(exchange, Answer(HTTPStatus.CONFLICT, conflict))
         except StateError as err:
             reject(exchange, HTTPStatus.BAD_REQUEST, str(err))
         else:
-            self._waiting.append(_WaitingChange(ticket, change, exchange, now + MAJORITY_TIMEOUT_US))
+            self._waiting.append(_WaitingChange(proposal, change, exchange, now + MAJORITY_TIMEOUT_US))
 
-    def _answer_dry_run(
-        self, change: ChangeRequest, state: FleetState, base: int, exchange: HttpExchange
-    ) -> None:
-        """What would come of a change. Raises as `Replica.propose` does."""
-        validate_change(state, change.ops)
-        if keys := find_conflicts(state, base, change.ops):
-            raise VersionConflictError(keys)
-        self._answer(exchange, HTTPStatus.OK, DryRunAnswer(state.version + 1, len(change.ops)))
+    def _leader_state(self) -> FleetState:
+        """The state that a change is made on. Raises `NotLeaderError`."""
+        if not self.leadership.is_leader:
+            raise NotLeaderError(self.leadership.leader)
+        return self.leadership.latest_state()
 
     def _acknowledge(self, waiting: _WaitingChange) -> None:
-        ticket, change = waiting.ticket, waiting.change
+        proposal, change = waiting.proposal, waiting.change
         if self.faults.is_due("answer"):
             self.faults.strike()
         self.events.emit(
             "change_acknowledged",
-            epoch=ticket.epoch,
-            version=ticket.version,
+            epoch=proposal.epoch,
+            version=proposal.version,
             request=change.request,
             who=change.who,
             why=change.why,
         )
-        self.record.write("acknowledged", epoch=ticket.epoch, version=ticket.version, request=change.request)
-        acknowledged = AcknowledgedAnswer(ticket.version, ticket.epoch, change.request)
+        self.record.write(
+            "acknowledged", epoch=proposal.epoch, version=proposal.version, request=change.request
+        )
+        acknowledged = AcknowledgedAnswer(proposal.version, proposal.epoch, change.request)
         self._answer(waiting.exchange, HTTPStatus.OK, acknowledged)
 
     def _answer_unknown(self, waiting: _WaitingChange) -> None:
-        version = waiting.ticket.version
+        version = waiting.proposal.version
         self.events.emit("change_unknown", version=version, request=waiting.change.request)
         unknown = OutcomeUnknownAnswer(version, "no majority in time")
         self._answer(waiting.exchange, HTTPStatus.SERVICE_UNAVAILABLE, unknown)
@@ -158,6 +155,14 @@
         send_answer(exchange, Answer(status, body, self.locator.locate()))
 
 
+def dry_run(state: FleetState, base: int, change: ChangeRequest) -> DryRunAnswer:
+    """What would come of a change that was made on version `base`. Raises as `Replica.propose` does."""
+    validate_change(state, change.ops)
+    if keys := find_conflicts(state, base, change.ops):
+        raise VersionConflictError(keys)
+    return DryRunAnswer(state.version + 1, len(change.ops))
+
+
 def check_new(state: FleetState, change: ChangeRequest) -> None:
     """The rules for a change that isn't known yet. Guards against "refused" for a repeat that was taken.
     Raises `StateError`."""
