--- a/cypressledge/controlplane/log_replication.py
+++ b/cypressledge/controlplane/log_replication.py
@@ -19,7 +19,7 @@
     Op,
 )
 from cypressledge.controlplane.peer_progress import PeerProgress
-from cypressledge.controlplane.proposals import PendingProposal, ProposalState
+from cypressledge.controlplane.proposals import ChangeOrigin, PendingProposal, ProposalState
 from cypressledge.controlplane.replica_context import HEARTBEAT_INTERVAL_US, NEVER, ReplicaContext, Role
 from cypressledge.controlplane.replicated_log import ReplicatedLog
 from cypressledge.controlplane.state_validation import find_conflicts, validate_change
@@ -60,7 +60,7 @@
         ops, reason, first = [], FIRST_ENTRY_REASON, self._context.first_version
         if not self._log.last.version and first:  # a first log of which only the empty version 0 was written
             ops, reason = first.ops, FIRST_VERSION_REASON
-        change = self._log.append_next(ops, "", "", reason, 0)
+        change = self._log.append_next(ops, ChangeOrigin(reason=reason))
         if change is None:
             return False
         self._first_version = change.version
@@ -88,17 +88,15 @@
 
     # Proposals
 
-    def propose(
-        self, ops: list[Op], base_version: int, request_id: str, author: str, reason: str, created_at_ms: int
-    ) -> PendingProposal:
+    def propose(self, ops: list[Op], base_version: int, origin: ChangeOrigin) -> PendingProposal:
         """A change that someone asks for, who looked at `base_version`; see `Replica.propose`."""
-        known = self._log.version_of_request(request_id)
+        known = self._log.version_of_request(origin.request_id)
         if known is not None:
-            return self._known_proposal(known, request_id, ops)
+            return self._known_proposal(known, origin.request_id, ops)
         validate_change(self._log.latest_state, ops)
         if keys := find_conflicts(self._log.latest_state, base_version, ops):
             raise VersionConflictError(keys)
-        return self._propose(ops, request_id, author, reason, created_at_ms)
+        return self._propose(ops, origin)
 
     def _known_proposal(self, version: int, request_id: str, ops: list[Op]) -> PendingProposal:
         if self._log.differs_from(version, ops):
@@ -113,18 +111,17 @@
     def propose_internal(self, ops: list[Op], reason: str, created_at_ms: int) -> PendingProposal:
         """A change that the leader makes by itself. Raises `StateError`."""
         validate_change(self._log.latest_state, ops)
-        return self._propose(ops, "", self._context.name, reason, created_at_ms)
+        origin = ChangeOrigin(author=self._context.name, reason=reason, created_at_ms=created_at_ms)
+        return self._propose(ops, origin)
 
     def check_capacity(self) -> None:
         """Raises `StateError` while too many proposals wait for a majority."""
         if len(self._proposals) >= MAX_PENDING_PROPOSALS:
             raise StateError(f"{MAX_PENDING_PROPOSALS} changes wait for a majority of the control processes")
 
-    def _propose(
-        self, ops: list[Op], request_id: str, author: str, reason: str, created_at_ms: int
-    ) -> PendingProposal:
+    def _propose(self, ops: list[Op], origin: ChangeOrigin) -> PendingProposal:
         proposal = PendingProposal(self._log.latest_state.version + 1, self._log.epoch)
-        if self._log.append_next(ops, request_id, author, reason, created_at_ms) is None:
+        if self._log.append_next(ops, origin) is None:
             proposal.state = ProposalState.UNKNOWN
             return proposal
         self._proposals[proposal.version] = proposal
--- a/cypressledge/controlplane/proposals.py
+++ b/cypressledge/controlplane/proposals.py
@@ -2,6 +2,16 @@
 
 from dataclasses import dataclass
 from enum import StrEnum
+from typing import NamedTuple
+
+
+class ChangeOrigin(NamedTuple):
+    """Where a change comes from; the same fields as in `Change`. Internal changes have no request id."""
+
+    request_id: str = ""
+    author: str = ""
+    reason: str = ""
+    created_at_ms: int = 0
 
 
 class ProposalState(StrEnum):
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -31,7 +31,7 @@
     Promise,
 )
 from cypressledge.controlplane.peer_progress import PeerProgress
-from cypressledge.controlplane.proposals import PendingProposal
+from cypressledge.controlplane.proposals import ChangeOrigin, PendingProposal
 from cypressledge.controlplane.replica_context import (
     NEVER,
     FirstVersion,
@@ -236,7 +236,8 @@
         """
         self._context.now = now
         leading = self._leader_role.require_leading()
-        return leading.propose(ops, base_version, request_id, author, reason, created_at_ms)
+        origin = ChangeOrigin(request_id, author, reason, created_at_ms)
+        return leading.propose(ops, base_version, origin)
 
     def propose_internal(
         self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -13,6 +13,7 @@
 from cypressledge.controlplane.log_entries import LogEntries
 from cypressledge.controlplane.log_storage import NOTHING_PROMISED, LogStorage, PromisedEpoch, StorageError
 from cypressledge.controlplane.messages import Change, Op, Promise, Snapshot
+from cypressledge.controlplane.proposals import ChangeOrigin
 from cypressledge.controlplane.replica_context import CommitHandler, ReplicaContext
 from cypressledge.controlplane.state import FleetState, Position
 from cypressledge.controlplane.state_values import StateError
@@ -159,11 +160,9 @@
 
     # Entries
 
-    def append_next(
-        self, ops: list[Op], request_id: str, author: str, reason: str, at_ms: int
-    ) -> Change | None:
+    def append_next(self, ops: list[Op], origin: ChangeOrigin) -> Change | None:
         """Write the leader's next entry; none where the storage failed, and this is no leader any more."""
-        change = self.latest_state.draft_change(self.epoch, ops, request_id, author, reason, at_ms)
+        change = self.latest_state.draft_change(self.epoch, ops, *origin)
         if not self._persist("append", partial(self._storage.append, [change])):
             return None
         self.latest_state.apply(change)
