--- a/cypressledge/controlplane/framing.py
+++ b/cypressledge/controlplane/framing.py
@@ -9,7 +9,14 @@
 
 from gevent import Timeout, sleep, socket
 
-from cypressledge.controlplane.messages import MAX_FRAME_BYTES, InvalidFrameError, Message, decode, encode
+from cypressledge.controlplane.messages import (
+    LENGTH_PREFIX_BYTES,
+    MAX_FRAME_BYTES,
+    InvalidFrameError,
+    Message,
+    decode,
+    encode,
+)
 from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.net import socket_io
 from cypressledge.net.receive_buffer import BufferLimitError, ReceiveBuffer
@@ -25,7 +32,6 @@
 KEEPALIVE_INTERVAL_S = 2  # seconds between probes
 KEEPALIVE_PROBES = 3  # probes without an answer that end a connection
 MAX_QUEUED_BYTES = 16 << 20  # bytes that wait for one peer: a few of the largest frames
-LENGTH_PREFIX_BYTES = 4
 
 
 class ConnectionEndedError(Exception):
--- a/cypressledge/controlplane/messages.py
+++ b/cypressledge/controlplane/messages.py
@@ -13,6 +13,7 @@
 import msgspec
 
 FORMAT = 1  # of this set of messages, sent in the first frame; a peer with another one is disconnected
+LENGTH_PREFIX_BYTES = 4  # before each message
 MAX_FRAME_BYTES = 4 << 20  # of one message, without its length prefix
 MAX_OPS_PER_CHANGE = 2_000  # keys that one change may set or remove
 MAX_CHANGE_BYTES = 512 << 10  # of one change's keys and values
@@ -28,7 +29,7 @@
     """An operation on one key: set it to a value or, without a value, remove it.
 
     Keys are `config/SECTION`, `engine/NAME` and `broker/NAME`. The value is plain data in the canonical
-    encoding (see `state.py`).
+    encoding (see `state_values.py`).
     """
 
     key: str
@@ -328,7 +329,7 @@
     body = _encode(message)
     if len(body) > MAX_FRAME_BYTES:
         raise ValueError(f"a frame of {len(body)} bytes")
-    return len(body).to_bytes(4, "big") + body
+    return len(body).to_bytes(LENGTH_PREFIX_BYTES, "big") + body
 
 
 def decode(body: bytes | memoryview) -> Message:
--- a/cypressledge/controlplane/operator_api.py
+++ b/cypressledge/controlplane/operator_api.py
@@ -15,10 +15,10 @@
     Answer,
     ChangeSummary,
     HistoryAnswer,
+    KeyAnswer,
     LagAnswer,
     NotLeaderAnswer,
     StateAnswer,
-    StateEntry,
     StatusAnswer,
 )
 from cypressledge.controlplane.peer_connections import PeerSender
@@ -105,7 +105,7 @@
         """The committed state: the keys with a prefix."""
         prefix, state = request.params.get("prefix", ""), self.history.state
         entries = {
-            key: StateEntry(decode_value(entry.value), entry.version)
+            key: KeyAnswer(decode_value(entry.value), entry.version)
             for key, entry in sorted(state.entries.items())
             if key.startswith(prefix)
         }
--- a/cypressledge/controlplane/operator_messages.py
+++ b/cypressledge/controlplane/operator_messages.py
@@ -156,7 +156,7 @@
         )
 
 
-class StateEntry(msgspec.Struct, frozen=True):
+class KeyAnswer(msgspec.Struct, frozen=True):
     """One key of the state: its value as plain data, and the version that set it."""
 
     value: object
@@ -170,7 +170,7 @@
     version: int
     digest: str
     cluster_id: str = msgspec.field(name="lineage")
-    entries: Mapping[str, StateEntry]
+    entries: Mapping[str, KeyAnswer]
 
 
 class ChangeSummary(msgspec.Struct, frozen=True, kw_only=True):
--- a/cypressledge/controlplane/replica_context.py
+++ b/cypressledge/controlplane/replica_context.py
@@ -7,9 +7,7 @@
 from cypressledge.controlplane.messages import Change, Message, Op, Snapshot
 
 NEVER = -(1 << 62)  # µs: a moment before all others
-HEARTBEAT_INTERVAL_US = (
-    500_000  # between a leader's signs of life, and between repeats of a candidate's requests
-)
+HEARTBEAT_INTERVAL_US = 500_000  # between a leader's heartbeats, and repeats of a candidate's requests
 
 
 class Role(StrEnum):
