--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -7,9 +7,10 @@
 import json
 import os
 from collections.abc import Callable, Mapping
-from dataclasses import asdict
 from typing import TYPE_CHECKING
 
+import msgspec
+
 from cypressledge.broker.discovered_engine import DiscoveredEngine
 from cypressledge.broker.metrics import log
 from cypressledge.config import ConfigError, parse_address
@@ -17,8 +18,9 @@
 from cypressledge.controlplane.settings import read_control_settings
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import Engine, StateError
-from cypressledge.controlplane.subscriber import BrokerIdentity
+from cypressledge.controlplane.subscriber import BrokerIdentity, SubscriberStatus
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
+from cypressledge.controlplane.traffic_counters import FrameCounts
 from cypressledge.decisions.contract import EngineState
 from cypressledge.fleet.node import new_instance_id
 
@@ -29,6 +31,16 @@
 ENGINE_STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
 
 
+class BrokerStatusAnswer(SubscriberStatus, frozen=True, kw_only=True):
+    """`GET /control/status` of a broker: its subscriber's status, and what the broker makes of the state."""
+
+    instance_id: str = msgspec.field(name="run")  # hexadecimal
+    rejection_reason: str = msgspec.field(name="refused")  # why some is not in force; empty: all of it is
+    has_external_engine_list: bool = msgspec.field(name="engines_from_here")  # the control plane's
+    sections: list[str]  # of the settings that are in force from the control plane
+    traffic: Mapping[str, FrameCounts]  # by direction and tag of a message
+
+
 class BrokerIntegration:
     """Follows the control plane for a broker. Raises `ConfigError` where the file can't be used."""
 
@@ -36,7 +48,7 @@
         self.broker, self.counters = broker, broker.counters
         settings = read_control_settings(file)
         self.fleet = broker.fleet
-        self.run = new_instance_id() if self.fleet is None else self.fleet.node.instance_id
+        self.instance_id = new_instance_id() if self.fleet is None else self.fleet.node.instance_id
         self._touched_kinds: set[str] = set()  # of which something has come that isn't in force yet
         self._rejections: dict[str, str] = {}  # by kind: why the newest of that kind is not in force
         self.client = SubscriberClient(
@@ -55,15 +67,15 @@
         """Zone and region by the environment, else by the fleet's file; no address without that."""
         name, zone, region = self.broker.config.name, env.get("ROUTER_ZONE", ""), env.get("ROUTER_REGION", "")
         if self.fleet is None:
-            return BrokerIdentity(name, self.run, zone, region)
+            return BrokerIdentity(name, self.instance_id, zone, region)
         settings = self.fleet.settings
         own = next(peer for peer in settings.peers if peer.name == name)
         zone = zone or own.zone
         regions = (r.name for r in settings.regions if zone in r.zones)
-        return BrokerIdentity(name, self.run, zone, region or next(regions, ""), own.address)
+        return BrokerIdentity(name, self.instance_id, zone, region or next(regions, ""), own.address)
 
     @property
-    def refused(self) -> str:
+    def rejection_reason(self) -> str:
         """Why some of the newest state is not in force; empty: all of it is."""
         return "; ".join(self._rejections.values())
 
@@ -72,14 +84,15 @@
         self.client.stop()
 
     def _status(self) -> bytes:
-        status = asdict(self.client.status()) | {
-            "run": f"{self.run:x}",
-            "refused": self.refused,
-            "engines_from_here": self.broker.configuration.has_external_engine_list,
-            "sections": sorted(self.broker.configuration.sections),
-            "traffic": self.client.traffic.show(),
-        }
-        return json.dumps(status).encode() + b"\n"
+        status = BrokerStatusAnswer(
+            **msgspec.structs.asdict(self.client.status()),
+            instance_id=f"{self.instance_id:x}",
+            rejection_reason=self.rejection_reason,
+            has_external_engine_list=self.broker.configuration.has_external_engine_list,
+            sections=sorted(self.broker.configuration.sections),
+            traffic=self.client.traffic.show(),
+        )
+        return json.dumps(msgspec.to_builtins(status)).encode() + b"\n"
 
     # What a new state brings
 
@@ -88,7 +101,7 @@
         self._touched_kinds |= (
             set(KINDS) if change is None else {op.key.partition("/")[0] for op in change.ops}
         )
-        return self.refused
+        return self.rejection_reason
 
     def _settled(self) -> str:
         """Take what differs; why some of it is not in force. Guards against requests that stand still while
@@ -102,7 +115,7 @@
         ):
             if kind in touched:
                 self._apply(kind, apply)
-        return self.refused
+        return self.rejection_reason
 
     def _apply(self, kind: str, apply: Callable[[], None]) -> None:
         """One kind of key. The control processes check what they take; an older one may not have."""
@@ -120,7 +133,7 @@
         if sections != self.broker.configuration.sections:
             self.broker.configuration.apply_sections(sections)
 
-    def _apply_engines(self, engines: dict[str, Engine]) -> None:
+    def _apply_engines(self, engines: Mapping[str, Engine]) -> None:
         """The list is the control plane's from the first engine on that it names."""
         if not engines and not self.broker.configuration.has_external_engine_list:
             return
--- a/cypressledge/controlplane/change_history.py
+++ b/cypressledge/controlplane/change_history.py
@@ -9,7 +9,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.controlplane.messages import MAX_BATCH_BYTES, MAX_FRAME_BYTES, Change, Snapshot
-from cypressledge.controlplane.state import FleetState
+from cypressledge.controlplane.state import DigestPosition, FleetState
 from cypressledge.controlplane.state_values import StateError
 
 MAX_KEPT_CHANGES = 4_096
@@ -21,14 +21,6 @@
 _decode_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
-class DigestPosition(NamedTuple):
-    """A position and the digest of the state there: equal ones are of one history."""
-
-    epoch: int
-    version: int
-    digest: bytes
-
-
 class _KeptChange(NamedTuple):
     change: Change
     size: int  # encoded bytes
@@ -52,6 +44,21 @@
         raise StateError(f"snapshot: {err}") from None
 
 
+class CompressedSnapshotCache:
+    """The last snapshot made of one state, as it goes into a message."""
+
+    def __init__(self) -> None:
+        self._position: DigestPosition | None = None
+        self._compressed = b""
+
+    def get(self, state: FleetState) -> bytes:
+        """The snapshot of a state; made once a version."""
+        position = state.digest_position
+        if position != self._position:
+            self._position, self._compressed = position, compress_snapshot(state.snapshot())
+        return self._compressed
+
+
 class ChangeHistory:
     """The state at its newest version, and the changes from version `base` on that can be sent."""
 
@@ -64,10 +71,10 @@
 
     def _start_from(self, state: FleetState) -> None:
         self.state = state
-        self.base = DigestPosition(state.epoch, state.version, state.digest)  # the changes kept follow it
+        self.base = state.digest_position  # the changes kept follow it
         self._kept: deque[_KeptChange] = deque()
         self.kept_bytes = 0  # encoded
-        self._compressed: tuple[DigestPosition, bytes] | None = None
+        self._snapshots = CompressedSnapshotCache()
 
     @property
     def changes(self) -> list[Change]:
@@ -128,8 +135,4 @@
 
     def compressed_snapshot(self) -> bytes:
         """The snapshot of the newest version as it goes into a message; made once a version."""
-        state = self.state
-        position = DigestPosition(state.epoch, state.version, state.digest)
-        if self._compressed is None or self._compressed[0] != position:
-            self._compressed = position, compress_snapshot(state.snapshot())
-        return self._compressed[1]
+        return self._snapshots.get(self.state)
--- a/cypressledge/controlplane/framing.py
+++ b/cypressledge/controlplane/framing.py
@@ -1,18 +1,23 @@
 """Messages (`messages.py`) framed over TCP, on a gevent socket: one reader, and a writer nobody waits for.
-for.
 
-Guards against peers that send nothing, a byte a second, too much or nonsense, and against those that don't
-read: each is bounded in time and in bytes, and costs its own connection alone.
+Guards against peers that send nothing, a byte a second, too much or invalid frames, and against those that
+don't read: each is bounded in time and in bytes, and costs its own connection alone.
 """
 
 import errno
 import time
-from collections import Counter
-from typing import Literal
 
 from gevent import Timeout, sleep, socket
 
-from cypressledge.controlplane.messages import MAX_FRAME_BYTES, InvalidFrameError, Message, decode, encode
+from cypressledge.controlplane.messages import (
+    LENGTH_PREFIX_BYTES,
+    MAX_FRAME_BYTES,
+    InvalidFrameError,
+    Message,
+    decode,
+    encode,
+)
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.net import socket_io
 from cypressledge.net.receive_buffer import BufferLimitError, ReceiveBuffer
 from cypressledge.net.socket_io import close_socket, shutdown_write
@@ -27,31 +32,10 @@
 KEEPALIVE_INTERVAL_S = 2  # seconds between probes
 KEEPALIVE_PROBES = 3  # probes without an answer that end a connection
 MAX_QUEUED_BYTES = 16 << 20  # bytes that wait for one peer: a few of the largest frames
-LENGTH_PREFIX_BYTES = 4
 
 
 class ConnectionEndedError(Exception):
-    """The connection has ended, and why: closed, nonsense, too long, too slow, or the system's words."""
-
-
-class TrafficCounters:
-    """Frames and bytes, by tag and direction."""
-
-    def __init__(self) -> None:
-        self.frames: Counter[str] = Counter()
-        self.bytes: Counter[str] = Counter()
-
-    def add(self, direction: Literal["in", "out"], message: Message, size: int) -> None:
-        """Count one more frame of `size` bytes, its length prefix included."""
-        key = f"{direction}.{message.__struct_config__.tag}"
-        self.frames[key] += 1
-        self.bytes[key] += size
-
-    def show(self) -> dict[str, dict[str, int]]:
-        """By direction and tag, as operators' calls answer it."""
-        return {
-            key: {"frames": count, "bytes": self.bytes[key]} for key, count in sorted(self.frames.items())
-        }
+    """The connection has ended, and why: closed, an invalid frame, too slow, or the system's words."""
 
 
 class FramedConnection:
@@ -119,7 +103,7 @@
         try:
             message = decode(body)
         except InvalidFrameError as err:
-            raise ConnectionEndedError(f"nonsense: {err}") from None
+            raise ConnectionEndedError(f"invalid frame: {err}") from None
         self.traffic.add("in", message, len(body) + LENGTH_PREFIX_BYTES)
         return message
 
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -12,14 +12,13 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import parse_address
-from cypressledge.controlplane.broker_connections import MAX_SILENCE_S, turn_away
+from cypressledge.controlplane.broker_connections import MAX_SILENCE_S, reject_connection
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.faults import FaultInjection
 from cypressledge.controlplane.framing import (
     HELLO_TIMEOUT_S,
     ConnectionEndedError,
     FramedConnection,
-    TrafficCounters,
     connect,
 )
 from cypressledge.controlplane.inbox import Inbox
@@ -34,9 +33,10 @@
 )
 from cypressledge.controlplane.process_events import EventLogger, ProcessEvents
 from cypressledge.controlplane.settings import ServerSpec
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 
 BACKOFF_MIN_S, BACKOFF_MAX_S = 0.05, 1.0  # between attempts to reach a peer, doubling
-REJECTED_RETRY_MS = 1_000  # that a peer which was turned down stays away
+REJECTED_RETRY_MS = 1_000  # that a rejected peer stays away
 FLUSH_S = 1.0  # for a frame to leave before the laboratory's fault
 
 
@@ -114,7 +114,7 @@
     """Says and checks who is at the two ends of a connection. `owner`: who knows the history's identity."""
 
     name: str
-    run_id: int
+    instance_id: int
     server_names: frozenset[str]
     history: ChangeHistory
     owner: HistoryOwner
@@ -127,7 +127,7 @@
             FORMAT,
             "control",
             self.name,
-            self.run_id,
+            self.instance_id,
             self.owner.cluster_id,
             state.epoch,
             state.version,
@@ -136,10 +136,10 @@
 
     def answer(self) -> HelloAccepted:
         """The first frame over a connection that is taken."""
-        return HelloAccepted(self.name, self.run_id, self.owner.cluster_id)
+        return HelloAccepted(self.name, self.instance_id, self.owner.cluster_id)
 
     def rejection_reason(self, hello: Hello) -> str:
-        """Why a control process is turned down; empty: it isn't."""
+        """Why a control process is rejected; empty: it isn't."""
         if hello.format != FORMAT:
             return "format"
         if hello.name == self.name or hello.name not in self.server_names:
@@ -147,14 +147,14 @@
         return "lineage" if self._is_other_history(hello.cluster_id) else ""
 
     def check_answer(self, peer: str, message: Message | None) -> None:
-        """Raises `Ended` unless the other end is who it should be."""
+        """Raises `ConnectionEndedError` unless the other end is who it should be."""
         if isinstance(message, Disconnect):
-            raise ConnectionEndedError(f"goodbye {message.reason}")
+            raise ConnectionEndedError(f"peer disconnected: {message.reason}")
         if not isinstance(message, HelloAccepted) or message.name != peer:
-            raise ConnectionEndedError("no welcome")
+            raise ConnectionEndedError("no answer to hello")
         if self._is_other_history(message.cluster_id):
             self.events.emit("peer_rejected", peer=peer, why="lineage", lineage=message.cluster_id)
-            raise ConnectionEndedError("lineage")
+            raise ConnectionEndedError("other cluster")
 
     def _is_other_history(self, cluster_id: str) -> bool:
         own = self.owner.cluster_id
@@ -207,11 +207,11 @@
         self._connections: dict[str, FramedConnection] = {}
 
     def serve(self, hello: Hello, frames: FramedConnection) -> None:
-        """Read what a peer sends until its connection ends. Raises `Ended` then."""
+        """Read what a peer sends until its connection ends. Raises `ConnectionEndedError` then."""
         why = self._handshake.rejection_reason(hello)
         if why:
             self._handshake.events.emit("peer_rejected", peer=hello.name, why=why, lineage=hello.cluster_id)
-            turn_away(frames, Disconnect(why, REJECTED_RETRY_MS))
+            reject_connection(frames, Disconnect(why, REJECTED_RETRY_MS))
             return
         former = self._connections.get(hello.name)
         if former is not None:
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 
 from cypressledge.broker.metrics import Counters
+from cypressledge.controlplane.broker_hello import is_valid_hello, registration_of
 from cypressledge.controlplane.change_history import ChangeHistory
 from cypressledge.controlplane.messages import (
     FORMAT,
@@ -27,8 +28,9 @@
     to_printable_line,
 )
 from cypressledge.controlplane.snapshot_throttle import SnapshotThrottle
-from cypressledge.controlplane.state_values import KEY_PATTERN, Broker, StateError, address_of, encode_value
-from cypressledge.controlplane.subscription import Position, Subscription
+from cypressledge.controlplane.state import DigestPosition
+from cypressledge.controlplane.state_values import StateError
+from cypressledge.controlplane.subscription import Subscription
 from cypressledge.controlplane.subscription_table import SubscriptionTable
 
 MIN_TICK = 50_000  # µs between ticks at least: guards against one wake for each broker's heartbeat
@@ -60,14 +62,14 @@
     def __init__(
         self,
         name: str,
-        run: int,
+        instance_id: int,
         history: ChangeHistory,
         limits: PublisherLimits,
         send: Callable[[int, Message], None],
         end: Callable[[int, Disconnect], None],
         event: Callable[..., None],
     ) -> None:
-        self.name, self.run, self.history, self.limits = name, run, history, limits
+        self.name, self.instance_id, self.history, self.limits = name, instance_id, history, limits
         self._send_message, self._end_connection, self._event = send, end, event
         self.counters = Counters()
         self.subscriptions = SubscriptionTable(limits.max_subscribers)
@@ -94,13 +96,15 @@
             hello.name,
             hello.instance_id,
             hello.cluster_id,
-            (hello.epoch, hello.version, hello.digest),
+            DigestPosition(hello.epoch, hello.version, hello.digest),
             self._registration(hello),
             now,
             rejection_reason=to_printable_line(hello.rejection_reason),
         )
         self.subscriptions.add(subscription)
-        self._send_message(connection, HelloAccepted(self.name, self.run, self.history.state.cluster_id))
+        self._send_message(
+            connection, HelloAccepted(self.name, self.instance_id, self.history.state.cluster_id)
+        )
         if connection in self.subscriptions:
             self._send_heartbeat(now, subscription)
             self._send_next(now, subscription)
@@ -110,7 +114,7 @@
         limits = self.limits
         if hello.format != FORMAT:
             return Disconnect("format", limits.mismatch_retry_after_ms)
-        if connection in self.subscriptions or hello.role != "broker" or not _is_valid(hello):
+        if connection in self.subscriptions or hello.role != "broker" or not is_valid_hello(hello):
             return Disconnect("nonsense")
         former = self.subscriptions.named(hello.name)
         if former is not None:
@@ -126,7 +130,7 @@
         if subscription is None:
             return
         if isinstance(message, AppliedPosition) and subscription.expected_position is not None:
-            position = message.epoch, message.version, message.digest
+            position = DigestPosition(message.epoch, message.version, message.digest)
             self._on_position(subscription, position, to_printable_line(message.rejection_reason))
         elif isinstance(message, SnapshotRequest) and subscription.may_request_snapshot():
             subscription.expected_position, subscription.needs_snapshot = None, True
@@ -208,7 +212,7 @@
             self._event(
                 "broker_ahead",
                 broker=subscription.name,
-                theirs=subscription.position[:2],
+                theirs=subscription.applied.position,
                 ours=self.history.state.position,
             )
 
@@ -223,23 +227,28 @@
 
     # One message at a time
 
-    def _on_position(self, subscription: Subscription, position: Position, rejection_reason: str) -> None:
+    def _on_position(
+        self, subscription: Subscription, applied: DigestPosition, rejection_reason: str
+    ) -> None:
         """An answer: what the broker holds after the message that was in flight."""
         expected, was_snapshot = subscription.expected_position, subscription.is_snapshot_in_flight
         assert expected is not None, "an answer to nothing"
         self._clear_in_flight(subscription)
-        if (*position[:2], rejection_reason) != (*subscription.position[:2], subscription.rejection_reason):
+        has_moved = applied.position != subscription.applied.position
+        if has_moved or rejection_reason != subscription.rejection_reason:
             self.subscriptions.mark_changed(subscription)
         subscription.rejection_reason = rejection_reason
-        if was_snapshot and position[1]:
+        if was_snapshot and applied.version:
             subscription.cluster_id = self.history.state.cluster_id
         # Guards against sending the same again and again to one who does not take it.
-        if position != expected and was_snapshot:
-            subscription.rejected_snapshot = expected[:2]
-            self._event("snapshot_rejected", broker=subscription.name, theirs=position[:2], ours=expected[:2])
-        elif position[:2] <= subscription.position[:2] and not was_snapshot:
+        if applied != expected and was_snapshot:
+            subscription.rejected_snapshot = expected.position
+            self._event(
+                "snapshot_rejected", broker=subscription.name, theirs=applied.position, ours=expected.position
+            )
+        elif applied.position <= subscription.applied.position and not was_snapshot:
             subscription.needs_snapshot = True
-        subscription.position = position
+        subscription.applied = applied
 
     def _clear_in_flight(self, subscription: Subscription) -> None:
         subscription.expected_position = None
@@ -262,19 +271,20 @@
         changes = None
         if subscription.cluster_id and not subscription.needs_snapshot:
             self._compare_digests(subscription)
-            changes = self.history.changes_since(*subscription.position)
+            changes = self.history.changes_since(*subscription.applied)
         if changes is None:
             subscription.needs_snapshot = subscription.is_queued = True
             self.snapshot_queue.append(subscription.connection)
             self._send_queued_snapshots(now)
         elif changes:
             last = changes[-1]
-            self._send(now, subscription, Deltas(changes), (last.epoch, last.version, last.digest))
+            after = DigestPosition(last.epoch, last.version, last.digest)
+            self._send(now, subscription, Deltas(changes), after)
 
     def _is_ahead(self, now: int, subscription: Subscription) -> bool:
         """Whether a broker holds what we have not heard of yet: a standby may be a moment behind."""
         state = self.history.state
-        if subscription.position[1] <= state.version and subscription.position[0] <= state.epoch:
+        if subscription.applied.version <= state.version and subscription.applied.epoch <= state.epoch:
             subscription.ahead_since, subscription.is_ahead_reported = None, False
             return False
         if subscription.ahead_since is None:
@@ -282,9 +292,10 @@
         return True
 
     def _compare_digests(self, subscription: Subscription) -> None:
-        theirs, ours = subscription.position, self.history.position_at(subscription.position[1])
-        if ours is not None and ours != theirs:
-            self._event("digest_differs", broker=subscription.name, theirs=theirs[:2], ours=ours[:2])
+        ours = self.history.position_at(subscription.applied.version)
+        if ours is not None and ours != subscription.applied:
+            theirs = subscription.applied.position
+            self._event("digest_differs", broker=subscription.name, theirs=theirs, ours=ours.position)
 
     def _send_queued_snapshots(self, now: int) -> None:
         """Send the snapshots that the throttle allows."""
@@ -302,10 +313,10 @@
                 now,
                 subscription,
                 CompleteSnapshot(self.history.compressed_snapshot()),
-                (state.epoch, state.version, state.digest),
+                state.digest_position,
             )
 
-    def _send(self, now: int, subscription: Subscription, message: Message, after: Position) -> None:
+    def _send(self, now: int, subscription: Subscription, message: Message, after: DigestPosition) -> None:
         """Send a message; `after`: what the broker holds once it has taken it."""
         self.counters.invariant(subscription.expected_position is None, "one_message_out")
         subscription.expected_position = after
@@ -314,21 +325,8 @@
 
     def _registration(self, hello: Hello) -> Op | None:
         """What the state should say of a broker; none where it isn't to be registered, or can't be."""
-        if not hello.address:
-            return None
-        key = f"broker/{hello.name}"
-        value = encode_value(Broker(hello.address, hello.zone, hello.region))
         try:
-            address_of(key, value)
+            return registration_of(hello)
         except StateError as err:
             self._event("invalid_address", broker=hello.name, why=str(err)[:MAX_ERROR_CHARS])
             return None
-        return Op(key, value)
-
-
-def _is_valid(hello: Hello) -> bool:
-    """Whether a Hello says a name and a position that can be."""
-    is_held = hello.version > 0 and hello.epoch >= 0 and len(hello.digest) == 16
-    if not KEY_PATTERN.fullmatch(f"broker/{hello.name}"):
-        return False
-    return is_held if hello.cluster_id else hello.version == 0
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -10,6 +10,8 @@
 way from a lease to the newest log, `log_replication.py` the way of an entry to a majority.
 """
 
+from collections.abc import Mapping
+
 from cypressledge.controlplane.errors import LogInvariantError
 from cypressledge.controlplane.leader_recovery import answer_fetch
 from cypressledge.controlplane.leader_role import LeaderRole
@@ -29,7 +31,7 @@
     Promise,
 )
 from cypressledge.controlplane.peer_progress import PeerProgress
-from cypressledge.controlplane.proposals import PendingProposal
+from cypressledge.controlplane.proposals import ChangeOrigin, PendingProposal
 from cypressledge.controlplane.replica_context import (
     NEVER,
     FirstVersion,
@@ -113,8 +115,8 @@
         return self.log.latest_state
 
     @property
-    def progress(self) -> dict[str, PeerProgress]:
-        """How far each other voter is, while this replica leads or is about to."""
+    def progress(self) -> Mapping[str, PeerProgress]:
+        """By name, how far each other voter is, while this replica leads or is about to."""
         return self._leader_role.progress
 
     # The lease
@@ -208,7 +210,7 @@
             return False
         is_candidate_or_leader = self.role is not Role.FOLLOWER
         if is_candidate_or_leader and epoch == self.epoch and not self._leader_role.is_preparing:
-            raise LogInvariantError(f"two primaries of epoch {epoch}: {sender} and {self._context.name}")
+            raise LogInvariantError(f"two leaders of epoch {epoch}: {sender} and {self._context.name}")
         self._leader_role.step_down("other_leader")
         if epoch > self.epoch and not self.log.promise(epoch, 0):
             return False
@@ -234,14 +236,15 @@
         """
         self._context.now = now
         leading = self._leader_role.require_leading()
-        return leading.propose(ops, base_version, request_id, author, reason, created_at_ms)
+        origin = ChangeOrigin(request_id, author, reason, created_at_ms)
+        return leading.propose(ops, base_version, origin)
 
-    def propose_own(
+    def propose_internal(
         self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
     ) -> PendingProposal:
         """A change that the leader makes by itself. Raises `NotLeaderError`, `StateError`."""
         self._context.now = now
-        return self._leader_role.require_leading().propose_own(ops, reason, created_at_ms)
+        return self._leader_role.require_leading().propose_internal(ops, reason, created_at_ms)
 
     # Time
 
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -6,12 +6,14 @@
 """
 
 from collections.abc import Callable, Sequence
+from functools import partial
 
-from cypressledge.controlplane.change_history import compress_snapshot
+from cypressledge.controlplane.change_history import CompressedSnapshotCache
 from cypressledge.controlplane.errors import LogInvariantError
 from cypressledge.controlplane.log_entries import LogEntries
 from cypressledge.controlplane.log_storage import NOTHING_PROMISED, LogStorage, PromisedEpoch, StorageError
 from cypressledge.controlplane.messages import Change, Op, Promise, Snapshot
+from cypressledge.controlplane.proposals import ChangeOrigin
 from cypressledge.controlplane.replica_context import CommitHandler, ReplicaContext
 from cypressledge.controlplane.state import FleetState, Position
 from cypressledge.controlplane.state_values import StateError
@@ -36,7 +38,7 @@
         self._storage = storage
         self._on_commit = on_commit
         self._on_storage_failure = on_storage_failure
-        self._compressed: tuple[Position, bytes] | None = None
+        self._snapshots = CompressedSnapshotCache()
         self.is_uncertain = False  # a durable step failed: the storage is read again before anything else
         self.commit = -1  # newest version known to be committed; -1: no history
         self.joining = False  # this voter has lost its disk, or has an old one: it does not count
@@ -122,10 +124,10 @@
         for change in self.entries.between(self.commit, self.last.version):
             self._latest_state.apply(change)
 
-    def _persist(self, step: str, *args: object) -> bool:
-        """One durable step of the storage; whether it was taken."""
+    def _persist(self, step: str, write: Callable[[], None]) -> bool:
+        """One durable step of the storage, with its name in reports; whether it was taken."""
         try:
-            getattr(self._storage, step)(*args)
+            write()
             return True
         except StorageError as err:
             self.is_uncertain = True
@@ -139,7 +141,7 @@
         """Promise an epoch to an instance (0: to whoever leads it); whether the promise is stored."""
         if (epoch, instance_id) == self.promised:
             return True
-        if not self._persist("promise", epoch, instance_id):
+        if not self._persist("promise", partial(self._storage.promise, epoch, instance_id)):
             return False
         self.promised = PromisedEpoch(epoch, instance_id)
         return True
@@ -158,12 +160,10 @@
 
     # Entries
 
-    def append_own(
-        self, ops: list[Op], request_id: str, author: str, reason: str, at_ms: int
-    ) -> Change | None:
-        """Write the leader's next entry; none where the storage failed and this is no leader any more."""
-        change = self.latest_state.draft_change(self.epoch, ops, request_id, author, reason, at_ms)
-        if not self._persist("append", [change]):
+    def append_next(self, ops: list[Op], origin: ChangeOrigin) -> Change | None:
+        """Write the leader's next entry; none where the storage failed, and this is no leader any more."""
+        change = self.latest_state.draft_change(self.epoch, ops, *origin)
+        if not self._persist("append", partial(self._storage.append, [change])):
             return None
         self.latest_state.apply(change)
         self.entries.extend([change])
@@ -185,7 +185,7 @@
             self._context.report("invalid_log_data", why=str(err))
             self._rebuild_latest_state()
             return False
-        if not self._persist("append", new):
+        if not self._persist("append", partial(self._storage.append, new)):
             return False
         self.entries.extend(new)
         return True
@@ -196,7 +196,7 @@
             raise LogInvariantError(
                 f"entries after {after_version} would be dropped, committed up to {self.commit}"
             )
-        if not self._persist("truncate", after_version):
+        if not self._persist("truncate", partial(self._storage.truncate, after_version)):
             return False
         self._context.report("truncated", after=after_version, last=self.last.version)
         self.entries.truncate(after_version)
@@ -211,7 +211,7 @@
         """Guards against entries behind others than the leader has."""
         return self.entries.epoch_at(version) == epoch
 
-    def is_of_own_epoch(self, version: int) -> bool:
+    def is_of_current_epoch(self, version: int) -> bool:
         """Guards against counting copies of older epochs: a newer log may still replace those."""
         return self.entries.epoch_at(version) == self.epoch
 
@@ -221,7 +221,7 @@
         """Everything up to a version is committed: stored first, then handed on. Whether it is stored."""
         if version <= self.commit:
             return True
-        if not self._persist("commit", version):
+        if not self._persist("commit", partial(self._storage.commit, version)):
             return False
         changes, is_first = self.entries.between(self.commit, version), self.commit < 1
         for change in changes:
@@ -231,10 +231,15 @@
             self._on_commit(None, self.committed_state.snapshot())
         else:
             self._on_commit(changes, None)
-        if self._storage.needs_compaction and self._persist("compact", self.committed_state.snapshot()):
-            self.entries.drop_compacted(self.commit)
+        if self._storage.needs_compaction:
+            self._compact()
         return not self.is_uncertain
 
+    def _compact(self) -> None:
+        """Replace the changes up to the commit by a snapshot, here and in the storage."""
+        if self._persist("compact", partial(self._storage.compact, self.committed_state.snapshot())):
+            self.entries.drop_compacted(self.commit)
+
     def committed_here(self, leader_commit: int, matching: int) -> int:
         """Guards against calling committed what is held here but not known to be the leader's."""
         return min(leader_commit, matching)
@@ -256,7 +261,7 @@
         except StateError as err:
             self._context.report("invalid_log_data", why=str(err))
             return False
-        if not self._persist("install", snapshot):
+        if not self._persist("install", partial(self._storage.install, snapshot)):
             return False
         self._committed_state, self._latest_state = state, state.copy()
         self.entries = LogEntries(state.position)
@@ -271,16 +276,15 @@
 
     def compressed_snapshot(self) -> bytes:
         """The committed state as it goes into a message, made once a version."""
-        position = self.committed_state.position
-        if self._compressed is None or self._compressed[0] != position:
-            self._compressed = position, compress_snapshot(self.committed_state.snapshot())
-        return self._compressed[1]
+        return self._snapshots.get(self.committed_state)
 
     # Joining
 
     def finish_joining(self, epoch: int, leader_commit: int) -> bool:
         """Count in majorities again, where all is back; whether this voter has just begun to."""
-        if not self.joining or not self._has_caught_up(epoch, leader_commit) or not self._persist("joined"):
+        if not self.joining or not self._has_caught_up(epoch, leader_commit):
+            return False
+        if not self._persist("joined", self._storage.joined):
             return False
         self.joining = False
         return True
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -5,7 +5,7 @@
 forger.
 """
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from hashlib import blake2b
 from typing import NamedTuple
 
@@ -20,7 +20,9 @@
     StateEntry,
 )
 from cypressledge.controlplane.state_values import (
+    BROKER_PREFIX,
     CONFIG_PREFIX,
+    ENGINE_PREFIX,
     Address,
     Broker,
     Engine,
@@ -47,6 +49,19 @@
     version: int
 
 
+class DigestPosition(NamedTuple):
+    """A position and the digest of the state there: equal ones are of one history."""
+
+    epoch: int
+    version: int
+    digest: bytes
+
+    @property
+    def position(self) -> Position:
+        """Without the digest."""
+        return Position(self.epoch, self.version)
+
+
 def _digest_term(key: str, value: bytes, version: int) -> int:
     """A key's part of the digest's sum."""
     return int.from_bytes(blake2b(_encode((key, value, version)), digest_size=DIGEST_BYTES).digest(), "big")
@@ -91,6 +106,11 @@
         """Epoch and version of the last change applied."""
         return Position(self.epoch, self.version)
 
+    @property
+    def digest_position(self) -> DigestPosition:
+        """The same, with the digest."""
+        return DigestPosition(self.epoch, self.version, self.digest)
+
     @property
     def digest(self) -> bytes:
         """Of all keys, values and versions that set them; 16 bytes."""
@@ -184,7 +204,7 @@
 
     # Addresses
 
-    def addresses(self) -> dict[Address, str]:
+    def addresses(self) -> Mapping[Address, str]:
         """Which key is at which address."""
         if self._key_at is None:
             self._key_at = {}
@@ -259,13 +279,13 @@
             if key.startswith(CONFIG_PREFIX)
         }
 
-    def engines(self) -> dict[str, Engine]:
-        """By name. Raises `StateError` where one can't be read."""
-        return {name: decode_engine(value) for name, value in self._values("engine/")}
+    def engines(self) -> Mapping[str, Engine]:
+        """The engines by name. Raises `StateError` where one can't be read."""
+        return {name: decode_engine(value) for name, value in self._values(ENGINE_PREFIX)}
 
-    def brokers(self) -> dict[str, Broker]:
-        """By name. Raises `StateError` where one can't be read."""
-        return {name: decode_broker(value) for name, value in self._values("broker/")}
+    def brokers(self) -> Mapping[str, Broker]:
+        """The brokers by name. Raises `StateError` where one can't be read."""
+        return {name: decode_broker(value) for name, value in self._values(BROKER_PREFIX)}
 
     def _values(self, prefix: str) -> Iterable[tuple[str, bytes]]:
         return (
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -13,7 +13,7 @@
 from cypressledge.broker.metrics import Counters
 from cypressledge.config import parse_address
 from cypressledge.controlplane.activity_record import ActivityRecord
-from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, TrafficCounters, connect
+from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection, connect
 from cypressledge.controlplane.messages import Change, Message
 from cypressledge.controlplane.process_events import EventLogger
 from cypressledge.controlplane.server_selection import Server
@@ -25,6 +25,7 @@
     SubscriberCallbacks,
     SubscriberStatus,
 )
+from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
 
@@ -36,7 +37,7 @@
 @dataclass(frozen=True, slots=True)
 class SubscriberOptions:
     """What few callers need. `record`: for the laboratory, a file of what was in force when; `log`: in place
-    of a logger of its own; `seed`: of random waits, in place of the run."""
+    of a logger of its own; `seed`: of random waits, in place of the instance id."""
 
     record: str = ""
     log: EventLogger | None = None
@@ -64,8 +65,8 @@
         options = options or SubscriberOptions()
         self.changed, self.settled, self.counters = changed, settled, counters
         self.clock, self.traffic = LeaseClock(), TrafficCounters()
-        self._log = options.log or event_logger(identity.name, identity.run)
-        self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.run})
+        self._log = options.log or event_logger(identity.name, identity.instance_id)
+        self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.instance_id})
         self._frames: FramedConnection | None = None
         self._to_dial: Server | None = None
         self._woken, self._is_stopped = Event(), False
@@ -78,7 +79,7 @@
             self._on_event,
             None if settled is None else partial(self._on_settled, settled),
         )
-        seed = identity.run if options.seed is None else options.seed
+        seed = identity.instance_id if options.seed is None else options.seed
         self.subscriber = ConfigSubscriber(identity, servers, seed, callbacks)
         self.loops = [self.run]
         self._record.write("start")
@@ -159,15 +160,15 @@
             self._frames = None
 
     def _on_changed(self, state: FleetState, change: Change | None) -> str | None:
-        refused = self.changed(state, change)
+        rejection = self.changed(state, change)
         if self.settled is None:
             self._note_in_force()
-        return refused
+        return rejection
 
     def _on_settled(self, settled: Callable[[], str | None]) -> str | None:
-        refused = settled()
+        rejection = settled()
         self._note_in_force()
-        return refused
+        return rejection
 
     def _on_event(self, event: str, **fields: object) -> None:
         self.counters.add(f"control.{event}")
