--- a/tests/recordings/test_operators_answers_recording.py
+++ b/tests/recordings/test_operators_answers_recording.py
@@ -145,7 +145,10 @@
         found = Recorder(primary.name)
         other = plane.others(primary.name)[0]
         plane.wait_for_one_history()
-        plane.wait_for(lambda: len(primary.status().get("peers", ())) == 2, "both links")
+        plane.wait_for(
+            lambda: all(len(control.status().get("peers", ())) == 2 for control in plane.controls.values()),
+            "all links",
+        )
         taker = plane.follow("b1", "z1")
         refuser = plane.follow("b2", "z1")
         refuser.changed = lambda state, change: "not to my taste"
