--- a/tests/decisions/test_slow_start_of_all_brokers.py
+++ b/tests/decisions/test_slow_start_of_all_brokers.py
@@ -40,7 +40,7 @@
 class Kind:
     """Requests of one class."""
 
-    share: float  # of all requests, relative to the other kinds
+    weight: float  # of its rate of arrival against the other kinds
     mean_work: int  # µs
     threads: int
 
@@ -110,8 +110,8 @@
         events = []
         while self.next_arrival < now:
             self.next_arrival += int(self.random.expovariate(rate) * SECOND)
-            shares = [kind.share for kind in self.kinds]
-            kind = self.random.choices(range(len(self.kinds)), shares)[0]
+            weights = [kind.weight for kind in self.kinds]
+            kind = self.random.choices(range(len(self.kinds)), weights)[0]
             number = next(self.numbers)
             work = int(self.kinds[kind].mean_work * self.random.lognormvariate(-0.3, 0.8))
             self.work[number] = kind, work
@@ -147,7 +147,7 @@
         Broker(index, broker_count, seed * 1000 + index, kinds, estimates, warm)
         for index in range(broker_count)
     ]
-    mean_work = sum(kind.share * kind.mean_work for kind in kinds) / sum(kind.share for kind in kinds)
+    mean_work = sum(kind.weight * kind.mean_work for kind in kinds) / sum(kind.weight for kind in kinds)
     window, largest, calls = deque(), 0.0, [0] * len(kinds)
     rate = 4.0 if len(kinds) > 1 else 10.0
     for now in range(START + TICK, START + 14 * SECOND, TICK):
