--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -3,6 +3,10 @@
 import socket
 from types import SimpleNamespace
 
+import gevent
+import gevent.socket
+import pytest
+
 from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
 from cypressledge.net.connection_registry import ConnectionRegistry
@@ -57,3 +61,79 @@
         for ours, theirs in pairs:
             ours.close()
             theirs.close()
+
+
+class RunningListener:
+    """A listener whose clients stay connected until they close."""
+
+    def __init__(self, inherited=None):
+        self.counters, self.connections = Counters(), ConnectionRegistry()
+        self.listener = Listener(
+            ("127.0.0.1", 0), self.counters, "clients", lambda sock: sock.recv(1), self.connections, inherited
+        )
+        self.address = self.listener.sock.getsockname()
+
+    def connect(self):
+        return gevent.socket.create_connection(self.address)
+
+    def count(self, name):
+        return self.counters.show().get(f"clients.{name}", 0)
+
+    def wait_for(self, name, count):
+        with gevent.Timeout(5):
+            while self.count(name) < count:
+                gevent.sleep(0.01)
+
+
+@pytest.fixture
+def running():
+    one = RunningListener()
+    loop = gevent.spawn(one.listener.run)
+    yield one
+    one.listener.sock.close()
+    loop.kill()
+    one.listener.pool.kill()
+
+
+def test_a_client_beyond_the_limit_is_rejected_while_no_other_is_idle(running):
+    running.listener.max_connections = 2
+    clients = [running.connect() for _ in range(3)]
+    with gevent.Timeout(5):
+        assert clients[2].recv(1) == b""
+    assert [running.count(name) for name in ("accepted", "rejected", "connections")] == [2, 1, 2]
+    clients[0].close()
+    with gevent.Timeout(5):
+        while running.count("connections") > 1:
+            gevent.sleep(0.01)
+    running.connect()
+    running.wait_for("accepted", 3)
+
+
+def test_so_many_closing_connections_do_not_count(running):
+    running.listener.max_connections = running.listener.max_closing = 1
+    running.connections.closing |= {object(), object()}
+    clients = [running.connect() for _ in range(3)]
+    with gevent.Timeout(5):
+        assert clients[2].recv(1) == b""
+    assert [running.count(name) for name in ("accepted", "rejected")] == [2, 1]
+
+
+def test_connections_in_the_accept_queue_are_accepted_before_a_stop():
+    one = RunningListener()
+    client = one.connect()
+    gevent.spawn(one.listener.run)
+    one.listener.stop()
+    assert one.count("accepted") == 1
+    with pytest.raises(ConnectionRefusedError):
+        one.connect()
+    client.close()
+
+
+def test_an_inherited_socket_leaves_its_queue_to_the_next_process():
+    with socket.create_server(("127.0.0.1", 0)) as inherited:
+        one = RunningListener(inherited=socket.socket.dup(inherited).detach())
+        one.connect()
+        gevent.spawn(one.listener.run)
+        one.listener.stop()
+        assert one.count("accepted") == 0
+        inherited.accept()[0].close()  # its client waits in the queue
