--- a/tests/net/clickhouse/clickhouse_test_case.py
+++ b/tests/net/clickhouse/clickhouse_test_case.py
@@ -13,26 +13,27 @@
 
 KEY, TOKEN = "key-of-the-sales-office", "token-of-the-administrators"
 LOGIN = {"X-ClickHouse-User": "sales", "X-ClickHouse-Key": KEY}
-TYPE = "_clickhouse-http._tcp.cluster.lan."
+SERVICE_TYPE = "_clickhouse-http._tcp.cluster.lan."
 
 
 class ClickHouseTestCase(BrokerTestCase):
     """A broker with the hosted service; its engines are found by DNS-SD."""
 
-    def service(self, *engines, lines=()):
+    def start_service(self, *engines, lines=()):
+        """Start the broker with these ClickHouse engines, and `lines` on the line protocol."""
         self.port, self.admin = free_port(), free_port()
         broker = self.broker(
             *lines,
             env={"ADMIN": TOKEN, "ENGINE": "secret"},
-            service=lambda b: f"""
+            service=lambda process: f"""
             [clickhouse]
             listen = "127.0.0.1:{self.port}"
             [engines]
             user = "broker"
             key_env = "ENGINE"
             [dns_sd]
-            server = "127.0.0.1:{b.dns.port}"
-            service = "{TYPE}"
+            server = "127.0.0.1:{process.dns.port}"
+            service = "{SERVICE_TYPE}"
             [admin]
             listen = "127.0.0.1:{self.admin}"
             token_env = "ADMIN"
@@ -41,36 +42,41 @@
             key_sha256 = "{hashlib.sha256(KEY.encode()).hexdigest()}"
             """,
         )
-        for n, engine in enumerate(engines):
-            broker.dns.instances[f"ch-{n}.{TYPE}"] = (engine.port, "ready")
+        for number, engine in enumerate(engines):
+            broker.dns.instances[f"ch-{number}.{SERVICE_TYPE}"] = (engine.port, "ready")
         if engines:
             broker.wait_until_ready()
-            wait_until(lambda: len(self.api("GET", "/v1/engines")[1]["engines"]) == len(engines) + len(lines))
+            wait_until(
+                lambda: len(self.call_admin_api("GET", "/v1/engines")[1]["engines"])
+                == len(engines) + len(lines)
+            )
         return broker
 
-    def ask(
+    def query(
         self, body=b"SELECT a, b, c FROM sales_17.orders", method="POST", path="/", login=LOGIN, **params
     ):
-        """One exchange: status, headers, body."""
+        """One query: status, headers and body of its answer."""
         with closing(http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT)) as conn:
             conn.request(method, f"{path}?{urlencode(params)}", body if method == "POST" else None, login)
             answer = conn.getresponse()
             return answer.status, answer.headers, answer.read()
 
-    def begin(self, target):
-        """A query whose answer is not awaited."""
+    def start_query(self, target):
+        """Send a query, and return its connection with the answer unread."""
         conn = http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT)
         self.addCleanup(conn.close)
         conn.request("POST", target, b"SELECT a FROM sales_1.t", LOGIN)
         return conn
 
-    def code(self, *args, **more):
-        status, headers, body = self.ask(*args, **more)
+    def query_error(self, *args, **more):
+        """One query that ends in an error: its status and exception code."""
+        status, headers, body = self.query(*args, **more)
         code = headers["X-ClickHouse-Exception-Code"]
         assert body.startswith(b"Code: %s. DB::Exception: " % code.encode()), body
         return status, int(code)
 
-    def api(self, method, path, value=None, token=TOKEN):
+    def call_admin_api(self, method, path, value=None, token=TOKEN):
+        """One call of the administration API: status and value of its answer."""
         with closing(http.client.HTTPConnection("127.0.0.1", self.admin, timeout=WAIT)) as conn:
             conn.request(
                 method,
@@ -82,11 +88,12 @@
             body = answer.read()
             return answer.status, json.loads(body) if body else None
 
-    def count(self, name):
-        return self.api("GET", "/v1/counters")[1].get(name, 0)
+    def counter(self, name):
+        """What the broker has counted under a name."""
+        return self.call_admin_api("GET", "/v1/counters")[1].get(name, 0)
 
-    def raw(self, *parts):
-        """Bytes in, all bytes out."""
+    def send_raw(self, *parts):
+        """Send bytes as they are, and read until the broker closes the connection."""
         with closing(socket.create_connection(("127.0.0.1", self.port), WAIT)) as sock:
             for part in parts:
                 sock.sendall(part)
--- a/tests/net/clickhouse/test_clickhouse_authentication.py
+++ b/tests/net/clickhouse/test_clickhouse_authentication.py
@@ -2,18 +2,16 @@
 
 import base64
 
-from tests.fakes.fake_clickhouse_engine import (
-    FakeClickHouseEngine,
-)
+from tests.fakes.fake_clickhouse_engine import FakeClickHouseEngine
 from tests.net.clickhouse.clickhouse_test_case import KEY, LOGIN, ClickHouseTestCase
 
 
 class Authentication(ClickHouseTestCase):
-    def test_ways_to_name_the_tenant(self):
-        self.service(self.engine(kind=FakeClickHouseEngine))
+    def test_a_tenant_authenticates_by_headers_basic_or_parameters(self):
+        self.start_service(self.engine(kind=FakeClickHouseEngine))
         basic = {"Authorization": "Basic " + base64.b64encode(f"sales:{KEY}".encode()).decode()}
-        assert self.ask(login=basic)[0] == 200
-        assert self.ask(login={}, user="sales", password=KEY)[0] == 200
+        assert self.query(login=basic)[0] == 200
+        assert self.query(login={}, user="sales", password=KEY)[0] == 200
         for login in (
             {},
             {"X-ClickHouse-User": "sales"},
@@ -23,4 +21,4 @@
             {"X-ClickHouse-User": "sahel"},
         ):
             with self.subTest(login):
-                assert self.code(login=login) == (403, 516)
+                assert self.query_error(login=login) == (403, 516)
--- a/tests/net/clickhouse/test_clickhouse_rejections.py
+++ b/tests/net/clickhouse/test_clickhouse_rejections.py
@@ -2,17 +2,14 @@
 
 import socket
 
-from tests.fakes.fake_clickhouse_engine import (
-    FakeClickHouseEngine,
-    stall_after_first_rows,
-)
+from tests.fakes.fake_clickhouse_engine import FakeClickHouseEngine, stall_after_first_rows
 from tests.fakes.support import WAIT, wait_until
 from tests.net.clickhouse.clickhouse_test_case import LOGIN, ClickHouseTestCase
 
 
 class InvalidRequests(ClickHouseTestCase):
-    def test_what_is_not_supported_gets_a_plain_error(self):
-        self.service(self.engine(kind=FakeClickHouseEngine))
+    def test_unsupported_and_invalid_requests_get_their_error_codes(self):
+        self.start_service(self.engine(kind=FakeClickHouseEngine))
         select = b"SELECT 1"
         for expected, body, more in (
             ((501, 48), select, {"session_id": "s"}),
@@ -30,11 +27,11 @@
             ((501, 48), select, {"login": LOGIN | {"Content-Encoding": "gzip"}}),
         ):
             with self.subTest(more or body):
-                assert self.code(body, **more) == expected
+                assert self.query_error(body, **more) == expected
 
-    def test_what_is_too_large_or_no_http(self):
-        """The parser wraps what its callbacks raise: once, every limit came out as 400."""
-        self.service(self.engine(kind=FakeClickHouseEngine))
+    def test_requests_that_are_too_large_or_no_http_are_rejected(self):
+        """The parser wraps what its callbacks raise: every limit came out as 400 before."""
+        self.start_service(self.engine(kind=FakeClickHouseEngine))
         for status, *parts in (
             (413, b"POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
             (
@@ -46,19 +43,19 @@
             (400, b"nonsense\r\n\r\n"),
         ):
             with self.subTest(status):
-                assert self.raw(*parts).startswith(b"HTTP/1.1 %d " % status)
+                assert self.send_raw(*parts).startswith(b"HTTP/1.1 %d " % status)
 
-    def test_running_id_is_not_taken_twice(self):
+    def test_the_id_of_a_running_query_is_rejected(self):
         engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
-        self.service(engine)
-        self.begin("/?query_id=one")
+        self.start_service(engine)
+        self.start_query("/?query_id=one")
         wait_until(lambda: engine.asked, "the attempt")
-        assert self.code(query_id="one") == (500, 216)
+        assert self.query_error(query_id="one") == (500, 216)
 
-    def test_clients_that_say_nothing_or_half_are_let_go(self):
-        self.service(self.engine(kind=FakeClickHouseEngine))
-        with socket.create_connection(("127.0.0.1", self.port), 3.5) as quiet:
-            assert quiet.recv(1) == b""
-        with socket.create_connection(("127.0.0.1", self.port), WAIT) as half:
-            half.sendall(b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nSEL")
-            assert b" 408 " in half.recv(4096)
+    def test_silent_clients_are_closed_and_incomplete_requests_time_out(self):
+        self.start_service(self.engine(kind=FakeClickHouseEngine))
+        with socket.create_connection(("127.0.0.1", self.port), 3.5) as silent:
+            assert silent.recv(1) == b""
+        with socket.create_connection(("127.0.0.1", self.port), WAIT) as incomplete:
+            incomplete.sendall(b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nSEL")
+            assert b" 408 " in incomplete.recv(4096)
--- a/tests/net/clickhouse/test_clickhouse_streaming.py
+++ b/tests/net/clickhouse/test_clickhouse_streaming.py
@@ -15,21 +15,21 @@
 
 
 class StreamedAnswers(ClickHouseTestCase):
-    def test_client_that_closes_mid_stream_leaves_nothing_behind(self):
+    def test_a_client_that_disconnects_mid_stream_releases_everything(self):
         engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
-        self.service(engine)
-        conn = self.begin("/?workload=report")
+        self.start_service(engine)
+        conn = self.start_query("/?workload=report")
         assert conn.getresponse().read(len(ROW)) == ROW
         close_connection(conn.sock)
         conn.close()
         assert engine.closed.wait(WAIT), "the engine's work goes on"
-        wait_until(lambda: self.count("open_requests") == 0, "an empty ledger")
-        wait_until(lambda: self.count("clickhouse.engine_connections") == 0, "closed connections")
-        assert (self.count("client_disconnects"), len(engine.asked)) == (1, 1)
-        assert self.api("GET", "/v1/tenants/sales")[1]["open"] == 0
+        wait_until(lambda: self.counter("open_requests") == 0, "an empty ledger")
+        wait_until(lambda: self.counter("clickhouse.engine_connections") == 0, "closed connections")
+        assert (self.counter("client_disconnects"), len(engine.asked)) == (1, 1)
+        assert self.call_admin_api("GET", "/v1/tenants/sales")[1]["open"] == 0
 
-    def test_after_the_first_byte_no_second_attempt_and_a_visibly_broken_stream(self):
-        def tagged(engine, send, params, statement):
+    def test_after_the_first_row_a_failure_breaks_the_stream_without_a_retry(self):
+        def end_in_tagged_exception(engine, send, params, statement):
             send(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
                 b"X-ClickHouse-Exception-Tag: tagtag\r\n\r\n"
@@ -38,31 +38,31 @@
                 send(b"%x\r\n%s\r\n" % (len(part), part))
             send(b"0\r\n\r\n")
 
-        for play in (break_after_first_rows, tagged):
+        for play in (break_after_first_rows, end_in_tagged_exception):
             with self.subTest(play.__name__):
                 engine = self.engine(play, kind=FakeClickHouseEngine)
-                self.service(engine, self.engine(play, kind=FakeClickHouseEngine))
+                self.start_service(engine, self.engine(play, kind=FakeClickHouseEngine))
                 with pytest.raises(http.client.IncompleteRead) as caught:
-                    self.ask()
+                    self.query()
                 assert caught.value.partial.startswith(ROW[:5])
                 assert b"__exception__" not in caught.value.partial
-                assert self.count("attempts.first") == 1
-                assert self.count("attempts.retry") == 0
+                assert self.counter("attempts.first") == 1
+                assert self.counter("attempts.retry") == 0
 
-    def test_slow_reader_does_not_make_the_broker_hold_the_result(self):
+    def test_a_slow_client_does_not_make_the_broker_buffer_the_result(self):
         part = b"0123456789\tx\ty\n" * 4096
 
-        def endless(engine, send, params, statement):
+        def stream_62_mb(engine, send, params, statement):
             send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            for _ in range(1024):  # 62 MB
+            for _ in range(1024):
                 send(b"%x\r\n%s\r\n" % (len(part), part))
                 engine.sent += len(part)
 
-        engine = self.engine(endless, kind=FakeClickHouseEngine)
+        engine = self.engine(stream_62_mb, kind=FakeClickHouseEngine)
         engine.sent = 0
-        self.service(engine)
-        self.begin("/?workload=report&max_execution_time=4")
+        self.start_service(engine)
+        self.start_query("/?workload=report&max_execution_time=4")
         wait_until(lambda: engine.sent, "the first rows")
-        assert self.api("GET", "/v1/engines")[0] == 200  # nobody else is stalled
-        wait_until(lambda: self.count("open_requests") == 0, "the deadline")
+        assert self.call_admin_api("GET", "/v1/engines")[0] == 200  # nobody else is stalled
+        wait_until(lambda: self.counter("open_requests") == 0, "the deadline")
         assert engine.sent < 40 << 20
--- a/tests/net/clickhouse/test_clickhouse_with_jsonrpc.py
+++ b/tests/net/clickhouse/test_clickhouse_with_jsonrpc.py
@@ -2,11 +2,7 @@
 
 import threading
 
-from tests.fakes.fake_clickhouse_engine import (
-    FakeClickHouseEngine,
-    answer_exception,
-    stream_rows,
-)
+from tests.fakes.fake_clickhouse_engine import FakeClickHouseEngine, answer_exception, stream_rows
 from tests.fakes.fake_engines import ROW, never_answer
 from tests.fakes.json_rpc_client import result_rows
 from tests.fakes.support import WAIT, wait_until
@@ -14,16 +10,16 @@
 
 
 class BothFrontends(ClickHouseTestCase):
-    def test_both_protocols_through_one_core(self):
-        """Every taken request has exactly one final answer; attempts beyond the first stay in the ration."""
-        lines = self.engine(self._flaky)
-        hosts = [self.engine(self._flaky_http, kind=FakeClickHouseEngine) for _ in range(2)]
-        broker = self.service(*hosts, lines=(lines,))
+    def test_both_protocols_share_one_ledger_and_retry_budget(self):
+        """Each accepted request has exactly one final answer, and retries stay within the budget."""
+        lines = self.engine(self.fail_each_eighth_attempt)
+        hosts = [self.engine(self.fail_each_eighth_http_attempt, kind=FakeClickHouseEngine) for _ in range(2)]
+        broker = self.start_service(*hosts, lines=(lines,))
         client, got, each = self.client(broker), [], 60
 
         def over_http(part):
             for n in range(each // 3):
-                got.append(self.ask(query_id=f"h{part}-{n}", max_execution_time="2.5")[0])
+                got.append(self.query(query_id=f"h{part}-{n}", max_execution_time="2.5")[0])
 
         threads = [threading.Thread(target=over_http, args=(part,)) for part in range(3)]
         for t in threads:
@@ -46,7 +42,7 @@
         assert all(rows == ROW for rows in served)
         assert 200 in got
         assert all(status in (200, 500, 503) for status in got), got
-        counts = self.api("GET", "/v1/counters")[1]
+        counts = self.call_admin_api("GET", "/v1/counters")[1]
 
         def total(word):
             return sum(n for name, n in counts.items() if name.startswith(word + "."))
@@ -62,21 +58,23 @@
         assert (answer["id"], answer["error"]["code"]) == (each + 1, -32602)
 
     @staticmethod
-    def _flaky(engine, say, name, fields, statement):
+    def fail_each_eighth_attempt(engine, say, name, fields, statement):
         if len(engine.wants) % 8 == 0:
             return say(name, "500")
         say(name, "200", "count=1", ROW)
         return None
 
     @staticmethod
-    def _flaky_http(engine, send, params, statement):
-        bad = len(engine.asked) % 8 == 0
-        (answer_exception(500, 241, b"memory") if bad else stream_rows(ROW))(engine, send, params, statement)
+    def fail_each_eighth_http_attempt(engine, send, params, statement):
+        fails = len(engine.asked) % 8 == 0
+        (answer_exception(500, 241, b"memory") if fails else stream_rows(ROW))(
+            engine, send, params, statement
+        )
 
-    def test_id_open_on_the_other_front_is_an_error(self):
+    def test_an_id_open_on_the_other_frontend_is_rejected(self):
         engine = self.engine(never_answer)
-        broker = self.service(lines=[engine])
+        broker = self.start_service(lines=[engine])
         client = self.client(broker)
         client.ask(id="00000000000000aa")
         wait_until(lambda: engine.wants, "the attempt")
-        assert self.code(query_id="00000000000000aa") == (500, 216)
+        assert self.query_error(query_id="00000000000000aa") == (500, 216)
--- a/tests/net/test_dns_sd.py
+++ b/tests/net/test_dns_sd.py
@@ -1,17 +1,15 @@
 """Engines discovered by DNS-SD."""
 
-from tests.fakes.fake_clickhouse_engine import (
-    FakeClickHouseEngine,
-)
+from tests.fakes.fake_clickhouse_engine import FakeClickHouseEngine
 from tests.fakes.support import wait_until
-from tests.net.clickhouse.clickhouse_test_case import TYPE, ClickHouseTestCase
+from tests.net.clickhouse.clickhouse_test_case import SERVICE_TYPE, ClickHouseTestCase
 
 
 class DnsSdDiscovery(ClickHouseTestCase):
-    def test_engines_come_and_go_by_dns_sd(self):
+    def test_engines_are_added_and_drained_as_dns_sd_lists_them(self):
         engine = self.engine(kind=FakeClickHouseEngine)
-        broker = self.service(engine)
-        listed = self.api("GET", "/v1/engines")[1]["engines"]
+        broker = self.start_service(engine)
+        listed = self.call_admin_api("GET", "/v1/engines")[1]["engines"]
         assert listed == [
             {
                 "name": "ch-0",
@@ -21,9 +19,10 @@
                 "attempts": 0,
             }
         ]
-        broker.dns.instances[f"ch-0.{TYPE}"] = (engine.port, "draining")
+        broker.dns.instances[f"ch-0.{SERVICE_TYPE}"] = (engine.port, "draining")
         wait_until(
-            lambda: self.api("GET", "/v1/engines")[1]["engines"][0]["state"] == "draining", "the drain"
+            lambda: self.call_admin_api("GET", "/v1/engines")[1]["engines"][0]["state"] == "draining",
+            "the drain",
         )
-        status, _, _ = self.ask(max_execution_time="0.5")
+        status, _, _ = self.query(max_execution_time="0.5")
         assert (status, engine.asked) == (503, [])
