--- a/tests/broker/test_reconfiguration.py
+++ b/tests/broker/test_reconfiguration.py
@@ -9,9 +9,9 @@
 
 
 class Reload(BrokerTestCase):
-    """SIGHUP: the configuration is read again while everything else lives on."""
+    """The listener, connections, open requests and the serial of engine lists outlive a reload."""
 
-    def test_new_directory_is_asked_at_once_and_open_requests_live_on(self):
+    def test_a_new_directory_is_polled_at_once_and_open_requests_continue(self):
         engine, other = self.engine(answer_on_release), self.engine(name="s-2")
         engine.released = False
         broker = self.broker(engine)
@@ -30,7 +30,7 @@
         assert result_rows(client.get()) == ROW
         assert broker.process.poll() is None
 
-    def test_serial_is_kept_over_a_reload(self):
+    def test_the_serial_is_kept_over_a_reload(self):
         engine = self.engine()
         broker = self.broker(engine)
         broker.publish_list(7)
@@ -43,25 +43,25 @@
         client.ask()
         assert result_rows(client.get()) == ROW
 
-    def test_unusable_file_leaves_the_old_configuration_in_force(self):
+    def test_an_invalid_file_keeps_the_old_configuration_in_force(self):
         broker = self.broker(self.engine())
         client = self.client(broker)
-        for text, change, word in (
+        for text, change, reason in (
             ("{half a fi", {}, "Expecting"),
             (None, {"dns": "nowhere"}, "HOST:PORT"),
             (None, {"listen": "127.0.0.1:1"}, "restart"),
             (None, {"settings": SETTINGS | {"Classes": SETTINGS["Classes"][:1]}}, "restart"),
         ):
-            with self.subTest(word):
+            with self.subTest(reason):
                 before = dict(broker.config)
                 line = broker.reload(text, **change)[-1]
                 broker.config = before
                 assert "the old configuration stays in force" in line
-                assert word in line
+                assert reason in line
                 client.ask()
                 assert result_rows(client.get()) == ROW
 
-    def test_whatever_else_has_changed_counts_too(self):
+    def test_other_changed_settings_apply_as_well(self):
         broker = self.broker(self.engine())
         client = self.client(broker)
         client.ask(tenant="sud")
--- a/tests/net/jsonrpc/test_jsonrpc_framing.py
+++ b/tests/net/jsonrpc/test_jsonrpc_framing.py
@@ -9,12 +9,12 @@
 
 class Framing(BrokerTestCase):
     def setUp(self):
-        self.served = self.broker(self.engine())
-        self.one = self.client(self.served)
+        self.broker_process = self.broker(self.engine())
+        self.shared_client = self.client(self.broker_process)
 
     def error(self, body):
-        self.one.raw(body)
-        return self.one.get()
+        self.shared_client.raw(body)
+        return self.shared_client.get()
 
     def test_errors_of_the_standard_keep_the_connection(self):
         good = {"id": "00000000000000aa", "wait": 1000, "tenant": "sahel", "content": ""}
@@ -43,9 +43,9 @@
             with self.subTest(body[:60]):
                 answer = self.error(body)
                 assert (answer["error"]["code"], answer["id"]) == (code, number)
-        self.one.number = 20
-        self.one.ask()
-        assert result_rows(self.one.get()) == ROW
+        self.shared_client.number = 20
+        self.shared_client.ask()
+        assert result_rows(self.shared_client.get()) == ROW
 
     def test_bad_framing_closes_the_connection(self):
         for head in (
@@ -56,7 +56,7 @@
             b"y" * 5000,
         ):
             with self.subTest(head[:30]):
-                client = self.client(self.served)
+                client = self.client(self.broker_process)
                 client.raw(b"", head)
                 assert client.get()["error"]["code"] == -32600
                 assert client.get() is None
--- a/tests/net/jsonrpc/test_jsonrpc_invalid_clients.py
+++ b/tests/net/jsonrpc/test_jsonrpc_invalid_clients.py
@@ -11,52 +11,52 @@
 
 
 class InvalidClients(BrokerTestCase):
-    """Each is owed a refusal, an error or a close within 3 s, and the usual clients notice nothing."""
+    """Each gets a rejection, an error or a close within 3 s, and a regular client is served throughout."""
 
     def setUp(self):
-        self.engine_ = self.engine()
-        self.served = self.broker(self.engine_)
-        self.usual = self.client(self.served)
-        self.usual.ask()  # whoever has been answered may stay
-        self.usual.get()
-        self.engine_.wants.clear()
+        self.served_engine = self.engine()
+        self.broker_process = self.broker(self.served_engine)
+        self.regular_client = self.client(self.broker_process)
+        self.regular_client.ask()  # once answered, a client may stay idle
+        self.regular_client.get()
+        self.served_engine.wants.clear()
 
     def tearDown(self):
-        self.usual.ask()
-        assert result_rows(self.usual.get()) == ROW
+        self.regular_client.ask()
+        assert result_rows(self.regular_client.get()) == ROW
 
-    def said(self, client):
-        """What the client is told, until the close; None if neither came in time."""
+    def answers_until_closed(self, client):
+        """The answers that a client receives until its connection is closed."""
         client.sock.settimeout(WAIT)
-        began, words = time.monotonic(), []
-        while (word := client.get()) is not None:
-            words.append(word)
+        began, answers = time.monotonic(), []
+        while (answer := client.get()) is not None:
+            answers.append(answer)
         assert time.monotonic() - began < 3.5
-        return words
+        return answers
 
-    def test_those_that_say_nothing_or_half_are_let_go(self):
-        quiet, half, trickling, back = (self.client(self.served) for _ in range(4))
-        half.raw(b"", b"Content-Length: 90\r\n\r\n{")
+    def test_clients_without_a_complete_request_are_closed(self):
+        silent, incomplete, trickling, withdrawing = (self.client(self.broker_process) for _ in range(4))
+        incomplete.raw(b"", b"Content-Length: 90\r\n\r\n{")
         trickling.raw(b"", b"Content")
-        back.ask(wait=2900)  # and takes back all that it asked
-        back.raw(b'{"jsonrpc":"2.0","method":"withdraw","params":{"id":1}}')
-        assert self.said(quiet) == []
-        assert [w["error"]["code"] for w in self.said(half)] == [-32600]
-        assert [w["error"]["code"] for w in self.said(trickling)] == [-32600]
-        self.said(back)
+        withdrawing.ask(wait=2900)
+        withdrawing.raw(b'{"jsonrpc":"2.0","method":"withdraw","params":{"id":1}}')
+        assert self.answers_until_closed(silent) == []
+        assert [answer["error"]["code"] for answer in self.answers_until_closed(incomplete)] == [-32600]
+        assert [answer["error"]["code"] for answer in self.answers_until_closed(trickling)] == [-32600]
+        self.answers_until_closed(withdrawing)
 
-    def test_client_that_has_been_answered_may_stay_idle(self):
-        self.usual.sock.settimeout(4.0)
+    def test_a_client_that_has_been_answered_may_stay_idle(self):
+        self.regular_client.sock.settimeout(4.0)
         with pytest.raises(TimeoutError):
-            self.usual.sock.recv(1)
+            self.regular_client.sock.recv(1)
 
-    def test_huge_body_is_heard_out_so_that_the_error_can_be_read(self):
-        client = self.client(self.served)
+    def test_a_huge_body_is_read_to_its_end_so_that_the_error_arrives(self):
+        client = self.client(self.broker_process)
         client.raw(bytes(1 << 20) * 60, b"Content-Length: 62914560\r\n\r\n")
-        assert [w["error"]["code"] for w in self.said(client)] == [-32600]
+        assert [answer["error"]["code"] for answer in self.answers_until_closed(client)] == [-32600]
 
-    def test_what_an_engine_cannot_use_never_reaches_one(self):
-        client = self.client(self.served)
+    def test_invalid_parameters_never_reach_an_engine(self):
+        client = self.client(self.broker_process)
         for method, change in (
             ("lookup", {"once": "ab" * 16}),
             ("order-load", {"once": "a=b"}),
@@ -76,22 +76,22 @@
         ):
             with self.subTest(change):
                 if client.number % 10 == 9:
-                    client = self.client(self.served)
+                    client = self.client(self.broker_process)
                 client.ask(method, **change)
                 assert client.get()["error"]["code"] == -32602
-        assert not self.engine_.wants
+        assert not self.served_engine.wants
 
-    def test_id_of_an_open_request_is_an_error_on_any_connection(self):
-        self.engine_.play = never_answer
-        first, second = self.client(self.served), self.client(self.served)
+    def test_the_id_of_an_open_request_is_an_error_on_any_connection(self):
+        self.served_engine.play = never_answer
+        first, second = self.client(self.broker_process), self.client(self.broker_process)
         first.ask(id="00000000000000aa")
-        wait_until(lambda: self.engine_.wants, "the attempt")
+        wait_until(lambda: self.served_engine.wants, "the attempt")
         second.ask(id="00000000000000aa", statement=b"SELECT 2 FROM sales_1.t")
         assert second.get()["error"]["code"] == -32602
-        self.engine_.play = answer_at_once
+        self.served_engine.play = answer_at_once
 
-    def test_endless_errors_end_the_connection(self):
-        client = self.client(self.served)
+    def test_repeated_errors_end_the_connection(self):
+        client = self.client(self.broker_process)
         for _ in range(40):
             client.send("nothing")
-        assert len(self.said(client)) < 40
+        assert len(self.answers_until_closed(client)) < 40
--- a/tests/net/jsonrpc/test_request_ids.py
+++ b/tests/net/jsonrpc/test_request_ids.py
@@ -6,7 +6,7 @@
 
 
 class RequestIds(unittest.TestCase):
-    def test_numbers_that_skip_are_not_all_remembered(self):
+    def test_skipped_numbers_are_not_all_remembered(self):
         used = UsedRequestIds()
         for number in range(2, 50_000, 2):
             assert used.add(number)
--- a/tests/net/line_protocol/test_invalid_engine_answers.py
+++ b/tests/net/line_protocol/test_invalid_engine_answers.py
@@ -9,10 +9,10 @@
 
 
 class InvalidAnswers(BrokerTestCase):
-    """Spoilt answers have run: never passed on, and asked for again only as class and ration allow."""
+    """A malformed answer is never passed on; its attempt may have run, and is retried as its class allows."""
 
-    def ask(self, raw, **more):
-        """Answer the first attempt with these bytes and the next ones well; what the client is told."""
+    def query_answered_with(self, raw, **more):
+        """Answer the first attempt with these bytes and retries well: the client's answer and the engine."""
 
         def play(engine, say, name, fields, statement):
             if len(engine.wants) > 1:
@@ -25,7 +25,7 @@
         client.ask(**more)
         return client.get(), engine
 
-    def test_spoilt_answers_are_not_passed_on(self):
+    def test_malformed_answers_are_not_passed_on(self):
         for raw in (
             b"ID 200 count=1 4\r\na\tb\n\r\n",
             b"ID 200 count=1 8\r\n1\tb\t2.5\r\n",
@@ -47,19 +47,19 @@
             b"ID 200 count=1 60\r\na\tb",  # and no more: cut short
         ):
             with self.subTest(raw[:50]):
-                answer, engine = self.ask(raw)
+                answer, engine = self.query_answered_with(raw)
                 assert result_rows(answer) == ROW
                 assert engine.wants[0][0] is not engine.wants[1][0]
 
-    def test_second_copies_and_unknown_ids_are_ignored(self):
+    def test_duplicate_answers_and_unknown_ids_are_ignored(self):
         good = b"ID 200 count=1 %d\r\n%s\r\n" % (len(ROW), ROW)
-        answer, engine = self.ask(good.replace(b"ID", b"0" * 16) + good + good)
+        answer, engine = self.query_answered_with(good.replace(b"ID", b"0" * 16) + good + good)
         assert (result_rows(answer), len(engine.wants)) == (ROW, 1)
         first = b"ID 200 count=2 6\r\na\tb\tc\n\r\n"
-        answer, engine = self.ask(first + first + b"ID chunk pos=1 6\r\nd\te\tf\n\r\n" * 2)
+        answer, engine = self.query_answered_with(first + first + b"ID chunk pos=1 6\r\nd\te\tf\n\r\n" * 2)
         assert (result_rows(answer), len(engine.wants)) == (b"a\tb\tc\nd\te\tf\n", 1)
 
-    def test_what_else_was_on_the_connection_is_asked_for_again(self):
+    def test_other_attempts_on_the_connection_are_retried(self):
         def play(engine, say, name, fields, statement):
             if len(engine.wants) == 2:
                 engine.wants[1][0].sendall(b"noise\r\n")
@@ -74,33 +74,33 @@
         assert [result_rows(client.get()) for _ in "ab"] == [ROW, ROW]
         assert len(engine.wants) == 4
 
-    def test_answer_that_never_comes_is_asked_for_again(self):
-        """Its connection is silent while the engine tells notes on another one."""
-        says = {}
+    def test_an_attempt_whose_response_is_lost_is_retried(self):
+        """Its connection is silent while the engine sends progress notifications on another one."""
+        say_on = {}
 
         def play(engine, say, name, fields, statement):
-            says[next(w[0] for w in engine.wants if w[1] == name)] = say
+            say_on[next(want[0] for want in engine.wants if want[1] == name)] = say
             if len(engine.wants) > 9:
                 answer_at_once(engine, say, name, fields, statement)
 
-        def lone():
-            # The want beyond the first connection's share, known by being alone on its connection: the two
-            # connections may come up, and their threads append, in either order.
+        def alone_on_its_connection():
+            # The attempt beyond the first connection's share of eight: the two connections may come up, and
+            # their threads append, in either order.
             wants = engine.wants[:9]
-            alone = [w for w in wants if sum(v[0] is w[0] for v in wants) == 1]
-            return alone[0] if len(wants) == 9 and alone and alone[0][0] in says else None
+            alone = [want for want in wants if sum(other[0] is want[0] for other in wants) == 1]
+            return alone[0] if len(wants) == 9 and alone and alone[0][0] in say_on else None
 
         engine = self.engine(play)
         client = self.client(self.broker(engine))
         for _ in range(9):
             client.ask("report", wait=20000)
-        noted = wait_until(lone, "nine wants on two connections")
-        notes = threading.Thread(
-            target=wait_until, args=(lambda: says[noted[0]](noted[1], "status") or engine.wants[9:],)
+        connection, name, *_ = wait_until(alone_on_its_connection, "nine attempts on two connections")
+        notifications = threading.Thread(
+            target=wait_until, args=(lambda: say_on[connection](name, "status") or engine.wants[9:],)
         )
-        notes.start()
-        self.addCleanup(notes.join)
-        wait_until(lambda: engine.wants[9:], "a repeat")
-        silent = [name for sock, name, *_ in engine.wants[:9] if sock is not noted[0]]
+        notifications.start()
+        self.addCleanup(notifications.join)
+        wait_until(lambda: engine.wants[9:], "a retry")
+        silent = [name for sock, name, *_ in engine.wants[:9] if sock is not connection]
         assert len(silent) == 8
         assert engine.wants[9][1] in silent
--- a/tests/net/test_connection_registry.py
+++ b/tests/net/test_connection_registry.py
@@ -18,29 +18,29 @@
 
 
 class EvictionCandidate(unittest.TestCase):
-    def test_a_newcomer_costs_the_same_whatever_the_number_of_clients(self):
-        """Each newcomer took a look at all connections: of many, that took a whole core."""
-        looked = []
+    def test_a_search_examines_as_many_however_many_clients_there_are(self):
+        """Regression: each new client had all connections examined, and thousands of them took a core."""
+        examined = []
 
         class Member:
-            def __init__(self, n, priority, has_requested):
-                self.n, self.priority, self.has_requested = n, priority, has_requested
+            def __init__(self, number, priority, has_requested):
+                self.number, self.priority, self.has_requested = number, priority, has_requested
 
             def eviction_priority(self, now):
-                looked.append(self.n)
+                examined.append(self.number)
                 return self.priority
 
         registry = ConnectionRegistry()
-        busy = [Member(n, NOT_EVICTABLE, True) for n in range(EXAMINED)]
-        idle = [Member(n, (2, n), True) for n in range(EXAMINED, 5_000)]
+        busy = [Member(number, NOT_EVICTABLE, True) for number in range(EXAMINED)]
+        idle = [Member(number, (2, number), True) for number in range(EXAMINED, 5_000)]
         for connection in busy + idle:
             registry.add(connection)
         assert registry.eviction_candidate(0) is None  # all busy: the next finds others
         assert registry.eviction_candidate(0) is idle[0]
-        quiet = Member(5_000, (1, 0), False)
-        registry.add(quiet)
-        assert registry.eviction_candidate(0) is quiet
-        assert len(looked) < 4 * EXAMINED
+        silent = Member(5_000, (1, 0), False)
+        registry.add(silent)
+        assert registry.eviction_candidate(0) is silent
+        assert len(examined) < 4 * EXAMINED
 
 
 class StubConnection:
--- a/tests/net/test_dns_discovery.py
+++ b/tests/net/test_dns_discovery.py
@@ -6,8 +6,8 @@
 
 
 class DnsDiscovery(BrokerTestCase):
-    def test_good_answer_counts_behind_a_bad_one(self):
-        """Spoilt answers in front: a failure, a cut one, one under another id, an older list."""
+    def test_a_valid_answer_counts_after_invalid_ones(self):
+        """The invalid ones: a failure, a truncated one, one under another id, an older list."""
         first, second = self.engine(), self.engine(name="s-2")
         broker = self.broker(first)
         broker.dns.sends_invalid_answers = True
