--- a/tests/net/clickhouse/test_clickhouse_with_jsonrpc.py
+++ b/tests/net/clickhouse/test_clickhouse_with_jsonrpc.py
@@ -8,54 +8,77 @@
 from tests.fakes.support import WAIT, wait_until
 from tests.net.clickhouse.clickhouse_test_case import ClickHouseTestCase
 
+QUERIES = 60  # over each protocol
+BATCH = 20  # JSON-RPC queries that are open at once
+HTTP_CLIENTS = 3
+
 
 class BothFrontends(ClickHouseTestCase):
     def test_both_protocols_share_one_ledger_and_retry_budget(self):
         """Each accepted request has exactly one final answer, and retries stay within the budget."""
-        lines = self.engine(self.fail_each_eighth_attempt)
-        hosts = [self.engine(self.fail_each_eighth_http_attempt, kind=FakeClickHouseEngine) for _ in range(2)]
-        broker = self.start_service(*hosts, lines=(lines,))
-        client, got, each = self.client(broker), [], 60
+        line_engine = self.engine(self.fail_each_eighth_attempt)
+        http_engines = [
+            self.engine(self.fail_each_eighth_http_attempt, kind=FakeClickHouseEngine) for _ in range(2)
+        ]
+        broker = self.start_service(*http_engines, lines=(line_engine,))
+        client, statuses = self.client(broker), []
+        threads = [
+            threading.Thread(target=self.query_over_http, args=(number, statuses))
+            for number in range(HTTP_CLIENTS)
+        ]
+        for thread in threads:
+            thread.start()
+        answers = self.query_over_jsonrpc(client)
+        for thread in threads:
+            thread.join(4 * WAIT)
+        self.check_answers(answers, statuses)
+        self.check_counters(self.call_admin_api("GET", "/v1/counters")[1])
+        assert line_engine.wants
+        assert any(engine.asked for engine in http_engines)
+        client.ask(tenant="sales")  # a tenant with a key can't be named where no key is required
+        answer = client.get()  # and no second answer came before it
+        assert (answer["id"], answer["error"]["code"]) == (QUERIES + 1, -32602)
 
-        def over_http(part):
-            for n in range(each // 3):
-                got.append(self.query(query_id=f"h{part}-{n}", max_execution_time="2.5")[0])
+    def query_over_http(self, client_number, statuses):
+        """One client's part of the queries over HTTP; adds the status of each answer."""
+        for number in range(QUERIES // HTTP_CLIENTS):
+            statuses.append(self.query(query_id=f"h{client_number}-{number}", max_execution_time="2.5")[0])
 
-        threads = [threading.Thread(target=over_http, args=(part,)) for part in range(3)]
-        for t in threads:
-            t.start()
+    @staticmethod
+    def query_over_jsonrpc(client):
+        """The queries over JSON-RPC, each tenth a load: their answers."""
         answers = []
-        for at in range(0, each, 20):
-            for n in range(at, at + 20):
-                client.ask(
-                    "order-load" if n % 10 == 0 else "lookup",
-                    wait=2500,
-                    **({"once": f"{n:032x}"} if n % 10 == 0 else {}),
-                )
-            answers += [client.get() for _ in range(20)]
-        for t in threads:
-            t.join(4 * WAIT)
-        assert sorted(a["id"] for a in answers) == list(range(1, each + 1))
-        assert len(got) == each
-        served = [result_rows(a) for a in answers if "result" in a]
+        for first in range(0, QUERIES, BATCH):
+            for number in range(first, first + BATCH):
+                if number % 10 == 0:
+                    client.ask("order-load", wait=2500, once=f"{number:032x}")
+                else:
+                    client.ask("lookup", wait=2500)
+            answers += [client.get() for _ in range(BATCH)]
+        return answers
+
+    @staticmethod
+    def check_answers(answers, statuses):
+        """Each query has one answer, and over each protocol some are served."""
+        assert sorted(answer["id"] for answer in answers) == list(range(1, QUERIES + 1))
+        assert len(statuses) == QUERIES
+        served = [result_rows(answer) for answer in answers if "result" in answer]
         assert served
         assert all(rows == ROW for rows in served)
-        assert 200 in got
-        assert all(status in (200, 500, 503) for status in got), got
-        counts = self.call_admin_api("GET", "/v1/counters")[1]
+        assert 200 in statuses
+        assert all(status in (200, 500, 503) for status in statuses), statuses
+
+    @staticmethod
+    def check_counters(counters):
+        """The ledger counts the queries of both protocols together, and so does the retry budget."""
 
-        def total(word):
-            return sum(n for name, n in counts.items() if name.startswith(word + "."))
+        def total(name):
+            return sum(count for key, count in counters.items() if key.startswith(name + "."))
 
-        assert total("accepted") == 2 * each
-        assert total("served") + total("rejected") + total("failed") == 2 * each
+        assert total("accepted") == 2 * QUERIES
+        assert total("served") + total("rejected") + total("failed") == 2 * QUERIES
         assert total("broken") == 0
-        assert counts["attempts.retry"] <= 3 + 0.1 * 2 * each
-        assert lines.wants
-        assert any(e.asked for e in hosts)
-        client.ask(tenant="sales")  # a tenant with a key can't be named where none is asked for
-        answer = client.get()  # and no second answer stood before it
-        assert (answer["id"], answer["error"]["code"]) == (each + 1, -32602)
+        assert counters["attempts.retry"] <= 3 + 0.1 * 2 * QUERIES
 
     @staticmethod
     def fail_each_eighth_attempt(engine, say, name, fields, statement):
