--- a/tests/broker/test_engine_lists.py
+++ b/tests/broker/test_engine_lists.py
@@ -32,17 +32,17 @@
 
     def test_not_healthy_without_engines(self):
         broker = self.broker()
-        client = wait_until(lambda: self._try(broker), "the listener")
+        client = wait_until(lambda: self.connect_if_listening(broker), "the listener")
         client.send("status")
         assert not client.get()["result"]["healthy"]
 
-    def _try(self, broker):
+    def connect_if_listening(self, broker):
         try:
             return self.client(broker)
         except OSError:
             return None
 
-    def test_the_address_of_a_removed_engine_is_not_taken_for_the_engine(self):
+    def test_a_new_engine_at_a_removed_one_s_address_gets_a_new_connection(self):
         first = self.engine()
         broker = self.broker(first)
         client = self.client(broker)
--- a/tests/broker/test_engine_start_times.py
+++ b/tests/broker/test_engine_start_times.py
@@ -9,43 +9,45 @@
 DOUBT = 3 * S
 
 
-def starts_of(told_s, ahead_s=0):
-    """Engines' ages, in seconds, by a clock that is ahead, from the true ones."""
+def computed_ages(true_ages_s, ahead_s=0):
+    """Engines' ages (seconds) as computed under a wall clock that is ahead, from the true ones."""
     starts = EngineStartTimes(UNIX + ahead_s * S - NOW)
-    told = {engine: (UNIX - age * S) // 1_000 for engine, age in told_s.items()}
-    starts.update(told, NOW, DOUBT)
-    return {engine: (NOW - starts.started_at(engine, told_ms)) / S for engine, told_ms in told.items()}
+    listed_ms = {engine: (UNIX - age * S) // 1_000 for engine, age in true_ages_s.items()}
+    starts.update(listed_ms, NOW, DOUBT)
+    return {engine: (NOW - starts.started_at(engine, unix_ms)) / S for engine, unix_ms in listed_ms.items()}
 
 
 def test_ages_by_a_right_clock():
-    assert starts_of({"s-1": 2, "s-2": 30}) == {"s-1": 2, "s-2": 30}
+    assert computed_ages({"s-1": 2, "s-2": 30}) == {"s-1": 2, "s-2": 30}
 
 
 def test_a_clock_that_is_ahead_makes_no_engine_much_older():
-    assert starts_of({"s-1": 2, "s-2": 30}, ahead_s=3_600) == {"s-1": 3, "s-2": 31}
+    assert computed_ages({"s-1": 2, "s-2": 30}, ahead_s=3_600) == {"s-1": 3, "s-2": 31}
 
 
 def test_an_engine_counts_as_just_started_by_a_clock_that_is_behind():
-    assert starts_of({"s-1": 2, "s-2": 30}, ahead_s=-3_600) == {"s-1": 0, "s-2": 0}
+    assert computed_ages({"s-1": 2, "s-2": 30}, ahead_s=-3_600) == {"s-1": 0, "s-2": 0}
 
 
 def test_one_engine_whose_own_clock_is_ahead_makes_the_others_no_older():
-    assert starts_of({"s-1": -3_600, "s-2": 2, "s-3": 30}) == {"s-1": 0, "s-2": 2, "s-3": 30}
+    assert computed_ages({"s-1": -3_600, "s-2": 2, "s-3": 30}) == {"s-1": 0, "s-2": 2, "s-3": 30}
 
 
 def test_a_start_time_stays_as_first_computed_until_the_engine_restarts():
     starts = EngineStartTimes(UNIX - NOW)
-    told_ms = UNIX // 1_000
-    starts.update({"s-1": told_ms, "s-2": 0}, NOW, DOUBT)
-    starts.update({"s-1": told_ms, "s-2": 0}, NOW + 60 * S, DOUBT)
-    assert (starts.started_at("s-1", told_ms), starts.started_at("s-2", 0)) == (NOW, 0)
-    starts.update({"s-1": told_ms - 1}, NOW + 60 * S, DOUBT)  # another process, by a clock that was set back
-    assert starts.started_at("s-1", told_ms - 1) == NOW + 60 * S - DOUBT
+    listed_ms = UNIX // 1_000
+    starts.update({"s-1": listed_ms, "s-2": 0}, NOW, DOUBT)
+    starts.update({"s-1": listed_ms, "s-2": 0}, NOW + 60 * S, DOUBT)
+    assert (starts.started_at("s-1", listed_ms), starts.started_at("s-2", 0)) == (NOW, 0)
+    starts.update(
+        {"s-1": listed_ms - 1}, NOW + 60 * S, DOUBT
+    )  # another process, by a clock that was set back
+    assert starts.started_at("s-1", listed_ms - 1) == NOW + 60 * S - DOUBT
 
 
 def test_unlisted_engines_are_forgotten_once_there_are_many():
     starts = EngineStartTimes(UNIX - NOW)
-    for n in range(1_000):
-        starts.update({f"s-{n}": 1 + n}, NOW, DOUBT)
+    for number in range(1_000):
+        starts.update({f"s-{number}": 1 + number}, NOW, DOUBT)
     assert len(starts.starts) <= MAX_UNLISTED + 3
     assert "s-999" in starts.starts
--- a/tests/broker/test_event_log.py
+++ b/tests/broker/test_event_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of retries, refusals, closes and engines, with the request's id and the reason."""
+"""Events in the log: retries, rejections, closed connections and engines' states, with id and reason."""
 
 import re
 
@@ -49,9 +49,9 @@
         client = self.client(broker)
         client.ask(wait=400)
         assert client.get()["error"]["code"] == -32066
-        (refused,) = self.events(broker, "request-rejected")
-        assert re.search("\\A[0-9a-f]{16}\\Z", refused["request"])
-        assert refused["reason"] in ("objective-missed", "no-capacity", "no-time-for-retry")
+        (rejection,) = self.events(broker, "request-rejected")
+        assert re.search("\\A[0-9a-f]{16}\\Z", rejection["request"])
+        assert rejection["reason"] in ("objective-missed", "no-capacity", "no-time-for-retry")
 
     def test_engines_that_are_added_or_draining_are_logged(self):
         engine, other = self.engine(), self.engine(kind=FakeLineEngine, name="s-2")
@@ -67,8 +67,8 @@
     monkeypatch.setattr("cypressledge.broker.event_log.monotonic_us", lambda: now)
     counters = Counters()
     events = EventLog(counters)
-    for n in range(3 * MAX_LINES_PER_SECOND):
-        events.write(EventKind.RETRY, request=n)
+    for number in range(3 * MAX_LINES_PER_SECOND):
+        events.write(EventKind.RETRY, request=number)
     events.write(EventKind.REJECTED, request="other")
     now += 1_000_000
     events.write(EventKind.RETRY, request="later")
--- a/tests/broker/test_maintenance.py
+++ b/tests/broker/test_maintenance.py
@@ -8,5 +8,5 @@
 
 def test_a_return_saved_on_another_clock_counts_as_now():
     """The file of a former release holds Unix times; that of a former boot, larger ones than the clock."""
-    kept = Maintenance.from_json(b'{"out": [], "back": {"s-1": 1790000000000000, "s-2": 5}}', NOW)
-    assert kept.returned_at == {"s-1": NOW, "s-2": 5}
+    maintenance = Maintenance.from_json(b'{"out": [], "back": {"s-1": 1790000000000000, "s-2": 5}}', NOW)
+    assert maintenance.returned_at == {"s-1": NOW, "s-2": 5}
--- a/tests/broker/test_operators_address.py
+++ b/tests/broker/test_operators_address.py
@@ -1,4 +1,4 @@
-"""The operators' parts: the second address, the inherited socket over an upgrade."""
+"""The operators' address: status, maintenance and metrics; and the inherited socket over an upgrade."""
 
 import os
 import signal
@@ -14,6 +14,7 @@
 
 
 def status(port):
+    """The HTTP status of the broker's status call; None where nothing answers."""
     try:
         return http_call(port, "GET /status HTTP/1.1\r\nHost: b")[0]
     except OSError:
@@ -21,31 +22,32 @@
 
 
 class OperatorsAddress(BrokerTestCase):
-    """The second address answers operators whatever else the broker does."""
+    """The operators' address is served whatever else the broker does."""
 
-    def operated(self, *engines, env_more=None, **more):
+    def broker_with_address(self, *engines, env_more=None, **more):
+        """A broker that serves an operators' address, and its port."""
         port = free_port()
         shared = self.enterContext(tempfile.TemporaryDirectory())
         env = {"ROUTER_MANAGEMENT": f"127.0.0.1:{port}", "TMPDIR": shared}
         broker = self.broker(*engines, env=env | (env_more or {}), **more)
-        wait_until(lambda: status(port) == 200, "the second address")
+        wait_until(lambda: status(port) == 200, "the operators' address")
         return broker, port
 
     def test_status_is_200_while_accepting_clients_and_503_while_stopping(self):
         engine = self.engine(answer_on_release)
         engine.released = False
-        broker, port = self.operated(engine)
+        broker, port = self.broker_with_address(engine)
         client = self.client(broker)
         client.ask("report", wait=15000)
         wait_until(lambda: engine.wants, "the attempt")
         broker.process.send_signal(signal.SIGTERM)
-        wait_until(lambda: status(port) == 503, "a no while stopping")
+        wait_until(lambda: status(port) == 503, "503 while stopping")
         engine.released = True
         assert result_rows(client.get()) == ROW
         assert broker.process.wait(WAIT) == 0
 
     def test_invalid_calls_are_answered_with_an_error_and_closed(self):
-        broker, port = self.operated(self.engine())
+        broker, port = self.broker_with_address(self.engine())
         assert http_call(port, "GET /nowhere HTTP/1.1\r\nHost: b")[0] == 404
         assert http_call(port, "DELETE /status HTTP/1.1\r\nHost: b")[0] == 405
         assert http_call(port, "GET /status HTTP/1.1\r\nHost: b", b"x" * 4096)[0] == 413
@@ -53,31 +55,31 @@
         assert broker.process.poll() is None
 
     def test_silent_callers_delay_no_other(self):
-        _, port = self.operated(self.engine())
+        _, port = self.broker_with_address(self.engine())
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(24)]
-        self.addCleanup(lambda: [s.close() for s in silent])
-        for s in silent[:12]:
-            s.sendall(b"GET /sta")  # half a call, and nothing more
+        self.addCleanup(lambda: [sock.close() for sock in silent])
+        for sock in silent[:12]:
+            sock.sendall(b"GET /sta")  # an incomplete call, and nothing more
         began = time.monotonic()
         assert status(port) == 200
         assert time.monotonic() - began < 1.0
 
 
 class Upgrade(BrokerTestCase):
-    """The platform holds the clients' socket; each process inherits it."""
+    """The platform keeps the clients' listening socket open; each process inherits it."""
 
-    def test_a_new_process_takes_over_the_socket_and_no_client_is_refused(self):
+    def test_a_new_process_takes_over_the_socket_and_no_client_is_rejected(self):
         engine = self.engine()
-        held = socket.create_server(("127.0.0.1", 0), backlog=512)
-        self.addCleanup(held.close)
-        port, fd = held.getsockname()[1], held.fileno()
+        listening = socket.create_server(("127.0.0.1", 0), backlog=512)
+        self.addCleanup(listening.close)
+        port, fd = listening.getsockname()[1], listening.fileno()
         os.set_inheritable(fd, True)
 
         def start():
-            watch = free_port()
-            env = {"ROUTER_SOCKET_FD": str(fd), "ROUTER_MANAGEMENT": f"127.0.0.1:{watch}"}
+            operators_port = free_port()
+            env = {"ROUTER_SOCKET_FD": str(fd), "ROUTER_MANAGEMENT": f"127.0.0.1:{operators_port}"}
             broker = self.broker(engine, env=env, keep=(fd,), port=port)
-            wait_until(lambda: status(watch) == 200, "a yes")
+            wait_until(lambda: status(operators_port) == 200, "status 200")
             return broker
 
         old = start()
@@ -86,44 +88,46 @@
         assert result_rows(client.get()) == ROW
         new = start()
         old.process.send_signal(signal.SIGTERM)
-        assert client.file.read(1) == b""  # the kept connection ends, nothing owed on it
-        for n in range(20):  # across the change, each on a new connection
-            fresh = self.client(new)
-            fresh.ask(id=f"{n + 1:016x}")
-            assert result_rows(fresh.get()) == ROW
+        assert client.file.read(1) == b""  # the idle connection is closed
+        for number in range(1, 21):  # while the old process stops, each on a new connection
+            client = self.client(new)
+            client.ask(id=f"{number:016x}")
+            assert result_rows(client.get()) == ROW
         assert old.process.wait(WAIT) == 0
         assert new.process.poll() is None
 
 
 def call(port, path, body):
+    """The HTTP status of one operator's call."""
     return http_call(port, f"POST {path} HTTP/1.1\r\nHost: b", body.encode())[0]
 
 
 class MaintenanceCalls(OperatorsAddress):
-    """Engines out by hand: drained at once, whatever the directory says, over an upgrade too."""
+    """Engines in maintenance: drained at once, whatever the directory lists, over an upgrade too."""
 
-    def asked(self, broker, engines, n):
+    def attempts_of(self, queries, broker, engines):
+        """Have so many queries served: how many of their attempts each engine got."""
         client = self.client(broker)
-        before = [len(e.wants) for e in engines]
-        for i in range(n):
-            client.ask(id=f"{i + 1:016x}")
+        before = [len(engine.wants) for engine in engines]
+        for number in range(1, queries + 1):
+            client.ask(id=f"{number:016x}")
             assert result_rows(client.get()) == ROW
-        return [len(e.wants) - b for e, b in zip(engines, before, strict=True)]
+        return [len(engine.wants) - count for engine, count in zip(engines, before, strict=True)]
 
     def test_an_engine_out_of_service_gets_no_new_attempts_until_it_is_put_back(self):
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
-        broker, port = self.operated(one, two)
-        assert self.asked(broker, (one, two), 30)[0] > 0
+        broker, port = self.broker_with_address(one, two)
+        assert self.attempts_of(30, broker, (one, two))[0] > 0
         assert call(port, "/maintenance/enter", "s-1") == 200
         assert call(port, "/maintenance/enter", "s-1") == 200
-        assert self.asked(broker, (one, two), 30) == [0, 30]
-        broker.publish_list(5)  # the directory lists s-1 as ready all along
-        assert self.asked(broker, (one, two), 20) == [0, 20]
-        assert call(port, "/maintenance/exit", "s-1") == 200  # one call back for two out
-        wait_until(lambda: self.asked(broker, (one, two), 10)[0] > 0, "work for s-1 again")
+        assert self.attempts_of(30, broker, (one, two)) == [0, 30]
+        broker.publish_list(5)  # the directory still lists s-1 as ready
+        assert self.attempts_of(20, broker, (one, two)) == [0, 20]
+        assert call(port, "/maintenance/exit", "s-1") == 200  # one call puts back what two took out
+        wait_until(lambda: self.attempts_of(10, broker, (one, two))[0] > 0, "work for s-1 again")
 
     def test_unknown_or_invalid_ids_are_answered_with_an_error(self):
-        _, port = self.operated(self.engine())
+        _, port = self.broker_with_address(self.engine())
         assert call(port, "/maintenance/enter", "s-9") == 404
         assert call(port, "/maintenance/exit", "nobody") == 404
         assert call(port, "/maintenance/enter", "") == 400
@@ -133,17 +137,18 @@
     def test_maintenance_outlives_the_process(self):
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
         shared = self.enterContext(tempfile.TemporaryDirectory())
-        broker, port = self.operated(one, two, env_more={"TMPDIR": shared})
+        broker, port = self.broker_with_address(one, two, env_more={"TMPDIR": shared})
         assert call(port, "/maintenance/enter", "s-2") == 200
         broker.process.send_signal(signal.SIGTERM)
         assert broker.process.wait(WAIT) == 0
-        again, _ = self.operated(one, two, env_more={"TMPDIR": shared})
-        assert self.asked(again, (one, two), 20) == [20, 0]
+        again, _ = self.broker_with_address(one, two, env_more={"TMPDIR": shared})
+        assert self.attempts_of(20, again, (one, two)) == [20, 0]
 
 
 def metrics(port):
-    status_, body = http_call(port, "GET /status/metrics HTTP/1.1\r\nHost: b")
-    assert status_ == 200
+    """The metrics, by name."""
+    http_status, body = http_call(port, "GET /status/metrics HTTP/1.1\r\nHost: b")
+    assert http_status == 200
     return {
         name: int(value.split("|")[0])
         for name, value in (line.split(":") for line in body.decode().splitlines())
@@ -151,27 +156,30 @@
 
 
 class Metrics(OperatorsAddress):
-    """The figures count what happened, where it happened."""
+    """Counters and gauges of requests, attempts and engines."""
 
     def test_counts_and_gauges(self):
-        def slow(engine, say, name, fields, statement):
+        def answer_slow_on_release(engine, say, name, fields, statement):
             (answer_on_release if statement.startswith(b"SELECT slow") else answer_at_once)(
                 engine, say, name, fields, statement
             )
 
-        one, two = self.engine(slow, name="s-1"), self.engine(slow, name="s-2")
+        one, two = (self.engine(answer_slow_on_release, name=name) for name in ("s-1", "s-2"))
         one.released = two.released = False
-        broker, port = self.operated(one, two)
+        broker, port = self.broker_with_address(one, two)
         first = metrics(port)
         assert first["svc.replies.lookup.success"] == 0
         assert (first["svc.targets"], first["svc.targets_disabled"]) == (2, 0)
         client = self.client(broker)
-        for i in range(6):
-            client.ask(id=f"{i + 1:016x}")
+        for number in range(1, 7):
+            client.ask(id=f"{number:016x}")
             assert result_rows(client.get()) == ROW
         waiting = self.client(broker)
         waiting.ask("report", statement=b"SELECT slow FROM sales_17.orders", id=f"{99:016x}", wait=15000)
-        wait_until(lambda: any(b"slow" in w[3] for e in (one, two) for w in e.wants), "the report's attempt")
+        wait_until(
+            lambda: any(b"slow" in want[3] for engine in (one, two) for want in engine.wants),
+            "the report's attempt",
+        )
         assert metrics(port)["svc.concurrent"] == 1
         call(port, "/maintenance/enter", "s-1")
         now = metrics(port)
--- a/tests/broker/test_process.py
+++ b/tests/broker/test_process.py
@@ -14,13 +14,14 @@
 from tests.fakes.support import ROOT, wait_until
 
 
-def whole_but_loads(engine, say, name, fields, statement):
+def answer_all_but_loads(engine, say, name, fields, statement):
+    """Answers at once, but never a load."""
     if fields["c"] != "order-load":
         answer_at_once(engine, say, name, fields, statement)
 
 
 class Process(BrokerTestCase):
-    def test_sigterm_goes_on_serving_then_answers_all_and_exits(self):
+    def test_sigterm_serves_on_until_all_is_answered_and_exits(self):
         engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(engine)
@@ -29,7 +30,7 @@
         wait_until(lambda: engine.wants, "the attempt")
         broker.process.terminate()
         wait_until(lambda: "stopping" in broker.log_text(), "the log line")
-        late = self.client(broker)  # new connections are still taken
+        late = self.client(broker)  # new connections are still accepted
         late.send("status")
         assert not late.get()["result"]["healthy"]
         late.ask()
@@ -54,8 +55,8 @@
         client.ask()
         assert result_rows(client.get()) == ROW
 
-    def test_bad_configuration_is_one_plain_line(self):
-        for change, word in (
+    def test_an_invalid_configuration_is_one_log_line(self):
+        for change, reason in (
             ({"listen": "nowhere"}, "HOST:PORT"),
             ({"settings": {}}, "Limits"),
             ({"seed": "xyz"}, "xyz"),
@@ -63,19 +64,19 @@
             ({"limits": {}}, "sockets"),
             ({"settings": SETTINGS | {"Step": 0}}, "timer_resolution"),
         ):
-            with self.subTest(word):
+            with self.subTest(reason):
                 broker = BrokerProcess(change=change)
                 self.addCleanup(broker.close)
                 assert broker.process.wait(15) == 2
                 lines = broker.log_text().splitlines()
                 assert len(lines) == 1, lines
-                assert word in lines[0]
+                assert reason in lines[0]
 
-    def test_no_configuration_is_one_plain_line(self):
+    def test_a_missing_configuration_is_one_log_line(self):
         run = subprocess.run([sys.executable, "-m", "cypressledge"], cwd=ROOT, env={}, capture_output=True)
         assert (run.returncode, run.stderr) == (2, b"cypressledge: ROUTER_CONFIG is not set\n")
 
-    def test_a_refused_connection_proves_nothing_ran(self):
+    def test_a_refused_connection_proves_that_nothing_was_executed(self):
         dead = self.engine()
         dead.close()
         broker = self.broker(dead)
@@ -84,26 +85,26 @@
         assert client.get()["error"]["code"] == -32066
 
     def test_a_client_that_does_not_read_stalls_no_other(self):
-        big = b"x\ty\tz\n" * 900
+        large_page = b"x\ty\tz\n" * 900
 
-        def flood(engine, say, name, fields, statement):
-            say(name, "200", "count=1", big)
+        def answer_large_page(engine, say, name, fields, statement):
+            say(name, "200", "count=1", large_page)
 
-        broker = self.broker(self.engine(flood))
-        deaf, other = self.client(broker), self.client(broker)
+        broker = self.broker(self.engine(answer_large_page))
+        unreading, other = self.client(broker), self.client(broker)
         for _ in range(30):
-            deaf.ask()
+            unreading.ask()
         other.ask()
-        assert result_rows(other.get()) == big
+        assert result_rows(other.get()) == large_page
 
 
 class Limits(BrokerTestCase):
     def test_many_incomplete_frames_stay_within_memory(self):
-        """Each within its own cap, they would together hold three times what the process may."""
+        """Each is within its own limit; together they would take three times the memory limit."""
         broker = self.broker(self.engine())
         part = b"Content-Length: 500000\r\n\r\n" + bytes(400_000)
         for _ in range(120):
-            with contextlib.suppress(OSError):  # cut off: no room
+            with contextlib.suppress(OSError):  # closed: no memory for it
                 self.client(broker).raw(b"", part)
         client = self.client(broker)
         client.ask()
@@ -119,24 +120,25 @@
         assert (answer["id"], answer["error"]["code"]) == (33, -32066)
 
     def test_clients_beyond_the_descriptors_are_rejected(self):
-        """Those with a request open keep their places; those that are idle are let go for others."""
+        """Clients with an open request stay connected; idle ones are closed for others."""
         broker = self.broker(
-            self.engine(whole_but_loads), change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}}
+            self.engine(answer_all_but_loads),
+            change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}},
         )
-        wait_until(lambda: self._asks(broker), "a place")
-        held = [
+        wait_until(lambda: self.client_with_request(broker), "a place")
+        connected = [
             client
-            for client in (self._asks(broker, "order-load", once="ab" * 16) for _ in range(30))
+            for client in (self.client_with_request(broker, "order-load", once="ab" * 16) for _ in range(30))
             if client
         ]
-        assert 15 <= len(held) <= 20, len(held)
-        held[0].close()
-        wait_until(lambda: self._asks(broker), "a free place")
+        assert 15 <= len(connected) <= 20, len(connected)
+        connected[0].close()
+        wait_until(lambda: self.client_with_request(broker), "a free place")
         for _ in range(5):
-            wait_until(lambda: self._asks(broker), "the place of one that is idle")
+            wait_until(lambda: self.client_with_request(broker), "the place of an idle client")
 
-    def _asks(self, broker, method="lookup", **more):
-        """A client with a request open, or answered in the case of a lookup; None if it was turned away."""
+    def client_with_request(self, broker, method="lookup", **more):
+        """A new client with an open request, or, for a lookup, with its answer; None if it was rejected."""
         client = self.client(broker)
         try:
             client.ask(method, wait=2900, **more)
--- a/tests/broker/test_request_ledger.py
+++ b/tests/broker/test_request_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger alone, for what the module of today does not do but the ledger must stand."""
+"""The ledger alone, under actions that the decisions do not take today."""
 
 import unittest
 import weakref
@@ -18,7 +18,7 @@
 
 
 class Recorder:
-    """A reply, a transport and what they were called with."""
+    """Stands in for a reply handler or a transport, and records its calls."""
 
     supports_streaming = True
 
@@ -30,7 +30,7 @@
 
 
 class ScriptedDecisions:
-    """Keeps the events it is handed, and answers with the actions that a test has put down."""
+    """Records the events it gets, and returns the actions that a test has set."""
 
     def __init__(self):
         self.events, self.actions = [], []
@@ -61,13 +61,13 @@
         self.core.engines.update_list("lines", c.EngineListKind.FULL, listed)
 
     def settle(self):
-        """Turns of the loop until nothing is left in its inbox and for the module."""
+        """Run the loop until its inbox is empty and no event is pending."""
         self.core.loop.run_once(monotonic_us())
         while not self.core.loop.is_idle() or self.core.loop.pending_events:
             self.core.loop.run_once(monotonic_us())
 
     def decide(self, *actions):
-        """Have the module answer so."""
+        """Have the decisions return these actions."""
         self.decisions.actions += actions
         self.core.loop.pending_events.append(c.TimerFired(0))
         self.settle()
@@ -87,7 +87,7 @@
         assert self.reply.calls == [("send_rows", b"a\n"), ("complete", b"")]
         assert not self.ledger.requests
 
-    def test_fourth_attempt_and_one_behind_the_answer_are_not_sent(self):
+    def test_a_fourth_attempt_or_one_after_the_answer_is_not_sent(self):
         for _ in range(4):
             self.send()
         assert [call[0] for call in self.transport.calls] == ["send"] * 3
@@ -116,19 +116,19 @@
         assert (self.request.query.statement, self.ledger.statement_bytes) == (b"", 0)
 
     def test_timers_keep_no_answered_request_alive(self):
-        """Timers live until the deadline: on a long day what they kept was the most of the memory."""
+        """Timers live until the deadline: on a long day, what they referred to was most of the memory."""
         attempt = self.send()
         attempt.transport_state = Recorder()
-        kept = [weakref.ref(x) for x in (self.reply, attempt.transport_state)]
+        references = [weakref.ref(referent) for referent in (self.reply, attempt.transport_state)]
         self.ledger.attempt_ended(attempt, c.Outcome.OK, b"a\n")
         del attempt, self.reply
         self.transport.calls.clear()
         self.settle()
-        assert [ref() for ref in kept] == [None, None]
+        assert [reference() for reference in references] == [None, None]
         timers = list(self.core.loop.timers.pop_due(monotonic_us() + LONG_AFTER))
         assert len(timers) == 2
         for callback, argument in timers:
-            callback(argument)  # and the timers themselves stand it
+            callback(argument)  # and the timers do no harm
 
     def test_endpoints_of_removed_engines_are_forgotten(self):
         for number in range(50):
@@ -136,11 +136,11 @@
         self.settle()
         assert list(self.core.engines.endpoints) == [49]
 
-    def test_an_attempt_that_never_left_its_connection_is_moved_to_another(self):
+    def test_an_attempt_that_was_never_sent_is_reassigned_to_another_connection(self):
         """A connection reset when new proves nothing about the engine, and uses up no attempt."""
-        link = LineProtocolTransport(self.core, Limits(64, 64, 32, 0.25, 30.0, 0, 0))
-        self.core.add_transport("lines", link)
-        link.max_connections = 8
+        transport = LineProtocolTransport(self.core, Limits(64, 64, 32, 0.25, 30.0, 0, 0))
+        self.core.add_transport("lines", transport)
+        transport.max_connections = 8
         attempt = self.send()
         for _ in range(MAX_CONNECTIONS_TRIED):
             assert attempt.is_open
@@ -150,8 +150,8 @@
         assert not attempt.is_open
         assert self.decisions.events[-1].outcome == c.Outcome.NOT_SENT
 
-    def test_withdrawn_call_is_owed_no_rejection(self):
-        """The module may give up on a request in the tick in which its client withdraws it."""
+    def test_a_withdrawn_call_gets_no_answer(self):
+        """The decisions may end a request in the same step in which its client withdraws it."""
         client = Recorder()
         client.open_calls, client.core = {}, self.core
         call = client.open_calls[1] = PendingCall(client, 1)
--- a/tests/broker/test_serving.py
+++ b/tests/broker/test_serving.py
@@ -2,6 +2,7 @@
 
 import signal
 import time
+from collections import Counter
 
 from cypressledge.lab.site import SETTINGS
 from tests.fakes.broker_process import BrokerTestCase
@@ -10,6 +11,11 @@
 from tests.fakes.support import wait_until
 
 
+def attempts_by_connection(engine):
+    """How many attempts the engine got on each of its connections, in order of their number."""
+    return sorted(Counter(connection for connection, *_ in engine.wants).values())
+
+
 class Serving(BrokerTestCase):
     def test_query_reaches_the_engine_unaltered_and_rows_come_back_byte_for_byte(self):
         engine = self.engine()
@@ -32,19 +38,19 @@
         client = self.client(self.broker(engine))
         client.ask()
         assert result_rows(client.get()) == b"".join(map(page_rows, range(4)))
-        assert [w[2] for w in engine.commands("turn")] == ["1", "2", "3"]
+        assert [command[2] for command in engine.commands("turn")] == ["1", "2", "3"]
 
     def test_a_lost_page_is_an_error_and_retried(self):
-        """The other pages' answers still come: on one connection they would end the repeat as well."""
+        """The other pages still arrive: on the same connection they would end the retry as well."""
 
-        def once(engine, say, name, fields, statement):
+        def lose_a_page_once(engine, say, name, fields, statement):
             if len(engine.wants) == 1:
                 say(name, "200", "count=3", page_rows(0))
                 say(name, "500")
             else:
                 answer_at_once(engine, say, name, fields, statement)
 
-        engine = self.engine(once)
+        engine = self.engine(lose_a_page_once)
         client = self.client(self.broker(engine))
         client.ask()
         assert result_rows(client.get()) == ROW
@@ -60,18 +66,16 @@
         for _ in range(5):
             client.ask()
         wait_until(lambda: len(engine.wants) == 5)
-        each = [sum(conn is c for c, *_ in engine.wants) for conn in {c for c, *_ in engine.wants}]
-        assert sorted(each) == [1, 2, 2]
+        assert attempts_by_connection(engine) == [1, 2, 2]
 
     def test_attempts_spread_over_connections_while_there_are_descriptors(self):
-        """A connection that ends takes eight attempts along at most."""
+        """A connection that ends fails eight attempts at most."""
         engine = self.engine(never_answer)
         client = self.client(self.broker(engine))
         for _ in range(12):
             client.ask()
         wait_until(lambda: len(engine.wants) == 12)
-        each = [sum(conn is c for c, *_ in engine.wants) for conn in {c for c, *_ in engine.wants}]
-        assert sorted(each) == [4, 8]
+        assert attempts_by_connection(engine) == [4, 8]
 
 
 class Outcomes(BrokerTestCase):
@@ -84,7 +88,7 @@
         assert time.monotonic() - began < 5.0  # of the class's 25 s
         broker.process.send_signal(signal.SIGUSR1)
         wait_until(lambda: "counters (asked):" in broker.log_text(), "the counters")
-        assert "broken.overdue" not in broker.log_text()  # the module ended it, in time
+        assert "broken.overdue" not in broker.log_text()  # the decisions ended it, in time
 
     def test_a_rejection_names_when_to_retry(self):
         client = self.client(self.broker(self.engine(answer_with("503"))))
@@ -92,12 +96,12 @@
         error = client.get()["error"]
         assert (error["code"], error["data"]) == (-32066, {"after": 1000})
 
-    def test_outcomes_that_prove_nothing_ran_allow_a_load_to_be_rejected(self):
-        for word, refused in (("503", True), ("504", True), ("500", True)):
-            with self.subTest(word):  # a load's key is known to all engines: it may be refused after 500 too
+    def test_a_load_with_its_key_is_rejected_after_any_failure(self):
+        for word, is_rejected in (("503", True), ("504", True), ("500", True)):
+            with self.subTest(word):  # all engines know a load's key: it may be rejected after 500 as well
                 client = self.client(self.broker(self.engine(answer_with(word))))
                 client.ask("order-load", once="ab" * 16, wait=1500)
-                assert (client.get()["error"]["code"] == -32066) == refused
+                assert (client.get()["error"]["code"] == -32066) == is_rejected
 
     def test_at_most_three_attempts(self):
         engine = self.engine(answer_with("500"))
@@ -125,9 +129,9 @@
         wait_until(lambda: engine.commands("never_mind"), "the cancel")
 
     def test_a_retry_never_shares_a_connection_with_its_cancelled_attempt(self):
-        """A cancelled attempt may still be answered: its repeat must not take that answer for its own."""
+        """A cancelled attempt may still be answered: its retry must not take that answer for its own."""
 
-        def runaway(engine, say, name, fields, statement):
+        def answer_once_cancelled(engine, say, name, fields, statement):
             if len(engine.wants) == 1:
                 for _ in range(40):
                     say(name, "status", "note=done,reading=0.001")
@@ -138,20 +142,20 @@
             answer_at_once(engine, say, name, fields, statement)
             return None
 
-        engine = self.engine(runaway)
+        engine = self.engine(answer_once_cancelled)
         client = self.client(self.broker(engine))
         client.ask(cost=20.0)
         assert result_rows(client.get()) == ROW
         assert engine.wants[0][0] is not engine.wants[1][0]
 
     def test_a_silent_connection_is_not_used_again(self):
-        """A machine that vanished leaves its connections open; back again, it knows nothing of them."""
+        """The connections of a machine that vanished stay open; after its return it does not know them."""
 
-        def forgetful(engine, say, name, fields, statement):
+        def answer_on_later_connections(engine, say, name, fields, statement):
             if engine.wants[-1][0] is not engine.wants[0][0]:
                 answer_at_once(engine, say, name, fields, statement)
 
-        engine = self.engine(forgetful)
+        engine = self.engine(answer_on_later_connections)
         client = self.client(self.broker(engine))
         client.ask(wait=2900)
         assert "error" in client.get()
