--- a/tests/race_conditions/scenarios.py
+++ b/tests/race_conditions/scenarios.py
@@ -1,19 +1,19 @@
-"""Settings and hooks that the tests of race conditions share."""
+"""Settings, hooks and measurements that the tests of race conditions share."""
 
 import copy
 from pathlib import Path
 
 from cypressledge.lab.site import SETTINGS
 
-METRICS_OFTEN = {"ROUTER_FIGURES_S": "0.05"}  # the counters on a log line every 50 ms
+METRICS_OFTEN = {"ROUTER_FIGURES_S": "0.05"}  # environment: the counters are logged every 50 ms
 CONNECT = "cypressledge.net.line_protocol.connection:connect"  # the hook before a connection to an engine
 
 
 def site(idempotency=(), **limits):
-    """The plain site with classes of another idempotency, and other limits."""
+    """A change of the broker's configuration: classes of another idempotency, and other limits."""
     settings = copy.deepcopy(SETTINGS)
     for name, value in dict(idempotency).items():
-        next(k for k in settings["Classes"] if k["Name"] == name)["Idempotency"] = value
+        next(entry for entry in settings["Classes"] if entry["Name"] == name)["Idempotency"] = value
     settings["Limits"] |= limits
     return {"settings": settings}
 
--- a/tests/race_conditions/test_attempt_isolation.py
+++ b/tests/race_conditions/test_attempt_isolation.py
@@ -1,11 +1,11 @@
-"""An answer belongs to the attempt that it was given to, whatever else comes on its connection.
+"""A response belongs to the attempt that it was sent for, whatever else arrives on its connection.
 
-Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
+or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 from tests.fakes.broker_process import BrokerTestCase
-from tests.fakes.fake_engines import answer_at_once, never_answer
+from tests.fakes.fake_engines import answer_at_once
 from tests.fakes.support import close_connection
 from tests.race_conditions.scenarios import NOT_IDEMPOTENT, site
 
@@ -32,17 +32,17 @@
 
     def test_the_engine_closes_an_idle_connection_as_an_attempt_is_written(self):
         """Regression: the request was written after the engine's FIN. The reset left it unknown whether it
-        ran."""
+        was executed."""
         engine = self.engine()
-        leaves = "cypressledge.net.line_protocol.connection:EngineConnection._may_send#2!"
-        broker = self.broker(engine, change=site(NOT_IDEMPOTENT), hooks={"leaves": leaves})
+        before_write = "cypressledge.net.line_protocol.connection:EngineConnection._may_send#2!"
+        broker = self.broker(engine, change=site(NOT_IDEMPOTENT), hooks={"write": before_write})
         client = self.client(broker)
         client.ask()
         assert "result" in client.get()
         client.ask()
-        broker.wait_for_hook("leaves")
+        broker.wait_for_hook("write")
         close_connection(engine.wants[0][0])
-        broker.release_hook("leaves")
+        broker.release_hook("write")
         assert "result" in client.get()
         assert len(engine.wants) == 2
 
@@ -54,9 +54,13 @@
         client = self.client(broker)
         client.ask()
         assert "result" in client.get()
-        engine.play = never_answer  # on the old connection; the new process answers
-        old = engine.wants[0][0]
-        engine.play = lambda e, say, *a: None if e.wants[-1][0] is old else answer_at_once(e, say, *a)
+        former_connection = engine.wants[0][0]
+
+        def answer_on_new_connections(engine, say, name, fields, statement):
+            if engine.wants[-1][0] is not former_connection:
+                answer_at_once(engine, say, name, fields, statement)
+
+        engine.play = answer_on_new_connections
         broker.dns.born = 1_700_000_000_000
         broker.publish_list(2)
         client.ask()
--- a/tests/race_conditions/test_client_connections.py
+++ b/tests/race_conditions/test_client_connections.py
@@ -1,9 +1,11 @@
 """Client connections that are closed, or whose framing is lost, as a request arrives.
 
-Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
+or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
+from types import SimpleNamespace
+
 from tests.fakes.broker_process import BrokerTestCase
 from tests.fakes.fake_engines import ROW, answer_on_release
 from tests.fakes.json_rpc_client import result_rows
@@ -27,21 +29,21 @@
         client = self.client(broker)
         client.send("status")
         client.get()
-        sent = []
-        real, client.sock = client.sock, type("Kept", (), {"sendall": sent.append})()
+        messages = []
+        real_socket, client.sock = client.sock, SimpleNamespace(sendall=messages.append)
         client.ask(statement=b"SELECT '" + b"x" * 8000 + b"' FROM sales_17.orders")
-        client.sock = real
-        client.sock.sendall(sent[0][:4096])  # fills the first buffer
+        client.sock = real_socket
+        client.sock.sendall(messages[0][:4096])  # fills the first buffer
         broker.wait_for_hook("pause")
-        crowd = []
+        others = []
 
-        def crowded():  # more than there are places
-            crowd.append(self.client(broker))
-            crowd[-1].send("status")
+        def evicted():  # once there are more clients than places
+            others.append(self.client(broker))
+            others[-1].send("status")
             return broker.count("clients.evicted")
 
-        wait_until(crowded, "room made")
-        client.sock.sendall(sent[0][4096:])
+        wait_until(evicted, "an eviction")
+        client.sock.sendall(messages[0][4096:])
         broker.release_hook("pause")
         assert "result" in client.get()
 
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -1,7 +1,7 @@
 """A client that disconnects or withdraws while its request is on its way.
 
-Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
+or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 import socket
@@ -24,25 +24,25 @@
             "reset": lambda client: (client.file.close(), reset_connection(client.sock)),
             "withdraw": lambda client: client.send("withdraw", {"id": client.number}),
         }
-        for way, leave in ways.items():
-            for effect in ("single_shot", "free"):
-                with self.subTest(way=way, effect=effect):
+        for way, disconnect in ways.items():
+            for idempotency in ("single_shot", "free"):
+                with self.subTest(way=way, idempotency=idempotency):
                     engine = self.engine()
                     broker = self.broker(
                         engine,
-                        change=site({"lookup": effect}, ConnectTimeout=5_000_000),
+                        change=site({"lookup": idempotency}, ConnectTimeout=5_000_000),
                         env=METRICS_OFTEN,
-                        hooks={"dial": CONNECT},
+                        hooks={"connect": CONNECT},
                     )
                     client, other = self.client(broker), self.client(broker)
                     client.ask(statement=b"SELECT gone")
-                    broker.wait_for_hook("dial")
-                    leave(client)
+                    broker.wait_for_hook("connect")
+                    disconnect(client)
                     broker.wait_for_counter("client_disconnects")
-                    broker.release_hook("dial")
+                    broker.release_hook("connect")
                     other.ask(statement=b"SELECT stays")
                     assert "result" in other.get()
-                    assert [w[3] for w in engine.wants] == [b"SELECT stays"]
+                    assert [want[3] for want in engine.wants] == [b"SELECT stays"]
                     broker.close()
 
     def test_a_burst_of_disconnects_frees_all_its_capacity(self):
@@ -82,4 +82,4 @@
         engine.play = answer_at_once
         other.ask(statement=b"SELECT stays")
         assert "result" in other.get()
-        assert [w[3] for w in engine.wants] == [b"SELECT gone", b"SELECT stays"]
+        assert [want[3] for want in engine.wants] == [b"SELECT gone", b"SELECT stays"]
--- a/tests/race_conditions/test_configuration_races.py
+++ b/tests/race_conditions/test_configuration_races.py
@@ -1,7 +1,7 @@
-"""Reloads, and two processes of an upgrade, at the moment at which requests are taken.
+"""Reloads, and two processes of an upgrade, at the moment at which requests are accepted.
 
-Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
+or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 import json
@@ -24,12 +24,14 @@
         """Regression: both came in one turn of the event loop, and the decisions applied the new settings
         first: an idempotent request was handled as one that is not, and the other way round."""
         engine = self.engine(
-            lambda e, say, *a: (answer_with("500") if len(e.wants) == 1 else answer_at_once)(e, say, *a)
+            lambda engine, *args: (answer_with("500") if len(engine.wants) == 1 else answer_at_once)(
+                engine, *args
+            )
         )
         broker = self.broker(
             engine, env=METRICS_OFTEN, hooks={"wait": "cypressledge.broker.event_loop:EventLoop._wait#1"}
         )
-        broker.wait_for_hook("wait")  # the event loop stands still
+        broker.wait_for_hook("wait")  # the event loop has stopped
         client = self.client(broker)
         client.ask()
         broker.wait_for_counter("accepted.lookup")
@@ -41,9 +43,9 @@
         assert "error" in client.get()  # from here on it is not idempotent, and not retried
 
     def test_tenants_change_and_classes_stay_while_requests_are_in_flight(self):
-        """A request keeps its tenant; a file that changes the classes is rejected as a whole."""
+        """A request keeps its tenant; a file that changes the classes is rejected completely."""
         waiting = []
-        engine = self.engine(lambda e, say, name, *a: waiting.append((say, name)))
+        engine = self.engine(lambda engine, say, name, *_: waiting.append((say, name)))
         old, new, swapped = (site()["settings"] for _ in range(3))
         old["Customers"] = [{"Name": "ada"}, {"Name": "bo"}]
         new["Customers"] = [{"Name": "bo"}, {"Name": "cy"}]
@@ -56,13 +58,13 @@
         assert "in force" in broker.reload(settings=new)[-1]
         assert "other classes need a restart" in broker.reload(settings=swapped)[-1]
         client.ask(tenant="ada")
-        assert client.get()["error"]["code"] == -32602  # gone, whatever the file turned down says
+        assert client.get()["error"]["code"] == -32602  # removed, whatever the rejected file says
         cy = client.ask(tenant="cy")
         wait_until(lambda: len(waiting) == 3, "the third")
         for say, name in waiting:
             say(name, "200", "count=1", ROW)
         assert sorted(client.get()["id"] for _ in range(3)) == [ada, bo, cy]
-        assert [w[2]["c"] for w in engine.wants] == ["lookup", "report", "lookup"]
+        assert [want[2]["c"] for want in engine.wants] == ["lookup", "report", "lookup"]
 
     def test_engine_kinds_in_another_order_select_the_same_engines(self):
         """Regression: the engine list kept the former indices, and a class bound to one kind ran on the
@@ -90,7 +92,7 @@
     def test_engines_taken_out_at_both_processes_at_once_all_stay_out(self):
         """Regression: each process read the file before the other had written it, and one engine was back in
         service."""
-        engines = [self.engine(name=f"s-{n}") for n in range(3)]
+        engines = [self.engine(name=f"s-{number}") for number in range(3)]
         shared = self.enterContext(tempfile.TemporaryDirectory())
         ports, brokers, calls = [], [], []
         for _ in range(2):
@@ -103,21 +105,24 @@
                 )
             )
 
-        def out(n):
+        def take_out(number):
+            """Take an engine out of service through one of the processes, in a thread."""
             head = "POST /maintenance/enter HTTP/1.1\r\nHost: b"
-            calls.append(threading.Thread(target=http_call, args=(ports[n], head, f"s-{n}".encode())))
+            calls.append(
+                threading.Thread(target=http_call, args=(ports[number], head, f"s-{number}".encode()))
+            )
             calls[-1].start()
 
-        out(0)
+        take_out(0)
         brokers[0].wait_for_hook("save")
-        out(1)
-        reached = Path(brokers[1].dir.name) / "save.at"
-        calls[1].join(0.2)  # if it reaches its own save, it has read stale data
-        early = reached.exists()
+        take_out(1)
+        save_reached = Path(brokers[1].dir.name) / "save.at"
+        calls[1].join(0.2)  # if it reaches its own save, it has read the file too early
+        read_stale_data = save_reached.exists()
         brokers[0].release_hook("save")
         calls[0].join(WAIT)
         brokers[1].release_hook("save")
         calls[1].join(WAIT)
-        kept = json.loads((Path(shared) / "cypressledge-n1-maintenance.json").read_text())
-        assert kept["out"] == ["s-0", "s-1"]
-        assert not early
+        saved = json.loads((Path(shared) / "cypressledge-n1-maintenance.json").read_text())
+        assert saved["out"] == ["s-0", "s-1"]
+        assert not read_stale_data
--- a/tests/race_conditions/test_engine_list_races.py
+++ b/tests/race_conditions/test_engine_list_races.py
@@ -1,7 +1,7 @@
 """Engine lists that change while attempts or polls are in flight.
 
-Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
+or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 import time
@@ -17,33 +17,33 @@
 
     def test_a_drain_listed_while_the_connection_comes_up_applies(self):
         """Whether an engine accepts new work is checked as the attempt is written."""
-        leaving, staying = self.engine(name="s-1"), self.engine(name="s-2")
-        broker = self.broker(leaving, change=site(ConnectTimeout=5_000_000), hooks={"dial": CONNECT})
+        draining, staying = self.engine(name="s-1"), self.engine(name="s-2")
+        broker = self.broker(draining, change=site(ConnectTimeout=5_000_000), hooks={"connect": CONNECT})
         client = self.client(broker)
         client.ask()
-        broker.wait_for_hook("dial")
-        broker.dns.engines = {leaving.name: (leaving.port, 1), staying.name: (staying.port, 0)}
+        broker.wait_for_hook("connect")
+        broker.dns.engines = {draining.name: (draining.port, 1), staying.name: (staying.port, 0)}
         broker.publish_list(2)
-        broker.release_hook("dial")
+        broker.release_hook("connect")
         assert "result" in client.get()
-        assert [len(leaving.wants), len(staying.wants)] == [0, 1]
+        assert [len(draining.wants), len(staying.wants)] == [0, 1]
 
     def test_a_drain_listed_as_an_unreachable_directory_returns_applies(self):
         """A poll without a response is repeated within the interval, on a socket of its own."""
-        leaving, staying = self.engine(name="s-1"), self.engine(name="s-2")
-        broker = self.broker(leaving, staying)
+        draining, staying = self.engine(name="s-1"), self.engine(name="s-2")
+        broker = self.broker(draining, staying)
         broker.dns.is_silent = True
         broker.wait_for_log("directory: unreachable")
-        broker.dns.engines[leaving.name] = (leaving.port, 1)
+        broker.dns.engines[draining.name] = (draining.port, 1)
         broker.dns.serial, broker.dns.is_silent = 2, False
         published_at = time.monotonic()
         broker.wait_for_list()
-        sent, client = len(leaving.wants), self.client(broker)
+        sent, client = len(draining.wants), self.client(broker)
         for _ in range(8):
             client.ask()
             assert "result" in client.get()
         assert time.monotonic() - published_at < 2.0
-        assert len(leaving.wants) == sent
+        assert len(draining.wants) == sent
 
     def test_a_response_of_the_former_directory_in_flight_is_ignored(self):
         """Regression: it was applied, and its higher serial made every list of the new directory look
@@ -51,7 +51,7 @@
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(one, two, hooks={"answer": "cypressledge.net.dns_discovery:_receive_datagram#8"})
         broker.dns.is_silent = True
-        broker.wait_for_hook("answer")  # it has asked, and not looked for the answer yet
+        broker.wait_for_hook("answer")  # the poll is sent, and its answer not read yet
         wait_until(lambda: broker.dns.asked >= 8, "the query")
         broker.dns.engines[one.name] = (one.port, 1)
         broker.dns.serial = 9
@@ -61,7 +61,7 @@
         other.engines, other.serial = {one.name: (one.port, 0), two.name: (two.port, 1)}, 2
         broker.reload(dns=f"127.0.0.1:{other.port}")
         broker.release_hook("answer")
-        wait_until(lambda: other.asked > 1, "the new directory asked")
+        wait_until(lambda: other.asked > 1, "a poll of the new directory")
         client = self.client(broker)
         for _ in range(4):
             client.ask()
--- a/tests/race_conditions/test_graceful_shutdown.py
+++ b/tests/race_conditions/test_graceful_shutdown.py
@@ -1,7 +1,7 @@
 """A stop, a start or a second signal at the moment at which something else happens.
 
-Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
+or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 import json
@@ -23,14 +23,14 @@
     """Accepted requests are answered; later ones are rejected, or their connections closed without a
     reset."""
 
-    def stopped(self, broker):
-        """Wait until the stopping broker accepts nothing new: it closes an idle client's connection."""
-        resting = self.client(broker)
-        resting.send("status")
-        resting.get()
+    def stop(self, broker):
+        """Send SIGTERM, and wait until the broker drains: it closes an idle client's connection."""
+        idle = self.client(broker)
+        idle.send("status")
+        idle.get()
         broker.process.send_signal(signal.SIGTERM)
-        assert resting.get() is None
-        return resting
+        assert idle.get() is None
+        return idle
 
     def test_idle_clients_are_closed_while_others_wait_for_their_answers(self):
         engine = self.engine(answer_on_release)
@@ -39,7 +39,7 @@
         client = self.client(broker)
         client.ask()
         wait_until(lambda: engine.wants, "the query")
-        self.stopped(broker)
+        self.stop(broker)
         client.ask()
         assert client.get()["error"]["code"] == -32066
         engine.released = True
@@ -61,7 +61,7 @@
             for body in (b'{"jsonrpc":"2.0","id":%d,"method":"status"}' % n for n in (1, 2))
         )
         client.sock.sendall(text[:9])
-        self.stopped(broker)
+        self.stop(broker)
         client.sock.sendall(text[9:])
         assert [client.get()["result"] for _ in range(2)] == [{"healthy": False}] * 2
         assert client.get() is None
@@ -73,13 +73,13 @@
         """A request accepted before SIGTERM is sent and answered."""
         engine = self.engine()
         broker = self.broker(
-            engine, hooks={"leaves": "cypressledge.net.line_protocol.connection:EngineConnection._may_send!"}
+            engine, hooks={"write": "cypressledge.net.line_protocol.connection:EngineConnection._may_send!"}
         )
         client = self.client(broker)
         client.ask()
-        broker.wait_for_hook("leaves")
+        broker.wait_for_hook("write")
         broker.process.send_signal(signal.SIGTERM)
-        broker.release_hook("leaves")
+        broker.release_hook("write")
         assert result_rows(client.get()) == ROW
         assert client.get() is None
         assert broker.process.wait(WAIT) == 0
@@ -91,32 +91,32 @@
             released = False
 
             def serve(self, conn, file):
-                def reading():
+                def read_line():
                     line = file.readline()
                     if line.startswith(b"turn"):
-                        self.turned = True
+                        self.page_requested = True
                         wait_until(lambda: self.released, "the release")
                     return line
 
-                super().serve(conn, SimpleNamespace(readline=reading, read=file.read))
+                super().serve(conn, SimpleNamespace(readline=read_line, read=file.read))
 
-        engine = self.engine(lambda e, say, name, *a: say(name, "200", "count=2", ROW), kind=Paged)
+        engine = self.engine(lambda engine, say, name, *_: say(name, "200", "count=2", ROW), kind=Paged)
         broker = self.broker(engine)
         client = self.client(broker)
         client.ask()
-        wait_until(lambda: getattr(engine, "turned", False), "the next page asked for")
-        self.stopped(broker)
+        wait_until(lambda: getattr(engine, "page_requested", False), "the request of the next page")
+        self.stop(broker)
         engine.released = True
         assert result_rows(client.get()) == ROW + page_rows(1)
         assert broker.process.wait(WAIT) == 0
 
     def test_requests_at_engines_that_hang_are_answered_before_sigkill(self):
         """Regression: requests at engines that hang, with long deadlines, were still open at SIGKILL."""
-        hung, good = self.engine(never_answer, name="s-1"), self.engine(name="s-2")
-        broker = self.broker(hung, good, change=site({"report": "single_shot"}))
+        hanging, good = self.engine(never_answer, name="s-1"), self.engine(name="s-2")
+        broker = self.broker(hanging, good, change=site({"report": "single_shot"}))
         client = self.client(broker)
         numbers = [client.ask("report", wait=25_000) for _ in range(6)]
-        wait_until(lambda: hung.wants, "a report that hangs")
+        wait_until(lambda: hanging.wants, "a report that hangs")
         broker.process.send_signal(signal.SIGTERM)
         began = time.monotonic()
         answers = [client.get() for _ in numbers]
@@ -124,9 +124,11 @@
         assert time.monotonic() - began < 3.7
         client.close()
         assert broker.process.wait(WAIT) == 0
-        assert sorted(a["id"] for a in answers) == numbers
-        failed = [a["id"] for a in answers if "error" in a and a["error"]["code"] != -32066]
-        assert len(failed) == len(hung.wants)  # it may have run, so it is not called harmless
+        assert sorted(answer["id"] for answer in answers) == numbers
+        failed = [
+            answer["id"] for answer in answers if "error" in answer and answer["error"]["code"] != -32066
+        ]
+        assert len(failed) == len(hanging.wants)  # they may have been executed, so they fail
 
     def test_connections_in_the_accept_queue_are_answered(self):
         """Regression: closing the listener resets connections in the accept queue, with requests written to
@@ -154,9 +156,7 @@
                         "limit": "cypressledge.broker_process.reconfiguration:Reconfiguration.apply_limits!"
                     }
                 )
-                broker.wait_for_hook(
-                    "limit"
-                )  # the configuration has been read, and nobody hears of signals yet
+                broker.wait_for_hook("limit")  # the file has been read, and no handler is installed yet
                 broker.dns.engines[engine.name] = (engine.port, 0)
                 broker.path.write_text(json.dumps(broker.config | {"dns": f"127.0.0.1:{free_port()}"}))
                 broker.process.send_signal(number)
@@ -196,14 +196,14 @@
         """Regression: the old process closed a connection that it had just accepted, before the first
         request."""
         engine = self.engine()
-        held_open = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(held_open.close)
-        os.set_inheritable(held_open.fileno(), True)
+        listening = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(listening.close)
+        os.set_inheritable(listening.fileno(), True)
         broker = self.broker(
             engine,
-            env=METRICS_OFTEN | {"ROUTER_SOCKET_FD": str(held_open.fileno())},
-            keep=(held_open.fileno(),),
-            port=held_open.getsockname()[1],
+            env=METRICS_OFTEN | {"ROUTER_SOCKET_FD": str(listening.fileno())},
+            keep=(listening.fileno(),),
+            port=listening.getsockname()[1],
         )
         client = self.client(broker)
         broker.wait_for_counter("clients.connections")
@@ -222,25 +222,27 @@
         """The directory is unreachable throughout. None takes over 30 s; nine in ten take less than 2 s of
         processor time, that is 10 s at a fifth of a core (other tests may use this machine's)."""
         engine = self.engine()
-        many = min(30, 4 * os.cpu_count())
+        count = min(30, 4 * os.cpu_count())
         began = time.monotonic()
-        brokers = [self.broker(change=self.known(engine)) for _ in range(many)]
+        brokers = [self.broker(change=self.known_list(engine)) for _ in range(count)]
         for broker in brokers:
             broker.dns.is_silent = True
-        took, work = [], []
-        while len(took) < many and time.monotonic() - began < 30:
+        start_times, processor_times = [], []
+        while len(start_times) < count and time.monotonic() - began < 30:
             for broker in brokers:
                 if not getattr(broker, "is_ready", False) and broker.healthy():
                     broker.is_ready = True
-                    took.append(time.monotonic() - began)
-                    work.append(cpu_ticks(broker.process.pid) / os.sysconf("SC_CLK_TCK"))
+                    start_times.append(time.monotonic() - began)
+                    processor_times.append(cpu_ticks(broker.process.pid) / os.sysconf("SC_CLK_TCK"))
             time.sleep(0.01)
-        print(f"ready after {took[0]:.1f} to {took[-1]:.1f} s, processor time {max(work):.2f} s at the most")
-        assert len(took) == many
-        assert sorted(work)[many * 9 // 10 - 1] < 2.0
+        print(f"ready after {start_times[0]:.1f} to {start_times[-1]:.1f} s")
+        print(f"processor time {max(processor_times):.2f} s at most")
+        assert len(start_times) == count
+        assert sorted(processor_times)[count * 9 // 10 - 1] < 2.0
 
     @staticmethod
-    def known(engine):
+    def known_list(engine):
+        """A change of the configuration: the engine list that the broker starts with."""
         member = {
             "id": engine.name,
             "host_port": f"127.0.0.1:{engine.port}",
--- a/tests/race_conditions/test_late_connections.py
+++ b/tests/race_conditions/test_late_connections.py
@@ -1,7 +1,7 @@
 """Connections to engines that come up late, or never.
 
-Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
+or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 import socket
@@ -19,11 +19,11 @@
         """Regression: one late connection ejected its engine for a second, and put it under slow start."""
         engine = self.engine(answer_on_release)
         engine.released = False
-        broker = self.broker(engine, env=METRICS_OFTEN, hooks={"dial": CONNECT + "#2"})
+        broker = self.broker(engine, env=METRICS_OFTEN, hooks={"connect": CONNECT + "#2"})
         client = self.client(broker)
         for _ in range(9):  # the ninth needs a second connection
             client.ask()
-        broker.wait_for_hook("dial")
+        broker.wait_for_hook("connect")
         wait_until(lambda: engine.wants, "the first query")
         engine.wants[0][0].sendall(f"{engine.wants[0][1]} status note=done,reading=0.1 0\r\n\r\n".encode())
         broker.wait_for_counter("engine_connects_overdue")
@@ -37,12 +37,12 @@
     def test_a_connection_that_comes_up_late_is_used_for_the_next_attempts(self):
         """Regression: it was closed at its time-out, and the next one was as likely to be late."""
         engine = self.engine()
-        broker = self.broker(engine, env=METRICS_OFTEN, hooks={"dial": CONNECT + "#1"})
+        broker = self.broker(engine, env=METRICS_OFTEN, hooks={"connect": CONNECT + "#1"})
         client = self.client(broker)
         client.ask("report")
-        broker.wait_for_hook("dial")
+        broker.wait_for_hook("connect")
         broker.wait_for_counter("engine_connects_overdue")
-        broker.release_hook("dial")
+        broker.release_hook("connect")
         broker.wait_for_counter("engine_connects_late")
         assert "result" in client.get()
         close_connection(engine.wants[0][0])
@@ -54,19 +54,19 @@
     def test_one_late_connection_does_not_eject_its_engine(self):
         """Regression: the engine was ejected until it responded, and under slow start for the whole
         window."""
-        one, two = self.engine(name="s-1"), self.engine(name="s-2")
-        broker = self.broker(one, two, env=METRICS_OFTEN, hooks={"dial": CONNECT + "#1"})
+        first, second = self.engine(name="s-1"), self.engine(name="s-2")
+        broker = self.broker(first, second, env=METRICS_OFTEN, hooks={"connect": CONNECT + "#1"})
         client = self.client(broker)
         client.ask()
-        broker.wait_for_hook("dial")
+        broker.wait_for_hook("connect")
         assert "result" in client.get()  # elsewhere
-        assert len(one.wants) + len(two.wants) == 1
-        broker.release_hook("dial")
+        assert len(first.wants) + len(second.wants) == 1
+        broker.release_hook("connect")
         broker.wait_for_counter("engine_connects_late")
         assert "ejected" not in broker.log_text()
 
     def test_an_unreachable_engine_is_ejected(self):
-        """A listener whose accept queue is full stands for a machine that has vanished."""
+        """A listener whose accept queue is full acts as a machine that has vanished."""
         gone, good = self.engine(name="s-1"), self.engine(name="s-2")
         gone.close()
         full = socket.create_server(("127.0.0.1", gone.port), backlog=0)
--- a/tests/race_conditions/test_resource_exhaustion.py
+++ b/tests/race_conditions/test_resource_exhaustion.py
@@ -1,7 +1,7 @@
 """Descriptors, buffers and memory that some clients use up, and others need.
 
-Each test makes its order of events happen every time, on real connections: by a fake that decides when the
-next byte comes, or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
+or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
 """
 
 import os
@@ -37,7 +37,7 @@
             idle[-1].send("status")
         wait_until(lambda: broker.count("clients.rejected") + broker.count("clients.evicted"), "a full table")
 
-        def asked():  # a new client may be rejected while all others are new as well
+        def is_answered():  # a new client may be rejected while all others are new as well
             client = self.client(broker)
             try:
                 client.ask()
@@ -47,23 +47,23 @@
             finally:
                 client.close()
 
-        wait_until(asked, "an answer")
+        wait_until(is_answered, "an answer")
         del broker.dns.engines[engine.name]
         broker.dns.engines[new.name] = (new.port, 0)
         broker.dns.serial, broker.dns.is_silent = 2, False
-        wait_until(lambda: asked() and new.wants, "the new engine's answer")
+        wait_until(lambda: is_answered() and new.wants, "the new engine's answer")
         used = len(os.listdir(f"/proc/{broker.process.pid}/fd"))
         assert used < 64
-        for one in idle:
-            one.close()
-        wait_until(lambda: broker.count("clients.connections") <= 2, "all that left")
+        for client in idle:
+            client.close()
+        wait_until(lambda: broker.count("clients.connections") <= 2, "all closed connections")
         assert not [line for line in broker.log_text().splitlines() if "accept_error" in line]
         assert broker.process.poll() is None
 
     def test_idle_connections_to_some_engines_leave_capacity_for_the_others(self):
-        """Regression: idle connections to engines that rejected everything held the limit for half a
-        minute."""
-        engines = [self.engine(answer_with("503"), name=f"s-{n}") for n in range(15)] + [
+        """Regression: idle connections to engines that rejected everything used up the limit for
+        half a minute."""
+        engines = [self.engine(answer_with("503"), name=f"s-{number}") for number in range(15)] + [
             self.engine(name="s-15")
         ]
         change = site(MaxAttempts=8) | {"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 20}}
@@ -85,7 +85,7 @@
         wait_until(lambda: engine.wants, "the query")
         pid = broker.process.pid
         lasting = lasting_descriptors(pid)
-        free = next(n for n in range(1024) if n not in lasting)
+        free = next(descriptor for descriptor in range(1024) if descriptor not in lasting)
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (free, 1024))
         waiting = self.client(broker)
         broker.wait_for_counter("clients.accept_error.24")
@@ -100,11 +100,11 @@
 
 
 class BufferExhaustion(BrokerTestCase):
-    """What one client sends or leaves unread takes no memory from the others."""
+    """What one client sends, or does not read, takes no memory from the others."""
 
     def test_incomplete_messages_that_fill_all_buffers_cut_off_no_engine_s_response(self):
         """Regression: engines' responses grew their buffers from the same budget, and were cut off."""
-        engine = self.engine(lambda e, say, name, *a: say(name, "200", "count=1", ROW * 450))
+        engine = self.engine(lambda engine, say, name, *_: say(name, "200", "count=1", ROW * 450))
         broker = self.broker(
             engine, env=METRICS_OFTEN, change={"limits": {"cores": 1.0, "memory_mb": 30, "sockets": 1024}}
         )
@@ -113,8 +113,8 @@
         client.get()
 
         def full():
-            one = self.client(broker)
-            one.sock.sendall(b"Content-Length: 500000\r\n\r\n" + b"x" * 250_000)
+            client = self.client(broker)
+            client.sock.sendall(b"Content-Length: 500000\r\n\r\n" + b"x" * 250_000)
             return broker.count("clients.framing_errors")
 
         wait_until(full, "all buffers full")
@@ -126,9 +126,9 @@
         """Regression: thirty large statements of one connection used up the limit, and others were
         rejected."""
         engine = self.engine(
-            lambda e, say, name, fields, statement: None
+            lambda engine, say, name, fields, statement: None
             if b"xx" in statement
-            else answer_at_once(e, say, name, fields, statement)
+            else answer_at_once(engine, say, name, fields, statement)
         )
         broker = self.broker(engine, change={"limits": {"cores": 1.0, "memory_mb": 60, "sockets": 1024}})
         greedy, modest = self.client(broker), self.client(broker)
