--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
-"""Hypothesis runs the same examples every time; tests that are ended by a signal end what they started; known
-failures are told from new ones (known_red.py)."""
+"""Hypothesis runs the same examples every time; a run that SIGTERM ends still ends what its tests started;
+known failures are expected (known_red.py)."""
 
 import signal
 import sys
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures names tests that there are."""
+"""The list of known failures: its form, and what it does to a run."""
 
 import shutil
 import subprocess
@@ -26,14 +26,14 @@
         known_red.known_red()
 
 
-def test_one_that_fails_is_printed_and_one_that_passes_fails_the_run(tmp_path):
+def test_a_known_failure_is_printed_and_one_that_passes_fails_the_run(tmp_path):
     tests = tmp_path / "tests"
     tests.mkdir()
     for name in ("conftest.py", "known_red.py"):
         shutil.copy(ROOT / "tests" / name, tests)
     (tests / "test_a.py").write_text("def test_b():\n    assert False\n\n\ndef test_c():\n    pass\n")
     listed = "tests/test_a.py::test_b: known (issue 1)\n"
-    for lines, code, said in (
+    for lines, exit_code, expected in (
         (listed, 0, "KNOWN-RED: known (issue 1)"),
         ("", 1, "1 failed"),
         (listed + "tests/test_a.py::test_c: mended (issue 2)\n", 1, "XPASS(strict)"),
@@ -41,5 +41,5 @@
         (tmp_path / "KNOWN-RED.txt").write_text(lines)
         command = [sys.executable, "-m", "pytest", "-q", "-rxX", "-p", "no:cacheprovider", "tests"]
         run = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True)
-        assert run.returncode == code, run.stdout
-        assert said in run.stdout, run.stdout
+        assert run.returncode == exit_code, run.stdout
+        assert expected in run.stdout, run.stdout
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -33,7 +33,7 @@
 
 
 def frame(records, tail=b"", seq=1, now=50_000_000):
-    body = b"".join(r.ljust(48, b"\0") for r in records) + tail
+    body = b"".join(record.ljust(48, b"\0") for record in records) + tail
     return struct.pack("<IQII", 20 + len(body), now, len(records), seq) + body
 
 
@@ -57,10 +57,10 @@
 def actions(reply):
     size, count, _ = struct.unpack_from("<III", reply)
     assert size == len(reply)
-    return [reply[12 + 24 * i : 36 + 24 * i] for i in range(count)]
+    return [reply[12 + 24 * number : 36 + 24 * number] for number in range(count)]
 
 
-def test_empty_batch_as_the_wire_page_shows_it():
+def test_an_empty_batch_as_the_page_of_the_wire_shows_it():
     assert SimulatorAdapter().handle_batch(
         bytes.fromhex("140000005a5c80000000000000000000" "01000000")
     ).hex() == ("0c0000000000000001000000")
@@ -69,8 +69,8 @@
 def test_a_request_is_sent_to_the_listed_engine():
     adapter = SimulatorAdapter()
     adapter.handle_batch(start())
-    sent = [a for a in actions(adapter.handle_batch(frame([request()]))) if a[0] == 68]
-    assert [struct.unpack_from("<II6s", a, 1) for a in sent] == [(3, 77, ENGINE)]
+    sent = [action for action in actions(adapter.handle_batch(frame([request()]))) if action[0] == 68]
+    assert [struct.unpack_from("<II6s", action, 1) for action in sent] == [(3, 77, ENGINE)]
     bill = 20 * 4096 + 3
     done = struct.pack("<BIIBIH6sIBB4f", 4, 3, 77, 1, 9000, 0, ENGINE, bill, 0, 0, 0, 0, 0, 0)
     adapter.handle_batch(frame([done]))
@@ -82,9 +82,14 @@
 def test_outcome_is_decoded_field_by_field():
     bill = 20 * 4096 + 3
     record = struct.pack("<BIIBIH6sIBB4f", 4, 3, 9, 0, 18500, 2, ENGINE, bill, 253, 2, 3.0, 0.6, 0, 0)
-    got = decode_answer(record.ljust(48, b"\0"), 0)
-    assert (got.request, got.attempt, got.engine, got.final) == (9, 2, engine_number(ENGINE), False)
-    assert (got.outcome, got.work, got.memory_mb, len(got.load_report)) == (
+    answer = decode_answer(record.ljust(48, b"\0"), 0)
+    assert (answer.request, answer.attempt, answer.engine, answer.final) == (
+        9,
+        2,
+        engine_number(ENGINE),
+        False,
+    )
+    assert (answer.outcome, answer.work, answer.memory_mb, len(answer.load_report)) == (
         c.Outcome.TIMEOUT,
         20_000,
         12.0,
@@ -92,16 +97,21 @@
     )
 
 
-def test_settings_in_our_names():
-    s = parse_settings_json(json.dumps(SETTINGS).encode())
-    assert (s.broker_count, s.broker_index, s.kind_cores, s.classes[0].required_kinds) == (
+def test_settings_are_read_under_our_names():
+    settings = parse_settings_json(json.dumps(SETTINGS).encode())
+    assert (
+        settings.broker_count,
+        settings.broker_index,
+        settings.kind_cores,
+        settings.classes[0].required_kinds,
+    ) == (
         2,
         1,
         (12, 8),
         frozenset((0,)),
     )
-    assert s.retry_budget_ratio is None
-    assert s.classes[0].required_zones is None
+    assert settings.retry_budget_ratio is None
+    assert settings.classes[0].required_zones is None
 
 
 @pytest.mark.parametrize(
@@ -116,13 +126,13 @@
     ],
 )
 def test_settings_out_of_range_name_the_field(change):
-    plain = {
+    valid = {
         "classes": (c.ClassSettings(latency_objective=1, deadline=2),),
         "kind_cores": (8,),
         "timer_resolution": 5000,
     }
     with pytest.raises(ValueError, match=next(iter(change))):
-        c.Settings(**(plain | change))
+        c.Settings(**(valid | change))
 
 
 def run_adapter(raw, module="cypressledge.simulator_adapter"):
@@ -143,7 +153,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "word"),
+    ("raw", "reason"),
     [
         (start()[:-3], "cut short"),
         (b"\x14\x00", "cut short"),
@@ -155,13 +165,13 @@
         (struct.pack("<I", 3), "under a header"),
     ],
 )
-def test_bad_input_gets_one_plain_line(raw, word):
+def test_invalid_input_gets_one_log_line(raw, reason):
     run = run_adapter(raw)
     lines = run.stderr.decode().splitlines()
     assert run.returncode == 2
     assert run.stdout == b""
     assert len(lines) == 1
-    assert word in lines[0]
+    assert reason in lines[0]
     assert "batch" in lines[0]
 
 
@@ -177,6 +187,6 @@
 def test_readme_example_runs():
     text = (ROOT / "README.md").read_text()
     code = text.split("```python")[1].split("```")[0]
-    space = {}
-    exec(code, space)
-    assert space["attempts"]
+    namespace = {}
+    exec(code, namespace)
+    assert namespace["attempts"]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -30,19 +30,19 @@
 
 
 def names(site):
-    """What a site calls its classes, tenants, machines and rooms."""
+    """The names of a site's classes, tenants, machines and rooms."""
     return (
-        {k["name"] for part in ("class", "tenant") for k in site[part]}
+        {entry["name"] for section in ("class", "tenant") for entry in site[section]}
         | set(site["net"]["zones"])
-        | {k["name"] for tier in site["tier"] for k in tier["kind"]}
+        | {kind["name"] for tier in site["tier"] for kind in tier["kind"]}
         | {site["name"]}
     )
 
 
 def literals(file):
-    """A file's strings that are no docstrings."""
+    """A file's string literals that are no docstrings."""
     tree = ast.parse(file.read_text())
-    told = {
+    docstrings = {
         id(node.body[0].value)
         for node in ast.walk(tree)
         if isinstance(node, DOCUMENTED) and ast.get_docstring(node) is not None
@@ -50,75 +50,83 @@
     return [
         node.value
         for node in ast.walk(tree)
-        if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in told
+        if isinstance(node, ast.Constant) and isinstance(node.value, str) and id(node) not in docstrings
     ]
 
 
 def test_no_name_of_a_site_is_in_the_program():
     """The laboratory, which `run` does not import, has a plain site of its own."""
-    wanted = PLATFORM.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
-    assert len(wanted) > 20
+    site_names = PLATFORM.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
+    assert len(site_names) > 20
     assert len(SITES) == 2
     found = [
         (path.name, text)
         for path in (ROOT / "cypressledge").rglob("*.py")
         if "lab" not in path.parts
         for text in literals(path)
-        if any(re.fullmatch(rf"{re.escape(name)}", text) for name in wanted)
+        if any(re.fullmatch(rf"{re.escape(name)}", text) for name in site_names)
     ]
     assert not found
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert not [name for name in wanted if re.search(rf"\b{re.escape(name)}\b", json.dumps(deploy))]
+    assert not [name for name in site_names if re.search(rf"\b{re.escape(name)}\b", json.dumps(deploy))]
 
 
-class Generated(BrokerTestCase):
-    """The program under sites that were made up."""
+def random_settings(rng):
+    """Settings of a random site: classes, tenants, limits and costs."""
 
-    def test_made_up_sites_are_served_by_their_own_names(self):
+    def random_name():
+        letters = rng.choices("bcdfghklmnprstvz", k=rng.randint(3, 9))
+        return "".join(letters) + rng.choice(("", "-x", "_2"))
+
+    settings = copy.deepcopy(SETTINGS)
+    class_count = rng.randint(1, 5)
+    settings["Classes"] = [
+        {
+            "Name": f"{random_name()}{number}",
+            "Objective": rng.randint(200, 900) * 1000,
+            "Deadline": rng.randint(2, 20) * 1_000_000,
+            "Group": "all",
+            "Idempotency": rng.choice(("free", "guarded", "single_shot")),
+            "MemorySpan": rng.randint(2, 9) * 1_000_000,
+            "Worth": rng.random() * 10,
+        }
+        for number in range(class_count)
+    ]
+    settings["Customers"] = [{"Name": f"{random_name()}{number}"} for number in range(rng.randint(1, 4))]
+    settings["Skus"], settings["Dcs"] = [random_name()], [random_name(), random_name()]
+    settings["FamilyInfo"] |= {
+        "CoresByKind": [rng.randint(2, 32)],
+        "KindMemoryMb": [4096.0],
+        "ThreadsByClass": [rng.randint(1, 3)] * class_count,
+        "IsLoad": [rng.random() < 0.3 for _ in range(class_count)],
+        "ClassWaits": [rng.random() < 0.3 for _ in range(class_count)],
+    }
+    settings["Limits"] |= {"StreamsPerConn": rng.randint(1, 40), "MaxAttempts": rng.randint(1, 5)}
+    return settings
+
+
+class RandomSites(BrokerTestCase):
+    """The program under random sites."""
+
+    def test_random_sites_are_served_by_their_own_names(self):
         for seed in range(3):
             with self.subTest(seed=seed):
                 print(f"seed {seed}")
-                self.serve(random.Random(seed))
-
-    def serve(self, rng):
-        def word():
-            letters = rng.choices("bcdfghklmnprstvz", k=rng.randint(3, 9))
-            return "".join(letters) + rng.choice(("", "-x", "_2"))
-
-        settings = copy.deepcopy(SETTINGS)
-        many = rng.randint(1, 5)
-        settings["Classes"] = [
-            {
-                "Name": f"{word()}{n}",
-                "Objective": rng.randint(200, 900) * 1000,
-                "Deadline": rng.randint(2, 20) * 1_000_000,
-                "Group": "all",
-                "Idempotency": rng.choice(("free", "guarded", "single_shot")),
-                "MemorySpan": rng.randint(2, 9) * 1_000_000,
-                "Worth": rng.random() * 10,
-            }
-            for n in range(many)
-        ]
-        settings["Customers"] = [{"Name": f"{word()}{n}"} for n in range(rng.randint(1, 4))]
-        settings["Skus"], settings["Dcs"] = [word()], [word(), word()]
-        settings["FamilyInfo"] |= {
-            "CoresByKind": [rng.randint(2, 32)],
-            "KindMemoryMb": [4096.0],
-            "ThreadsByClass": [rng.randint(1, 3)] * many,
-            "IsLoad": [rng.random() < 0.3 for _ in range(many)],
-            "ClassWaits": [rng.random() < 0.3 for _ in range(many)],
-        }
-        settings["Limits"] |= {"StreamsPerConn": rng.randint(1, 40), "MaxAttempts": rng.randint(1, 5)}
+                self.check_site(random.Random(seed))
+
+    def check_site(self, rng):
+        settings = random_settings(rng)
         engine = self.engine()
         engine.kind = settings["Skus"][0]
         broker = self.broker(engine, change={"settings": settings})
         client = self.client(broker)
-        for cls in settings["Classes"]:
+        for settings_class in settings["Classes"]:
             for tenant in settings["Customers"]:
-                key = {"once": f"{rng.getrandbits(64):x}"} if cls["Idempotency"] == "guarded" else {}
-                client.ask(cls["Name"], tenant=tenant["Name"], wait=2_000, **key)
+                has_key = settings_class["Idempotency"] == "guarded"
+                key = {"once": f"{rng.getrandbits(64):x}"} if has_key else {}
+                client.ask(settings_class["Name"], tenant=tenant["Name"], wait=2_000, **key)
                 assert result_rows(client.get()) == b"1\tbread\t12.5\n"
-                assert engine.wants[-1][2]["c"] == cls["Name"]
+                assert engine.wants[-1][2]["c"] == settings_class["Name"]
                 assert engine.wants[-1][2].get("i") == key.get("once")
         client.ask("lookup")
         assert client.get()["error"]["code"] == -32601
--- a/tests/test_sql.py
+++ b/tests/test_sql.py
@@ -1,12 +1,13 @@
-"""Which group of tables a statement reads or writes."""
+"""Which table group a statement reads or writes."""
+
+import unittest
 
 from cypressledge.net.clickhouse.statements import FORMAT_CLAUSE, WRITE_STATEMENT
 from cypressledge.sql import table_group
-from tests.fakes.broker_process import BrokerTestCase
 
 
-class TableGroups(BrokerTestCase):
-    def test_table_group(self):
+class TableGroups(unittest.TestCase):
+    def test_table_group_of_a_statement(self):
         for statement, group in (
             ("SELECT a FROM sales_17.orders", 17),
             ("SELECT o_2.a FROM staging.x o_1 JOIN sales_8.lines o_2 ON o_1.k = o_2.k", 8),
@@ -21,8 +22,8 @@
             with self.subTest(statement):
                 assert table_group(statement) == group
 
-    def test_statements_made_to_be_slow_to_scan_are_not(self):
-        """Each of these once held the whole broker up, for seconds or for good."""
+    def test_statements_made_to_be_slow_to_scan_are_scanned_in_time(self):
+        """Regression: each of these stalled the broker, for seconds or for ever."""
         values = "(1,'abc',2.5)," * 300_000
         assert table_group(f"INSERT INTO plain.t VALUES {values}") == 0
         assert table_group(f"INSERT INTO sales_3.t VALUES {values}") == 3
--- a/tests/wall_clock.py
+++ b/tests/wall_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock for a program under test alone, which the test steps while it runs (shims/wall_clock.c)."""
+"""A wall clock that only the program under test sees, and that the test steps (shims/wall_clock.c)."""
 
 import functools
 import struct
@@ -12,9 +12,9 @@
 
 @functools.cache
 def shim() -> Path:
-    """The library, built once a test process by the system's C compiler."""
+    """The library, built once in each test process by the system's C compiler."""
     folder = tempfile.TemporaryDirectory(prefix="wall-clock-")
-    shim.folder = folder  # kept, and taken away with the test process
+    shim.folder = folder  # kept until the test process ends
     library = Path(folder.name) / "wall_clock.so"
     subprocess.run(
         ["cc", "-shared", "-fPIC", "-O2", "-Wall", "-Werror", "-o", library, SOURCE, "-ldl"], check=True
@@ -39,7 +39,7 @@
         self._write()
 
     def alternate(self, seconds: float) -> None:
-        """From now on, step it between any two reads: forward by so much, and back."""
+        """From now on, step the clock between any two reads: forward by so much, and back."""
         self.alternate_s = seconds
         self._write()
 
