--- a/tests/race_conditions/scenarios.py
+++ b/tests/race_conditions/scenarios.py
@@ -7,18 +7,21 @@
 
 METRICS_OFTEN = {"ROUTER_FIGURES_S": "0.05"}  # environment: the counters are logged every 50 ms
 CONNECT = "cypressledge.net.line_protocol.connection:connect"  # the hook before a connection to an engine
+NOT_IDEMPOTENT = {"lookup": "single_shot"}  # for `site`
 
 
-def site(idempotency=(), **limits):
+def site(idempotency=(), **limit_settings):
     """A change of the broker's configuration: classes of another idempotency, and other limits."""
     settings = copy.deepcopy(SETTINGS)
     for name, value in dict(idempotency).items():
         next(entry for entry in settings["Classes"] if entry["Name"] == name)["Idempotency"] = value
-    settings["Limits"] |= limits
+    settings["Limits"] |= limit_settings
     return {"settings": settings}
 
 
-NOT_IDEMPOTENT = {"lookup": "single_shot"}
+def limits(memory_mb=192, sockets=1024):
+    """A change of the broker's configuration: other limits of memory and descriptors."""
+    return {"limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}}
 
 
 def cpu_ticks(pid):
--- a/tests/race_conditions/test_client_connections.py
+++ b/tests/race_conditions/test_client_connections.py
@@ -10,7 +10,7 @@
 from tests.fakes.fake_engines import ROW, answer_on_release
 from tests.fakes.json_rpc_client import result_rows
 from tests.fakes.support import wait_until
-from tests.race_conditions.scenarios import METRICS_OFTEN
+from tests.race_conditions.scenarios import METRICS_OFTEN, limits
 
 
 class IdleConnections(BrokerTestCase):
@@ -23,7 +23,7 @@
         broker = self.broker(
             engine,
             env=METRICS_OFTEN,
-            change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64}},
+            change=limits(sockets=64),
             hooks={"pause": "cypressledge.net.socket_io:sleep"},
         )
         client = self.client(broker)
--- a/tests/race_conditions/test_resource_exhaustion.py
+++ b/tests/race_conditions/test_resource_exhaustion.py
@@ -12,7 +12,7 @@
 from tests.fakes.fake_engines import ROW, answer_at_once, answer_on_release, answer_with
 from tests.fakes.json_rpc_client import result_rows
 from tests.fakes.support import wait_until
-from tests.race_conditions.scenarios import METRICS_OFTEN, cpu_ticks, site
+from tests.race_conditions.scenarios import METRICS_OFTEN, cpu_ticks, limits, site
 
 
 def lasting_descriptors(pid):
@@ -66,7 +66,7 @@
         engines = [self.engine(answer_with("503"), name=f"s-{number}") for number in range(15)] + [
             self.engine(name="s-15")
         ]
-        change = site(MaxAttempts=8) | {"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 20}}
+        change = site(MaxAttempts=8) | limits(sockets=20)
         change["settings"]["Rules"] |= {"MinExtra": 1_000}
         client = self.client(self.broker(*engines, change=change))
 
@@ -105,9 +105,7 @@
     def test_incomplete_messages_that_fill_all_buffers_cut_off_no_engine_s_response(self):
         """Regression: engines' responses grew their buffers from the same budget, and were cut off."""
         engine = self.engine(lambda engine, say, name, *_: say(name, "200", "count=1", ROW * 450))
-        broker = self.broker(
-            engine, env=METRICS_OFTEN, change={"limits": {"cores": 1.0, "memory_mb": 30, "sockets": 1024}}
-        )
+        broker = self.broker(engine, env=METRICS_OFTEN, change=limits(memory_mb=30))
         client = self.client(broker)
         client.send("status")
         client.get()
@@ -130,7 +128,7 @@
             if b"xx" in statement
             else answer_at_once(engine, say, name, fields, statement)
         )
-        broker = self.broker(engine, change={"limits": {"cores": 1.0, "memory_mb": 60, "sockets": 1024}})
+        broker = self.broker(engine, change=limits(memory_mb=60))
         greedy, modest = self.client(broker), self.client(broker)
         for _ in range(30):
             greedy.ask("report", statement=b"SELECT '" + b"x" * 300_000 + b"'", wait=20_000)
