--- a/tests/broker/test_event_log.py
+++ b/tests/broker/test_event_log.py
@@ -10,6 +10,7 @@
 
 
 def fields(line):
+    """The fields of an event's line, by name."""
     return dict(pair.split("=", 1) for pair in line.split()[1:] if "=" in pair)
 
 
@@ -18,7 +19,7 @@
         """The fields of all events of a kind, once there are so many."""
 
         def found():
-            lines = [fields(w) for w in broker.log_text().splitlines() if w.startswith(f"{kind} ")]
+            lines = [fields(line) for line in broker.log_text().splitlines() if line.startswith(f"{kind} ")]
             return lines if len(lines) >= least else None
 
         return wait_until(found, f"{least} events {kind}")
@@ -58,7 +59,9 @@
         broker = self.broker(engine)
         broker.dns.engines = {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
         broker.publish_list(2)
-        changes = {e["engine"]: (e["from"], e["to"]) for e in self.events(broker, "engine-state", 2)}
+        changes = {
+            event["engine"]: (event["from"], event["to"]) for event in self.events(broker, "engine-state", 2)
+        }
         assert changes == {"s-1": ("ready", "draining"), "s-2": ("unlisted", "ready")}
 
 
--- a/tests/net/clickhouse/test_clickhouse_loads.py
+++ b/tests/net/clickhouse/test_clickhouse_loads.py
@@ -29,8 +29,8 @@
             thread.join(WAIT)
         assert answers == [200, 200]
         received = [params for engine in engines for params, *_ in engine.asked]
-        assert {p["insert_deduplication_token"] for p in received} == {token}
-        assert {p["query_id"] for p in received} == {"load-0", "load-1"}
+        assert {params["insert_deduplication_token"] for params in received} == {token}
+        assert {params["query_id"] for params in received} == {"load-0", "load-1"}
         assert len(set().union(*(engine.effects for engine in engines))) == 1
 
     def test_a_load_whose_client_disconnects_is_killed_by_its_id(self):
--- a/tests/net/clickhouse/test_clickhouse_requests.py
+++ b/tests/net/clickhouse/test_clickhouse_requests.py
@@ -51,7 +51,7 @@
     def test_chunked_pipelined_and_http_1_0_requests(self):
         engine = self.engine(stream_rows(ROW, page_rows(1)), kind=FakeClickHouseEngine)
         self.start_service(engine)
-        login = b"".join(f"{k}: {v}\r\n".encode() for k, v in LOGIN.items())
+        login = b"".join(f"{name}: {value}\r\n".encode() for name, value in LOGIN.items())
         final_headers = login + b"Connection: close\r\n"
         received = self.send_raw(
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n%s\r\n6\r\nSELECT\r\n" % login,
--- a/tests/race_conditions/test_graceful_shutdown.py
+++ b/tests/race_conditions/test_graceful_shutdown.py
@@ -58,7 +58,7 @@
         wait_until(lambda: engine.wants, "the query")
         text = b"".join(
             b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
-            for body in (b'{"jsonrpc":"2.0","id":%d,"method":"status"}' % n for n in (1, 2))
+            for body in (b'{"jsonrpc":"2.0","id":%d,"method":"status"}' % number for number in (1, 2))
         )
         client.sock.sendall(text[:9])
         self.stop(broker)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -159,7 +159,10 @@
         (b"\x14\x00", "cut short"),
         (frame([struct.pack("<BI", 99, 3)]), "unknown event code 99"),
         (start(b"{not json"), "not JSON"),
-        (start(json.dumps({k: v for k, v in SETTINGS.items() if k != "Step"}).encode()), "Step"),
+        (
+            start(json.dumps({key: value for key, value in SETTINGS.items() if key != "Step"}).encode()),
+            "Step",
+        ),
         (frame([struct.pack("<BIQII", 0, 3, 42, 5, 4000)]), "tail offset"),
         (struct.pack("<IQII", 20, 1, 7, 1), "do not fit"),
         (struct.pack("<I", 3), "under a header"),
