--- a/tests/broker/test_event_log.py
+++ b/tests/broker/test_event_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of retries, refusals, closes and engines, with the request's id and the reason."""
+"""Events in the log: retries, rejections, closed connections and engines' states, with id and reason."""
 
 import re
 
@@ -10,6 +10,7 @@
 
 
 def fields(line):
+    """The fields of an event's line, by name."""
     return dict(pair.split("=", 1) for pair in line.split()[1:] if "=" in pair)
 
 
@@ -18,7 +19,7 @@
         """The fields of all events of a kind, once there are so many."""
 
         def found():
-            lines = [fields(w) for w in broker.log_text().splitlines() if w.startswith(f"{kind} ")]
+            lines = [fields(line) for line in broker.log_text().splitlines() if line.startswith(f"{kind} ")]
             return lines if len(lines) >= least else None
 
         return wait_until(found, f"{least} events {kind}")
@@ -49,16 +50,18 @@
         client = self.client(broker)
         client.ask(wait=400)
         assert client.get()["error"]["code"] == -32066
-        (refused,) = self.events(broker, "request-rejected")
-        assert re.search("\\A[0-9a-f]{16}\\Z", refused["request"])
-        assert refused["reason"] in ("objective-missed", "no-capacity", "no-time-for-retry")
+        (rejection,) = self.events(broker, "request-rejected")
+        assert re.search("\\A[0-9a-f]{16}\\Z", rejection["request"])
+        assert rejection["reason"] in ("objective-missed", "no-capacity", "no-time-for-retry")
 
     def test_engines_that_are_added_or_draining_are_logged(self):
         engine, other = self.engine(), self.engine(kind=FakeLineEngine, name="s-2")
         broker = self.broker(engine)
         broker.dns.engines = {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
         broker.publish_list(2)
-        changes = {e["engine"]: (e["from"], e["to"]) for e in self.events(broker, "engine-state", 2)}
+        changes = {
+            event["engine"]: (event["from"], event["to"]) for event in self.events(broker, "engine-state", 2)
+        }
         assert changes == {"s-1": ("ready", "draining"), "s-2": ("unlisted", "ready")}
 
 
@@ -67,8 +70,8 @@
     monkeypatch.setattr("cypressledge.broker.event_log.monotonic_us", lambda: now)
     counters = Counters()
     events = EventLog(counters)
-    for n in range(3 * MAX_LINES_PER_SECOND):
-        events.write(EventKind.RETRY, request=n)
+    for number in range(3 * MAX_LINES_PER_SECOND):
+        events.write(EventKind.RETRY, request=number)
     events.write(EventKind.REJECTED, request="other")
     now += 1_000_000
     events.write(EventKind.RETRY, request="later")
--- a/tests/race_conditions/scenarios.py
+++ b/tests/race_conditions/scenarios.py
@@ -1,24 +1,27 @@
-"""Settings and hooks that the tests of race conditions share."""
+"""Settings, hooks and measurements that the tests of race conditions share."""
 
 import copy
 from pathlib import Path
 
 from cypressledge.lab.site import SETTINGS
 
-METRICS_OFTEN = {"ROUTER_FIGURES_S": "0.05"}  # the counters on a log line every 50 ms
+METRICS_OFTEN = {"ROUTER_FIGURES_S": "0.05"}  # environment: the counters are logged every 50 ms
 CONNECT = "cypressledge.net.line_protocol.connection:connect"  # the hook before a connection to an engine
+NOT_IDEMPOTENT = {"lookup": "single_shot"}  # for `site`
 
 
-def site(idempotency=(), **limits):
-    """The plain site with classes of another idempotency, and other limits."""
+def site(idempotency=(), **limit_settings):
+    """A change of the broker's configuration: classes of another idempotency, and other limits."""
     settings = copy.deepcopy(SETTINGS)
     for name, value in dict(idempotency).items():
-        next(k for k in settings["Classes"] if k["Name"] == name)["Idempotency"] = value
-    settings["Limits"] |= limits
+        next(entry for entry in settings["Classes"] if entry["Name"] == name)["Idempotency"] = value
+    settings["Limits"] |= limit_settings
     return {"settings": settings}
 
 
-NOT_IDEMPOTENT = {"lookup": "single_shot"}
+def limits(memory_mb=192, sockets=1024):
+    """A change of the broker's configuration: other limits of memory and descriptors."""
+    return {"limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}}
 
 
 def cpu_ticks(pid):
