--- a/cypressledge/lab/capacity/observations.py
+++ b/cypressledge/lab/capacity/observations.py
@@ -1,10 +1,16 @@
-"""What the harness did and saw during a capacity run, for its checks."""
+"""What the harness did and observed during a capacity run, for its checks."""
+
+import json
+from dataclasses import asdict
+from pathlib import Path
+from typing import Any
 
 from cypressledge.lab.capacity.checks import AcknowledgedChange, HarnessObservations
 from cypressledge.lab.capacity.fault_injector import FaultInjector
 from cypressledge.lab.capacity.simulated_operator import SimulatedOperator
 
 BrokerRun = tuple[str, int]  # a broker's name and the number of its run
+FILE_KEYS = {"removed": "gone", "all_stopped_at": "gone"}  # of fields that have another name in the file
 
 
 def harness_observations(
@@ -16,7 +22,7 @@
     over: int,
     killed: dict[BrokerRun, int],
 ) -> HarnessObservations:
-    """Return what the harness did and saw.
+    """Return what the harness did and observed.
 
     `records`, `controls`: what brokers and control processes wrote; `over`: the end, µs; `killed`: when
     simulated brokers were killed, as their hosts report it: a busy host may be late.
@@ -28,7 +34,7 @@
         faults.losses,
         _ends_of_lives(faults, records, killed),
         over,
-        operator.wrongs,
+        operator.wrong_answers,
         expected=names,
     )
 
@@ -46,7 +52,7 @@
     for (name, run), at in began.items():
         if name in simulated:
             continue
-        later_kills = [kill_at for who, kill_at in faults.kills if who == name and kill_at >= at]
+        later_kills = [kill.at for kill in faults.kills if kill.broker == name and kill.at >= at]
         if later_kills:
             ends[name, run] = min(later_kills)
     return ends
@@ -65,5 +71,16 @@
             change.request,
             change.digest,
         )
-        for change in operator.acked
+        for change in operator.acknowledged
     ]
+
+
+def write_observations(path: Path, observed: HarnessObservations) -> None:
+    """Write the observations as JSON, so that a kept run can be judged again."""
+    content = asdict(observed, dict_factory=_file_keys)
+    content["ends"] = [[*life, at] for life, at in observed.ends.items()]
+    path.write_text(json.dumps(content, default=sorted))
+
+
+def _file_keys(fields: list[tuple[str, Any]]) -> dict[str, Any]:
+    return {FILE_KEYS.get(name, name): value for name, value in fields}
--- a/cypressledge/lab/capacity/plots.py
+++ b/cypressledge/lab/capacity/plots.py
@@ -17,12 +17,12 @@
     for result in evaluate(results):
         if not result.ratio or len(result.sources) != 1:
             continue
-        if not result.requirement.is_direct and result.requirement.role == FAILURES:
+        if not result.requirement.figure.is_direct and result.requirement.role == FAILURES:
             continue
         name = next(iter(result.sources))
         curve = curves.get(name)
         if curve is not None and curve.x in TARGET_SIZES:
-            y = curve.at(TARGET_SIZES[curve.x])[0] / result.ratio
+            y = curve.at(TARGET_SIZES[curve.x]).y / result.ratio
             limits[name] = min(y, limits.get(name, y))
     return limits
 
--- a/cypressledge/lab/capacity/run.py
+++ b/cypressledge/lab/capacity/run.py
@@ -14,7 +14,7 @@
 from cypressledge.lab.capacity.capacity_run import CapacityRun
 from cypressledge.lab.capacity.fleet import FleetSize, ScaleError
 from cypressledge.lab.capacity.run_plot import draw_plot
-from cypressledge.lab.capacity.run_report import print_report, summary_line
+from cypressledge.lab.capacity.run_report import print_report, summary
 
 QUICK_BROKERS = 60
 QUICK_ENGINES = 60
@@ -35,7 +35,7 @@
     json_file: str
     plot: str
     quick: bool
-    quiet: bool
+    without_faults: bool
     members: bool
     ping_s: float
     keep: str
@@ -54,7 +54,7 @@
         return [FleetSize(count, self.engines, min(self.real, count // 4), ping_s=ping_s) for count in counts]
 
 
-def run(options: CapacityOptions, say: Callable[[str], None], live: bool = False) -> int:
+def run(options: CapacityOptions, echo: Callable[[str], None], live: bool = False) -> int:
     """Play one run for each size; return the exit code.
 
     1: something was lost, went back or was wrong, a limit was passed, or too little took place. `live`: show
@@ -63,28 +63,28 @@
     runs: list[CapacityRun] = []
     for size in options.sizes():
         try:
-            capacity_run = _play(options, size, say, live)
+            capacity_run = _play(options, size, live)
         except ScaleError as err:
-            say(f"the run at {size.brokers} brokers failed: {err}")
+            echo(f"the run at {size.brokers} brokers failed: {err}")
             return 1
         if live:
             sys.stderr.write("\r\x1b[K")
-        print_report(capacity_run, say)
+        print_report(capacity_run, echo)
         runs.append(capacity_run)
         if options.json_file:
             _append_figures(capacity_run, options.json_file)
         if options.plot and len(runs) == len(options.sizes()):
             draw_plot(runs, options.plot)
-            say(f"drawn: {options.plot}")
-        say(summary_line(capacity_run))
+            echo(f"drawn: {options.plot}")
+        echo(summary(capacity_run))
     return int(any(capacity_run.failed for capacity_run in runs))
 
 
-def _play(options: CapacityOptions, size: FleetSize, say: Callable[[str], None], live: bool) -> CapacityRun:
+def _play(options: CapacityOptions, size: FleetSize, live: bool) -> CapacityRun:
     with tempfile.TemporaryDirectory(prefix="cypressledge-capacity-") as temporary:
         folder = Path(options.keep or temporary) / str(size.brokers)
         folder.mkdir(parents=True, exist_ok=True)
-        return CapacityRun(size, options.seconds, options.seed, folder, say, live, options.quiet).play()
+        return CapacityRun(size, options.seconds, options.seed, folder, live, options.without_faults).play()
 
 
 def _append_figures(capacity_run: CapacityRun, json_file: str) -> None:
--- a/cypressledge/lab/capacity/run_report.py
+++ b/cypressledge/lab/capacity/run_report.py
@@ -7,58 +7,60 @@
 from cypressledge.lab.capacity import checks
 from cypressledge.lab.capacity.capacity_run import CapacityRun
 from cypressledge.lab.capacity.fleet import MEMBERS_LEASES
+from cypressledge.lab.summary_statistics import quantile
 
 SHOWN_FAULTS = 20  # of each kind
 
 
-def print_report(run: CapacityRun, say: Callable[[str], None]) -> None:
+def print_report(run: CapacityRun, echo: Callable[[str], None]) -> None:
     """Print a run's tables, and what is broken."""
-    _print_change_times(run.verdict, say)
-    _print_usage(run, say)
-    _print_events(run, say)
-    _print_machine(run, say)
+    _print_change_times(run.verdict, echo)
+    _print_usage(run, echo)
+    _print_events(run, echo)
+    _print_machine(run, echo)
     verdict = run.verdict
-    for kind in (verdict.lost, verdict.gone_back, verdict.wrong):
+    for kind in (verdict.lost, verdict.reverted, verdict.wrong):
         for line in kind[:SHOWN_FAULTS]:
-            say(f"  BROKEN {line}")
+            echo(f"  BROKEN {line}")
     for line in run.broken:
-        say(f"  {line}")
+        echo(f"  {line}")
 
 
-def summary_line(run: CapacityRun) -> str:
+def summary(run: CapacityRun) -> str:
     """Return the run in one line."""
-    f = run.figures
+    figures = run.figures
     return (
-        f"capacity: brokers {f['brokers']}, engines {f['engines']}, changes {f['changes']}, in force "
-        f"p99 {f['p99_s']:.2f} s most {f['most_s']:.2f} s, primary over most "
-        f"{f['primary_most_s']:.2f} s, broker cpu {f['broker_cpu_pct']:.2f} % net "
-        f"{f['broker_net_kb_s']:.2f} KB/s rss {f['broker_rss_mb']:.1f} MB, "
-        f"lost {f['lost']}, gone back {f['gone_back']}, wrong {f['wrong']}"
+        f"capacity: brokers {figures['brokers']}, engines {figures['engines']}, "
+        f"changes {figures['changes']}, "
+        f"in force p99 {figures['p99_s']:.2f} s most {figures['most_s']:.2f} s, "
+        f"primary over most {figures['primary_most_s']:.2f} s, broker cpu {figures['broker_cpu_pct']:.2f} % "
+        f"net {figures['broker_net_kb_s']:.2f} KB/s rss {figures['broker_rss_mb']:.1f} MB, "
+        f"lost {figures['lost']}, gone back {figures['gone_back']}, wrong {figures['wrong']}"
     )
 
 
-def _print_change_times(verdict: checks.Verdict, say: Callable[[str], None]) -> None:
+def _print_change_times(verdict: checks.Verdict, echo: Callable[[str], None]) -> None:
     rows = [
-        _times_row("quiet", verdict.quiet),
+        _times_row("quiet", verdict.undisturbed),
         *(_times_row(kind, times) for kind, times in sorted(verdict.by_fault.items())),
-        _times_row("all", verdict.all),
+        _times_row("all", verdict.all_times),
     ]
-    say(tabulate(rows, floatfmt=".2f", headers=["in force, s", "times", "median", "p99", "most"]))
-    for seconds, kind in verdict.primary_over:
-        say(f"no primary for {seconds:.2f} s: {kind}")
+    echo(tabulate(rows, floatfmt=".2f", headers=["in force, s", "times", "median", "p99", "most"]))
+    for loss in verdict.leaderless:
+        echo(f"no primary for {loss.seconds:.2f} s: {loss.kind}")
 
 
 def _times_row(name: str, times: list[float]) -> list[object]:
     largest = max(times, default=0.0)
-    return [name, len(times), checks.quantile(times, 0.5), checks.quantile(times, 0.99), largest]
+    return [name, len(times), quantile(times, 0.5), quantile(times, 0.99), largest]
 
 
-def _print_usage(run: CapacityRun, say: Callable[[str], None]) -> None:
+def _print_usage(run: CapacityRun, echo: Callable[[str], None]) -> None:
     rows = [
         [c.name, c.zone, "votes" if c.votes else "", c.cost.cpu_pct, c.cost.rss_mb, c.cost.net_kb_s]
         for c in run.world.controls
     ]
-    say(tabulate(rows, floatfmt=".2f", headers=["control", "zone", "", "cpu %", "rss MB", "net KB/s"]))
+    echo(tabulate(rows, floatfmt=".2f", headers=["control", "zone", "", "cpu %", "rss MB", "net KB/s"]))
     rows = [
         [name, usage.cpu_pct, usage.net_kb_s, usage.rss_mb]
         for name, usage in (
@@ -66,19 +68,19 @@
             ("real, by itself", run.real_usage),
         )
     ]
-    say(tabulate(rows, floatfmt=".2f", headers=["a broker, most", "cpu %", "net KB/s", "rss MB"]))
+    echo(tabulate(rows, floatfmt=".2f", headers=["a broker, most", "cpu %", "net KB/s", "rss MB"]))
     starts = [cost.start_cpu_s for cost in run.world.real_costs.values()]
-    say(f"a real broker's start, most: {max(starts, default=0.0):.2f} s of CPU, not in the figures above")
+    echo(f"a real broker's start, most: {max(starts, default=0.0):.2f} s of CPU, not in the figures above")
 
 
-def _print_events(run: CapacityRun, say: Callable[[str], None]) -> None:
+def _print_events(run: CapacityRun, echo: Callable[[str], None]) -> None:
     asked = ", ".join(f"{kind} {count}" for kind, count in sorted(run.operator.counts.items()))
-    say(f"asked: {asked}; longest wait for an answer {run.operator.longest_wait_s:.2f} s")
+    echo(f"asked: {asked}; longest wait for an answer {run.operator.longest_wait_s:.2f} s")
     faults = ", ".join(f"{kind} {count}" for kind, count in run.faults.counts.items())
-    say(f"faults: {faults or 'none'}")
-    say(
+    echo(f"faults: {faults or 'none'}")
+    echo(
         f"snapshots {run.figures['snapshots']}, reconnects {run.figures['reconnects']}; "
-        f"real brokers served {run.served} lookups, {run.refused} were not; "
+        f"real brokers served {run.served} lookups, {run.unserved} were not; "
         f"members' ping period {_membership(run)}"
     )
 
@@ -93,11 +95,13 @@
     )
 
 
-def _print_machine(run: CapacityRun, say: Callable[[str], None]) -> None:
+def _print_machine(run: CapacityRun, echo: Callable[[str], None]) -> None:
     host_late = max((seconds for host in run.world.hosts for seconds in host.late), default=0.0)
-    say(
-        f"start of all {run.start_s:.1f} s; load average {run.load_before:.2f} before, "
-        f"{run.load_most:.2f} at the most; wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
-        f"{1e3 * max(run.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
-        f"{run.memory_mb:.0f} MB in {run.processes} processes; seed {run.seed}, {run.seconds:g} s"
+    machine = run.machine
+    echo(
+        f"start of all {run.start_s:.1f} s; load average {machine.load_before:.2f} before, "
+        f"{machine.highest_load:.2f} at the most; "
+        f"wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
+        f"{1e3 * max(machine.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
+        f"{machine.memory_mb:.0f} MB in {machine.processes} processes; seed {run.seed}, {run.seconds:g} s"
     )
--- a/cypressledge/lab/cost.py
+++ b/cypressledge/lab/cost.py
@@ -6,7 +6,7 @@
 
 import os
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -18,6 +18,7 @@
 from cypressledge.lab.load import Client
 from cypressledge.lab.processes import BrokerProcess, Brokers, until
 from cypressledge.lab.site import free_udp_ports
+from cypressledge.lab.summary_statistics import mean, quantile
 
 LOADED_BROKERS = 4  # that get load
 ENGINES = 4
@@ -41,30 +42,42 @@
 LOADS = (Load("light", 2, 0.02), Load("heavy", 12, 0.0))
 
 
+@dataclass(frozen=True, slots=True)
+class PairedRound:
+    """Times of lookups in one round without the fleet's part, then with it; s."""
+
+    off: list[float]
+    on: list[float]
+
+
 @dataclass(frozen=True, slots=True)
 class PairedTimes:
-    """Lookups under one load, off and on in turns: their number, the median p99 of rounds, and how much more
-    the p99 was with the fleet's part on: the median and the quartiles of the rounds; ms."""
+    """Times of lookups under one load, with the fleet's part off and on in turns; ms.
+
+    `p99_off`, `p99_on`: medians of the rounds' p99; `added_*`: how much more the p99 of a round was with it
+    on, as the median and the quartiles of all rounds.
+    """
 
     lookups: int
     p99_off: float
     p99_on: float
-    more_median: float
-    more_first_quartile: float
-    more_third_quartile: float
+    added_median: float
+    added_first_quartile: float
+    added_third_quartile: float
 
     @staticmethod
-    def of(rounds: list[tuple[list[float], list[float]]]) -> "PairedTimes":
-        """Reckon with rounds of lookups' times (s), each off and on."""
-        p99 = [(_p99_ms(off), _p99_ms(on)) for off, on in rounds]
-        more = sorted(on - off for off, on in p99)
+    def of(rounds: list[PairedRound]) -> "PairedTimes":
+        """Return the figures of several rounds."""
+        p99_off = [quantile(each.off, 0.99) * 1e3 for each in rounds]
+        p99_on = [quantile(each.on, 0.99) * 1e3 for each in rounds]
+        added = sorted(on - off for off, on in zip(p99_off, p99_on, strict=True))
         return PairedTimes(
-            sum(len(off) + len(on) for off, on in rounds),
-            _median(off for off, _ in p99),
-            _median(on for _, on in p99),
-            _median(more),
-            more[len(more) // 4],
-            more[len(more) * 3 // 4],
+            sum(len(each.off) + len(each.on) for each in rounds),
+            quantile(p99_off, 0.5),
+            quantile(p99_on, 0.5),
+            quantile(added, 0.5),
+            added[len(added) // 4],
+            added[len(added) * 3 // 4],
         )
 
     def row(self) -> list[float]:
@@ -73,9 +86,9 @@
             self.lookups,
             self.p99_off,
             self.p99_on,
-            self.more_median,
-            self.more_first_quartile,
-            self.more_third_quartile,
+            self.added_median,
+            self.added_first_quartile,
+            self.added_third_quartile,
         ]
 
 
@@ -109,9 +122,9 @@
         self.has_fleet = has_fleet
         self.greenlets: list[gevent.Greenlet] = []
         self.clients: list[Client] = []
-        self.engines = [LabEngine(f"s-{i + 1}", "room1", ENGINE_WORK_S) for i in range(ENGINES)]
+        self.engines = [LabEngine(f"s-{number + 1}", "room1", ENGINE_WORK_S) for number in range(ENGINES)]
         self.processes = Brokers()
-        names = [f"n{i}" for i in range(count)]
+        names = [f"n{number}" for number in range(count)]
         settings = _fleet_settings(names, leases)
         members = [engine.member() for engine in self.engines]
         for name in names:
@@ -160,7 +173,7 @@
             engine.close()
 
 
-def run(brokers: int, leases: int, seconds: float, rounds: int, say: Callable[[str], None]) -> int:
+def run(brokers: int, leases: int, seconds: float, rounds: int, echo: Callable[[str], None]) -> int:
     """Measure without and with: memory and processor time with nobody asking, then times under loads."""
     off = BrokerGroup(brokers, leases, False)
     on = BrokerGroup(brokers, leases, True)
@@ -168,10 +181,10 @@
         if not until(lambda: off.is_ready() and on.is_ready(), 30 + 2 * brokers):
             raise RuntimeError("the brokers did not start")
         gevent.sleep(SETTLE_S)
-        _print_idle(off, on, seconds, say)
-        _print_loaded(off, on, rounds, say)
+        _print_idle(off, on, seconds, echo)
+        _print_loaded(off, on, rounds, echo)
         step_ms, turn_ms = _longest_steps(on)
-        say(
+        echo(
             f"{brokers} brokers, {leases} leases; {rounds} rounds of {ROUND_S:g} s in turns, load on "
             f"{LOADED_BROKERS} of them; engines take 5 ms; a task's longest step {step_ms} ms, "
             f"the owner's turns p99 {turn_ms} ms"
@@ -182,21 +195,20 @@
     return 0
 
 
-def _print_idle(off: BrokerGroup, on: BrokerGroup, seconds: float, say: Callable[[str], None]) -> None:
+def _print_idle(off: BrokerGroup, on: BrokerGroup, seconds: float, echo: Callable[[str], None]) -> None:
     rows = []
     for group in (off, on):
         cpu = group.idle_cpu_pct(seconds)
         memory = max(map(memory_mb, group.brokers))
-        mean = sum(cpu) / len(cpu)
-        rows.append(["on" if group.has_fleet else "off", memory, mean, max(cpu), group.leases_lost()])
+        rows.append(["on" if group.has_fleet else "off", memory, mean(cpu), max(cpu), group.leases_lost()])
     headers = ["fleet", "memory MB, most", "cpu %, mean", "most", "leases lost"]
-    say(tabulate(rows, floatfmt=".2f", headers=headers))
+    echo(tabulate(rows, floatfmt=".2f", headers=headers))
 
 
-def _print_loaded(off: BrokerGroup, on: BrokerGroup, rounds: int, say: Callable[[str], None]) -> None:
+def _print_loaded(off: BrokerGroup, on: BrokerGroup, rounds: int, echo: Callable[[str], None]) -> None:
     rows = [[load.name, *_paired_times(off, on, load, rounds).row()] for load in LOADS]
     headers = ["load", "lookups", "p99 ms off", "on", "on less off: middle", "a quarter under", "and over"]
-    say(tabulate(rows, floatfmt=".2f", headers=headers))
+    echo(tabulate(rows, floatfmt=".2f", headers=headers))
 
 
 def _paired_times(off: BrokerGroup, on: BrokerGroup, load: Load, rounds: int) -> PairedTimes:
@@ -204,7 +216,7 @@
     for group in (off, on):
         group.set_load(load)
         group.run_load(WARM_UP_S)
-    return PairedTimes.of([(off.run_load(ROUND_S), on.run_load(ROUND_S)) for _ in range(rounds)])
+    return PairedTimes.of([PairedRound(off.run_load(ROUND_S), on.run_load(ROUND_S)) for _ in range(rounds)])
 
 
 def _longest_steps(on: BrokerGroup) -> tuple[float, float]:
@@ -212,12 +224,3 @@
     tasks = [(ask(broker, "/fleet/tasks") or [{}])[0] for broker in on.brokers[:LOADED_BROKERS]]
     longest_step = max(task.get("longest_step_ms", 0) for task in tasks)
     return longest_step, max(task.get("turn_p99_ms", 0) for task in tasks)
-
-
-def _p99_ms(times: list[float]) -> float:
-    return times[min(len(times) - 1, int(len(times) * 0.99))] * 1e3 if times else 0.0
-
-
-def _median(values: Iterable[float]) -> float:
-    ordered = sorted(values)
-    return ordered[len(ordered) // 2]
--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -34,8 +34,8 @@
 def _fleet_settings(ports: dict[str, int]) -> dict:
     return {
         "peers": [
-            {"name": n, "address": f"127.0.0.1:{p}", "zone": ZONES[i % 2]}
-            for i, (n, p) in enumerate(ports.items())
+            {"name": name, "address": f"127.0.0.1:{port}", "zone": ZONES[number % 2]}
+            for number, (name, port) in enumerate(ports.items())
         ],
         "voters": [{"version": 1, "names": list(ports)}],
         "term_s": TERM_S,
@@ -68,32 +68,33 @@
     lease: str
     holder: str
     token: object
-    summed_up: object
+    summarized: object  # how many brokers the fleet summary counts
     missing: str
 
     def cells(self) -> list[object]:
+        """Return the row in the order of the table's columns."""
         return list(astuple(self))
 
 
 class Demo:
     """The brokers, engines and clients of the demonstration, and what is shown of them."""
 
-    def __init__(self, live: bool, say: Callable[[str], None]) -> None:
+    def __init__(self, live: bool, echo: Callable[[str], None]) -> None:
         self.live = live  # draw the table anew on a terminal
-        self.say = say
+        self.echo = echo
         self.began = time.monotonic()
-        self.engines = [LabEngine(f"s-{i + 1}", ZONES[i % 2]) for i in range(ENGINES)]
+        self.engines = [LabEngine(f"s-{number + 1}", ZONES[number % 2]) for number in range(ENGINES)]
         self.brokers = Brokers()
         settings = _fleet_settings(free_udp_ports(list(NAMES)))
         for name in NAMES:
             self.brokers.add(name, settings, [engine.member() for engine in self.engines]).start()
         ports = [broker.port for broker in self.brokers.all.values()]
-        self.clients = [Client(ports, CLIENT_PAUSE_S, i) for i in range(CLIENTS)]
+        self.clients = [Client(ports, CLIENT_PAUSE_S, first) for first in range(CLIENTS)]
         self.greenlets: list[gevent.Greenlet] = []
         self.last_event = ""
 
     def holder(self, excluded: str = "") -> str:
-        """Return who says that it holds the lease; empty for nobody but `excluded`."""
+        """Return the broker that reports that it holds the lease; empty for none but `excluded`."""
         for name, broker in self.brokers.all.items():
             if name != excluded and broker.running():
                 rows = ask(broker, "/fleet/leases") or []
@@ -105,7 +106,7 @@
         """Show an event."""
         self.last_event = f"{time.monotonic() - self.began:5.1f} s  {event}"
         if not self.live:
-            self.say(self.last_event)
+            self.echo(self.last_event)
 
     def show(self) -> None:
         """Show the state: a table drawn anew on a terminal, one line elsewhere."""
@@ -114,18 +115,20 @@
         if self.live:
             click.clear()
             headers = ["broker", "process", "lease", "holder", "token", "summed up", "missing"]
-            self.say(tabulate([row.cells() for row in rows], headers=headers))
-            self.say(f"\nserved {counts['served']}, refused {counts['refused']}, broken {counts['broken']}")
-            self.say(self.last_event)
+            self.echo(tabulate([row.cells() for row in rows], headers=headers))
+            self.echo(
+                f"\nserved {counts['served']}, rejected {counts['rejected']}, broken {counts['broken']}"
+            )
+            self.echo(self.last_event)
             return
         held = next((row for row in rows if row.lease == "held"), None)
         who, token = (held.broker, held.token) if held else ("none", "-")
-        self.say(
+        self.echo(
             f"{time.monotonic() - self.began:5.1f} s  holder {who}, token {token}, "
             f"served {counts['served']}, broken {counts['broken']}"
         )
 
-    def _row(self, name: str, broker: BrokerProcess) -> "_Row":
+    def _row(self, name: str, broker: BrokerProcess) -> _Row:
         lease = next(iter(ask(broker, "/fleet/leases") or []), None)
         summary = ask(broker, "/fleet/summary") or {}
         return _Row(
@@ -147,7 +150,7 @@
 
     def play(self, seconds: float) -> int:
         """Play all events; return 0 if the lease found a new holder and clients were served."""
-        self.announce("three brokers start; a voter that starts is mute for a term")
+        self.announce("three brokers start; a voter that starts is in voting quarantine for a term")
         first = until(self.holder, HOLDER_TIMEOUT_S)
         if not first:
             self.announce("no broker came to hold the lease")
--- a/cypressledge/lab/load.py
+++ b/cypressledge/lab/load.py
@@ -12,10 +12,35 @@
 
 STATEMENT = base64.b64encode(b"SELECT a, b, c FROM sales_17.orders").decode()
 WAIT_MS = 3_000  # that a client waits for an answer
+COST_MS = 20.0  # of a lookup, as its client tells it
 CONNECT_TIMEOUT_S = 1.0
 TIMEOUT_MARGIN_S = 1  # of the socket, beyond the wait
 
 
+def lookup_request(number: int, query_id: str, wait_ms: int, cost: float, statement: str) -> bytes:
+    """Return the JSON-RPC request of one lookup, framed.
+
+    `number`: of the request on its connection; `cost`: what the client takes the statement's work for, ms;
+    `statement`: in base64.
+    """
+    body = json.dumps(
+        {
+            "jsonrpc": "2.0",
+            "id": number,
+            "method": "lookup",
+            "params": {
+                "id": query_id,
+                "wait": wait_ms,
+                "tenant": "sahel",
+                "cost": cost,
+                "mem": 10,
+                "content": statement,
+            },
+        }
+    ).encode()
+    return b"Content-Length: %d\r\n\r\n" % len(body) + body
+
+
 def answer(file: BinaryIO) -> dict:
     """Return the next JSON-RPC answer on a connection. Raises `OSError` where there is none."""
     size = 0
@@ -31,52 +56,37 @@
 class Client:
     """Sends lookups to one broker after another, as a load balancer spreads clients; skips one that is down.
 
-    `first`: the index of the port it begins with.
+    `ports`: of the brokers; `pause_s`: between two lookups; `first`: the index of the port it begins with.
     """
 
     def __init__(self, ports: list[int], pause_s: float, first: int) -> None:
         self.ports = ports
         self.pause_s = pause_s
-        self.at = first
-        self.counts: Counter[str] = Counter()
+        self.next_port = first
+        self.counts: Counter[str] = Counter()  # served, rejected and broken
         self.latencies: list[float] = []  # seconds, of what was served
 
     def run(self) -> None:
         """Send one lookup after the other, each on the connection that is open; a greenlet."""
         while True:
-            port = self.ports[self.at % len(self.ports)]
+            port = self.ports[self.next_port % len(self.ports)]
             try:
                 with socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S) as sock:
                     sock.settimeout(WAIT_MS / 1000 + TIMEOUT_MARGIN_S)
                     self._send_lookups(sock, sock.makefile("rb"))
             except (OSError, ValueError):
                 self.counts["broken"] += 1
-            self.at += 1
+            self.next_port += 1
             gevent.sleep(self.pause_s)
 
     def _send_lookups(self, sock: socket.socket, file: BinaryIO) -> None:
         number = 0
         while True:
             number += 1
-            body = json.dumps(
-                {
-                    "jsonrpc": "2.0",
-                    "id": number,
-                    "method": "lookup",
-                    "params": {
-                        "id": secrets.token_hex(8),
-                        "wait": WAIT_MS,
-                        "tenant": "sahel",
-                        "cost": 20.0,
-                        "mem": 10,
-                        "content": STATEMENT,
-                    },
-                }
-            ).encode()
-            sock.sendall(b"Content-Length: %d\r\n\r\n" % len(body) + body)
+            sock.sendall(lookup_request(number, secrets.token_hex(8), WAIT_MS, COST_MS, STATEMENT))
             sent_at = time.monotonic()
             served = "result" in answer(file)
-            self.counts["served" if served else "refused"] += 1
+            self.counts["served" if served else "rejected"] += 1
             if served:
                 self.latencies.append(time.monotonic() - sent_at)
             gevent.sleep(self.pause_s)
