--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -10,6 +10,7 @@
 from cypressledge.decisions import contract as c
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.events import BrokerEvent
 from cypressledge.fleet.zones.failover import ZoneFailover, ZoneMessage
 from cypressledge.fleet.zones.failover_plan import FailoverPace
 from cypressledge.fleet.zones.topology import SiteTopology
@@ -200,7 +201,7 @@
         """Record a broker's log event, and when it took the plan that leaves the lost zone."""
         zones = fields["zones"] if "zones" in fields else [fields.get("zone", "")]
         self.events.append(LoggedEvent(self.now, event, zones))
-        if event == "plan_taken" and fields["shares"].get(self.lost_name()) == 0:
+        if event == BrokerEvent.PLAN_ACCEPTED and fields["shares"].get(self.lost_name()) == 0:
             self.plan_taken_at.setdefault(broker.number, self.now)
 
     def lost_name(self) -> str:
