--- a/tests/controlplane/test_broker_registry.py
+++ b/tests/controlplane/test_broker_registry.py
@@ -17,26 +17,26 @@
 from cypressledge.controlplane.state_validation import validate_change
 from cypressledge.controlplane.state_values import Broker, encode_value
 
-S = 1_000_000  # µs
-FORGET = 3_600 * S
+SECOND_US = 1_000_000
+FORGET = 3_600 * SECOND_US
 
 
-def at(name: str, place: str) -> Op:
-    return Op(f"broker/{name}", encode_value(Broker(place)))
+def at(name: str, address: str) -> Op:
+    return Op(f"broker/{name}", encode_value(Broker(address)))
 
 
-class Primary:
+class RegistryHarness:
     """A registry, the state that its changes become, and who is connected (none: not all can be seen)."""
 
     def __init__(self, forget: int = FORGET, **brokers: str) -> None:
         self.registry, self.state, self.now = BrokerRegistry(forget), FleetState("line"), 0
         self.connected: set[str] | None = set()
-        self.take([at(name, place) for name, place in brokers.items()] + [Op("engine/e", b"\x80")])
+        self.apply([at(name, address) for name, address in brokers.items()] + [Op("engine/e", b"\x80")])
 
-    def take(self, ops: list[Op]) -> None:
+    def apply(self, ops: list[Op]) -> None:
         self.state.apply(self.state.draft_change(1, ops))
 
-    def turn(self, *ops: Op, after: int = 0) -> tuple[list[str], list[str]]:
+    def step(self, *ops: Op, after: int = 0) -> tuple[list[str], list[str]]:
         """As `leader_reports.py` does it, so long later: keys set or removed, and why some are not."""
         registry = self.registry
         self.now += after
@@ -51,13 +51,13 @@
         for part in (change, registry.expired(self.now, self.state)):
             if part:
                 validate_change(self.state, part)
-                self.take(part)
+                self.apply(part)
                 told += [("+" if op.value else "-") + op.key.partition("/")[2] for op in part]
         return told, refused
 
-    def rest(self, span: int) -> list[str]:
-        """Turns, one a second, over a span: all that they change."""
-        return [word for _ in range(span // S) for word in self.turn(after=S)[0]]
+    def run_for(self, span: int) -> list[str]:
+        """Steps, one a second, over a span: all that they change."""
+        return [word for _ in range(span // SECOND_US) for word in self.step(after=SECOND_US)[0]]
 
     @property
     def names(self) -> set[str]:
@@ -65,116 +65,119 @@
 
 
 def test_who_is_connected_nowhere_for_long_leaves_in_one_change():
-    p = Primary(a="h:1", b="h:2", c="h:3")
-    p.connected = {"c"}
-    assert p.rest(FORGET - S) == []
-    p.connected = {"b", "c"}  # b comes back for a moment
-    p.turn(after=S)
-    p.connected = {"c"}
-    before = p.state.version
-    assert p.rest(5 * S) == ["-a"]
-    assert p.state.version == before + 1
-    assert p.rest(FORGET - 10 * S) == []
-    assert p.rest(10 * S) == ["-b"]
-    assert p.names == {"c"}
-    assert "engine/e" in p.state.entries
-    assert p.turn(at("a", "h:1")) == (["+a"], [])  # it comes back
+    harness = RegistryHarness(a="h:1", b="h:2", c="h:3")
+    harness.connected = {"c"}
+    assert harness.run_for(FORGET - SECOND_US) == []
+    harness.connected = {"b", "c"}  # b comes back for a moment
+    harness.step(after=SECOND_US)
+    harness.connected = {"c"}
+    before = harness.state.version
+    assert harness.run_for(5 * SECOND_US) == ["-a"]
+    assert harness.state.version == before + 1
+    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    assert harness.run_for(10 * SECOND_US) == ["-b"]
+    assert harness.names == {"c"}
+    assert "engine/e" in harness.state.entries
+    assert harness.step(at("a", "h:1")) == (["+a"], [])  # it comes back
 
 
 def test_all_who_are_due_leave_together_and_no_more_than_a_change_a_second():
-    p = Primary(forget=10 * S, **{f"b{i}": f"h:{i + 1}" for i in range(MAX_OPS_PER_CHANGE - 1)})
-    p.take([at(f"x{i}", f"x:{i + 1}") for i in range(9)])
-    p.rest(10 * S)
-    told = p.turn(after=S)[0]
+    harness = RegistryHarness(
+        forget=10 * SECOND_US, **{f"b{i}": f"h:{i + 1}" for i in range(MAX_OPS_PER_CHANGE - 1)}
+    )
+    harness.apply([at(f"x{i}", f"x:{i + 1}") for i in range(9)])
+    harness.run_for(10 * SECOND_US)
+    told = harness.step(after=SECOND_US)[0]
     assert len(told) == MAX_OPS_PER_CHANGE
-    assert len(p.names) == 8
-    assert p.turn(at("new", "y:1"), after=RETRY_INTERVAL_US // 2) == (
-        ["+new"],
-        [],
-    )  # a registration doesn't wait
-    assert len(p.names) == 9
-    p.connected = {"new"}
-    p.turn(after=OBSERVATION_INTERVAL_US)
-    assert p.names == {"new"}
+    assert len(harness.names) == 8
+    # A registration doesn't wait.
+    assert harness.step(at("new", "y:1"), after=RETRY_INTERVAL_US // 2) == (["+new"], [])
+    assert len(harness.names) == 9
+    harness.connected = {"new"}
+    harness.step(after=OBSERVATION_INTERVAL_US)
+    assert harness.names == {"new"}
 
 
 def test_nobody_leaves_while_a_control_process_is_out_of_sight():
-    p = Primary(a="h:1")
-    assert p.rest(FORGET - 10 * S) == []
-    p.connected = None
-    assert p.rest(3 * FORGET) == []
-    p.connected = set()  # it is back; its brokers may not be yet
-    assert p.rest(FORGET - 10 * S) == []
-    assert p.rest(12 * S) == ["-a"]
+    harness = RegistryHarness(a="h:1")
+    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    harness.connected = None
+    assert harness.run_for(3 * FORGET) == []
+    harness.connected = set()  # it is back; its brokers may not be yet
+    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    assert harness.run_for(12 * SECOND_US) == ["-a"]
 
 
 def test_a_new_primary_and_one_that_stood_still_know_no_absence():
-    p = Primary(a="h:1")
-    p.rest(FORGET - 10 * S)
-    p.registry.clear()
-    assert p.rest(FORGET - 10 * S) == []
-    assert p.turn(after=2 * FORGET) == ([], [])
-    assert p.rest(FORGET - 10 * S) == []
-    assert p.rest(12 * S) == ["-a"]
-    never = Primary(forget=0, a="h:1")
-    assert never.rest(2 * FORGET) == []
+    harness = RegistryHarness(a="h:1")
+    harness.run_for(FORGET - 10 * SECOND_US)
+    harness.registry.clear()
+    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    assert harness.step(after=2 * FORGET) == ([], [])
+    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    assert harness.run_for(12 * SECOND_US) == ["-a"]
+    never = RegistryHarness(forget=0, a="h:1")
+    assert never.run_for(2 * FORGET) == []
 
 
 def test_the_address_of_one_that_is_gone_is_taken_over_in_one_change():
-    p = Primary(old="h:1", other="h:2")
-    p.connected = {"other"}
-    told, refused = p.turn(at("new", "h:1"), after=S)  # it may only be on its way to another control process
+    harness = RegistryHarness(old="h:1", other="h:2")
+    harness.connected = {"other"}
+    # It may only be on its way to another control process.
+    told, refused = harness.step(at("new", "h:1"), after=SECOND_US)
     assert told == []
     assert refused == ["broker/new is at the address of broker/old"]
-    p.rest(DISPLACEABLE_AFTER_US - 2 * S)
-    assert p.turn(at("new", "h:1"), after=S)[0] == []
-    before = p.state.version
-    assert p.turn(at("new", "h:1"), after=S) == (["-old", "+new"], [])
-    assert p.state.version == before + 1
-    assert p.names == {"new", "other"}
+    harness.run_for(DISPLACEABLE_AFTER_US - 2 * SECOND_US)
+    assert harness.step(at("new", "h:1"), after=SECOND_US)[0] == []
+    before = harness.state.version
+    assert harness.step(at("new", "h:1"), after=SECOND_US) == (["-old", "+new"], [])
+    assert harness.state.version == before + 1
+    assert harness.names == {"new", "other"}
 
 
 @pytest.mark.parametrize("connected", [{"old"}, None])
 def test_the_address_of_one_that_may_be_there_is_not_taken(connected):
-    p = Primary(old="h:1")
-    p.connected = connected
+    harness = RegistryHarness(old="h:1")
+    harness.connected = connected
     for _ in range(100):
-        told, refused = p.turn(at("new", "h:1"), after=S)
+        told, refused = harness.step(at("new", "h:1"), after=SECOND_US)
         assert told == []
         assert refused == ["broker/new is at the address of broker/old"]
-    p.connected = set()  # gone, or in sight again, but only now
-    assert p.turn(at("new", "h:1"), after=S)[0] == []
+    harness.connected = set()  # gone, or in sight again, but only now
+    assert harness.step(at("new", "h:1"), after=SECOND_US)[0] == []
 
 
 def test_one_that_asks_for_its_place_is_there():
     """Its registration may come before the word that it is connected."""
-    p = Primary(old="h:1")
-    p.rest(20 * S)
-    told, refused = p.turn(at("new", "h:1"), at("old", "h:9"), after=S)
+    harness = RegistryHarness(old="h:1")
+    harness.run_for(20 * SECOND_US)
+    told, refused = harness.step(at("new", "h:1"), at("old", "h:9"), after=SECOND_US)
     assert (told, refused) == (["+new", "+old"], [])  # it moves, and leaves its place
-    assert p.names == {"new", "old"}
-    p = Primary(old="h:1")
-    p.rest(FORGET - S)
-    told, refused = p.turn(at("new", "h:1"), at("old", "h:9"), at("bad", "nowhere"), after=3 * S)
+    assert harness.names == {"new", "old"}
+    harness = RegistryHarness(old="h:1")
+    harness.run_for(FORGET - SECOND_US)
+    told, refused = harness.step(
+        at("new", "h:1"), at("old", "h:9"), at("bad", "nowhere"), after=3 * SECOND_US
+    )
     assert told == ["+old"]
     assert len(refused) == 2
-    p.connected = {"old"}
-    assert p.turn(at("new", "h:1"), after=S) == (["+new"], [])
+    harness.connected = {"old"}
+    assert harness.step(at("new", "h:1"), after=SECOND_US) == (["+new"], [])
 
 
 def test_brokers_at_one_address_do_not_hold_up_the_others():
-    p = Primary(held="h:1", gone="h:2")
-    p.connected = {"held"}
-    p.rest(20 * S)
+    harness = RegistryHarness(held="h:1", gone="h:2")
+    harness.connected = {"held"}
+    harness.run_for(20 * SECOND_US)
     many = [at(f"b{i}", f"x:{i + 1}") for i in range(20)]
-    told, refused = p.turn(
+    told, refused = harness.step(
         at("n1", "h:1"),
         at("n2", "h:2"),
         at("n3", "h:2"),
         at("bad", "nowhere"),
         *many,
         at("n4", "x:1"),
-        after=S,
+        after=SECOND_US,
     )
     assert told == ["-gone", "+n2", *(f"+b{i}" for i in range(20))]
     assert refused[:2] == [
@@ -186,29 +189,29 @@
 
 
 def test_a_registration_is_asked_once_a_second_until_it_is_so():
-    p, op = BrokerRegistry(FORGET), at("a", "h:1")
+    registry, op = BrokerRegistry(FORGET), at("a", "h:1")
     state = FleetState("line")
 
     def taken(now: int, *ops: Op) -> int:
-        p.request(ops)
-        got = p.take_unsent(now, state)
-        p.mark_sent(now, got)
+        registry.request(ops)
+        got = registry.take_unsent(now, state)
+        registry.mark_sent(now, got)
         return len(got)
 
     assert [
         taken(now, op) for now in (0, RETRY_INTERVAL_US - 1, RETRY_INTERVAL_US, RETRY_INTERVAL_US + 1)
     ] == [1, 0, 1, 0]
     assert taken(RETRY_INTERVAL_US + 2, at("a", "h:2")) == 1  # another one
-    p.resend_all()
+    registry.resend_all()
     assert taken(RETRY_INTERVAL_US + 3, at("a", "h:2")) == 1
     state.apply(state.draft_change(1, [op]))
     assert taken(5 * RETRY_INTERVAL_US, op, Op("engine/e", b""), Op("broker/x")) == 0
-    for n in range(3):
+    for number in range(3):
         assert (
-            taken((9 + n) * RETRY_INTERVAL_US, *(at(f"b{n}-{i}", "h:1") for i in range(2_000)))
+            taken((9 + number) * RETRY_INTERVAL_US, *(at(f"b{number}-{i}", "h:1") for i in range(2_000)))
             == MAX_REGISTRATIONS
         )
-    assert len(p.sent) == MAX_REGISTRATIONS  # of the last second alone
+    assert len(registry.sent) == MAX_REGISTRATIONS  # of the last second alone
 
 
 def test_who_is_connected_is_known_only_where_all_have_spoken():
--- a/tests/controlplane/test_change_history.py
+++ b/tests/controlplane/test_change_history.py
@@ -28,8 +28,8 @@
 def test_history_sends_what_it_keeps_and_no_more():
     history = ChangeHistory(FleetState("line"), max_changes=5)
     positions = [(0, 0, history.state.digest)]
-    for i in range(8):
-        history.apply(history.state.draft_change(1 + i // 4, [engine(f"e{i}", f"h:{i + 1}")]))
+    for number in range(8):
+        history.apply(history.state.draft_change(1 + number // 4, [engine(f"e{number}", f"h:{number + 1}")]))
         positions.append((*history.state.position, history.state.digest))
     assert [history.changes_since(*p) is None for p in positions] == [True] * 3 + [False] * 6
     assert [c.version for c in history.changes_since(*positions[4])] == [5, 6, 7, 8]
@@ -57,7 +57,9 @@
 
 def test_history_is_bounded_in_bytes():
     history = ChangeHistory(FleetState("line"), max_bytes=10_000)
-    for i in range(50):
-        history.apply(history.state.draft_change(1, [Op("config/Extra", encode_value("x" * 1000 + str(i)))]))
+    for number in range(50):
+        history.apply(
+            history.state.draft_change(1, [Op("config/Extra", encode_value("x" * 1000 + str(number)))])
+        )
     assert 0 < len(history.changes) < 10
     assert history.kept_bytes <= 10_000
--- a/tests/controlplane/test_control_parts.py
+++ b/tests/controlplane/test_control_parts.py
@@ -320,14 +320,14 @@
     follower.connected(now)
     follower.received(now, HelloAccepted("c", 1, "line"))
 
-    def engine(i):
-        return Op(f"engine/e{i:03}", encode_value({"address": f"e:{i + 1}"}))
+    def engine(number):
+        return Op(f"engine/e{number:03}", encode_value({"address": f"e:{number + 1}"}))
 
     history = ChangeHistory(FleetState("line"))
     history.apply(history.state.draft_change(1, [engine(0)]))
     follower.received(now, CompleteSnapshot(history.compressed_snapshot()))
-    for i in range(1, 300):
-        history.apply(history.state.draft_change(1, [engine(i)]))
+    for number in range(1, 300):
+        history.apply(history.state.draft_change(1, [engine(number)]))
     history.apply(history.state.draft_change(1, [Op("config/Bad", encode_value(1))]))
     follower.received(now, Deltas(history.changes[1:]))
     assert [len(names) for names in broker.lists] == [1, 300]
--- a/tests/controlplane/test_fleet_state.py
+++ b/tests/controlplane/test_fleet_state.py
@@ -56,16 +56,16 @@
 @given(st.lists(_ops, max_size=12))
 def test_digest_kept_up_is_the_digest_of_the_whole(steps):
     state = s.FleetState("line")
-    for i, step in enumerate(steps):
+    for number, step in enumerate(steps):
         before = state.snapshot()
-        change = state.draft_change(i, [Op(k, v) for k, v in step.items()], request_id=f"r{i}")
+        change = state.draft_change(number, [Op(k, v) for k, v in step.items()], request_id=f"r{number}")
         assert state.snapshot() == before
         state.apply(change)
         again = s.FleetState.restore(h.decompress_snapshot(h.compress_snapshot(state.snapshot())))
         assert again.snapshot() == state.snapshot()
         assert state.digest_matches()
         assert state.size_bytes == again.size_bytes
-        assert again.version_of_request(f"r{i}") == state.version
+        assert again.version_of_request(f"r{number}") == state.version
 
 
 def test_a_change_that_does_not_fit_changes_nothing():
@@ -182,14 +182,14 @@
 def test_removals_and_requests_known_are_bounded(monkeypatch):
     monkeypatch.setattr(s, "MAX_REMEMBERED_REMOVALS", 2)
     state = s.FleetState("line")
-    grow(state, *(engine(f"e{i}", f"h:{i + 1}") for i in range(4)))
-    for i in range(4):
-        grow(state, Op(f"engine/e{i}"), request_id=f"a{i}")
+    grow(state, *(engine(f"e{number}", f"h:{number + 1}") for number in range(4)))
+    for number in range(4):
+        grow(state, Op(f"engine/e{number}"), request_id=f"a{number}")
     assert list(state.removed) == ["engine/e2", "engine/e3"]
     assert state.removed_since == 3
     assert find_conflicts(state, 1, [Op("engine/e0")]) == [BASE_TOO_OLD]
-    for i in range(s.MAX_REMEMBERED_REQUESTS):
-        grow(state, request_id=f"b{i}")
+    for number in range(s.MAX_REMEMBERED_REQUESTS):
+        grow(state, request_id=f"b{number}")
     assert len(state.requests) == s.MAX_REMEMBERED_REQUESTS
     assert state.version_of_request("a3") is None
     assert state.version_of_request("b0") == 6
--- a/tests/controlplane/test_sqlite_storage.py
+++ b/tests/controlplane/test_sqlite_storage.py
@@ -24,12 +24,12 @@
         self.state = FleetState("l")
         self.store.install(self.state.snapshot())
 
-    def change(self, i=0, commit=True):
+    def change(self, number=0, commit=True):
         op = Op(
-            f"engine/e{i % 490}",
-            encode_value(Engine(f"host-{i % 490}.example:80", zone="z", start_time_ms=i)),
+            f"engine/e{number % 490}",
+            encode_value(Engine(f"host-{number % 490}.example:80", zone="z", start_time_ms=number)),
         )
-        change = self.state.draft_change(1, [op], f"request-{i}", "someone", "a test", i)
+        change = self.state.draft_change(1, [op], f"request-{number}", "someone", "a test", number)
         self.store.append([change])
         self.state.apply(change)
         if commit:
@@ -61,19 +61,19 @@
 @pytest.fixture
 def kept(tmp_path):
     """Files of a process that was killed: 20 changes; every complete state that there was on the way."""
-    w = Writer(tmp_path / "live", before_step=lambda step: None)
-    w.store.promise(3, 5)
-    states = {(0, w.state.digest, (3, 5), 0)}
-    for i in range(20):
-        if i == 10:  # a part is in the file, another in its log
-            w.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchall()
-        w.change(i, commit=False)
-        states.add((w.state.version, w.state.digest, (3, 5), w.state.version - 1))
-        w.store.commit(w.state.version)
-        states.add((w.state.version, w.state.digest, (3, 5), w.state.version))
+    writer = Writer(tmp_path / "live", before_step=lambda step: None)
+    writer.store.promise(3, 5)
+    states = {(0, writer.state.digest, (3, 5), 0)}
+    for number in range(20):
+        if number == 10:  # a part is in the file, another in its log
+            writer.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchall()
+        writer.change(number, commit=False)
+        states.add((writer.state.version, writer.state.digest, (3, 5), writer.state.version - 1))
+        writer.store.commit(writer.state.version)
+        states.add((writer.state.version, writer.state.digest, (3, 5), writer.state.version))
     for end in ("", "-wal"):
         shutil.copy(tmp_path / f"live{end}", tmp_path / f"kept{end}")
-    w.store.close()
+    writer.store.close()
     files = {end: (tmp_path / f"kept{end}").read_bytes() for end in ("", "-wal")}
     files["closed"] = (tmp_path / "live").read_bytes()
     return files, states, tmp_path / "tried"
@@ -184,20 +184,20 @@
 
 
 def test_a_full_disk_refuses_and_takes_again(tmp_path):
-    w = Writer(tmp_path / "full")
-    run = w.store.db.execute
+    writer = Writer(tmp_path / "full")
+    run = writer.store.db.execute
     run(f"PRAGMA max_page_count={run('PRAGMA page_count').fetchone()[0] + 8}")
     with pytest.raises(StorageError, match="full"):
-        for i in range(1_000):
-            w.change(i)
-    before = (w.state.version, w.state.digest)
+        for number in range(1_000):
+            writer.change(number)
+    before = (writer.state.version, writer.state.digest)
     with pytest.raises(StorageError):
-        w.change(1_000)
-    assert state_of(w.store.load()) == before
+        writer.change(1_000)
+    assert state_of(writer.store.load()) == before
     run("PRAGMA max_page_count=1000000")
-    w.change(1_001)
-    assert state_of(w.store.load()) == (w.state.version, w.state.digest)
-    w.store.close()
+    writer.change(1_001)
+    assert state_of(writer.store.load()) == (writer.state.version, writer.state.digest)
+    writer.store.close()
 
 
 def test_a_step_is_whole_or_not_there(tmp_path):
@@ -243,44 +243,47 @@
 def test_the_size_is_bounded(tmp_path, monkeypatch):
     """50,000 changes of 490 engines. synchronous is off here only: it decides when, not what is written."""
     path = tmp_path / "steady"
-    w, sizes = Writer(path), []
-    w.store.db.execute("PRAGMA synchronous=OFF")
-    for i in range(500):
+    writer, sizes = Writer(path), []
+    writer.store.db.execute("PRAGMA synchronous=OFF")
+    for batch_number in range(500):
         batch = []
-        for j in range(100):
-            n = i * 100 + j
-            op = Op(f"engine/e{n % 490}", encode_value(Engine(f"host-{n % 490}.example:80", start_time_ms=n)))
-            batch.append(w.state.draft_change(1, [op], f"request-{n}", "someone", "a test", n))
-            w.state.apply(batch[-1])
-        w.store.append(batch)
-        w.store.commit(w.state.version)
-        if w.store.needs_compaction:
-            w.store.compact(w.state.snapshot())
-        if i % 60 == 59:  # as a kill would leave it, in many rounds of the log
+        for offset in range(100):
+            number = batch_number * 100 + offset
+            op = Op(
+                f"engine/e{number % 490}",
+                encode_value(Engine(f"host-{number % 490}.example:80", start_time_ms=number)),
+            )
+            batch.append(writer.state.draft_change(1, [op], f"request-{number}", "someone", "a test", number))
+            writer.state.apply(batch[-1])
+        writer.store.append(batch)
+        writer.store.commit(writer.state.version)
+        if writer.store.needs_compaction:
+            writer.store.compact(writer.state.snapshot())
+        if batch_number % 60 == 59:  # as a kill would leave it, in many rounds of the log
             put(tmp_path / "killed", {end: Path(f"{path}{end}").read_bytes() for end in ("", "-wal")})
-            assert read(tmp_path / "killed")[:2] == (w.state.version, w.state.digest)
+            assert read(tmp_path / "killed")[:2] == (writer.state.version, writer.state.digest)
         sizes.append(sum(Path(f"{path}{end}").stat().st_size for end in ("", "-wal")))
     print(f"largest {max(sizes):,} bytes, last {sizes[-1]:,}, file {path.stat().st_size:,}")
     assert max(sizes) < 10 << 20
     assert max(sizes[250:]) <= 1.2 * max(sizes[:250])
-    assert w.store.count <= module.COMPACTION_CHANGES
-    assert state_of(w.store.load()) == (50_000, w.state.digest)
-    w.store.close()
+    assert writer.store.count <= module.COMPACTION_CHANGES
+    assert state_of(writer.store.load()) == (50_000, writer.state.digest)
+    writer.store.close()
 
 
 def test_many_bytes_are_compacted_too(tmp_path):
-    w = Writer(tmp_path / "large")
+    writer = Writer(tmp_path / "large")
     ops = [Op(f"engine/e{i}", encode_value(Engine(f"h{i}:80", zone="z" * 60))) for i in range(1_500)]
-    while not w.store.needs_compaction:
-        change = w.state.draft_change(1, ops)
-        w.state.apply(change)
-        w.store.append([change])
-    assert w.store.count < 200
-    assert w.store.bytes > module.COMPACTION_BYTES
-    w.store.commit(w.state.version)
+    while not writer.store.needs_compaction:
+        change = writer.state.draft_change(1, ops)
+        writer.state.apply(change)
+        writer.store.append([change])
+    assert writer.store.count < 200
+    assert writer.store.bytes > module.COMPACTION_BYTES
+    writer.store.commit(writer.state.version)
     before = (tmp_path / "large").stat().st_size
-    w.store.compact(w.state.snapshot())
+    writer.store.compact(writer.state.snapshot())
     assert before > 8 << 20
-    assert not w.store.needs_compaction
+    assert not writer.store.needs_compaction
     assert (tmp_path / "large").stat().st_size < 1 << 20
-    w.store.close()
+    writer.store.close()
