--- a/tests/fakes/broker_process.py
+++ b/tests/fakes/broker_process.py
@@ -8,6 +8,8 @@
 import sys
 import tempfile
 import unittest
+from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 
 from cypressledge.lab.site import SETTINGS, free_port
@@ -16,41 +18,65 @@
 from tests.fakes.json_rpc_client import JsonRpcClient
 from tests.fakes.support import ROOT, wait_until
 
+OWN_VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN")  # of the environment, that the configuration stands for
+PROGRAM_WITH_BREAKPOINTS = "tests/fakes/program_with_breakpoints.py"
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessOptions:
+    """How a broker process is started."""
+
+    change: dict | None = None  # of the configuration, by its keys
+    optimise: bool = True  # without the interpreter's assertions, as in production
+    service: Callable[["BrokerProcess"], str] | None = None  # gives the service file's text
+    env: dict[str, str] | None = None
+    keep: tuple[int, ...] = ()  # descriptors that it inherits
+    port: int | None = None
+    hooks: dict[str, str] | None = None  # see program_with_breakpoints.py
+    descriptors: int | None = None  # how many it may have open
+
+
+def engine_member(engine) -> dict:
+    """An engine as the directory lists it."""
+    return {
+        "id": engine.name,
+        "host_port": f"127.0.0.1:{engine.port}",
+        "locality": "room1",
+        "cell": 0,
+        "flavor": getattr(engine, "kind", "node-8c"),
+        "phase": "Ready",
+        "size": 4,
+        "up_since_ms": 0,
+    }
+
 
 class BrokerProcess:
-    """The real program as a process."""
-
-    def __init__(
-        self,
-        engines=(),
-        change=None,
-        optimise=True,
-        service=None,
-        env=None,
-        keep=(),
-        port=None,
-        hooks=None,
-        descriptors=None,
-    ):
+    """The real program as a process; `options`: see `ProcessOptions`."""
+
+    def __init__(self, engines=(), **options):
+        self.options = ProcessOptions(**options)
         self.dns = FakeNameServer()
-        self.port = port or free_port()
+        self.port = self.options.port or free_port()
         self.dir = tempfile.TemporaryDirectory()
-        for e in engines:
-            self.dns.engines[e.name] = (e.port, 0)
-        members = [
-            {
-                "id": e.name,
-                "host_port": f"127.0.0.1:{e.port}",
-                "locality": "room1",
-                "cell": 0,
-                "flavor": getattr(e, "kind", "node-8c"),
-                "phase": "Ready",
-                "size": 4,
-                "up_since_ms": 0,
-            }
-            for e in engines
-        ]
-        self.config = {
+        for engine in engines:
+            self.dns.engines[engine.name] = (engine.port, 0)
+        self.config = self._configuration(engines) | (self.options.change or {})
+        self.path = Path(self.dir.name) / "config.json"
+        self.path.write_text(json.dumps(self.config))
+        self.log = open(Path(self.dir.name) / "log", "w+")
+        self.process = subprocess.Popen(
+            self._command(),
+            cwd=ROOT,
+            stderr=self.log,
+            env=self._environment(),
+            pass_fds=self.options.keep,
+        )
+        if limit := self.options.descriptors:  # before it has read how many there are
+            resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (limit, limit))
+
+    def _configuration(self, engines) -> dict:
+        members = [engine_member(engine) for engine in engines]
+        return {
             "name": "n1",
             "listen": f"127.0.0.1:{self.port}",
             "seed": "8c1f30d27a5be964",
@@ -61,30 +87,25 @@
                 "batch": [{"offset": 1, "topology": {"revision": 1, "complete": True, "members": members}}],
             },
             "settings": SETTINGS,
-        } | (change or {})
-        self.path = Path(self.dir.name) / "config.json"
-        self.path.write_text(json.dumps(self.config))
-        args = [sys.executable, *(["-O"] if optimise else []), "-m", "cypressledge"]
-        if hooks:  # see fakes/program_with_breakpoints.py
-            args[-2:] = [str(ROOT / "tests/fakes/program_with_breakpoints.py")]
-            points = " ".join(f"{name}={point}" for name, point in hooks.items())
-            env = {"HOOKS": points, "HOOKS_DIR": self.dir.name} | (env or {})
-        if service:
+        }
+
+    def _command(self) -> list[str]:
+        optimise = ["-O"] if self.options.optimise else []
+        program = [str(ROOT / PROGRAM_WITH_BREAKPOINTS)] if self.options.hooks else ["-m", "cypressledge"]
+        command = [sys.executable, *optimise, *program]
+        if self.options.service:
             file = Path(self.dir.name) / "service.toml"
-            file.write_text(service(self))
-            args += ["--service", str(file)]
-        self.log = open(Path(self.dir.name) / "log", "w+")
-        names = ("ROUTER_NAME", "ROUTER_LISTEN")
-        base = {k: v for k, v in os.environ.items() if k not in names}
-        self.process = subprocess.Popen(
-            args,
-            cwd=ROOT,
-            stderr=self.log,
-            env=base | {"ROUTER_CONFIG": str(self.path)} | (env or {}),
-            pass_fds=keep,
-        )
-        if descriptors:  # before it has read how many there are
-            resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
+            file.write_text(self.options.service(self))
+            command += ["--service", str(file)]
+        return command
+
+    def _environment(self) -> dict[str, str]:
+        inherited = {name: value for name, value in os.environ.items() if name not in OWN_VARIABLES}
+        environment = inherited | {"ROUTER_CONFIG": str(self.path)}
+        if self.options.hooks:
+            points = " ".join(f"{name}={point}" for name, point in self.options.hooks.items())
+            environment |= {"HOOKS": points, "HOOKS_DIR": self.dir.name}
+        return environment | (self.options.env or {})
 
     def healthy(self):
         """Whether it serves."""
