--- a/tests/recordings/test_fleet_operator_answers_recording.py
+++ b/tests/recordings/test_fleet_operator_answers_recording.py
@@ -128,41 +128,74 @@
     )
 
 
+PLAN = {"zone": "room2", "what": "hold", "span_s": 5.0, "why": "a look"}
+
+
 def test_the_answers_are_as_recorded(brokers):
     first = brokers[0]
     planner = shown(first, "/zone/status")["planner"]
     holder = next(b for b in brokers if b.name == planner)
     other = next(b for b in brokers if b.name != planner)
-    plan = {"zone": "room2", "what": "hold", "span_s": 5.0, "why": "a look"}
-    answers = {}
-    for path in ("/fleet/peers", "/fleet/leases", "/fleet/tasks", "/fleet/summary"):
-        answers[f"GET {path}"] = normal(shown(first, path))
-    answers["GET /zone/status"] = normal(shown(other, "/zone/status"))
+    answers = fleet_answers(first)
+    answers |= dry_run_answers(holder, other, planner)
+    answers |= zone_command_answers(other, planner)
+    answers |= lease_answers(first, holder, other)
+    told = json.dumps(answers, indent=1, ensure_ascii=False) + "\n"
+    assert json.loads(told) == json.loads(RECORDED.read_text())
+    assert told == RECORDED.read_text()  # the order of keys, too
+
+
+def fleet_answers(first):
+    """Of peers, leases, tasks and the summary."""
+    answers = {
+        f"GET {path}": normal(shown(first, path))
+        for path in ("/fleet/peers", "/fleet/leases", "/fleet/tasks", "/fleet/summary")
+    }
     # Who holds a lease, and so where its task runs and which state it is in, differs from run to run.
     answers["GET /fleet/tasks"] = [t | {"running_under": "held or not"} for t in answers["GET /fleet/tasks"]]
     answers["GET /fleet/leases"] = [
         s | {"line": sorted(s["line"]), "state": s["state"] if s["lease"] == "restart" else "held or not"}
         for s in answers["GET /fleet/leases"]
     ]
-    answers["planner's rows of GET /zone/status"] = normal(shown(holder, "/zone/status"))["zones"]
-    answers["planner, POST /zone/dry-run"] = call(holder, "POST", "/zone/dry-run", json.dumps(plan))
-    leave = plan | {"what": "leave", "zone": "room1"}
+    return answers
+
+
+def dry_run_answers(holder, other, planner):
+    """Of zones, and of commands that are only tried, at the planner and at another broker."""
+    answers = {
+        "GET /zone/status": normal(shown(other, "/zone/status")),
+        "planner's rows of GET /zone/status": normal(shown(holder, "/zone/status"))["zones"],
+        "planner, POST /zone/dry-run": call(holder, "POST", "/zone/dry-run", json.dumps(PLAN)),
+    }
+    leave = PLAN | {"what": "leave", "zone": "room1"}
     answers["planner, POST /zone/dry-run, leave"] = call(holder, "POST", "/zone/dry-run", json.dumps(leave))
     for name, body in {
         "bad": "{",
-        "unknown": json.dumps(plan | {"zone": "x"}),
-        "too long": json.dumps(plan | {"span_s": 1e9}),
-        "other": json.dumps(plan),
+        "unknown": json.dumps(PLAN | {"zone": "x"}),
+        "too long": json.dumps(PLAN | {"span_s": 1e9}),
+        "other": json.dumps(PLAN),
     }.items():
         status, text = call(other, "POST", "/zone/dry-run", body)
         answers[f"another, POST /zone/dry-run, {name}"] = status, text.replace(planner, "broker")
-    status, text = call(other, "POST", "/zone/wish", json.dumps(plan))
-    answers["another, POST /zone/wish"] = status, text.replace(planner, "broker")
+    return answers
+
+
+def zone_command_answers(other, planner):
+    """Of a command that holds a zone."""
+    status, text = call(other, "POST", "/zone/wish", json.dumps(PLAN))
+    answers = {"another, POST /zone/wish": (status, text.replace(planner, "broker"))}
     assert until(lambda: any(z["by_hand"] for z in shown(other, "/zone/status")["zones"]), WAIT_S, 0.1)
     answers["GET /zone/status, held"] = normal(shown(other, "/zone/status"))["zones"]
-    answers["POST /fleet/give-back, none"] = call(first, "POST", "/fleet/give-back", "x")
-    answers["POST /fleet/give-back, another's"] = call(other, "POST", "/fleet/give-back", "zones")
-    answers["POST /fleet/turn, none"] = call(first, "POST", "/fleet/turn", "zones")
+    return answers
+
+
+def lease_answers(first, holder, other):
+    """Of leases that are released and turns that are asked for."""
+    answers = {
+        "POST /fleet/give-back, none": call(first, "POST", "/fleet/give-back", "x"),
+        "POST /fleet/give-back, another's": call(other, "POST", "/fleet/give-back", "zones"),
+        "POST /fleet/turn, none": call(first, "POST", "/fleet/turn", "zones"),
+    }
     status, text = call(first, "POST", "/fleet/turn", "restart")
     answers["POST /fleet/turn"] = status, normal(json.loads(text))
     assert until(lambda: json.loads(call(first, "POST", "/fleet/turn", "restart")[1])["yours"], WAIT_S, 0.1)
@@ -172,6 +205,4 @@
         normal(json.loads(call(first, "POST", "/fleet/turn/over", "restart")[1]))
     ]
     answers["POST /fleet/give-back"] = call(holder, "POST", "/fleet/give-back", "zones")
-    told = json.dumps(answers, indent=1, ensure_ascii=False) + "\n"
-    assert json.loads(told) == json.loads(RECORDED.read_text())
-    assert told == RECORDED.read_text()  # the order of keys, too
+    return answers
--- a/tests/recordings/test_operators_answers_recording.py
+++ b/tests/recordings/test_operators_answers_recording.py
@@ -139,55 +139,73 @@
 
 def record() -> dict[str, dict]:
     """Every call's answer, by its name."""
-    plane = ControlCluster()
+    cluster = ControlCluster()
     try:
-        primary = plane.leader()
-        found = Recorder(primary.name)
-        other = plane.others(primary.name)[0]
-        plane.wait_for_one_history()
-        plane.wait_for(lambda: len(primary.status().get("peers", ())) == 2, "both links")
-        taker = plane.follow("b1", "z1")
-        refuser = plane.follow("b2", "z1")
-        refuser.changed = lambda state, change: "not to my taste"
-        plane.wait_for(lambda: min(taker.version, refuser.version) == 1, "two brokers that follow")
-        for name, body in CHANGES.items():
-            found.keep(name, primary.call("change", "POST", body))
-        newest = primary.status()["version"]
-        plane.wait_for(
-            lambda: lag(primary).get("refused") == 1
-            and lag(primary)["in_force"] == 1
-            and lag(primary)["unheard"] == []
-            and lag(primary)["newest"] == newest,
-            "reports",
-        )
-        for name, path in READS.items():
-            found.keep(name, primary.call(path))
-        plane.wait_for(lambda: other.status()["version"] == newest, "a standby that has everything")
-        found.keep("state_at_a_standby", other.call("state"))
-        found.keep("lag_at_a_standby", other.call("lag"))
-        found.keep("change_at_a_standby", other.call("change", "POST", change()))
-        found.keep("change_by_get", primary.call("change"))
-        found.keep("state_by_post", primary.call("state", "POST", {}))
-        found.keep("unknown_path", call_management(primary.management, "GET", "/elsewhere"))
-        plane.wait_for(
-            lambda: primary.status()["match"].values()
-            and set(primary.status()["match"].values()) == {newest},
-            "voters that hold everything",
-        )
-        for agent in (taker, refuser):
-            agent.stop()
-        plane.wait_for(lambda: primary.status()["brokers"] == other.status()["brokers"] == 0, "no broker")
-        found.keep("status", primary.call("status"))
-        found.keep("status_at_a_standby", other.call("status"))
-        for server in plane.others(primary.name):
-            server.kill()
-        found.keep(
-            "change_without_majority",
-            primary.call("change", "POST", change(request="six", ops={"remove": ["engine/e0"]})),
-        )
+        leader = cluster.leader()
+        other = cluster.others(leader.name)[0]
+        found = Recorder(leader.name)
+        cluster.wait_for_one_history()
+        cluster.wait_for(lambda: len(leader.status().get("peers", ())) == 2, "both links")
+        record_changes_and_reads(cluster, leader, found)
+        record_at_a_standby(cluster, leader, other, found)
+        record_status(cluster, leader, other, found)
+        record_without_majority(cluster, leader, found)
         return found.answers
     finally:
-        plane.close()
+        cluster.close()
+
+
+def record_changes_and_reads(cluster, leader, found) -> None:
+    """Two brokers follow, of which one refuses all, while an operator changes and reads."""
+    taker = cluster.follow("b1", "z1")
+    refuser = cluster.follow("b2", "z1")
+    refuser.changed = lambda state, change: "not to my taste"
+    cluster.wait_for(lambda: min(taker.version, refuser.version) == 1, "two brokers that follow")
+    for name, body in CHANGES.items():
+        found.keep(name, leader.call("change", "POST", body))
+    newest = leader.status()["version"]
+    cluster.wait_for(
+        lambda: lag(leader).get("refused") == 1
+        and lag(leader)["in_force"] == 1
+        and lag(leader)["unheard"] == []
+        and lag(leader)["newest"] == newest,
+        "reports",
+    )
+    for name, path in READS.items():
+        found.keep(name, leader.call(path))
+
+
+def record_at_a_standby(cluster, leader, other, found) -> None:
+    """Calls at one that does not lead, and calls that nobody answers."""
+    newest = leader.status()["version"]
+    cluster.wait_for(lambda: other.status()["version"] == newest, "a standby that has everything")
+    found.keep("state_at_a_standby", other.call("state"))
+    found.keep("lag_at_a_standby", other.call("lag"))
+    found.keep("change_at_a_standby", other.call("change", "POST", change()))
+    found.keep("change_by_get", leader.call("change"))
+    found.keep("state_by_post", leader.call("state", "POST", {}))
+    found.keep("unknown_path", call_management(leader.management, "GET", "/elsewhere"))
+
+
+def record_status(cluster, leader, other, found) -> None:
+    """The status of a leader and of another one, once all hold everything and no broker follows."""
+    newest = leader.status()["version"]
+    cluster.wait_for(
+        lambda: leader.status()["match"].values() and set(leader.status()["match"].values()) == {newest},
+        "voters that hold everything",
+    )
+    for subscriber in cluster.subscribers:
+        subscriber.stop()
+    cluster.wait_for(lambda: leader.status()["brokers"] == other.status()["brokers"] == 0, "no broker")
+    found.keep("status", leader.call("status"))
+    found.keep("status_at_a_standby", other.call("status"))
+
+
+def record_without_majority(cluster, leader, found) -> None:
+    for control in cluster.others(leader.name):
+        control.kill()
+    body = change(request="six", ops={"remove": ["engine/e0"]})
+    found.keep("change_without_majority", leader.call("change", "POST", body))
 
 
 def lag(server) -> dict:
