--- a/tests/controlplane/replica_scenes.py
+++ b/tests/controlplane/replica_scenes.py
@@ -4,7 +4,7 @@
 from cypressledge.controlplane.log_storage import StoredLog
 from cypressledge.controlplane.messages import AppendEntries, Denied, InstallSnapshot
 from cypressledge.controlplane.state import FleetState
-from tests.fakes.replica_world import SECOND, Fault, World, engine
+from tests.fakes.replica_world import SECOND, SafetyViolationError, World, engine
 
 
 def started_world(kind, among="abc", names="abc", quarantine=0):
@@ -202,7 +202,7 @@
     message = InstallSnapshot(5, compress_snapshot(other.snapshot()), 1)
     world.call("c", lambda: world.running["c"].receive(world.now, "b", message))
     if world.running["c"].cluster_id != "of a":
-        raise Fault("a history has been taken in place of another")
+        raise SafetyViolationError("a history has been taken in place of another")
     assert ("c", "other_cluster") in world.events
     assert world.network.pop() == ("c", "b", Denied(5, "lineage"))
 
--- a/tests/controlplane/test_replica_guards.py
+++ b/tests/controlplane/test_replica_guards.py
@@ -17,7 +17,7 @@
 from cypressledge.controlplane.state import FleetState
 from tests.controlplane import replica_scenes as scenes
 from tests.controlplane.replica_scenes import started_world
-from tests.fakes.replica_world import SECOND, Fault, engine
+from tests.fakes.replica_world import SECOND, SafetyViolationError, engine
 
 
 class Guard(NamedTuple):
@@ -106,7 +106,7 @@
     guard.scene(Replica)
     assert guard.method in vars(guard.owner)
     monkeypatch.setattr(guard.owner, guard.method, guard.without)
-    with pytest.raises(Fault) as found:
+    with pytest.raises(SafetyViolationError) as found:
         guard.scene(Replica)
     print(f"without {guard.method}: {found.value}")
 
--- a/tests/fakes/replica_world.py
+++ b/tests/fakes/replica_world.py
@@ -13,11 +13,11 @@
 SECOND = 1_000_000
 
 
-class Crash(Exception):
+class SimulatedCrashError(Exception):
     """The process ends here."""
 
 
-class Fault(AssertionError):
+class SafetyViolationError(AssertionError):
     """What must not be."""
 
 
@@ -42,10 +42,10 @@
         if plan == "full":
             raise StorageError("full")
         if plan == "before":
-            raise Crash
+            raise SimulatedCrashError
         self.kept = replace(self.kept, **fields)
         if plan == "after":
-            raise Crash
+            raise SimulatedCrashError
 
     def promise(self, epoch, instance_id):
         self._step(promised=(epoch, instance_id))
@@ -114,10 +114,10 @@
     def call(self, name, action):
         try:
             return action()
-        except Crash:
+        except SimulatedCrashError:
             self.crash(name)
         except LogInvariantError as err:
-            raise Fault(f"{name} stops: {err}") from err
+            raise SafetyViolationError(f"{name} stops: {err}") from err
         finally:
             self.check_acknowledgements()
 
@@ -140,11 +140,11 @@
     def check_same(self, version, found):
         known = self.truth.get(version)
         if known and (known[:2] != found[:2] or None not in (known[2], found[2]) and known[2] != found[2]):
-            raise Fault(f"version {version} is {known} and {found}")
+            raise SafetyViolationError(f"version {version} is {known} and {found}")
         if not known or known[2] is None:
             self.truth[version] = found
         if found[2] and self.requests.setdefault(found[2], version) != version:
-            raise Fault(f"{found[2]} is in force twice")
+            raise SafetyViolationError(f"{found[2]} is in force twice")
 
     def check_acknowledgements(self):
         """Tickets that became done."""
@@ -152,7 +152,7 @@
             if ticket.state == "done":
                 self.acknowledged[request] = ticket.version
                 if name in self.running and self.now >= self.running[name].lease_until:
-                    raise Fault(f"{name} acknowledged {request} without the lease")
+                    raise SafetyViolationError(f"{name} acknowledged {request} without the lease")
         self.open = [o for o in self.open if o[2].state == "open"]
 
     def lease(self, name, token, until=1 << 60):
@@ -218,11 +218,13 @@
 
     def check_one_history(self, done):
         """All hold the same, with the change `done` and all that was acknowledged."""
-        states = [r.log.committed_state for r in self.running.values()]
+        states = [replica.log.committed_state for replica in self.running.values()]
         if not done or done.state != "done" or len({(s.epoch, s.version, s.digest) for s in states}) != 1:
-            raise Fault(f"no one history: {[r.status(self.now) for r in self.running.values()]}")
+            raise SafetyViolationError(
+                f"no one history: {[r.status(self.now) for r in self.running.values()]}"
+            )
         if len({s.cluster_id for s in states}) != 1 or len({tuple(s.requests.items()) for s in states}) != 1:
-            raise Fault("clusters or requests differ")
+            raise SafetyViolationError("clusters or requests differ")
         for request, version in self.acknowledged.items():
             if states[0].requests.get(request) != version:
-                raise Fault(f"{request}, acknowledged as {version}, is lost")
+                raise SafetyViolationError(f"{request}, acknowledged as {version}, is lost")
