--- a/tests/broker/test_clock_steps.py
+++ b/tests/broker/test_clock_steps.py
@@ -4,16 +4,15 @@
 The clock is stepped from outside the program, by a preloaded shim (wall_clock.py); the monotonic one runs on.
 """
 
-import copy
 import signal
 import time
 
 import pytest
 
-from cypressledge.lab.site import SETTINGS
 from tests.fakes.broker_process import BrokerTestCase
 from tests.fakes.fake_engines import answer_at_once, answer_with, never_answer
 from tests.fakes.support import close_connection, wait_until
+from tests.race_conditions.scenarios import site
 from tests.wall_clock import WallClock
 
 WINDOW_S = 2.0  # in which engines drop repeats of a keyed request, here
@@ -30,39 +29,32 @@
     case.doCleanups()
 
 
-def site(rules=(), **order_load):
-    """The plain site, with other rules, and other settings of its keyed class."""
-    settings = copy.deepcopy(SETTINGS)
-    settings["Rules"] |= dict(rules)
-    settings["Classes"][2] |= order_load
-    return {"settings": settings}
-
-
 def broker_of(stage, *engines, change=None, env=None):
     """A broker under the stage's clock."""
     return stage.broker(*engines, change=change, env=stage.clock.env | (env or {}))
 
 
-def take_out(broker, engine, serial):
-    """The directory tells that an engine drains; the broker has heard."""
+def drain(broker, engine, serial):
+    """The directory lists an engine as draining; the broker has that list."""
     broker.dns.engines = {engine.name: (engine.port, 1)}
     broker.publish_list(serial)
 
 
-def put_back(broker, engine, serial):
+def undrain(broker, engine, serial):
+    """The directory lists the engine as ready again; the broker has that list."""
     broker.dns.engines = {engine.name: (engine.port, 0)}
     broker.publish_list(serial)
 
 
 def keyed_request_whose_engine_drains(stage):
-    """A keyed request's first attempt is out, and no engine takes a repeat; also when the window ends."""
+    """A request with a key has an attempt in flight, and no engine takes a retry within the window."""
     engine = stage.engine(never_answer)
-    broker = broker_of(stage, engine, change=site(MemorySpan=round(WINDOW_S * 1e6)))
+    broker = broker_of(stage, engine, change=site(keyed_class={"MemorySpan": round(WINDOW_S * 1e6)}))
     client = stage.client(broker)
     client.ask("order-load", wait=20_000, once="order-1")
     wait_until(lambda: engine.wants, "the first attempt")
     window_over = time.monotonic() + WINDOW_S
-    take_out(broker, engine, 2)
+    drain(broker, engine, 2)
     return engine, broker, client, window_over
 
 
@@ -76,7 +68,7 @@
     broker.wait_for_log("outcome=reset")
     wait_until(lambda: time.monotonic() > window_over, "the window's end")
     engine.play = answer_at_once
-    put_back(broker, engine, 3)
+    undrain(broker, engine, 3)
     answer = client.get()
     assert len(engine.wants) == 1, "sent again after its window"
     assert "error" in answer
@@ -103,7 +95,9 @@
     """Requests taken long ago, by real time, buy no further attempts; attempts made just now still count."""
     window_s = 1.0
     engine = stage.engine()
-    broker = broker_of(stage, engine, change=site({"RatioSpan": round(window_s * 1e6), "MinExtra": 1.0}))
+    broker = broker_of(
+        stage, engine, change=site(rules={"RatioSpan": round(window_s * 1e6), "MinExtra": 1.0})
+    )
     client = stage.client(broker)
     for _ in range(60):  # the tenth part of these would be six further attempts
         client.ask("report", wait=20_000)
@@ -125,7 +119,7 @@
     """A step forward made the budget forget the attempts of a moment ago."""
     engine = stage.engine(answer_with("500"))
     rules = {"RatioSpan": 5_000_000, "MinExtra": 2.0, "ResendRatio": 0.0}
-    broker = broker_of(stage, engine, change=site(rules))
+    broker = broker_of(stage, engine, change=site(rules=rules))
     client = stage.client(broker)
     began = time.monotonic()
     for _ in range(3):
@@ -144,8 +138,8 @@
     engine, other = stage.engine(name="s-1"), stage.engine(name="s-2")
     broker = broker_of(stage, engine, other, env={"ROUTER_FIGURES_S": "0.05"})
     client = stage.client(broker)
-    for n in range(60):
-        client.ask(("lookup", "report")[n % 2], wait=3_000)
+    for number in range(60):
+        client.ask(("lookup", "report")[number % 2], wait=3_000)
         assert "result" in client.get()
     assert len(engine.wants) + len(other.wants) == 60
     broker.dns.engines = {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
@@ -178,9 +172,11 @@
 def test_a_shutdown_has_its_full_grace_period_and_no_more(stage, step):
     """What was taken is answered by its engine within the grace; what hangs is answered before the kill."""
     engine = stage.engine(never_answer)
-    without_notes = site()
-    without_notes["settings"]["FamilyInfo"]["TellsEvery"] = 0  # else silence tells of a lost answer earlier
-    broker = broker_of(stage, engine, change=without_notes)
+    without_progress = site()
+    without_progress["settings"]["FamilyInfo"]["TellsEvery"] = (
+        0  # else silence tells of a lost answer earlier
+    )
+    broker = broker_of(stage, engine, change=without_progress)
     client = stage.client(broker)
     client.ask("report", wait=20_000)
     wait_until(lambda: engine.wants, "the attempt that hangs")
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -83,7 +83,8 @@
     ups = [b - a for a, b in pairwise(grew) if b > a]
     assert len(ups) > 4, grew
     assert max(ups[1:]) <= 63, grew
-    assert {e["zone"] for e in bed.events("zone_leaving")} == {A}
+    departures = bed.events("zone_leaving")
+    assert {departure["zone"] for departure in departures} == {A}, departures
 
 
 @pytest.mark.parametrize("how", ["cut", "blind"])
