--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -147,7 +147,7 @@
 
     def play(self, seconds: float) -> int:
         """Play all events; return 0 if the lease found a new holder and clients were served."""
-        self.announce("three brokers start; a voter that starts is mute for a term")
+        self.announce("three brokers start; a voter that starts is in voting quarantine for a term")
         first = until(self.holder, HOLDER_TIMEOUT_S)
         if not first:
             self.announce("no broker came to hold the lease")
--- a/cypressledge/lab/lease_model/__init__.py
+++ b/cypressledge/lab/lease_model/__init__.py
@@ -1,1 +1,1 @@
-"""The lease's model: small worlds walked through whole, and with each guard taken out."""
+"""Model checking of the lease: all states of small worlds, with all guards and with each one taken out."""
--- a/cypressledge/lab/lease_model/guard_mutations.py
+++ b/cypressledge/lab/lease_model/guard_mutations.py
@@ -29,7 +29,7 @@
     for b in (
         Bounds("drift", ONE_SET, rounds=1, clocks={"p": "slow", "q": "fast", "a": "fast", "b": "fast"}),
         Bounds("voter restart", ONE_SET, rounds=1, voter_restarts=1, known_tokens=(0, 150)),
-        Bounds("give-back", ONE_SET, rounds=1, releases=1),
+        Bounds("release", ONE_SET, rounds=1, releases=1),
         Bounds(
             "claimant restart",
             ONE_SET,
@@ -45,7 +45,7 @@
         ),
     )
 }
-# p holds, q takes over when p has lapsed, and gives back; p's renewal is still on its way.
+# p holds, q takes over when p's lease has expired, and releases; p's renewal is still on its way.
 LATE_RENEWAL = Bounds(
     "a late renewal",
     ONE_SET,
@@ -63,14 +63,14 @@
         LATE_RENEWAL,
         Bounds("two rounds each", ONE_SET, rounds=2),
         Bounds(
-            "voter added, all reread",
+            "voter added, all reload",
             VOTER_ADDED,
             rounds=1,
             versions={"q": 2, "d": 2},
             reloads={"a": 1, "p": 1},
         ),
         Bounds(
-            "give-back and asking again", ONE_SET, rounds={"p": 2, "q": 1}, releases=1, known_tokens=(0, 2)
+            "release and another round", ONE_SET, rounds={"p": 2, "q": 1}, releases=1, known_tokens=(0, 2)
         ),
         Bounds(
             "two restarts",
@@ -82,9 +82,7 @@
         ),
         Bounds("all voters restart", ONE_SET, rounds=1, voter_restarts=3),
         Bounds("three claimants", ONE_SET, rounds=1, claimants=("p", "q", "r")),
-        Bounds(
-            "restart and give-back", ONE_SET, rounds=1, voter_restarts=1, releases=1, known_tokens=(0, 150)
-        ),
+        Bounds("restart and release", ONE_SET, rounds=1, voter_restarts=1, releases=1, known_tokens=(0, 150)),
     )
 }
 
@@ -98,7 +96,7 @@
 
 
 class NoDriftMargin(LeaseAcquisition):
-    """Takes all clocks to run alike."""
+    """Assumes that all clocks run at one rate."""
 
     def vote_duration(self) -> int:
         """Return the whole term."""
@@ -106,7 +104,7 @@
 
 
 class LateExpiration(LeaseAcquisition):
-    """Counts a vote from when it hears of it."""
+    """Counts a vote's duration from the answer, not from the request."""
 
     def record_vote(self, now: int, voter: str, grant: VoteGranted) -> bool:
         """Count the vote as if the round had begun just now."""
@@ -122,20 +120,20 @@
     """Grants under any token."""
 
     def is_token_acceptable(self, state: VoterLeaseState, request: VoteRequest) -> bool:
-        """Return True, whatever is asked."""
+        """Return True in all cases."""
         return True
 
 
 class TwoVotes(Voter):
-    """Votes for a second process while its vote is out."""
+    """Votes for a second process while its vote is in force."""
 
     def is_free(self, now: int, vote: Vote | None, instance_id: int) -> bool:
-        """Return True, whatever is asked."""
+        """Return True in all cases."""
         return True
 
 
 class AnyRelease(Voter):
-    """Takes a giving back of an earlier round for one of the vote that is out."""
+    """Takes the release of an earlier round for one of the vote that is in force."""
 
     def covers(self, vote: Vote, release: ReleaseLease) -> bool:
         """Compare the instance alone, whatever the round."""
@@ -143,7 +141,7 @@
 
 
 class LateRenewalCounted(LeaseAcquisition):
-    """Counts answers to a renewal that come when the lease has ended."""
+    """Counts answers to a renewal that come after the lease has expired."""
 
     def is_late_renewal(self, now: int, round_: int) -> bool:
         """Return False: no renewal is late."""
@@ -151,7 +149,7 @@
 
 
 class RoundsKeptOpen(LeaseAcquisition):
-    """Counts answers to rounds that were given back."""
+    """Counts answers to rounds that were released."""
 
     def discard_votes(self) -> None:
         """Forget the votes, but not the rounds."""
@@ -159,7 +157,7 @@
 
 
 class VotesKept(LeaseAcquisition):
-    """Goes on counting on votes that it gave back."""
+    """Goes on counting votes that it released."""
 
     def discard_votes(self) -> None:
         """Forget nothing."""
@@ -175,18 +173,18 @@
 
 
 class UnsettledVersion(Electorate):
-    """Goes by a voter set while an earlier, far one may be in force still."""
+    """Uses a voter set while an older one, several versions back, may still be in force."""
 
     def is_ready(self, now: int) -> bool:
-        """Return True, whatever is asked."""
+        """Return True in all cases."""
         return True
 
 
 class AnyVersionAccepted(Electorate):
-    """Answers whatever voter set it is asked under, and says that it does not."""
+    """Answers requests under any voter set, and reports that it does not."""
 
     def accepts(self, now: int, version: int) -> bool:
-        """Return True, whatever is asked."""
+        """Return True in all cases."""
         return True
 
 
@@ -201,10 +199,14 @@
 
 
 MUTATIONS = (
-    Mutation("mute after a restart", Implementation(voter=NoQuarantine), WORLDS["voter restart"]),
+    Mutation(
+        "voting quarantine after a restart", Implementation(voter=NoQuarantine), WORLDS["voter restart"]
+    ),
     Mutation("drift margin", Implementation(acquisition=NoDriftMargin), WORLDS["drift"]),
-    Mutation("timer before asking", Implementation(acquisition=LateExpiration), WORLDS["drift"]),
-    Mutation("token growth", Implementation(voter=AnyTokenAccepted), WORLDS["give-back"]),
+    Mutation(
+        "expiration counted from the request", Implementation(acquisition=LateExpiration), WORLDS["drift"]
+    ),
+    Mutation("token growth", Implementation(voter=AnyTokenAccepted), WORLDS["release"]),
     Mutation(
         "tokens over a restart of all voters",
         Implementation(restart_token_step=0),
@@ -212,18 +214,20 @@
     ),
     Mutation("one vote at a time", Implementation(voter=TwoVotes), WORLDS["drift"]),
     Mutation(
-        "a giving back frees its own round only",
+        "a release frees its own round only",
         Implementation(voter=AnyRelease),
-        Bounds("give-back and again", ONE_SET, rounds={"p": 2, "q": 1}, releases=1, known_tokens=(0, 2)),
+        Bounds(
+            "release and another round", ONE_SET, rounds={"p": 2, "q": 1}, releases=1, known_tokens=(0, 2)
+        ),
     ),
-    Mutation("a round given back is closed", Implementation(acquisition=RoundsKeptOpen), WORLDS["give-back"]),
+    Mutation("a released round is closed", Implementation(acquisition=RoundsKeptOpen), WORLDS["release"]),
     Mutation(
         "a renewal counts only while the lease is held",
         Implementation(acquisition=LateRenewalCounted),
         LATE_RENEWAL,
         is_deep=True,
     ),
-    Mutation("votes given back don't count", Implementation(acquisition=VotesKept), WORLDS["give-back"]),
+    Mutation("released votes don't count", Implementation(acquisition=VotesKept), WORLDS["release"]),
     Mutation(
         "a restarted claimant is another", Implementation(keeps_instance_id=True), WORLDS["claimant restart"]
     ),
@@ -231,10 +235,10 @@
     Mutation(
         "version of the voter set settled",
         Implementation(electorate=UnsettledVersion),
-        Bounds("far apart, nobody rereads", FAR_APART, rounds=1, **APART_BOUNDS),
+        Bounds("far apart, nobody reloads", FAR_APART, rounds=1, **APART_BOUNDS),
     ),
     Mutation(
-        "older versions are refused",
+        "older versions are rejected",
         Implementation(electorate=AnyVersionAccepted),
         Bounds(
             "an old version at a voter of the new",
--- a/cypressledge/lab/lease_model/model_checker.py
+++ b/cypressledge/lab/lease_model/model_checker.py
@@ -13,9 +13,7 @@
 
 from cypressledge.lab.lease_model.bounds import Bounds, Implementation
 from cypressledge.lab.lease_model.steps import possible_steps
-from cypressledge.lab.lease_model.world import World
-
-NOTHING_HELD = (0, 0)
+from cypressledge.lab.lease_model.world import NOTHING_HELD, World
 
 Reached = dict[int, tuple[int | None, str]]  # by a state's hash: the state before, and the step from it
 
@@ -44,15 +42,15 @@
     while queue:
         world = queue.popleft()
         before = hash(world.key())
-        for text, change in possible_steps(world, bounds, implementation):
+        for step in possible_steps(world, bounds, implementation):
             following = world.copy()
-            change(following)
+            step.change(following)
             result.steps += 1
             fault = following.check()
             key = hash(following.key())
             if key in reached and not fault:
                 continue
-            reached[key] = (before, text)
+            reached[key] = (before, step.text)
             result.states += 1
             result.held_states += following.highest_held != NOTHING_HELD
             if fault:
--- a/cypressledge/lab/lease_model/run.py
+++ b/cypressledge/lab/lease_model/run.py
@@ -3,31 +3,46 @@
 import multiprocessing
 import os
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
 
 from cypressledge.lab.lease_model.bounds import Bounds, Implementation
 from cypressledge.lab.lease_model.guard_mutations import DEEP_WORLDS, MUTATIONS, SUSPENDED_CLOCK, WORLDS
 from cypressledge.lab.lease_model.model_checker import WalkResult, walk
 
-WalkName = tuple[str, str]  # kind (world, mutation) and name
-
 SUSPENDED_GUARD = "a clock that goes on over a suspended machine"
 
 
-def named_walks(deep: bool = False) -> dict[WalkName, tuple[Bounds, Implementation]]:
+class WalkName(NamedTuple):
+    """The name of a walk; `kind`: world or mutation."""
+
+    kind: str
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class Walk:
+    """What is walked: a bounded world, and the classes that run in it."""
+
+    bounds: Bounds
+    implementation: Implementation
+
+
+def named_walks(deep: bool = False) -> dict[WalkName, Walk]:
     """Return all walks by kind and name; `deep`: the large ones as well."""
     worlds = WORLDS | (DEEP_WORLDS if deep else {})
-    walks = {("world", bounds.name): (bounds, Implementation()) for bounds in worlds.values()}
+    walks = {WalkName("world", bounds.name): Walk(bounds, Implementation()) for bounds in worlds.values()}
     for mutation in MUTATIONS:
         if deep or not mutation.is_deep:
-            walks["mutation", mutation.guard] = (mutation.world, mutation.implementation)
-    walks["mutation", SUSPENDED_GUARD] = (SUSPENDED_CLOCK, Implementation())
+            walks[WalkName("mutation", mutation.guard)] = Walk(mutation.world, mutation.implementation)
+    walks[WalkName("mutation", SUSPENDED_GUARD)] = Walk(SUSPENDED_CLOCK, Implementation())
     return walks
 
 
 def walk_all(deep: bool = False, max_states: int = 1_000_000) -> dict[WalkName, WalkResult]:
     """Walk all of them, in as many processes as there are cores."""
     walks = named_walks(deep)
-    arguments = [(bounds, implementation, max_states) for bounds, implementation in walks.values()]
+    arguments = [(each.bounds, each.implementation, max_states) for each in walks.values()]
     with multiprocessing.get_context("spawn").Pool(os.cpu_count()) as pool:
         results = pool.starmap(walk, arguments, chunksize=1)
     return dict(zip(walks, results, strict=True))
--- a/cypressledge/lab/lease_model/steps.py
+++ b/cypressledge/lab/lease_model/steps.py
@@ -3,6 +3,7 @@
 import contextlib
 from collections.abc import Callable, Iterator
 from functools import partial
+from typing import NamedTuple
 
 from cypressledge.fleet.leases.electorate import VoterSetError
 from cypressledge.fleet.messages import ReleaseLease, VoteGranted, VoteRequest
@@ -11,35 +12,41 @@
 
 NEXT_INSTANCE = 10  # what a claimant that starts again adds to its instance id
 
-Step = tuple[str, Callable[[World], None]]  # a text, and what it does to a copy of the world
+
+class Step(NamedTuple):
+    """Something that may happen next: its text, and what it changes in a copy of the world."""
+
+    text: str
+    change: Callable[[World], None]
 
 
 def possible_steps(world: World, bounds: Bounds, implementation: Implementation) -> Iterator[Step]:
     """Yield all that may happen next."""
-    yield "a tick passes", partial(_tick, bounds=bounds)
+    yield Step("a tick passes", partial(_tick, bounds=bounds))
     yield from _claimant_steps(world, bounds, implementation)
     if world.voter_restarts:
         for name in world.voters:
-            yield f"voter {name} restarts", partial(_restart_voter, name=name, implementation=implementation)
+            restart = partial(_restart_voter, name=name, implementation=implementation)
+            yield Step(f"voter {name} restarts", restart)
     for name in world.reloads:
         if world.reloads[name]:
-            yield f"{name} rereads its file", partial(_reload, name=name, bounds=bounds)
+            yield Step(f"{name} reloads its file", partial(_reload, name=name, bounds=bounds))
     if world.version_observations:
         yield from _observations(world)
     for message in world.sent:
-        source, to, content = message
-        yield f"{to} gets {_text(content)} from {source}", partial(_deliver, message=message)
+        text = f"{message.to} gets {_text(message.content)} from {message.source}"
+        yield Step(text, partial(_deliver, message=message))
 
 
 def _claimant_steps(world: World, bounds: Bounds, implementation: Implementation) -> Iterator[Step]:
-    for name, claim in world.claims.items():
+    for name, acquisition in world.acquisitions.items():
         if world.rounds[name]:
-            yield f"{name} asks", partial(_start_round, name=name)
-        if world.releases and claim.round and (not bounds.releasers or name in bounds.releasers):
-            yield f"{name} gives back", partial(_release, name=name)
-        if world.claimant_restarts and claim.round:
+            yield Step(f"{name} requests votes", partial(_start_round, name=name))
+        if world.releases and acquisition.round and (not bounds.releasers or name in bounds.releasers):
+            yield Step(f"{name} releases the lease", partial(_release, name=name))
+        if world.claimant_restarts and acquisition.round:
             restart = partial(_restart_claimant, name=name, bounds=bounds, implementation=implementation)
-            yield f"{name} starts anew", restart
+            yield Step(f"{name} restarts", restart)
 
 
 def _observations(world: World) -> Iterator[Step]:
@@ -47,17 +54,17 @@
     for voter in world.voters:
         if voter not in world.reloads:
             continue
-        for observer in (*world.claims, *world.voters):
+        for observer in (*world.acquisitions, *world.voters):
             if observer != voter:
                 observe = partial(_observe_version, voter=voter, observer=observer)
-                yield f"{observer} hears from which version on {voter} answers", observe
+                yield Step(f"{observer} hears the oldest version that {voter} accepts", observe)
 
 
 def _text(message: LeaseMessage) -> str:
     if isinstance(message, VoteRequest):
-        return f"Ask(round {message.round}, token {message.token})"
+        return f"VoteRequest(round {message.round}, token {message.token})"
     if isinstance(message, VoteGranted):
-        return f"Grant(round {message.round}, token {message.token})"
+        return f"VoteGranted(round {message.round}, token {message.token})"
     return type(message).__name__
 
 
@@ -68,35 +75,35 @@
 
 
 def _send(world: World, source: str, to: str, message: LeaseMessage) -> None:
-    world.sent = world.sent | {(source, to, message)}
+    world.sent = world.sent | {SentMessage(source, to, message)}
 
 
 def _start_round(world: World, name: str) -> None:
-    claim = world.own_claim(name)
+    acquisition = world.mutable_acquisition(name)
     world.rounds = world.rounds | {name: world.rounds[name] - 1}
-    request = claim.start_round(world.now[name])
+    request = acquisition.start_round(world.now[name])
     if request is not None:
-        for voter in claim.electorate.voters:
+        for voter in acquisition.electorate.voters:
             _send(world, name, voter, request)
 
 
 def _release(world: World, name: str) -> None:
-    claim = world.own_claim(name)
+    acquisition = world.mutable_acquisition(name)
     world.releases -= 1
-    release = claim.release()
-    for voter in claim.electorate.voters:
+    release = acquisition.release()
+    for voter in acquisition.electorate.voters:
         _send(world, name, voter, release)
 
 
 def _restart_claimant(world: World, name: str, bounds: Bounds, implementation: Implementation) -> None:
     world.claimant_restarts -= 1
-    old = world.claims[name]
+    old = world.acquisitions[name]
     keeps_id = implementation.keeps_instance_id
     instance_id = old.instance_id if keeps_id else old.instance_id + NEXT_INSTANCE
     electorate = copy_electorate(old.electorate)
     fresh = implementation.acquisition(LEASE, instance_id, bounds.term, DRIFT_PPM, electorate)
     fresh.observe_token(old.highest_token - 1 if keeps_id else world.highest_held[0])
-    world.claims = world.claims | {name: fresh}
+    world.acquisitions = world.acquisitions | {name: fresh}
 
 
 def _restart_voter(world: World, name: str, implementation: Implementation) -> None:
@@ -111,7 +118,7 @@
 def _reload(world: World, name: str, bounds: Bounds) -> None:
     """Let a process adopt the next version of the voter set, unless it must not yet."""
     world.reloads = world.reloads | {name: world.reloads[name] - 1}
-    electorate = world.own_electorate(name)
+    electorate = world.mutable_electorate(name)
     version = electorate.version + 1
     known = {known: voters for known, voters in bounds.voter_sets.items() if known <= version}
     with contextlib.suppress(VoterSetError):
@@ -121,17 +128,17 @@
 def _observe_version(world: World, voter: str, observer: str) -> None:
     world.version_observations -= 1
     oldest = world.voters[voter].electorate.oldest_accepted(world.now[voter])
-    world.own_electorate(observer).observe(world.now[observer], voter, oldest)
+    world.mutable_electorate(observer).observe(world.now[observer], voter, oldest)
 
 
 def _deliver(world: World, message: SentMessage) -> None:
     source, to, content = message
     now = world.now[to]
-    if to in world.claims:
+    if to in world.acquisitions:
         assert isinstance(content, VoteGranted)  # nothing else is sent to claimants
-        world.own_claim(to).record_vote(now, source, content)
+        world.mutable_acquisition(to).record_vote(now, source, content)
         return
-    voter = world.own_voter(to)
+    voter = world.mutable_voter(to)
     if isinstance(content, ReleaseLease):
         voter.release(content)
         return
--- a/cypressledge/lab/lease_model/world.py
+++ b/cypressledge/lab/lease_model/world.py
@@ -1,6 +1,7 @@
 """One state of a small world: voters, claimants, clocks and all messages ever sent. No I/O."""
 
 from dataclasses import replace
+from typing import NamedTuple
 
 from cypressledge.fleet.clock import NEVER
 from cypressledge.fleet.leases.acquisition import LeaseAcquisition
@@ -10,8 +11,17 @@
 from cypressledge.lab.lease_model.bounds import DRIFT_PPM, LEASE, Bounds, Implementation
 
 LeaseMessage = VoteRequest | VoteGranted | ReleaseLease
-SentMessage = tuple[str, str, LeaseMessage]  # from, to
+StateKey = tuple[object, ...]
 LONG_AGO_TERMS = 10  # before a world begins: nothing of then is still in force
+NOTHING_HELD = (0, 0)  # token and instance, while nobody has held the lease
+
+
+class SentMessage(NamedTuple):
+    """A message on the network: who sent it, and to whom."""
+
+    source: str
+    to: str
+    content: LeaseMessage
 
 
 class World:
@@ -19,7 +29,7 @@
 
     __slots__ = (
         "claimant_restarts",
-        "claims",
+        "acquisitions",
         "highest_held",
         "now",
         "releases",
@@ -40,14 +50,14 @@
             name: implementation.voter(_electorate(bounds, implementation, name), -bounds.term, 0)
             for name in voters
         }
-        self.claims: dict[str, LeaseAcquisition] = {
+        self.acquisitions: dict[str, LeaseAcquisition] = {
             name: implementation.acquisition(
                 LEASE, number, bounds.term, DRIFT_PPM, _electorate(bounds, implementation, name)
             )
             for number, name in enumerate(bounds.claimants, 1)
         }
-        for i, claim in enumerate(self.claims.values()):
-            claim.observe_token(bounds.known_tokens[i] if bounds.known_tokens else i)
+        for index, acquisition in enumerate(self.acquisitions.values()):
+            acquisition.observe_token(bounds.known_tokens[index] if bounds.known_tokens else index)
         for name in processes:
             self._observe_voters(bounds, name)
         # Voters of one class are interchangeable; none is where versions are observed one by one.
@@ -62,10 +72,10 @@
         self.claimant_restarts = bounds.claimant_restarts
         self.reloads = dict(bounds.reloads)
         self.version_observations = bounds.version_observations
-        self.highest_held = (0, 0)  # token and instance of the highest token that was ever held
+        self.highest_held = NOTHING_HELD  # token and instance of the highest token that was ever held
 
     def _observe_voters(self, bounds: Bounds, name: str) -> None:
-        process = self.voters.get(name) or self.claims[name]
+        process = self.voters.get(name) or self.acquisitions[name]
         for voter in bounds.observed_voters.get(name, ()):
             version = bounds.versions.get(voter, bounds.oldest_version)
             process.electorate.observe(-LONG_AGO_TERMS * bounds.term, voter, version)
@@ -73,34 +83,36 @@
     def copy(self) -> "World":
         """Return another world in the same state.
 
-        Processes are shared until a step changes one (`own_voter`, `own_claim`).
+        Processes are shared until a step changes one (`mutable_voter`, `mutable_acquisition`).
         """
         other = object.__new__(World)
         for name in World.__slots__:
             setattr(other, name, getattr(self, name))
         return other
 
-    def own_voter(self, name: str) -> Voter:
-        """Return a copy of a voter that this world alone has."""
+    def mutable_voter(self, name: str) -> Voter:
+        """Return a voter that may be changed: a copy that this world alone has."""
         self.voters = self.voters | {name: _copy_voter(self.voters[name])}
         return self.voters[name]
 
-    def own_claim(self, name: str) -> LeaseAcquisition:
-        """Return a copy of a claimant's acquisition that this world alone has."""
-        self.claims = self.claims | {name: _copy_claim(self.claims[name])}
-        return self.claims[name]
+    def mutable_acquisition(self, name: str) -> LeaseAcquisition:
+        """Return a claimant's acquisition that may be changed: a copy that this world alone has."""
+        self.acquisitions = self.acquisitions | {name: _copy_acquisition(self.acquisitions[name])}
+        return self.acquisitions[name]
 
-    def own_electorate(self, name: str) -> Electorate:
-        """Return a process's electorate, copied with its process."""
-        return (self.own_claim(name) if name in self.claims else self.own_voter(name)).electorate
+    def mutable_electorate(self, name: str) -> Electorate:
+        """Return a process's electorate that may be changed, copied with its process."""
+        return (
+            self.mutable_acquisition(name) if name in self.acquisitions else self.mutable_voter(name)
+        ).electorate
 
-    def key(self) -> tuple:
+    def key(self) -> StateKey:
         """Return the state with spans in place of moments.
 
         Where there is one voter set, voters with clocks of one rate are interchangeable: each stands with all
         that concerns it, and they stand in order.
         """
-        messages: dict[str, list[tuple]] = {name: [] for name in self.voters}  # by voter
+        messages: dict[str, list[StateKey]] = {name: [] for name in self.voters}  # by voter
         for source, to, message in self.sent:
             if source in messages:
                 messages[source].append((1, to, _message_key(message)))
@@ -109,8 +121,8 @@
         voters = []
         for name, voter in self.voters.items():
             votes = tuple(
-                max(0, claim.vote_expirations.get(name, NEVER) - self.now[claimant])
-                for claimant, claim in self.claims.items()
+                max(0, acquisition.vote_expirations.get(name, NEVER) - self.now[claimant])
+                for claimant, acquisition in self.acquisitions.items()
             )
             state = _voter_key(voter, self.now[name])
             reloads = self.reloads.get(name, 0)
@@ -118,26 +130,35 @@
         voters.sort()
         return (
             repr(voters),
-            tuple(_claim_key(claim, self.now[name]) for name, claim in self.claims.items()),
+            tuple(
+                _acquisition_key(acquisition, self.now[name])
+                for name, acquisition in self.acquisitions.items()
+            ),
             tuple(self.rounds.values()),
             self.releases,
             self.voter_restarts,
             self.claimant_restarts,
             self.version_observations,
-            tuple(self.reloads.get(name, 0) for name in self.claims),
+            tuple(self.reloads.get(name, 0) for name in self.acquisitions),
             self.highest_held,
         )
 
     def check(self) -> str:
         """Return what is wrong with this state, empty for nothing, and remember the highest token held."""
-        holders = [(name, claim) for name, claim in self.claims.items() if claim.is_held(self.now[name])]
+        holders = [
+            (name, acquisition)
+            for name, acquisition in self.acquisitions.items()
+            if acquisition.is_held(self.now[name])
+        ]
         if len(holders) > 1:
-            return "two holders: " + ", ".join(f"{name} with token {claim.token}" for name, claim in holders)
-        for name, claim in holders:
-            held = (claim.token, claim.instance_id)
+            return "two holders: " + ", ".join(
+                f"{name} with token {acquisition.token}" for name, acquisition in holders
+            )
+        for name, acquisition in holders:
+            held = (acquisition.token, acquisition.instance_id)
             highest = self.highest_held[0]
-            if held != self.highest_held and claim.token <= highest:
-                return f"token {claim.token} of {name} is not above {highest}, which was held before"
+            if held != self.highest_held and acquisition.token <= highest:
+                return f"token {acquisition.token} of {name} is not above {highest}, which was held before"
             self.highest_held = held
         return ""
 
@@ -183,36 +204,36 @@
     return other
 
 
-def _copy_claim(claim: LeaseAcquisition) -> LeaseAcquisition:
-    other = object.__new__(type(claim))
-    other.__dict__.update(claim.__dict__)
-    other.electorate = copy_electorate(claim.electorate)
-    other.open_rounds = dict(claim.open_rounds)
-    other.vote_expirations = dict(claim.vote_expirations)
-    other.rejections = dict(claim.rejections)
-    other.renewal_rounds = set(claim.renewal_rounds)
+def _copy_acquisition(acquisition: LeaseAcquisition) -> LeaseAcquisition:
+    other = object.__new__(type(acquisition))
+    other.__dict__.update(acquisition.__dict__)
+    other.electorate = copy_electorate(acquisition.electorate)
+    other.open_rounds = dict(acquisition.open_rounds)
+    other.vote_expirations = dict(acquisition.vote_expirations)
+    other.rejections = dict(acquisition.rejections)
+    other.renewal_rounds = set(acquisition.renewal_rounds)
     return other
 
 
 # Keys of states
 
 
-def _message_key(message: LeaseMessage) -> tuple:
+def _message_key(message: LeaseMessage) -> StateKey:
     if isinstance(message, ReleaseLease):
-        return "back", message.instance_id, message.round
+        return "release", message.instance_id, message.round
     if isinstance(message, VoteRequest):
         return (
-            "ask",
+            "request",
             message.instance_id,
             message.round,
             message.token,
             message.voters_version,
             message.renewal,
         )
-    return "grant", message.instance_id, message.round, message.token, 0, False
+    return "granted", message.instance_id, message.round, message.token, 0, False
 
 
-def _electorate_key(electorate: Electorate, now: int) -> tuple:
+def _electorate_key(electorate: Electorate, now: int) -> StateKey:
     if len(electorate.voter_sets) == 1:
         return ()
     longest = 2 * electorate.max_term  # older than that makes no difference
@@ -223,27 +244,34 @@
     return electorate.version, min(now - electorate.adopted_at, longest), observed
 
 
-def _voter_key(voter: Voter, now: int) -> tuple:
+def _voter_key(voter: Voter, now: int) -> StateKey:
     standing = voter.leases.get(LEASE)
     if standing is None:
-        inner: tuple = (voter.base_token, (0, 0), ())
+        inner: StateKey = (voter.base_token, (0, 0), ())
     else:
         inner = (standing.highest_token, standing.released, _vote_key(standing.vote, now))
     age = min(now - voter.started_at, voter.electorate.max_term)
     return inner, voter.base_token, age, _electorate_key(voter.electorate, now)
 
 
-def _vote_key(vote: Vote | None, now: int) -> tuple:
+def _vote_key(vote: Vote | None, now: int) -> StateKey:
     """An ended vote still counts for its owner's token, so it stays in the key, with nothing left."""
     if vote is None:
         return ()
     return vote.instance_id, vote.round, vote.token, max(0, vote.expires_at - now)
 
 
-def _claim_key(claim: LeaseAcquisition, now: int) -> tuple:
+def _acquisition_key(acquisition: LeaseAcquisition, now: int) -> StateKey:
     rounds = tuple(
-        (number, min(now - began, claim.term + 1), number in claim.renewal_rounds)
-        for number, began in claim.open_rounds.items()
+        (number, min(now - began, acquisition.term + 1), number in acquisition.renewal_rounds)
+        for number, began in acquisition.open_rounds.items()
+    )
+    electorate = _electorate_key(acquisition.electorate, now)
+    return (
+        acquisition.instance_id,
+        acquisition.round,
+        acquisition.token,
+        acquisition.highest_token,
+        rounds,
+        electorate,
     )
-    electorate = _electorate_key(claim.electorate, now)
-    return claim.instance_id, claim.round, claim.token, claim.highest_token, rounds, electorate
