--- a/cypressledge/lab/capacity/evaluation.py
+++ b/cypressledge/lab/capacity/evaluation.py
@@ -18,10 +18,8 @@
 
 def _evaluate_one(results: Results, requirement: Requirement) -> RequirementResult:
     measurements = Measurements(results)
-    value = requirement.compute(measurements)
-    limit = requirement.limit
-    if isinstance(limit, str):
-        limit = measurements.fact(limit)
+    value = requirement.figure.compute(measurements)
+    limit = requirement.limit.resolve(measurements)
     passed_from = _passed_from(results, requirement, value, limit)
     return RequirementResult(requirement, value, limit, measurements.used, passed_from)
 
@@ -35,6 +33,6 @@
     low, high = 0.0, 1.0
     for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2
-        passed = requirement.compute(Measurements(results, middle)) > limit
+        passed = requirement.figure.compute(Measurements(results, middle)) > limit
         low, high = (low, middle) if passed else (middle, high)
     return high * TARGET_BROKERS
--- a/cypressledge/lab/capacity/fleet_requirements.py
+++ b/cypressledge/lab/capacity/fleet_requirements.py
@@ -1,11 +1,22 @@
 """What the roles need that serve all brokers: planner, leader, control machines, directory; and an engine."""
 
-from collections.abc import Callable
+from functools import partial
 
-from cypressledge.lab.capacity.requirements import Measurements, Requirement
+from cypressledge.lab.capacity.requirements import (
+    LINK,
+    MODULE_TICK,
+    ONE_CORE,
+    PLANNER_CPU,
+    PLANNER_NETWORK,
+    Figure,
+    Limit,
+    Measurements,
+    Requirement,
+    curve_at_brokers,
+    curve_at_engines,
+)
 from cypressledge.lab.capacity.targets import (
     CONFIGURATION_CHANGES_A_DAY,
-    CONTROL_CPU_PCT,
     CONTROL_MACHINES,
     CONTROL_NETWORK_KB_S,
     DIRECTORY,
@@ -13,7 +24,6 @@
     ENGINE,
     ENGINES_PER_OBSERVATION,
     LEADER,
-    LINK_KB_S,
     MISSING_ENGINE_SHARE,
     MISSING_HISTORY,
     MISSING_PLANNER_MACHINE,
@@ -30,21 +40,25 @@
 )
 
 
-def _observations_kb_s(rate: float) -> Callable[[Measurements], float]:
-    def compute(measured: Measurements) -> float:
-        size = measured.at("sight_bytes", ENGINES_PER_OBSERVATION)
-        return size * rate * (measured.brokers - 1) / 1000
+def _observations_kb_s(measured: Measurements, rate: float) -> float:
+    """Return KB/s of the observations of all other brokers, each of which sends `rate` of them a second."""
+    size = measured.at("sight_bytes", ENGINES_PER_OBSERVATION)
+    return size * rate * (measured.brokers - 1) / 1000
 
-    return compute
 
+def _planner_cpu_pct(measured: Measurements, rate: float, run_curve: str) -> float:
+    """Return % of a core for the observations of all brokers, each at `rate` a second, and the runs."""
+    received = measured.fact("sight_us") * rate * measured.brokers / 1e6
+    runs = measured.at(run_curve, measured.brokers) * PLANNER_RUNS_PER_S / 1e3
+    return (received + runs) * 100
 
-def _planner_cpu_pct(rate: float, run_curve: str) -> Callable[[Measurements], float]:
-    def compute(measured: Measurements) -> float:
-        received = measured.fact("sight_us") * rate * measured.brokers / 1e6
-        runs = measured.at(run_curve, measured.brokers) * PLANNER_RUNS_PER_S / 1e3
-        return (received + runs) * 100
 
-    return compute
+OBSERVATIONS = Figure(partial(_observations_kb_s, rate=OBSERVATIONS_PER_S))
+OBSERVATIONS_FAILING = Figure(partial(_observations_kb_s, rate=OBSERVATIONS_PER_S_FAILING))
+PLANNER_WELL = Figure(partial(_planner_cpu_pct, rate=OBSERVATIONS_PER_S, run_curve="planner_well_ms"))
+PLANNER_ZONE_LOST = Figure(
+    partial(_planner_cpu_pct, rate=OBSERVATIONS_PER_S_FAILING, run_curve="planner_lost_ms")
+)
 
 
 def _summaries_kb_s(measured: Measurements) -> float:
@@ -66,9 +80,7 @@
         kind="messages",
         what="sights received, all well",
         unit="1/s",
-        compute=lambda measured: measured.brokers * OBSERVATIONS_PER_S,
-        limit=None,
-        limit_source="none set",
+        figure=Figure(lambda measured: measured.brokers * OBSERVATIONS_PER_S),
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -76,9 +88,8 @@
         kind="network",
         what="sights received, all well",
         unit="KB/s",
-        compute=_observations_kb_s(OBSERVATIONS_PER_S),
-        limit=CONTROL_NETWORK_KB_S,
-        limit_source="the target (the planner is a broker)",
+        figure=OBSERVATIONS,
+        limit=PLANNER_NETWORK,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -86,9 +97,8 @@
         kind="network",
         what="sights received, something fails everywhere",
         unit="KB/s",
-        compute=_observations_kb_s(OBSERVATIONS_PER_S_FAILING),
-        limit=CONTROL_NETWORK_KB_S,
-        limit_source="the target (the planner is a broker)",
+        figure=OBSERVATIONS_FAILING,
+        limit=PLANNER_NETWORK,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -96,9 +106,10 @@
         kind="network",
         what="plans sent, each second",
         unit="KB/s",
-        compute=lambda measured: measured.fact("plan_bytes") * PLANS_PER_S * (measured.brokers - 1) / 1000,
-        limit=CONTROL_NETWORK_KB_S,
-        limit_source="the target (the planner is a broker)",
+        figure=Figure(
+            lambda measured: measured.fact("plan_bytes") * PLANS_PER_S * (measured.brokers - 1) / 1000
+        ),
+        limit=PLANNER_NETWORK,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -106,9 +117,8 @@
         kind="network",
         what="summary's holder: figures in, summaries out",
         unit="KB/s",
-        compute=_summaries_kb_s,
-        limit=CONTROL_NETWORK_KB_S,
-        limit_source="the target (the holder is a broker)",
+        figure=Figure(_summaries_kb_s),
+        limit=Limit(CONTROL_NETWORK_KB_S, "the target (the holder is a broker)"),
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -116,9 +126,8 @@
         kind="processor",
         what="ten acts/s and sights, all well",
         unit="% of a core",
-        compute=_planner_cpu_pct(OBSERVATIONS_PER_S, "planner_well_ms"),
-        limit=CONTROL_CPU_PCT,
-        limit_source="the target (the planner is a broker)",
+        figure=PLANNER_WELL,
+        limit=PLANNER_CPU,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -126,9 +135,8 @@
         kind="processor",
         what="ten acts/s and sights, a zone lost",
         unit="% of a core",
-        compute=_planner_cpu_pct(OBSERVATIONS_PER_S_FAILING, "planner_lost_ms"),
-        limit=CONTROL_CPU_PCT,
-        limit_source="the target (the planner is a broker)",
+        figure=PLANNER_ZONE_LOST,
+        limit=PLANNER_CPU,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -136,52 +144,42 @@
         kind="time",
         what="processor time of one act, a zone lost",
         unit="ms",
-        compute=lambda measured: measured.at("planner_lost_ms", measured.brokers),
-        limit=PLANNER_RUN_CPU_MS,
-        limit_source="2% of a core for 1 s, then it is cut off",
+        figure=curve_at_brokers("planner_lost_ms"),
+        limit=Limit(PLANNER_RUN_CPU_MS, "2% of a core for 1 s, then it is cut off"),
         carried_by=MISSING_PLANNER_MACHINE,
-        is_direct=True,
     ),
     Requirement(
         role=PLANNER,
         kind="time",
         what="longest step of an act, requests stand still",
         unit="ms",
-        compute=lambda measured: measured.at("planner_longest_ms", measured.brokers),
-        limit=5.0,
-        limit_source="the module's tick",
+        figure=curve_at_brokers("planner_longest_ms"),
+        limit=MODULE_TICK,
         carried_by=MISSING_PLANNER_MACHINE,
-        is_direct=True,
     ),
     Requirement(
         role=PLANNER,
         kind="state",
         what="one summary, a quarter of the brokers missing",
         unit="bytes",
-        compute=lambda measured: measured.at("summary_bytes", measured.brokers),
-        limit=8_192.0,
-        limit_source="a datagram's bound",
-        carried_by="stands",
-        is_direct=True,
+        figure=curve_at_brokers("summary_bytes"),
+        limit=Limit(8_192.0, "a datagram's bound"),
     ),
     Requirement(
         role=PLANNER,
         kind="state",
         what="engines a summary has to name, a zone lost",
         unit="engines",
-        compute=lambda measured: measured.engines / TARGET_ZONES,
-        limit=128.0,
-        limit_source="ENGINES_MOST",
-        carried_by="stands",
+        figure=Figure(lambda measured: measured.engines / TARGET_ZONES),
+        limit=Limit(128.0, "ENGINES_MOST"),
     ),
     Requirement(
         role=LEADER,
         kind="messages",
         what="changes of the configuration",
         unit="a day",
-        compute=lambda measured: CONFIGURATION_CHANGES_A_DAY,
-        limit=None,
-        limit_source="in force within 12 s",
+        figure=Figure(lambda measured: CONFIGURATION_CHANGES_A_DAY),
+        limit=Limit(None, "in force within 12 s"),
         carried_by="was missing: a primary; now the control plane",
     ),
     Requirement(
@@ -189,9 +187,10 @@
         kind="network",
         what="a change a second as whole lists to every broker",
         unit="KB/s",
-        compute=lambda measured: measured.at("directory_bytes", measured.engines) * measured.brokers / 1000,
-        limit=LINK_KB_S,
-        limit_source="a link of 1 Gbit/s, assumed",
+        figure=Figure(
+            lambda measured: measured.at("directory_bytes", measured.engines) * measured.brokers / 1000
+        ),
+        limit=LINK,
         carried_by=MISSING_HISTORY,
     ),
     Requirement(
@@ -199,9 +198,8 @@
         kind="state",
         what="machines set aside; in use by the program",
         unit="machines",
-        compute=lambda measured: 0.0,
-        limit=8.0,
-        limit_source="the target",
+        figure=Figure(lambda measured: 0.0),
+        limit=Limit(8.0, "the target"),
         carried_by="was missing: control processes; now the control plane",
     ),
     Requirement(
@@ -209,9 +207,8 @@
         kind="network",
         what="the planner's sights there, something fails everywhere",
         unit="KB/s",
-        compute=_observations_kb_s(OBSERVATIONS_PER_S_FAILING),
-        limit=LINK_KB_S,
-        limit_source="a link of 1 Gbit/s, assumed",
+        figure=OBSERVATIONS_FAILING,
+        limit=LINK,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -219,9 +216,8 @@
         kind="processor",
         what="the planner's acts and sights there, a zone lost",
         unit="% of a core",
-        compute=_planner_cpu_pct(OBSERVATIONS_PER_S_FAILING, "planner_lost_ms"),
-        limit=100.0,
-        limit_source="one core, one thread",
+        figure=PLANNER_ZONE_LOST,
+        limit=ONE_CORE,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
     Requirement(
@@ -229,31 +225,25 @@
         kind="state",
         what="the list in one answer",
         unit="bytes",
-        compute=lambda measured: measured.at("directory_bytes", measured.engines),
-        limit=float(DIRECTORY_ANSWER_BYTES),
-        limit_source="the platform's page",
+        figure=curve_at_engines("directory_bytes"),
+        limit=Limit(float(DIRECTORY_ANSWER_BYTES), "the platform's page"),
         carried_by=MISSING_HISTORY,
-        is_direct=True,
     ),
     Requirement(
         role=DIRECTORY,
         kind="state",
         what="engines in one DNS message",
         unit="engines",
-        compute=lambda measured: measured.engines,
-        limit="directory_fits_65535",
-        limit_source="65,535 bytes",
+        figure=Figure(lambda measured: measured.engines, is_direct=True),
+        limit=Limit(None, "65,535 bytes", fact="directory_fits_65535"),
         carried_by=MISSING_HISTORY,
-        is_direct=True,
     ),
     Requirement(
         role=DIRECTORY,
         kind="messages",
         what="polls of all brokers",
         unit="1/s",
-        compute=lambda measured: measured.brokers * POLLS_PER_S,
-        limit=None,
-        limit_source="none set",
+        figure=Figure(lambda measured: measured.brokers * POLLS_PER_S),
         carried_by=MISSING_HISTORY,
     ),
     Requirement(
@@ -261,12 +251,8 @@
         kind="network",
         what="whole lists sent to all brokers",
         unit="KB/s",
-        compute=lambda measured: measured.at("directory_bytes", measured.engines)
-        * POLLS_PER_S
-        * measured.brokers
-        / 1000,
-        limit=LINK_KB_S,
-        limit_source="a link of 1 Gbit/s, assumed",
+        figure=Figure(_lists_kb_s),
+        limit=LINK,
         carried_by=MISSING_HISTORY,
     ),
     Requirement(
@@ -274,19 +260,15 @@
         kind="messages",
         what="statements of all brokers",
         unit="1/s",
-        compute=lambda measured: measured.brokers * STATEMENTS_PER_S / measured.engines,
-        limit=None,
-        limit_source="none set",
-        carried_by="stands",
+        figure=Figure(lambda measured: measured.brokers * STATEMENTS_PER_S / measured.engines),
     ),
     Requirement(
         role=ENGINE,
         kind="sockets",
         what="connections of all brokers",
         unit="connections",
-        compute=_connections_per_engine,
-        limit=None,
-        limit_source="none set by a site",
+        figure=Figure(_connections_per_engine),
+        limit=Limit(None, "none set by a site"),
         carried_by=MISSING_ENGINE_SHARE,
     ),
 )
--- a/cypressledge/lab/capacity/plots.py
+++ b/cypressledge/lab/capacity/plots.py
@@ -17,7 +17,7 @@
     for result in evaluate(results):
         if not result.ratio or len(result.sources) != 1:
             continue
-        if not result.requirement.is_direct and result.requirement.role == FAILURES:
+        if not result.requirement.figure.is_direct and result.requirement.role == FAILURES:
             continue
         name = next(iter(result.sources))
         curve = curves.get(name)
--- a/cypressledge/lab/capacity/requirement_tables.py
+++ b/cypressledge/lab/capacity/requirement_tables.py
@@ -21,7 +21,7 @@
                 result.requirement.unit,
                 "-" if result.limit is None else result.limit,
                 "-" if result.ratio is None else f"{result.ratio:.2f}",
-                result.requirement.limit_source,
+                result.requirement.limit.source,
                 result.basis,
                 ", ".join(result.sources) or "-",
                 result.requirement.carried_by,
--- a/cypressledge/lab/capacity/requirements.py
+++ b/cypressledge/lab/capacity/requirements.py
@@ -6,10 +6,18 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-
-from cypressledge.lab.capacity.targets import TARGET_BROKERS, TARGET_ENGINES
+from typing import Literal
+
+from cypressledge.lab.capacity.targets import (
+    CONTROL_CPU_PCT,
+    CONTROL_NETWORK_KB_S,
+    LINK_KB_S,
+    TARGET_BROKERS,
+    TARGET_ENGINES,
+)
 from cypressledge.lab.results import Basis, Fact, Results, ResultsError, Slope
 
+RequirementKind = Literal["state", "messages", "processor", "memory", "sockets", "network", "time"]
 BASES_BY_CONFIDENCE = ("measured", "interpolated", "extrapolated")  # the firmest first
 
 
@@ -43,22 +51,66 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Requirement:
-    """One figure that a role needs: one line of the page.
+class Figure:
+    """How a requirement's figure follows from the measurements.
+
+    `is_direct`: it is a curve's own, or a count of the fleet, with nothing multiplied or added.
+    """
+
+    compute: Callable[[Measurements], float]
+    is_direct: bool = False
+
+
+def curve_at_engines(curve: str) -> Figure:
+    """Return a curve's own figure at the fleet's number of engines."""
+    return Figure(lambda measured: measured.at(curve, measured.engines), is_direct=True)
+
+
+def curve_at_brokers(curve: str) -> Figure:
+    """Return a curve's own figure at the fleet's number of brokers."""
+    return Figure(lambda measured: measured.at(curve, measured.brokers), is_direct=True)
+
 
-    `limit`: a string names the fact that it is. `is_direct`: the figure is a curve's own, with nothing
-    multiplied or added.
+@dataclass(frozen=True, slots=True)
+class Limit:
+    """What a figure is held against, in the figure's unit.
+
+    `value`: None where there is no limit; `source`: where it comes from, as the page says it; `fact`: the
+    measured fact that it is, in place of a value.
     """
 
+    value: float | None
+    source: str
+    fact: str = ""
+
+    def resolve(self, measured: Measurements) -> float | None:
+        """Return the limit's value. Raises `ResultsError` where its fact is missing."""
+        return measured.fact(self.fact) if self.fact else self.value
+
+
+NO_LIMIT = Limit(None, "none set")
+ONE_CORE = Limit(100.0, "one core, one thread")
+LINK = Limit(LINK_KB_S, "a link of 1 Gbit/s, assumed")
+MODULE_TICK = Limit(5.0, "the module's tick")
+TARGET_CPU = Limit(CONTROL_CPU_PCT, "the target")
+TARGET_NETWORK = Limit(CONTROL_NETWORK_KB_S, "the target")
+VOTER_CPU = Limit(CONTROL_CPU_PCT, "the target (a voter is a broker)")
+VOTER_NETWORK = Limit(CONTROL_NETWORK_KB_S, "the target (a voter is a broker)")
+PLANNER_CPU = Limit(CONTROL_CPU_PCT, "the target (the planner is a broker)")
+PLANNER_NETWORK = Limit(CONTROL_NETWORK_KB_S, "the target (the planner is a broker)")
+
+
+@dataclass(frozen=True, slots=True)
+class Requirement:
+    """One figure that a role needs: one line of the page. `carried_by`: what meets it, as the page has it."""
+
     role: str
-    kind: str  # state, messages, processor, memory, sockets, network, time
+    kind: RequirementKind
     what: str
     unit: str
-    compute: Callable[[Measurements], float]
-    limit: float | str | None
-    limit_source: str
-    carried_by: str
-    is_direct: bool = False
+    figure: Figure
+    limit: Limit = NO_LIMIT
+    carried_by: str = "stands"
 
 
 @dataclass(slots=True)
@@ -92,4 +144,4 @@
         if not self.sources:
             return "given"
         base = max(self.sources.values(), key=BASES_BY_CONFIDENCE.index)
-        return base if self.requirement.is_direct else f"reckoned from {base}"
+        return base if self.requirement.figure.is_direct else f"reckoned from {base}"
