--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -168,7 +168,10 @@
 @click.option("--json", "json_file", default="", help="Append each run's figures to this file.")
 @click.option("--plot", default="", help="Draw times and costs into this file (needs matplotlib).")
 @click.option("--quick", is_flag=True, help="60 brokers, 60 engines, 30 s.")
-@click.option("--quiet", is_flag=True, help="Break nothing: a change each 5 s, and what that costs.")
+@click.option(
+    "--no-faults", "without_faults", is_flag=True, help="Break nothing: a change each 5 s, and what it costs."
+)
+@click.option("--quiet", "without_faults", is_flag=True, hidden=True)  # its name before this release
 @click.option(
     "--members/--no-members",
     default=True,
--- a/cypressledge/lab/capacity/capacity_run.py
+++ b/cypressledge/lab/capacity/capacity_run.py
@@ -1,12 +1,10 @@
 """One capacity run: starts a fleet, plays a day of changes and faults, and judges what was written down."""
 
-import json
 import os
 import random
 import sys
 import time
-from collections.abc import Callable
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -14,7 +12,7 @@
 
 from cypressledge.lab.capacity import checks
 from cypressledge.lab.capacity.control_process import call_management
-from cypressledge.lab.capacity.day import Day, draw_day, quiet_day
+from cypressledge.lab.capacity.day import Day, draw_day, draw_day_without_faults
 from cypressledge.lab.capacity.event_records import boottime_us, read_tail
 from cypressledge.lab.capacity.fault_injector import FaultInjector
 from cypressledge.lab.capacity.fleet import (
@@ -25,14 +23,14 @@
     engine_value,
     unused_address,
 )
-from cypressledge.lab.capacity.observations import harness_observations
+from cypressledge.lab.capacity.observations import harness_observations, write_observations
 from cypressledge.lab.capacity.process_cost import Usage
 from cypressledge.lab.capacity.run_figures import run_figures
 from cypressledge.lab.capacity.simulated_operator import SimulatedOperator
 from cypressledge.lab.processes import commit, until
 
 CHANGE_INTERVAL_S = 0.7  # mean time between changes
-QUIET_CHANGE_INTERVAL_S = 5.0  # the same where nothing breaks: still 38 times the target's 450 a day
+INTERVAL_WITHOUT_FAULTS_S = 5.0  # the same where nothing breaks: still 38 times the target's 450 a day
 LATENESS_PROBE_S = 0.02  # the harness's own sleep whose lateness is measured
 WATCH_INTERVAL_S = 1.0
 POLL_INTERVAL_S = 0.5  # while waiting for brokers to have a version
@@ -51,9 +49,8 @@
     seconds: float
     seed: int
     folder: Path
-    say: Callable[[str], None]
     live: bool = False  # show progress on standard error
-    quiet: bool = False  # nothing is broken
+    without_faults: bool = False
     verdict: checks.Verdict = field(default_factory=checks.Verdict)
     figures: dict[str, Any] = field(default_factory=dict)  # for the results file
     broken: list[str] = field(default_factory=list)  # lines that make the run fail
@@ -61,11 +58,11 @@
     memory_mb: float = 0.0
     processes: int = 0
     load_before: float = 0.0
-    load_most: float = 0.0
+    highest_load: float = 0.0
     start_s: float = 0.0
     commit: str = ""
     served: int = 0  # lookups at real brokers
-    refused: int = 0
+    unserved: int = 0  # the same, rejected or without an answer
     simulated_usage: Usage = field(default_factory=Usage)
     real_usage: Usage = field(default_factory=Usage)
 
@@ -93,8 +90,8 @@
         return self
 
     def _draw_day(self) -> Day:
-        if self.quiet:
-            return quiet_day(self.seed, self.seconds, QUIET_CHANGE_INTERVAL_S)
+        if self.without_faults:
+            return draw_day_without_faults(self.seed, self.seconds, INTERVAL_WITHOUT_FAULTS_S)
         return draw_day(self.seed, self.seconds, CONTROL_TERM_S, CHANGE_INTERVAL_S)
 
     def _await_first_change(self) -> None:
@@ -107,12 +104,14 @@
             raise ScaleError(f"the first change was not taken: {first}")
         names = list(self.world.brokers)
         timeout_s = 30 + len(names) / 5
-        if not until(lambda: self._have(names, first.version) == len(names), timeout_s, POLL_INTERVAL_S):
+        if not until(
+            lambda: self._count_applied(names, first.version) == len(names), timeout_s, POLL_INTERVAL_S
+        ):
             raise ScaleError(
-                f"{self._have(names, first.version)} of {len(names)} brokers have the first change"
+                f"{self._count_applied(names, first.version)} of {len(names)} brokers have the first change"
             )
 
-    def _have(self, names: list[str], version: int) -> int:
+    def _count_applied(self, names: list[str], version: int) -> int:
         """Count the brokers that have a version, or a newer one, in force."""
         return sum(_last_version(self.world.record(name)) >= version for name in names)
 
@@ -138,7 +137,7 @@
         """Wait until all have what was acknowledged last; whoever has not by then has lost it."""
         newest = max((change.version for change in self.operator.acked), default=0)
         names = [name for name, broker in self.world.brokers.items() if broker.up]
-        until(lambda: self._have(names, newest) == len(names), END_S, POLL_INTERVAL_S)
+        until(lambda: self._count_applied(names, newest) == len(names), END_S, POLL_INTERVAL_S)
 
     def _measure_lateness(self) -> None:
         while True:
@@ -150,7 +149,7 @@
         """Sample the processes again and again."""
         while True:
             self.world.sample()
-            self.load_most = max(self.load_most, os.getloadavg()[0])
+            self.highest_load = max(self.highest_load, os.getloadavg()[0])
             self.processes = max(self.processes, self.world.processes())
             self.memory_mb = max(self.memory_mb, self.world.memory_mb())
             self._sample_traffic()
@@ -168,7 +167,7 @@
     def _count_lookups(self) -> None:
         clients = self.world.clients
         self.served = sum(client.counts["served"] for client in clients)
-        self.refused = sum(client.counts["refused"] + client.counts["broken"] for client in clients)
+        self.unserved = sum(client.counts["refused"] + client.counts["broken"] for client in clients)
 
     def _show_progress(self, text: str) -> None:
         if self.live:
@@ -186,8 +185,7 @@
         observed = harness_observations(
             self.operator, self.faults, brokers, controls, frozenset(world.brokers), self.over, killed
         )
-        kept = asdict(observed) | {"ends": [[*life, at] for life, at in observed.ends.items()]}
-        (folder / "seen.json").write_text(json.dumps(kept, default=sorted))
+        write_observations(folder / "seen.json", observed)
         self.verdict = checks.check(brokers, controls, observed)
         self.simulated_usage = Usage.largest(
             host.cost.usage(shared_by=count) for host in world.hosts if (count := world.hosted_by(host))
@@ -198,7 +196,7 @@
         self.broken += [
             f"too little took place: {why}"
             for why in checks.insufficient_activity(
-                self.verdict, observed, self.size.brokers, self.seconds, self.quiet
+                self.verdict, observed, self.size.brokers, self.seconds, self.without_faults
             )
         ]
         exceeded = checks.exceeded_limits(self.verdict, usage.cpu_pct, usage.net_kb_s, usage.rss_mb)
--- a/cypressledge/lab/capacity/checks.py
+++ b/cypressledge/lab/capacity/checks.py
@@ -11,6 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from pathlib import Path
+from typing import NamedTuple
 
 IN_FORCE_LIMIT_S = 12.0  # limits: s from the acknowledgement, in quiet times
 LEADER_LIMIT_S = 8.0  # s without a primary
@@ -41,14 +42,14 @@
 class LeaderLoss:
     """A leader that the harness took away at `at`, µs.
 
-    `who` empty: all control processes, of which the last was gone at `gone`: what one of them recorded in
-    between is no sign of the next leader.
+    `who` empty: all control processes, of which the last stopped at `all_stopped_at`: what one of them
+    recorded in between is no sign of the next leader.
     """
 
     at: int
     who: str
     kind: str
-    gone: int = 0
+    all_stopped_at: int = 0
 
 
 @dataclass(slots=True)
@@ -66,10 +67,20 @@
     ends: dict[tuple[str, int], int]
     over: int
     wrongs: list[str] = field(default_factory=list)  # answers that must not be, as the harness saw them
-    gone: frozenset[str] = frozenset()  # brokers that are not to be there at the end
+    removed: frozenset[str] = frozenset()  # brokers that are not to be there at the end
     expected: frozenset[str] = frozenset()  # those that are: one that never wrote a line is lost
 
 
+@dataclass(frozen=True, slots=True)
+class AppliedVersion:
+    """A version that a broker applied at `at`, µs."""
+
+    at: int
+    epoch: int
+    version: int
+    digest: str
+
+
 @dataclass(slots=True)
 class BrokerLife:
     """One run of one broker: its span, µs, and what it had in force, in order of time."""
@@ -79,7 +90,14 @@
     begin: int
     end: int
     ended: bool = False
-    held: list[tuple[int, int, int, str]] = field(default_factory=list)  # at, epoch, version, digest
+    applied: list[AppliedVersion] = field(default_factory=list)
+
+
+class LeaderlessTime(NamedTuple):
+    """The time without a leader after one was lost, s, and how it was lost."""
+
+    seconds: float
+    kind: str
 
 
 @dataclass(slots=True)
@@ -87,19 +105,19 @@
     """The verdict on one run. Times in s. `by_fault`: times of changes that met a fault, by its kind."""
 
     changes: int = 0
-    quiet: list[float] = field(default_factory=list)
-    all: list[float] = field(default_factory=list)
+    undisturbed: list[float] = field(default_factory=list)  # of changes that met no fault
+    all_times: list[float] = field(default_factory=list)
     by_fault: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    primary_over: list[tuple[float, str]] = field(default_factory=list)
+    leaderless: list[LeaderlessTime] = field(default_factory=list)
     lost: list[str] = field(default_factory=list)
-    gone_back: list[str] = field(default_factory=list)
+    reverted: list[str] = field(default_factory=list)
     wrong: list[str] = field(default_factory=list)
     lives: int = 0
 
     @property
     def broken(self) -> bool:
         """Whether anything happened that must not."""
-        return bool(self.lost or self.gone_back or self.wrong)
+        return bool(self.lost or self.reverted or self.wrong)
 
 
 def read_records(paths: Iterable[Path]) -> list[dict]:
@@ -199,26 +217,28 @@
             )
         life = lives[key]
         if record["event"] == "in_force":
-            life.held.append((record["at"], record["epoch"], record["version"], record["digest"]))
+            applied = AppliedVersion(record["at"], record["epoch"], record["version"], record["digest"])
+            life.applied.append(applied)
     return list(lives.values())
 
 
 def _check_order(life: BrokerLife, verdict: Verdict) -> None:
     last = (0, 0)
-    for at, epoch, version, _ in life.held:
-        if version < last[1] or epoch < last[0]:
-            verdict.gone_back.append(
-                f"{life.broker} (run {life.run:x}) went from {last} to {(epoch, version)} at {at}"
+    for applied in life.applied:
+        position = (applied.epoch, applied.version)
+        if applied.version < last[1] or applied.epoch < last[0]:
+            verdict.reverted.append(
+                f"{life.broker} (run {life.run:x}) went from {last} to {position} at {applied.at}"
             )
-        last = (epoch, version)
+        last = position
 
 
 def _check_digests(life: BrokerLife, committed: dict[int, str], verdict: Verdict) -> None:
-    for at, _, version, digest in life.held:
-        if version and committed.get(version, "") != digest:
+    for applied in life.applied:
+        if applied.version and committed.get(applied.version, "") != applied.digest:
             verdict.wrong.append(
-                f"{life.broker} had version {version} as {digest} at {at}, committed is "
-                f"{committed.get(version, 'no such version')}"
+                f"{life.broker} had version {applied.version} as {applied.digest} at {applied.at}, "
+                f"committed is {committed.get(applied.version, 'no such version')}"
             )
 
 
@@ -227,11 +247,11 @@
     heal) the newest counts, once: it takes the others along."""
     down = sorted((s for s in observed.down if s.who == life.broker), key=lambda s: s.begin)
     moments, reached, top = [], [], 0
-    for at, _, version, _ in life.held:
-        if version > top:
-            moments.append(at)
-            reached.append(version)
-            top = version
+    for applied in life.applied:
+        if applied.version > top:
+            moments.append(applied.at)
+            reached.append(applied.version)
+            top = applied.version
     due: dict[int, AcknowledgedChange] = {}
     for change in observed.acked:
         if change.at < life.end:
@@ -275,17 +295,17 @@
     if got is None and life.end - base < IN_FORCE_LIMIT_S * 1e6:
         return  # it was killed before it could have it; or is lost, as said above
     took = max(0, until - base) / 1e6
-    verdict.all.append(took)
+    verdict.all_times.append(took)
     kinds = {s.kind for s in observed.faults if s.begin <= until and base <= s.end}
     for kind in kinds:
         verdict.by_fault[kind].append(took)
     if not kinds:
-        verdict.quiet.append(took)
+        verdict.undisturbed.append(took)
 
 
 def _check_missing(lives: list[BrokerLife], observed: HarnessObservations, verdict: Verdict) -> None:
     there = {life.broker for life in lives if not life.ended}
-    for name in sorted(observed.expected - observed.gone - there):
+    for name in sorted(observed.expected - observed.removed - there):
         verdict.lost.append(f"{name} is to be there at the end, and wrote nothing")
 
 
@@ -294,21 +314,29 @@
     signs = sorted((r["at"], r["who"]) for r in controls if r["event"] in ("primary", "acknowledged"))
     for loss in observed.losses:
         after = next(
-            (at for at, who in signs if at > max(loss.at, loss.gone) and who != loss.who), observed.over
+            (at for at, who in signs if at > max(loss.at, loss.all_stopped_at) and who != loss.who),
+            observed.over,
         )
-        verdict.primary_over.append(((after - loss.at) / 1e6, loss.kind))
+        verdict.leaderless.append(LeaderlessTime((after - loss.at) / 1e6, loss.kind))
 
 
 def insufficient_activity(
-    verdict: Verdict, observed: HarnessObservations, brokers: int, seconds: float, quiet: bool = False
+    verdict: Verdict,
+    observed: HarnessObservations,
+    brokers: int,
+    seconds: float,
+    without_faults: bool = False,
 ) -> list[str]:
-    """Return why the run means nothing; empty where it does mean something. `quiet`: no faults were due."""
+    """Return why the run means nothing; empty where it does mean something.
+
+    `without_faults`: none were due.
+    """
     found = []
-    if verdict.changes < max(5, seconds / (12 if quiet else 6)):
+    if verdict.changes < max(5, seconds / (12 if without_faults else 6)):
         found.append(f"only {verdict.changes} changes acknowledged")
-    if len(verdict.quiet) < brokers:
-        found.append(f"only {len(verdict.quiet)} times of a change at a broker in quiet times")
-    if quiet:
+    if len(verdict.undisturbed) < brokers:
+        found.append(f"only {len(verdict.undisturbed)} times of a change at a broker in quiet times")
+    if without_faults:
         return found + ["something was broken"] * bool(observed.faults or observed.losses)
     if not observed.losses:
         found.append("no primary was lost")
@@ -322,8 +350,8 @@
 
 def exceeded_limits(verdict: Verdict, cpu_pct: float, net_kb_s: float, rss_mb: float) -> list[str]:
     """Return which limits the run passed, with their values."""
-    most = max(verdict.quiet, default=0.0)
-    primary = max((s for s, _ in verdict.primary_over), default=0.0)
+    most = max(verdict.undisturbed, default=0.0)
+    primary = max((loss.seconds for loss in verdict.leaderless), default=0.0)
     rows = (
         ("in force, quiet, s", most, IN_FORCE_LIMIT_S),
         ("primary over, s", primary, LEADER_LIMIT_S),
--- a/cypressledge/lab/capacity/day.py
+++ b/cypressledge/lab/capacity/day.py
@@ -87,7 +87,7 @@
             at += span + QUIET_REST_S + rng.uniform(0.5, 1.0) * term_s
 
 
-def quiet_day(seed: int, seconds: float, every_s: float) -> Day:
+def draw_day_without_faults(seed: int, seconds: float, every_s: float) -> Day:
     """Draw a day of changes alone: what the control plane costs where nothing breaks."""
     return Day(seconds, [], draw_changes(random.Random(seed), seconds, every_s))
 
--- a/cypressledge/lab/capacity/observations.py
+++ b/cypressledge/lab/capacity/observations.py
@@ -1,10 +1,16 @@
 """What the harness did and saw during a capacity run, for its checks."""
 
+import json
+from dataclasses import asdict
+from pathlib import Path
+from typing import Any
+
 from cypressledge.lab.capacity.checks import AcknowledgedChange, HarnessObservations
 from cypressledge.lab.capacity.fault_injector import FaultInjector
 from cypressledge.lab.capacity.simulated_operator import SimulatedOperator
 
 BrokerRun = tuple[str, int]  # a broker's name and the number of its run
+FILE_KEYS = {"removed": "gone", "all_stopped_at": "gone"}  # of fields that have another name in the file
 
 
 def harness_observations(
@@ -67,3 +73,14 @@
         )
         for change in operator.acked
     ]
+
+
+def write_observations(path: Path, observed: HarnessObservations) -> None:
+    """Write the observations as JSON, so that a kept run can be judged again."""
+    content = asdict(observed, dict_factory=_file_keys)
+    content["ends"] = [[*life, at] for life, at in observed.ends.items()]
+    path.write_text(json.dumps(content, default=sorted))
+
+
+def _file_keys(fields: list[tuple[str, Any]]) -> dict[str, Any]:
+    return {FILE_KEYS.get(name, name): value for name, value in fields}
--- a/cypressledge/lab/capacity/run.py
+++ b/cypressledge/lab/capacity/run.py
@@ -14,7 +14,7 @@
 from cypressledge.lab.capacity.capacity_run import CapacityRun
 from cypressledge.lab.capacity.fleet import FleetSize, ScaleError
 from cypressledge.lab.capacity.run_plot import draw_plot
-from cypressledge.lab.capacity.run_report import print_report, summary_line
+from cypressledge.lab.capacity.run_report import print_report, summary
 
 QUICK_BROKERS = 60
 QUICK_ENGINES = 60
@@ -35,7 +35,7 @@
     json_file: str
     plot: str
     quick: bool
-    quiet: bool
+    without_faults: bool
     members: bool
     ping_s: float
     keep: str
@@ -63,7 +63,7 @@
     runs: list[CapacityRun] = []
     for size in options.sizes():
         try:
-            capacity_run = _play(options, size, say, live)
+            capacity_run = _play(options, size, live)
         except ScaleError as err:
             say(f"the run at {size.brokers} brokers failed: {err}")
             return 1
@@ -76,15 +76,15 @@
         if options.plot and len(runs) == len(options.sizes()):
             draw_plot(runs, options.plot)
             say(f"drawn: {options.plot}")
-        say(summary_line(capacity_run))
+        say(summary(capacity_run))
     return int(any(capacity_run.failed for capacity_run in runs))
 
 
-def _play(options: CapacityOptions, size: FleetSize, say: Callable[[str], None], live: bool) -> CapacityRun:
+def _play(options: CapacityOptions, size: FleetSize, live: bool) -> CapacityRun:
     with tempfile.TemporaryDirectory(prefix="cypressledge-capacity-") as temporary:
         folder = Path(options.keep or temporary) / str(size.brokers)
         folder.mkdir(parents=True, exist_ok=True)
-        return CapacityRun(size, options.seconds, options.seed, folder, say, live, options.quiet).play()
+        return CapacityRun(size, options.seconds, options.seed, folder, live, options.without_faults).play()
 
 
 def _append_figures(capacity_run: CapacityRun, json_file: str) -> None:
--- a/cypressledge/lab/capacity/run_figures.py
+++ b/cypressledge/lab/capacity/run_figures.py
@@ -19,13 +19,13 @@
         "engines": run.size.engines,
         "seconds": run.seconds,
         "seed": run.seed,
-        "quiet": run.quiet,
+        "quiet": run.without_faults,
         "commit": run.commit,
         **_change_figures(run.verdict),
         **_usage_figures(run),
         **_event_figures(run),
-        "all_p99_s": round(checks.quantile(run.verdict.all, 0.99), 3),
-        "all_most_s": round(max(run.verdict.all, default=0.0), 3),
+        "all_p99_s": round(checks.quantile(run.verdict.all_times, 0.99), 3),
+        "all_most_s": round(max(run.verdict.all_times, default=0.0), 3),
         **_broker_kind_figures(run.simulated_usage, run.real_usage),
         "alive_fewest": min(host.alive for host in run.world.hosts),
         "leases_held": sum(host.held for host in run.world.hosts),
@@ -37,9 +37,9 @@
 def _change_figures(verdict: checks.Verdict) -> dict[str, Any]:
     return {
         "changes": verdict.changes,
-        "p99_s": round(checks.quantile(verdict.quiet, 0.99), 3),
-        "most_s": round(max(verdict.quiet, default=0.0), 3),
-        "primary_most_s": round(max((s for s, _ in verdict.primary_over), default=0.0), 3),
+        "p99_s": round(checks.quantile(verdict.undisturbed, 0.99), 3),
+        "most_s": round(max(verdict.undisturbed, default=0.0), 3),
+        "primary_most_s": round(max((loss.seconds for loss in verdict.leaderless), default=0.0), 3),
     }
 
 
@@ -51,9 +51,9 @@
         "broker_net_kb_s": round(broker.net_kb_s, 2),
         "broker_rss_mb": round(broker.rss_mb, 1),
         "lost": len(run.verdict.lost),
-        "gone_back": len(run.verdict.gone_back),
+        "gone_back": len(run.verdict.reverted),
         "wrong": len(run.verdict.wrong),
-        "load_average": [round(run.load_before, 2), round(run.load_most, 2)],
+        "load_average": [round(run.load_before, 2), round(run.highest_load, 2)],
         "control_cpu_pct": round(control.cpu_pct, 2),
         "control_rss_mb": round(control.rss_mb, 1),
         "control_net_kb_s": round(control.net_kb_s, 1),
--- a/cypressledge/lab/capacity/run_report.py
+++ b/cypressledge/lab/capacity/run_report.py
@@ -18,34 +18,35 @@
     _print_events(run, say)
     _print_machine(run, say)
     verdict = run.verdict
-    for kind in (verdict.lost, verdict.gone_back, verdict.wrong):
+    for kind in (verdict.lost, verdict.reverted, verdict.wrong):
         for line in kind[:SHOWN_FAULTS]:
             say(f"  BROKEN {line}")
     for line in run.broken:
         say(f"  {line}")
 
 
-def summary_line(run: CapacityRun) -> str:
+def summary(run: CapacityRun) -> str:
     """Return the run in one line."""
-    f = run.figures
+    figures = run.figures
     return (
-        f"capacity: brokers {f['brokers']}, engines {f['engines']}, changes {f['changes']}, in force "
-        f"p99 {f['p99_s']:.2f} s most {f['most_s']:.2f} s, primary over most "
-        f"{f['primary_most_s']:.2f} s, broker cpu {f['broker_cpu_pct']:.2f} % net "
-        f"{f['broker_net_kb_s']:.2f} KB/s rss {f['broker_rss_mb']:.1f} MB, "
-        f"lost {f['lost']}, gone back {f['gone_back']}, wrong {f['wrong']}"
+        f"capacity: brokers {figures['brokers']}, engines {figures['engines']}, "
+        f"changes {figures['changes']}, "
+        f"in force p99 {figures['p99_s']:.2f} s most {figures['most_s']:.2f} s, "
+        f"primary over most {figures['primary_most_s']:.2f} s, broker cpu {figures['broker_cpu_pct']:.2f} % "
+        f"net {figures['broker_net_kb_s']:.2f} KB/s rss {figures['broker_rss_mb']:.1f} MB, "
+        f"lost {figures['lost']}, gone back {figures['gone_back']}, wrong {figures['wrong']}"
     )
 
 
 def _print_change_times(verdict: checks.Verdict, say: Callable[[str], None]) -> None:
     rows = [
-        _times_row("quiet", verdict.quiet),
+        _times_row("quiet", verdict.undisturbed),
         *(_times_row(kind, times) for kind, times in sorted(verdict.by_fault.items())),
-        _times_row("all", verdict.all),
+        _times_row("all", verdict.all_times),
     ]
     say(tabulate(rows, floatfmt=".2f", headers=["in force, s", "times", "median", "p99", "most"]))
-    for seconds, kind in verdict.primary_over:
-        say(f"no primary for {seconds:.2f} s: {kind}")
+    for loss in verdict.leaderless:
+        say(f"no primary for {loss.seconds:.2f} s: {loss.kind}")
 
 
 def _times_row(name: str, times: list[float]) -> list[object]:
@@ -78,7 +79,7 @@
     say(f"faults: {faults or 'none'}")
     say(
         f"snapshots {run.figures['snapshots']}, reconnects {run.figures['reconnects']}; "
-        f"real brokers served {run.served} lookups, {run.refused} were not; "
+        f"real brokers served {run.served} lookups, {run.unserved} were not; "
         f"members' ping period {_membership(run)}"
     )
 
@@ -97,7 +98,7 @@
     host_late = max((seconds for host in run.world.hosts for seconds in host.late), default=0.0)
     say(
         f"start of all {run.start_s:.1f} s; load average {run.load_before:.2f} before, "
-        f"{run.load_most:.2f} at the most; wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
+        f"{run.highest_load:.2f} at the most; wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
         f"{1e3 * max(run.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
         f"{run.memory_mb:.0f} MB in {run.processes} processes; seed {run.seed}, {run.seconds:g} s"
     )
--- a/tests/lab/test_capacity_checks.py
+++ b/tests/lab/test_capacity_checks.py
@@ -52,67 +52,69 @@
 
 
 def test_a_whole_run_is_whole():
-    v = checks.check(WHOLE, HISTORY, seen(ACKED))
-    assert not v.broken
-    assert v.changes == 5
-    assert v.quiet == v.all == [0.5] * 5
+    verdict = checks.check(WHOLE, HISTORY, seen(ACKED))
+    assert not verdict.broken
+    assert verdict.changes == 5
+    assert verdict.undisturbed == verdict.all_times == [0.5] * 5
 
 
 def test_a_change_that_never_came_is_lost():
-    v = checks.check(WHOLE[:-1], HISTORY, seen(ACKED))
-    assert len(v.lost) == 1
-    assert "version 5" in v.lost[0]
+    verdict = checks.check(WHOLE[:-1], HISTORY, seen(ACKED))
+    assert len(verdict.lost) == 1
+    assert "version 5" in verdict.lost[0]
 
 
 def test_a_broker_that_is_cut_off_at_the_end_has_lost_nothing():
-    v = checks.check(WHOLE[:-1], HISTORY, seen(ACKED, down=[span(4.9, 41, "cut", "a")]))
-    assert not v.lost
+    verdict = checks.check(WHOLE[:-1], HISTORY, seen(ACKED, down=[span(4.9, 41, "cut", "a")]))
+    assert not verdict.lost
 
 
 def test_a_later_version_takes_the_earlier_along():
-    v = checks.check([WHOLE[0], WHOLE[-1]], HISTORY, seen(ACKED))
-    assert not v.broken
-    assert max(v.all) == 4.5
+    verdict = checks.check([WHOLE[0], WHOLE[-1]], HISTORY, seen(ACKED))
+    assert not verdict.broken
+    assert max(verdict.all_times) == 4.5
 
 
 def test_a_broker_that_wrote_nothing_is_lost():
-    v = checks.check(WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab")))
-    assert v.lost == ["b is to be there at the end, and wrote nothing"]
-    assert not checks.check(WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab"), gone=frozenset("b"))).lost
+    verdict = checks.check(WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab")))
+    assert verdict.lost == ["b is to be there at the end, and wrote nothing"]
+    assert not checks.check(
+        WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab"), removed=frozenset("b"))
+    ).lost
 
 
 def test_a_killed_broker_that_did_not_come_back_is_lost():
-    v = checks.check(WHOLE, HISTORY, seen(ACKED, ends={("a", 1): 30 * S}, expected=frozenset("a")))
-    assert len(v.lost) == 1
+    verdict = checks.check(WHOLE, HISTORY, seen(ACKED, ends={("a", 1): 30 * S}, expected=frozenset("a")))
+    assert len(verdict.lost) == 1
 
 
 def test_an_acknowledged_change_that_no_history_has_is_lost():
-    v = checks.check(WHOLE, HISTORY, seen([*ACKED, (5.1, 9)]))
-    assert any("in no one's history" in line for line in v.lost)
+    verdict = checks.check(WHOLE, HISTORY, seen([*ACKED, (5.1, 9)]))
+    assert any("in no one's history" in line for line in verdict.lost)
 
 
 def test_an_acknowledged_change_whose_version_is_another_is_lost():
     history = [*HISTORY[:-1], control(5, version=5, request="another")]
-    v = checks.check(WHOLE, history, seen(ACKED))
-    assert any("and is another" in line for line in v.lost)
+    verdict = checks.check(WHOLE, history, seen(ACKED))
+    assert any("and is another" in line for line in verdict.lost)
 
 
 def test_back_to_an_older_version_is_found_but_not_across_lives():
     back = [*WHOLE, broker(7, "a", version=3), broker(8, "a", version=5)]
-    assert len(checks.check(back, HISTORY, seen(ACKED)).gone_back) == 1
+    assert len(checks.check(back, HISTORY, seen(ACKED)).reverted) == 1
     other = [*WHOLE, broker(7, "a", version=3, run=2), broker(8, "a", version=5, run=2)]
-    assert not checks.check(other, HISTORY, seen(ACKED, ends={("a", 1): 6 * S})).gone_back
+    assert not checks.check(other, HISTORY, seen(ACKED, ends={("a", 1): 6 * S})).reverted
 
 
 def test_back_to_an_older_epoch_is_found():
     back = [*WHOLE, broker(7, "a", version=6, epoch=0)]
-    assert checks.check(back, [*HISTORY, control(6, version=6)], seen(ACKED)).gone_back
+    assert checks.check(back, [*HISTORY, control(6, version=6)], seen(ACKED)).reverted
 
 
 def test_another_digest_at_a_broker_is_wrong():
-    v = checks.check([*WHOLE[:-1], broker(5.5, "a", version=5, digest="x")], HISTORY, seen(ACKED))
-    assert len(v.wrong) == 1
-    assert "committed is d5" in v.wrong[0]
+    verdict = checks.check([*WHOLE[:-1], broker(5.5, "a", version=5, digest="x")], HISTORY, seen(ACKED))
+    assert len(verdict.wrong) == 1
+    assert "committed is d5" in verdict.wrong[0]
 
 
 def test_a_version_that_nobody_committed_is_wrong():
@@ -120,8 +122,8 @@
 
 
 def test_two_histories_are_wrong():
-    v = checks.check(WHOLE, [*HISTORY, control(6, version=3, who="c2", digest="y")], seen(ACKED))
-    assert len(v.wrong) == 1
+    verdict = checks.check(WHOLE, [*HISTORY, control(6, version=3, who="c2", digest="y")], seen(ACKED))
+    assert len(verdict.wrong) == 1
 
 
 def test_a_repeat_that_became_another_version_is_wrong():
@@ -137,58 +139,58 @@
 def test_a_cut_broker_counts_from_the_heal():
     late = [*WHOLE[:-1], broker(20.5, "a", version=5)]
     told = seen(ACKED, down=[span(4.8, 20, "cut", "a")], faults=[span(4.8, 20, "cut")])
-    v = checks.check(late, HISTORY, told)
-    assert not v.broken
-    assert max(v.all) == pytest.approx(0.5)
+    verdict = checks.check(late, HISTORY, told)
+    assert not verdict.broken
+    assert max(verdict.all_times) == pytest.approx(0.5)
 
 
 def test_one_that_is_cut_while_it_waits_counts_from_the_heal():
     late = [*WHOLE[:-1], broker(20.5, "a", version=5)]
     told = seen(ACKED, down=[span(5.2, 20, "cut", "a")], faults=[span(5.2, 20, "cut")])
-    assert max(checks.check(late, HISTORY, told).all) == pytest.approx(0.5)
+    assert max(checks.check(late, HISTORY, told).all_times) == pytest.approx(0.5)
 
 
 def test_a_later_start_counts_from_the_start_and_once():
     other = [broker(30, "a", "start", run=2), broker(30.4, "a", version=5, run=2)]
-    v = checks.check([*WHOLE, *other], HISTORY, seen(ACKED, ends={("a", 1): 10 * S}))
-    assert not v.broken
-    assert v.all.count(pytest.approx(0.4)) == 1
-    assert len(v.all) == 6
+    verdict = checks.check([*WHOLE, *other], HISTORY, seen(ACKED, ends={("a", 1): 10 * S}))
+    assert not verdict.broken
+    assert verdict.all_times.count(pytest.approx(0.4)) == 1
+    assert len(verdict.all_times) == 6
 
 
 def test_one_that_was_killed_before_it_could_have_it_counts_for_nothing():
-    told = seen(ACKED, ends={("a", 1): round(5.2 * S)}, gone=frozenset("a"))
+    told = seen(ACKED, ends={("a", 1): round(5.2 * S)}, removed=frozenset("a"))
     assert not checks.check(WHOLE[:-1], HISTORY, told).broken
 
 
 def test_one_that_had_time_and_was_killed_without_it_shows():
-    told = seen(ACKED, ends={("a", 1): 30 * S}, gone=frozenset("a"))
-    assert max(checks.check(WHOLE[:-1], HISTORY, told).quiet) == 25
+    told = seen(ACKED, ends={("a", 1): 30 * S}, removed=frozenset("a"))
+    assert max(checks.check(WHOLE[:-1], HISTORY, told).undisturbed) == 25
 
 
 def test_quiet_times_and_faults_are_told_apart():
-    v = checks.check(WHOLE, HISTORY, seen(ACKED, faults=[span(2.9, 3.1, "a primary killed")]))
-    assert len(v.quiet) == 4
-    assert v.by_fault == {"a primary killed": [0.5]}
+    verdict = checks.check(WHOLE, HISTORY, seen(ACKED, faults=[span(2.9, 3.1, "a primary killed")]))
+    assert len(verdict.undisturbed) == 4
+    assert verdict.by_fault == {"a primary killed": [0.5]}
 
 
 def test_time_without_a_primary_ends_with_another():
     records = [*HISTORY, control(10.5, "acknowledged", 5, who="c1"), control(13, "primary", who="c2")]
     told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "c1", "killed")])
-    assert checks.check(WHOLE, records, told).primary_over == [(3.0, "killed")]
+    assert checks.check(WHOLE, records, told).leaderless == [(3.0, "killed")]
     told.losses = [checks.LeaderLoss(20 * S, "c2", "killed")]
-    assert checks.check(WHOLE, records, told).primary_over == [(20.0, "killed")]
+    assert checks.check(WHOLE, records, told).leaderless == [(20.0, "killed")]
 
 
 def test_all_restarted_ends_with_any_primary():
     told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "", "all")])
-    assert checks.check(WHOLE, [*HISTORY, control(12, "primary")], told).primary_over == [(2.0, "all")]
+    assert checks.check(WHOLE, [*HISTORY, control(12, "primary")], told).leaderless == [(2.0, "all")]
 
 
 def test_the_last_words_before_all_are_gone_are_no_sign():
     told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "", "all", round(10.2 * S))])
     records = [*HISTORY, control(10.1, "acknowledged", 5), control(12, "primary")]
-    assert checks.check(WHOLE, records, told).primary_over == [(2.0, "all")]
+    assert checks.check(WHOLE, records, told).leaderless == [(2.0, "all")]
 
 
 def test_too_little_is_said():
@@ -200,19 +202,21 @@
 
 def test_a_quiet_run_needs_changes_and_no_fault():
     told = seen([])
-    found = checks.insufficient_activity(checks.check([], [], told), told, 10, 60, quiet=True)
+    found = checks.insufficient_activity(checks.check([], [], told), told, 10, 60, without_faults=True)
     assert len(found) == 2
     assert "0 changes" in found[0]
     told.losses.append(checks.LeaderLoss(1, "c1", "killed"))
     assert "something was broken" in checks.insufficient_activity(
-        checks.check([], [], told), told, 10, 60, quiet=True
+        checks.check([], [], told), told, 10, 60, without_faults=True
     )
 
 
 def test_limits_are_named():
-    v = checks.Verdict(quiet=[12.5], primary_over=[(8.5, "killed")])
-    assert len(checks.exceeded_limits(v, 3.3, 31, 257)) == 5
-    assert not checks.exceeded_limits(checks.Verdict(quiet=[11.0], primary_over=[(7.0, "")]), 3.2, 30, 256)
+    verdict = checks.Verdict(undisturbed=[12.5], leaderless=[checks.LeaderlessTime(8.5, "killed")])
+    assert len(checks.exceeded_limits(verdict, 3.3, 31, 257)) == 5
+    assert not checks.exceeded_limits(
+        checks.Verdict(undisturbed=[11.0], leaderless=[checks.LeaderlessTime(7.0, "")]), 3.2, 30, 256
+    )
 
 
 def test_half_lines_of_killed_processes_are_passed_over(tmp_path):
--- a/tests/lab/test_capacity_run.py
+++ b/tests/lab/test_capacity_run.py
@@ -9,6 +9,11 @@
 import time
 from pathlib import Path
 
+import pytest
+from click.testing import CliRunner
+
+from cypressledge.cli import cli
+from cypressledge.lab.capacity import run as capacity_command
 from cypressledge.lab.capacity.capacity_run import CapacityRun
 from cypressledge.lab.capacity.fleet import FleetSize
 from cypressledge.lab.capacity.run_plot import draw_plot
@@ -90,7 +95,7 @@
     )
     points = []
     for count in (120, 60):
-        point = CapacityRun(FleetSize(count, 490, 5), 30.0, 1, tmp_path, print)
+        point = CapacityRun(FleetSize(count, 490, 5), 30.0, 1, tmp_path)
         point.figures = dict.fromkeys(names, 1.0) | {
             "brokers": count,
             "engines": 490,
@@ -103,7 +108,19 @@
 
 
 def test_a_run_that_is_too_large_for_the_machine_says_so(tmp_path):
-    point = CapacityRun(FleetSize(12, 20, 1), 30.0, 1, tmp_path, print)
+    point = CapacityRun(FleetSize(12, 20, 1), 30.0, 1, tmp_path)
     assert not point.resource_excess()
     point.memory_mb, point.processes = 11_000.0, 20
     assert "11000 MB" in point.resource_excess()
+
+
+@pytest.mark.parametrize("option", ["--no-faults", "--quiet"])
+def test_a_run_without_faults_has_a_former_option_that_is_hidden(monkeypatch, option):
+    played = []
+    monkeypatch.setattr(capacity_command, "run", lambda options, **_how: played.append(options) or 0)
+    assert CliRunner().invoke(cli, ["lab", "capacity", option]).exit_code == 0
+    assert CliRunner().invoke(cli, ["lab", "capacity"]).exit_code == 0
+    assert [options.without_faults for options in played] == [True, False]
+    help_text = CliRunner().invoke(cli, ["lab", "capacity", "--help"]).output
+    assert "--no-faults" in help_text
+    assert "--quiet" not in help_text
