--- a/cypressledge/lab/capacity/capacity_run.py
+++ b/cypressledge/lab/capacity/capacity_run.py
@@ -99,7 +99,7 @@
         self.operator = SimulatedOperator(self.world, self.seed)
         self.faults = FaultInjector(self.world, random.Random(self.seed + 1))
         spare_engine = engine_value(unused_address(999), "za")
-        first = self.operator.ask({"set": {"engine/e999": spare_engine}}, None)
+        first = self.operator.request_change({"set": {"engine/e999": spare_engine}}, None)
         if first.status != "taken":
             raise ScaleError(f"the first change was not taken: {first}")
         names = list(self.world.brokers)
@@ -119,7 +119,7 @@
 
     def _play_day(self, day: Day) -> None:
         began = time.monotonic()
-        changes = [gevent.spawn_later(event.at, self.operator.do, event) for event in day.changes]
+        changes = [gevent.spawn_later(event.at, self.operator.play, event) for event in day.changes]
         for event in day.faults:
             gevent.sleep(max(0.0, began + event.at - time.monotonic()))
             self._show_progress(f"{event.at:5.1f} s: {event.kind}")
@@ -135,7 +135,7 @@
 
     def _await_last_change(self) -> None:
         """Wait until all have what was acknowledged last; whoever has not by then has lost it."""
-        newest = max((change.version for change in self.operator.acked), default=0)
+        newest = max((change.version for change in self.operator.acknowledged), default=0)
         names = [name for name, broker in self.world.brokers.items() if broker.up]
         until(lambda: self._count_applied(names, newest) == len(names), END_S, POLL_INTERVAL_S)
 
@@ -158,7 +158,7 @@
     def _sample_traffic(self) -> None:
         """Take what control processes and real brokers report of their own traffic."""
         for control in self.world.controls:
-            if control.running() and not control.stopped and (status := control.status(STATUS_TIMEOUT_S)):
+            if control.responsive() and (status := control.status(STATUS_TIMEOUT_S)):
                 control.cost.add_total(_total_bytes(status))
         for name, broker in self.world.real_brokers.all.items():
             if broker.running() and (status := _broker_status(broker.management)):
@@ -171,7 +171,7 @@
 
     def _show_progress(self, text: str) -> None:
         if self.live:
-            changes = len(self.operator.acked)
+            changes = len(self.operator.acknowledged)
             sys.stderr.write(f"\r\x1b[K{self.size.brokers} brokers: {text}, {changes} changes")
             sys.stderr.flush()
 
@@ -227,7 +227,7 @@
 def _broker_status(port: int) -> dict:
     """Return a real broker's view of the control plane; empty where it does not answer."""
     try:
-        return call_management(port, "GET", "/control/status", seconds=STATUS_TIMEOUT_S)[1]
+        return call_management(port, "GET", "/control/status", seconds=STATUS_TIMEOUT_S).body
     except (OSError, ValueError, IndexError):
         return {}
 
--- a/cypressledge/lab/capacity/control_process.py
+++ b/cypressledge/lab/capacity/control_process.py
@@ -3,6 +3,7 @@
 import json
 import sys
 from pathlib import Path
+from typing import NamedTuple
 
 from gevent import socket, subprocess
 
@@ -15,10 +16,17 @@
 CHUNK_BYTES = 65_536
 
 
+class ManagementAnswer(NamedTuple):
+    """What a process answers on its management address: the HTTP status, and the JSON of the body."""
+
+    status: int
+    body: dict
+
+
 def call_management(
     port: int, method: str, path: str, body: bytes = b"", seconds: float = 8.0
-) -> tuple[int, dict]:
-    """Return a process's answer on its management address: HTTP status and JSON.
+) -> ManagementAnswer:
+    """Return a process's answer on its management address.
 
     `seconds`: how long to wait for it. Raises `OSError`, `ValueError`.
     """
@@ -33,7 +41,7 @@
         while chunk := sock.recv(CHUNK_BYTES):
             raw += chunk
     head, _, rest = raw.partition(b"\r\n\r\n")
-    return int(head.split()[1]), json.loads(rest)
+    return ManagementAnswer(int(head.split()[1]), json.loads(rest))
 
 
 class ControlProcess(OwnProcess):
@@ -76,9 +84,13 @@
             )
         self.stopped = False
 
+    def responsive(self) -> bool:
+        """Whether the process runs and is not stopped."""
+        return self.running() and not self.stopped
+
     def status(self, seconds: float = 1.0) -> dict:
         """Return its status as operators see it; empty where it does not answer."""
         try:
-            return call_management(self.management, "GET", "/control/status", seconds=seconds)[1]
+            return call_management(self.management, "GET", "/control/status", seconds=seconds).body
         except (OSError, ValueError, IndexError):
             return {}
--- a/cypressledge/lab/capacity/fault_injector.py
+++ b/cypressledge/lab/capacity/fault_injector.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a capacity run's day, and notes the spans in which they last."""
+"""Plays the faults of a capacity run's day, and records the spans in which they last."""
 
 import math
 import random
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import gevent
 
@@ -18,19 +19,27 @@
 KILLED_PART = 0.04  # of the brokers, at a time
 LEADER_POLL_S = 0.1
 LEADER_POLLS = 100  # until a fault goes on without a leader
+MINORITY_REGION = "west"  # with a minority of the voters
 SILENT_PART = 0.6  # of the cuts; the others reset connections
 
 
+class Kill(NamedTuple):
+    """A broker that was killed at `at`, µs."""
+
+    broker: str
+    at: int
+
+
 @dataclass(slots=True)
 class FaultInjector:
-    """Plays faults on a fleet, and notes their spans, the leaders lost and the brokers killed."""
+    """Plays faults on a fleet, and records their spans, the leaders lost and the brokers killed."""
 
     world: CapacityFleet
     random: random.Random
     down: list[Span] = field(default_factory=list)
     spans: list[Span] = field(default_factory=list)
     losses: list[LeaderLoss] = field(default_factory=list)
-    kills: list[tuple[str, int]] = field(default_factory=list)  # broker, µs
+    kills: list[Kill] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
 
     def play(self, event: Event) -> None:
@@ -53,62 +62,57 @@
 
     def leader(self) -> str:
         """Return the current leader by the control processes' records; empty where none has said so."""
-        return current_leader(
-            r for c in self.world.controls if c.record.exists() for r in read_tail(c.record)
-        )
+        records = [control.record for control in self.world.controls if control.record.exists()]
+        return current_leader(record for path in records for record in read_tail(path))
 
     def _await_leader(self) -> str:
         for _ in range(LEADER_POLLS):
             name = self.leader()
-            if (
-                name
-                and self.world.control_by_name[name].running()
-                and not self.world.control_by_name[name].stopped
-            ):
+            control = self.world.control_by_name.get(name)
+            if control is not None and control.responsive():
                 return name
             gevent.sleep(LEADER_POLL_S)
         return ""
 
-    def _note_leader_loss(self, who: str, kind: str) -> None:
+    def _record_leader_loss(self, who: str, kind: str) -> None:
         self.losses.append(LeaderLoss(boottime_us(), who, kind))
 
     def _kill(self, names: list[str]) -> None:
         self.world.down(names)
         at = boottime_us()
-        self.kills += [(name, at) for name in names]
+        self.kills += [Kill(name, at) for name in names]
 
     # Kinds of faults
 
     def _kill_leader(self, event: Event) -> None:
         if name := self._await_leader():
-            self._note_leader_loss(name, event.kind)
+            self._record_leader_loss(name, event.kind)
             self.world.control_by_name[name].kill()
             gevent.sleep(event.span)
             self.world.control_by_name[name].start()
 
     def _stop_leader(self, event: Event) -> None:
         if name := self._await_leader():
-            self._note_leader_loss(name, event.kind)
+            self._record_leader_loss(name, event.kind)
             self.world.control_by_name[name].signal(signal.SIGSTOP)
             gevent.sleep(event.span)
             self.world.control_by_name[name].signal(signal.SIGCONT)
 
     def _restart_all_controls(self, event: Event) -> None:
         began = boottime_us()
-        for c in self.world.controls:
-            c.kill()
+        for control in self.world.controls:
+            control.kill()
         self.losses.append(LeaderLoss(began, "", event.kind, boottime_us()))
         gevent.sleep(event.span)
-        for c in self.world.controls:
-            c.start()
+        for control in self.world.controls:
+            control.start()
 
     def _some_brokers(self) -> list[str]:
         """Draw a few of the simulated brokers, and a real one."""
-        simulated = [n for n, p in self.world.brokers.items() if p.host]
-        real = [n for n, p in self.world.brokers.items() if not p.host]
-        return self.random.sample(simulated, math.ceil(KILLED_PART * len(simulated))) + self.random.sample(
-            real, min(1, len(real))
-        )
+        simulated = [name for name, broker in self.world.brokers.items() if broker.host]
+        real = [name for name, broker in self.world.brokers.items() if not broker.host]
+        some_simulated = self.random.sample(simulated, math.ceil(KILLED_PART * len(simulated)))
+        return some_simulated + self.random.sample(real, min(1, len(real)))
 
     def _kill_brokers(self, event: Event) -> None:
         names = self._some_brokers()
@@ -126,31 +130,31 @@
 
     def _kill_zone(self, event: Event) -> None:
         """Of one, two or three zones: a majority of the voters is never in one."""
-        zone = sorted({c.zone for c in self.world.controls})[int(event.pick * 3) % 3]
-        controls = [c for c in self.world.controls if c.zone == zone]
+        zone = sorted({control.zone for control in self.world.controls})[int(event.pick * 3) % 3]
+        controls = [control for control in self.world.controls if control.zone == zone]
         leader = self._await_leader()
-        if leader in {c.name for c in controls}:
-            self._note_leader_loss(leader, event.kind)
-        for c in controls:
-            c.kill()
-        names = [n for n, p in self.world.brokers.items() if p.zone == zone]
+        if leader in {control.name for control in controls}:
+            self._record_leader_loss(leader, event.kind)
+        for control in controls:
+            control.kill()
+        names = [name for name, broker in self.world.brokers.items() if broker.zone == zone]
         self._kill(names)
         gevent.sleep(event.span)
-        for c in controls:
-            c.start()
+        for control in controls:
+            control.start()
         self.world.up(names)
 
     def _cut_regions(self, event: Event) -> None:
         """The region with a minority of the voters has none of what is new until the heal."""
         leader = self._await_leader()
         began = boottime_us()
-        if leader and self.world.control_by_name[leader].region == "west":
-            self._note_leader_loss(leader, event.kind)
+        if leader and self.world.control_by_name[leader].region == MINORITY_REGION:
+            self._record_leader_loss(leader, event.kind)
         self.world.cut("silent" if event.pick < SILENT_PART else "reset")
         gevent.sleep(event.span)
         self.world.heal()
         self.down += [
-            Span(began, boottime_us(), event.kind, n)
-            for n, p in self.world.brokers.items()
-            if p.region == "west"
+            Span(began, boottime_us(), event.kind, name)
+            for name, broker in self.world.brokers.items()
+            if broker.region == MINORITY_REGION
         ]
--- a/cypressledge/lab/capacity/fleet.py
+++ b/cypressledge/lab/capacity/fleet.py
@@ -5,6 +5,7 @@
 its own.
 """
 
+import math
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -36,6 +37,9 @@
 MEMBERS_TERM_S = 4.0  # of simulated brokers' own leases
 MEMBERS_VOTERS = 5
 MEMBERS_LEASES = 8
+CONTROL_START_TIMEOUT_S = 40  # of the control processes, until one has committed
+REAL_START_TIMEOUT_S = 40  # of real brokers, until they listen
+START_POLL_S = 0.1
 
 
 class ScaleError(Exception):
@@ -75,16 +79,16 @@
     def __init__(self, size: FleetSize, seed: int, folder: Path) -> None:
         self.size, self.seed, self.folder = size, seed, folder
         self.controls = [
-            ControlProcess(f"c{i + 1}", ZONES[i % 3], i < CONTROL_VOTERS, folder)
-            for i in range(size.controls)
+            ControlProcess(f"c{number + 1}", ZONES[number % 3], number < CONTROL_VOTERS, folder)
+            for number in range(size.controls)
         ]
-        self.control_by_name = {c.name: c for c in self.controls}
+        self.control_by_name = {control.name: control for control in self.controls}
         self.udp = UdpProxies(
-            {c.name: c.fleet for c in self.controls},
+            {control.name: control.fleet for control in self.controls},
             seed,
-            lambda a, b: self.control_by_name[a].region != self.control_by_name[b].region,
+            self._are_in_two_regions,
         )
-        self.tcp = {c.name: TcpProxy(("127.0.0.1", c.port)) for c in self.controls}
+        self.tcp = {control.name: TcpProxy(("127.0.0.1", control.port)) for control in self.controls}
         self.fake_engines = [
             LabEngine(f"live{i}", LIVE_ZONE, 0.005) for i in range(min(FAKE_ENGINES, size.engines))
         ]
@@ -96,52 +100,58 @@
         self.real_costs: dict[str, ProcessCost] = {}
         self.is_cut = False
 
+    def _are_in_two_regions(self, source: str, to: str) -> bool:
+        return self.control_by_name[source].region != self.control_by_name[to].region
+
     # Files
 
     def _servers(self, region: str, me: str = "") -> list[dict]:
         """Return the control processes as they are seen from a region, or by one of them (`me`)."""
-
-        def fleet(c: ControlProcess) -> str:
-            is_local = not me or c.region == region
-            return f"127.0.0.1:{c.fleet}" if is_local else self.udp.address(me, c.name)
-
         return [
             {
-                "name": c.name,
-                "fleet": fleet(c),
-                "management": f"127.0.0.1:{c.management}",
-                "zone": c.zone,
-                "address": f"127.0.0.1:{c.port}" if c.region == region else self.tcp[c.name].address,
-                "region": c.region,
-                "votes": c.votes,
+                "name": control.name,
+                "fleet": self._fleet_address(control, region, me),
+                "management": f"127.0.0.1:{control.management}",
+                "zone": control.zone,
+                "address": self._broker_address(control, region),
+                "region": control.region,
+                "votes": control.votes,
             }
-            for c in self.controls
+            for control in self.controls
         ]
 
-    def _file(self, path: Path, servers: list[dict], record: Path | None) -> Path:
-        lab = {"lab": {"record": str(record)}} if record else {}
-        path.write_text(
-            yaml.safe_dump(
-                {
-                    "servers": servers,
-                    "term_s": CONTROL_TERM_S,
-                    "ping_s": CONTROL_PING_S,
-                    "grace_s": 1.0,
-                    **lab,
-                }
-            )
-        )
-        return path
+    def _fleet_address(self, control: ControlProcess, region: str, me: str) -> str:
+        """Return where control processes find one of them: behind a proxy from the other region."""
+        if not me or control.region == region:
+            return f"127.0.0.1:{control.fleet}"
+        return self.udp.address(me, control.name)
+
+    def _broker_address(self, control: ControlProcess, region: str) -> str:
+        """Return where brokers find a control process: behind a proxy from the other region."""
+        if control.region == region:
+            return f"127.0.0.1:{control.port}"
+        return self.tcp[control.name].address
+
+    def _write_settings(self, path: Path, servers: list[dict], record: Path | None) -> None:
+        """Write a control settings file. `record`: where what is done is recorded, if anywhere."""
+        settings = {
+            "servers": servers,
+            "term_s": CONTROL_TERM_S,
+            "ping_s": CONTROL_PING_S,
+            "grace_s": 1.0,
+        }
+        if record:
+            settings["lab"] = {"record": str(record)}
+        path.write_text(yaml.safe_dump(settings))
 
     def seed_file(self) -> Path:
         """Write what the history begins with: settings and engines."""
-        config = SETTINGS | {
-            "Dcs": [LIVE_ZONE, *ZONES],
-            "Classes": [k | {"DcsOpen": [0]} for k in SETTINGS["Classes"]],
+        config = SETTINGS | _site_settings()
+        engines = {
+            engine.name: engine_value(engine.member()["host_port"], LIVE_ZONE) for engine in self.fake_engines
         }
-        engines = {e.name: engine_value(e.member()["host_port"], LIVE_ZONE) for e in self.fake_engines}
-        for n in range(self.size.engines - len(self.fake_engines)):
-            engines[f"e{n:03}"] = engine_value(unused_address(n), ZONES[n % 3])
+        for number in range(self.size.engines - len(self.fake_engines)):
+            engines[f"e{number:03}"] = engine_value(unused_address(number), ZONES[number % 3])
         path = self.folder / "seed.yaml"
         path.write_text(yaml.safe_dump({"config": config, "engines": engines}))
         return path
@@ -156,65 +166,69 @@
 
     def start_controls(self) -> None:
         """Start the control processes, and wait until a leader has committed. Raises `ScaleError`."""
-        for c in self.controls:
-            self._file(c.settings, self._servers(c.region, c.name), c.record)
+        for control in self.controls:
+            self._write_settings(
+                control.settings, self._servers(control.region, control.name), control.record
+            )
         for region in set(REGION.values()):
-            self._file(self.folder / f"{region}.yaml", self._servers(region), None)
+            self._write_settings(self.folder / f"{region}.yaml", self._servers(region), None)
         first = self.seed_file()
-        for c in self.controls:
-            c.start(first)
-        if not until(lambda: any(self.committed_versions()), 40, 0.1):
-            raise ScaleError("no primary: " + "".join(c.log.read_text()[-300:] for c in self.controls))
+        for control in self.controls:
+            control.start(first)
+        if not until(self._has_committed, CONTROL_START_TIMEOUT_S, START_POLL_S):
+            logs = "".join(control.log.read_text()[-300:] for control in self.controls)
+            raise ScaleError(f"no primary: {logs}")
 
-    def committed_versions(self) -> list[tuple[int, str]]:
-        """Return the committed versions that control processes answer with, and their names."""
-        statuses = [(c.status(), c.name) for c in self.controls if c.running() and not c.stopped]
-        return [(s["commit"], name) for s, name in statuses if s.get("commit")]
+    def _has_committed(self) -> bool:
+        """Whether any control process answers that a version is committed."""
+        return any(control.status().get("commit") for control in self.controls if control.responsive())
 
     def start_simulated(self) -> None:
         """Start the hosts and their brokers. Raises `ScaleError`."""
         count = self.size.brokers - self.size.real_brokers
-        for n in range(-(-count // BROKERS_PER_HOST)):
-            self.hosts.append(SimulatedBrokerHost(n, self.folder))
-        for n in range(count):
-            host = self.hosts[n % len(self.hosts)]
-            self.brokers[f"b{n:03}"] = PlacedBroker(f"b{n:03}", ZONES[n % 3], new_fleet_address(), host)
+        for number in range(math.ceil(count / BROKERS_PER_HOST)):
+            self.hosts.append(SimulatedBrokerHost(number, self.folder))
+        for number in range(count):
+            name = f"b{number:03}"
+            host = self.hosts[number % len(self.hosts)]
+            self.brokers[name] = PlacedBroker(name, ZONES[number % 3], new_fleet_address(), host)
         self.up(list(self.brokers))
-        if not until(lambda: sum(len(h.started) for h in self.hosts) == count, 20 + count / 5, 0.1):
+        timeout_s = 20 + count / 5
+        if not until(lambda: self._count_started() == count, timeout_s, START_POLL_S):
             raise ScaleError("simulated brokers did not start")
 
+    def _count_started(self) -> int:
+        """Count the simulated brokers that their hosts report as started."""
+        return sum(len(host.started) for host in self.hosts)
+
     def start_real_brokers(self) -> None:
         """Start brokers of the program, with fake engines and a small load. Raises `ScaleError`."""
-        for n in range(self.size.real_brokers):
-            name = f"real{n}"
-            zone = ZONES[n % 3]
-            self.brokers[name] = PlacedBroker(name, zone, new_fleet_address(), None)
-            self._real(name)
+        names = [f"real{number}" for number in range(self.size.real_brokers)]
+        for number, name in enumerate(names):
+            self.brokers[name] = PlacedBroker(name, ZONES[number % 3], new_fleet_address(), None)
+            self._add_real_broker(name)
             self.real_costs[name] = ProcessCost()
-        self.up([f"real{n}" for n in range(self.size.real_brokers)])
-        ports = [b.port for b in self.real_brokers.all.values()]
-        self.clients = [Client([port], LOOKUP_INTERVAL_S, 0) for port in ports]
-        self.greenlets += [gevent.spawn(c.run) for c in self.clients]
-        ready = until(
-            lambda: all("listening on" in b.words() for b in self.real_brokers.all.values()), 40, 0.1
-        )
-        if not ready:
-            raise ScaleError(
-                "real brokers did not start: "
-                + "".join(b.words()[-500:] for b in self.real_brokers.all.values())
-            )
+        self.up(names)
+        brokers = self.real_brokers.all.values()
+        self.clients = [Client([broker.port], LOOKUP_INTERVAL_S, 0) for broker in brokers]
+        self.greenlets += [gevent.spawn(client.run) for client in self.clients]
+        if not until(self._all_real_brokers_listen, REAL_START_TIMEOUT_S, START_POLL_S):
+            logs = "".join(broker.words()[-500:] for broker in brokers)
+            raise ScaleError(f"real brokers did not start: {logs}")
+
+    def _all_real_brokers_listen(self) -> bool:
+        return all("listening on" in broker.words() for broker in self.real_brokers.all.values())
 
     def record(self, name: str) -> Path:
         """Return the file in which a broker records what it has in force."""
         return self.folder / f"{name}.broker.jsonl"
 
-    def _real(self, name: str) -> None:
+    def _add_real_broker(self, name: str) -> None:
         placed = self.brokers[name]
-        config = {"Dcs": [LIVE_ZONE, *ZONES], "Classes": [k | {"DcsOpen": [0]} for k in SETTINGS["Classes"]]}
-        self.real_brokers.add(name, {}, [e.member() for e in self.fake_engines], config)
-        self._file(
-            self.real_brokers.folder / f"{name}.control.yaml", self._servers(placed.region), self.record(name)
-        )
+        members = [engine.member() for engine in self.fake_engines]
+        self.real_brokers.add(name, {}, members, _site_settings())
+        settings = self.real_brokers.folder / f"{name}.control.yaml"
+        self._write_settings(settings, self._servers(placed.region), self.record(name))
 
     # Brokers come and go
 
@@ -246,8 +260,8 @@
         return MembersSettings(
             ping_s=self.size.ping_s,
             term_s=MEMBERS_TERM_S,
-            voters=[f"b{n:03}" for n in range(MEMBERS_VOTERS)],
-            leases=[f"lease{n}" for n in range(MEMBERS_LEASES)],
+            voters=[f"b{number:03}" for number in range(MEMBERS_VOTERS)],
+            leases=[f"lease{number}" for number in range(MEMBERS_LEASES)],
         )
 
     def down(self, names: list[str]) -> None:
@@ -332,6 +346,12 @@
             fake_engine.close()
 
 
+def _site_settings() -> dict:
+    """Return the settings that differ from the laboratory's: all zones, and classes in the live one alone."""
+    classes = [settings | {"DcsOpen": [0]} for settings in SETTINGS["Classes"]]
+    return {"Dcs": [LIVE_ZONE, *ZONES], "Classes": classes}
+
+
 def engine_value(address: str, zone: str, state: str = "ready") -> dict:
     """Return an engine's value in the control state."""
     return {"address": address, "kind": "node-8c", "zone": zone, "cell": 0, "state": state, "born_ms": 0}
--- a/cypressledge/lab/capacity/observations.py
+++ b/cypressledge/lab/capacity/observations.py
@@ -1,4 +1,4 @@
-"""What the harness did and saw during a capacity run, for its checks."""
+"""What the harness did and observed during a capacity run, for its checks."""
 
 import json
 from dataclasses import asdict
@@ -22,7 +22,7 @@
     over: int,
     killed: dict[BrokerRun, int],
 ) -> HarnessObservations:
-    """Return what the harness did and saw.
+    """Return what the harness did and observed.
 
     `records`, `controls`: what brokers and control processes wrote; `over`: the end, µs; `killed`: when
     simulated brokers were killed, as their hosts report it: a busy host may be late.
@@ -34,7 +34,7 @@
         faults.losses,
         _ends_of_lives(faults, records, killed),
         over,
-        operator.wrongs,
+        operator.wrong_answers,
         expected=names,
     )
 
@@ -52,7 +52,7 @@
     for (name, run), at in began.items():
         if name in simulated:
             continue
-        later_kills = [kill_at for who, kill_at in faults.kills if who == name and kill_at >= at]
+        later_kills = [kill.at for kill in faults.kills if kill.broker == name and kill.at >= at]
         if later_kills:
             ends[name, run] = min(later_kills)
     return ends
@@ -71,7 +71,7 @@
             change.request,
             change.digest,
         )
-        for change in operator.acked
+        for change in operator.acknowledged
     ]
 
 
--- a/cypressledge/lab/capacity/page.py
+++ b/cypressledge/lab/capacity/page.py
@@ -4,7 +4,9 @@
 """
 
 import re
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 
 from cypressledge.lab.capacity.evaluation import evaluate
@@ -17,8 +19,10 @@
     slopes_table,
     sources_table,
 )
+from cypressledge.lab.capacity.requirements import RequirementResult
 from cypressledge.lab.capacity.run_tables import (
     SCALE_FILE,
+    Run,
     control_fits_table,
     read_scale,
     run_limits_table,
@@ -37,6 +41,8 @@
 )
 from cypressledge.lab.results import Results, ResultsError, read
 
+TableMakers = Mapping[str, Callable[[], str]]  # by the name in a table's mark
+
 TABLE_MARK = re.compile(r"(<!-- table:([a-z-]+) -->\n).*?(<!-- end -->)", re.S)
 TABLES_BY_ROLE = {
     "request-path": REQUEST_PATH,
@@ -51,7 +57,15 @@
 }
 
 
-def read_results(paths: list[str]) -> tuple[Results, list[dict]]:
+@dataclass(frozen=True, slots=True)
+class PageInput:
+    """What the page's tables are made of: measured curves and facts, and capacity runs."""
+
+    results: Results
+    runs: list[Run]
+
+
+def read_results(paths: list[str]) -> PageInput:
     """Read curves and runs from files.
 
     A file that holds a list holds runs; `SCALE_FILE` beside the first one is read, too.
@@ -72,16 +86,12 @@
     results = read(curve_files)
     if results.quick:
         raise ResultsError("the slopes were measured with --quick: no figures for a page")
-    return results, [run for path in run_files for run in read_scale(path)]
+    return PageInput(results, [run for path in run_files for run in read_scale(path)])
 
 
-def tables(results: Results, runs: list[dict]) -> dict[str, Callable[[], str]]:
+def tables(results: Results, runs: list[Run]) -> TableMakers:
     """Return what makes each table, by the name in its mark."""
     evaluated = evaluate(results)
-
-    def of_role(role: str) -> Callable[[], str]:
-        return lambda: requirements_table([result for result in evaluated if result.requirement.role == role])
-
     return {
         "first": lambda: over_limit_table(evaluated),
         "missing": lambda: missing_table(evaluated),
@@ -92,11 +102,15 @@
         "now": lambda: run_limits_table(runs),
         "quiet": lambda: run_limits_table(runs, True),
         "control": lambda: control_fits_table(runs),
-        **{name: of_role(role) for name, role in TABLES_BY_ROLE.items()},
+        **{name: partial(_role_table, evaluated, role) for name, role in TABLES_BY_ROLE.items()},
     }
 
 
-def render(page: str, makers: dict[str, Callable[[], str]]) -> str:
+def _role_table(evaluated: list[RequirementResult], role: str) -> str:
+    return requirements_table([result for result in evaluated if result.requirement.role == role])
+
+
+def render(page: str, makers: TableMakers) -> str:
     """Return the page with its tables written anew.
 
     Raises `ResultsError` for a mark that names no table or has no end.
@@ -106,13 +120,15 @@
     if not marks or marks != complete or marks != page.count("<!-- end -->"):
         raise ResultsError(f"the page has {marks} marks of tables, {complete} of them with a name and an end")
 
-    def replacement(mark: re.Match[str]) -> str:
-        name = mark[2]
-        if name not in makers:
-            raise ResultsError(f"the page asks for a table {name}; there are {', '.join(sorted(makers))}")
-        return f"{mark[1]}\n{makers[name]()}\n\n{mark[3]}"
+    return TABLE_MARK.sub(partial(_marked_table, makers), page)
+
 
-    return TABLE_MARK.sub(replacement, page)
+def _marked_table(makers: TableMakers, mark: re.Match[str]) -> str:
+    """Return what stands in place of one match of `TABLE_MARK`: its marks, with the table between them."""
+    name = mark[2]
+    if name not in makers:
+        raise ResultsError(f"the page asks for a table {name}; there are {', '.join(sorted(makers))}")
+    return f"{mark[1]}\n{makers[name]()}\n\n{mark[3]}"
 
 
 def run(paths: list[str], page: str, check: bool, folder: str, say: Callable[[str], None]) -> int:
@@ -120,15 +136,15 @@
 
     1: the page differs from its results. `folder`: where plots go, if anywhere. Raises `ResultsError`.
     """
-    results, runs = read_results(paths)
-    makers = tables(results, runs)
+    given = read_results(paths)
+    makers = tables(given.results, given.runs)
     try:
         before = Path(page).read_text(encoding="utf-8")
     except OSError as err:
         raise ResultsError(f"{page}: {err.strerror}") from None
     after = render(before, makers)
     if folder:
-        say(f"{draw_plots(results, folder)} slopes drawn in {folder}")
+        say(f"{draw_plots(given.results, folder)} slopes drawn in {folder}")
     if check:
         say(f"{page} is as the results say" if after == before else f"{page} differs from its results files")
         return int(after != before)
--- a/cypressledge/lab/capacity/simulated_operator.py
+++ b/cypressledge/lab/capacity/simulated_operator.py
@@ -1,4 +1,4 @@
-"""An operator who asks for changes over HTTP during a capacity run, and notes wrong answers."""
+"""An operator who requests changes over HTTP during a capacity run, and records wrong answers."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 
 from cypressledge.lab.capacity.checks import AcknowledgedChange
 from cypressledge.lab.capacity.control_process import call_management
-from cypressledge.lab.capacity.day import Event
+from cypressledge.lab.capacity.day import ZONES, Event
 from cypressledge.lab.capacity.event_records import boottime_us
 from cypressledge.lab.capacity.fleet import LIVE_ZONE, CapacityFleet, engine_value, unused_address
 from cypressledge.lab.site import SETTINGS
@@ -33,8 +33,13 @@
     reason: str = ""
 
 
+def _engine_value(number: int, state: str) -> dict:
+    """Return the value of an engine that nobody listens for; its zone goes by its number."""
+    return engine_value(unused_address(number), ZONES[number % len(ZONES)], state)
+
+
 class SimulatedOperator:
-    """Asks for changes over HTTP, as an operator does, and notes answers that must not be.
+    """Requests changes over HTTP, as an operator does, and records answers that must not be.
 
     A change goes to any control process, then on to the leader, and again under the same request name where
     no answer came.
@@ -43,8 +48,8 @@
     def __init__(self, world: CapacityFleet, seed: int) -> None:
         self.world = world
         self.random = random.Random(seed)
-        self.acked: list[AcknowledgedChange] = []
-        self.wrongs: list[str] = []  # answers that must not be
+        self.acknowledged: list[AcknowledgedChange] = []
+        self.wrong_answers: list[str] = []  # answers that must not be
         self.counts: Counter[str] = Counter()
         self.version = 0  # the newest known
         self.request_number = 0
@@ -62,21 +67,21 @@
             "engine goes": self._remove_engine,
             "engine comes": self._add_engine,
             "repeat": self._repeat_request,
-            "clash": self._ask_conflicting,
-            "bad": self._ask_invalid,
+            "clash": self._request_conflicting,
+            "bad": self._request_invalid,
         }
 
-    def do(self, event: Event) -> None:
+    def play(self, event: Event) -> None:
         """Play one change of the day."""
         self.counts[event.kind] += 1
         self._handlers[event.kind]()
 
-    # Asking
+    # One change
 
-    def ask(
+    def request_change(
         self, operations: dict, base_version: int | None, request: str = "", lose_answer: bool = False
     ) -> ChangeOutcome:
-        """Ask for one change until its outcome is known, for `CHANGE_TIMEOUT_S` at most.
+        """Request one change until its outcome is known, for `CHANGE_TIMEOUT_S` at most.
 
         `operations`, `base_version`: as `/control/change` takes them. `lose_answer`: the first answer is not
         read, as if it had been lost.
@@ -118,12 +123,12 @@
     def _switch_server(self, leader_address: str = "") -> None:
         """Go on with another control process: where the leader is said to be, or any."""
         port = leader_address.rpartition(":")[2]
-        ports = [c.management for c in self.world.controls]
+        ports = [control.management for control in self.world.controls]
         self.leader_port = int(port) if port.isdigit() and int(port) in ports else self.random.choice(ports)
 
     def _record_acknowledged(self, answer: dict, request: str, began: int) -> ChangeOutcome:
         outcome = ChangeOutcome("taken", answer["version"], answer.get("digest", ""))
-        self.acked.append(AcknowledgedChange(boottime_us(), outcome.version, request, outcome.digest))
+        self.acknowledged.append(AcknowledgedChange(boottime_us(), outcome.version, request, outcome.digest))
         self.version = max(self.version, outcome.version)
         self.longest_wait_s = max(self.longest_wait_s, (boottime_us() - began) / 1e6)
         return outcome
@@ -132,16 +137,16 @@
         """Change one key, on the newest version known; no other change of that key is drawn meanwhile."""
         self.busy_keys.add(key)
         try:
-            outcome = self.ask(operations, self.version, **options)
+            outcome = self.request_change(operations, self.version, **options)
         finally:
             self.busy_keys.discard(key)
         self.counts[outcome.status or "not known"] += 1
         if outcome.status == "refused" and not self._is_excusable(outcome.reason):
-            self.wrongs.append(f"a good change of {key} was refused: {outcome.reason}")
+            self.wrong_answers.append(f"a good change of {key} was refused: {outcome.reason}")
         return outcome
 
     def _is_excusable(self, reason: str) -> bool:
-        """Whether a refusal is no fault: after an unknown outcome the newest known version may be old."""
+        """Whether a rejection is no fault: after an unknown outcome the newest known version may be old."""
         return "clash" in reason and self.counts["not known"] > 0
 
     # Kinds of changes
@@ -156,7 +161,9 @@
 
     def _random_engine(self, state: str) -> str:
         names = sorted(
-            n for n, s in self.engines.items() if s == state and f"engine/{n}" not in self.busy_keys
+            name
+            for name, engine_state in self.engines.items()
+            if engine_state == state and f"engine/{name}" not in self.busy_keys
         )
         return self.random.choice(names) if names else ""
 
@@ -166,7 +173,7 @@
 
     def _change_engine(self, name: str, state: str, **options: Any) -> ChangeOutcome:
         number = int(name[1:])
-        value = engine_value(unused_address(number), f"z{'abc'[number % 3]}", state)
+        value = _engine_value(number, state)
         outcome = self._change(f"engine/{name}", {"set": {f"engine/{name}": value}}, **options)
         if outcome.status == "taken":
             self.engines[name] = state
@@ -183,7 +190,7 @@
         self._change_engine(f"e{1000 + self.fresh_number}", "ready")
 
     def _repeat_request(self) -> None:
-        """Ask for a change whose first answer is lost, and ask again: it is done once."""
+        """Request a change whose first answer is lost, and retry it: it is applied once."""
         self.request_number += 1
         request = f"lab-again-{self.request_number}"
         with self.settings_lock:
@@ -191,40 +198,41 @@
             first = self._change("config/Rules", operations, request=request, lose_answer=True)
         if first.status != "taken":
             return
-        again = self.ask(operations, base_version, request)
+        again = self.request_change(operations, base_version, request)
         self.counts["repeated"] += 1
         if again.status == "refused" or (again.status and again.version != first.version):
-            self.wrongs.append(f"{request} was version {first.version}, and then {again}")
+            self.wrong_answers.append(f"{request} was version {first.version}, and then {again}")
 
-    def _ask_conflicting(self) -> None:
-        """Ask for two changes of one key on the same version: one is refused."""
+    def _request_conflicting(self) -> None:
+        """Request two changes of one key on the same version: one is rejected."""
         name = self._random_engine("ready")
         if not name:
             return
         key, base_version = f"engine/{name}", self.version
         self.busy_keys.add(key)
         number = int(name[1:])
-        values = [
-            engine_value(unused_address(number), f"z{'abc'[number % 3]}", s) for s in ("draining", "ready")
+        values = [_engine_value(number, state) for state in ("draining", "ready")]
+        greenlets = [
+            gevent.spawn(self.request_change, {"set": {key: value}}, base_version) for value in values
         ]
-        greenlets = [gevent.spawn(self.ask, {"set": {key: v}}, base_version) for v in values]
         gevent.joinall(greenlets)
         self.busy_keys.discard(key)
-        statuses = [g.value.status for g in greenlets]
+        outcomes: list[ChangeOutcome] = [greenlet.value for greenlet in greenlets]
+        statuses = [outcome.status for outcome in outcomes]
         self.counts["clashed"] += statuses.count("refused")
         if statuses.count("taken") > 1:
-            self.wrongs.append(f"two changes of {key} on version {base_version} were both taken")
-        if statuses.count("refused") > 1 and not any(self._is_excusable(g.value.reason) for g in greenlets):
-            self.wrongs.append(
+            self.wrong_answers.append(f"two changes of {key} on version {base_version} were both taken")
+        if statuses.count("refused") > 1 and not any(self._is_excusable(each.reason) for each in outcomes):
+            self.wrong_answers.append(
                 f"two changes of {key} on version {base_version} were both refused: "
-                f"{[g.value.reason for g in greenlets]}"
+                f"{[each.reason for each in outcomes]}"
             )
-        for greenlet, value in zip(greenlets, values, strict=True):
-            if greenlet.value.status == "taken":
+        for outcome, value in zip(outcomes, values, strict=True):
+            if outcome.status == "taken":
                 self.engines[name] = value["state"]
 
-    def _ask_invalid(self) -> None:
-        """Ask for what no state can take: it is refused, and nothing changes."""
+    def _request_invalid(self) -> None:
+        """Request what no state can take: it is rejected, and nothing changes."""
         taken = self.world.fake_engines[0].member()["host_port"]
         operations = self.random.choice(
             (
@@ -236,7 +244,7 @@
                 {"set": {"nothing/x": 1}},
             )
         )
-        outcome = self.ask(operations, None)
+        outcome = self.request_change(operations, None)
         self.counts["bad refused"] += outcome.status == "refused"
         if outcome.status == "taken":
-            self.wrongs.append(f"a bad change was taken as version {outcome.version}: {operations}")
+            self.wrong_answers.append(f"a bad change was taken as version {outcome.version}: {operations}")
--- a/tests/lab/test_capacity_simulated_operator.py
+++ b/tests/lab/test_capacity_simulated_operator.py
@@ -9,7 +9,7 @@
 from cypressledge.lab.capacity.checks import AcknowledgedChange
 from cypressledge.lab.capacity.day import Event
 from cypressledge.lab.capacity.event_records import current_leader, read_tail
-from cypressledge.lab.capacity.fault_injector import FaultInjector
+from cypressledge.lab.capacity.fault_injector import FaultInjector, Kill
 from cypressledge.lab.capacity.observations import harness_observations
 from cypressledge.lab.capacity.process_cost import ProcessCost
 
@@ -80,12 +80,12 @@
 def test_a_sound_plane_has_nothing_wrong(monkeypatch, fault):
     asking, plane = operator(monkeypatch, fault)
     for kind in KINDS * 3:
-        asking.do(Event(0, kind))
-    assert asking.wrongs == []
+        asking.play(Event(0, kind))
+    assert asking.wrong_answers == []
     assert asking.counts["bad refused"] == 3
     assert asking.counts["clashed"] == 3
     assert asking.counts["repeated"] == 3
-    assert {a.version for a in asking.acked} == set(range(1, plane.version + 1))
+    assert {a.version for a in asking.acknowledged} == set(range(1, plane.version + 1))
 
 
 @pytest.mark.parametrize(
@@ -99,23 +99,23 @@
 )
 def test_a_fault_is_found(monkeypatch, fault, kind, words):
     asking, _ = operator(monkeypatch, fault)
-    asking.do(Event(0, kind))
-    assert len(asking.wrongs) == 1
-    assert words in asking.wrongs[0]
+    asking.play(Event(0, kind))
+    assert len(asking.wrong_answers) == 1
+    assert words in asking.wrong_answers[0]
 
 
 def test_the_primary_is_followed(monkeypatch):
     asking, _ = operator(monkeypatch, "moved")
-    asking.do(Event(0, "settings"))
+    asking.play(Event(0, "settings"))
     assert asking.leader_port == 102
-    assert len(asking.acked) == 1
+    assert len(asking.acknowledged) == 1
 
 
 def test_what_the_harness_saw_becomes_the_checkers():
     asking = SimpleNamespace(
-        acked=[AcknowledgedChange(900, 3, "r3"), AcknowledgedChange(950, 4, "r4")], wrongs=[]
+        acknowledged=[AcknowledgedChange(900, 3, "r3"), AcknowledgedChange(950, 4, "r4")], wrong_answers=[]
     )
-    faults = FaultInjector(None, None, kills=[("a", 50), ("a", 500)])
+    faults = FaultInjector(None, None, kills=[Kill("a", 50), Kill("a", 500)])
     records = [
         {"at": at, "broker": "a", "run": run, "event": "start"}
         for at, run in ((10, 1), (20, 1), (60, 2), (600, 3))
