--- a/cypressledge/lab/capacity/control_process.py
+++ b/cypressledge/lab/capacity/control_process.py
@@ -1,15 +1,14 @@
 """Control processes of a capacity run, and calls of management addresses."""
 
 import json
-import sys
 from pathlib import Path
 from typing import NamedTuple
 
-from gevent import socket, subprocess
+from gevent import socket
 
 from cypressledge.lab.capacity.day import REGION
 from cypressledge.lab.capacity.process_cost import ProcessCost
-from cypressledge.lab.processes import ROOT, OwnProcess
+from cypressledge.lab.processes import ManagedProcess
 from cypressledge.lab.site import free_port
 
 CONNECT_TIMEOUT_S = 1.0
@@ -44,7 +43,22 @@
     return ManagementAnswer(int(head.split()[1]), json.loads(rest))
 
 
-class ControlProcess(OwnProcess):
+def serve_arguments(settings: Path, name: str, store: Path, *options: str) -> list[str]:
+    """Return the program's arguments that run a control process. `settings`, `store`: its files."""
+    return [
+        "control",
+        "serve",
+        "--settings",
+        str(settings),
+        "--name",
+        name,
+        "--store",
+        str(store),
+        *options,
+    ]
+
+
+class ControlProcess(ManagedProcess):
     """One control process; `votes`: whether it is a voter."""
 
     def __init__(self, name: str, zone: str, votes: bool, folder: Path) -> None:
@@ -58,31 +72,9 @@
 
     def start(self, first: Path | None = None) -> None:
         """Start the process; `first`: a file with which a new history begins."""
-        seed_option = ["--first", str(first)] if first else []
-        with open(self.log, "a", encoding="utf-8") as log:
-            self.process = subprocess.Popen(
-                [
-                    sys.executable,
-                    "-O",
-                    "-m",
-                    "cypressledge",
-                    "control",
-                    "serve",
-                    "--settings",
-                    str(self.settings),
-                    "--name",
-                    self.name,
-                    "--store",
-                    str(self.folder / f"{self.name}.store"),
-                    *seed_option,
-                ],
-                cwd=ROOT,
-                stdout=log,
-                stderr=log,
-                stdin=subprocess.DEVNULL,
-                start_new_session=True,
-            )
-        self.stopped = False
+        seed_option = ("--first", str(first)) if first else ()
+        store = self.folder / f"{self.name}.store"
+        self.launch(serve_arguments(self.settings, self.name, store, *seed_option), self.log)
 
     def responsive(self) -> bool:
         """Whether the process runs and is not stopped."""
--- a/cypressledge/lab/processes.py
+++ b/cypressledge/lab/processes.py
@@ -6,7 +6,7 @@
 import sys
 import tempfile
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Sequence
 from functools import cache
 from pathlib import Path
 from typing import TypeVar
@@ -21,11 +21,30 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-class OwnProcess:
-    """A process that the laboratory starts, and ends by its id."""
+class ManagedProcess:
+    """A process of the program that the laboratory starts, and ends by its id."""
 
     process: subprocess.Popen | None = None
     stopped = False  # by SIGSTOP
+    log_start = 0  # bytes of the log that former processes wrote
+
+    def launch(self, arguments: Sequence[str], log_file: Path, env: Mapping[str, str] | None = None) -> None:
+        """Start `cypressledge` with these arguments in a session of its own; its output goes on in the log.
+
+        `env`: its environment; this process's where it is None.
+        """
+        with open(log_file, "a", encoding="utf-8") as log:
+            self.log_start = log.tell()
+            self.process = subprocess.Popen(
+                [sys.executable, "-O", "-m", "cypressledge", *arguments],
+                cwd=ROOT,
+                env=env,
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                start_new_session=True,
+            )
+        self.stopped = False
 
     @property
     def pid(self) -> int:
@@ -55,7 +74,7 @@
             self._started().wait()
 
 
-class BrokerProcess(OwnProcess):
+class BrokerProcess(ManagedProcess):
     """One broker of the program. `fleet`: the content of its fleet file, by its keys."""
 
     def __init__(
@@ -71,35 +90,17 @@
         self.config_file, self.fleet_file = folder / f"{name}.json", folder / f"{name}.yaml"
         self.log_file = folder / f"{name}.log"
         self.config_file.write_text(json.dumps(config(name, self.port, self.management, members, more)))
-        self.life_begins = 0  # bytes of the log that are of former lives
 
     def start(self, fleet: bool = True, more: tuple[str, ...] = (), place: dict | None = None) -> None:
-        """Start it, with or without the fleet's part; its log continues in the same file.
+        """Start it, with or without the fleet's part.
 
-        `more`: further arguments; `place`: environment variables that say where it is.
+        `more`: further arguments; `place`: environment variables that name its zone and region.
         """
         self.fleet_file.write_text(yaml.safe_dump(self.fleet))
-        env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
+        env = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
         env |= {"ROUTER_CONFIG": str(self.config_file), "TMPDIR": str(self.folder)} | (place or {})
-        with open(self.log_file, "a", encoding="utf-8") as log:
-            self.life_begins = log.tell()
-            self.process = subprocess.Popen(
-                [
-                    sys.executable,
-                    "-O",
-                    "-m",
-                    "cypressledge",
-                    *(("--fleet", str(self.fleet_file)) if fleet else ()),
-                    *more,
-                ],
-                cwd=ROOT,
-                env=env,
-                stdout=log,
-                stderr=log,
-                stdin=subprocess.DEVNULL,
-                start_new_session=True,
-            )
-        self.stopped = False
+        fleet_option = ("--fleet", str(self.fleet_file)) if fleet else ()
+        self.launch([*fleet_option, *more], self.log_file, env)
 
     def leave(self, seconds: float = 5.0) -> int | None:
         """Send SIGTERM and return the exit code; None where it took longer and was killed."""
@@ -113,7 +114,7 @@
     def listening(self) -> bool:
         """Whether it has logged, since its last start, that it listens."""
         with open(self.log_file, "rb") as log:
-            log.seek(self.life_begins)
+            log.seek(self.log_start)
             return b"listening on" in log.read()
 
     def words(self) -> str:
@@ -164,9 +165,8 @@
 def commit() -> str:
     """Return the commit that this process began with, marked where the tree differs from it.
 
-    Kept: what is changed while the process runs is not what it runs.
+    Cached, as what is changed in the tree while the process runs is not what it runs.
     """
-
     changed = _git("status", "--porcelain", "--", "cypressledge")
     return (_git("rev-parse", "--short=10", "HEAD") or "unknown") + ("+changes" if changed else "")
 
