--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -184,4 +184,4 @@
     """Control processes, real and simulated brokers on the loopback, and a day of changes and faults."""
     from cypressledge.lab.capacity.run import CapacityOptions, run
 
-    sys.exit(run(CapacityOptions(**options), say=click.echo, live=_shows_progress(sys.stderr)))
+    sys.exit(run(CapacityOptions(**options), click.echo, live=_shows_progress(sys.stderr)))
--- a/cypressledge/lab/capacity/page.py
+++ b/cypressledge/lab/capacity/page.py
@@ -131,7 +131,7 @@
     return f"{mark[1]}\n{makers[name]()}\n\n{mark[3]}"
 
 
-def run(paths: list[str], page: str, check: bool, folder: str, say: Callable[[str], None]) -> int:
+def run(paths: list[str], page: str, check: bool, folder: str, echo: Callable[[str], None]) -> int:
     """Write the page's tables, or with `check` only compare them; return the exit code.
 
     1: the page differs from its results. `folder`: where plots go, if anywhere. Raises `ResultsError`.
@@ -144,10 +144,10 @@
         raise ResultsError(f"{page}: {err.strerror}") from None
     after = render(before, makers)
     if folder:
-        say(f"{draw_plots(given.results, folder)} slopes drawn in {folder}")
+        echo(f"{draw_plots(given.results, folder)} slopes drawn in {folder}")
     if check:
-        say(f"{page} is as the results say" if after == before else f"{page} differs from its results files")
+        echo(f"{page} is as the results say" if after == before else f"{page} differs from its results files")
         return int(after != before)
     Path(page).write_text(after, encoding="utf-8")
-    say(f"{page}: {len(TABLE_MARK.findall(after))} tables written")
+    echo(f"{page}: {len(TABLE_MARK.findall(after))} tables written")
     return 0
--- a/cypressledge/lab/capacity/run.py
+++ b/cypressledge/lab/capacity/run.py
@@ -54,7 +54,7 @@
         return [FleetSize(count, self.engines, min(self.real, count // 4), ping_s=ping_s) for count in counts]
 
 
-def run(options: CapacityOptions, say: Callable[[str], None], live: bool = False) -> int:
+def run(options: CapacityOptions, echo: Callable[[str], None], live: bool = False) -> int:
     """Play one run for each size; return the exit code.
 
     1: something was lost, went back or was wrong, a limit was passed, or too little took place. `live`: show
@@ -65,18 +65,18 @@
         try:
             capacity_run = _play(options, size, live)
         except ScaleError as err:
-            say(f"the run at {size.brokers} brokers failed: {err}")
+            echo(f"the run at {size.brokers} brokers failed: {err}")
             return 1
         if live:
             sys.stderr.write("\r\x1b[K")
-        print_report(capacity_run, say)
+        print_report(capacity_run, echo)
         runs.append(capacity_run)
         if options.json_file:
             _append_figures(capacity_run, options.json_file)
         if options.plot and len(runs) == len(options.sizes()):
             draw_plot(runs, options.plot)
-            say(f"drawn: {options.plot}")
-        say(summary(capacity_run))
+            echo(f"drawn: {options.plot}")
+        echo(summary(capacity_run))
     return int(any(capacity_run.failed for capacity_run in runs))
 
 
--- a/cypressledge/lab/capacity/run_report.py
+++ b/cypressledge/lab/capacity/run_report.py
@@ -12,18 +12,18 @@
 SHOWN_FAULTS = 20  # of each kind
 
 
-def print_report(run: CapacityRun, say: Callable[[str], None]) -> None:
+def print_report(run: CapacityRun, echo: Callable[[str], None]) -> None:
     """Print a run's tables, and what is broken."""
-    _print_change_times(run.verdict, say)
-    _print_usage(run, say)
-    _print_events(run, say)
-    _print_machine(run, say)
+    _print_change_times(run.verdict, echo)
+    _print_usage(run, echo)
+    _print_events(run, echo)
+    _print_machine(run, echo)
     verdict = run.verdict
     for kind in (verdict.lost, verdict.reverted, verdict.wrong):
         for line in kind[:SHOWN_FAULTS]:
-            say(f"  BROKEN {line}")
+            echo(f"  BROKEN {line}")
     for line in run.broken:
-        say(f"  {line}")
+        echo(f"  {line}")
 
 
 def summary(run: CapacityRun) -> str:
@@ -39,15 +39,15 @@
     )
 
 
-def _print_change_times(verdict: checks.Verdict, say: Callable[[str], None]) -> None:
+def _print_change_times(verdict: checks.Verdict, echo: Callable[[str], None]) -> None:
     rows = [
         _times_row("quiet", verdict.undisturbed),
         *(_times_row(kind, times) for kind, times in sorted(verdict.by_fault.items())),
         _times_row("all", verdict.all_times),
     ]
-    say(tabulate(rows, floatfmt=".2f", headers=["in force, s", "times", "median", "p99", "most"]))
+    echo(tabulate(rows, floatfmt=".2f", headers=["in force, s", "times", "median", "p99", "most"]))
     for loss in verdict.leaderless:
-        say(f"no primary for {loss.seconds:.2f} s: {loss.kind}")
+        echo(f"no primary for {loss.seconds:.2f} s: {loss.kind}")
 
 
 def _times_row(name: str, times: list[float]) -> list[object]:
@@ -55,12 +55,12 @@
     return [name, len(times), quantile(times, 0.5), quantile(times, 0.99), largest]
 
 
-def _print_usage(run: CapacityRun, say: Callable[[str], None]) -> None:
+def _print_usage(run: CapacityRun, echo: Callable[[str], None]) -> None:
     rows = [
         [c.name, c.zone, "votes" if c.votes else "", c.cost.cpu_pct, c.cost.rss_mb, c.cost.net_kb_s]
         for c in run.world.controls
     ]
-    say(tabulate(rows, floatfmt=".2f", headers=["control", "zone", "", "cpu %", "rss MB", "net KB/s"]))
+    echo(tabulate(rows, floatfmt=".2f", headers=["control", "zone", "", "cpu %", "rss MB", "net KB/s"]))
     rows = [
         [name, usage.cpu_pct, usage.net_kb_s, usage.rss_mb]
         for name, usage in (
@@ -68,17 +68,17 @@
             ("real, by itself", run.real_usage),
         )
     ]
-    say(tabulate(rows, floatfmt=".2f", headers=["a broker, most", "cpu %", "net KB/s", "rss MB"]))
+    echo(tabulate(rows, floatfmt=".2f", headers=["a broker, most", "cpu %", "net KB/s", "rss MB"]))
     starts = [cost.start_cpu_s for cost in run.world.real_costs.values()]
-    say(f"a real broker's start, most: {max(starts, default=0.0):.2f} s of CPU, not in the figures above")
+    echo(f"a real broker's start, most: {max(starts, default=0.0):.2f} s of CPU, not in the figures above")
 
 
-def _print_events(run: CapacityRun, say: Callable[[str], None]) -> None:
+def _print_events(run: CapacityRun, echo: Callable[[str], None]) -> None:
     asked = ", ".join(f"{kind} {count}" for kind, count in sorted(run.operator.counts.items()))
-    say(f"asked: {asked}; longest wait for an answer {run.operator.longest_wait_s:.2f} s")
+    echo(f"asked: {asked}; longest wait for an answer {run.operator.longest_wait_s:.2f} s")
     faults = ", ".join(f"{kind} {count}" for kind, count in run.faults.counts.items())
-    say(f"faults: {faults or 'none'}")
-    say(
+    echo(f"faults: {faults or 'none'}")
+    echo(
         f"snapshots {run.figures['snapshots']}, reconnects {run.figures['reconnects']}; "
         f"real brokers served {run.served} lookups, {run.unserved} were not; "
         f"members' ping period {_membership(run)}"
@@ -95,9 +95,9 @@
     )
 
 
-def _print_machine(run: CapacityRun, say: Callable[[str], None]) -> None:
+def _print_machine(run: CapacityRun, echo: Callable[[str], None]) -> None:
     host_late = max((seconds for host in run.world.hosts for seconds in host.late), default=0.0)
-    say(
+    echo(
         f"start of all {run.start_s:.1f} s; load average {run.load_before:.2f} before, "
         f"{run.highest_load:.2f} at the most; wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
         f"{1e3 * max(run.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
--- a/cypressledge/lab/cost.py
+++ b/cypressledge/lab/cost.py
@@ -161,7 +161,7 @@
             engine.close()
 
 
-def run(brokers: int, leases: int, seconds: float, rounds: int, say: Callable[[str], None]) -> int:
+def run(brokers: int, leases: int, seconds: float, rounds: int, echo: Callable[[str], None]) -> int:
     """Measure without and with: memory and processor time with nobody asking, then times under loads."""
     off = BrokerGroup(brokers, leases, False)
     on = BrokerGroup(brokers, leases, True)
@@ -169,10 +169,10 @@
         if not until(lambda: off.is_ready() and on.is_ready(), 30 + 2 * brokers):
             raise RuntimeError("the brokers did not start")
         gevent.sleep(SETTLE_S)
-        _print_idle(off, on, seconds, say)
-        _print_loaded(off, on, rounds, say)
+        _print_idle(off, on, seconds, echo)
+        _print_loaded(off, on, rounds, echo)
         step_ms, turn_ms = _longest_steps(on)
-        say(
+        echo(
             f"{brokers} brokers, {leases} leases; {rounds} rounds of {ROUND_S:g} s in turns, load on "
             f"{LOADED_BROKERS} of them; engines take 5 ms; a task's longest step {step_ms} ms, "
             f"the owner's turns p99 {turn_ms} ms"
@@ -183,20 +183,20 @@
     return 0
 
 
-def _print_idle(off: BrokerGroup, on: BrokerGroup, seconds: float, say: Callable[[str], None]) -> None:
+def _print_idle(off: BrokerGroup, on: BrokerGroup, seconds: float, echo: Callable[[str], None]) -> None:
     rows = []
     for group in (off, on):
         cpu = group.idle_cpu_pct(seconds)
         memory = max(map(memory_mb, group.brokers))
         rows.append(["on" if group.has_fleet else "off", memory, mean(cpu), max(cpu), group.leases_lost()])
     headers = ["fleet", "memory MB, most", "cpu %, mean", "most", "leases lost"]
-    say(tabulate(rows, floatfmt=".2f", headers=headers))
+    echo(tabulate(rows, floatfmt=".2f", headers=headers))
 
 
-def _print_loaded(off: BrokerGroup, on: BrokerGroup, rounds: int, say: Callable[[str], None]) -> None:
+def _print_loaded(off: BrokerGroup, on: BrokerGroup, rounds: int, echo: Callable[[str], None]) -> None:
     rows = [[load.name, *_paired_times(off, on, load, rounds).row()] for load in LOADS]
     headers = ["load", "lookups", "p99 ms off", "on", "on less off: middle", "a quarter under", "and over"]
-    say(tabulate(rows, floatfmt=".2f", headers=headers))
+    echo(tabulate(rows, floatfmt=".2f", headers=headers))
 
 
 def _paired_times(off: BrokerGroup, on: BrokerGroup, load: Load, rounds: int) -> PairedTimes:
--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -78,9 +78,9 @@
 class Demo:
     """The brokers, engines and clients of the demonstration, and what is shown of them."""
 
-    def __init__(self, live: bool, say: Callable[[str], None]) -> None:
+    def __init__(self, live: bool, echo: Callable[[str], None]) -> None:
         self.live = live  # draw the table anew on a terminal
-        self.say = say
+        self.echo = echo
         self.began = time.monotonic()
         self.engines = [LabEngine(f"s-{i + 1}", ZONES[i % 2]) for i in range(ENGINES)]
         self.brokers = Brokers()
@@ -105,7 +105,7 @@
         """Show an event."""
         self.last_event = f"{time.monotonic() - self.began:5.1f} s  {event}"
         if not self.live:
-            self.say(self.last_event)
+            self.echo(self.last_event)
 
     def show(self) -> None:
         """Show the state: a table drawn anew on a terminal, one line elsewhere."""
@@ -114,13 +114,13 @@
         if self.live:
             click.clear()
             headers = ["broker", "process", "lease", "holder", "token", "summed up", "missing"]
-            self.say(tabulate([row.cells() for row in rows], headers=headers))
-            self.say(f"\nserved {counts['served']}, refused {counts['refused']}, broken {counts['broken']}")
-            self.say(self.last_event)
+            self.echo(tabulate([row.cells() for row in rows], headers=headers))
+            self.echo(f"\nserved {counts['served']}, refused {counts['refused']}, broken {counts['broken']}")
+            self.echo(self.last_event)
             return
         held = next((row for row in rows if row.lease == "held"), None)
         who, token = (held.broker, held.token) if held else ("none", "-")
-        self.say(
+        self.echo(
             f"{time.monotonic() - self.began:5.1f} s  holder {who}, token {token}, "
             f"served {counts['served']}, broken {counts['broken']}"
         )
--- a/cypressledge/lab/fleet_size.py
+++ b/cypressledge/lab/fleet_size.py
@@ -24,6 +24,7 @@
 
     @staticmethod
     def of(node: VirtualNode) -> "_Totals":
+        """Return a node's totals since its start."""
         return _Totals(node.cpu_ns, node.datagrams_sent, node.items_sent, node.payload_bytes)
 
     def rates_since(self, before: "_Totals", seconds: float) -> "_Totals":
@@ -37,7 +38,7 @@
 
 
 def report(
-    brokers: int, leases: int, voters: int, seconds: float, seed: int, say: Callable[[str], None]
+    brokers: int, leases: int, voters: int, seconds: float, seed: int, echo: Callable[[str], None]
 ) -> int:
     """Print a fleet's figures, before and after a death; return 1 where a lease is not held again."""
     names = [f"n{i:03d}" for i in range(brokers)]
@@ -50,11 +51,13 @@
         _group_row("voters", [rates[name] for name in names[:voters]]),
         _group_row("others", [rates[name] for name in names[voters:]]),
     ]
-    say(tabulate(rows, headers=["", "brokers", "cpu % mean", "cpu % most", "datagrams/s", "items/s", "kB/s"]))
+    echo(
+        tabulate(rows, headers=["", "brokers", "cpu % mean", "cpu % most", "datagrams/s", "items/s", "kB/s"])
+    )
     lease_names = [f"lease-{i}" for i in range(leases)]
     held = Counter(world.holders(lease)[0] for lease in lease_names if world.holders(lease))
-    say(f"leases held {sum(held.values())} of {leases}, by {len(held)} brokers, most {max(held.values())}")
-    return _kill_busiest(world, lease_names, held, say)
+    echo(f"leases held {sum(held.values())} of {leases}, by {len(held)} brokers, most {max(held.values())}")
+    return _kill_busiest(world, lease_names, held, echo)
 
 
 def _group_row(title: str, rates: list[_Totals]) -> list[object]:
@@ -70,7 +73,7 @@
 
 
 def _kill_busiest(
-    world: VirtualFleet, lease_names: list[str], held: Counter[str], say: Callable[[str], None]
+    world: VirtualFleet, lease_names: list[str], held: Counter[str], echo: Callable[[str], None]
 ) -> int:
     """Kill who holds most leases, and wait until they are held again."""
     victim = held.most_common(1)[0][0]
@@ -86,7 +89,7 @@
     spread = Counter(world.holders(lease)[0] for lease in reacquired)
     survivor = next(iter(world.nodes.values()))
     alive = sum(member.state == ALIVE for member in survivor.membership.members.values())
-    say(
+    echo(
         f"{victim} killed with {len(lost)} leases: all held again after "
         f"{max(reacquired.values()) / SECOND_US:.2f} s, by {len(spread)} brokers; {alive + 1} seen alive"
     )
--- a/cypressledge/lab/lease_faults/run.py
+++ b/cypressledge/lab/lease_faults/run.py
@@ -33,7 +33,7 @@
         )
 
 
-def run(options: LeaseFaultsOptions, say: Callable[[str], None]) -> int:
+def run(options: LeaseFaultsOptions, echo: Callable[[str], None]) -> int:
     """Play the runs; return the exit code. 1: something happened that must not. 3: a run meant nothing."""
     runs: list[LeaseRun] = []
     meaningless = 0
@@ -41,29 +41,29 @@
         lease_run = LeaseRun(seed, options.run_options(seed))
         lease_run.play()
         runs.append(lease_run)
-        _print_run(lease_run, say)
+        _print_run(lease_run, echo)
         if why := lease_run.insufficiency():
             meaningless += 1
-            say(f"  this run means nothing: {why}")
+            echo(f"  this run means nothing: {why}")
     takeovers = [seconds for lease_run in runs for seconds in lease_run.takeovers]
     handovers = [seconds for lease_run in runs for seconds in lease_run.handovers]
-    say(_times("after a kill of a holder the next acts", takeovers, options.term))
-    say(_times("after SIGTERM the next acts", handovers, options.term))
-    say(_summary_line(runs))
+    echo(_times("after a kill of a holder the next acts", takeovers, options.term))
+    echo(_times("after SIGTERM the next acts", handovers, options.term))
+    echo(_summary_line(runs))
     if any(lease_run.verdict.broken for lease_run in runs):
         return EXIT_BROKEN
     return EXIT_MEANINGLESS if meaningless else 0
 
 
-def _print_run(lease_run: LeaseRun, say: Callable[[str], None]) -> None:
+def _print_run(lease_run: LeaseRun, echo: Callable[[str], None]) -> None:
     verdict = lease_run.verdict
-    say(
+    echo(
         f"seed {lease_run.seed}: {verdict.acts} acts, {verdict.grants} grants, "
         f"{verdict.rejected} stale acts rejected, {sum(lease_run.fault_counts.values())} faults "
         f"({', '.join(sorted(lease_run.fault_counts))}), longest gap {verdict.longest_gap / 1e6:.2f} s"
     )
     for line in (*verdict.overlaps, *verdict.beliefs, *verdict.shrunk):
-        say(f"  BROKEN {line}")
+        echo(f"  BROKEN {line}")
 
 
 def _summary_line(runs: list[LeaseRun]) -> str:
--- a/cypressledge/lab/lease_model/run.py
+++ b/cypressledge/lab/lease_model/run.py
@@ -48,21 +48,21 @@
     return dict(zip(walks, results, strict=True))
 
 
-def run(deep: bool, max_states: int, say: Callable[[str], None]) -> int:
+def run(deep: bool, max_states: int, echo: Callable[[str], None]) -> int:
     """Walk and print; return 1 where a world fails, or a mutation does not."""
     failures = states = 0
     for (kind, name), result in walk_all(deep, max_states).items():
         states += result.states
         if kind == "world":
             failures += bool(result.fault)
-            say(_world_line(name, result))
+            echo(_world_line(name, result))
         else:
             failures += not result.fault
-            say(f"without {name}: {result.fault or 'NOTHING FOUND'} ({result.states} states)")
+            echo(f"without {name}: {result.fault or 'NOTHING FOUND'} ({result.states} states)")
         for number, step in enumerate(result.trace, 1):
-            say(f"    {number}. {step}")
+            echo(f"    {number}. {step}")
     verdict = "FAILED" if failures else "no fault with all guards, one without any of them"
-    say(f"model: states {states}, {verdict}")
+    echo(f"model: states {states}, {verdict}")
     return 1 if failures else 0
 
 
--- a/cypressledge/lab/scaling/run.py
+++ b/cypressledge/lab/scaling/run.py
@@ -24,7 +24,7 @@
 )
 
 
-def run(path: str, quick: bool, seed: int, say: Callable[[str], None]) -> int:
+def run(path: str, quick: bool, seed: int, echo: Callable[[str], None]) -> int:
     """Measure and write the results; return 0, whatever the figures are. `quick`: few and small points."""
     command = f"python -m cypressledge lab scaling --json {path} --seed {seed}{' --quick' if quick else ''}"
     results = Results(quick)
@@ -33,16 +33,16 @@
         findings = measure(quick, seed, source(seed, command))
         results.slopes += findings.slopes
         results.facts += findings.facts
-        _print(findings, say)
-        say(f"-- {name}: {time.monotonic() - began:.1f} s")
+        _print(findings, echo)
+        echo(f"-- {name}: {time.monotonic() - began:.1f} s")
     write(path, results)
     return 0
 
 
-def _print(findings: Findings, say: Callable[[str], None]) -> None:
+def _print(findings: Findings, echo: Callable[[str], None]) -> None:
     for curve in findings.slopes:
         points = "  ".join(f"{x:g}: {y:.4g}" for x, y in curve.points)
         fit = f"[{curve.fit.kind}, off by {curve.residual:.1%}]"
-        say(f"{curve.name} ({curve.unit} over {curve.x})  {points}  {fit}")
+        echo(f"{curve.name} ({curve.unit} over {curve.x})  {points}  {fit}")
     for fact in findings.facts:
-        say(f"{fact.name}  {fact.value:g} {fact.unit}")
+        echo(f"{fact.name}  {fact.value:g} {fact.unit}")
--- a/cypressledge/lab/zone_processes/comparison.py
+++ b/cypressledge/lab/zone_processes/comparison.py
@@ -171,7 +171,7 @@
     return Schedule(seed, failure, zone, out_s, back_s)
 
 
-def run(seed: int, runs: int, kind: str, say: Callable[[str], None]) -> int:
+def run(seed: int, runs: int, kind: str, echo: Callable[[str], None]) -> int:
     """Play so many schedules, each twice. 1: the retry budget was broken, or a zone was left for nothing. 3:
     nothing was in fact lost."""
     offs: list[PlayResult] = []
@@ -180,11 +180,11 @@
         schedule = draw_schedule(number, kind)
         offs.append(play(schedule, False))
         ons.append(play(schedule, True))
-        say(describe(schedule, False, offs[-1]))
-        say(describe(schedule, True, ons[-1]))
+        echo(describe(schedule, False, offs[-1]))
+        echo(describe(schedule, True, ons[-1]))
     violations = sum(result.budget_violations for result in offs + ons)
     false_departures = sum(result.false_departures for result in ons)
-    say(
+    echo(
         f"zones: seeds {runs}, last send into the lost zone off {_last_send(offs):.2f} s / "
         f"on {_last_send(ons):.2f} s, worth kept off {_mean_kept(offs):.1f}% / on {_mean_kept(ons):.1f}%, "
         f"engines fallen over off {sum(o.fallen for o in offs)} / on {sum(o.fallen for o in ons)}, "
--- a/cypressledge/lab/zone_simulation/report.py
+++ b/cypressledge/lab/zone_simulation/report.py
@@ -105,23 +105,23 @@
         ]
 
 
-def run(options: SimulationOptions, say: Callable[[str], None]) -> int:
+def run(options: SimulationOptions, echo: Callable[[str], None]) -> int:
     """Play all scenarios; a table, and a plot of the first. 1: an engine fell over with failover on, or a
     zone was left for nothing."""
     reports = _play_all(options)
     rows = [report.row() for report in reports]
-    say(tabulate(rows, floatfmt=".2f", missingval="-", headers=HEADERS))
+    echo(tabulate(rows, floatfmt=".2f", missingval="-", headers=HEADERS))
     fallen = sum(report.fallen for report in reports)
     false_departures = sum(report.false_departures for report in reports)
     last_seed = options.seed + options.runs - 1
-    say(
+    echo(
         f"{options.brokers} brokers, {options.engines} engines, {options.zones or '2 to 6'} zones, "
         f"load {options.load:g} of the cores, seeds {options.seed} to {last_seed}: "
         f"engines fallen over on {fallen}, false departures {false_departures}"
     )
     if options.plot:
         draw(reports[0].comparisons[0], options.plot)
-        say(f"drawn: {options.plot}")
+        echo(f"drawn: {options.plot}")
     return 1 if fallen or false_departures else 0
 
 
--- a/tests/lab/test_capacity_run.py
+++ b/tests/lab/test_capacity_run.py
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("option", ["--no-faults", "--quiet"])
 def test_a_run_without_faults_has_a_former_option_that_is_hidden(monkeypatch, option):
     played = []
-    monkeypatch.setattr(capacity_command, "run", lambda options, **_how: played.append(options) or 0)
+    monkeypatch.setattr(capacity_command, "run", lambda options, *_, **__: played.append(options) or 0)
     assert CliRunner().invoke(cli, ["lab", "capacity", option]).exit_code == 0
     assert CliRunner().invoke(cli, ["lab", "capacity"]).exit_code == 0
     assert [options.without_faults for options in played] == [True, False]
