--- a/cypressledge/lab/capacity/capacity_run.py
+++ b/cypressledge/lab/capacity/capacity_run.py
@@ -167,7 +167,7 @@
     def _count_lookups(self) -> None:
         clients = self.world.clients
         self.served = sum(client.counts["served"] for client in clients)
-        self.unserved = sum(client.counts["refused"] + client.counts["broken"] for client in clients)
+        self.unserved = sum(client.counts["rejected"] + client.counts["broken"] for client in clients)
 
     def _show_progress(self, text: str) -> None:
         if self.live:
--- a/cypressledge/lab/capacity/plots.py
+++ b/cypressledge/lab/capacity/plots.py
@@ -22,7 +22,7 @@
         name = next(iter(result.sources))
         curve = curves.get(name)
         if curve is not None and curve.x in TARGET_SIZES:
-            y = curve.at(TARGET_SIZES[curve.x])[0] / result.ratio
+            y = curve.at(TARGET_SIZES[curve.x]).y / result.ratio
             limits[name] = min(y, limits.get(name, y))
     return limits
 
--- a/cypressledge/lab/cost.py
+++ b/cypressledge/lab/cost.py
@@ -42,30 +42,42 @@
 LOADS = (Load("light", 2, 0.02), Load("heavy", 12, 0.0))
 
 
+@dataclass(frozen=True, slots=True)
+class PairedRound:
+    """Times of lookups in one round without the fleet's part, then with it; s."""
+
+    off: list[float]
+    on: list[float]
+
+
 @dataclass(frozen=True, slots=True)
 class PairedTimes:
-    """Lookups under one load, off and on in turns: their number, the median p99 of rounds, and how much more
-    the p99 was with the fleet's part on: the median and the quartiles of the rounds; ms."""
+    """Times of lookups under one load, with the fleet's part off and on in turns; ms.
+
+    `p99_off`, `p99_on`: medians of the rounds' p99; `added_*`: how much more the p99 of a round was with it
+    on, as the median and the quartiles of all rounds.
+    """
 
     lookups: int
     p99_off: float
     p99_on: float
-    more_median: float
-    more_first_quartile: float
-    more_third_quartile: float
+    added_median: float
+    added_first_quartile: float
+    added_third_quartile: float
 
     @staticmethod
-    def of(rounds: list[tuple[list[float], list[float]]]) -> "PairedTimes":
-        """Reckon with rounds of lookups' times (s), each off and on."""
-        p99 = [(quantile(off, 0.99) * 1e3, quantile(on, 0.99) * 1e3) for off, on in rounds]
-        more = sorted(on - off for off, on in p99)
+    def of(rounds: list[PairedRound]) -> "PairedTimes":
+        """Return the figures of several rounds."""
+        p99_off = [quantile(each.off, 0.99) * 1e3 for each in rounds]
+        p99_on = [quantile(each.on, 0.99) * 1e3 for each in rounds]
+        added = sorted(on - off for off, on in zip(p99_off, p99_on, strict=True))
         return PairedTimes(
-            sum(len(off) + len(on) for off, on in rounds),
-            quantile((off for off, _ in p99), 0.5),
-            quantile((on for _, on in p99), 0.5),
-            quantile(more, 0.5),
-            more[len(more) // 4],
-            more[len(more) * 3 // 4],
+            sum(len(each.off) + len(each.on) for each in rounds),
+            quantile(p99_off, 0.5),
+            quantile(p99_on, 0.5),
+            quantile(added, 0.5),
+            added[len(added) // 4],
+            added[len(added) * 3 // 4],
         )
 
     def row(self) -> list[float]:
@@ -74,9 +86,9 @@
             self.lookups,
             self.p99_off,
             self.p99_on,
-            self.more_median,
-            self.more_first_quartile,
-            self.more_third_quartile,
+            self.added_median,
+            self.added_first_quartile,
+            self.added_third_quartile,
         ]
 
 
@@ -110,9 +122,9 @@
         self.has_fleet = has_fleet
         self.greenlets: list[gevent.Greenlet] = []
         self.clients: list[Client] = []
-        self.engines = [LabEngine(f"s-{i + 1}", "room1", ENGINE_WORK_S) for i in range(ENGINES)]
+        self.engines = [LabEngine(f"s-{number + 1}", "room1", ENGINE_WORK_S) for number in range(ENGINES)]
         self.processes = Brokers()
-        names = [f"n{i}" for i in range(count)]
+        names = [f"n{number}" for number in range(count)]
         settings = _fleet_settings(names, leases)
         members = [engine.member() for engine in self.engines]
         for name in names:
@@ -204,7 +216,7 @@
     for group in (off, on):
         group.set_load(load)
         group.run_load(WARM_UP_S)
-    return PairedTimes.of([(off.run_load(ROUND_S), on.run_load(ROUND_S)) for _ in range(rounds)])
+    return PairedTimes.of([PairedRound(off.run_load(ROUND_S), on.run_load(ROUND_S)) for _ in range(rounds)])
 
 
 def _longest_steps(on: BrokerGroup) -> tuple[float, float]:
--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -34,8 +34,8 @@
 def _fleet_settings(ports: dict[str, int]) -> dict:
     return {
         "peers": [
-            {"name": n, "address": f"127.0.0.1:{p}", "zone": ZONES[i % 2]}
-            for i, (n, p) in enumerate(ports.items())
+            {"name": name, "address": f"127.0.0.1:{port}", "zone": ZONES[number % 2]}
+            for number, (name, port) in enumerate(ports.items())
         ],
         "voters": [{"version": 1, "names": list(ports)}],
         "term_s": TERM_S,
@@ -68,10 +68,11 @@
     lease: str
     holder: str
     token: object
-    summed_up: object
+    summarized: object  # how many brokers the fleet summary counts
     missing: str
 
     def cells(self) -> list[object]:
+        """Return the row in the order of the table's columns."""
         return list(astuple(self))
 
 
@@ -82,18 +83,18 @@
         self.live = live  # draw the table anew on a terminal
         self.echo = echo
         self.began = time.monotonic()
-        self.engines = [LabEngine(f"s-{i + 1}", ZONES[i % 2]) for i in range(ENGINES)]
+        self.engines = [LabEngine(f"s-{number + 1}", ZONES[number % 2]) for number in range(ENGINES)]
         self.brokers = Brokers()
         settings = _fleet_settings(free_udp_ports(list(NAMES)))
         for name in NAMES:
             self.brokers.add(name, settings, [engine.member() for engine in self.engines]).start()
         ports = [broker.port for broker in self.brokers.all.values()]
-        self.clients = [Client(ports, CLIENT_PAUSE_S, i) for i in range(CLIENTS)]
+        self.clients = [Client(ports, CLIENT_PAUSE_S, first) for first in range(CLIENTS)]
         self.greenlets: list[gevent.Greenlet] = []
         self.last_event = ""
 
     def holder(self, excluded: str = "") -> str:
-        """Return who says that it holds the lease; empty for nobody but `excluded`."""
+        """Return the broker that reports that it holds the lease; empty for none but `excluded`."""
         for name, broker in self.brokers.all.items():
             if name != excluded and broker.running():
                 rows = ask(broker, "/fleet/leases") or []
@@ -115,7 +116,9 @@
             click.clear()
             headers = ["broker", "process", "lease", "holder", "token", "summed up", "missing"]
             self.echo(tabulate([row.cells() for row in rows], headers=headers))
-            self.echo(f"\nserved {counts['served']}, refused {counts['refused']}, broken {counts['broken']}")
+            self.echo(
+                f"\nserved {counts['served']}, rejected {counts['rejected']}, broken {counts['broken']}"
+            )
             self.echo(self.last_event)
             return
         held = next((row for row in rows if row.lease == "held"), None)
@@ -125,7 +128,7 @@
             f"served {counts['served']}, broken {counts['broken']}"
         )
 
-    def _row(self, name: str, broker: BrokerProcess) -> "_Row":
+    def _row(self, name: str, broker: BrokerProcess) -> _Row:
         lease = next(iter(ask(broker, "/fleet/leases") or []), None)
         summary = ask(broker, "/fleet/summary") or {}
         return _Row(
--- a/cypressledge/lab/lease_faults/run.py
+++ b/cypressledge/lab/lease_faults/run.py
@@ -49,7 +49,7 @@
     handovers = [seconds for lease_run in runs for seconds in lease_run.handovers]
     echo(_times("after a kill of a holder the next acts", takeovers, options.term))
     echo(_times("after SIGTERM the next acts", handovers, options.term))
-    echo(_summary_line(runs))
+    echo(_summary(runs))
     if any(lease_run.verdict.broken for lease_run in runs):
         return EXIT_BROKEN
     return EXIT_MEANINGLESS if meaningless else 0
@@ -66,7 +66,7 @@
         echo(f"  BROKEN {line}")
 
 
-def _summary_line(runs: list[LeaseRun]) -> str:
+def _summary(runs: list[LeaseRun]) -> str:
     verdicts = [lease_run.verdict for lease_run in runs]
     overlaps = sum(len(verdict.overlaps) + len(verdict.beliefs) for verdict in verdicts)
     return (
--- a/cypressledge/lab/lease_model/run.py
+++ b/cypressledge/lab/lease_model/run.py
@@ -55,7 +55,7 @@
         states += result.states
         if kind == "world":
             failures += bool(result.fault)
-            echo(_world_line(name, result))
+            echo(_world_summary(name, result))
         else:
             failures += not result.fault
             echo(f"without {name}: {result.fault or 'NOTHING FOUND'} ({result.states} states)")
@@ -66,7 +66,7 @@
     return 1 if failures else 0
 
 
-def _world_line(name: str, result: WalkResult) -> str:
+def _world_summary(name: str, result: WalkResult) -> str:
     incomplete = "" if result.is_complete else " (not complete)"
     return (
         f"world {name}: {result.states} states{incomplete}, {result.steps} steps, "
--- a/cypressledge/lab/load.py
+++ b/cypressledge/lab/load.py
@@ -56,27 +56,27 @@
 class Client:
     """Sends lookups to one broker after another, as a load balancer spreads clients; skips one that is down.
 
-    `first`: the index of the port it begins with.
+    `ports`: of the brokers; `pause_s`: between two lookups; `first`: the index of the port it begins with.
     """
 
     def __init__(self, ports: list[int], pause_s: float, first: int) -> None:
         self.ports = ports
         self.pause_s = pause_s
-        self.at = first
-        self.counts: Counter[str] = Counter()
+        self.next_port = first
+        self.counts: Counter[str] = Counter()  # served, rejected and broken
         self.latencies: list[float] = []  # seconds, of what was served
 
     def run(self) -> None:
         """Send one lookup after the other, each on the connection that is open; a greenlet."""
         while True:
-            port = self.ports[self.at % len(self.ports)]
+            port = self.ports[self.next_port % len(self.ports)]
             try:
                 with socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S) as sock:
                     sock.settimeout(WAIT_MS / 1000 + TIMEOUT_MARGIN_S)
                     self._send_lookups(sock, sock.makefile("rb"))
             except (OSError, ValueError):
                 self.counts["broken"] += 1
-            self.at += 1
+            self.next_port += 1
             gevent.sleep(self.pause_s)
 
     def _send_lookups(self, sock: socket.socket, file: BinaryIO) -> None:
@@ -86,7 +86,7 @@
             sock.sendall(lookup_request(number, secrets.token_hex(8), WAIT_MS, COST_MS, STATEMENT))
             sent_at = time.monotonic()
             served = "result" in answer(file)
-            self.counts["served" if served else "refused"] += 1
+            self.counts["served" if served else "rejected"] += 1
             if served:
                 self.latencies.append(time.monotonic() - sent_at)
             gevent.sleep(self.pause_s)
--- a/cypressledge/lab/results.py
+++ b/cypressledge/lab/results.py
@@ -5,7 +5,7 @@
 from datetime import UTC, datetime
 from itertools import pairwise
 from pathlib import Path
-from typing import Literal, TypeVar
+from typing import Literal, NamedTuple, TypeVar
 
 import msgspec
 
@@ -29,6 +29,13 @@
     command: str
 
 
+class CurveValue(NamedTuple):
+    """A curve's y at some x, and what it is based on."""
+
+    y: float
+    basis: Basis
+
+
 class Slope(msgspec.Struct, frozen=True):
     """A measured curve: points of y over x. `role`: whose y it is; `what`: y in words; `unit`: of y."""
 
@@ -46,13 +53,13 @@
         """The fit's residual, as a part of the mean y."""
         return self.fit.residual
 
-    def at(self, x: float) -> tuple[float, Basis]:
+    def at(self, x: float) -> CurveValue:
         """Return y at x: a point's, between two points on the straight line, beyond them the fit's."""
         for (x0, y0), (x1, y1) in pairwise(self.points):
             if x0 <= x <= x1:
                 y = y0 + (y1 - y0) * (x - x0) / (x1 - x0)
-                return y, "measured" if x in (x0, x1) else "interpolated"
-        return self.fit.at(x), "extrapolated"
+                return CurveValue(y, "measured" if x in (x0, x1) else "interpolated")
+        return CurveValue(self.fit.at(x), "extrapolated")
 
 
 class Fact(msgspec.Struct, frozen=True):
--- a/cypressledge/lab/udp_proxy.py
+++ b/cypressledge/lab/udp_proxy.py
@@ -27,14 +27,19 @@
     """A proxy for each ordered pair: what `a` sends to `address(a, b)` reaches `b` if the link lets it."""
 
     def __init__(
-        self, ports: dict[str, int], seed: int, between: Callable[[str, str], bool] = lambda a, b: True
+        self, ports: dict[str, int], seed: int, between: Callable[[str, str], bool] = lambda source, to: True
     ) -> None:
         """Open the proxies.
 
         `ports`: by name, the UDP port of each process. `between`: which pairs have a proxy, by default all.
         """
         self.ports, self.random = ports, random.Random(seed)
-        self.paths = {(a, b): LinkConditions() for a in ports for b in ports if a != b and between(a, b)}
+        self.paths = {
+            (source, to): LinkConditions()
+            for source in ports
+            for to in ports
+            if source != to and between(source, to)
+        }
         self.sockets: dict[tuple[str, str], socket.socket] = {}
         self.greenlets = []
         self.passed = self.dropped = self.copied = self.delayed = 0  # datagrams
--- a/cypressledge/lab/virtual_fleet.py
+++ b/cypressledge/lab/virtual_fleet.py
@@ -9,7 +9,7 @@
 import random
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from cypressledge.fleet.leases.electorate import Electorate
 from cypressledge.fleet.leases.lease_manager import LeaseManager, LeaseSettings
@@ -21,7 +21,14 @@
 GATHER_US = 10_000  # that a broker takes datagrams together for, as the program does
 MAX_INBOX = 1_024  # datagrams
 
-Datagram = tuple[str, int, int, list]  # sender, its incarnation, its oldest accepted voter set, items
+
+class Datagram(NamedTuple):
+    """A datagram on its way: its sender with its incarnation and oldest accepted voter set, and its items."""
+
+    sender: str
+    incarnation: int
+    oldest_accepted: int
+    items: list[Any]
 
 
 class VirtualNode:
@@ -72,11 +79,11 @@
         began = time.thread_time_ns()
         now = self.now()
         inbox, self.inbox = self.inbox, []
-        for sender, incarnation, floor, items in inbox:
+        for sender, incarnation, oldest_accepted, items in inbox:
             if sender != self.name and not self.membership.observe(now, sender, incarnation):
                 self.membership.refute(items)
                 continue
-            self.lease_manager.electorate.observe(now, sender, floor)
+            self.lease_manager.electorate.observe(now, sender, oldest_accepted)
             for item in items:
                 if isinstance(item, Ping | Ack | IndirectPing):
                     self.membership.receive(now, sender, item)
@@ -92,15 +99,24 @@
         queues, self.queues = self.queues, {}
         electorate = self.lease_manager.electorate
         for peer, items in queues.items():
-            floor = electorate.oldest_accepted(self.now())
+            oldest_accepted = electorate.oldest_accepted(self.now())
             incarnation = self.membership.incarnation
             raw = encode(
-                Envelope(VERSION, self.name, peer, self.run, incarnation, electorate.version, floor, items)
+                Envelope(
+                    VERSION,
+                    self.name,
+                    peer,
+                    self.run,
+                    incarnation,
+                    electorate.version,
+                    oldest_accepted,
+                    items,
+                )
             )
             self.datagrams_sent += 1
             self.items_sent += len(items)
             self.payload_bytes += len(raw)
-            self.world.carry(self.name, peer, (self.name, incarnation, floor, items))
+            self.world.carry(self.name, peer, Datagram(self.name, incarnation, oldest_accepted, items))
 
 
 class VirtualFleet:
