--- a/cypressledge/lab/zone_processes/comparison.py
+++ b/cypressledge/lab/zone_processes/comparison.py
@@ -26,8 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """How a zone fails, for how long, and how long it is watched after. `failure` none: a day without a
-    loss."""
+    """How a zone fails, for how long, and how long it is watched afterwards.
+
+    `failure`: one of `FAILURES`, or cut, blind, release or none, which lose no whole zone.
+    """
 
     seed: int
     failure: str
@@ -46,9 +48,7 @@
     """What came of one play of a schedule."""
 
     last_send: float = 0.0  # s after the zone was lost, of the last new send into it
-    departed_after_s: float | None = (
-        None  # s after it, when the last broker had taken the plan that leaves it
-    )
+    departed_after_s: float | None = None  # s after it, until all brokers had the plan that leaves it
     kept: float = 0.0  # percent of what was asked that was answered in time, from the loss on
     fallen: int = 0  # engines
     retries: int = 0
@@ -59,7 +59,7 @@
 
 
 def play(schedule: Schedule, failover: bool) -> PlayResult:
-    """Start, lose, bring back, end."""
+    """Play a schedule: start, lose the zone, bring it back, end."""
     testbed = ZoneTestbed(ZoneTestbedOptions(BROKERS, failover, schedule.seed, RATE))
     result = PlayResult()
     zone = schedule.zone
@@ -96,7 +96,7 @@
             engine.fail(schedule.failure)
     elif schedule.failure == "cut":  # the path from the next zone's brokers to this one's engines
         next_zone = (ZONES.index(schedule.zone) + 1) % len(ZONES)
-        cut_off = {name for i, name in enumerate(testbed.names) if i % len(ZONES) == next_zone}
+        cut_off = {name for number, name in enumerate(testbed.names) if number % len(ZONES) == next_zone}
         for engine in lost:
             engine.block(cut_off, "silent")
     elif schedule.failure == "blind":  # one broker, to whom everything fails
@@ -111,15 +111,15 @@
 
 
 def _false_departures(schedule: Schedule, events: list[dict]) -> int:
-    """How often a zone was left for nothing."""
+    """Return how often a zone was left for nothing."""
     departures = [event for event in events if event["event"] != "plan_taken"]
     if not schedule.loses_zone:
         return len(departures)
-    return sum(schedule.zone not in e.get("zone", e.get("zones", "")) for e in departures)
+    return sum(schedule.zone not in event.get("zone", event.get("zones", "")) for event in departures)
 
 
 def _read_times(result: PlayResult, zone: str, lost_at: float, back_at: float) -> None:
-    """When all had taken the plan that leaves the zone, and when its share was full again."""
+    """Set when all had taken the plan that leaves the zone, and when its share was full again."""
     left_at: dict[str, float] = {}
     for event in result.events:
         if event["event"] != "plan_taken":
@@ -135,7 +135,9 @@
 
 def _check_retry_budget(result: PlayResult, engines: list[CoreEngine]) -> None:
     """Count attempts beyond each query's first, and those over the budget of all brokers together."""
-    received = sorted((q.received_at, q.broker, q.name) for engine in engines for q in engine.received)
+    received = sorted(
+        (query.received_at, query.broker, query.name) for engine in engines for query in engine.received
+    )
     seen: set[str] = set()
     firsts: list[float] = []
     retries: list[float] = []
@@ -151,7 +153,7 @@
 
 
 def describe(schedule: Schedule, failover: bool, result: PlayResult) -> str:
-    """One play in one line."""
+    """Return one play in one line."""
     left = "" if result.departed_after_s is None else f", left by all after {result.departed_after_s:.2f} s"
     back = "" if result.recovered_after_s is None else f", whole again after {result.recovered_after_s:.1f} s"
     return (
@@ -163,7 +165,7 @@
 
 
 def draw_schedule(seed: int, failure: str) -> Schedule:
-    """The schedule of a seed; `failure` where it is not to be drawn."""
+    """Return the schedule of a seed; `failure`: where it is not to be drawn."""
     rng = random.Random(seed)
     failure = failure or rng.choice(FAILURES)
     zone = rng.choice(ZONES)
@@ -172,8 +174,10 @@
 
 
 def run(seed: int, runs: int, kind: str, echo: Callable[[str], None]) -> int:
-    """Play so many schedules, each twice. 1: the retry budget was broken, or a zone was left for nothing. 3:
-    nothing was in fact lost."""
+    """Play so many schedules, each with zone failover off and on; return the exit code.
+
+    1: the retry budget was exceeded, or a zone was left for nothing. 3: nothing was in fact lost.
+    """
     offs: list[PlayResult] = []
     ons: list[PlayResult] = []
     for number in range(seed, seed + runs):
@@ -187,7 +191,7 @@
     echo(
         f"zones: seeds {runs}, last send into the lost zone off {_last_send(offs):.2f} s / "
         f"on {_last_send(ons):.2f} s, worth kept off {_mean_kept(offs):.1f}% / on {_mean_kept(ons):.1f}%, "
-        f"engines fallen over off {sum(o.fallen for o in offs)} / on {sum(o.fallen for o in ons)}, "
+        f"engines fallen over off {_fallen(offs)} / on {_fallen(ons)}, "
         f"ration broken {violations}, false departures {false_departures}"
     )
     if violations or false_departures:
@@ -196,9 +200,13 @@
     return 3 if was_to_lose and not any(result.last_send for result in offs) else 0
 
 
-def _last_send(outcomes: list[PlayResult]) -> float:
-    return max(result.last_send for result in outcomes)
+def _last_send(results: list[PlayResult]) -> float:
+    return max(result.last_send for result in results)
+
+
+def _fallen(results: list[PlayResult]) -> int:
+    return sum(result.fallen for result in results)
 
 
-def _mean_kept(outcomes: list[PlayResult]) -> float:
-    return mean([result.kept for result in outcomes])
+def _mean_kept(results: list[PlayResult]) -> float:
+    return mean([result.kept for result in results])
--- a/cypressledge/lab/zone_processes/core_engine.py
+++ b/cypressledge/lab/zone_processes/core_engine.py
@@ -22,7 +22,7 @@
 OVERLOAD_WINDOW_S = RULES["Fall"] / 1e6
 SLOW_CAPACITY = 0.1  # part of its cores that a slow engine has
 DEFAULT_WORK_S = 0.05  # of a statement that names none
-WORK_COMMENT = re.compile(rb"/\* (\d+) ms \*/")  # a statement's own word on how long it takes
+WORK_COMMENT = re.compile(rb"/\* (\d+) ms \*/")  # by which a statement tells how long it takes
 TICK_S = 0.01
 
 
@@ -44,16 +44,19 @@
 
 
 class CoreEngine:
-    """An engine with cores that its queries share. It starts at a part of what it can do and warms up; while
-    it does, work that comes at more than `OVERLOAD_MULTIPLE` times what it can do, for `OVERLOAD_WINDOW_S`,
-    makes it fall over. Each broker has an address of its own for it, so that paths can fail one by one."""
+    """An engine with cores that its queries share.
+
+    It starts at a part of what it can do and warms up; while it does, work that comes at more than
+    `OVERLOAD_MULTIPLE` times what it can do, for `OVERLOAD_WINDOW_S`, makes it fall over. Each broker has an
+    address of its own for it, so that paths can fail one by one.
+    """
 
     def __init__(self, name: str, zone: str, cores: int, brokers: list[str], warm_s: float = WARM_S) -> None:
         self.name = name
         self.zone = zone
         self.cores = cores
         self.warm_s = warm_s
-        self.started_at = time.monotonic() - 10 * warm_s  # warm since long
+        self.started_at = time.monotonic() - 10 * warm_s  # warm
         self.fallen = False
         self.falls = 0
         self.failure = ""  # silent, reset, slow, or none
@@ -74,13 +77,13 @@
         return directory_member(self.name, self.servers[broker].server_port, self.zone)
 
     def capacity(self) -> float:
-        """Cores that it has at the moment."""
+        """Return the cores that it has at the moment."""
         age = time.monotonic() - self.started_at
         warm = min(1.0, START_CAPACITY + (1 - START_CAPACITY) * age / self.warm_s)
         return self.cores * warm * (SLOW_CAPACITY if self.failure == "slow" else 1.0)
 
     def fail(self, failure: str) -> None:
-        """Fall silent, reset all, or slow down tenfold."""
+        """Fall silent, reset all connections, or slow down tenfold, as `failure` says."""
         self.failure = failure
         if failure != "slow":
             self.running.clear()
@@ -88,13 +91,13 @@
             self._close_connections(set(self.servers))
 
     def block(self, brokers: set[str], failure: str) -> None:
-        """The paths to some brokers alone fail: silent or reset."""
+        """Let the paths to some brokers alone fail; `failure`: silent or reset."""
         self.blocked |= dict.fromkeys(brokers, failure)
         if failure == "reset":
             self._close_connections(brokers)
 
     def repair(self, cold: bool = True) -> None:
-        """Back, cold where it was away."""
+        """Let all paths work again; `cold`: the engine was away, and starts."""
         self.blocked.clear()
         if cold:
             self.failure = ""
@@ -104,7 +107,7 @@
             self.running.clear()
 
     def close(self) -> None:
-        """It is gone."""
+        """Stop the engine and its listeners."""
         self.greenlet.kill()
         for server in self.servers.values():
             server.stop(timeout=0.1)
@@ -114,7 +117,7 @@
             connection.close()
 
     def _serve(self, broker: str, connection: socket.socket, _: object) -> None:
-        """A greenlet: the line protocol, as far as the laboratory needs it."""
+        """Speak the line protocol on one connection, as far as the laboratory needs it; a greenlet."""
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.connections[connection] = broker
         file = connection.makefile("rb")
@@ -142,7 +145,7 @@
             self.recent_work.append((time.monotonic(), work))
 
     def _run(self) -> None:
-        """A greenlet: lets time work on what runs."""
+        """Work on the running queries as time passes; a greenlet."""
         last = time.monotonic()
         while True:
             gevent.sleep(TICK_S)
--- a/cypressledge/lab/zone_processes/open_load.py
+++ b/cypressledge/lab/zone_processes/open_load.py
@@ -23,8 +23,11 @@
 
 
 class OpenLoad:
-    """Clients on connections of their own, spread over brokers. `counts`: asked, sent, kept (answered in
-    time), late and broken."""
+    """Clients on connections of their own, spread over brokers.
+
+    `rate`: queries a second; `work_ms`: of a query; `counts`: asked, sent, kept (answered in time), late and
+    broken.
+    """
 
     def __init__(self, ports: list[int], rate: float, work_ms: int, seed: int) -> None:
         self.ports = ports
@@ -37,7 +40,7 @@
         self.greenlets.append(gevent.spawn(self._arrivals))
 
     def end(self) -> None:
-        """No more."""
+        """End all clients."""
         gevent.killall(self.greenlets)
 
     def _arrivals(self) -> None:
--- a/cypressledge/lab/zone_processes/testbed.py
+++ b/cypressledge/lab/zone_processes/testbed.py
@@ -15,15 +15,18 @@
 ENGINES_PER_ZONE = 3
 CORES = 4  # of an engine
 WORK_MS = 100  # of a lookup
-START_S = 30  # that brokers may take to listen,
-PLAN_S = 20  # and to have a plan
+START_TIMEOUT_S = 30  # until brokers listen
+PLAN_TIMEOUT_S = 20  # until they have a plan
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneTestbedOptions:
-    """`brokers`: how many; `failover`: whether they have zone failover; `rate`: the load, part of all
+    """What a testbed is made of.
+
+    `brokers`: how many; `failover`: whether they have zone failover; `rate`: the load, as a part of all
     engines' cores; `proxied`: proxies between every two brokers, whose links can fail; `hold_s`: the least
-    time that a zone stays out; `warm_s`: in which engines warm up."""
+    time that a zone stays out; `warm_s`: in which engines warm up; `regions`: of the fleet file.
+    """
 
     brokers: int
     failover: bool
@@ -56,21 +59,23 @@
 
     @property
     def load(self) -> OpenLoad:
-        """The load, once it has begun."""
+        """The load. Raises `RuntimeError` before it has begun."""
         if self._load is None:
             raise RuntimeError("not started")
         return self._load
 
     def start(self) -> "ZoneTestbed":
-        """Start all; the load begins once they have a plan, where there is to be one. Raises `RuntimeError`
-        where that does not come about."""
+        """Start all brokers, then the load: once they have a plan, where there is to be one.
+
+        Raises `RuntimeError` where they do not start, or have no plan in time.
+        """
         for slot, name in enumerate(self.names):
             self._add_broker(slot, name).start(self.options.failover)
         brokers = self.brokers.all.values()
-        until(lambda: all("listening on" in b.words() or not b.running() for b in brokers), START_S)
+        until(lambda: all("listening on" in b.words() or not b.running() for b in brokers), START_TIMEOUT_S)
         if not all("listening on" in b.words() and b.running() for b in brokers):
             raise RuntimeError("the brokers did not start: " + "".join(b.words()[-500:] for b in brokers))
-        if self.options.failover and not until(self._all_follow_a_plan, PLAN_S):
+        if self.options.failover and not until(self._all_follow_a_plan, PLAN_TIMEOUT_S):
             raise RuntimeError("no planner")
         total_cores = sum(engine.cores for engine in self.engines)
         ports = [self[name].port for name in self.names]
@@ -80,7 +85,7 @@
         return self
 
     def close(self) -> None:
-        """Nothing is left behind."""
+        """End the load, all processes, proxies and engines."""
         if self._load is not None:
             self._load.end()
         self.brokers.end()
@@ -90,34 +95,34 @@
             engine.close()
 
     def engines_in(self, zone: str) -> list[CoreEngine]:
-        """A zone's engines."""
+        """Return a zone's engines."""
         return [engine for engine in self.engines if engine.zone == zone]
 
     def status(self, name: str) -> dict:
-        """How a broker sees the zones; empty where it does not answer."""
+        """Return a broker's status of the zones; empty where it does not answer."""
         return cast(dict, ask(self[name], "/zone/status") or {})
 
     def zone_row(self, name: str, zone: str) -> dict:
-        """One zone's row of it."""
+        """Return one zone's row of a broker's status; empty where there is none."""
         return next((row for row in self.status(name).get("zones", ()) if row["zone"] == zone), {})
 
     def shares(self, zone: str, among: list[str] | None = None) -> list[float | None]:
-        """A zone's share at each broker that runs."""
+        """Return a zone's share, permille, at each broker that runs; None where it does not answer."""
         return [self.zone_row(n, zone).get("share") for n in among or self.names if self[n].running()]
 
     def planner(self, but: str = "") -> str:
-        """Who plans, as those that run have it; nobody while they differ."""
+        """Return the planner by all brokers that run; empty while they differ, or where it is `but`."""
         planners = {self.status(name).get("planner") for name in self.names if self[name].running()}
         name = planners.pop() if len(planners) == 1 else ""
         return name if name and name != but and self[name].running() else ""
 
     def events(self, *kinds: str) -> list[dict]:
-        """The brokers' log events of these kinds, in order of time."""
+        """Return the brokers' log events of these kinds, in order of time."""
         found = [e for broker in self.brokers.all.values() for e in broker.events() if e["event"] in kinds]
         return sorted(found, key=logged_at)
 
     def last_received(self, zone: str) -> float:
-        """When an engine of a zone last received a query, on the monotonic clock."""
+        """Return when an engine of a zone last received a query, s of the monotonic clock; 0 for never."""
         return max((q.received_at for e in self.engines_in(zone) for q in e.received), default=0.0)
 
     def _all_follow_a_plan(self) -> bool:
@@ -150,12 +155,12 @@
         }
 
     def _address(self, name: str, peer: str) -> str:
-        """Where a broker sends what is meant for a peer."""
+        """Return where a broker sends what is meant for a peer, HOST:PORT."""
         if self.proxies is None or peer == name:
             return f"127.0.0.1:{self.ports[peer]}"
         return self.proxies.address(name, peer)
 
 
 def logged_at(event: dict) -> float:
-    """When an event was logged, s of the wall clock."""
+    """Return when an event was logged, s of the wall clock."""
     return datetime.fromisoformat(event["timestamp"]).timestamp()
--- a/cypressledge/lab/zone_simulation/broker.py
+++ b/cypressledge/lab/zone_simulation/broker.py
@@ -25,23 +25,23 @@
 
 
 class BrokerWorld(Protocol):
-    """What a broker needs of the world that it stands in. `now`: virtual µs."""
+    """What a broker needs of its world. `now`: virtual µs."""
 
     now: int
     endpoints: dict[int, Endpoint]
 
     def send(self, broker: "ModelBroker", attempt: Attempt) -> None:
-        """An attempt leaves a broker."""
+        """Send an attempt of a broker to its engine."""
 
     def count_arrival(self) -> None:
-        """A client has asked."""
+        """Count a client's request."""
 
     def count_answer(self, query: Query) -> None:
-        """A client has its answer."""
+        """Count a client's answer, by whether it came in time."""
 
 
 class ModelBroker:
-    """One broker."""
+    """One broker, with the parts of the core that zone failover uses."""
 
     def __init__(self, world: BrokerWorld, number: int, settings: c.Settings, seed: int) -> None:
         self.world = world
@@ -76,7 +76,7 @@
         return self
 
     def now(self) -> int:
-        """The module's time, µs."""
+        """Return the module's time, µs."""
         return self.world.now
 
     def refresh(self) -> None:
@@ -90,19 +90,19 @@
         return replace(entry, state=c.EngineState.DRAINING)
 
     def receive_request(self) -> None:
-        """A client asks."""
+        """Take one request of a client, unless the admission filter rejects it."""
         self.last_request += 1
         number = self.last_request
-        due = self.world.now + CLIENT_WAIT
-        query = Query(f"{self.name}.{number}", 0, "lookup", "sahel", b"", due, cost=WORK)
+        deadline = self.world.now + CLIENT_WAIT
+        query = Query(f"{self.name}.{number}", 0, "lookup", "sahel", b"", deadline, cost=WORK)
         self.world.count_arrival()
         if self.admission_filter is not None and not self.admission_filter(query):
             return
         self.requests[number] = Request(number, query, NO_REPLY)
-        self.events.append(c.RequestReceived(number, 0, due, 0, WORK))
+        self.events.append(c.RequestReceived(number, 0, deadline, 0, WORK))
 
     def step(self) -> None:
-        """Hand the module what came, and do what it says."""
+        """Give the module all new events, and execute its actions."""
         now = self.world.now
         if self.zones is not None:
             self.zones.tick(now)
@@ -114,9 +114,9 @@
             return
         events, self.events = self.events, []
         for action in self.manager.handle(now, events):
-            self._do(action, now)
+            self._execute(action, now)
 
-    def _do(self, action: c.Action, now: int) -> None:
+    def _execute(self, action: c.Action, now: int) -> None:
         if isinstance(action, c.StartAttempt):
             request = self.requests[action.request]
             endpoint = self.world.endpoints[action.engine]
@@ -131,7 +131,7 @@
             self._close_request(self.requests[action.request])
 
     def end_attempt(self, request_number: int, number: int, outcome: c.Outcome) -> None:
-        """An attempt has ended."""
+        """End an attempt, unless it has ended."""
         request = self.requests.get(request_number)
         if request is None or not request.attempts[number].is_open:
             return
@@ -151,11 +151,11 @@
         self._forget_if_done(request)
 
     def drop_overdue(self, now: int) -> None:
-        """Clients that have waited long enough are gone."""
+        """End the requests whose clients have disconnected, past their deadlines."""
         overdue = [
-            r
-            for r in self.requests.values()
-            if now > r.query.deadline + DEADLINE_GRACE_US and not r.is_concluded
+            request
+            for request in self.requests.values()
+            if now > request.query.deadline + DEADLINE_GRACE_US and not request.is_concluded
         ]
         for request in overdue:
             for attempt in request.attempts:
--- a/cypressledge/lab/zone_simulation/engine.py
+++ b/cypressledge/lab/zone_simulation/engine.py
@@ -2,6 +2,7 @@
 
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 SECOND = 1_000_000
 STEP = 10_000  # µs of one step of the model
@@ -13,13 +14,21 @@
 SLOW_CAPACITY = 0.1  # part of its cores that a slow engine has
 WORK = 300_000  # µs of a lookup
 
-AttemptKey = tuple[int, int, int]  # broker, request, attempt
+
+class AttemptKey(NamedTuple):
+    """Names an attempt: the numbers of its broker, its request and itself."""
+
+    broker: int
+    request: int
+    attempt: int
 
 
 @dataclass(slots=True)
 class ModelEngine:
-    """One engine. `started_at`: 0 for one that has been warm all along; `failure`: silent, reset, slow or
-    none."""
+    """One engine.
+
+    `started_at`: 0 for one that has been warm all along; `failure`: silent, reset, slow or empty.
+    """
 
     number: int
     zone: int
@@ -31,14 +40,14 @@
     recent_work: float = 0.0
 
     def capacity(self, now: int) -> float:
-        """Cores at the moment."""
+        """Return the cores that it has at a moment."""
         warm = 1.0
         if self.started_at:
             warm = min(1.0, START_CAPACITY + (1 - START_CAPACITY) * (now - self.started_at) / WARM)
         return CORES * warm * (SLOW_CAPACITY if self.failure == "slow" else 1.0)
 
     def receive(self, now: int, attempt: AttemptKey) -> bool:
-        """A query comes; whether its connection holds."""
+        """Take an attempt; return whether its connection holds."""
         if self.failure == "reset" or self.fallen:
             return False
         if self.failure != "silent":
@@ -48,13 +57,13 @@
         return True
 
     def fail(self, failure: str) -> None:
-        """Fail from now on."""
+        """Fail from now on; `failure`: silent, reset or slow."""
         self.failure = failure
         if failure != "slow":
             self.running.clear()
 
     def step(self, now: int) -> list[AttemptKey]:
-        """Let a step pass; the attempts that have been answered."""
+        """Let a step pass; return the attempts that it has answered."""
         self._check_overload(now)
         if self.failure in ("silent", "reset") or not self.running:
             return []
--- a/cypressledge/lab/zone_simulation/report.py
+++ b/cypressledge/lab/zone_simulation/report.py
@@ -35,12 +35,12 @@
 
     @property
     def offs(self) -> list[PlayResult]:
-        """The plays without zone failover."""
+        """Return the plays without zone failover."""
         return [comparison.off for comparison in self.comparisons]
 
     @property
     def ons(self) -> list[PlayResult]:
-        """The plays with it."""
+        """Return the plays with zone failover."""
         return [comparison.on for comparison in self.comparisons]
 
     @property
@@ -53,8 +53,8 @@
         """Zones left for nothing with failover on."""
         return sum(result.false_departures for result in self.ons)
 
-    def row(self) -> list:
-        """The row of the table."""
+    def row(self) -> list[object]:
+        """Return the row of the table."""
         offs, ons = self.offs, self.ons
         return [
             self.kind,
@@ -72,15 +72,18 @@
 
 
 def _largest(values: Iterable[float | None]) -> float | None:
-    """The largest of the values that are known."""
+    """Return the largest of the values that are known; None where none is."""
     return max((value for value in values if value is not None), default=None)
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationOptions:
-    """What is to be played. `zones`: 0 draws 2 to 6 by the seed; `kind`: kinds of fault with commas, all
-    where none is named; `seed`: the first; `runs`: seeds of each kind; `workers`: processes to play in;
-    `plot`: the file that the first scenario is drawn into, or nothing."""
+    """The command's options.
+
+    `zones`: 0 draws 2 to 6 by the seed; `kind`: kinds of fault with commas, all where none is named; `seed`:
+    the first; `runs`: seeds of each kind; `load`: as a part of all engines' cores; `workers`: processes to
+    play in; `plot`: the file that the first scenario is drawn into, or empty.
+    """
 
     brokers: int
     engines: int
@@ -93,11 +96,11 @@
     plot: str
 
     def kinds(self) -> tuple[str, ...]:
-        """The kinds of fault."""
+        """Return the kinds of fault."""
         return tuple(kind.strip() for kind in self.kind.split(",")) if self.kind else SCHEDULES
 
     def scenarios(self) -> list[Scenario]:
-        """All scenarios, kind by kind."""
+        """Return all scenarios, kind by kind."""
         return [
             Scenario(seed, kind, self.brokers, self.engines, self.zones or 2 + seed % 5, self.load)
             for kind in self.kinds()
@@ -106,8 +109,10 @@
 
 
 def run(options: SimulationOptions, echo: Callable[[str], None]) -> int:
-    """Play all scenarios; a table, and a plot of the first. 1: an engine fell over with failover on, or a
-    zone was left for nothing."""
+    """Play all scenarios, print a table, and plot the first; return the exit code.
+
+    1: an engine fell over with failover on, or a zone was left for nothing.
+    """
     reports = _play_all(options)
     rows = [report.row() for report in reports]
     echo(tabulate(rows, floatfmt=".2f", missingval="-", headers=HEADERS))
@@ -134,8 +139,7 @@
 
 
 def draw(comparison: Comparison, path: str) -> None:
-    """Draw the zone's share, its load over what it can do, and what was kept so far, over time; off and
-    on."""
+    """Draw the samples of the lost zone over time, with zone failover off and on."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/cypressledge/lab/zone_simulation/scenario.py
+++ b/cypressledge/lab/zone_simulation/scenario.py
@@ -5,8 +5,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A scenario that can be played with zone failover off and on. `kind`: of fault; `load`: the work, part
-    of all engines' cores; `loss`: the part of the messages between brokers that is lost."""
+    """A scenario that can be played with zone failover off and on.
+
+    `kind`: of fault; `load`: the work, as a part of all engines' cores; `loss`: the part of the messages
+    between brokers that is lost.
+    """
 
     seed: int
     kind: str
--- a/cypressledge/lab/zone_simulation/schedules.py
+++ b/cypressledge/lab/zone_simulation/schedules.py
@@ -52,14 +52,16 @@
 
 
 def _fault(world: World, kind: str, zone: int, out_s: float) -> None:
-    """Let the fault of a schedule happen for `out_s`."""
+    """Let the fault of a schedule last for `out_s`."""
     zones = len(world.zone_names)
     if kind in LOSSES:
         world.lose(zone, "silent" if kind == "planner" else kind)
     elif kind == "cut":  # the path from the next zone's brokers
-        world.blocked = {(b, zone) for b in range(len(world.brokers)) if b % zones == (zone + 1) % zones}
+        world.blocked = {
+            (broker, zone) for broker in range(len(world.brokers)) if broker % zones == (zone + 1) % zones
+        }
     elif kind == "blind":  # one broker, to whom everything fails
-        world.blocked = {(1, z) for z in range(zones)}
+        world.blocked = {(1, each) for each in range(zones)}
     if kind == "release":
         _release(world, zone, out_s)
     elif kind == "planner":
@@ -95,7 +97,7 @@
 
 
 def _false_departures(world: World, kind: str) -> int:
-    """How often a zone was left for nothing."""
+    """Return how often a zone was left for nothing."""
     departures = [e for e in world.events if e.event in ("zone_leaving", "zones_left_alone")]
     if kind not in LOSSES:
         return len(departures)
@@ -103,7 +105,7 @@
 
 
 def _recovered_after(world: World) -> float | None:
-    """Seconds from the return until the zone's share was full."""
+    """Return the seconds from the zone's return until its share was full; None where it never was."""
     if world.back_at is None:
         return None
     times = (at for at in _times(world, "zone_serving") if at > world.back_at)
@@ -112,5 +114,5 @@
 
 
 def _times(world: World, event: str) -> list[int]:
-    """When an event of the lost zone was logged."""
+    """Return when an event of the lost zone was logged, virtual µs."""
     return [e.at for e in world.events if e.event == event and e.zones == [world.lost_name()]]
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -3,6 +3,7 @@
 import random
 from collections import Counter, deque
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any, cast
 
 from cypressledge.broker.requests import Attempt, Endpoint, ListedEngine, Query
@@ -22,6 +23,7 @@
     STEP,
     WARM,
     WORK,
+    AttemptKey,
     ModelEngine,
 )
 from cypressledge.lab.zone_simulation.scenario import Scenario
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, on its way to the broker."""
+    """How an attempt ended, in transit to its broker."""
 
     request: int
     number: int
@@ -49,12 +51,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetMessage:
-    """A message of one broker to another."""
+    """A message from one broker to another."""
 
     sender: str
     message: ZoneMessage
 
 
+@dataclass(frozen=True, slots=True)
+class Delivery:
+    """Something that arrives at a broker, named by its number."""
+
+    broker: int
+    item: AttemptResult | FleetMessage
+
+
 @dataclass(frozen=True, slots=True)
 class LoggedEvent:
     """A log event of a broker: when, which, and of which zones."""
@@ -66,7 +76,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The lost zone at one moment, s: its share, its load over what it can do, and what was kept so far."""
+    """The lost zone at one moment, s.
+
+    `share`: of the zone, mean of the brokers; `load`: over what it can do; `kept`: the part of all
+    requests so far that was answered in time.
+    """
 
     at: float
     share: float
@@ -111,7 +125,7 @@
         self.weights = [self.random.uniform(0.4, 2.0) for _ in self.brokers]
         # Requests a second, of all brokers.
         self.rate = scenario.load * scenario.engines * CORES / (WORK / SECOND)
-        self.mail: list[tuple[int, AttemptResult | FleetMessage]] = []  # what arrives with the next step
+        self.in_transit: list[Delivery] = []  # arrives with the next step
         self.blocked: set[tuple[int, int]] = set()  # paths that fail: (broker, zone)
         self.lost_zone: int | None = None
         self.lost_at: int | None = None
@@ -127,7 +141,7 @@
 
     @staticmethod
     def _settings(number: int, brokers: int) -> c.Settings:
-        """The site, as each module is given it."""
+        """Return the site's settings for one broker's module."""
         return c.Settings(
             classes=(LOOKUP,),
             kind_cores=(CORES,),
@@ -162,22 +176,12 @@
         peers = [name for name in names if name != broker.name]
         broker_zones = {name: self.zone_names[i % len(self.zone_names)] for i, name in enumerate(names)}
 
-        def send(peer: str, message: object) -> None:
-            if self.random.random() >= self.loss:
-                self.mail.append((_number(peer), FleetMessage(broker.name, cast(ZoneMessage, message))))
-
-        def log_event(event: str, **fields: Any) -> None:
-            zones = fields["zones"] if "zones" in fields else [fields.get("zone", "")]
-            self.events.append(LoggedEvent(self.now, event, zones))
-            if event == "plan_taken" and fields["shares"].get(self.lost_name()) == 0:
-                self.plan_taken_at.setdefault(broker.number, self.now)
-
         links = FleetLinks(
             now=lambda: self.now,
-            send=send,
+            send=partial(self._send_message, broker),
             living_peers=lambda: [peer for peer in peers if self.brokers[_number(peer)].alive],
             likely_planners=lambda: [f"n{self.planner}"],
-            log_event=log_event,
+            log_event=partial(self._record_event, broker),
         )
         topology = SiteTopology(self.zone_names, broker_zones, {}, {})
         pace = FailoverPace(cold_capacity=START_CAPACITY, warm_up_time=WARM)
@@ -186,33 +190,47 @@
         failover.planner_name = f"n{self.planner}"
         return failover
 
+    def _send_message(self, sender: ModelBroker, peer: str, message: object) -> None:
+        """Put a message between brokers in transit, or lose it."""
+        if self.random.random() >= self.loss:
+            item = FleetMessage(sender.name, cast(ZoneMessage, message))
+            self.in_transit.append(Delivery(_number(peer), item))
+
+    def _record_event(self, broker: ModelBroker, event: str, /, **fields: Any) -> None:
+        """Record a broker's log event, and when it took the plan that leaves the lost zone."""
+        zones = fields["zones"] if "zones" in fields else [fields.get("zone", "")]
+        self.events.append(LoggedEvent(self.now, event, zones))
+        if event == "plan_taken" and fields["shares"].get(self.lost_name()) == 0:
+            self.plan_taken_at.setdefault(broker.number, self.now)
+
     def lost_name(self) -> str:
-        """The lost zone; nothing where none has been lost."""
+        """Return the name of the lost zone; empty where none has been lost."""
         return self.zone_names[self.lost_zone] if self.lost_zone is not None else ""
 
     def engines_in(self, zone: int) -> list[ModelEngine]:
-        """A zone's engines."""
+        """Return a zone's engines."""
         return [engine for engine in self.engines if engine.zone == zone]
 
     # Called by brokers
 
     def send(self, broker: ModelBroker, attempt: Attempt) -> None:
-        """An attempt leaves a broker."""
+        """Send an attempt of a broker to its engine."""
         engine = self.engine_by_number[attempt.endpoint.id]
         if self.lost_at is not None and engine.zone == self.lost_zone and self.back_at is None:
             self.result.last_send = (self.now - self.lost_at) / SECOND
         if (broker.number, engine.zone) in self.blocked:
             return
         request = attempt.request.number
-        if not engine.receive(self.now, (broker.number, request, attempt.number)):
-            self.mail.append((broker.number, AttemptResult(request, attempt.number, c.Outcome.RESET)))
+        if not engine.receive(self.now, AttemptKey(broker.number, request, attempt.number)):
+            result = AttemptResult(request, attempt.number, c.Outcome.RESET)
+            self.in_transit.append(Delivery(broker.number, result))
 
     def count_arrival(self) -> None:
-        """A client has asked."""
+        """Count a client's request."""
         self.counts["asked"] += 1
 
     def count_answer(self, query: Query) -> None:
-        """A client has its answer."""
+        """Count a client's answer, by whether it came in time."""
         arrived = query.deadline - CLIENT_WAIT
         in_time = self.now - arrived <= OBJECTIVE + OBJECTIVE_STRETCH * WORK
         self.counts["kept" if in_time else "late"] += 1
@@ -220,14 +238,14 @@
     # What a schedule does
 
     def lose(self, zone: int, failure: str) -> None:
-        """A zone's engines all fail."""
+        """Let all engines of a zone fail."""
         self.lost_zone = zone
         self.lost_at = self.now
         for engine in self.engines_in(zone):
             engine.fail(failure)
 
     def bring_back(self) -> None:
-        """They are back, cold."""
+        """Restart the lost zone's engines, cold."""
         self.back_at = self.now
         for engine in self.engines_in(self.lost_zone or 0):
             engine.failure = ""
@@ -237,7 +255,7 @@
             engine.running.clear()
 
     def kill_planner(self) -> None:
-        """The planner dies; the next one acts after a while."""
+        """Kill the planner; the next broker acts `SUCCESSION` later."""
         self.brokers[self.planner].alive = False
         self.planner += 1
         self.planner_acts_from = self.now + SUCCESSION
@@ -246,7 +264,7 @@
     # Time
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let so many seconds pass."""
         for _ in range(round(seconds * SECOND / STEP)):
             self.now += STEP
             self._step()
@@ -269,9 +287,10 @@
             self._sample()
 
     def _deliver(self) -> None:
-        mail, self.mail = self.mail, []
-        for number, item in mail:
-            broker = self.brokers[number]
+        deliveries, self.in_transit = self.in_transit, []
+        for delivery in deliveries:
+            broker = self.brokers[delivery.broker]
+            item = delivery.item
             if isinstance(item, AttemptResult):
                 broker.end_attempt(item.request, item.number, item.outcome)
             elif broker.alive and broker.zones is not None:
@@ -304,5 +323,5 @@
 
 
 def _number(name: str) -> int:
-    """A broker's number, out of its name."""
+    """Return a broker's number, by its name."""
     return int(name[1:])
