--- a/cypressledge/lab/capacity/fleet.py
+++ b/cypressledge/lab/capacity/fleet.py
@@ -10,7 +10,6 @@
 from pathlib import Path
 
 import gevent
-import msgspec
 import yaml
 from gevent import socket
 
@@ -21,7 +20,13 @@
 from cypressledge.lab.engines import LabEngine
 from cypressledge.lab.load import Client
 from cypressledge.lab.processes import Brokers, until
-from cypressledge.lab.simulated_broker_commands import MembersSettings, StartCommand
+from cypressledge.lab.simulated_broker_messages import (
+    CutCommand,
+    HealCommand,
+    KillCommand,
+    MembersSettings,
+    StartCommand,
+)
 from cypressledge.lab.site import SETTINGS, free_port
 from cypressledge.lab.tcp_proxy import TcpProxy
 from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
@@ -252,7 +257,7 @@
                 record=str(self.record(name)),
                 members=self._members(),
             )
-            placed.host.send_command(do="start", **msgspec.to_builtins(command))
+            placed.host.send(command)
 
     def _members(self) -> MembersSettings | None:
         if not self.size.ping_s:
@@ -272,7 +277,7 @@
             if placed.host is None:
                 self.real_brokers.all[name].kill()
             else:
-                placed.host.send_command(do="kill", broker=name)
+                placed.host.send(KillCommand(name))
 
     def move(self, name: str) -> None:
         """Give a broker that is down another address for when it comes back."""
@@ -288,7 +293,7 @@
         for proxy in self.tcp.values():
             proxy.cut(mode)
         for host in self.hosts:
-            host.send_command(do="cut")
+            host.send(CutCommand())
 
     def heal(self) -> None:
         """Let everything pass between the regions again."""
@@ -297,7 +302,7 @@
         for proxy in self.tcp.values():
             proxy.heal()
         for host in self.hosts:
-            host.send_command(do="heal")
+            host.send(HealCommand())
 
     # Looking
 
--- a/cypressledge/lab/capacity/run_figures.py
+++ b/cypressledge/lab/capacity/run_figures.py
@@ -28,8 +28,8 @@
         "all_p99_s": round(quantile(run.verdict.all_times, 0.99), 3),
         "all_most_s": round(max(run.verdict.all_times, default=0.0), 3),
         **_broker_kind_figures(run.simulated_usage, run.real_usage),
-        "alive_fewest": min(host.alive for host in run.world.hosts),
-        "leases_held": sum(host.held for host in run.world.hosts),
+        "alive_fewest": min(host.fewest_alive for host in run.world.hosts),
+        "leases_held": sum(host.leases_held for host in run.world.hosts),
         "members_ping_s": run.size.ping_s,
         "start_s": round(run.start_s, 1),
     }
--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -42,6 +42,7 @@
 )
 
 ROLE = "planner"
+LEASE = HeldLease("zones", "zones", 1, 1, 200 * SECOND_US)  # under which the planner acts
 OBSERVED_ENGINES = 64  # that one message of observations names at most
 RECEIVED = 200  # messages of observations, measured together
 
@@ -59,10 +60,21 @@
     return EngineObservation(engine, 40, 0, 0, 0, 0, 400_000, 0, 12)
 
 
-def planner_with_observations(
-    brokers: int, engines: int, lost: bool, seed: int
-) -> tuple[ZoneFailover, list[tuple[str, object]]]:
-    """Return a planner that has each broker's observations, and what it sends; the core is a fake.
+@dataclass(frozen=True, slots=True)
+class InformedPlanner:
+    """A planner that has each broker's observations, and the items that it sends."""
+
+    zones: ZoneFailover
+    sent: list[object]
+
+    def run(self) -> None:
+        """Run all steps of the planner once."""
+        for _ in self.zones.act(LEASE):
+            pass
+
+
+def informed_planner(brokers: int, engines: int, lost: bool, seed: int) -> InformedPlanner:
+    """Return a planner that has each broker's observations; the core is a fake.
 
     `lost`: a zone is lost, else all is well.
     """
@@ -79,11 +91,11 @@
             },
         ),
     )
-    sent: list[tuple[str, object]] = []
+    sent: list[object] = []
     site = SiteTopology(ZONES, {n: ZONES[i % 4] for i, n in enumerate(names)}, ZONE_REGIONS, {})
     links = FleetLinks(
         now=lambda: 100 * SECOND_US,
-        send=lambda peer, item: sent.append((peer, item)),
+        send=lambda peer, item: sent.append(item),
         living_peers=lambda: names[1:],
         likely_planners=lambda: names[:1],
         log_event=lambda event, **fields: None,
@@ -94,7 +106,7 @@
     for name in names:
         used = rng.sample([e.engine for e in entries], min(OBSERVED_ENGINES, engines))
         zones.receive(name, observations_of(used, bad))
-    return zones, sent
+    return InformedPlanner(zones, sent)
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,14 +119,12 @@
 
 def planner_run(brokers: int, engines: int, lost: bool, seed: int) -> PlannerRun:
     """Measure the second run of a planner."""
-    zones, _ = planner_with_observations(brokers, engines, lost, seed)
-    lease = HeldLease("zones", "zones", 1, 1, 200 * SECOND_US)
-    for _ in zones.act(lease):
-        pass
+    planner = informed_planner(brokers, engines, lost, seed)
+    planner.run()
     gc.collect()
     steps: list[int] = []  # ns
     began = time.thread_time_ns()
-    for _ in zones.act(lease):
+    for _ in planner.zones.act(LEASE):
         steps.append(time.thread_time_ns() - began)
         began = time.thread_time_ns()
     steps.append(time.thread_time_ns() - began)
@@ -158,7 +168,7 @@
 
 def observations_us() -> float:
     """Return the µs to decode observations of 64 engines and take them."""
-    zones, _ = planner_with_observations(2, OBSERVED_ENGINES, False, 1)
+    zones = informed_planner(2, OBSERVED_ENGINES, False, 1).zones
     observations = observations_of([stable_hash(f"s-{i}") for i in range(OBSERVED_ENGINES)], frozenset())
     raw = encode(Envelope(VERSION, "n001", "n000", 1 << 61, 3, 1, 1, [observations]))
     return cpu_ms(partial(_receive_repeatedly, zones, raw)) * 1000 / RECEIVED
@@ -175,13 +185,13 @@
 class PlannerCosts:
     """What the planner and the summary cost, by the number of brokers.
 
-    `lost_by_engines`: ms of a run with a zone lost, by the number of engines, at `most_brokers` brokers.
+    `lost_by_engines`: ms of a run with a zone lost, by the number of engines, at `largest_fleet` brokers.
     """
 
     well: dict[int, PlannerRun]
     lost: dict[int, PlannerRun]
     summaries: dict[int, SummaryCost]
-    most_brokers: int
+    largest_fleet: int
     lost_by_engines: Points
 
 
@@ -194,7 +204,7 @@
         well={size: planner_run(size, engines, False, seed) for size in sizes},
         lost={size: planner_run(size, engines, True, seed) for size in sizes},
         summaries={size: summary_cost(size, engines) for size in sizes},
-        most_brokers=sizes[-1],
+        largest_fleet=sizes[-1],
         lost_by_engines=[
             (count, planner_run(sizes[-1], count, True, seed).total_ms) for count in engine_counts
         ],
@@ -217,7 +227,7 @@
     yield by_brokers.curve("planner_lost_ms", "one act of the planner, a zone lost", "ms", lost)
     longest = [(size, run.longest_step_ms) for size, run in costs.lost.items()]
     yield by_brokers.curve("planner_longest_ms", "its longest step", "ms", longest)
-    what = f"one act, a zone lost, {costs.most_brokers} brokers"
+    what = f"one act, a zone lost, {costs.largest_fleet} brokers"
     yield by_engines.curve("planner_engines_ms", what, "ms", costs.lost_by_engines)
 
 
@@ -242,10 +252,9 @@
 
 
 def _facts(seed: int, source: Source) -> list[Fact]:
-    zones, sent = planner_with_observations(4, 60, True, seed)
-    for _ in zones.act(HeldLease("zones", "zones", 1, 1, 200 * SECOND_US)):
-        pass
-    plan_bytes = datagram_bytes(sent[0][1])
+    planner = informed_planner(4, 60, True, seed)
+    planner.run()
+    plan_bytes = datagram_bytes(planner.sent[0])
     metrics_bytes = datagram_bytes(broker_metrics(490, 122))
     return [
         Fact("plan_bytes", "one plan of 4 zones and 2 regions", plan_bytes, "bytes", source),
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -1,14 +1,13 @@
 """Many simulated brokers in one process: the control plane's real client code, and no statements.
 
 `python -m cypressledge.lab.simulated_broker`, started by the capacity run. Commands come as JSON lines on
-standard input (start, kill, cut, heal), answers and figures go as JSON lines to standard output; the end of
-the input ends the process. Each simulated broker is a `SubscriberClient` and, where `members` is given, a
+standard input, reports go as JSON lines to standard output (`simulated_broker_messages.py`); the end of the
+input ends the process. Each simulated broker is a `SubscriberClient` and, where `members` is given, a
 `FleetNode` whose peers are those of the state.
 """
 
 from __future__ import annotations
 
-import json
 import os
 import sys
 import time
@@ -31,7 +30,18 @@
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.messages import Envelope
-from cypressledge.lab.simulated_broker_commands import MembersSettings, StartCommand
+from cypressledge.lab.simulated_broker_messages import (
+    BrokerKilled,
+    BrokerStarted,
+    Command,
+    CutCommand,
+    KillCommand,
+    MembersFigures,
+    MembersSettings,
+    ProcessFigures,
+    Report,
+    StartCommand,
+)
 
 if TYPE_CHECKING:
     from cypressledge.fleet.node import FleetNode
@@ -181,10 +191,10 @@
 
     def counts(self) -> Counter[str]:
         """Return its counters of control plane and fleet, and its frames by kind."""
-        counts = Counter({f"frames.{kind}": n for kind, n in self.client.traffic.frames.items()})
-        for name, n in self.counters.counts.items():
+        counts = Counter({f"frames.{kind}": count for kind, count in self.client.traffic.frames.items()})
+        for name, count in self.counters.counts.items():
             if name.startswith(COUNTED_PREFIXES):
-                counts[name] = n
+                counts[name] = count
         return counts
 
     def kill(self) -> None:
@@ -198,7 +208,7 @@
 class SimulatedBrokers:
     """The process's simulated brokers, its commands and figures."""
 
-    def __init__(self, send: Callable[[dict[str, object]], None]) -> None:
+    def __init__(self, send: Callable[[Report], None]) -> None:
         self.send = send
         self.brokers: dict[str, SimulatedBroker] = {}
         self.settings: dict[str, ControlSettings] = {}  # by file
@@ -209,22 +219,21 @@
         self.killed_counts: Counter[str] = Counter()
         self.late: list[float] = []  # s of wake-ups since the last figures
 
-    def execute(self, command: dict[str, object]) -> None:
+    def execute(self, command: Command) -> None:
         """Execute one command."""
-        kind = command["do"]
-        if kind == "start":
-            self._start(msgspec.convert(command, StartCommand))
-        elif kind == "kill":
-            self._kill(str(command["broker"]))
+        if isinstance(command, StartCommand):
+            self._start(command)
+        elif isinstance(command, KillCommand):
+            self._kill(command.broker)
         else:
-            self.is_cut = kind == "cut"
+            self.is_cut = isinstance(command, CutCommand)
 
     def _start(self, command: StartCommand) -> None:
         file = command.settings
         if file not in self.settings:
             self.settings[file] = read_control_settings(file)
         broker = self.brokers[command.broker] = SimulatedBroker(command, self.settings[file], self)
-        self._report("started", broker)
+        self.send(BrokerStarted(broker.name, broker.run, LeaseClock().now()))
 
     def _kill(self, name: str) -> None:
         broker = self.brokers.pop(name, None)
@@ -233,26 +242,22 @@
         self.killed_bytes += broker.bytes()
         self.killed_counts.update(broker.counts())
         broker.kill()
-        self._report("killed", broker)
+        self.send(BrokerKilled(broker.name, broker.run, LeaseClock().now()))
 
-    def _report(self, event: str, broker: SimulatedBroker) -> None:
-        self.send({"event": event, "broker": broker.name, "run": broker.run, "at": LeaseClock().now()})
-
-    def figures(self) -> dict[str, object]:
+    def figures(self) -> ProcessFigures:
         """Return what the process has done so far, and how late it woke up since the last time (s)."""
         counts = Counter(self.killed_counts)
         for broker in self.brokers.values():
             counts.update(broker.counts())
         late, self.late = self.late, []
-        return {
-            "event": "figures",
-            "at": LeaseClock().now(),
-            "brokers": len(self.brokers),
-            "counts": counts,
-            "members": (self._fewest_alive(), self._leases_held()),
-            "bytes": self.killed_bytes + sum(broker.bytes() for broker in self.brokers.values()),
-            "late": round(max(late, default=0.0), 4),
-        }
+        return ProcessFigures(
+            at=LeaseClock().now(),
+            brokers=len(self.brokers),
+            counts=dict(counts),
+            members=MembersFigures(self._fewest_alive(), self._leases_held()),
+            bytes=self.killed_bytes + sum(broker.bytes() for broker in self.brokers.values()),
+            late=round(max(late, default=0.0), 4),
+        )
 
     def _nodes(self) -> list[FleetNode]:
         return [broker.node for broker in self.brokers.values() if broker.node is not None]
@@ -284,13 +289,14 @@
     brokers = SimulatedBrokers(_send)
     gevent.spawn(brokers.measure_lateness)
     gevent.spawn(brokers.report_figures)
+    decoder = msgspec.json.Decoder(Command)
     for line in read_lines(sys.stdin.fileno()):
-        brokers.execute(json.loads(line))
+        brokers.execute(decoder.decode(line))
     return 0
 
 
-def _send(report: dict[str, object]) -> None:
-    sys.stdout.write(json.dumps(report) + "\n")
+def _send(report: Report) -> None:
+    sys.stdout.write(msgspec.json.encode(report).decode() + "\n")
     sys.stdout.flush()
 
 
