--- a/cypressledge/lab/capacity/capacity_run.py
+++ b/cypressledge/lab/capacity/capacity_run.py
@@ -26,7 +26,7 @@
 from cypressledge.lab.capacity.observations import harness_observations, write_observations
 from cypressledge.lab.capacity.process_cost import Usage
 from cypressledge.lab.capacity.run_figures import run_figures
-from cypressledge.lab.capacity.simulated_operator import SimulatedOperator
+from cypressledge.lab.capacity.simulated_operator import ChangeStatus, SimulatedOperator
 from cypressledge.lab.processes import commit, until
 
 CHANGE_INTERVAL_S = 0.7  # mean time between changes
@@ -100,7 +100,7 @@
         self.faults = FaultInjector(self.world, random.Random(self.seed + 1))
         spare_engine = engine_value(unused_address(999), "za")
         first = self.operator.request_change({"set": {"engine/e999": spare_engine}}, None)
-        if first.status != "taken":
+        if first.status is not ChangeStatus.ACKNOWLEDGED:
             raise ScaleError(f"the first change was not taken: {first}")
         names = list(self.world.brokers)
         timeout_s = 30 + len(names) / 5
--- a/cypressledge/lab/capacity/day.py
+++ b/cypressledge/lab/capacity/day.py
@@ -6,25 +6,52 @@
 
 import random
 from dataclasses import dataclass
+from enum import StrEnum
 
-FAULTS = (
-    "a primary killed",
-    "brokers killed",
-    "regions cut",
-    "a primary stopped",
-    "a zone gone",
-    "brokers replaced",
-    "all control processes restarted",
-)
+
+class FaultKind(StrEnum):
+    """What breaks, by the keys of results files; in the order of a day's first faults."""
+
+    LEADER_KILLED = "a primary killed"
+    BROKERS_KILLED = "brokers killed"
+    REGIONS_CUT = "regions cut"
+    LEADER_STOPPED = "a primary stopped"
+    ZONE_KILLED = "a zone gone"
+    BROKERS_REPLACED = "brokers replaced"
+    CONTROLS_RESTARTED = "all control processes restarted"
+
+
+class ChangeKind(StrEnum):
+    """What an operator changes, or tries to, by the names that a run prints."""
+
+    SETTINGS = "settings"
+    ENGINE_DRAINED = "engine drains"
+    ENGINE_REMOVED = "engine goes"
+    ENGINE_ADDED = "engine comes"
+    REPEATED_REQUEST = "repeat"
+    CONFLICT = "clash"
+    INVALID = "bad"
+
+
+FAULTS = tuple(FaultKind)
 CHANGE_WEIGHTS = (
-    ("settings", 10),
-    ("engine drains", 3),
-    ("engine goes", 2),
-    ("engine comes", 3),
-    ("repeat", 3),
-    ("clash", 2),
-    ("bad", 2),
+    (ChangeKind.SETTINGS, 10),
+    (ChangeKind.ENGINE_DRAINED, 3),
+    (ChangeKind.ENGINE_REMOVED, 2),
+    (ChangeKind.ENGINE_ADDED, 3),
+    (ChangeKind.REPEATED_REQUEST, 3),
+    (ChangeKind.CONFLICT, 2),
+    (ChangeKind.INVALID, 2),
 )
+FAULT_SPANS = {  # the shortest and the longest, in terms of the control processes' leases
+    FaultKind.LEADER_KILLED: (0.8, 2.0),
+    FaultKind.BROKERS_KILLED: (0.2, 1.2),
+    FaultKind.REGIONS_CUT: (1.4, 2.4),
+    FaultKind.LEADER_STOPPED: (1.3, 2.0),
+    FaultKind.ZONE_KILLED: (1.2, 2.2),
+    FaultKind.BROKERS_REPLACED: (0.2, 0.8),
+    FaultKind.CONTROLS_RESTARTED: (0.1, 0.3),
+}
 ZONES = ("za", "zb", "zc")
 REGION = {"za": "east", "zb": "east", "zc": "west"}
 QUIET_LEAD_S = 3.0  # quiet before the first fault
@@ -37,7 +64,7 @@
     """A change or fault at `at` seconds of the day, for `span` seconds. `pick`: 0 to 1, decides which."""
 
     at: float
-    kind: str
+    kind: FaultKind | ChangeKind
     span: float = 0.0
     pick: float = 0.0
 
@@ -51,18 +78,10 @@
     changes: list[Event]
 
 
-def draw_fault_span(kind: str, term_s: float, rng: random.Random) -> float:
+def draw_fault_span(kind: FaultKind, term_s: float, rng: random.Random) -> float:
     """Return the seconds that a fault lasts. A stop outlasts the lease's term; the others may or may not."""
-    low, high = {
-        "a primary killed": (0.8, 2.0),
-        "brokers killed": (0.2, 1.2),
-        "regions cut": (1.4, 2.4),
-        "a primary stopped": (1.3, 2.0),
-        "a zone gone": (1.2, 2.2),
-        "brokers replaced": (0.2, 0.8),
-        "all control processes restarted": (0.1, 0.3),
-    }[kind]
-    return rng.uniform(low, high) * term_s
+    shortest, longest = FAULT_SPANS[kind]
+    return rng.uniform(shortest, longest) * term_s
 
 
 def draw_day(seed: int, seconds: float, term_s: float, every_s: float) -> Day:
--- a/cypressledge/lab/capacity/fault_injector.py
+++ b/cypressledge/lab/capacity/fault_injector.py
@@ -4,14 +4,14 @@
 import random
 import signal
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 import gevent
 
 from cypressledge.lab.capacity.checks import LeaderLoss, Span
-from cypressledge.lab.capacity.day import Event
+from cypressledge.lab.capacity.day import Event, FaultKind
 from cypressledge.lab.capacity.event_records import boottime_us, current_leader, read_tail
 from cypressledge.lab.capacity.fleet import CapacityFleet
 
@@ -49,15 +49,15 @@
         self._handlers()[event.kind](event)
         self.spans.append(Span(began, boottime_us() + round(SETTLE_S * 1e6), event.kind))
 
-    def _handlers(self) -> dict[str, Callable[[Event], None]]:
+    def _handlers(self) -> Mapping[str, Callable[[Event], None]]:
         return {
-            "a primary killed": self._kill_leader,
-            "a primary stopped": self._stop_leader,
-            "all control processes restarted": self._restart_all_controls,
-            "brokers killed": self._kill_brokers,
-            "brokers replaced": self._replace_brokers,
-            "a zone gone": self._kill_zone,
-            "regions cut": self._cut_regions,
+            FaultKind.LEADER_KILLED: self._kill_leader,
+            FaultKind.LEADER_STOPPED: self._stop_leader,
+            FaultKind.CONTROLS_RESTARTED: self._restart_all_controls,
+            FaultKind.BROKERS_KILLED: self._kill_brokers,
+            FaultKind.BROKERS_REPLACED: self._replace_brokers,
+            FaultKind.ZONE_KILLED: self._kill_zone,
+            FaultKind.REGIONS_CUT: self._cut_regions,
         }
 
     def leader(self) -> str:
--- a/cypressledge/lab/capacity/simulated_operator.py
+++ b/cypressledge/lab/capacity/simulated_operator.py
@@ -3,8 +3,9 @@
 import json
 import random
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
 import gevent
@@ -12,7 +13,7 @@
 
 from cypressledge.lab.capacity.checks import AcknowledgedChange
 from cypressledge.lab.capacity.control_process import call_management
-from cypressledge.lab.capacity.day import ZONES, Event
+from cypressledge.lab.capacity.day import ZONES, ChangeKind, Event
 from cypressledge.lab.capacity.event_records import boottime_us
 from cypressledge.lab.capacity.fleet import LIVE_ZONE, CapacityFleet, engine_value, unused_address
 from cypressledge.lab.site import SETTINGS
@@ -23,11 +24,19 @@
 LOST_ANSWER_S = 0.02  # wait that is too short for an answer
 
 
+class ChangeStatus(StrEnum):
+    """Whether a change was acknowledged, by the names under which a run counts them."""
+
+    ACKNOWLEDGED = "taken"
+    REJECTED = "refused"
+    UNKNOWN = "not known"
+
+
 @dataclass(slots=True)
 class ChangeOutcome:
-    """What became of a change; `status`: "taken", "refused", or empty where it is not known."""
+    """What became of a change."""
 
-    status: str
+    status: ChangeStatus
     version: int = 0
     digest: str = ""
     reason: str = ""
@@ -61,14 +70,14 @@
         self.busy_keys: set[str] = set()  # keys that a change is under way for
         self.settings_lock = BoundedSemaphore(1)  # all settings are one unit: one change of them at a time
         self.longest_wait_s = 0.0  # for an answer
-        self._handlers: dict[str, Callable[[], None]] = {
-            "settings": self._change_settings,
-            "engine drains": self._drain_engine,
-            "engine goes": self._remove_engine,
-            "engine comes": self._add_engine,
-            "repeat": self._repeat_request,
-            "clash": self._request_conflicting,
-            "bad": self._request_invalid,
+        self._handlers: Mapping[str, Callable[[], None]] = {
+            ChangeKind.SETTINGS: self._change_settings,
+            ChangeKind.ENGINE_DRAINED: self._drain_engine,
+            ChangeKind.ENGINE_REMOVED: self._remove_engine,
+            ChangeKind.ENGINE_ADDED: self._add_engine,
+            ChangeKind.REPEATED_REQUEST: self._repeat_request,
+            ChangeKind.CONFLICT: self._request_conflicting,
+            ChangeKind.INVALID: self._request_invalid,
         }
 
     def play(self, event: Event) -> None:
@@ -102,10 +111,10 @@
             if answer.get("answer") == "done":
                 return self._record_acknowledged(answer, request, began)
             if answer.get("answer") not in (None, "not primary", "unknown"):
-                return ChangeOutcome("refused", reason=f"{answer['answer']}: {reason}")
+                return ChangeOutcome(ChangeStatus.REJECTED, reason=f"{answer['answer']}: {reason}")
             gevent.sleep(RETRY_INTERVAL_S)
-        self.counts["not known"] += 1
-        return ChangeOutcome("", reason=reason)
+        self.counts[ChangeStatus.UNKNOWN] += 1
+        return ChangeOutcome(ChangeStatus.UNKNOWN, reason=reason)
 
     def _post_change(self, body: bytes, lose_answer: bool) -> dict:
         try:
@@ -127,7 +136,7 @@
         self.leader_port = int(port) if port.isdigit() and int(port) in ports else self.random.choice(ports)
 
     def _record_acknowledged(self, answer: dict, request: str, began: int) -> ChangeOutcome:
-        outcome = ChangeOutcome("taken", answer["version"], answer.get("digest", ""))
+        outcome = ChangeOutcome(ChangeStatus.ACKNOWLEDGED, answer["version"], answer.get("digest", ""))
         self.acknowledged.append(AcknowledgedChange(boottime_us(), outcome.version, request, outcome.digest))
         self.version = max(self.version, outcome.version)
         self.longest_wait_s = max(self.longest_wait_s, (boottime_us() - began) / 1e6)
@@ -140,14 +149,14 @@
             outcome = self.request_change(operations, self.version, **options)
         finally:
             self.busy_keys.discard(key)
-        self.counts[outcome.status or "not known"] += 1
-        if outcome.status == "refused" and not self._is_excusable(outcome.reason):
+        self.counts[outcome.status] += 1
+        if outcome.status is ChangeStatus.REJECTED and not self._is_excusable(outcome.reason):
             self.wrong_answers.append(f"a good change of {key} was refused: {outcome.reason}")
         return outcome
 
     def _is_excusable(self, reason: str) -> bool:
         """Whether a rejection is no fault: after an unknown outcome the newest known version may be old."""
-        return "clash" in reason and self.counts["not known"] > 0
+        return "clash" in reason and self.counts[ChangeStatus.UNKNOWN] > 0
 
     # Kinds of changes
 
@@ -175,14 +184,14 @@
         number = int(name[1:])
         value = _engine_value(number, state)
         outcome = self._change(f"engine/{name}", {"set": {f"engine/{name}": value}}, **options)
-        if outcome.status == "taken":
+        if outcome.status is ChangeStatus.ACKNOWLEDGED:
             self.engines[name] = state
         return outcome
 
     def _remove_engine(self) -> None:
         if name := self._random_engine("draining") or self._random_engine("ready"):
             outcome = self._change(f"engine/{name}", {"remove": [f"engine/{name}"]})
-            if outcome.status == "taken":
+            if outcome.status is ChangeStatus.ACKNOWLEDGED:
                 del self.engines[name]
 
     def _add_engine(self) -> None:
@@ -196,11 +205,12 @@
         with self.settings_lock:
             operations, base_version = self._rules_change(), self.version
             first = self._change("config/Rules", operations, request=request, lose_answer=True)
-        if first.status != "taken":
+        if first.status is not ChangeStatus.ACKNOWLEDGED:
             return
         again = self.request_change(operations, base_version, request)
         self.counts["repeated"] += 1
-        if again.status == "refused" or (again.status and again.version != first.version):
+        is_other = again.status is ChangeStatus.ACKNOWLEDGED and again.version != first.version
+        if again.status is ChangeStatus.REJECTED or is_other:
             self.wrong_answers.append(f"{request} was version {first.version}, and then {again}")
 
     def _request_conflicting(self) -> None:
@@ -219,16 +229,18 @@
         self.busy_keys.discard(key)
         outcomes: list[ChangeOutcome] = [greenlet.value for greenlet in greenlets]
         statuses = [outcome.status for outcome in outcomes]
-        self.counts["clashed"] += statuses.count("refused")
-        if statuses.count("taken") > 1:
+        self.counts["clashed"] += statuses.count(ChangeStatus.REJECTED)
+        if statuses.count(ChangeStatus.ACKNOWLEDGED) > 1:
             self.wrong_answers.append(f"two changes of {key} on version {base_version} were both taken")
-        if statuses.count("refused") > 1 and not any(self._is_excusable(each.reason) for each in outcomes):
+        if statuses.count(ChangeStatus.REJECTED) > 1 and not any(
+            self._is_excusable(each.reason) for each in outcomes
+        ):
             self.wrong_answers.append(
                 f"two changes of {key} on version {base_version} were both refused: "
                 f"{[each.reason for each in outcomes]}"
             )
         for outcome, value in zip(outcomes, values, strict=True):
-            if outcome.status == "taken":
+            if outcome.status is ChangeStatus.ACKNOWLEDGED:
                 self.engines[name] = value["state"]
 
     def _request_invalid(self) -> None:
@@ -245,6 +257,6 @@
             )
         )
         outcome = self.request_change(operations, None)
-        self.counts["bad refused"] += outcome.status == "refused"
-        if outcome.status == "taken":
+        self.counts["bad refused"] += outcome.status is ChangeStatus.REJECTED
+        if outcome.status is ChangeStatus.ACKNOWLEDGED:
             self.wrong_answers.append(f"a bad change was taken as version {outcome.version}: {operations}")
