--- a/cypressledge/lab/capacity/requirements.py
+++ b/cypressledge/lab/capacity/requirements.py
@@ -10,6 +10,7 @@
 
 from cypressledge.lab.capacity.targets import (
     CONTROL_CPU_PCT,
+    CONTROL_MEMORY_MB,
     CONTROL_NETWORK_KB_S,
     LINK_KB_S,
     TARGET_BROKERS,
@@ -93,6 +94,7 @@
 LINK = Limit(LINK_KB_S, "a link of 1 Gbit/s, assumed")
 MODULE_TICK = Limit(5.0, "the module's tick")
 TARGET_CPU = Limit(CONTROL_CPU_PCT, "the target")
+TARGET_MEMORY = Limit(CONTROL_MEMORY_MB, "the target")
 TARGET_NETWORK = Limit(CONTROL_NETWORK_KB_S, "the target")
 VOTER_CPU = Limit(CONTROL_CPU_PCT, "the target (a voter is a broker)")
 VOTER_NETWORK = Limit(CONTROL_NETWORK_KB_S, "the target (a voter is a broker)")
--- a/cypressledge/lab/capacity/run_tables.py
+++ b/cypressledge/lab/capacity/run_tables.py
@@ -7,6 +7,15 @@
 from typing import Any
 
 from cypressledge.lab.capacity.markdown import markdown_table
+from cypressledge.lab.capacity.requirements import (
+    LINK,
+    NO_LIMIT,
+    ONE_CORE,
+    TARGET_CPU,
+    TARGET_MEMORY,
+    TARGET_NETWORK,
+    Limit,
+)
 from cypressledge.lab.capacity.targets import (
     CONTROL_CPU_PCT,
     CONTROL_MACHINES,
@@ -65,71 +74,76 @@
     what: str
     figure: str
     unit: str
-    limit: float | None
-    limit_source: str
+    limit: Limit = NO_LIMIT
 
 
 RUN_LIMITS = (  # the largest of all runs counts
-    RunLimit("all", "a change in force at every broker, quiet times, p99", "p99_s", "s", 2.0, "the aim"),
     RunLimit(
-        "all", "a change in force at every broker, quiet times, most", "most_s", "s", 12.0, "the target"
+        "all", "a change in force at every broker, quiet times, p99", "p99_s", "s", Limit(2.0, "the aim")
+    ),
+    RunLimit(
+        "all",
+        "a change in force at every broker, quiet times, most",
+        "most_s",
+        "s",
+        Limit(12.0, "the target"),
     ),
-    RunLimit("all", "the same, with every fault of the day counted", "all_most_s", "s", None, "none set"),
+    RunLimit("all", "the same, with every fault of the day counted", "all_most_s", "s"),
     RunLimit(
-        LEADER, "from a primary's loss to the next one's word", "primary_most_s", "s", 8.0, "the target"
+        LEADER,
+        "from a primary's loss to the next one's word",
+        "primary_most_s",
+        "s",
+        Limit(8.0, "the target"),
     ),
     RunLimit(
         CONTROL_PART,
         "processor time of a real broker, its starts with it",
         "real_cpu_pct",
         "% of a core",
-        CONTROL_CPU_PCT,
-        "the target",
+        TARGET_CPU,
     ),
     RunLimit(
         CONTROL_PART,
         "processor time of a hollow broker",
         "hollow_cpu_pct",
         "% of a core",
-        CONTROL_CPU_PCT,
-        "the target",
+        TARGET_CPU,
     ),
     RunLimit(
         CONTROL_PART,
         "members and distribution, payload in and out",
         "broker_net_kb_s",
         "KB/s",
-        CONTROL_NETWORK_KB_S,
-        "the target",
+        TARGET_NETWORK,
     ),
     RunLimit(
         CONTROL_PART,
         "memory of a real broker, all of it",
         "broker_rss_mb",
         "MB",
-        CONTROL_MEMORY_MB,
-        "the target",
+        TARGET_MEMORY,
     ),
     RunLimit(
         CONTROL_MACHINES,
         "processor time of a control process",
         "control_cpu_pct",
         "% of a core",
-        100.0,
-        "one core, one thread",
+        ONE_CORE,
     ),
     RunLimit(
         CONTROL_MACHINES,
         "payload in and out of a control process",
         "control_net_kb_s",
         "KB/s",
-        125_000.0,
-        "a link of 1 Gbit/s, assumed",
+        LINK,
     ),
-    RunLimit(CONTROL_MACHINES, "memory of a control process", "control_rss_mb", "MB", None, "none set"),
-    RunLimit("all", "acknowledged changes that a broker in reach never had", "lost", "", 0, "the target"),
-    RunLimit("all", "brokers that went to an older version", "gone_back", "", 0, "the target"),
-    RunLimit("all", "brokers whose state differs from the primary's", "wrong", "", 0, "the target"),
+    RunLimit(CONTROL_MACHINES, "memory of a control process", "control_rss_mb", "MB"),
+    RunLimit(
+        "all", "acknowledged changes that a broker in reach never had", "lost", "", Limit(0, "the target")
+    ),
+    RunLimit("all", "brokers that went to an older version", "gone_back", "", Limit(0, "the target")),
+    RunLimit("all", "brokers whose state differs from the primary's", "wrong", "", Limit(0, "the target")),
 )
 FITTED_NAME_PARTS = ("cpu", "kb_s", "rss", "_mb")  # parts of names of figures that grow with the fleet
 
@@ -197,14 +211,15 @@
 
 def _run_limit_row(entry: RunLimit, values: list[float]) -> list[object]:
     largest = max(values)
+    limit = entry.limit.value
     return [
         entry.role,
         entry.what,
         largest,
         entry.unit,
-        "-" if entry.limit is None else entry.limit,
-        f"{largest / entry.limit:.2f}" if entry.limit else "-",
-        entry.limit_source,
+        "-" if limit is None else limit,
+        f"{largest / limit:.2f}" if limit else "-",
+        entry.limit.source,
         f"measured, {len(values)} runs",
     ]
 
