--- a/tests/lab/test_capacity_checks.py
+++ b/tests/lab/test_capacity_checks.py
@@ -1,4 +1,4 @@
-"""The scale run's checker on made-up records: each kind of fault is found; too little is said."""
+"""The checks of a capacity run on made-up records: each kind of fault is found, and too little activity."""
 
 import json
 
@@ -34,12 +34,12 @@
     }
 
 
-def seen(acked, over=40.0, **more):
-    told = {"down": [], "faults": [], "losses": [], "ends": {}, **more}
+def observations(acked, over=40.0, **more):
+    observed = {"down": [], "faults": [], "losses": [], "ends": {}, **more}
     return checks.HarnessObservations(
         acked=[checks.AcknowledgedChange(int(at * S), v, f"r{v}") for at, v in acked],
         over=int(over * S),
-        **told,
+        **observed,
     )
 
 
@@ -48,167 +48,181 @@
 
 
 HISTORY = [control(0, "primary"), *(control(v, version=v, request=f"r{v}") for v in range(1, 6))]
-WHOLE = [broker(0, "a", "start"), *(broker(v + 0.5, "a", version=v) for v in range(1, 6))]
-ACKED = [(v, v) for v in range(1, 6)]
+COMPLETE = [broker(0, "a", "start"), *(broker(v + 0.5, "a", version=v) for v in range(1, 6))]
+ACKNOWLEDGED = [(v, v) for v in range(1, 6)]
 
 
-def test_a_whole_run_is_whole():
-    verdict = checks.check(WHOLE, HISTORY, seen(ACKED))
+def test_a_complete_run_is_not_broken():
+    verdict = checks.check(COMPLETE, HISTORY, observations(ACKNOWLEDGED))
     assert not verdict.broken
     assert verdict.changes == 5
     assert verdict.undisturbed == verdict.all_times == [0.5] * 5
 
 
 def test_a_change_that_never_came_is_lost():
-    verdict = checks.check(WHOLE[:-1], HISTORY, seen(ACKED))
+    verdict = checks.check(COMPLETE[:-1], HISTORY, observations(ACKNOWLEDGED))
     assert len(verdict.lost) == 1
     assert "version 5" in verdict.lost[0]
 
 
 def test_a_broker_that_is_cut_off_at_the_end_has_lost_nothing():
-    verdict = checks.check(WHOLE[:-1], HISTORY, seen(ACKED, down=[span(4.9, 41, "cut", "a")]))
+    verdict = checks.check(
+        COMPLETE[:-1], HISTORY, observations(ACKNOWLEDGED, down=[span(4.9, 41, "cut", "a")])
+    )
     assert not verdict.lost
 
 
 def test_a_later_version_takes_the_earlier_along():
-    verdict = checks.check([WHOLE[0], WHOLE[-1]], HISTORY, seen(ACKED))
+    verdict = checks.check([COMPLETE[0], COMPLETE[-1]], HISTORY, observations(ACKNOWLEDGED))
     assert not verdict.broken
     assert max(verdict.all_times) == 4.5
 
 
 def test_a_broker_that_wrote_nothing_is_lost():
-    verdict = checks.check(WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab")))
+    verdict = checks.check(COMPLETE, HISTORY, observations(ACKNOWLEDGED, expected=frozenset("ab")))
     assert verdict.lost == ["b is to be there at the end, and wrote nothing"]
     assert not checks.check(
-        WHOLE, HISTORY, seen(ACKED, expected=frozenset("ab"), removed=frozenset("b"))
+        COMPLETE, HISTORY, observations(ACKNOWLEDGED, expected=frozenset("ab"), removed=frozenset("b"))
     ).lost
 
 
 def test_a_killed_broker_that_did_not_come_back_is_lost():
-    verdict = checks.check(WHOLE, HISTORY, seen(ACKED, ends={("a", 1): 30 * S}, expected=frozenset("a")))
+    verdict = checks.check(
+        COMPLETE, HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 30 * S}, expected=frozenset("a"))
+    )
     assert len(verdict.lost) == 1
 
 
 def test_an_acknowledged_change_that_no_history_has_is_lost():
-    verdict = checks.check(WHOLE, HISTORY, seen([*ACKED, (5.1, 9)]))
+    verdict = checks.check(COMPLETE, HISTORY, observations([*ACKNOWLEDGED, (5.1, 9)]))
     assert any("in no one's history" in line for line in verdict.lost)
 
 
 def test_an_acknowledged_change_whose_version_is_another_is_lost():
     history = [*HISTORY[:-1], control(5, version=5, request="another")]
-    verdict = checks.check(WHOLE, history, seen(ACKED))
+    verdict = checks.check(COMPLETE, history, observations(ACKNOWLEDGED))
     assert any("and is another" in line for line in verdict.lost)
 
 
 def test_back_to_an_older_version_is_found_but_not_across_lives():
-    back = [*WHOLE, broker(7, "a", version=3), broker(8, "a", version=5)]
-    assert len(checks.check(back, HISTORY, seen(ACKED)).reverted) == 1
-    other = [*WHOLE, broker(7, "a", version=3, run=2), broker(8, "a", version=5, run=2)]
-    assert not checks.check(other, HISTORY, seen(ACKED, ends={("a", 1): 6 * S})).reverted
+    back = [*COMPLETE, broker(7, "a", version=3), broker(8, "a", version=5)]
+    assert len(checks.check(back, HISTORY, observations(ACKNOWLEDGED)).reverted) == 1
+    other = [*COMPLETE, broker(7, "a", version=3, run=2), broker(8, "a", version=5, run=2)]
+    assert not checks.check(other, HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 6 * S})).reverted
 
 
 def test_back_to_an_older_epoch_is_found():
-    back = [*WHOLE, broker(7, "a", version=6, epoch=0)]
-    assert checks.check(back, [*HISTORY, control(6, version=6)], seen(ACKED)).reverted
+    back = [*COMPLETE, broker(7, "a", version=6, epoch=0)]
+    assert checks.check(back, [*HISTORY, control(6, version=6)], observations(ACKNOWLEDGED)).reverted
 
 
 def test_another_digest_at_a_broker_is_wrong():
-    verdict = checks.check([*WHOLE[:-1], broker(5.5, "a", version=5, digest="x")], HISTORY, seen(ACKED))
+    verdict = checks.check(
+        [*COMPLETE[:-1], broker(5.5, "a", version=5, digest="x")], HISTORY, observations(ACKNOWLEDGED)
+    )
     assert len(verdict.wrong) == 1
     assert "committed is d5" in verdict.wrong[0]
 
 
 def test_a_version_that_nobody_committed_is_wrong():
-    assert checks.check([*WHOLE, broker(6, "a", version=6)], HISTORY, seen(ACKED)).wrong
+    assert checks.check([*COMPLETE, broker(6, "a", version=6)], HISTORY, observations(ACKNOWLEDGED)).wrong
 
 
 def test_two_histories_are_wrong():
-    verdict = checks.check(WHOLE, [*HISTORY, control(6, version=3, who="c2", digest="y")], seen(ACKED))
+    verdict = checks.check(
+        COMPLETE, [*HISTORY, control(6, version=3, who="c2", digest="y")], observations(ACKNOWLEDGED)
+    )
     assert len(verdict.wrong) == 1
 
 
 def test_a_repeat_that_became_another_version_is_wrong():
-    told = seen(ACKED)
-    told.acked.append(checks.AcknowledgedChange(6 * S, 5, "r4"))
-    assert any("became versions 4 and 5" in line for line in checks.check(WHOLE, HISTORY, told).wrong)
+    observed = observations(ACKNOWLEDGED)
+    observed.acked.append(checks.AcknowledgedChange(6 * S, 5, "r4"))
+    assert any("became versions 4 and 5" in line for line in checks.check(COMPLETE, HISTORY, observed).wrong)
 
 
 def test_an_answer_that_must_not_be_is_wrong():
-    assert checks.check(WHOLE, HISTORY, seen(ACKED, wrongs=["a bad change was taken"])).wrong
+    assert checks.check(
+        COMPLETE, HISTORY, observations(ACKNOWLEDGED, wrongs=["a bad change was taken"])
+    ).wrong
 
 
 def test_a_cut_broker_counts_from_the_heal():
-    late = [*WHOLE[:-1], broker(20.5, "a", version=5)]
-    told = seen(ACKED, down=[span(4.8, 20, "cut", "a")], faults=[span(4.8, 20, "cut")])
-    verdict = checks.check(late, HISTORY, told)
+    late = [*COMPLETE[:-1], broker(20.5, "a", version=5)]
+    observed = observations(ACKNOWLEDGED, down=[span(4.8, 20, "cut", "a")], faults=[span(4.8, 20, "cut")])
+    verdict = checks.check(late, HISTORY, observed)
     assert not verdict.broken
     assert max(verdict.all_times) == pytest.approx(0.5)
 
 
 def test_one_that_is_cut_while_it_waits_counts_from_the_heal():
-    late = [*WHOLE[:-1], broker(20.5, "a", version=5)]
-    told = seen(ACKED, down=[span(5.2, 20, "cut", "a")], faults=[span(5.2, 20, "cut")])
-    assert max(checks.check(late, HISTORY, told).all_times) == pytest.approx(0.5)
+    late = [*COMPLETE[:-1], broker(20.5, "a", version=5)]
+    observed = observations(ACKNOWLEDGED, down=[span(5.2, 20, "cut", "a")], faults=[span(5.2, 20, "cut")])
+    assert max(checks.check(late, HISTORY, observed).all_times) == pytest.approx(0.5)
 
 
 def test_a_later_start_counts_from_the_start_and_once():
     other = [broker(30, "a", "start", run=2), broker(30.4, "a", version=5, run=2)]
-    verdict = checks.check([*WHOLE, *other], HISTORY, seen(ACKED, ends={("a", 1): 10 * S}))
+    verdict = checks.check([*COMPLETE, *other], HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 10 * S}))
     assert not verdict.broken
     assert verdict.all_times.count(pytest.approx(0.4)) == 1
     assert len(verdict.all_times) == 6
 
 
 def test_one_that_was_killed_before_it_could_have_it_counts_for_nothing():
-    told = seen(ACKED, ends={("a", 1): round(5.2 * S)}, removed=frozenset("a"))
-    assert not checks.check(WHOLE[:-1], HISTORY, told).broken
+    observed = observations(ACKNOWLEDGED, ends={("a", 1): round(5.2 * S)}, removed=frozenset("a"))
+    assert not checks.check(COMPLETE[:-1], HISTORY, observed).broken
 
 
 def test_one_that_had_time_and_was_killed_without_it_shows():
-    told = seen(ACKED, ends={("a", 1): 30 * S}, removed=frozenset("a"))
-    assert max(checks.check(WHOLE[:-1], HISTORY, told).undisturbed) == 25
+    observed = observations(ACKNOWLEDGED, ends={("a", 1): 30 * S}, removed=frozenset("a"))
+    assert max(checks.check(COMPLETE[:-1], HISTORY, observed).undisturbed) == 25
 
 
-def test_quiet_times_and_faults_are_told_apart():
-    verdict = checks.check(WHOLE, HISTORY, seen(ACKED, faults=[span(2.9, 3.1, "a primary killed")]))
+def test_undisturbed_times_and_faults_are_distinguished():
+    verdict = checks.check(
+        COMPLETE, HISTORY, observations(ACKNOWLEDGED, faults=[span(2.9, 3.1, "a primary killed")])
+    )
     assert len(verdict.undisturbed) == 4
     assert verdict.by_fault == {"a primary killed": [0.5]}
 
 
-def test_time_without_a_primary_ends_with_another():
+def test_leaderless_time_ends_with_another_leader():
     records = [*HISTORY, control(10.5, "acknowledged", 5, who="c1"), control(13, "primary", who="c2")]
-    told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "c1", "killed")])
-    assert checks.check(WHOLE, records, told).leaderless == [(3.0, "killed")]
-    told.losses = [checks.LeaderLoss(20 * S, "c2", "killed")]
-    assert checks.check(WHOLE, records, told).leaderless == [(20.0, "killed")]
+    observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * S, "c1", "killed")])
+    assert checks.check(COMPLETE, records, observed).leaderless == [(3.0, "killed")]
+    observed.losses = [checks.LeaderLoss(20 * S, "c2", "killed")]
+    assert checks.check(COMPLETE, records, observed).leaderless == [(20.0, "killed")]
 
 
-def test_all_restarted_ends_with_any_primary():
-    told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "", "all")])
-    assert checks.check(WHOLE, [*HISTORY, control(12, "primary")], told).leaderless == [(2.0, "all")]
+def test_leaderless_time_after_a_restart_of_all_ends_with_any_leader():
+    observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * S, "", "all")])
+    assert checks.check(COMPLETE, [*HISTORY, control(12, "primary")], observed).leaderless == [(2.0, "all")]
 
 
-def test_the_last_words_before_all_are_gone_are_no_sign():
-    told = seen(ACKED, losses=[checks.LeaderLoss(10 * S, "", "all", round(10.2 * S))])
+def test_what_is_recorded_before_all_have_stopped_is_no_sign_of_a_leader():
+    observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * S, "", "all", round(10.2 * S))])
     records = [*HISTORY, control(10.1, "acknowledged", 5), control(12, "primary")]
-    assert checks.check(WHOLE, records, told).leaderless == [(2.0, "all")]
+    assert checks.check(COMPLETE, records, observed).leaderless == [(2.0, "all")]
 
 
-def test_too_little_is_said():
-    found = checks.insufficient_activity(checks.check([], [], seen([])), seen([]), 10, 30)
+def test_too_little_activity_is_reported():
+    found = checks.insufficient_activity(checks.check([], [], observations([])), observations([]), 10, 30)
     words = " ".join(found)
     for part in ("0 changes", "quiet times", "no primary was lost", "no broker came back", "0 kinds"):
         assert part in words
 
 
-def test_a_quiet_run_needs_changes_and_no_fault():
-    told = seen([])
-    found = checks.insufficient_activity(checks.check([], [], told), told, 10, 60, without_faults=True)
+def test_a_run_without_faults_needs_changes_and_no_fault():
+    observed = observations([])
+    found = checks.insufficient_activity(
+        checks.check([], [], observed), observed, 10, 60, without_faults=True
+    )
     assert len(found) == 2
     assert "0 changes" in found[0]
-    told.losses.append(checks.LeaderLoss(1, "c1", "killed"))
+    observed.losses.append(checks.LeaderLoss(1, "c1", "killed"))
     assert "something was broken" in checks.insufficient_activity(
-        checks.check([], [], told), told, 10, 60, without_faults=True
+        checks.check([], [], observed), observed, 10, 60, without_faults=True
     )
 
 
@@ -220,7 +234,7 @@
     )
 
 
-def test_half_lines_of_killed_processes_are_passed_over(tmp_path):
+def test_incomplete_lines_of_killed_processes_are_skipped(tmp_path):
     path = tmp_path / "a.jsonl"
     path.write_text('{"at": 1}\n{"at": 2, "x{"at": 3}\n{"at"')
     assert checks.read_records([path]) == [{"at": 1}, {"at": 3}]
--- a/tests/lab/test_capacity_day.py
+++ b/tests/lab/test_capacity_day.py
@@ -1,4 +1,4 @@
-"""The scale run's day, drawn from a seed, and the relays that can be cut."""
+"""A capacity run's day, drawn from a seed, and the TCP proxy that can be cut."""
 
 import gevent
 import pytest
@@ -16,11 +16,11 @@
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_a_long_day_has_all_faults_and_quiet_between_and_after(seed):
     day = draw_day(seed, 300, 2, 0.7)
-    assert {f.kind for f in day.faults} == set(FAULTS)
-    for one, other in zip(day.faults, day.faults[1:], strict=False):
-        assert other.at >= one.at + one.span + QUIET_REST_S
-    assert all(f.at + f.span <= 300 - QUIET_TAIL_S for f in day.faults)
-    assert any(c.at > 300 - QUIET_TAIL_S for c in day.changes)
+    assert {fault.kind for fault in day.faults} == set(FAULTS)
+    for fault, following in zip(day.faults, day.faults[1:], strict=False):
+        assert following.at >= fault.at + fault.span + QUIET_REST_S
+    assert all(fault.at + fault.span <= 300 - QUIET_TAIL_S for fault in day.faults)
+    assert any(change.at > 300 - QUIET_TAIL_S for change in day.changes)
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
@@ -28,69 +28,69 @@
     assert [f.kind for f in draw_day(seed, 30, 2, 0.7).faults][:2] == list(FAULTS[:2])
 
 
-class Echo:
-    """Says back what it hears."""
+class EchoServer:
+    """A server that sends back what it receives, behind a proxy."""
 
     def __init__(self):
         self.server = StreamServer(("127.0.0.1", 0), self.serve)
         self.server.start()
-        self.relay = TcpProxy(("127.0.0.1", self.server.server_port))
+        self.proxy = TcpProxy(("127.0.0.1", self.server.server_port))
 
     def serve(self, conn, _):
         while data := conn.recv(100):
             conn.sendall(data)
 
-    def dial(self):
-        sock = socket.create_connection(("127.0.0.1", self.relay.server.server_port), 2)
+    def connect(self):
+        sock = socket.create_connection(("127.0.0.1", self.proxy.server.server_port), 2)
         sock.settimeout(0.3)
         return sock
 
     def close(self):
-        self.relay.close()
+        self.proxy.close()
         self.server.stop(timeout=0.1)
 
 
 @pytest.fixture
 def echo():
-    made = Echo()
-    yield made
-    made.close()
+    server = EchoServer()
+    yield server
+    server.close()
 
 
-def say(sock, words=b"abc"):
-    sock.sendall(words)
+def exchange(sock, data=b"abc"):
+    sock.sendall(data)
     return sock.recv(100)
 
 
-def test_a_relay_passes_on_and_closes(echo):
-    with echo.dial() as sock:
-        assert say(sock) == b"abc"
+def test_a_proxy_forwards_and_closes(echo):
+    with echo.connect() as sock:
+        assert exchange(sock) == b"abc"
     gevent.sleep(0.1)
-    assert not echo.relay.pairs
-    assert echo.relay.bytes == 6
+    assert not echo.proxy.pairs
+    assert echo.proxy.bytes == 6
 
 
-def test_a_silent_cut_stands_still_and_ends_what_was_open_at_the_heal(echo):
-    sock = echo.dial()
-    say(sock)
-    echo.relay.cut("silent")
+def test_a_silent_cut_stalls_connections_and_closes_them_at_the_heal(echo):
+    sock = echo.connect()
+    exchange(sock)
+    echo.proxy.cut("silent")
     with pytest.raises(TimeoutError):
-        say(sock)
-    other = echo.dial()
+        exchange(sock)
+    other = echo.connect()
     with pytest.raises(TimeoutError):
-        say(other)
-    echo.relay.heal()
+        exchange(other)
+    echo.proxy.heal()
     assert sock.recv(100) == b""
     assert other.recv(100) == b"abc"  # what was new in the cut is a connection from the heal on
 
 
-def test_a_reset_cut_ends_what_is_open_and_takes_nothing_new(echo):
-    sock = echo.dial()
-    say(sock)
-    echo.relay.cut("reset")
+def test_a_reset_cut_closes_connections_and_accepts_no_new_ones(echo):
+    sock = echo.connect()
+    exchange(sock)
+    echo.proxy.cut("reset")
     assert sock.recv(100) == b""
-    with echo.dial() as other:
+    with echo.connect() as other:
         assert other.recv(100) == b""
-    echo.relay.heal()
-    with echo.dial() as other:
-        assert say(other) == b"abc"
+    echo.proxy.heal()
+    with echo.connect() as other:
+        assert exchange(other) == b"abc"
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -20,20 +20,20 @@
 RESULTS, PAGE = ROOT / "docs" / "capacity" / "slopes.json", ROOT / "docs" / "CAPACITY.md"
 
 
-def told(*words: str):
+def capacity_page(*words: str):
     return CliRunner().invoke(cli, ["lab", "capacity-page", *words])
 
 
 def test_the_page_is_as_its_committed_results_say():
-    run = told("--results", str(RESULTS), "--page", str(PAGE), "--check")
+    run = capacity_page("--results", str(RESULTS), "--page", str(PAGE), "--check")
     assert run.exit_code == 0, run.output
 
 
 def test_a_figure_changed_by_hand_is_found_and_written_anew(tmp_path):
     page, text = tmp_path / "page.md", PAGE.read_text(encoding="utf-8")
     page.write_text(text.replace("| planner", "| Planner", 1), encoding="utf-8")
-    assert told("--results", str(RESULTS), "--page", str(page), "--check").exit_code == 1
-    assert told("--results", str(RESULTS), "--page", str(page)).exit_code == 0
+    assert capacity_page("--results", str(RESULTS), "--page", str(page), "--check").exit_code == 1
+    assert capacity_page("--results", str(RESULTS), "--page", str(page)).exit_code == 0
     assert page.read_text(encoding="utf-8") == text
 
 
@@ -93,14 +93,14 @@
     path = tmp_path / "slopes.json"
     if raw is not None:
         path.write_text(raw)
-    run = told("--results", str(path), "--page", str(PAGE), "--check")
+    run = capacity_page("--results", str(path), "--page", str(PAGE), "--check")
     assert run.exit_code == 1
     assert says in run.output
     assert run.output.startswith("Error: ")
     assert run.output.count("\n") == 1
 
 
-def test_a_mark_without_a_table_or_an_end_is_turned_down():
+def test_a_mark_without_a_table_or_an_end_is_rejected():
     for page in ("<!-- table:none -->\n<!-- end -->", "<!-- table:first -->\n", "no mark"):
         with pytest.raises(ResultsError):
             render(page, {"first": lambda: ""})
--- a/tests/lab/test_capacity_run.py
+++ b/tests/lab/test_capacity_run.py
@@ -1,4 +1,4 @@
-"""The scale run, tiny: its command on real sockets, and that nothing of it is left when it is ended."""
+"""A tiny capacity run: its command on real sockets, and that nothing of it is left when it is ended."""
 
 import json
 import os
--- a/tests/lab/test_capacity_simulated_operator.py
+++ b/tests/lab/test_capacity_simulated_operator.py
@@ -1,4 +1,4 @@
-"""The scale run's operator against made-up answers: it finds what must not be answered. And its records."""
+"""The simulated operator against made-up answers: it finds answers that must not be. And its records."""
 
 import json
 from types import SimpleNamespace
@@ -14,8 +14,8 @@
 from cypressledge.lab.capacity.process_cost import ProcessCost
 
 
-class Plane:
-    """Answers as a control process would, or with one fault."""
+class FakeControlPlane:
+    """Answers as a control process does, or with one fault."""
 
     def __init__(self, fault=""):
         self.fault, self.version, self.requests, self.keys, self.calls = fault, 0, {}, {}, 0
@@ -60,14 +60,14 @@
         )
 
 
-def operator(monkeypatch, fault=""):
-    plane = Plane(fault)
+def operator_and_plane(monkeypatch, fault=""):
+    plane = FakeControlPlane(fault)
     monkeypatch.setattr(simulated_operator, "call_management", plane.http)
     monkeypatch.setattr(simulated_operator, "RETRY_INTERVAL_S", 0.001)
-    standin = SimpleNamespace(member=lambda: {"host_port": "127.0.0.1:5"})
+    fake_engine = SimpleNamespace(member=lambda: {"host_port": "127.0.0.1:5"})
     world = SimpleNamespace(
         size=SimpleNamespace(engines=9),
-        fake_engines=[standin],
+        fake_engines=[fake_engine],
         controls=[SimpleNamespace(management=101), SimpleNamespace(management=102)],
     )
     return simulated_operator.SimulatedOperator(world, 1), plane
@@ -78,14 +78,14 @@
 
 @pytest.mark.parametrize("fault", ["", "lost answers", "moved"])
 def test_a_sound_plane_has_nothing_wrong(monkeypatch, fault):
-    asking, plane = operator(monkeypatch, fault)
+    operator, plane = operator_and_plane(monkeypatch, fault)
     for kind in KINDS * 3:
-        asking.play(Event(0, kind))
-    assert asking.wrong_answers == []
-    assert asking.counts["bad refused"] == 3
-    assert asking.counts["clashed"] == 3
-    assert asking.counts["repeated"] == 3
-    assert {a.version for a in asking.acknowledged} == set(range(1, plane.version + 1))
+        operator.play(Event(0, kind))
+    assert operator.wrong_answers == []
+    assert operator.counts["bad refused"] == 3
+    assert operator.counts["clashed"] == 3
+    assert operator.counts["repeated"] == 3
+    assert {a.version for a in operator.acknowledged} == set(range(1, plane.version + 1))
 
 
 @pytest.mark.parametrize(
@@ -98,21 +98,21 @@
     ],
 )
 def test_a_fault_is_found(monkeypatch, fault, kind, words):
-    asking, _ = operator(monkeypatch, fault)
-    asking.play(Event(0, kind))
-    assert len(asking.wrong_answers) == 1
-    assert words in asking.wrong_answers[0]
+    operator, _ = operator_and_plane(monkeypatch, fault)
+    operator.play(Event(0, kind))
+    assert len(operator.wrong_answers) == 1
+    assert words in operator.wrong_answers[0]
 
 
-def test_the_primary_is_followed(monkeypatch):
-    asking, _ = operator(monkeypatch, "moved")
-    asking.play(Event(0, "settings"))
-    assert asking.leader_port == 102
-    assert len(asking.acknowledged) == 1
+def test_the_leader_is_followed(monkeypatch):
+    operator, _ = operator_and_plane(monkeypatch, "moved")
+    operator.play(Event(0, "settings"))
+    assert operator.leader_port == 102
+    assert len(operator.acknowledged) == 1
 
 
-def test_what_the_harness_saw_becomes_the_checkers():
-    asking = SimpleNamespace(
+def test_what_the_harness_observed_becomes_the_checks_input():
+    operator = SimpleNamespace(
         acknowledged=[AcknowledgedChange(900, 3, "r3"), AcknowledgedChange(950, 4, "r4")], wrong_answers=[]
     )
     faults = FaultInjector(None, None, kills=[Kill("a", 50), Kill("a", 500)])
@@ -124,12 +124,12 @@
         {"at": 800, "who": "c1", "event": "acknowledged", "version": 3, "request": "r3"},
         {"at": 990, "who": "c1", "event": "acknowledged", "version": 4, "request": "r4"},
     ]
-    seen = harness_observations(asking, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77})
+    seen = harness_observations(operator, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77})
     assert seen.ends == {("a", 1): 50, ("a", 2): 500, ("b", 7): 77}
     assert [a.at for a in seen.acked] == [800, 950]
 
 
-def test_the_tail_of_a_file_is_whole_lines(tmp_path):
+def test_the_tail_of_a_file_is_complete_lines(tmp_path):
     path = tmp_path / "a"
     path.write_text("".join(json.dumps({"n": n, "x": "y" * 50}) + "\n" for n in range(3_000)) + '{"n": 3')
     found = read_tail(path)
@@ -137,14 +137,14 @@
     assert 500 < len(found) < 1_200
 
 
-def test_a_cost_counts_over_lives():
+def test_a_cost_counts_over_restarts():
     cost = ProcessCost()
     for total in (100, 250, 40, 60):  # a new life begins at 0
         cost.add_total(total)
     assert cost.net_bytes == 310
 
 
-def test_who_the_primary_is():
+def test_the_current_leader():
     def told(who, event, epoch):
         return {"who": who, "event": event, "epoch": epoch}
 
