--- a/cypressledge/lab/capacity/capacity_run.py
+++ b/cypressledge/lab/capacity/capacity_run.py
@@ -1,6 +1,5 @@
 """One capacity run: starts a fleet, plays a day of changes and faults, and judges what was written down."""
 
-import os
 import random
 import sys
 import time
@@ -23,6 +22,7 @@
     engine_value,
     unused_address,
 )
+from cypressledge.lab.capacity.machine_load import MachineLoad
 from cypressledge.lab.capacity.observations import harness_observations, write_observations
 from cypressledge.lab.capacity.process_cost import Usage
 from cypressledge.lab.capacity.run_figures import run_figures
@@ -31,12 +31,9 @@
 
 CHANGE_INTERVAL_S = 0.7  # mean time between changes
 INTERVAL_WITHOUT_FAULTS_S = 5.0  # the same where nothing breaks: still 38 times the target's 450 a day
-LATENESS_PROBE_S = 0.02  # the harness's own sleep whose lateness is measured
 WATCH_INTERVAL_S = 1.0
 POLL_INTERVAL_S = 0.5  # while waiting for brokers to have a version
 STATUS_TIMEOUT_S = 0.5
-MEMORY_BOUND_MB = 10 * 1024  # of all processes of a run
-PROCESSES_BOUND = 300
 SETTLE_S = 4.0  # after the start, before the day
 END_S = 12.0  # for the last changes, after the day
 
@@ -54,11 +51,7 @@
     verdict: checks.Verdict = field(default_factory=checks.Verdict)
     figures: dict[str, Any] = field(default_factory=dict)  # for the results file
     broken: list[str] = field(default_factory=list)  # lines that make the run fail
-    late: list[float] = field(default_factory=list)  # s that the harness woke up late
-    memory_mb: float = 0.0
-    processes: int = 0
-    load_before: float = 0.0
-    highest_load: float = 0.0
+    machine: MachineLoad = field(default_factory=MachineLoad)
     start_s: float = 0.0
     commit: str = ""
     served: int = 0  # lookups at real brokers
@@ -68,10 +61,10 @@
 
     def play(self) -> "CapacityRun":
         """Start, play the day, end, judge. Raises `ScaleError` where the run can't go on."""
-        self.load_before = os.getloadavg()[0]
+        self.machine.begin()
         self.commit = commit()
         self.world = CapacityFleet(self.size, self.seed, self.folder)
-        self.greenlets = [gevent.spawn(self._measure_lateness)]
+        self.greenlets = [gevent.spawn(self.machine.measure_lateness)]
         try:
             began = time.monotonic()
             self.world.start()
@@ -123,7 +116,7 @@
         for event in day.faults:
             gevent.sleep(max(0.0, began + event.at - time.monotonic()))
             self._show_progress(f"{event.at:5.1f} s: {event.kind}")
-            if excess := self.resource_excess():
+            if excess := self.machine.excess():
                 raise ScaleError(f"too much for the machine: {excess}")
             self.faults.play(event)
         gevent.sleep(max(0.0, began + day.seconds - time.monotonic()))
@@ -139,19 +132,11 @@
         names = [name for name, broker in self.world.brokers.items() if broker.up]
         until(lambda: self._count_applied(names, newest) == len(names), END_S, POLL_INTERVAL_S)
 
-    def _measure_lateness(self) -> None:
-        while True:
-            due = time.monotonic() + LATENESS_PROBE_S
-            gevent.sleep(LATENESS_PROBE_S)
-            self.late.append(time.monotonic() - due)
-
     def _watch(self) -> None:
         """Sample the processes again and again."""
         while True:
             self.world.sample()
-            self.highest_load = max(self.highest_load, os.getloadavg()[0])
-            self.processes = max(self.processes, self.world.processes())
-            self.memory_mb = max(self.memory_mb, self.world.memory_mb())
+            self.machine.sample(self.world.processes(), self.world.memory_mb())
             self._sample_traffic()
             gevent.sleep(WATCH_INTERVAL_S)
 
@@ -201,15 +186,9 @@
         ]
         exceeded = checks.exceeded_limits(self.verdict, usage.cpu_pct, usage.net_kb_s, usage.rss_mb)
         self.broken += [f"limit passed: {why}" for why in exceeded]
-        if excess := self.resource_excess():
+        if excess := self.machine.excess():
             self.broken.append(f"limit passed: {excess}")
 
-    def resource_excess(self) -> str:
-        """Return what is over the run's own bounds on the machine; empty where nothing is."""
-        if self.memory_mb <= MEMORY_BOUND_MB and self.processes <= PROCESSES_BOUND:
-            return ""
-        return f"{self.memory_mb:.0f} MB in {self.processes} processes"
-
     @property
     def failed(self) -> bool:
         """Whether the command is to end with 1."""
--- a/cypressledge/lab/capacity/run_figures.py
+++ b/cypressledge/lab/capacity/run_figures.py
@@ -54,7 +54,7 @@
         "lost": len(run.verdict.lost),
         "gone_back": len(run.verdict.reverted),
         "wrong": len(run.verdict.wrong),
-        "load_average": [round(run.load_before, 2), round(run.highest_load, 2)],
+        "load_average": [round(run.machine.load_before, 2), round(run.machine.highest_load, 2)],
         "control_cpu_pct": round(control.cpu_pct, 2),
         "control_rss_mb": round(control.rss_mb, 1),
         "control_net_kb_s": round(control.net_kb_s, 1),
@@ -68,7 +68,7 @@
         "snapshots": counts.get("frames.in.whole", 0),
         "reconnects": counts.get("frames.in.welcome", 0) - simulated,
         "faults": dict(run.faults.counts),
-        "late_ms_p99": round(1e3 * quantile(run.late, 0.99), 1),
+        "late_ms_p99": round(1e3 * quantile(run.machine.late, 0.99), 1),
     }
 
 
--- a/cypressledge/lab/capacity/run_report.py
+++ b/cypressledge/lab/capacity/run_report.py
@@ -97,9 +97,11 @@
 
 def _print_machine(run: CapacityRun, echo: Callable[[str], None]) -> None:
     host_late = max((seconds for host in run.world.hosts for seconds in host.late), default=0.0)
+    machine = run.machine
     echo(
-        f"start of all {run.start_s:.1f} s; load average {run.load_before:.2f} before, "
-        f"{run.highest_load:.2f} at the most; wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
-        f"{1e3 * max(run.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
-        f"{run.memory_mb:.0f} MB in {run.processes} processes; seed {run.seed}, {run.seconds:g} s"
+        f"start of all {run.start_s:.1f} s; load average {machine.load_before:.2f} before, "
+        f"{machine.highest_load:.2f} at the most; "
+        f"wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
+        f"{1e3 * max(machine.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
+        f"{machine.memory_mb:.0f} MB in {machine.processes} processes; seed {run.seed}, {run.seconds:g} s"
     )
--- a/tests/lab/test_capacity_run.py
+++ b/tests/lab/test_capacity_run.py
@@ -109,9 +109,9 @@
 
 def test_a_run_that_is_too_large_for_the_machine_says_so(tmp_path):
     point = CapacityRun(FleetSize(12, 20, 1), 30.0, 1, tmp_path)
-    assert not point.resource_excess()
-    point.memory_mb, point.processes = 11_000.0, 20
-    assert "11000 MB" in point.resource_excess()
+    assert not point.machine.excess()
+    point.machine.sample(processes=20, memory_mb=11_000.0)
+    assert "11000 MB" in point.machine.excess()
 
 
 @pytest.mark.parametrize("option", ["--no-faults", "--quiet"])
