--- a/cypressledge/lab/lease_faults/checks.py
+++ b/cypressledge/lab/lease_faults/checks.py
@@ -9,11 +9,27 @@
 from operator import attrgetter, itemgetter
 from typing import TypeVar
 
+import msgspec
+
 from cypressledge.lab.lease_faults.protected_resource import Write
 
 Item = TypeVar("Item")
 
 
+class BeliefRecord(msgspec.Struct, frozen=True):
+    """What a process recorded at `at`, µs: until when it believes that it holds a lease, 0 for not any more.
+
+    `run`: its instance id; `token`: 0 where it holds nothing.
+    """
+
+    lease: str
+    broker: str
+    run: int
+    at: int
+    until: int
+    token: int = 0
+
+
 @dataclass(slots=True)
 class Verdict:
     """The verdict on one run. Times in µs."""
@@ -43,16 +59,16 @@
     last: int
 
 
-def check(writes: list[Write], beliefs: list[dict], until: int) -> Verdict:
+def check(writes: list[Write], beliefs: list[BeliefRecord], until: int) -> Verdict:
     """Judge a run.
 
-    `writes`: the resource's record; `beliefs`: the brokers' own, a record for each change with lease, broker,
-    run, token, `at` and `until`; `until`: the run's end. All moments are on one clock.
+    `writes`: the resource's record; `beliefs`: the brokers' own, a record for each change; `until`: the run's
+    end, µs. All moments are on one clock.
     """
     verdict = Verdict()
     for lease, own in _grouped(writes, attrgetter("lease")).items():
         _check_acts(verdict, lease, own)
-    for lease, records in _grouped(beliefs, itemgetter("lease")).items():
+    for lease, records in _grouped(beliefs, attrgetter("lease")).items():
         _check_holdings(verdict, lease, _holdings(records, until))
     return verdict
 
@@ -87,19 +103,18 @@
             latest = (last, token)
 
 
-def _holdings(records: list[dict], until: int) -> list[_Holding]:
+def _holdings(records: list[BeliefRecord], until: int) -> list[_Holding]:
     """Return who held the lease when, in order of the beginnings; none lasts beyond the run's end."""
     by_holder: dict[tuple[int, int], _Holding] = {}  # by token and run
-    for record in sorted(records, key=itemgetter("at")):
-        at, run = record["at"], record["run"]
-        if not record["until"]:
+    for record in sorted(records, key=attrgetter("at")):
+        if not record.until:
             for (_, holder_run), holding in by_holder.items():
-                if holder_run == run:
-                    holding.last = min(holding.last, at)
+                if holder_run == record.run:
+                    holding.last = min(holding.last, record.at)
             continue
-        key = (record["token"], run)
-        holding = by_holder.setdefault(key, _Holding(record["token"], record["broker"], at, record["until"]))
-        holding.last = max(holding.last, record["until"])
+        first = _Holding(record.token, record.broker, record.at, record.until)
+        holding = by_holder.setdefault((record.token, record.run), first)
+        holding.last = max(holding.last, record.until)
     ordered = sorted(
         (holding.first, min(holding.last, until), token, run, holding.broker)
         for (token, run), holding in by_holder.items()
--- a/cypressledge/lab/lease_faults/lease_run.py
+++ b/cypressledge/lab/lease_faults/lease_run.py
@@ -6,7 +6,6 @@
 restarts. Signals go to processes started here, by their ids.
 """
 
-import json
 import random
 import signal
 from collections import Counter
@@ -15,9 +14,10 @@
 from typing import Any
 
 import gevent
+import msgspec
 
 from cypressledge.fleet.clock import LeaseClock
-from cypressledge.lab.lease_faults.checks import Verdict, check
+from cypressledge.lab.lease_faults.checks import BeliefRecord, Verdict, check
 from cypressledge.lab.lease_faults.protected_resource import ProtectedResource, Write
 from cypressledge.lab.processes import BrokerProcess, Brokers, until
 from cypressledge.lab.site import free_udp_ports
@@ -120,13 +120,13 @@
                 gevent.sleep(SETTLE_TERMS * self.term_s)
         finally:
             over = LeaseClock().now()
-            holdings = self._recorded_holdings()
+            beliefs = self._recorded_beliefs()
             for broker in self.brokers.all.values():
                 broker.kill()
             self.proxies.close()
             self.resource.close()
             self.brokers.end()
-        self.verdict = check(self.resource.writes, holdings, over)
+        self.verdict = check(self.resource.writes, beliefs, over)
         return self.verdict
 
     def insufficiency(self) -> str:
@@ -184,13 +184,13 @@
             return f"127.0.0.1:{self.ports[name]}"
         return self.proxies.address(name, peer)
 
-    def _recorded_holdings(self) -> list[dict]:
+    def _recorded_beliefs(self) -> list[BeliefRecord]:
         """Return what brokers recorded of the leases they held; a killed one's last line may be cut short."""
-        records = []
+        records: list[BeliefRecord] = []
         for name in self.names:
             path = self.brokers.folder / f"{name}.held"
             lines = path.read_text().splitlines() if path.exists() else []
-            records += [json.loads(line) for line in lines if line.endswith("}")]
+            records += [msgspec.json.decode(line, type=BeliefRecord) for line in lines if line.endswith("}")]
         return records
 
     # What is seen while it runs
