--- a/cypressledge/lab/lease_model/bounds.py
+++ b/cypressledge/lab/lease_model/bounds.py
@@ -25,20 +25,20 @@
 
     name: str
     voter_sets: VoterSets
-    claimants: tuple[str, ...] = ("p", "q")
+    requesters: tuple[str, ...] = ("p", "q")
     term: int = 6
     clocks: dict[str, str] = field(default_factory=dict)
-    rounds: int | dict[str, int] = 2  # of each claimant
-    releases: int = 0  # of all claimants together
+    rounds: int | dict[str, int] = 2  # of each requester
+    releases: int = 0  # of all requesters together
     releasers: tuple[str, ...] = ()  # who may release; all, if none is named
     voter_restarts: int = 0
-    claimant_restarts: int = 0
+    requester_restarts: int = 0
     versions: dict[str, int] = field(default_factory=dict)
     reloads: dict[str, int] = field(default_factory=dict)
     known_versions: dict[str, tuple[int, ...]] = field(default_factory=dict)
     version_observations: int = 0  # times that a process hears which versions a voter that reloads accepts
     observed_voters: dict[str, tuple[str, ...]] = field(default_factory=dict)  # whose version a process knows
-    known_tokens: tuple[int, ...] = ()  # by claimant: the highest token it has heard of
+    known_tokens: tuple[int, ...] = ()  # by requester: the highest token it has heard of
 
     @property
     def oldest_version(self) -> int:
@@ -53,5 +53,5 @@
     voter: type[Voter] = Voter
     acquisition: type[LeaseAcquisition] = LeaseAcquisition
     electorate: type[Electorate] = Electorate
-    keeps_instance_id: bool = False  # a claimant that starts again is taken for its former self
+    keeps_instance_id: bool = False  # a requester that starts again is taken for its former self
     restart_token_step: int = RESTART_TOKEN_STEP
--- a/cypressledge/lab/lease_model/guard_mutations.py
+++ b/cypressledge/lab/lease_model/guard_mutations.py
@@ -31,14 +31,14 @@
         Bounds("voter restart", ONE_SET, rounds=1, voter_restarts=1, known_tokens=(0, 150)),
         Bounds("release", ONE_SET, rounds=1, releases=1),
         Bounds(
-            "claimant restart",
+            "requester restart",
             ONE_SET,
             rounds={"p": 2, "q": 1},
-            claimant_restarts=1,
+            requester_restarts=1,
             known_tokens=(0, 2),
             clocks={"q": "fast"},
         ),
-        Bounds("renewal", ONE_SET, rounds=2, claimants=("p",), voter_restarts=1),
+        Bounds("renewal", ONE_SET, rounds=2, requesters=("p",), voter_restarts=1),
         Bounds("voter added", VOTER_ADDED, rounds=1, versions={"q": 2, "d": 2}, reloads={"a": 1}),
         Bounds(
             "voters far apart", FAR_APART, rounds=1, reloads={"b": 1}, version_observations=3, **APART_BOUNDS
@@ -81,7 +81,7 @@
             clocks={"p": "slow", "a": "fast"},
         ),
         Bounds("all voters restart", ONE_SET, rounds=1, voter_restarts=3),
-        Bounds("three claimants", ONE_SET, rounds=1, claimants=("p", "q", "r")),
+        Bounds("three requesters", ONE_SET, rounds=1, requesters=("p", "q", "r")),
         Bounds("restart and release", ONE_SET, rounds=1, voter_restarts=1, releases=1, known_tokens=(0, 150)),
     )
 }
@@ -229,7 +229,9 @@
     ),
     Mutation("released votes don't count", Implementation(acquisition=VotesKept), WORLDS["release"]),
     Mutation(
-        "a restarted claimant is another", Implementation(keeps_instance_id=True), WORLDS["claimant restart"]
+        "a restarted requester is another",
+        Implementation(keeps_instance_id=True),
+        WORLDS["requester restart"],
     ),
     Mutation("majority", Implementation(electorate=HalfMajority), WORLDS["drift"]),
     Mutation(
@@ -253,4 +255,4 @@
     ),
 )
 # A clock that stands still over a suspended machine (CLOCK_MONOTONIC) breaks the assumption itself.
-SUSPENDED_CLOCK = Bounds("a claimant's clock stands still", ONE_SET, rounds=1, clocks={"p": "stopped"})
+SUSPENDED_CLOCK = Bounds("a requester's clock stands still", ONE_SET, rounds=1, clocks={"p": "stopped"})
--- a/cypressledge/lab/lease_model/model_checker.py
+++ b/cypressledge/lab/lease_model/model_checker.py
@@ -2,7 +2,7 @@
 
 The network is the set of all messages ever sent: each may be delivered at any time, again, in any order, or
 never, so loss, delay, duplicates and reordering are all of its behaviours. Real time moves in ticks; each
-process's clock moves by its own rate. Voters and claimants may restart, and brokers reload the voter sets,
+process's clock moves by its own rate. Voters and requesters may restart, and brokers reload the voter sets,
 at any moment, as often as the bounds say. Nothing else is bounded: states are kept with spans in place of
 moments, so a walk ends when no new state is left. The world runs the program's own `Voter`,
 `LeaseAcquisition` and `Electorate`.
--- a/cypressledge/lab/lease_model/steps.py
+++ b/cypressledge/lab/lease_model/steps.py
@@ -10,7 +10,7 @@
 from cypressledge.lab.lease_model.bounds import DRIFT_PPM, LEASE, TICK_US, Bounds, Implementation
 from cypressledge.lab.lease_model.world import LeaseMessage, SentMessage, World, copy_electorate
 
-NEXT_INSTANCE = 10  # what a claimant that starts again adds to its instance id
+NEXT_INSTANCE = 10  # what a requester that starts again adds to its instance id
 
 
 class Step(NamedTuple):
@@ -23,7 +23,7 @@
 def possible_steps(world: World, bounds: Bounds, implementation: Implementation) -> Iterator[Step]:
     """Yield all that may happen next."""
     yield Step("a tick passes", partial(_tick, bounds=bounds))
-    yield from _claimant_steps(world, bounds, implementation)
+    yield from _requester_steps(world, bounds, implementation)
     if world.voter_restarts:
         for name in world.voters:
             restart = partial(_restart_voter, name=name, implementation=implementation)
@@ -38,14 +38,14 @@
         yield Step(text, partial(_deliver, message=message))
 
 
-def _claimant_steps(world: World, bounds: Bounds, implementation: Implementation) -> Iterator[Step]:
+def _requester_steps(world: World, bounds: Bounds, implementation: Implementation) -> Iterator[Step]:
     for name, acquisition in world.acquisitions.items():
         if world.rounds[name]:
             yield Step(f"{name} requests votes", partial(_start_round, name=name))
         if world.releases and acquisition.round and (not bounds.releasers or name in bounds.releasers):
             yield Step(f"{name} releases the lease", partial(_release, name=name))
-        if world.claimant_restarts and acquisition.round:
-            restart = partial(_restart_claimant, name=name, bounds=bounds, implementation=implementation)
+        if world.requester_restarts and acquisition.round:
+            restart = partial(_restart_requester, name=name, bounds=bounds, implementation=implementation)
             yield Step(f"{name} restarts", restart)
 
 
@@ -95,8 +95,8 @@
         _send(world, name, voter, release)
 
 
-def _restart_claimant(world: World, name: str, bounds: Bounds, implementation: Implementation) -> None:
-    world.claimant_restarts -= 1
+def _restart_requester(world: World, name: str, bounds: Bounds, implementation: Implementation) -> None:
+    world.requester_restarts -= 1
     old = world.acquisitions[name]
     keeps_id = implementation.keeps_instance_id
     instance_id = old.instance_id if keeps_id else old.instance_id + NEXT_INSTANCE
@@ -135,7 +135,7 @@
     source, to, content = message
     now = world.now[to]
     if to in world.acquisitions:
-        assert isinstance(content, VoteGranted)  # nothing else is sent to claimants
+        assert isinstance(content, VoteGranted)  # nothing else is sent to requesters
         world.mutable_acquisition(to).record_vote(now, source, content)
         return
     voter = world.mutable_voter(to)
--- a/cypressledge/lab/lease_model/world.py
+++ b/cypressledge/lab/lease_model/world.py
@@ -1,4 +1,4 @@
-"""One state of a small world: voters, claimants, clocks and all messages ever sent. No I/O."""
+"""One state of a small world: voters, requesters, clocks and all messages ever sent. No I/O."""
 
 from dataclasses import replace
 from typing import NamedTuple
@@ -28,7 +28,7 @@
     """One state of a world, and what may still happen in it."""
 
     __slots__ = (
-        "claimant_restarts",
+        "requester_restarts",
         "acquisitions",
         "highest_held",
         "now",
@@ -44,7 +44,7 @@
 
     def __init__(self, bounds: Bounds, implementation: Implementation) -> None:
         voters = sorted({voter for voter_set in bounds.voter_sets.values() for voter in voter_set})
-        processes = (*voters, *bounds.claimants)
+        processes = (*voters, *bounds.requesters)
         self.now: dict[str, int] = dict.fromkeys(processes, 0)  # by process: its own clock
         self.voters: dict[str, Voter] = {
             name: implementation.voter(_electorate(bounds, implementation, name), -bounds.term, 0)
@@ -54,7 +54,7 @@
             name: implementation.acquisition(
                 LEASE, number, bounds.term, DRIFT_PPM, _electorate(bounds, implementation, name)
             )
-            for number, name in enumerate(bounds.claimants, 1)
+            for number, name in enumerate(bounds.requesters, 1)
         }
         for index, acquisition in enumerate(self.acquisitions.values()):
             acquisition.observe_token(bounds.known_tokens[index] if bounds.known_tokens else index)
@@ -66,10 +66,10 @@
         }
         self.sent: frozenset[SentMessage] = frozenset()
         rounds = bounds.rounds
-        self.rounds = dict(rounds) if isinstance(rounds, dict) else dict.fromkeys(bounds.claimants, rounds)
+        self.rounds = dict(rounds) if isinstance(rounds, dict) else dict.fromkeys(bounds.requesters, rounds)
         self.releases = bounds.releases
         self.voter_restarts = bounds.voter_restarts
-        self.claimant_restarts = bounds.claimant_restarts
+        self.requester_restarts = bounds.requester_restarts
         self.reloads = dict(bounds.reloads)
         self.version_observations = bounds.version_observations
         self.highest_held = NOTHING_HELD  # token and instance of the highest token that was ever held
@@ -96,7 +96,7 @@
         return self.voters[name]
 
     def mutable_acquisition(self, name: str) -> LeaseAcquisition:
-        """Return a claimant's acquisition that may be changed: a copy that this world alone has."""
+        """Return a requester's acquisition that may be changed: a copy that this world alone has."""
         self.acquisitions = self.acquisitions | {name: _copy_acquisition(self.acquisitions[name])}
         return self.acquisitions[name]
 
@@ -121,8 +121,8 @@
         voters = []
         for name, voter in self.voters.items():
             votes = tuple(
-                max(0, acquisition.vote_expirations.get(name, NEVER) - self.now[claimant])
-                for claimant, acquisition in self.acquisitions.items()
+                max(0, acquisition.vote_expirations.get(name, NEVER) - self.now[requester])
+                for requester, acquisition in self.acquisitions.items()
             )
             state = _voter_key(voter, self.now[name])
             reloads = self.reloads.get(name, 0)
@@ -137,7 +137,7 @@
             tuple(self.rounds.values()),
             self.releases,
             self.voter_restarts,
-            self.claimant_restarts,
+            self.requester_restarts,
             self.version_observations,
             tuple(self.reloads.get(name, 0) for name in self.acquisitions),
             self.highest_held,
