--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -14,14 +14,12 @@
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import (
     VERSION,
-    BrokerMetrics,
     EngineObservation,
     EngineObservations,
     Envelope,
     decode,
     encode,
 )
-from cypressledge.fleet.tasks.fleet_summary import MAX_ENGINES, SummaryRound
 from cypressledge.fleet.zones.environment import FleetLinks
 from cypressledge.fleet.zones.failover import ZoneFailover
 from cypressledge.fleet.zones.failover_plan import FailoverPace
@@ -29,7 +27,6 @@
 from cypressledge.lab.results import Fact, Slope, Source
 from cypressledge.lab.scaling.measuring import (
     ENGINE_COUNTS,
-    HEADER_BYTES,
     SECOND_US,
     ZONE_REGIONS,
     ZONES,
@@ -38,8 +35,8 @@
     Points,
     cpu_ms,
     engine_entries,
-    median_cpu_ms,
 )
+from cypressledge.lab.scaling.summary_costs import SummaryCost, broker_metrics, datagram_bytes, summary_cost
 
 ROLE = "planner"
 LEASE = HeldLease("zones", "zones", 1, 1, 200 * SECOND_US)  # under which the planner acts
@@ -131,41 +128,6 @@
     return PlannerRun(sum(steps) / 1e6, max(steps) / 1e6)
 
 
-def datagram_bytes(*items: Any) -> int:
-    """Return the bytes of a datagram that carries the items, headers counted."""
-    return len(encode(Envelope(VERSION, "n000", "n001", 1 << 61, 3, 1, 1, list(items)))) + HEADER_BYTES
-
-
-def broker_metrics(engines: int, avoided: int) -> BrokerMetrics:
-    """Return a broker's metrics with so many engines avoided, `MAX_ENGINES` at most."""
-    classes = {name: [40_000_000, 12_000, 3_000, 41_000_000] for name in ("lookup", "report", "order-load")}
-    return BrokerMetrics(
-        7,
-        classes,
-        [f"s-{stable_hash(f's-{i}', 4):08x}" for i in range(min(avoided, MAX_ENGINES))],
-        engines,
-        60,
-    )
-
-
-@dataclass(frozen=True, slots=True)
-class SummaryCost:
-    """Processor time of one summary, and the bytes of its datagram."""
-
-    ms: float
-    size: int
-
-
-def summary_cost(brokers: int, engines: int) -> SummaryCost:
-    """Measure a summary of all brokers but a quarter (a zone that is gone)."""
-    names = [f"n{i:03d}" for i in range(brokers)]
-    merge = SummaryRound(7, 1 << 61, names[0])
-    for name in names[brokers // 4 :]:
-        merge.add(name, broker_metrics(engines, engines // 4))
-    ms = median_cpu_ms(lambda: merge.summary(names), 3)
-    return SummaryCost(ms, datagram_bytes(merge.summary(names)))
-
-
 def observations_us() -> float:
     """Return the µs to decode observations of 64 engines and take them."""
     zones = informed_planner(2, OBSERVED_ENGINES, False, 1).zones
