--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -21,6 +21,7 @@
 FOLDER_NAME = re.compile(r"`cypressledge/((?:\w+/)+)`")
 MODULE_NAME = re.compile(r"\bcypressledge((?:\.[a-z_]\w*)+)")
 TEST_NAME = re.compile(r"\b(tests/(?:\w+/)*(?:\w+\.py)?)")
+CONSTANT_NAME = re.compile(r"`([A-Z][A-Z_]+)`")
 MEMBER_NAME = re.compile(r"`([A-Z]\w*)\.(\w+)(?:\(\))?`")
 
 
@@ -86,6 +87,26 @@
     assert sorted(unknown) == []
 
 
+def missing_from_modules(row: str) -> list[str]:
+    """Constants that a table's row names and none of its modules holds."""
+    sources = "".join((PACKAGE / name).read_text() for name in named_files(row) if exists(name))
+    return [
+        name for name in CONSTANT_NAME.findall(row) if not re.search(rf"^{name}\b.*=", sources, re.MULTILINE)
+    ]
+
+
+def test_constants_stand_in_the_module_that_a_row_names():
+    section = page_text("docs/architecture.md").partition("## Where do I look")[2]
+    rows = [row for row in section.splitlines() if CONSTANT_NAME.search(row)]
+    assert rows, "the section names no constant: is its form another than this test reads?"
+    missing = {row: missing_from_modules(row) for row in rows}
+    assert {row: names for row, names in missing.items() if names} == {}
+
+
+def test_a_constant_of_another_module_is_noticed():
+    assert missing_from_modules("| `decisions/health.py` | `TRIAL_INTERVAL`, `SAFETY` |") == ["SAFETY"]
+
+
 @pytest.mark.parametrize("page", PAGES_OF_MODULES)
 def test_a_page_of_the_code_names_modules(page):
     assert named_files(page_text(page)), "the page names no module: is its form another than this test reads?"
