--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -52,8 +52,8 @@
 class Replica:
     """A voter, and the leader while it holds the lease.
 
-    `joining`: this voter has lost its disk, or has an old one; `mute_us`: how long one that joins says
-    nothing, the longest term of the lease. Raises `StorageError` where the storage can't be read at the
+    `joining`: this voter has lost its disk, or has an old one; `quarantine_us`: how long one that joins
+    sends nothing, the longest term of the lease. Raises `StorageError` where the storage can't be read at the
     start, `LogInvariantError` at any call.
     """
 
@@ -64,14 +64,14 @@
         now: int,
         handlers: ReplicaHandlers,
         joining: bool = False,
-        mute_us: int = 0,
+        quarantine_us: int = 0,
     ) -> None:
         self._context = ReplicaContext(
             identity.name, identity.instance_id, identity.voters, handlers.send, handlers.report, now
         )
         self.log = ReplicatedLog(self._context, storage, handlers.on_commit, self._on_storage_failure)
         self.log.joining = self.log.joining or joining
-        self._muted_until = now + mute_us if self.log.joining else NEVER
+        self._quarantined_until = now + quarantine_us if self.log.joining else NEVER
         self._leader_role = LeaderRole(self._context, self.log)
         self._following = FollowerReplication(self._context, self.log)
         self.leader_heard_at = NEVER  # µs
@@ -128,7 +128,7 @@
 
     def is_eligible(self, now: int) -> bool:
         """Whether this replica could lead: it makes no sense to ask for the lease otherwise."""
-        if self.log.joining or self._is_muted(now) or self.log.is_uncertain:
+        if self.log.joining or self._is_quarantined(now) or self.log.is_uncertain:
             return False
         return self.log.has_history or self._context.first_version is not None
 
@@ -152,16 +152,16 @@
             return False
         return leader_role.take_over(token)
 
-    def _is_muted(self, now: int) -> bool:
+    def _is_quarantined(self, now: int) -> bool:
         """Guards against a promise that was lost with the disk, until its leader has lost the lease."""
-        return now < self._muted_until
+        return now < self._quarantined_until
 
     # Messages
 
     def receive(self, now: int, sender: str, message: Message) -> None:
         """Take a message of another control process; those of no voter are ignored."""
         self._context.now = now
-        if sender not in self._context.peers or self._is_muted(now):
+        if sender not in self._context.peers or self._is_quarantined(now):
             return
         if not isinstance(message, (*REQUESTS, *ANSWERS, Denied)):
             return
@@ -251,8 +251,8 @@
     def tick(self, now: int) -> int:
         """Do what is due; when to be called again at the latest, µs."""
         self._context.now = now
-        if self._is_muted(now):
-            return self._muted_until
+        if self._is_quarantined(now):
+            return self._quarantined_until
         self.log.reload_if_uncertain()
         return self._leader_role.tick()
 
--- a/tests/controlplane/test_replica_guards.py
+++ b/tests/controlplane/test_replica_guards.py
@@ -92,7 +92,7 @@
         "_has_caught_up",
         lambda self, epoch, leader_commit: leader_commit <= self.commit,
     ),
-    Guard(scenes.lost_promise, Replica, "_is_muted", lambda self, now: False),
+    Guard(scenes.lost_promise, Replica, "_is_quarantined", lambda self, now: False),
     Guard(
         scenes.disks_restored_from_old_copies,
         LeaderRecovery,
--- a/tests/controlplane/test_sqlite_storage.py
+++ b/tests/controlplane/test_sqlite_storage.py
@@ -154,7 +154,7 @@
         store,
         0,
         ReplicaHandlers(None, lambda *_: None, None),
-        mute_us=5,
+        quarantine_us=5,
     )
     assert replica.joining
     assert replica.tick(4) == 5  # until then it says nothing
--- a/tests/fakes/control_processes.py
+++ b/tests/fakes/control_processes.py
@@ -41,7 +41,7 @@
         if fault and self.marker_file:
             environment[ONCE_VARIABLE] = str(self.marker_file)
         command = ("control", "serve", "--settings", str(self.settings_file), "--name", self.name)
-        self.launch(*command, "--store", str(self.store), *options, **environment)
+        self.start_program(*command, "--store", str(self.store), *options, **environment)
 
     def call(self, path: str, method: str = "GET", body: object = None) -> tuple[int, dict]:
         """What it answers on /control/…; (0, {}) where it doesn't."""
--- a/tests/fakes/controlled_broker.py
+++ b/tests/fakes/controlled_broker.py
@@ -48,7 +48,7 @@
         if self.fleet is not None:
             self.fleet_file.write_text(yaml.safe_dump(self.fleet))
             options += ["--fleet", str(self.fleet_file)]
-        self.launch(*options, ROUTER_CONFIG=str(self.config_file), ROUTER_ZONE=self.zone)
+        self.start_program(*options, ROUTER_CONFIG=str(self.config_file), ROUTER_ZONE=self.zone)
 
     def show(self, path: str) -> Any:
         """What it answers on its management address; None where it doesn't."""
--- a/tests/fakes/program_process.py
+++ b/tests/fakes/program_process.py
@@ -8,13 +8,13 @@
 
 from gevent import subprocess
 
-from cypressledge.lab.processes import ROOT, OwnProcess
+from cypressledge.lab.processes import ROOT, ManagedProcess
 
 EXIT_TIMEOUT_S = 5.0
 OWN_VARIABLES = ("ROUTER_", "CYPRESSLEDGE_")  # beginnings of the program's environment variables
 
 
-class ProgramProcess(OwnProcess):
+class ProgramProcess(ManagedProcess):
     """One process of the program. `optimised`: run without the interpreter's assertions, as in production."""
 
     tree = ROOT  # the folder whose program runs
@@ -23,7 +23,7 @@
         self.name, self.folder, self.optimised = name, folder, optimised
         self.log_file = folder / f"{name}.log"
 
-    def launch(self, *arguments: str, **environment: str) -> None:
+    def start_program(self, *arguments: str, **environment: str) -> None:
         """Start it; its log goes on in the same file."""
         # Guards against a second start that would leave the first one running for good.
         assert not self.running(), f"{self.name} runs already"
--- a/tests/fakes/replica_world.py
+++ b/tests/fakes/replica_world.py
@@ -104,7 +104,7 @@
                         self.committed,
                         lambda event, **what: self.events.append((name, event)),
                     ),
-                    mute_us=self.quarantine,
+                    quarantine_us=self.quarantine,
                 ),
             ),
         )
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -195,7 +195,7 @@
         fleet[name].kill()
         fleet[name].start()
     restarted = fleet.last().at
-    # The holder's votes run out, the restarted are mute: nobody else may act before a term has passed.
+    # The holder's votes expire, the restarted voters are in quarantine: no one else acts within a term.
     after = fleet.wait_act(restarted + round((TERM + 0.5) * 1e6))
     assert after.token >= first.token
     assert in_order(fleet.resource.writes)
