--- a/cypressledge/fleet/zones/observations.py
+++ b/cypressledge/fleet/zones/observations.py
@@ -68,6 +68,26 @@
     expected: int
 
 
+@dataclass(frozen=True, slots=True)
+class EndedAttempt:
+    """An attempt that has ended. `latency`: µs since it was sent; `expected`: µs that it should have taken;
+    `cpu_time`: µs of engine processor time, where it succeeded; `silent`: its engine reported no progress."""
+
+    attempt: object
+    engine: int
+    outcome: Outcome
+    latency: int
+    expected: int
+    cpu_time: int = 0
+    silent: bool = False
+
+    @property
+    def was_given_up_silent(self) -> bool:
+        """Whether it was cancelled after a longer silence than its run time explains."""
+        overdue = self.latency > SILENCE_MULTIPLE * self.expected
+        return self.outcome is Outcome.CANCELLED and self.silent and overdue
+
+
 @dataclass(slots=True)
 class AttemptObservations:
     """One broker's counts, by window and engine."""
@@ -78,36 +98,25 @@
     counted_silent: set[object] = field(default_factory=set)  # open attempts already counted as silent
     recent: dict[int, RecentResults] = field(default_factory=dict)
 
-    def record_end(
-        self,
-        now: int,
-        engine: int,
-        attempt: object,
-        outcome: Outcome,
-        latency: int,
-        expected: int,
-        cpu_time: int = 0,
-        silent: bool = False,
-    ) -> None:
-        """Count an attempt that has ended; `latency`, `expected` and `cpu_time` in µs.
+    def record_end(self, now: int, ended: EndedAttempt) -> None:
+        """Count an attempt that has ended.
 
         A rejected attempt and one that was never sent say nothing of the engine. Nor does a cancelled one,
-        unless it had been `silent` for longer than it should have taken.
+        unless it had been silent for longer than it should have taken.
         """
-        if attempt in self.counted_silent:
-            self.counted_silent.discard(attempt)
+        outcome = ended.outcome
+        if ended.attempt in self.counted_silent:
+            self.counted_silent.discard(ended.attempt)
             if outcome is not Outcome.OK:
                 return
         if outcome is Outcome.OK:
-            self._record_answer(now, engine, latency, expected, cpu_time)
+            self._record_answer(now, ended)
         elif outcome in CONNECT_FAILED_OUTCOMES:
-            self._record_failure(now, engine).connect_failed += 1
+            self._record_failure(now, ended.engine).connect_failed += 1
         elif outcome in FAILED_OUTCOMES:
-            self._record_failure(now, engine).failed += 1
-        elif outcome in TIMED_OUT_OUTCOMES or (
-            outcome is Outcome.CANCELLED and silent and latency > SILENCE_MULTIPLE * expected
-        ):
-            self._record_failure(now, engine).timed_out += 1
+            self._record_failure(now, ended.engine).failed += 1
+        elif outcome in TIMED_OUT_OUTCOMES or ended.was_given_up_silent:
+            self._record_failure(now, ended.engine).timed_out += 1
 
     def record_open(self, now: int, open_attempts: list[OpenAttempt]) -> None:
         """Count each open attempt that has been silent for too long, once."""
@@ -146,12 +155,12 @@
             -1 if answered is None else (now - answered) // 1000,
         )
 
-    def _record_answer(self, now: int, engine: int, latency: int, expected: int, cpu_time: int) -> None:
-        counts, recent = self._counts(now, engine), self._recent(engine)
-        counts.cpu_time += cpu_time
+    def _record_answer(self, now: int, ended: EndedAttempt) -> None:
+        counts, recent = self._counts(now, ended.engine), self._recent(ended.engine)
+        counts.cpu_time += ended.cpu_time
         recent.consecutive_failures = 0
         recent.last_answer_at = now
-        if latency > LATE_MULTIPLE * expected + MIN_SILENCE:
+        if ended.latency > LATE_MULTIPLE * ended.expected + MIN_SILENCE:
             counts.late += 1
         else:
             counts.succeeded += 1
--- a/cypressledge/fleet/zones/observer.py
+++ b/cypressledge/fleet/zones/observer.py
@@ -6,7 +6,7 @@
 from cypressledge.decisions import contract as c
 from cypressledge.fleet.messages import EngineObservation
 from cypressledge.fleet.zones.environment import ZoneCore
-from cypressledge.fleet.zones.observations import AttemptObservations, OpenAttempt
+from cypressledge.fleet.zones.observations import AttemptObservations, EndedAttempt, OpenAttempt
 
 MAX_SLOWDOWN = (
     4.0  # the most that a slow class lengthens what is expected: guards against calling a crowd a loss
@@ -27,16 +27,16 @@
         """An attempt has ended, after `latency` µs."""
         silent = self.heard_at.pop(attempt, None) is None
         query = attempt.request.query
-        self.observations.record_end(
-            self.now(),
-            attempt.endpoint.id,
-            attempt,
-            outcome,
-            latency,
-            self._expected_time(query),
-            query.cost,
-            silent,
+        ended = EndedAttempt(
+            attempt=attempt,
+            engine=attempt.endpoint.id,
+            outcome=outcome,
+            latency=latency,
+            expected=self._expected_time(query),
+            cpu_time=query.cost,
+            silent=silent,
         )
+        self.observations.record_end(self.now(), ended)
 
     def attempt_progressed(self, attempt: Attempt) -> None:
         """An engine has reported progress of an attempt."""
--- a/tests/recordings/zone_decisions_scenarios.py
+++ b/tests/recordings/zone_decisions_scenarios.py
@@ -16,7 +16,7 @@
     over_quota_fraction,
     shed_permille_by_tenant,
 )
-from cypressledge.fleet.zones.observations import AttemptObservations
+from cypressledge.fleet.zones.observations import AttemptObservations, EndedAttempt
 from cypressledge.fleet.zones.plan_follower import PlanFollower
 from cypressledge.fleet.zones.recovery_ramp import recovery_share, usable_fraction
 from tests.recordings.zone_decisions_recorder import ENGINES, REGION, SECOND_US, ZONES
@@ -59,9 +59,9 @@
         for name in rng.sample(sorted(open_), min(len(open_), rng.randrange(3))):
             engine, began, expected = open_.pop(name)
             outcome = Outcome.OK if rng.random() < 0.6 else rng.choice(outcomes)
-            observations.record_end(
-                now, engine, name, outcome, now - began, expected, rng.randrange(300_000), rng.random() < 0.5
-            )
+            cpu_time, silent = rng.randrange(300_000), rng.random() < 0.5
+            ended = EndedAttempt(name, engine, outcome, now - began, expected, cpu_time, silent)
+            observations.record_end(now, ended)
         if number % 10 == 0:
             observations.record_open(
                 now, [(name, e, now - began, expected) for name, (e, began, expected) in open_.items()]
