--- a/cypressledge/fleet/zones/__init__.py
+++ b/cypressledge/fleet/zones/__init__.py
@@ -14,5 +14,5 @@
 - `failover` puts the parts together; `environment` and `topology` are what it needs of its broker and site
 - `observer` and `admission` connect it with the broker core; `fleet_view` keeps all brokers' observations
 - `planner_duty` runs the planner while this broker holds its lease
-- `operator_commands` and `operator_api` answer operators
+- `operator_commands` and `operator_api` answer operators; `events` are what is logged
 """
--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -11,6 +11,7 @@
 from cypressledge.fleet.zones import operator_commands
 from cypressledge.fleet.zones.admission import ZoneAdmission
 from cypressledge.fleet.zones.environment import FleetLinks, ZoneCore
+from cypressledge.fleet.zones.events import BrokerEvent
 from cypressledge.fleet.zones.failover_plan import FailoverPace
 from cypressledge.fleet.zones.fleet_view import FleetView
 from cypressledge.fleet.zones.health import assess
@@ -137,7 +138,7 @@
         shares = self._shares()
         if shares != shares_before:
             self.links.log_event(
-                "plan_taken", token=plan.token, number=plan.number, planner=sender, shares=shares
+                BrokerEvent.PLAN_ACCEPTED, token=plan.token, number=plan.number, planner=sender, shares=shares
             )
             self.core.engines.refresh()
         elif had_left_alone:
@@ -173,6 +174,6 @@
             return
         left = sorted(self.follower.locally_evacuated)
         self.links.log_event(
-            "zones_left_alone", zones=left, why="; ".join(own.zones[zone].reason for zone in left)
+            BrokerEvent.ZONES_EVACUATED, zones=left, why="; ".join(own.zones[zone].reason for zone in left)
         )
         self.core.engines.refresh()
--- a/cypressledge/fleet/zones/operator_api.py
+++ b/cypressledge/fleet/zones/operator_api.py
@@ -9,6 +9,7 @@
 from structlog.typing import FilteringBoundLogger
 
 from cypressledge.fleet.settings import ZoneCommandRequest
+from cypressledge.fleet.zones.events import BrokerEvent
 from cypressledge.fleet.zones.failover import ZoneFailover
 from cypressledge.net.http_server import HttpRequest
 from cypressledge.net.management import ManagementServer
@@ -38,7 +39,7 @@
             return command
         planner = self.zones.command(command.zone, command.action, command.duration, command.reason)
         self.log.info(
-            "zone_wish",
+            BrokerEvent.COMMAND_RECEIVED,
             zone=command.zone,
             what=command.action,
             span_s=command.duration_s,
--- a/cypressledge/fleet/zones/operator_commands.py
+++ b/cypressledge/fleet/zones/operator_commands.py
@@ -1,6 +1,7 @@
 """What operators can ask of zone failover at a broker: commands for the planner, dry runs, and the status."""
 
 from cypressledge.fleet.messages import ZoneCommand
+from cypressledge.fleet.zones.events import ZoneEvent
 from cypressledge.fleet.zones.failover_plan import FULL_SHARE, ZoneStage
 from cypressledge.fleet.zones.failover_planner import FailoverPlanner
 from cypressledge.fleet.zones.planner_duty import PlannerDuty
@@ -32,7 +33,7 @@
     lines: list[str] = []
     elapsed = 0
 
-    def log_event(event: str, zone: str, reason: str) -> None:
+    def log_event(event: ZoneEvent, zone: str, reason: str) -> None:
         lines.append(f"after {elapsed / 1e6:g} s: {event} {zone}: {reason}")
 
     planner = term.planner_of(command.zone)
--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -7,6 +7,7 @@
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import FailoverPlan
 from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.events import BrokerEvent, ZoneEvent
 from cypressledge.fleet.zones.failover_plan import FULL_SHARE, FailoverPace, ZoneLoad, ZoneStage
 from cypressledge.fleet.zones.failover_planner import FailoverPlanner
 from cypressledge.fleet.zones.fleet_view import FleetView
@@ -118,7 +119,7 @@
             regions.resume(0, known.regions, False, heard_at)
         self.term = PlannerTerm(grant, zones, regions)
         self.sent_at = 0
-        self.links.log_event("planner", token=grant.token, number=zones.number)
+        self.links.log_event(BrokerEvent.PLANNER_STARTED, token=grant.token, number=zones.number)
 
     def _adopt(self, planner: FailoverPlanner, reports: list[BrokerObservations], now: int) -> None:
         """Take on what most brokers left by themselves, so that they do not come back all at once."""
@@ -197,16 +198,16 @@
         """Log brokers that are isolated themselves, once each time."""
         for broker, reason in self.zone_health.isolated.items():
             if broker not in self.logged_isolated:
-                self.links.log_event("broker_blind", peer=broker, why=reason)
+                self.links.log_event(BrokerEvent.PEER_ISOLATED, peer=broker, why=reason)
         self.logged_isolated = dict(self.zone_health.isolated)
 
     def _token(self) -> int:
         return self.term.grant.token if self.term else 0
 
-    def _log_zone_event(self, event: str, zone: str, reason: str) -> None:
+    def _log_zone_event(self, event: ZoneEvent, zone: str, reason: str) -> None:
         self.links.log_event(event, zone=zone, why=reason, token=self._token())
 
-    def _log_region_event(self, event: str, region: str, reason: str) -> None:
+    def _log_region_event(self, event: ZoneEvent, region: str, reason: str) -> None:
         self.links.log_event(
             event.replace("zone_", "region_"), region=region, why=reason, token=self._token()
         )
--- a/cypressledge/fleet/zones/stage_machines.py
+++ b/cypressledge/fleet/zones/stage_machines.py
@@ -8,6 +8,7 @@
 from copy import deepcopy
 from typing import ClassVar
 
+from cypressledge.fleet.zones.events import ZoneEvent
 from cypressledge.fleet.zones.failover_plan import (
     FULL_SHARE,
     SECOND,
@@ -23,7 +24,7 @@
 
 MAX_DOUBLINGS = 16  # failed returns that are counted: guards against a shift without bounds
 
-LogZoneEvent = Callable[[str, str, str], None]  # gets the event, the zone and why
+LogZoneEvent = Callable[[ZoneEvent, str, str], None]  # gets the event, the zone and why
 StageStep = Callable[["ZoneStageMachines", ZoneState, PlanningInput], None]
 
 
@@ -86,7 +87,7 @@
     def _step_override(self, zone: ZoneState, now: int) -> None:
         """End what is by hand once its time has passed, and a practice once another zone fails."""
         if zone.override != OperatorOverride.NONE and now >= zone.override_until:
-            self.log_event("zone_hand_over", zone.name, f"the time for {zone.override} has passed")
+            self.log_event(ZoneEvent.OVERRIDE_EXPIRED, zone.name, f"the time for {zone.override} has passed")
             zone.override = OperatorOverride.NONE
         if zone.override == OperatorOverride.PRACTICE and (failing := self._another_failing(zone)):
             self._end_practice(zone, f"{failing} fails")
@@ -103,13 +104,13 @@
 
     def _end_practice(self, zone: ZoneState, reason: str) -> None:
         zone.override = OperatorOverride.NONE
-        self.log_event("zone_practice_over", zone.name, reason)
+        self.log_event(ZoneEvent.PRACTICE_ENDED, zone.name, reason)
 
     def _enter(self, zone: ZoneState, stage: ZoneStage, now: int, reason: str) -> None:
         zone.stage = stage
         zone.since = now
         zone.reason = reason
-        self.log_event(f"zone_{stage.value}", zone.name, reason)
+        self.log_event(ZoneEvent(f"zone_{stage.value}"), zone.name, reason)
 
     def _begin_ramp(self, zone: ZoneState, now: int) -> None:
         zone.share = max(zone.share, recovery_share(0, self.pace, self.use))
@@ -232,10 +233,10 @@
         if zone.share and given.is_lost(zone.name) and self._is_confirmed_bad(zone, given.now):
             zone.share = 0
             zone.reason = given.findings[zone.name].reason
-            self.log_event("zone_left_whole", zone.name, zone.reason)
+            self.log_event(ZoneEvent.FULLY_EVACUATED, zone.name, zone.reason)
 
     def _keep(self, zone: ZoneState, reason: str) -> None:
         """A zone is not left after all; logged once."""
         if zone.kept_reason != reason:
             zone.kept_reason = reason
-            self.log_event("zone_kept", zone.name, reason)
+            self.log_event(ZoneEvent.EVACUATION_BLOCKED, zone.name, reason)
--- a/cypressledge/lab/zone_processes/comparison.py
+++ b/cypressledge/lab/zone_processes/comparison.py
@@ -8,6 +8,7 @@
 
 import gevent
 
+from cypressledge.fleet.zones.events import BrokerEvent
 from cypressledge.lab.zone_processes.core_engine import CoreEngine
 from cypressledge.lab.zone_processes.testbed import ZONES, ZoneTestbed, ZoneTestbedOptions, logged_at
 
@@ -78,7 +79,7 @@
         result.kept = 100 * (load.counts["kept"] - before["kept"]) / max(1, asked)
         result.fallen = sum(engine.falls for engine in testbed.engines)
         _check_retry_budget(result, testbed.engines)
-        result.events = testbed.events("plan_taken", "zone_leaving", "zones_left_alone")
+        result.events = testbed.events(BrokerEvent.PLAN_ACCEPTED, "zone_leaving", BrokerEvent.ZONES_EVACUATED)
         _read_times(result, zone, lost_at_wall, back_at_wall)
         result.false_departures = _false_departures(schedule, result.events)
     finally:
@@ -111,7 +112,7 @@
 
 def _false_departures(schedule: Schedule, events: list[dict]) -> int:
     """How often a zone was left for nothing."""
-    departures = [event for event in events if event["event"] != "plan_taken"]
+    departures = [event for event in events if event["event"] != BrokerEvent.PLAN_ACCEPTED]
     if not schedule.loses_zone:
         return len(departures)
     return sum(schedule.zone not in e.get("zone", e.get("zones", "")) for e in departures)
@@ -121,7 +122,7 @@
     """When all had taken the plan that leaves the zone, and when its share was full again."""
     left_at: dict[str, float] = {}
     for event in result.events:
-        if event["event"] != "plan_taken":
+        if event["event"] != BrokerEvent.PLAN_ACCEPTED:
             continue
         share, at = event["shares"].get(zone), logged_at(event)
         if share == 0:
--- a/cypressledge/lab/zone_simulation/schedules.py
+++ b/cypressledge/lab/zone_simulation/schedules.py
@@ -4,6 +4,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
+from cypressledge.fleet.zones.events import BrokerEvent
 from cypressledge.lab.zone_simulation.engine import SECOND
 from cypressledge.lab.zone_simulation.scenario import Scenario
 from cypressledge.lab.zone_simulation.world import PlayResult, World
@@ -96,7 +97,7 @@
 
 def _false_departures(world: World, kind: str) -> int:
     """How often a zone was left for nothing."""
-    departures = [e for e in world.events if e.event in ("zone_leaving", "zones_left_alone")]
+    departures = [e for e in world.events if e.event in ("zone_leaving", BrokerEvent.ZONES_EVACUATED)]
     if kind not in LOSSES:
         return len(departures)
     return sum(event.zones != [world.lost_name()] for event in departures)
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -9,6 +9,7 @@
 from cypressledge.decisions import contract as c
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.zones.environment import FleetLinks
+from cypressledge.fleet.zones.events import BrokerEvent
 from cypressledge.fleet.zones.failover import ZoneFailover, ZoneMessage
 from cypressledge.fleet.zones.failover_plan import FailoverPace
 from cypressledge.fleet.zones.topology import SiteTopology
@@ -169,7 +170,7 @@
         def log_event(event: str, **fields: Any) -> None:
             zones = fields["zones"] if "zones" in fields else [fields.get("zone", "")]
             self.events.append(LoggedEvent(self.now, event, zones))
-            if event == "plan_taken" and fields["shares"].get(self.lost_name()) == 0:
+            if event == BrokerEvent.PLAN_ACCEPTED and fields["shares"].get(self.lost_name()) == 0:
                 self.plan_taken_at.setdefault(broker.number, self.now)
 
         links = FleetLinks(
--- a/tests/zones/test_planner_duty.py
+++ b/tests/zones/test_planner_duty.py
@@ -62,7 +62,7 @@
 def test_a_complete_act_logs_the_isolated_broker_and_sends_the_plan():
     planner = Planner()
     assert set(planner.act()) == {None}
-    assert [event for event, _ in planner.events] == ["planner", "broker_blind"]
+    assert [event for event, _ in planner.events] == ["planner_started", "broker_isolated"]
     assert {peer for peer, _ in planner.sent} == {"n1", "n2"}
 
 
@@ -74,6 +74,6 @@
     with pytest.raises(NotPlanningError):
         list(act)
     # What the fleet's health shows is known by then, and told.
-    assert [event for event, _ in planner.events] == ["planner", "broker_blind"]
+    assert [event for event, _ in planner.events] == ["planner_started", "broker_isolated"]
     assert planner.sent == []
     assert planner.zones.dry_run("a", "leave", S, "works") is None
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -79,7 +79,7 @@
     assert until(lambda: all(s == 1 for s in bed.shares(A)), WAIT, 0.1), log(bed)
     assert bed.load.counts["kept"] > kept
     assert sum(e.falls for e in bed.engines) == 0
-    grew = [e["shares"][A] for e in bed.events("plan_taken") if e["broker"] == "n0"]
+    grew = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == "n0"]
     ups = [b - a for a, b in pairwise(grew) if b > a]
     assert len(ups) > 4, grew
     assert max(ups[1:]) <= 63, grew
@@ -97,10 +97,10 @@
     tries = len(bed.engines[0].received)
     sleep(5)
     assert len(bed.engines[0].received) > tries
-    assert not bed.events("zone_leaving", "zones_left_alone"), log(bed)
+    assert not bed.events("zone_leaving", "zones_locally_evacuated"), log(bed)
     assert set(bed.shares(A)) == {1}
     if how == "blind":
-        assert [e["peer"] for e in bed.events("broker_blind")][:1] == ["n1"]
+        assert [e["peer"] for e in bed.events("broker_isolated")][:1] == ["n1"]
 
 
 @pytest.mark.parametrize("bed", [{"brokers": 7, "warm_s": 12.0}], indirect=True)
@@ -120,9 +120,9 @@
     assert min(s for s in bed.shares(A, alive)) >= before - 1e-9, "the successor took the share back"
     assert until(lambda: all(s == 1 for s in bed.shares(A, alive)), WAIT, 0.1), log(bed)
     for name in alive:
-        grew = [e["shares"][A] for e in bed.events("plan_taken") if e["broker"] == name]
+        grew = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
         assert all(b - a <= 63 for a, b in pairwise(grew[2:])), grew
-    tokens = [e["token"] for e in bed.events("planner")]
+    tokens = [e["token"] for e in bed.events("planner_started")]
     assert len(tokens) >= 2
     assert tokens == sorted(set(tokens))
     assert sum(e.falls for e in bed.engines) == 0
@@ -155,7 +155,9 @@
     for name in new:  # before it had the plan a new process sent nothing: it knew none of the zones as out
         started = [e for e in bed[name].events() if e["event"] == "fleet_joined"][-1]
         got = next(
-            e for e in bed[name].events() if e["event"] == "plan_taken" and logged_at(e) >= logged_at(started)
+            e
+            for e in bed[name].events()
+            if e["event"] == "plan_accepted" and logged_at(e) >= logged_at(started)
         )
         assert got["shares"][A] == 0
         assert logged_at(got) - logged_at(started) < 1.5
@@ -169,9 +171,9 @@
     sleep(0.5)
     lose(bed, A, "reset")
     assert until(lambda: all(s == 0 for s in bed.shares(A)), WAIT), log(bed)
-    alone = [e for e in bed.events("zones_left_alone") if A in e["zones"]]
+    alone = [e for e in bed.events("zones_locally_evacuated") if A in e["zones"]]
     assert {e["broker"] for e in alone} >= set(bed.names) - {bed.planner()} - {
-        e["broker"] for e in bed.events("plan_taken") if e["shares"][A] == 0
+        e["broker"] for e in bed.events("plan_accepted") if e["shares"][A] == 0
     }
     repair(bed, A)
     sleep(3)
@@ -182,7 +184,7 @@
     assert until(lambda: all(s == 1 for s in bed.shares(A)), 2 * WAIT, 0.1), log(bed)
     assert sum(e.falls for e in bed.engines) == 0
     for name in bed.names:  # not all at once, though the planner itself never had the zone out
-        grew = [e["shares"][A] for e in bed.events("plan_taken") if e["broker"] == name]
+        grew = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
         ups = [b - a for a, b in zip([0, *grew], grew, strict=False) if b > a]
         assert len(ups) > 4, grew
         assert max(ups) <= 563, grew
