--- a/cypressledge/fleet/operator_api.py
+++ b/cypressledge/fleet/operator_api.py
@@ -3,10 +3,10 @@
 The keys of the answers and the texts of errors are what operators' scripts read: they stay.
 """
 
-import json
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from cypressledge.fleet.operator_answers import Body, LeaseRow, PeerRow, RestartTurn, TaskRow, to_body
 from cypressledge.fleet.zones.operator_api import Answer, ZoneOperatorApi
 from cypressledge.net.http_server import HttpRequest
 from cypressledge.net.management import ManagementServer
@@ -29,71 +29,79 @@
         management.add("/fleet/peers", "GET", _shows(self.peers))
         management.add("/fleet/leases", "GET", _shows(self.leases))
         management.add("/fleet/tasks", "GET", _shows(self.tasks))
-        management.add("/fleet/summary", "GET", _shows(fleet.summaries.show))
+        management.add("/fleet/summary", "GET", _shows(fleet.summaries.answer))
         management.add("/fleet/give-back", "POST", self._give_back)
         management.add("/fleet/turn", "POST", lambda r: self._turn(r, fleet.turns.request))
         management.add("/fleet/turn/over", "POST", lambda r: self._turn(r, fleet.turns.give_up))
         if fleet.zones is not None:
             ZoneOperatorApi(fleet.zones, fleet.node.log).register(management)
 
-    def peers(self) -> list[dict]:
-        """Each peer as seen from here."""
+    def peers(self) -> list[PeerRow]:
+        """Each peer as seen from here, by name."""
         node = self.fleet.node
         now = node.now()
         zones = {peer.name: peer.zone for peer in self.fleet.settings.peers}
 
-        def row(name: str, state: str, incarnation: int, heard: float | None, version: int | None) -> dict:
-            return {
-                "name": name,
-                "zone": zones.get(name, ""),
-                "state": state,
-                "voter": name in node.electorate.voters,
-                "incarnation": incarnation,
-                "heard_s": heard,
-                "voters_version": version,
-                "here": name == node.name,
-            }
-
-        rows = [row(node.name, "alive", node.membership.incarnation, 0.0, node.electorate.version)]
-        for member in node.membership.members.values():
-            heard = round((now - member.last_heard_at) / 1e6, 2) if member.last_heard_at else None
-            version = node.voters_versions.get(member.name)
-            rows.append(row(member.name, member.state.name.lower(), member.incarnation, heard, version))
-        return sorted(rows, key=lambda peer: peer["name"])
-
-    def leases(self) -> list[dict]:
+        rows = [
+            PeerRow(
+                name=node.name,
+                zone=zones.get(node.name, ""),
+                state="alive",
+                voter=node.name in node.electorate.voters,
+                incarnation=node.membership.incarnation,
+                heard_s=0.0,
+                voters_version=node.electorate.version,
+                is_here=True,
+            )
+        ]
+        rows += [
+            PeerRow(
+                name=member.name,
+                zone=zones.get(member.name, ""),
+                state=member.state.name.lower(),
+                voter=member.name in node.electorate.voters,
+                incarnation=member.incarnation,
+                heard_s=round((now - member.last_heard_at) / 1e6, 2) if member.last_heard_at else None,
+                voters_version=node.voters_versions.get(member.name),
+                is_here=False,
+            )
+            for member in node.membership.members.values()
+        ]
+        return sorted(rows, key=lambda peer: peer.name)
+
+    def leases(self) -> list[LeaseRow]:
         """Each lease as seen from here; the holder is as last heard of."""
         manager, now = self.fleet.node.lease_manager, self.fleet.node.now()
         return [
-            {
-                "lease": name,
-                "state": participation.phase.value,
-                "holder": manager.known_holder(name, now),
-                "token": participation.acquisition.token,
-                "left_s": round(participation.acquisition.remaining(now) / 1e6, 2),
-                "rank": manager.candidate_rank(name),
-                "line": manager.candidates(name),
-            }
+            LeaseRow(
+                lease=name,
+                state=participation.phase.value,
+                holder=manager.known_holder(name, now),
+                token=participation.acquisition.token,
+                left_s=round(participation.acquisition.remaining(now) / 1e6, 2),
+                rank=manager.candidate_rank(name),
+                candidates=manager.candidates(name),
+            )
             for name, participation in sorted(manager.participations.items())
         ]
 
-    def tasks(self) -> list[dict]:
+    def tasks(self) -> list[TaskRow]:
         """Each task, and what it has taken."""
         runner = self.fleet.runner
         return [
-            {
-                "task": task.name,
-                "lease": task.lease_group,
-                "running_under": sorted(task.running),
-                "acts": task.runs,
-                "called_off": task.cancelled,
-                "overdue": task.timed_out,
-                "failed": task.failed,
-                "priority": task.priority,
-                "cpu_ms": round(runner.budget.spent / 1e3, 2),
-                "longest_step_ms": round(runner.budget.longest / 1e3, 3),
-                "turn_p99_ms": self.fleet.node.turn_p99() / 1e3,
-            }
+            TaskRow(
+                task=task.name,
+                lease=task.lease_group,
+                running_under=sorted(task.running),
+                runs=task.runs,
+                cancelled=task.cancelled,
+                timed_out=task.timed_out,
+                failed=task.failed,
+                priority=task.priority,
+                cpu_ms=round(runner.budget.spent / 1e3, 2),
+                longest_step_ms=round(runner.budget.longest / 1e3, 3),
+                turn_p99_ms=self.fleet.node.turn_p99() / 1e3,
+            )
             for task in runner.tasks
         ]
 
@@ -107,17 +115,17 @@
             return 409, b"not held here\n"
         return 200, f"{lease} given back\n".encode()
 
-    def _turn(self, request: HttpRequest, act: Callable[[str], dict]) -> Answer:
+    def _turn(self, request: HttpRequest, act: Callable[[str], RestartTurn]) -> Answer:
         group = _text(request)
         participations = self.fleet.node.lease_manager.participations.values()
         if not any(p.slot.group == group and p.slot.on_demand for p in participations):
             return 404, b"no lease of this name that is asked for by wish\n"
-        return 200, json.dumps(act(group)).encode() + b"\n"
+        return 200, to_body(act(group))
 
 
-def _shows(read: Callable[[], object]) -> Callable[[HttpRequest], Answer]:
-    """A call that answers with a value as JSON."""
-    return lambda request: (200, json.dumps(read()).encode() + b"\n")
+def _shows(read: Callable[[], Body]) -> Callable[[HttpRequest], Answer]:
+    """A call that answers with what `read` gives, as JSON."""
+    return lambda request: (200, to_body(read()))
 
 
 def _text(request: HttpRequest) -> str:
--- a/cypressledge/fleet/restart_turns.py
+++ b/cypressledge/fleet/restart_turns.py
@@ -1,6 +1,7 @@
 """Turns at restarting: a broker restarts under a lease, and only while few enough others are missing."""
 
 from cypressledge.fleet.node import FleetNode
+from cypressledge.fleet.operator_answers import RestartTurn
 
 
 class RestartTurns:
@@ -25,13 +26,13 @@
             else:
                 manager.requested_groups.discard(group)
 
-    def request(self, group: str) -> dict:
+    def request(self, group: str) -> RestartTurn:
         """Ask for a turn; how it stands."""
         self.requested_groups.add(group)
         self.tick(self.node.now())
         return self._status(group)
 
-    def give_up(self, group: str) -> dict:
+    def give_up(self, group: str) -> RestartTurn:
         """A turn, or the request for one, is over; how it stands."""
         self.requested_groups.discard(group)
         self.node.release_group(group)
@@ -49,17 +50,17 @@
         members = self.node.membership.members.values()
         return sum(member.state != 0 and member.incarnation > 0 for member in members)
 
-    def _status(self, group: str) -> dict:
+    def _status(self, group: str) -> RestartTurn:
         self.node.wake()
         held = [
             granted
             for granted in self.node.lease_manager.held_leases(self.node.now())
             if granted.group == group
         ]
-        return {
-            "lease": group,
-            "wanted": group in self.requested_groups,
-            "yours": bool(held),
-            "token": held[0].token if held else 0,
-            "missing": self.node.membership.missing(),
-        }
+        return RestartTurn(
+            lease=group,
+            requested=group in self.requested_groups,
+            granted=bool(held),
+            token=held[0].token if held else 0,
+            missing=self.node.membership.missing(),
+        )
--- a/cypressledge/fleet/tasks/fleet_summary.py
+++ b/cypressledge/fleet/tasks/fleet_summary.py
@@ -8,6 +8,7 @@
 
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import AnyItem, BrokerMetrics, FleetSummary, MetricsRequest
+from cypressledge.fleet.operator_answers import SummaryAnswer
 from cypressledge.fleet.tasks.task_runner import TaskSteps
 
 GATHER_S = 0.4  # seconds that brokers have to send their metrics
@@ -144,17 +145,17 @@
     def _take(self, summary: FleetSummary) -> None:
         self.latest, self.received_at = summary, self.now()
 
-    def show(self) -> dict | None:
+    def answer(self) -> SummaryAnswer | None:
         """The latest summary and its age (s), as operators see it."""
         summary = self.latest
         if summary is None:
             return None
-        return {
-            "holder": summary.holder,
-            "token": summary.token,
-            "age_s": round((self.now() - self.received_at) / 1e6, 2),
-            "brokers": summary.broker_count,
-            "missing": summary.missing_brokers,
-            "classes": summary.counts_by_class,
-            "engines_avoided": summary.avoided_engines,
-        }
+        return SummaryAnswer(
+            holder=summary.holder,
+            token=summary.token,
+            age_s=round((self.now() - self.received_at) / 1e6, 2),
+            broker_count=summary.broker_count,
+            missing=summary.missing_brokers,
+            counts_by_class=summary.counts_by_class,
+            avoided_engines=summary.avoided_engines,
+        )
--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -8,6 +8,7 @@
 
 from cypressledge.fleet.leases.participation import HeldLease
 from cypressledge.fleet.messages import EngineObservations, FailoverPlan, PlanRequest, ZoneCommand
+from cypressledge.fleet.operator_answers import ZonesAnswer
 from cypressledge.fleet.zones import operator_commands
 from cypressledge.fleet.zones.admission import ZoneAdmission
 from cypressledge.fleet.zones.environment import FleetLinks, ZoneCore
@@ -106,19 +107,19 @@
             self.duty, ZoneCommand(zone, action, duration, reason), self.links.now()
         )
 
-    def status(self) -> dict:
-        """How the zones stand here, by the keys that operators' calls answer with."""
+    def status(self) -> ZonesAnswer:
+        """How the zones stand here, for operators."""
         plan = self.follower.plan
         heard_s = (self.links.now() - self.follower.plan_heard_at) / 1e6
-        return {
-            "planner": self.planner_name,
-            "token": plan.token if plan else 0,
-            "number": plan.number if plan else 0,
-            "heard_s": round(heard_s, 2),
-            "shed": plan.shed if plan else {},
-            "shed_here": self.admission.shed_requests,
-            "zones": operator_commands.zone_rows(self.duty),
-        }
+        return ZonesAnswer(
+            planner=self.planner_name,
+            token=plan.token if plan else 0,
+            number=plan.number if plan else 0,
+            heard_s=round(heard_s, 2),
+            shed_permille=plan.shed if plan else {},
+            shed_here=self.admission.shed_requests,
+            zones=operator_commands.zone_rows(self.duty),
+        )
 
     def _apply(self, command: ZoneCommand, now: int) -> None:
         if self.duty.term is not None:
--- a/cypressledge/fleet/zones/operator_api.py
+++ b/cypressledge/fleet/zones/operator_api.py
@@ -3,11 +3,10 @@
 The keys of the answers and the texts of errors are what operators' scripts read: they stay.
 """
 
-import json
-
 import msgspec
 from structlog.typing import FilteringBoundLogger
 
+from cypressledge.fleet.operator_answers import to_body
 from cypressledge.fleet.settings import ZoneCommandRequest
 from cypressledge.fleet.zones.events import BrokerEvent
 from cypressledge.fleet.zones.failover import ZoneFailover
@@ -31,7 +30,7 @@
         management.add("/zone/dry-run", "POST", self._dry_run)
 
     def _status(self, _: HttpRequest) -> Answer:
-        return 200, json.dumps(self.zones.status()).encode() + b"\n"
+        return 200, to_body(self.zones.status())
 
     def _command(self, request: HttpRequest) -> Answer:
         command = self._read_command(request)
--- a/cypressledge/fleet/zones/operator_commands.py
+++ b/cypressledge/fleet/zones/operator_commands.py
@@ -1,6 +1,7 @@
 """What operators can ask of zone failover at a broker: commands for the planner, dry runs, and the status."""
 
 from cypressledge.fleet.messages import ZoneCommand
+from cypressledge.fleet.operator_answers import ZoneRow
 from cypressledge.fleet.zones.events import ZoneEvent
 from cypressledge.fleet.zones.failover_plan import FULL_SHARE, ZoneStage
 from cypressledge.fleet.zones.failover_planner import FailoverPlanner
@@ -48,8 +49,8 @@
     return lines or ["nothing would change"]
 
 
-def zone_rows(duty: PlannerDuty) -> list[dict]:
-    """How each zone and region stands here, by the keys that operators' calls answer with."""
+def zone_rows(duty: PlannerDuty) -> list[ZoneRow]:
+    """How each zone and region stands here."""
     rows = []
     follower, topology = duty.follower, duty.topology
     for name in (*topology.zones, *topology.regions):
@@ -57,16 +58,16 @@
         health = duty.region_health if name in topology.regions else duty.zone_health
         finding = health.zones.get(name) if duty.term else None
         rows.append(
-            {
-                "zone": name,
-                "region": topology.region_of.get(name, ""),
-                "stage": status.stage if status else ZoneStage.SERVING.value,
-                "share": follower.share(name) / FULL_SHARE,
-                "alone": name in follower.locally_evacuated,
-                "flaps": status.flaps if status else 0,
-                "by_hand": status.operator_override if status else "",
-                "finding": finding.verdict.value if finding else "",
-                "why": status.reason if status else "",
-            }
+            ZoneRow(
+                zone=name,
+                region=topology.region_of.get(name, ""),
+                stage=status.stage if status else ZoneStage.SERVING.value,
+                share=follower.share(name) / FULL_SHARE,
+                is_locally_evacuated=name in follower.locally_evacuated,
+                failed_returns=status.flaps if status else 0,
+                operator_override=status.operator_override if status else "",
+                verdict=finding.verdict.value if finding else "",
+                reason=status.reason if status else "",
+            )
         )
     return rows
--- a/tests/recordings/zone_decisions_fleet.py
+++ b/tests/recordings/zone_decisions_fleet.py
@@ -155,7 +155,7 @@
         if step % 10 == 0:
             for name in fleet.names:
                 out.add(
-                    fleet.zones[name].status(),
+                    msgspec.to_builtins(fleet.zones[name].status()),
                     fleet.cores[name].retold,
                     fleet.zones[name].view.zone_loads(fleet.now),
                 )
