--- a/cypressledge/fleet/leases/electorate.py
+++ b/cypressledge/fleet/leases/electorate.py
@@ -3,7 +3,7 @@
 All times are µs on the process's own clock. The argument for changes of the voter set is in docs/leases.md.
 """
 
-from collections.abc import Collection
+from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 from itertools import pairwise
 
@@ -65,6 +65,7 @@
         """Whether a majority of this version's voters has rejected older ones for a complete longest term."""
 
         def rejects_older(voter: str) -> bool:
+            """Whether a voter is known to have rejected older versions for so long."""
             if voter == self.name:
                 return version <= self.version and now >= self.adopted_at + self.grace + self.max_term
             known = self.oldest_accepted_by.get(voter, ())
@@ -82,7 +83,7 @@
         """Whether a request under this version is considered."""
         return version >= self.oldest_accepted(now)
 
-    def adopt(self, now: int, version: int, voter_sets: dict[int, tuple[str, ...]]) -> bool:
+    def adopt(self, now: int, version: int, voter_sets: Mapping[int, tuple[str, ...]]) -> bool:
         """Adopt the voter sets of a file; whether that changed the version. Raises `VoterSetError`, and
         changes nothing, where the file is older, is more than one change ahead, or the last change has not
         settled."""
@@ -106,7 +107,7 @@
         return self.version == min(self.voter_sets) or self.is_settled(now, self.version)
 
 
-def check_voter_sets(voter_sets: dict[int, tuple[str, ...]]) -> None:
+def check_voter_sets(voter_sets: Mapping[int, tuple[str, ...]]) -> None:
     """Check that neighbouring versions differ by one voter added or removed. Raises `VoterSetError`."""
     versions = sorted(voter_sets)
     for old, new in pairwise(versions):
--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -3,7 +3,7 @@
 Checked by msgspec's schema first and then by the rules below; an error is one line that names the mistake.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Annotated, Literal, TypeVar
 
 import msgspec
@@ -140,8 +140,8 @@
         return round((self.longest_term_s or self.term_s) * 1e6)
 
     @property
-    def voter_sets(self) -> dict[int, tuple[str, ...]]:
-        """Voters by version."""
+    def voter_sets(self) -> Mapping[int, tuple[str, ...]]:
+        """Voters by the version of their set."""
         return {v.version: tuple(v.names) for v in self.voters}
 
     def term_of(self, spec: LeaseSpec) -> int:
--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -74,9 +74,8 @@
             return self.next_tick
         self.next_tick = now + TICK_INTERVAL
         engines = self.observer.snapshot(now)
-        observed = EngineObservations(
-            engines, self.admission.arrivals.counts(now), sorted(self.follower.locally_evacuated)
-        )
+        requests_by_tenant = dict(self.admission.arrivals.counts(now))
+        observed = EngineObservations(engines, requests_by_tenant, sorted(self.follower.locally_evacuated))
         self._report(observed, now)
         if self.admission.awaiting_plan:
             self._request_plan(now)
--- a/cypressledge/fleet/zones/failover_planner.py
+++ b/cypressledge/fleet/zones/failover_planner.py
@@ -97,8 +97,8 @@
     def step(
         self,
         now: int,
-        findings: dict[str, ZoneFinding],
-        loads: dict[str, ZoneLoad],
+        findings: Mapping[str, ZoneFinding],
+        loads: Mapping[str, ZoneLoad],
         over_quota: float = 0.0,
     ) -> bool:
         """Let time and findings work; whether the plan has changed, also by commands since the last step."""
--- a/cypressledge/fleet/zones/fleet_view.py
+++ b/cypressledge/fleet/zones/fleet_view.py
@@ -1,6 +1,7 @@
 """What one broker knows of all brokers' observations and of the lists: the input of health and planner."""
 
 from collections import Counter
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import NamedTuple
 
@@ -77,8 +78,8 @@
                 engine_regions[entry.engine] = region_of[zone]
         return AssessmentInput(reports, engine_regions, self._changing())
 
-    def tenant_counts(self, now: int) -> dict[str, int]:
-        """Requests of each tenant at all brokers, in the time that observations cover."""
+    def tenant_counts(self, now: int) -> Mapping[str, int]:
+        """Requests at all brokers by tenant, in the time that observations cover."""
         total: Counter[str] = Counter()
         for observed in self._fresh(now):
             total.update(observed.requests_by_tenant)
@@ -92,8 +93,8 @@
             return None
         return sum(engine.cpu_time for observed in fresh for engine in observed.engines) / answers / 1e6
 
-    def zone_loads(self, now: int) -> dict[str, ZoneLoad]:
-        """Each zone's work and cores, as the observations and the lists say."""
+    def zone_loads(self, now: int) -> Mapping[str, ZoneLoad]:
+        """Work and cores by zone, as the observations and the lists say."""
         used = dict.fromkeys(self.topology.zones, 0.0)
         cores = dict.fromkeys(self.topology.zones, 0.0)
         kind_cores = self.core.settings.kind_cores
@@ -108,8 +109,8 @@
                     used[zone_of[engine.engine]] += engine.cpu_time / OBSERVED_SPAN
         return {zone: ZoneLoad(used[zone], cores[zone]) for zone in self.topology.zones}
 
-    def region_loads(self, zone_loads: dict[str, ZoneLoad]) -> dict[str, ZoneLoad]:
-        """The regions' loads, out of their zones'."""
+    def region_loads(self, zone_loads: Mapping[str, ZoneLoad]) -> Mapping[str, ZoneLoad]:
+        """Work and cores by region: the sums of its zones'."""
         total: dict[str, ZoneLoad] = {}
         for zone, load in zone_loads.items():
             region = self.topology.region_of.get(zone)
--- a/cypressledge/fleet/zones/load_shedding.py
+++ b/cypressledge/fleet/zones/load_shedding.py
@@ -7,6 +7,7 @@
 """
 
 from collections import Counter, deque
+from collections.abc import Mapping
 from hashlib import blake2b
 
 from cypressledge.fleet.zones.failover_plan import PERMILLE
@@ -31,7 +32,7 @@
             self.windows.append((number, Counter()))
         self.windows[-1][1][tenant] += 1
 
-    def counts(self, now: int) -> dict[str, int]:
+    def counts(self, now: int) -> Mapping[str, int]:
         """Requests by tenant, of the `MAX_TENANTS` that sent most."""
         oldest = now // WINDOW - WINDOW_COUNT
         total: Counter[str] = Counter()
@@ -41,9 +42,9 @@
         return dict(total.most_common(MAX_TENANTS))
 
 
-def over_quota(counts: dict[str, int], quotas: dict[str, float]) -> dict[str, int]:
-    """The part of each tenant's requests that is over its quota, permille. `counts`: of all brokers together,
-    in `COUNT_SECONDS`; `quotas`: requests a second."""
+def over_quota(counts: Mapping[str, int], quotas: Mapping[str, float]) -> Mapping[str, int]:
+    """By tenant: the part of its requests that is over its quota, permille; tenants within theirs are left
+    out. `counts`: of all brokers together, in `COUNT_SECONDS`; `quotas`: requests a second."""
     parts = {
         tenant: round(PERMILLE * (1 - quotas[tenant] * COUNT_SECONDS / count))
         for tenant, count in counts.items()
@@ -52,14 +53,16 @@
     return {tenant: part for tenant, part in parts.items() if part >= MIN_EXCESS}
 
 
-def over_quota_fraction(counts: dict[str, int], over: dict[str, int]) -> float:
+def over_quota_fraction(counts: Mapping[str, int], over: Mapping[str, int]) -> float:
     """The part of all requests that is over its tenant's quota, 0 to 1."""
     requests_over = sum(counts[tenant] * part for tenant, part in over.items())
     return requests_over / max(1, sum(counts.values())) / PERMILLE
 
 
-def shed_permille_by_tenant(counts: dict[str, int], over: dict[str, int], excess: float) -> dict[str, int]:
-    """The part of each tenant's requests that is shed, permille, so that `excess` of all (0 to 1) goes: of
+def shed_permille_by_tenant(
+    counts: Mapping[str, int], over: Mapping[str, int], excess: float
+) -> Mapping[str, int]:
+    """By tenant: the part of its requests that is shed, permille, so that `excess` of all (0 to 1) goes: of
     what is over quota first, beyond that of all tenants alike."""
     if excess * PERMILLE < MIN_EXCESS:
         return {}
--- a/cypressledge/fleet/zones/operator_commands.py
+++ b/cypressledge/fleet/zones/operator_commands.py
@@ -34,18 +34,19 @@
     lines: list[str] = []
     elapsed = 0
 
-    def log_event(event: ZoneEvent, zone: str, reason: str) -> None:
+    def add_line(event: ZoneEvent, zone: str, reason: str) -> None:
+        """Add what a step of the trial does, as a line of the answer."""
         lines.append(f"after {elapsed / 1e6:g} s: {event} {zone}: {reason}")
 
     planner = term.planner_of(command.zone)
-    trial = planner.trial(log_event)
+    trial = planner.trial(add_line)
     apply_command(trial, command, now)
-    loads, over = duty.planner_input(now)
-    findings = duty.zone_health.zones
+    load = duty.fleet_load(now)
+    loads, findings = load.zones, duty.zone_health.zones
     if planner is term.regions:
         loads, findings = duty.view.region_loads(loads), duty.region_health.zones
     for elapsed in range(0, min(command.duration, MAX_DRY_RUN) + 1, DRY_RUN_STEP):
-        trial.step(now + elapsed, findings, loads, over)
+        trial.step(now + elapsed, findings, loads, load.over_quota)
     return lines or ["nothing would change"]
 
 
--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -1,7 +1,7 @@
 """The planner's work at the broker that holds its lease: assess the fleet, step the planners, publish the
 plan."""
 
-from collections.abc import Callable, Generator
+from collections.abc import Callable, Generator, Mapping
 from dataclasses import dataclass
 
 from cypressledge.fleet.leases.participation import HeldLease
@@ -53,6 +53,14 @@
         return self.regions if name in self.regions.zones else self.zones
 
 
+@dataclass(frozen=True, slots=True)
+class FleetLoad:
+    """Loads by zone, and the part of all requests that is over its tenant's quota, 0 to 1."""
+
+    zones: Mapping[str, ZoneLoad]
+    over_quota: float
+
+
 class PlannerDuty:
     """What the holder of the planner's lease does. `publish(plan, now)` takes a plan over at this broker."""
 
@@ -101,12 +109,11 @@
         if self.term is not None and self.term.grant.lease == lease:
             self.term = None
 
-    def planner_input(self, now: int) -> tuple[dict[str, ZoneLoad], float]:
-        """Each zone's load, and the part of all requests that is over its tenant's quota."""
+    def fleet_load(self, now: int) -> FleetLoad:
+        """The load of all zones, as this broker knows it."""
         counts = self.view.tenant_counts(now)
-        return self.view.zone_loads(now), over_quota_fraction(
-            counts, over_quota(counts, self.topology.quotas)
-        )
+        over = over_quota(counts, self.topology.quotas)
+        return FleetLoad(self.view.zone_loads(now), over_quota_fraction(counts, over))
 
     def _begin_term(self, grant: HeldLease, now: int) -> None:
         """Begin to plan, from where the newest plan stands."""
@@ -133,9 +140,9 @@
 
     def _plan(self, term: PlannerTerm, grant: HeldLease, now: int) -> None:
         """Step both planners, and send the plan where it is due."""
-        loads, over = self.planner_input(now)
-        if term.sheds_load:
-            over = 0.0  # what is shed already is not in the loads
+        load = self.fleet_load(now)
+        loads = load.zones
+        over = 0.0 if term.sheds_load else load.over_quota  # what is shed already is not in the loads
         changed = term.zones.step(now, self.zone_health.zones, loads, over)
         if self.topology.region_of:
             region_loads = self.view.region_loads(loads)
@@ -146,7 +153,9 @@
         if changed or now - self.sent_at >= interval:
             self._send_plan(term, grant, loads, now)
 
-    def _send_plan(self, term: PlannerTerm, grant: HeldLease, loads: dict[str, ZoneLoad], now: int) -> None:
+    def _send_plan(
+        self, term: PlannerTerm, grant: HeldLease, loads: Mapping[str, ZoneLoad], now: int
+    ) -> None:
         self.sent_at = now
         self.times_sent += 1
         zones, regions = term.zones.statuses(now), term.regions.statuses(now)
@@ -156,21 +165,21 @@
             term.number,
             zones,
             regions,
-            self._shed_permille_by_tenant(term, loads, now),
+            dict(self._shed_permille_by_tenant(term, loads, now)),
         )
         self.publish(plan, now)
         for peer in self.links.living_peers():
             self.links.send(peer, plan)
 
     def _shed_permille_by_tenant(
-        self, term: PlannerTerm, loads: dict[str, ZoneLoad], now: int
-    ) -> dict[str, int]:
+        self, term: PlannerTerm, loads: Mapping[str, ZoneLoad], now: int
+    ) -> Mapping[str, int]:
         counts = self.view.tenant_counts(now)
         over = over_quota(counts, self.topology.quotas)
         return shed_permille_by_tenant(counts, over, self._excess(term, counts, loads, now))
 
     def _excess(
-        self, term: PlannerTerm, counts: dict[str, int], loads: dict[str, ZoneLoad], now: int
+        self, term: PlannerTerm, counts: Mapping[str, int], loads: Mapping[str, ZoneLoad], now: int
     ) -> float:
         """The part of all work that comes, shed or not, which the zones can't bear while one is away: 0 to 1.
 
--- a/cypressledge/fleet/zones/planning_input.py
+++ b/cypressledge/fleet/zones/planning_input.py
@@ -1,5 +1,6 @@
 """What one step of a failover planner goes by: findings, loads, and what follows from them. No I/O."""
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 
 from cypressledge.fleet.zones.failover_plan import FULL_SHARE, SHARE_STEPS, ZoneLoad
@@ -10,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanningInput:
-    """The input of one step, at `now` (µs). `over_quota`: the part of all work that is over its tenants'
-    quotas, 0 to 1."""
+    """The input of one step, at `now` (µs); findings and loads by zone. `over_quota`: the part of all work
+    that is over its tenants' quotas, 0 to 1."""
 
     now: int
-    findings: dict[str, ZoneFinding]
-    loads: dict[str, ZoneLoad]
+    findings: Mapping[str, ZoneFinding]
+    loads: Mapping[str, ZoneLoad]
     over_quota: float
 
     def is_lost(self, zone: str) -> bool:
