--- a/cypressledge/fleet/membership.py
+++ b/cypressledge/fleet/membership.py
@@ -33,9 +33,8 @@
     GONE = 2
 
 
-ALIVE, SUSPECT, GONE = (
-    MemberState  # an attribute of an enum costs at each access, and all members are looked at
-)
+# Names of their own: an attribute of an enum costs at each access, and all members are looked at.
+ALIVE, SUSPECT, GONE = MemberState
 STATES = frozenset(MemberState)
 
 
@@ -70,8 +69,8 @@
 
 
 class Membership:
-    """One broker's view of all. `send` gets (peer, item); `on_change` gets (member, reason) at each change of
-    a peer's state."""
+    """One broker's view of all. `period`: µs between pings; `seed`: of whom it pings and tells; `send` gets
+    (peer, item); `on_change` gets (member, reason) at each change of a peer's state."""
 
     def __init__(
         self,
@@ -83,16 +82,22 @@
         send: Callable[[str, AnyItem], None],
         on_change: Callable[[Member, str], None],
     ) -> None:
-        self.name, self.period, self.send, self.on_change = name, period, send, on_change
-        self.incarnation, self.random = incarnation, random.Random(seed)
+        self.name = name
+        self.period = period
+        self.send = send
+        self.on_change = on_change
+        self.incarnation = incarnation
+        self.random = random.Random(seed)
         self.members = {p: Member(p) for p in peers if p != name}
         self.suspects: dict[str, Member] = {}
         self.transmissions_left: dict[str, int] = {}  # of the newest update of each member, as gossip
         self.ping_round: list[str] = []
         self.pending_pings: dict[int, PendingPing] = {}
         self.relayed_pings: dict[int, RelayedPing] = {}
-        self.sequence, self.next_ping_at, self.leaving = 0, 0, False
-        self._alive: frozenset[str] | None = None
+        self.sequence = 0  # of the newest ping
+        self.next_ping_at = 0
+        self.leaving = False
+        self._alive: frozenset[str] | None = None  # None: to be computed anew
 
     def set_peers(self, peers: list[str]) -> None:
         """Set the peers; those that stay keep what is known of them."""
@@ -125,18 +130,21 @@
         member = self.members.get(name)
         if member is None:
             return False
-        refutable = incarnation == member.incarnation and member.state == GONE and member.last_heard_at
-        if incarnation < member.incarnation or refutable:
-            # Not at each message: the peer may not accept the answer either.
-            if now - member.notified_at >= self.period:
-                member.notified_at = now
-                self.send(name, Ack(0, "", [self._update_of(member)]))
+        does_not_know = incarnation == member.incarnation and member.state == GONE and member.last_heard_at
+        if incarnation < member.incarnation or does_not_know:
+            self._notify_ignored(now, member)
             return False
         member.last_heard_at = now
         if incarnation > member.incarnation or member.state != ALIVE:
             self._set_state(now, member, incarnation, ALIVE, "message")
         return True
 
+    def _notify_ignored(self, now: int, member: Member) -> None:
+        """Tell a peer what is held of it. Not at each message: it may not accept the answer either."""
+        if now - member.notified_at >= self.period:
+            member.notified_at = now
+            self.send(member.name, Ack(0, "", [self._update_of(member)]))
+
     def refute(self, items: list[AnyItem]) -> None:
         """Take from a message that does not count what its sender holds of this broker. Guards against
         brokers that were all partitioned from each other, and would hold each other gone for good."""
@@ -194,35 +202,43 @@
         return self.period * (3 + math.ceil(math.log10(len(self.members) + 1)))
 
     def _check_pending(self, now: int, sequence: int, ping: PendingPing) -> None:
+        """Ask others to ping after half a period without an ack; give the ping up after two."""
         waited = now - ping.sent_at
         if not ping.is_indirect and waited >= self.period // 2:
             ping.is_indirect = True
-            others = [n for n, m in self.members.items() if m.state == ALIVE and n != ping.target]
-            for name in self.random.sample(others, min(INDIRECT_PINGS, len(others))):
-                self.send(name, IndirectPing(sequence, ping.target))
+            self._request_indirect_pings(sequence, ping.target)
         elif waited >= 2 * self.period:
             del self.pending_pings[sequence]
             member = self.members.get(ping.target)
             if member is not None and member.state == ALIVE and member.last_heard_at < ping.sent_at:
                 self._set_state(now, member, member.incarnation, SUSPECT, "no ack")
 
+    def _request_indirect_pings(self, sequence: int, target: str) -> None:
+        others = [n for n, m in self.members.items() if m.state == ALIVE and n != target]
+        for name in self.random.sample(others, min(INDIRECT_PINGS, len(others))):
+            self.send(name, IndirectPing(sequence, target))
+
     def _ping(self, now: int) -> None:
+        for name in self._next_targets():
+            if name in self.members:
+                self.sequence += 1
+                self.pending_pings[self.sequence] = PendingPing(name, now)
+                self.send(name, Ping(self.sequence, self._updates_for(name)))
+
+    def _next_targets(self) -> list[str]:
+        """Whom to ping in this period: the next of the round. One that is gone is pinged too, but not in
+        place of the others."""
         if not self.members:
-            return
+            return []
         if not self.ping_round:
             self.ping_round = list(self.members)
             self.random.shuffle(self.ping_round)
         target = self.ping_round.pop()
-        targets = [target]
-        # Those that are gone are pinged too, but not in place of the others.
-        if self.members.get(target, Member("")).state == GONE:
-            others = [m.name for m in self.members.values() if m.state != GONE and m.name != target]
-            targets += [self.random.choice(others)] if others else []
-        for name in targets:
-            if name in self.members:
-                self.sequence += 1
-                self.pending_pings[self.sequence] = PendingPing(name, now)
-                self.send(name, Ping(self.sequence, self._updates_for(name)))
+        member = self.members.get(target)
+        if member is not None and member.state != GONE:
+            return [target]
+        others = [m.name for m in self.members.values() if m.state != GONE and m.name != target]
+        return [target, self.random.choice(others)] if others else [target]
 
     def announce(self) -> None:
         """At the start: ping some peers at once, whose answers tell of all others: each of as many as an
@@ -234,7 +250,8 @@
 
     def leave(self) -> None:
         """This broker stops: some peers are notified, and spread it."""
-        self.leaving, self._alive = True, None
+        self.leaving = True
+        self._alive = None
         update = [self._own_update(GONE)]
         alive = [m.name for m in self.members.values() if m.state == ALIVE]
         for name in self.random.sample(alive, min(LEAVE_TARGETS, len(alive))):
@@ -250,18 +267,25 @@
         return GossipUpdate(member.name, member.incarnation, member.state)
 
     def _updates_for(self, recipient: str) -> list[GossipUpdate]:
-        """What rides on a message: the updates sent least often yet; to a peer that has just started, all
-        that is known."""
-        member = self.members.get(recipient)
+        """What rides on a message: the updates sent least often yet; to a peer that has just started, as much
+        of all that is known as fits."""
         own = self._own_update(GONE if self.leaving else ALIVE)
-        if (
-            member is None
-            or member.state != ALIVE
-            or member.last_heard_at - member.state_since < 2 * self.period
-        ):
+        if self._has_just_started(self.members.get(recipient)):
             known = [m for m in self.members.values() if m.incarnation]
             sample = self.random.sample(known, min(MAX_FIRST_UPDATES, len(known)))
             return [own, *map(self._update_of, sample)]
+        names = self._take_gossip()
+        return [own, *(self._update_of(self.members[n]) for n in names if n in self.members)]
+
+    def _has_just_started(self, member: Member | None) -> bool:
+        """Whether a peer may not know the others yet: it is not alive, or has been for two periods at most
+        when it was last heard."""
+        if member is None or member.state != ALIVE:
+            return True
+        return member.last_heard_at - member.state_since < 2 * self.period
+
+    def _take_gossip(self) -> list[str]:
+        """The members whose updates were sent least often; they count as sent once more."""
         names = list(self.transmissions_left)
         if len(names) > MAX_UPDATES:
             names = sorted(names, key=self.transmissions_left.__getitem__, reverse=True)[:MAX_UPDATES]
@@ -269,7 +293,7 @@
             self.transmissions_left[name] -= 1
             if self.transmissions_left[name] <= 0:
                 del self.transmissions_left[name]
-        return [own, *(self._update_of(self.members[n]) for n in names if n in self.members)]
+        return names
 
     def _apply_updates(self, now: int, updates: list[GossipUpdate]) -> None:
         for update in updates:
@@ -299,7 +323,9 @@
         restarted = 0 < member.incarnation < incarnation and state == ALIVE
         member.incarnation = incarnation
         if state != member.state or restarted:
-            member.state, member.state_since, self._alive = state, now, None
+            member.state = state
+            member.state_since = now
+            self._alive = None
             if state == SUSPECT:
                 self.suspects[member.name] = member
             else:
