--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -1,8 +1,8 @@
 """One member of a fleet, whatever its role: transport, membership, leases and their greenlet.
 
-Uses gevent. Knows nothing of engines or requests: a broker (`part.py`), a control process or a simulated
-broker of the laboratory is a `FleetNode` with handlers of its own. One greenlet owns membership and leases;
-what is received waits in the transport's inbox.
+Uses gevent. Knows nothing of engines or requests: a broker (`broker_integration.py`), a control process or a
+simulated broker of the laboratory is a `FleetNode` with handlers of its own. One greenlet owns membership and
+leases; what is received waits in the transport's inbox.
 """
 
 import os
@@ -10,6 +10,7 @@
 from collections import deque
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple, get_args
 
 import gevent
 from structlog.typing import FilteringBoundLogger
@@ -24,16 +25,13 @@
 from cypressledge.fleet.leases.participation import HeldLease, LeaseEvent, LeaseSlot
 from cypressledge.fleet.membership import Member, Membership
 from cypressledge.fleet.messages import (
-    Ack,
     AnyItem,
     Envelope,
     IndirectPing,
+    LeaseItem,
     LeaseReleased,
-    LeaseStatus,
-    LeaseStatusRequest,
-    Ping,
+    MembershipItem,
     ReleaseLease,
-    VoteGranted,
     VoteRejected,
     VoteRequest,
 )
@@ -46,16 +44,8 @@
 MAX_SLEEP_S = 1.0  # that the owner sleeps at a time: a suspended machine's timers stand still
 INSTANCE_ID_BITS = 62
 TURN_TIMES_KEPT = 256
-MEMBERSHIP_ITEMS = (Ping, Ack, IndirectPing)
-LEASE_ITEMS = (
-    LeaseStatusRequest,
-    VoteRequest,
-    ReleaseLease,
-    LeaseStatus,
-    VoteGranted,
-    VoteRejected,
-    LeaseReleased,
-)
+MEMBERSHIP_ITEMS = get_args(MembershipItem)
+LEASE_ITEMS = get_args(LeaseItem)
 URGENT_ITEMS = frozenset((LeaseReleased, ReleaseLease, VoteRejected, IndirectPing))
 COUNTED_ONLY = (LeaseEvent.ACQUISITION_FAILED, LeaseEvent.VOTE_REJECTED)  # lease events that are not logged
 Handler = Callable[[str, AnyItem], None]  # gets the sender's name and an item
@@ -104,6 +94,15 @@
 NO_HOOKS = NodeHooks()
 
 
+class LeaseEventRecord(NamedTuple):
+    """Something that has happened to a lease, to be reported once all decisions of a turn are made."""
+
+    event: LeaseEvent
+    lease: str
+    token: int
+    reason: str
+
+
 class FleetNode:
     """Membership and leases of one member of the fleet, on one UDP socket. `handlers`: by type, who handles
     items that are neither the membership's nor the leases'; others are counted. Raises `OSError` where the
@@ -119,22 +118,27 @@
         hooks: NodeHooks = NO_HOOKS,
         log: FilteringBoundLogger | None = None,
     ) -> None:
-        self.name, self.counters, self.clock, self.electorate = name, counters, clock, electorate
+        self.name = name
+        self.counters = counters
+        self.clock = clock
+        self.electorate = electorate
         self.instance_id = settings.instance_id or new_instance_id()
         self.log = event_logger(name, self.instance_id) if log is None else log
         self.hooks = hooks
         self.handlers: dict[type, Handler] = {}
         self.urgent = URGENT_ITEMS | frozenset(hooks.urgent)
         self.transport = DatagramTransport(name, settings.listen, counters, clock.now, self._sender_state)
-        self.transport.set_peers({p: a for p, a in settings.addresses.items() if p != name})
+        self.transport.set_peers(self._without_itself(settings.addresses))
         wall = settings.wall or wall_us()
         self.membership = self._make_membership(settings, wall)
         self.lease_manager = self._make_lease_manager(settings, wall)
         self.voters_versions: dict[str, int] = {}  # by peer, as last heard
-        self.pending_events: list[tuple[LeaseEvent, str, int, str]] = []
+        self.pending_events: list[LeaseEventRecord] = []
         self.loops = [self.transport.read, self.run]  # to be spawned as greenlets
-        self.owner: gevent.Greenlet | None = None
-        self.stopped, self.in_turn, self.turn_started_ns = False, False, 0
+        self.owner: gevent.Greenlet | None = None  # runs `run`
+        self.stopped = False
+        self.in_turn = False
+        self.turn_started_ns = 0
         # µs that others may have to wait for a turn
         self.turn_times: deque[int] = deque(maxlen=settings.turn_times_kept)
 
@@ -160,6 +164,9 @@
             self._lease_event,
         )
 
+    def _without_itself(self, addresses: Mapping[str, Address]) -> dict[str, Address]:
+        return {peer: address for peer, address in addresses.items() if peer != self.name}
+
     def turn_p99(self) -> int:
         """The 99th percentile of the owner's turn times kept, µs."""
         times = sorted(self.turn_times)
@@ -234,33 +241,44 @@
 
     def _turn(self) -> int:
         """One turn; the moment when the next is due."""
-        self.turn_started_ns, self.in_turn = time.perf_counter_ns(), True
+        self.turn_started_ns = time.perf_counter_ns()
+        self.in_turn = True
         now = self.clock.now()
         for _ in range(MAX_ENVELOPES_PER_TURN):
             if not self.transport.inbox:
                 break
             self._receive(now, self.transport.inbox.popleft())
-        due_at = self.membership.tick(now)
-        self.lease_manager.set_alive(self.membership.alive(), now)
-        if self.hooks.tick is not None:
-            due_at = min(due_at, self.hooks.tick(now))
-        due_at = min(due_at, self.lease_manager.tick(now))
+        due_at = self._tick(now)
         self._report_lease_events()
         # Other greenlets may run from here on, and queue for peers that the flush has passed.
         self.in_turn = False
         self.transport.flush(self._yield_if_due)
-        self.turn_times.append((time.perf_counter_ns() - self.turn_started_ns) // 1000)
+        self.turn_times.append(self._turn_time())
         return due_at
 
+    def _tick(self, now: int) -> int:
+        """Do what time brings; the moment when something is due next."""
+        due_at = self.membership.tick(now)
+        self.lease_manager.set_alive(self.membership.alive(), now)
+        if self.hooks.tick is not None:
+            due_at = min(due_at, self.hooks.tick(now))
+        return min(due_at, self.lease_manager.tick(now))
+
+    def _turn_time(self) -> int:
+        """µs since this turn began, or since it last let other greenlets run."""
+        return (time.perf_counter_ns() - self.turn_started_ns) // 1000
+
     def _yield_if_due(self) -> None:
         """Guards against a turn that keeps requests waiting: a send may take the system long."""
-        took = (time.perf_counter_ns() - self.turn_started_ns) // 1000
+        took = self._turn_time()
         if took > MAX_TURN_US:
             self.turn_times.append(took)
             gevent.sleep(0)
             self.turn_started_ns = time.perf_counter_ns()
 
     def _wait(self, due_at: int) -> None:
+        """Sleep until something is due or received, then a little longer: what is received close together is
+        answered together."""
         transport = self.transport
         if not transport.inbox and not transport.queues:
             left_s = (due_at - self.clock.now()) / 1e6 / self.clock.rate
@@ -272,34 +290,40 @@
         transport.drain()
 
     def _is_urgent(self) -> bool:
-        """Whether a lease, or what the role names, is about to change hands: that does not wait for further
-        items. Renewals and pings do."""
-        items = (i for e in self.transport.inbox for i in e.items)
-        return self.lease_manager.is_requesting_votes() or any(
-            type(i) in self.urgent or (type(i) is VoteRequest and not i.renewal) for i in items
-        )
+        """Whether something received does not wait for further items: a lease is about to change hands, or
+        the process has named an item of this type urgent. Renewals and pings wait."""
+        if self.lease_manager.is_requesting_votes():
+            return True
+        return any(self._is_urgent_item(item) for envelope in self.transport.inbox for item in envelope.items)
+
+    def _is_urgent_item(self, item: AnyItem) -> bool:
+        return type(item) in self.urgent or (type(item) is VoteRequest and not item.renewal)
 
     def _receive(self, now: int, envelope: Envelope) -> None:
         sender, items = envelope.sender, envelope.items
-        own = sender == self.name
-        if not own and not self.membership.observe(now, sender, envelope.incarnation):
+        from_itself = sender == self.name
+        if not from_itself and not self.membership.observe(now, sender, envelope.incarnation):
             self.counters.add("fleet.former_instance")
             self.membership.refute(items)
             return
         self.electorate.observe(now, sender, envelope.oldest_voters_version)
         self.voters_versions[sender] = envelope.voters_version
         for item in items:
-            if isinstance(item, MEMBERSHIP_ITEMS):
-                self.membership.receive(now, sender, item)
-            elif isinstance(item, LEASE_ITEMS):
-                self.lease_manager.receive(now, sender, item)
-            elif (handler := self.handlers.get(type(item))) is not None:
-                handler(sender, item)
-            else:
-                self.counters.add("fleet.not_handled")  # another role's: a control process gets no plans
+            self._handle(now, sender, item)
+
+    def _handle(self, now: int, sender: str, item: AnyItem) -> None:
+        """Hand an item, of a sender whose messages count, to whom it is for."""
+        if isinstance(item, MEMBERSHIP_ITEMS):
+            self.membership.receive(now, sender, item)
+        elif isinstance(item, LEASE_ITEMS):
+            self.lease_manager.receive(now, sender, item)
+        elif (handler := self.handlers.get(type(item))) is not None:
+            handler(sender, item)
+        else:
+            self.counters.add("fleet.not_handled")  # another role's: a control process gets no plans
 
     def _lease_event(self, event: LeaseEvent, lease: str, token: int, reason: str) -> None:
-        self.pending_events.append((event, lease, token, reason))
+        self.pending_events.append(LeaseEventRecord(event, lease, token, reason))
 
     def _report_lease_events(self) -> None:
         """Report what has happened to leases: work under them starts and ends outside the decisions."""
@@ -322,7 +346,7 @@
         """Set the peers and their addresses: those that stay keep what is known of them, wherever they have
         moved to. What is queued for one that is no longer among them is dropped."""
         self.membership.set_peers(list(addresses))
-        self.transport.set_peers({p: a for p, a in addresses.items() if p != self.name})
+        self.transport.set_peers(self._without_itself(addresses))
         for peer in set(self.voters_versions) - set(addresses):
             del self.voters_versions[peer]
         self.electorate.retain(addresses)
@@ -343,10 +367,10 @@
         again. Whether it was held, and has been released."""
         if not self.hooks.end_work(lease):
             return False  # work goes on: the lease has to expire with it
-        done = self.lease_manager.release(lease, self.clock.now(), reason, round(rest_s * 1e6))
+        released = self.lease_manager.release(lease, self.clock.now(), reason, round(rest_s * 1e6))
         self._report_lease_events()
         self.transport.flush()
-        return done
+        return released
 
     def stop(self, kept: Collection[str] = ()) -> None:
         """This process stops: leases are released at once, but for those `kept`, and the peers are notified.
@@ -355,7 +379,7 @@
             return
         self.stopped = True
         now = self.clock.now()
-        for lease in [n for n in self.lease_manager.participations if n not in kept]:
+        for lease in [name for name in self.lease_manager.participations if name not in kept]:
             if self.hooks.end_work(lease):
                 self.lease_manager.release(lease, now, "stopping")
         self.lease_manager.stop()
@@ -363,7 +387,7 @@
         self._report_lease_events()
         self.transport.flush()
         self.wake()  # the owner ends
-        held = {h.lease for h in self.lease_manager.held_leases(now)}
+        held = {lease.lease for lease in self.lease_manager.held_leases(now)}
         self.log.info("fleet_left", kept=sorted(held & set(kept)))
 
     def close(self) -> None:
