--- a/cypressledge/fleet/leases/acquisition.py
+++ b/cypressledge/fleet/leases/acquisition.py
@@ -26,7 +26,10 @@
     def __init__(
         self, lease: str, instance_id: int, term: int, drift_ppm: int, electorate: Electorate
     ) -> None:
-        self.lease, self.instance_id, self.term, self.drift_ppm = lease, instance_id, term, drift_ppm
+        self.lease = lease
+        self.instance_id = instance_id
+        self.term = term
+        self.drift_ppm = drift_ppm
         self.electorate = electorate
         self.round = 0
         self.token = 0
--- a/cypressledge/fleet/leases/lease_manager.py
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -65,8 +65,11 @@
         send: Callable[[str, AnyItem], None],
         on_event: Callable[[LeaseEvent, str, int, str], None],
     ) -> None:
-        self.name, self.instance_id, self.drift_ppm = name, instance_id, settings.drift_ppm
-        self.electorate, self.voter = electorate, Voter(electorate, now, settings.base_token)
+        self.name = name
+        self.instance_id = instance_id
+        self.drift_ppm = settings.drift_ppm
+        self.electorate = electorate
+        self.voter = Voter(electorate, now, settings.base_token)
         generator = random.Random(settings.seed)
         self.context = ParticipationContext(
             name=name,
@@ -113,12 +116,13 @@
     def set_alive(self, alive: frozenset[str], now: int) -> None:
         """Set who is alive: another set means other candidates for leases."""
         context = self.context
-        if (
-            alive is context.alive or alive == context.alive
-        ):  # mostly the same object: comparing costs at size
+        if alive is context.alive:  # mostly: comparing sets costs at size
             return
-        context.alive, self.next_due_at = alive, 0
+        if alive == context.alive:
+            return
+        context.alive = alive
         context.orders.clear()
+        self.next_due_at = 0
         for participation in self.participations.values():
             if (
                 participation.phase is ParticipationPhase.IDLE
@@ -195,7 +199,8 @@
         if participation is not None:
             self.release(lease, now, f"token rejected: {token} is known there")
             participation.acquisition.observe_token(token)
-            participation.due_at, self.next_due_at = now, 0
+            participation.due_at = now
+            self.next_due_at = 0
 
     def is_requesting_votes(self) -> bool:
         """Whether an attempt at a lease is under way."""
--- a/cypressledge/fleet/leases/participation.py
+++ b/cypressledge/fleet/leases/participation.py
@@ -13,7 +13,7 @@
 from cypressledge.fleet.leases.acquisition import LeaseAcquisition
 from cypressledge.fleet.leases.candidate_order import CANDIDATES, candidate_order
 from cypressledge.fleet.leases.electorate import Electorate
-from cypressledge.fleet.leases.voter import Voter
+from cypressledge.fleet.leases.voter import Vote, Voter
 from cypressledge.fleet.messages import (
     AnyItem,
     LeaseReleased,
@@ -171,20 +171,24 @@
         it must have ended. `rest`: µs in which this broker does not request it again. Whether it was held."""
         if self.phase is ParticipationPhase.IDLE:
             return False
-        was_held, token = self.phase is ParticipationPhase.HELD, self.acquisition.token
+        was_held = self.phase is ParticipationPhase.HELD
+        token = self.acquisition.token
         self._send_release()
         self.fast_retries = 0
         self._rest(now, max(rest, self.slot.term))
         if not was_held:
             return False
-        context, lease = self.context, self.slot.lease
         if not self.slot.on_demand:
-            others = context.alive - {context.name}
-            for name in candidate_order(lease, others, self.slot.candidates):
-                context.send(name, LeaseReleased(lease, token))
-        context.on_event(LeaseEvent.RELEASED, lease, token, reason)
+            self._notify_next_candidates(token)
+        self.context.on_event(LeaseEvent.RELEASED, self.slot.lease, token, reason)
         return True
 
+    def _notify_next_candidates(self, token: int) -> None:
+        context, lease = self.context, self.slot.lease
+        others = context.alive - {context.name}
+        for name in candidate_order(lease, others, self.slot.candidates):
+            context.send(name, LeaseReleased(lease, token))
+
     # Answers of voters, and hints
 
     def receive(
@@ -194,17 +198,24 @@
         if isinstance(item, VoteGranted):
             self._receive_vote(now, sender, item)
         elif isinstance(item, VoteRejected):
-            self.acquisition.record_rejection(sender, item)
-            requesting = self.phase is ParticipationPhase.REQUESTING_VOTES
-            if requesting and self.acquisition.cannot_win(self.context.alive):
-                self._end_attempt(now)
+            self._receive_rejection(now, sender, item)
         elif isinstance(item, LeaseStatus):
             self._receive_status(now, sender, item)
         else:
-            self.acquisition.observe_token(item.token)
-            if self.phase is ParticipationPhase.IDLE and self._may_request():
-                self.fast_retries = FAST_RETRIES
-                self.due_at = now + self._stagger()
+            self._receive_hint(now, item)
+
+    def _receive_rejection(self, now: int, sender: str, item: VoteRejected) -> None:
+        self.acquisition.record_rejection(sender, item)
+        requesting = self.phase is ParticipationPhase.REQUESTING_VOTES
+        if requesting and self.acquisition.cannot_win(self.context.alive):
+            self._end_attempt(now)
+
+    def _receive_hint(self, now: int, item: LeaseReleased) -> None:
+        """The lease is free, as its holder says: request votes soon, each candidate in its turn."""
+        self.acquisition.observe_token(item.token)
+        if self.phase is ParticipationPhase.IDLE and self._may_request():
+            self.fast_retries = FAST_RETRIES
+            self.due_at = now + self._stagger()
 
     def _receive_vote(self, now: int, sender: str, item: VoteGranted) -> None:
         if self.phase not in (ParticipationPhase.REQUESTING_VOTES, ParticipationPhase.HELD):
@@ -212,12 +223,20 @@
         if not self.acquisition.record_vote(now, sender, item):
             return
         if self.phase is ParticipationPhase.REQUESTING_VOTES and self.acquisition.is_held(now):
-            self.phase, self.known_holder = ParticipationPhase.HELD, self.context.name
-            self.fast_retries = self.split_votes = 0
-            self.due_at = self.context.align_timer(self.attempt_started_at, self.slot.term // 3)
-            self.context.on_event(
-                LeaseEvent.ACQUIRED, self.slot.lease, self.acquisition.token, "a majority voted"
-            )
+            self._acquire()
+
+    def _acquire(self) -> None:
+        self.phase = ParticipationPhase.HELD
+        self.known_holder = self.context.name
+        self.fast_retries = 0
+        self.split_votes = 0
+        self.due_at = self.context.align_timer(self.attempt_started_at, self._renewal_interval())
+        token = self.acquisition.token
+        self.context.on_event(LeaseEvent.ACQUIRED, self.slot.lease, token, "a majority voted")
+
+    def _renewal_interval(self) -> int:
+        """µs between renewals of a lease that is held, and of the timer moments that queries go by."""
+        return self.slot.term // 3
 
     def _receive_status(self, now: int, sender: str, item: LeaseStatus) -> None:
         context = self.context
@@ -243,7 +262,7 @@
     def _do_what_is_due(self, now: int) -> None:
         if self.phase is ParticipationPhase.HELD:
             self._send_vote_requests(now)
-            self.due_at = self.context.align_timer(now, self.slot.term // 3)
+            self.due_at = self.context.align_timer(now, self._renewal_interval())
         elif self.phase is ParticipationPhase.REQUESTING_VOTES:
             self._end_attempt(now)
         elif not self._may_request():
@@ -266,43 +285,53 @@
         return context.candidate_rank(self.slot) is not None
 
     def _query_status(self, now: int) -> None:
-        """Ask the voters for the lease's status. A broker whose own vote is in force knows enough to wait for
+        """Ask the voters for the lease's status. A voter whose own vote is in force knows enough to wait for
         its end."""
-        context = self.context
-        state = context.voter.leases.get(self.slot.lease)
-        vote = state.vote if state is not None else None
-        if (
-            vote is not None
-            and vote.instance_id != context.instance_id
-            and now < vote.expires_at
-            and vote.holder in context.alive
-        ):
+        vote = self._vote_for_another(now)
+        if vote is not None:
             self.known_holder = vote.holder
             self._wait_for_expiry(now, vote.expires_at - now)
             return
         self.phase = ParticipationPhase.QUERYING_STATUS
-        self.due_at = now + min(self.slot.term // 6, STATUS_TIMEOUT)
+        self.due_at = now + self._answer_timeout()
         self.statuses.clear()
-        for voter in context.electorate.voters:
-            context.send(voter, LeaseStatusRequest(self.slot.lease))
+        for voter in self.context.electorate.voters:
+            self.context.send(voter, LeaseStatusRequest(self.slot.lease))
+
+    def _vote_for_another(self, now: int) -> Vote | None:
+        """This broker's own vote as a voter, where it is in force and for another that is alive."""
+        context = self.context
+        state = context.voter.leases.get(self.slot.lease)
+        vote = state.vote_in_force(now) if state is not None else None
+        if vote is None or vote.instance_id == context.instance_id or vote.holder not in context.alive:
+            return None
+        return vote
+
+    def _answer_timeout(self) -> int:
+        """µs that voters have to answer a status request or a vote request."""
+        return min(self.slot.term // 6, STATUS_TIMEOUT)
 
     def _evaluate_statuses(self, now: int, timed_out: bool = False) -> None:
         """Request votes as soon as a majority is free; rest once all that are alive have answered, or the
-        query has
-        `timed_out`: a voter in quarantine may answer before those that are free."""
+        query has `timed_out`: a voter in quarantine may answer before those that are free."""
         electorate, statuses = self.context.electorate, self.statuses
         waits = sorted(map(self._wait_for_voter, statuses.values()))
         if len(waits) < electorate.majority:
             return
-        holders = [s.holder for s in statuses.values() if s.holder]
-        known = len(holders) >= electorate.majority
-        self.known_holder = max(sorted(set(holders)), key=holders.count) if known else ""
+        self.known_holder = self._holder_by_statuses()
         wait = waits[electorate.majority - 1]
         if wait <= 0:
             self._request_in_turn(now)
         elif timed_out or all(v in statuses for v in electorate.voters if v in self.context.alive):
             self._wait_for_expiry(now, wait)
 
+    def _holder_by_statuses(self) -> str:
+        """The holder that most voters name, where a majority names any; else empty."""
+        holders = [status.holder for status in self.statuses.values() if status.holder]
+        if len(holders) < self.context.electorate.majority:
+            return ""
+        return max(sorted(set(holders)), key=holders.count)
+
     def _wait_for_voter(self, status: LeaseStatus) -> int:
         """µs until a voter may vote for this process. A vote for a former instance is another process's."""
         own = status.holder == self.context.name and self.acquisition.round > 0
@@ -312,7 +341,7 @@
         """Query again when a vote in force may have expired."""
         wait = min(remaining + self._stagger(), self.slot.term) + MS
         # A far expiry is queried a little early, on a timer moment; the last query times the request.
-        interval = self.slot.term // 3
+        interval = self._renewal_interval()
         early = (now + wait + self.context.timer_phase) % interval
         self._rest(now, wait - early if wait - early > interval // 2 else wait)
 
@@ -332,13 +361,15 @@
 
     def _start_attempt(self, now: int) -> None:
         self.fast_retries = max(0, self.fast_retries - 1)
-        self.phase, self.attempt_started_at = ParticipationPhase.REQUESTING_VOTES, now
+        self.phase = ParticipationPhase.REQUESTING_VOTES
+        self.attempt_started_at = now
         if self._send_vote_requests(now):
-            self.due_at = now + min(self.slot.term // 6, STATUS_TIMEOUT)
+            self.due_at = now + self._answer_timeout()
         else:
             self._rest(now, self.slot.term // 2)
 
     def _send_vote_requests(self, now: int) -> bool:
+        """Begin a round; whether the voter set may be used."""
         request = self.acquisition.start_round(now)
         if request is None:
             return False
@@ -384,4 +415,6 @@
         self.context.on_event(LeaseEvent.LOST, self.slot.lease, token, "no majority renewed it in time")
 
     def _rest(self, now: int, pause: int) -> None:
-        self.phase, self.due_at = ParticipationPhase.IDLE, now + pause
+        """Do nothing about the lease for `pause` µs."""
+        self.phase = ParticipationPhase.IDLE
+        self.due_at = now + pause
--- a/cypressledge/fleet/leases/voter.py
+++ b/cypressledge/fleet/leases/voter.py
@@ -54,7 +54,9 @@
     its start, so that tokens grow over a restart of all voters."""
 
     def __init__(self, electorate: Electorate, now: int, base_token: int) -> None:
-        self.electorate, self.started_at, self.base_token = electorate, now, base_token
+        self.electorate = electorate
+        self.started_at = now
+        self.base_token = base_token
         self.leases: dict[str, VoterLeaseState] = {}
 
     def voting_quarantine(self, now: int) -> int:
--- a/cypressledge/fleet/zones/observer.py
+++ b/cypressledge/fleet/zones/observer.py
@@ -8,9 +8,8 @@
 from cypressledge.fleet.zones.environment import ZoneCore
 from cypressledge.fleet.zones.observations import AttemptObservations, EndedAttempt, OpenAttempt
 
-MAX_SLOWDOWN = (
-    4.0  # the most that a slow class lengthens what is expected: guards against calling a crowd a loss
-)
+# The most that a slow class lengthens what is expected: guards against calling a crowd a loss.
+MAX_SLOWDOWN = 4.0
 
 
 class ZoneObserver:
--- a/cypressledge/fleet/zones/plan_follower.py
+++ b/cypressledge/fleet/zones/plan_follower.py
@@ -11,7 +11,7 @@
 PLANNER_TIMEOUT = 3 * SECOND  # µs without a plan after which a broker acts on evidence of its own
 REJOIN_DELAY = (
     2 * SECOND
-)  # µs that a broker stays out of a zone it left by itself, for the planner to adopt that
+)  # µs that a broker stays out of a zone it left by itself, for the planner to adopt it
 
 
 class PlanFollower:
@@ -66,10 +66,9 @@
         whether it left any."""
         if not self.planner_is_missing(now):
             return False
-        healthy = {
-            z for z, f in own_findings.items() if f.verdict is Verdict.HEALTHY
-        } - self.locally_evacuated
-        lost = {z for z, f in own_findings.items() if f.verdict is Verdict.LOST} - self.locally_evacuated
+        open_zones = {z: f.verdict for z, f in own_findings.items() if z not in self.locally_evacuated}
+        healthy = {zone for zone, verdict in open_zones.items() if verdict is Verdict.HEALTHY}
+        lost = {zone for zone, verdict in open_zones.items() if verdict is Verdict.LOST}
         if not healthy or not lost:
             return False
         self.locally_evacuated |= lost
