--- a/cypressledge/fleet/zones/operator_commands.py
+++ b/cypressledge/fleet/zones/operator_commands.py
@@ -1,6 +1,7 @@
 """What operators can ask of zone failover at a broker: commands for the planner, dry runs, and the status."""
 
 from cypressledge.fleet.messages import ZoneCommand
+from cypressledge.fleet.operator_answers import ZoneRow
 from cypressledge.fleet.zones.events import ZoneEvent
 from cypressledge.fleet.zones.failover_plan import FULL_SHARE, ZoneStage
 from cypressledge.fleet.zones.failover_planner import FailoverPlanner
@@ -33,23 +34,24 @@
     lines: list[str] = []
     elapsed = 0
 
-    def log_event(event: ZoneEvent, zone: str, reason: str) -> None:
+    def add_line(event: ZoneEvent, zone: str, reason: str) -> None:
+        """Add what a step of the trial does, as a line of the answer."""
         lines.append(f"after {elapsed / 1e6:g} s: {event} {zone}: {reason}")
 
     planner = term.planner_of(command.zone)
-    trial = planner.trial(log_event)
+    trial = planner.trial(add_line)
     apply_command(trial, command, now)
-    loads, over = duty.planner_input(now)
-    findings = duty.zone_health.zones
+    load = duty.fleet_load(now)
+    loads, findings = load.zones, duty.zone_health.zones
     if planner is term.regions:
         loads, findings = duty.view.region_loads(loads), duty.region_health.zones
     for elapsed in range(0, min(command.duration, MAX_DRY_RUN) + 1, DRY_RUN_STEP):
-        trial.step(now + elapsed, findings, loads, over)
+        trial.step(now + elapsed, findings, loads, load.over_quota)
     return lines or ["nothing would change"]
 
 
-def zone_rows(duty: PlannerDuty) -> list[dict]:
-    """How each zone and region stands here, by the keys that operators' calls answer with."""
+def zone_rows(duty: PlannerDuty) -> list[ZoneRow]:
+    """How each zone and region stands here."""
     rows = []
     follower, topology = duty.follower, duty.topology
     for name in (*topology.zones, *topology.regions):
@@ -57,16 +59,16 @@
         health = duty.region_health if name in topology.regions else duty.zone_health
         finding = health.zones.get(name) if duty.term else None
         rows.append(
-            {
-                "zone": name,
-                "region": topology.region_of.get(name, ""),
-                "stage": status.stage if status else ZoneStage.SERVING.value,
-                "share": follower.share(name) / FULL_SHARE,
-                "alone": name in follower.locally_evacuated,
-                "flaps": status.flaps if status else 0,
-                "by_hand": status.operator_override if status else "",
-                "finding": finding.verdict.value if finding else "",
-                "why": status.reason if status else "",
-            }
+            ZoneRow(
+                zone=name,
+                region=topology.region_of.get(name, ""),
+                stage=status.stage if status else ZoneStage.SERVING.value,
+                share=follower.share(name) / FULL_SHARE,
+                is_locally_evacuated=name in follower.locally_evacuated,
+                failed_returns=status.flaps if status else 0,
+                operator_override=status.operator_override if status else "",
+                verdict=finding.verdict.value if finding else "",
+                reason=status.reason if status else "",
+            )
         )
     return rows
