--- a/tests/fakes/broker_process.py
+++ b/tests/fakes/broker_process.py
@@ -116,7 +116,10 @@
         except OSError:
             return False
         client.send("status")
-        answer = client.get()
+        try:
+            answer = client.get()
+        except OSError as err:
+            raise AssertionError(f"no answer of a broker that starts: {err}\n{self.log_text()}") from err
         client.close()
         return answer["result"]["healthy"]
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,5 +1,6 @@
 """The list of known failures: its form, and what it does to a run."""
 
+import os
 import shutil
 import subprocess
 import sys
@@ -40,6 +41,7 @@
     ):
         (tmp_path / "KNOWN-RED.txt").write_text(lines)
         command = [sys.executable, "-m", "pytest", "-q", "-rxX", "-p", "no:cacheprovider", "tests"]
-        run = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True)
+        environment = os.environ | {"PYTHONPATH": str(ROOT)}
+        run = subprocess.run(command, cwd=tmp_path, env=environment, capture_output=True, text=True)
         assert run.returncode == exit_code, run.stdout
         assert expected in run.stdout, run.stdout
