--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -51,7 +51,7 @@
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.leases.electorate import Electorate
-from cypressledge.fleet.leases.participation import LeaseSlot
+from cypressledge.fleet.leases.lease import LeaseSlot
 from cypressledge.fleet.node import FleetNode, NodeHooks, NodeSettings, new_instance_id
 from cypressledge.net.connection_registry import ConnectionRegistry
 from cypressledge.net.listener import Listener
--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -16,7 +16,7 @@
 from cypressledge.fleet.lease_recorder import LeaseRecorder
 from cypressledge.fleet.leases.candidate_order import candidate_order
 from cypressledge.fleet.leases.electorate import Electorate, VoterSetError
-from cypressledge.fleet.leases.participation import LeaseEvent, LeaseSlot, lease_slots
+from cypressledge.fleet.leases.lease import LeaseEvent, LeaseSlot, lease_slots
 from cypressledge.fleet.messages import (
     BrokerMetrics,
     EngineObservations,
--- a/cypressledge/fleet/leases/lease_manager.py
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -12,12 +12,10 @@
 
 from cypressledge.fleet.leases.acquisition import LeaseAcquisition
 from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.lease import HeldLease, LeaseEvent, LeaseSlot
 from cypressledge.fleet.leases.participation import (
     MS,
-    HeldLease,
-    LeaseEvent,
     LeaseParticipation,
-    LeaseSlot,
     ParticipationContext,
     ParticipationPhase,
 )
--- a/cypressledge/fleet/leases/participation.py
+++ b/cypressledge/fleet/leases/participation.py
@@ -8,11 +8,12 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import Enum, StrEnum
+from enum import Enum
 
 from cypressledge.fleet.leases.acquisition import LeaseAcquisition
 from cypressledge.fleet.leases.candidate_order import CANDIDATES, candidate_order
 from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.lease import HeldLease, LeaseEvent, LeaseSlot
 from cypressledge.fleet.leases.voter import Vote, Voter
 from cypressledge.fleet.messages import (
     AnyItem,
@@ -37,16 +38,6 @@
 )
 
 
-class LeaseEvent(StrEnum):
-    """What has happened to a lease at this broker. Values as in the log (`lease_…`) and the counters."""
-
-    ACQUIRED = "acquired"
-    LOST = "lost"
-    RELEASED = "released"
-    ACQUISITION_FAILED = "acquisition_failed"
-    VOTE_REJECTED = "vote_rejected"
-
-
 class ParticipationPhase(Enum):
     """What a broker does about one lease. Values as operators see them."""
 
@@ -56,36 +47,6 @@
     HELD = "held"
 
 
-@dataclass(frozen=True, slots=True)
-class LeaseSlot:
-    """One thing to be held: a lease, or one slot of a counted lease (`group/0`, `group/1`, …). One that is
-    `on_demand` is acquired only by brokers that request it."""
-
-    lease: str
-    group: str
-    term: int
-    on_demand: bool
-    candidates: int = CANDIDATES  # that stand by: those that hold another slot of the group can't take it
-
-
-@dataclass(frozen=True, slots=True)
-class HeldLease:
-    """A lease that is held, with what acts under it need. `expires_at` is on the clock that leases use."""
-
-    lease: str
-    group: str
-    token: int
-    instance_id: int
-    expires_at: int
-
-
-def lease_slots(name: str, count: int, term: int, on_demand: bool) -> list[LeaseSlot]:
-    """The slots of a lease; one that is not counted is its own only slot."""
-    if count == 1:
-        return [LeaseSlot(name, name, term, on_demand)]
-    return [LeaseSlot(f"{name}/{i}", name, term, on_demand, CANDIDATES + count - 1) for i in range(count)]
-
-
 @dataclass(slots=True)
 class ParticipationContext:
     """What all of a broker's participations share. `send` gets (peer, item), `on_event` (event, lease, token,
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -21,8 +21,8 @@
 from cypressledge.fleet.datagram_transport import Address, DatagramTransport, SenderState
 from cypressledge.fleet.event_log import event_logger
 from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.lease import HeldLease, LeaseEvent, LeaseSlot
 from cypressledge.fleet.leases.lease_manager import LeaseManager, LeaseSettings
-from cypressledge.fleet.leases.participation import HeldLease, LeaseEvent, LeaseSlot
 from cypressledge.fleet.membership import Member, Membership
 from cypressledge.fleet.messages import (
     AnyItem,
--- a/cypressledge/fleet/tasks/fleet_summary.py
+++ b/cypressledge/fleet/tasks/fleet_summary.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.messages import AnyItem, BrokerMetrics, FleetSummary, MetricsRequest
 from cypressledge.fleet.operator_answers import SummaryAnswer
 from cypressledge.fleet.tasks.task_runner import TaskSteps
--- a/cypressledge/fleet/tasks/service_call.py
+++ b/cypressledge/fleet/tasks/service_call.py
@@ -7,7 +7,7 @@
 
 from gevent import socket
 
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.tasks.task_runner import TaskCancelledError, TaskSteps
 
 CALL_TIMEOUT_S = 2.0  # seconds for one call
--- a/cypressledge/fleet/tasks/task_runner.py
+++ b/cypressledge/fleet/tasks/task_runner.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent.event import Event
 
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.tasks.cpu_budget import CpuBudget, PriorityQueue
 
 CANCEL_TIMEOUT_S = 0.5  # seconds that a run has to end in once it is cancelled
--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Generator
 
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.messages import EngineObservations, FailoverPlan, PlanRequest, ZoneCommand
 from cypressledge.fleet.operator_answers import ZonesAnswer
 from cypressledge.fleet.zones import operator_commands
--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Generator, Mapping
 from dataclasses import dataclass
 
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.messages import FailoverPlan
 from cypressledge.fleet.zones.environment import FleetLinks
 from cypressledge.fleet.zones.events import BrokerEvent, ZoneEvent
--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -11,7 +11,7 @@
 
 from cypressledge.broker.requests import Endpoint, ListedEngine
 from cypressledge.broker.stable_hash import stable_hash
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.messages import (
     VERSION,
     EngineObservation,
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -140,7 +140,7 @@
         The imports are here, as the memory of brokers that are no members is measured, too.
         """
         from cypressledge.fleet.leases.electorate import Electorate
-        from cypressledge.fleet.leases.participation import LeaseSlot
+        from cypressledge.fleet.leases.lease import LeaseSlot
         from cypressledge.fleet.node import FleetNode, NodeSettings
 
         clock = LeaseClock()
--- a/cypressledge/lab/virtual_fleet.py
+++ b/cypressledge/lab/virtual_fleet.py
@@ -12,8 +12,8 @@
 from typing import Any, NamedTuple
 
 from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.lease import lease_slots
 from cypressledge.fleet.leases.lease_manager import LeaseManager, LeaseSettings
-from cypressledge.fleet.leases.participation import lease_slots
 from cypressledge.fleet.membership import Membership
 from cypressledge.fleet.messages import VERSION, Ack, Envelope, IndirectPing, Ping, encode
 
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -8,7 +8,7 @@
 
 from cypressledge.broker.requests import Attempt, Endpoint, ListedEngine, Query
 from cypressledge.decisions import contract as c
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.zones.environment import FleetLinks
 from cypressledge.fleet.zones.events import BrokerEvent
 from cypressledge.fleet.zones.failover import ZoneFailover, ZoneMessage
--- a/tests/fleet/leases/test_lease_schedules.py
+++ b/tests/fleet/leases/test_lease_schedules.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypressledge.fleet.leases.participation import lease_slots
+from cypressledge.fleet.leases.lease import lease_slots
 from cypressledge.lab.virtual_fleet import SECOND_US as S
 from cypressledge.lab.virtual_fleet import VirtualFleet
 from tests.fakes.virtual_fleet import settled_world
--- a/tests/fleet/leases/test_participation.py
+++ b/tests/fleet/leases/test_participation.py
@@ -2,8 +2,9 @@
 
 from cypressledge.fleet.leases.candidate_order import candidate_order
 from cypressledge.fleet.leases.electorate import Electorate
+from cypressledge.fleet.leases.lease import lease_slots
 from cypressledge.fleet.leases.lease_manager import LeaseManager, LeaseSettings
-from cypressledge.fleet.leases.participation import ParticipationPhase, lease_slots
+from cypressledge.fleet.leases.participation import ParticipationPhase
 from cypressledge.fleet.messages import (
     LeaseStatus,
     LeaseStatusRequest,
--- a/tests/fleet/test_fleet_node.py
+++ b/tests/fleet/test_fleet_node.py
@@ -11,7 +11,7 @@
 from cypressledge.fleet.broker_integration import FleetIntegration
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.leases.electorate import Electorate
-from cypressledge.fleet.leases.participation import LeaseEvent, lease_slots
+from cypressledge.fleet.leases.lease import LeaseEvent, lease_slots
 from cypressledge.fleet.messages import EngineObservations
 from cypressledge.fleet.node import FleetNode, NodeHooks, NodeSettings
 from cypressledge.lab.processes import until
--- a/tests/recordings/test_fleet_schedules_recording.py
+++ b/tests/recordings/test_fleet_schedules_recording.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from cypressledge.fleet.leases.participation import lease_slots
+from cypressledge.fleet.leases.lease import lease_slots
 from cypressledge.lab.virtual_fleet import SECOND_US as S
 from cypressledge.lab.virtual_fleet import VirtualFleet
 
--- a/tests/recordings/zone_decisions_fleet.py
+++ b/tests/recordings/zone_decisions_fleet.py
@@ -7,7 +7,7 @@
 
 from cypressledge.broker.requests import Attempt, Endpoint, ListedEngine, Query, Request
 from cypressledge.decisions.contract import EngineListEntry, EngineState, Outcome
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.zones.environment import FleetLinks
 from cypressledge.fleet.zones.failover import ZoneFailover
 from cypressledge.fleet.zones.failover_plan import (
--- a/tests/zones/test_planner_duty.py
+++ b/tests/zones/test_planner_duty.py
@@ -6,7 +6,7 @@
 
 from cypressledge.broker.requests import ListedEngine
 from cypressledge.decisions.contract import EngineListEntry, EngineState
-from cypressledge.fleet.leases.participation import HeldLease
+from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.messages import EngineObservation, EngineObservations
 from cypressledge.fleet.zones.environment import FleetLinks
 from cypressledge.fleet.zones.failover import ZoneFailover
