--- a/cypressledge/cli/zone.py
+++ b/cypressledge/cli/zone.py
@@ -46,6 +46,7 @@
     @click.option("--dry-run", is_flag=True, help="Only say what would come of it; asks the planner alone.")
     @click.pass_obj
     def command(at: tuple[str, int], zone_name: str, span_s: float, reason: str, dry_run: bool) -> None:
+        """Send the command to a broker, which forwards it; print its answer."""
         body = json.dumps({"zone": zone_name, "what": name, "span_s": span_s, "why": reason})
         click.echo(call(at, "POST", "/zone/dry-run" if dry_run else "/zone/wish", body).strip())
 
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -259,9 +259,9 @@
         encode(Envelope(VERSION + 1, *[getattr(good, f) for f in good.__struct_fields__[1:]])),
     ):
         sock.sendto(raw, target)
-    for n in range(6_000):  # at a pace at which the system's own buffer does not drop most of them
+    for number in range(6_000):  # at a pace at which the system's own buffer does not drop most of them
         sock.sendto(b"flood", target)
-        gevent.sleep(0.002 if n % 50 == 0 else 0)
+        gevent.sleep(0.002 if number % 50 == 0 else 0)
     sock.close()
     fleet.wait_act(fleet.last().at)
     fleet[first.holder].signal(signal.SIGUSR1)
--- a/tests/zones/test_load_shedding.py
+++ b/tests/zones/test_load_shedding.py
@@ -16,10 +16,10 @@
 
 def test_quotas_are_of_the_whole_fleets_requests():
     arrivals = TenantArrivals()
-    for n in range(200):
-        arrivals.add(n * S // 100, "big")
-        if n % 10 == 0:
-            arrivals.add(n * S // 100, "small")
+    for number in range(200):
+        arrivals.add(number * S // 100, "big")
+        if number % 10 == 0:
+            arrivals.add(number * S // 100, "small")
     counts = arrivals.counts(2 * S - 1)
     assert counts == {"big": 200, "small": 20}
     over = over_quota(counts, {"big": 60.0, "small": 50.0})
--- a/tests/zones/test_zone_simulation.py
+++ b/tests/zones/test_zone_simulation.py
@@ -33,15 +33,15 @@
 
 def test_a_cold_engine_falls_when_it_is_pushed_and_the_model_sees_it():
     engine = ModelEngine(1, 0, started_at=EPOCH)
-    for n in range(60):
-        assert engine.receive(EPOCH + n * 10_000, (0, n, 0)) or engine.fallen
-        engine.step(EPOCH + n * 10_000)
+    for number in range(60):
+        assert engine.receive(EPOCH + number * 10_000, (0, number, 0)) or engine.fallen
+        engine.step(EPOCH + number * 10_000)
     assert engine.fallen
     assert not engine.receive(EPOCH + SECOND, (0, 99, 0))
     warm = ModelEngine(2, 0)
-    for n in range(60):
-        warm.receive(n * 10_000, (0, n, 0))
-        warm.step(n * 10_000)
+    for number in range(60):
+        warm.receive(number * 10_000, (0, number, 0))
+        warm.step(number * 10_000)
     assert not warm.fallen
 
 
