--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -14,7 +14,7 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA_WEIGHT
 
-REQUEST_COUNT_FADE = 0.95  # weight of a group's earlier requests after each control period
+REQUEST_COUNT_DECAY = 0.95  # weight of a group's earlier requests after each control period
 REQUEST_COUNT_MIN = 0.1  # a group with a lower count is dropped
 GROUP_ENGINES_FACTOR = 1.5  # engines of a group over its share of all engines, as its traffic varies
 LOAD_ENGINES_FACTOR = 1.6  # engines of a group's loads over the number that run at once
@@ -46,7 +46,7 @@
     def end_period(self) -> None:
         """Fade the counts of requests; drop groups with hardly any."""
         self._request_counts = {
-            group: count * REQUEST_COUNT_FADE
+            group: count * REQUEST_COUNT_DECAY
             for group, count in self._request_counts.items()
             if count > REQUEST_COUNT_MIN
         }
--- a/cypressledge/decisions/attempt_resources.py
+++ b/cypressledge/decisions/attempt_resources.py
@@ -24,8 +24,8 @@
         priority = self._priority(request) if settings.supports_priorities else USUAL_PRIORITY
         grant_mb = self._estimates.memory_grant_mb(request) if settings.supports_memory_grants else 0.0
         is_starting = request.sent_at == self._context.now
-        before = request.resources
-        if before is None or before[1] != priority or is_starting and before[0] != grant_mb:
+        previous = request.resources
+        if previous is None or previous[1] != priority or is_starting and previous[0] != grant_mb:
             request.resources = (grant_mb, priority)
             self._context.actions.append(SetAttemptResources(request.id, grant_mb, priority))
 
--- a/cypressledge/decisions/concurrency_limits.py
+++ b/cypressledge/decisions/concurrency_limits.py
@@ -19,14 +19,14 @@
 GROWTH_SLOWDOWN = 1.4  # slowdown under which it may grow: short work meets its objective longest
 GROWTH_MET_RATIO = 4  # answers that meet their objective for each that misses it, from which a bound may grow
 BURST_MULTIPLE = 1.25  # of the initial bound, from which a bound binds without pressure
-WIDE_QUERIES_ALLOWANCE = 2.0  # widest queries by which the sum of bounds may be exceeded, as arrivals scatter
+LARGE_QUERY_ALLOWANCE = 2.0  # widest queries by which the sum of bounds may be exceeded, as arrivals scatter
 REJECTION_PRESSURE = 2_000 * MS  # a rejection counts as pressure this long
-OVERFLOW_INTERVAL = 250 * MS  # between attempts beyond the threads an engine had when it last rejected
+CAPACITY_PROBE_INTERVAL = 250 * MS  # between attempts beyond the threads an engine had when it last rejected
 SHORT_WORK_SHARE = 0.5  # of the mean run time, up to which work is short
 SHORT_WORK_ALLOWANCE = 0.3  # part of the initial bound that short work may exceed a bound by
-MEMORY_SWING_MAX = 0.25  # part of an engine's memory that one large query counts as, at most
+LARGE_QUERY_MEMORY_MAX = 0.25  # part of an engine's memory that one large query counts as, at most
 BOUND_MIN_DIVISOR = 2  # of the initial bound: no bound shrinks below what it gives
-NARROW_QUERIES_MIN = 2.0  # narrowest queries that every bound has space for
+SMALLEST_QUERIES_MIN = 2.0  # narrowest queries that every bound has space for
 MEMORY_NEEDS_MIN = 2.0  # multiples of a request's own need that every share of memory has space for
 
 
@@ -58,24 +58,24 @@
     def configure(self) -> None:
         """Take the context's settings."""
         classes = self._context.settings.classes
-        self._narrowest = min(class_settings.threads for class_settings in classes)
-        self._widest = max(class_settings.threads for class_settings in classes)
+        self._fewest_threads = min(class_settings.threads for class_settings in classes)
+        self._most_threads = max(class_settings.threads for class_settings in classes)
 
     def reserve(self, engine: Engine, request: Request) -> None:
         """Count an attempt that starts, with the memory it is expected to take."""
         now = self._context.now
         request.reserved_memory_mb = self._estimates.memory_to_reserve_mb(request)
-        for pool in (engine, self):
-            pool.threads += request.class_settings.threads
-            pool.reserved_memory_mb += request.reserved_memory_mb
+        for totals in (engine, self):
+            totals.threads += request.class_settings.threads
+            totals.reserved_memory_mb += request.reserved_memory_mb
         if now < engine.rejected_until and engine.threads > engine.threads_at_rejection:
-            engine.next_overflow_at = now + OVERFLOW_INTERVAL
+            engine.next_capacity_probe_at = now + CAPACITY_PROBE_INTERVAL
 
     def release(self, engine: Engine, request: Request) -> None:
         """The attempt has ended."""
-        for pool in (engine, self):
-            pool.threads -= request.class_settings.threads
-            pool.reserved_memory_mb -= request.reserved_memory_mb
+        for totals in (engine, self):
+            totals.threads -= request.class_settings.threads
+            totals.reserved_memory_mb -= request.reserved_memory_mb
 
     def record_answer(self, engine: Engine, request: Request, latency_objective: float) -> None:
         """The engine answered under the threads in flight; count whether it met the latency objective, µs."""
@@ -90,7 +90,7 @@
         """The engine rejected an attempt for lack of capacity: its threads are limited for a while."""
         now = self._context.now
         engine.rejected_until = now + REJECTION_PRESSURE
-        engine.next_overflow_at = now + OVERFLOW_INTERVAL
+        engine.next_capacity_probe_at = now + CAPACITY_PROBE_INTERVAL
         engine.threads_at_rejection = engine.threads
         engine.bound = max(min(engine.bound, engine.threads), engine.initial_bound / BOUND_MIN_DIVISOR)
 
@@ -98,14 +98,14 @@
         """Grow bounds by a thread where requests wait and answers meet objectives; shrink the others."""
         for engine in self._registry.engines.values():
             self._adjust_bound(engine)
-            engine.queue_waited, engine.objectives_met, engine.objectives_missed = False, 0, 0
+            engine.requests_waited, engine.objectives_met, engine.objectives_missed = False, 0, 0
 
     @staticmethod
     def _adjust_bound(engine: Engine) -> None:
         slowdown = max(engine.slowdown, engine.overdue_ratio)
         if slowdown > SHRINK_SLOWDOWN:
             engine.bound = max(engine.bound * SHRINK_FACTOR, engine.initial_bound / BOUND_MIN_DIVISOR)
-        elif not engine.queue_waited:
+        elif not engine.requests_waited:
             # No request waits for the threads beyond the initial bound: they are returned one by one.
             engine.bound = max(engine.bound - 1, min(engine.bound, engine.initial_bound))
         elif (
@@ -126,16 +126,16 @@
         """
         now = self._context.now
         threads = engine.threads + request.class_settings.threads
-        bound = self._binding_bound(engine)
+        bound = self._enforced_bound(engine)
         # Guards against an engine of few sessions, whose rejections would use up the retry budget.
         is_full = (
             now < engine.rejected_until
             and threads > engine.threads_at_rejection
-            and now < engine.next_overflow_at
+            and now < engine.next_capacity_probe_at
         )
-        limit = max(bound, NARROW_QUERIES_MIN * self._narrowest) + allowance * engine.initial_bound
+        limit = max(bound, SMALLEST_QUERIES_MIN * self._fewest_threads) + allowance * engine.initial_bound
         if is_full or threads > limit and engine.in_flight:
-            engine.queue_waited = True
+            engine.requests_waited = True
             return False
         if not engine.memory_mb or not engine.in_flight:
             return True
@@ -150,11 +150,13 @@
         shares does. The work of other brokers scatters, so a standard deviation of it stays free.
         """
         limits = self._fleet_limits()
-        wanted = self.threads + request.class_settings.threads / 2  # rounded to the nearest query
-        has_threads = wanted <= limits.threads * (1.0 + allowance) + WIDE_QUERIES_ALLOWANCE * self._widest
+        needed_threads = self.threads + request.class_settings.threads / 2  # rounded to the nearest query
+        has_threads = (
+            needed_threads <= limits.threads * (1.0 + allowance) + LARGE_QUERY_ALLOWANCE * self._most_threads
+        )
         if not has_threads:
             for engine in self._registry.ready:
-                engine.queue_waited = True
+                engine.requests_waited = True
         has_memory = (
             not limits.memory_mb
             or request.run_time <= self._estimates.mean_run_time
@@ -166,18 +168,20 @@
         """Sum the engines' bounds and memory shares, less a standard deviation of the others' work."""
         threads = memory_mb = 0.0
         broker_count = self._context.settings.broker_count
-        others = 1.0 - 1.0 / broker_count
-        widest, large_memory_mb = self._widest, self._estimates.large_memory_mb
+        others_share = 1.0 - 1.0 / broker_count
+        most_threads, weighted_memory_mb = self._most_threads, self._estimates.weighted_memory_mb
         for engine in self._registry.ready:
-            bound = self._binding_bound(engine)
-            threads += bound * (1.0 - others * (widest / THREADS_PER_CORE / engine.cores) ** 0.5)
+            bound = self._enforced_bound(engine)
+            threads += bound * (1.0 - others_share * (most_threads / THREADS_PER_CORE / engine.cores) ** 0.5)
             if engine.memory_mb:
-                swing = others * min(large_memory_mb / engine.memory_mb, MEMORY_SWING_MAX) ** 0.5
+                memory_deviation = (
+                    others_share * min(weighted_memory_mb / engine.memory_mb, LARGE_QUERY_MEMORY_MAX) ** 0.5
+                )
                 share = _memory_share(engine, bound, broker_count)
-                memory_mb += engine.memory_mb * share * (1.0 - swing)
+                memory_mb += engine.memory_mb * share * (1.0 - memory_deviation)
         return FleetLimits(threads, memory_mb)
 
-    def _binding_bound(self, engine: Engine) -> float:
+    def _enforced_bound(self, engine: Engine) -> float:
         """Threads in flight at which the engine's bound binds now."""
         bound = engine.bound
         if (
--- a/cypressledge/decisions/contract.py
+++ b/cypressledge/decisions/contract.py
@@ -144,11 +144,11 @@
         valid = {
             "classes": len(self.classes) > 0
             and all(
-                spec.latency_objective > 0
-                and spec.deadline > 0
-                and spec.threads > 0
-                and spec.latency_objective_stretch >= 0
-                for spec in self.classes
+                class_settings.latency_objective > 0
+                and class_settings.deadline > 0
+                and class_settings.threads > 0
+                and class_settings.latency_objective_stretch >= 0
+                for class_settings in self.classes
             ),
             "kind_cores": len(self.kind_cores) > 0 and all(cores > 0 for cores in self.kind_cores),
             "kind_memory_mb": all(memory_mb > 0 for memory_mb in self.kind_memory_mb),
--- a/cypressledge/decisions/dispatch.py
+++ b/cypressledge/decisions/dispatch.py
@@ -13,7 +13,7 @@
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
 from cypressledge.decisions.routing import Router
 
-BLOCKED_ROWS_MAX = 3  # rows of a class found without an engine after which a dispatch skips it, to save time
+BLOCKED_SUBQUEUES_MAX = 3  # subqueues without an engine after which a dispatch skips their class
 
 
 class AttemptStarter:
@@ -84,7 +84,7 @@
             engine = self._router.choose(request)
             if engine is None:
                 # Guards against a group without a free engine keeping the others of its class waiting.
-                blocked[request.class_index].add(request.queue_row)
+                blocked[request.class_index].add(request.subqueue_id)
             elif (reason := self._reason_against(request)) is not None:
                 self._lifecycle.give_up(request, reason)
             else:
@@ -93,8 +93,10 @@
     def _draw(self, blocked: list[set[int]]) -> Request | None:
         reject_late = self._lifecycle.reject_late
         heads = [
-            None if len(rows) >= BLOCKED_ROWS_MAX else self._queues.head(class_index, rows, reject_late)
-            for class_index, rows in enumerate(blocked)
+            None
+            if len(subqueues) >= BLOCKED_SUBQUEUES_MAX
+            else self._queues.head(class_index, subqueues, reject_late)
+            for class_index, subqueues in enumerate(blocked)
         ]
         return self._odds.draw(heads, self._context.random)
 
--- a/cypressledge/decisions/engines.py
+++ b/cypressledge/decisions/engines.py
@@ -33,7 +33,7 @@
     bound: float  # threads that this broker may have in flight there under pressure
     objectives_met: int = 0  # answers of this control period
     objectives_missed: int = 0
-    queue_waited: bool = False  # a request waited for the bound in this control period
+    requests_waited: bool = False  # a request waited for the bound in this control period
 
     # Work in flight (dispatch, outcomes, concurrency_limits).
     in_flight: dict[int, Request] = field(default_factory=dict)  # attempts without an outcome, by request
@@ -56,7 +56,7 @@
     # Rejections (concurrency_limits).
     rejected_until: int = 0  # a rejection counts as pressure until then
     threads_at_rejection: int = 0  # in flight when it last rejected, or more that it has answered under since
-    next_overflow_at: int = 0  # next attempt beyond those threads
+    next_capacity_probe_at: int = 0  # next attempt beyond those threads
 
     # Slow start (slow_start, and the registry from the engine's start).
     warm_at: int = 0  # end of the slow start
@@ -90,14 +90,14 @@
                 if engine.id not in listed:
                     engine.state = EngineState.REMOVED
         self.engines = {
-            number: engine
-            for number, engine in self.engines.items()
+            engine_id: engine
+            for engine_id, engine in self.engines.items()
             if engine.state is not EngineState.REMOVED or engine.in_flight
         }
         self.ready = [
-            self.engines[number]
-            for number in sorted(self.engines)
-            if self.engines[number].state is EngineState.READY
+            self.engines[engine_id]
+            for engine_id in sorted(self.engines)
+            if self.engines[engine_id].state is EngineState.READY
         ]
 
     def _update_entry(self, entry: EngineListEntry) -> None:
--- a/cypressledge/decisions/estimates.py
+++ b/cypressledge/decisions/estimates.py
@@ -13,7 +13,7 @@
 GRANT_QUANTILE = 0.9  # share of needs that the corrected grant covers: a spill costs more than idle memory
 GRANT_STEP = 0.04  # step of that quantile's estimate, as a share of it
 INITIAL_GRANT_RATIO = 1.25  # of estimated memory, before the first answers
-LARGE_RUN_TIME = 5.0  # multiple of the mean run time beyond which a query weighs no more in large memory
+RUN_TIME_WEIGHT_MAX = 5.0  # multiple of the mean run time beyond which a query weighs no more in large memory
 
 
 class ClassEstimates:
@@ -29,7 +29,7 @@
         self.grant_ratios = [INITIAL_GRANT_RATIO] * class_count  # quantile of used over estimated memory
         self.memory_ratios = [1.0] * class_count  # mean of used over estimated memory
         self.mean_run_time = 0.0  # µs, of all requests received
-        self.large_memory_mb = 0.0  # memory of an attempt, weighted by run time
+        self.weighted_memory_mb = 0.0  # memory of an attempt, weighted by run time
         self.has_cost_estimates = False  # whether any request had an estimate
 
     def corrected_cost(self, received: RequestReceived) -> float:
@@ -53,8 +53,10 @@
 
     def record_attempt(self, request: Request) -> None:
         """Update the memory of large queries with an attempt's reserved memory."""
-        weight = min(request.run_time / max(self.mean_run_time, RUN_TIME_MIN), LARGE_RUN_TIME)
-        self.large_memory_mb += EWMA_WEIGHT * weight / 2 * (request.reserved_memory_mb - self.large_memory_mb)
+        weight = min(request.run_time / max(self.mean_run_time, RUN_TIME_MIN), RUN_TIME_WEIGHT_MAX)
+        self.weighted_memory_mb += (
+            EWMA_WEIGHT * weight / 2 * (request.reserved_memory_mb - self.weighted_memory_mb)
+        )
 
     def record_answer(self, request: Request, ended: AttemptEnded) -> float:
         """Update the estimates with an answered request; return its run time in µs."""
--- a/cypressledge/decisions/health.py
+++ b/cypressledge/decisions/health.py
@@ -7,14 +7,14 @@
 from cypressledge.decisions.slow_start import SlowStart
 from cypressledge.decisions.units import EWMA_WEIGHT, MS
 
-SILENCE_LIMIT = 14.0  # missing answers from which an engine is ejected; work varies widely
-SILENCE_OF_ATTEMPT_MAX = 4.0  # most that one attempt adds to them, so that one long request ejects no engine
+MISSING_ANSWERS_LIMIT = 14.0  # missing answers from which an engine is ejected; work varies widely
+MISSING_PER_ATTEMPT_MAX = 4.0  # most that one attempt adds to them, so that one long request ejects no engine
 SILENCE_MIN = 400 * MS  # shortest silence that counts, and age from which attempts at an ejected engine move
-WITNESSES = 3  # other engines that must have answered lately: else the silence may be everywhere
+RESPONSIVE_ENGINES_MIN = 3  # other engines that must have answered lately: else the silence may be everywhere
 TRIAL_INTERVAL = 1_000 * MS  # between trial requests at an ejected engine
 ERROR_LIMIT = 0.25  # part of an engine's answers that are errors, from which it is ejected
 OTHERS_ERROR_MULTIPLE = 2.0  # of the other engines' mean error rate, that an outlier's is over besides
-RESETS_OF_ENDED_PROCESS = 2  # resets with no answer between, and nothing in flight, that show it has ended
+RESETS_BEFORE_EJECTION = 2  # resets with no answer between, and nothing in flight, that show it has ended
 
 
 class HealthMonitor:
@@ -52,9 +52,11 @@
         """
         engine.error_rate += EWMA_WEIGHT * (1 - engine.error_rate)
         ready = self._registry.ready
-        others = sum(other.error_rate for other in ready if other is not engine) / max(len(ready) - 1, 1)
+        mean_error_rate = sum(other.error_rate for other in ready if other is not engine) / max(
+            len(ready) - 1, 1
+        )
         if (
-            engine.error_rate > ERROR_LIMIT + OTHERS_ERROR_MULTIPLE * others
+            engine.error_rate > ERROR_LIMIT + OTHERS_ERROR_MULTIPLE * mean_error_rate
             and not engine.ejected
             and self._may_eject()
         ):
@@ -70,7 +72,7 @@
         engine.consecutive_resets += 1
         if outcome is Outcome.CONNECT_FAILED:
             self._slow_start.restart(engine)
-        elif engine.in_flight or engine.consecutive_resets < RESETS_OF_ENDED_PROCESS:
+        elif engine.in_flight or engine.consecutive_resets < RESETS_BEFORE_EJECTION:
             return
         if engine.ejected:
             engine.next_trial_at = self._context.now + TRIAL_INTERVAL
@@ -84,12 +86,16 @@
         follow the answers of all engines, so that slowness everywhere ejects none, and others must have
         answered meanwhile. The price: an engine that is far slower than all others is ejected as well.
         """
-        last_heard = self._context.now - SILENCE_MIN
-        if missing_answers <= SILENCE_LIMIT or engine.ejected or engine.last_activity_at >= last_heard:
+        active_since = self._context.now - SILENCE_MIN
+        if (
+            missing_answers <= MISSING_ANSWERS_LIMIT
+            or engine.ejected
+            or engine.last_activity_at >= active_since
+        ):
             return
         ready = self._registry.ready
-        others = sum(other.last_activity_at > last_heard for other in ready)
-        if others >= min(WITNESSES, len(ready) - 1) > 0 and self._may_eject():
+        responsive_count = sum(other.last_activity_at > active_since for other in ready)
+        if responsive_count >= min(RESPONSIVE_ENGINES_MIN, len(ready) - 1) > 0 and self._may_eject():
             self._eject(engine, "is silent while others answer: ejected")
 
     def _may_eject(self) -> bool:
--- a/cypressledge/decisions/housekeeping.py
+++ b/cypressledge/decisions/housekeeping.py
@@ -56,8 +56,8 @@
 
     def end_period(self) -> None:
         """Run the PI loop, fade counts and means, and adjust the concurrency bounds."""
-        for part in self._periodic:
-            part.end_period()
+        for component in self._periodic:
+            component.end_period()
 
     def schedule_timer(self) -> None:
         """Start the next timer, unless an earlier one is running or no request is open."""
--- a/cypressledge/decisions/inspection.py
+++ b/cypressledge/decisions/inspection.py
@@ -6,7 +6,7 @@
 from cypressledge.decisions.contract import Reason
 from cypressledge.decisions.engines import Engine, EngineRegistry
 from cypressledge.decisions.estimates import ClassEstimates
-from cypressledge.decisions.health import SILENCE_MIN, SILENCE_OF_ATTEMPT_MAX, HealthMonitor
+from cypressledge.decisions.health import MISSING_PER_ATTEMPT_MAX, SILENCE_MIN, HealthMonitor
 from cypressledge.decisions.lost_responses import LostResponses
 from cypressledge.decisions.units import MS
 
@@ -61,7 +61,7 @@
             age_sum += max(age, request.run_time)
             run_time_sum += request.run_time
             silence = min(age, now - engine.last_activity_at)
-            multiple = min(silence / self._estimates.expected_latency(request), SILENCE_OF_ATTEMPT_MAX)
+            multiple = min(silence / self._estimates.expected_latency(request), MISSING_PER_ATTEMPT_MAX)
             if request.class_settings.blocked_by_loads:
                 # One load may block all attempts of its group: they count once.
                 group = request.table_group
--- a/cypressledge/decisions/lifecycle.py
+++ b/cypressledge/decisions/lifecycle.py
@@ -71,14 +71,14 @@
 
     def give_up(self, request: Request, reason: Reason) -> None:
         """End the request without a result: rejected where the client may safely retry it, else failed."""
-        if self._is_harmless_to_repeat(request):
+        if self._client_may_retry(request):
             self._context.actions.append(RejectRequest(request.id, reason))
         else:
             self._context.actions.append(FailRequest(request.id, reason))
         self.finish(request)
 
     @staticmethod
-    def _is_harmless_to_repeat(request: Request) -> bool:
+    def _client_may_retry(request: Request) -> bool:
         """Whether the client may retry the request without it being executed twice."""
         class_settings = request.class_settings
         if class_settings.idempotency is Idempotency.IDEMPOTENT:
@@ -106,13 +106,13 @@
             self._odds.record_delay(request.class_index, self._context.now - request.received_at)
         request.finished, request.queued = True, False
         if request.engine is None:
-            self.forget(request)
+            self.remove(request)
             return
         may_cancel = self._context.settings.supports_cancel and not request.cancelling
         if may_cancel and request.class_settings.idempotency is not Idempotency.NOT_IDEMPOTENT:
             self._attempts.cancel(request, Reason.REQUEST_FINISHED)
 
-    def forget(self, request: Request) -> None:
+    def remove(self, request: Request) -> None:
         """Drop a finished request without an attempt; the next one of its key may start."""
         del self.requests[request.id]
         if self.key_order.applies_to(request) and (following := self.key_order.leave(request)):
--- a/cypressledge/decisions/load_reports.py
+++ b/cypressledge/decisions/load_reports.py
@@ -28,9 +28,9 @@
             return
         fields = self._context.settings.load_report_fields
         report = dict(zip(fields, ended.load_report, strict=False))
-        queries_to_load = self._thread_time_sum / max(self._latency_sum, 1.0) / engine.cores
-        queued_load = queries_to_load * report.get("queue", 0.0)
-        excess_load = max(queries_to_load * report.get("inflight", 0.0) - 1.0, 0.0)
+        load_per_query = self._thread_time_sum / max(self._latency_sum, 1.0) / engine.cores
+        queued_load = load_per_query * report.get("queue", 0.0)
+        excess_load = max(load_per_query * report.get("inflight", 0.0) - 1.0, 0.0)
         load = report.get("util", 0.0) + (queued_load + excess_load)
         engine.reported_load, engine.reported_at = load, self._context.now
         self.load_spread += EWMA_WEIGHT * (abs(load - self.mean_load) - self.load_spread)
--- a/cypressledge/decisions/manager.py
+++ b/cypressledge/decisions/manager.py
@@ -39,7 +39,7 @@
 from cypressledge.decisions.lost_responses import LostResponses
 from cypressledge.decisions.odds import OddsController
 from cypressledge.decisions.odds_loop import OddsLoop
-from cypressledge.decisions.outcomes import AnswerObservers, AttemptOutcomes
+from cypressledge.decisions.outcomes import AttemptOutcomes, OutcomeObservers
 from cypressledge.decisions.pace import FleetPace
 from cypressledge.decisions.progress import ProgressNotifications
 from cypressledge.decisions.queues import ClassQueues
@@ -83,13 +83,13 @@
         inspections = (affinity.record_running_loads, inspection.run)
         periodic = (self.odds_loop, affinity, lifecycle.key_order, limits, pace)
         self.housekeeping = Housekeeping(context, lifecycle, inspections, periodic)
-        observers = AnswerObservers(estimates, pace, limits, health, load_reports, losses)
+        observers = OutcomeObservers(estimates, pace, limits, health, load_reports, losses)
         outcomes = AttemptOutcomes(context, registry, lifecycle, retry_policy, observers)
         progress = ProgressNotifications(context, estimates, attempts, lifecycle)
         self._is_started = False
-        self._reactions = self._reactions_by_event(outcomes, progress)
+        self._handlers = self._handlers_by_event(outcomes, progress)
 
-    def _reactions_by_event(
+    def _handlers_by_event(
         self, outcomes: AttemptOutcomes, progress: ProgressNotifications
     ) -> Mapping[type, Callable[[Any], None]]:
         return {
@@ -138,7 +138,7 @@
             self.housekeeping.start()
             self.subscription.start()
         for event in events:
-            self._reactions[type(event)](event)
+            self._handlers[type(event)](event)
         self.housekeeping.run()
         self.dispatcher.dispatch()
         self.housekeeping.schedule_timer()
--- a/cypressledge/decisions/outcomes.py
+++ b/cypressledge/decisions/outcomes.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerObservers:
+class OutcomeObservers:
     """The parts that are updated by outcomes."""
 
     estimates: ClassEstimates
@@ -37,7 +37,7 @@
         registry: EngineRegistry,
         lifecycle: RequestLifecycle,
         retry_policy: RetryPolicy,
-        observers: AnswerObservers,
+        observers: OutcomeObservers,
     ) -> None:
         self._context = context
         self._registry = registry
@@ -57,13 +57,13 @@
         if request is None or request.last_attempt != ended.attempt:
             return
         self._release(engine, request)
-        self._learn(engine, request, ended)
+        self._update_observers(engine, request, ended)
         request.engine, request.cancelling = None, False
         if ended.outcome not in NEVER_EXECUTED and request.first_possible_execution is None:
             request.first_possible_execution = PossibleExecution(request.sent_at, engine)
         self._lifecycle.key_order.record_end(request, ended.outcome)
         if request.finished:
-            self._lifecycle.forget(request)
+            self._lifecycle.remove(request)
         elif ended.final:
             self._lifecycle.finish(request)
         else:
@@ -88,11 +88,11 @@
             wait_until = window_end(class_settings, execution)
         self._lifecycle.retry(request, wait_until)
 
-    def _learn(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
+    def _update_observers(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
         """Update costs, needs, and the engine's pace and health with an outcome."""
         outcome, observers = ended.outcome, self._observers
         if outcome is Outcome.OK:
-            self._learn_from_answer(engine, request, ended)
+            self._record_answer(engine, request, ended)
         elif outcome is Outcome.ERROR:
             observers.health.record_error(engine)
         elif outcome is Outcome.REJECTED:
@@ -100,7 +100,7 @@
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             observers.health.record_connection_failure(engine, outcome)
 
-    def _learn_from_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
+    def _record_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
         observers, class_settings = self._observers, request.class_settings
         if class_settings.blocked_by_loads:
             # It was executed, so no load blocks its group any more.
--- a/cypressledge/decisions/pace.py
+++ b/cypressledge/decisions/pace.py
@@ -6,7 +6,7 @@
 
 CONTROL_PERIOD = 2_000 * MS  # sampling period of the PI loop, the bounds and the answer rate (design page)
 OVERLOAD_SLOWDOWN = 1.5  # slowdown from which a bound binds
-FADE = 0.7  # weight that old answers keep from period to period in slowdowns
+PERIOD_DECAY = 0.7  # weight that old answers keep from period to period in slowdowns
 SLOWDOWN_MIN = 0.5  # least slowdown of one engine
 
 
@@ -25,18 +25,26 @@
     def record_answer(self, engine: Engine, latency: int, run_time: float) -> None:
         """An engine answered after `latency` µs a request whose work takes `run_time` µs by itself."""
         self.answer_count += 1
-        for pool in (engine, self):
-            pool.latency_sum += min(latency, LATENCY_RATIO_LIMIT * run_time) - EWMA_WEIGHT * pool.latency_sum
-            pool.run_time_sum += run_time - EWMA_WEIGHT * pool.run_time_sum
+        for totals in (engine, self):
+            totals.latency_sum += (
+                min(latency, LATENCY_RATIO_LIMIT * run_time) - EWMA_WEIGHT * totals.latency_sum
+            )
+            totals.run_time_sum += run_time - EWMA_WEIGHT * totals.run_time_sum
         self._update(engine)
 
     def end_period(self) -> None:
         """Fade the answers of earlier periods, and update the answer rate."""
         self.answer_rate = (self.answer_rate + self.answer_count * SECOND / CONTROL_PERIOD) / 2
         self.answer_count = 0
-        self.latency_sum, self.run_time_sum = self.latency_sum * FADE, self.run_time_sum * FADE
+        self.latency_sum, self.run_time_sum = (
+            self.latency_sum * PERIOD_DECAY,
+            self.run_time_sum * PERIOD_DECAY,
+        )
         for engine in self._registry.engines.values():
-            engine.latency_sum, engine.run_time_sum = engine.latency_sum * FADE, engine.run_time_sum * FADE
+            engine.latency_sum, engine.run_time_sum = (
+                engine.latency_sum * PERIOD_DECAY,
+                engine.run_time_sum * PERIOD_DECAY,
+            )
             self._update(engine)
 
     def _update(self, engine: Engine) -> None:
--- a/cypressledge/decisions/queues.py
+++ b/cypressledge/decisions/queues.py
@@ -12,8 +12,8 @@
 from cypressledge.decisions.pace import OVERLOAD_SLOWDOWN, FleetPace
 from cypressledge.decisions.request import Request
 
-Row = list[tuple[float, int, Request]]  # heap of run time in µs, order of queueing, request
-Rows = dict[int, Row]
+Subqueue = list[tuple[float, int, Request]]  # heap of run time in µs, order of queueing, request
+Subqueues = dict[int, Subqueue]
 
 
 class ClassQueues:
@@ -23,8 +23,8 @@
         self._context = context
         self._pace = pace
         class_count = len(context.settings.classes)
-        self._on_time: list[Rows] = [{} for _ in range(class_count)]
-        self._late: list[Rows] = [{} for _ in range(class_count)]
+        self._on_time: list[Subqueues] = [{} for _ in range(class_count)]
+        self._late: list[Subqueues] = [{} for _ in range(class_count)]
         self._sequence_number = 0  # of the last request queued: breaks ties in order of queueing
 
     def enqueue(self, request: Request) -> None:
@@ -34,13 +34,13 @@
 
     def waiting_for_first_attempt(self) -> Iterator[Request]:
         """Queued requests without an attempt so far."""
-        for rows in self._on_time + self._late:
-            for _, _, request in chain.from_iterable(rows.values()):
+        for subqueues in self._on_time + self._late:
+            for _, _, request in chain.from_iterable(subqueues.values()):
                 if request.queued and request.attempts == 0:
                     yield request
 
     def head(
-        self, class_index: int, blocked_rows: Container[int], reject_late: Callable[[Request], None]
+        self, class_index: int, blocked_subqueues: Container[int], reject_late: Callable[[Request], None]
     ) -> Request | None:
         """The next request of a class outside the blocked rows; late ones not worth serving are rejected."""
 
@@ -52,31 +52,31 @@
                 reject_late(request)
 
         head = None
-        if rows := self._on_time[class_index]:
-            head = self._head_of(rows, blocked_rows, self._can_meet_objective, postpone)
-        if head is None and (rows := self._late[class_index]):
-            head = self._head_of(rows, blocked_rows, self._can_meet_deadline, reject_late)
+        if subqueues := self._on_time[class_index]:
+            head = self._head_of(subqueues, blocked_subqueues, self._can_meet_objective, postpone)
+        if head is None and (subqueues := self._late[class_index]):
+            head = self._head_of(subqueues, blocked_subqueues, self._can_meet_deadline, reject_late)
         return head
 
     @staticmethod
     def _head_of(
-        rows: Rows,
-        blocked_rows: Container[int],
+        subqueues: Subqueues,
+        blocked_subqueues: Container[int],
         is_servable: Callable[[Request], bool],
         discard: Callable[[Request], None],
     ) -> Request | None:
         """The shortest of the rows' heads, after those that can't be served any more were discarded."""
-        free = [row for row in rows if row not in blocked_rows]
-        for row in free:
-            _discard_unservable(rows, row, is_servable, discard)
-        if heads := [rows[row][0] for row in free if row in rows]:
+        free = [subqueue_id for subqueue_id in subqueues if subqueue_id not in blocked_subqueues]
+        for subqueue_id in free:
+            _discard_unservable(subqueues, subqueue_id, is_servable, discard)
+        if heads := [subqueues[subqueue_id][0] for subqueue_id in free if subqueue_id in subqueues]:
             return min(heads)[2]
         return None
 
-    def _push(self, queues: list[Rows], request: Request) -> None:
+    def _push(self, queues: list[Subqueues], request: Request) -> None:
         self._sequence_number += 1
-        row = queues[request.class_index].setdefault(request.queue_row, [])
-        heappush(row, (request.run_time, self._sequence_number, request))
+        subqueue = queues[request.class_index].setdefault(request.subqueue_id, [])
+        heappush(subqueue, (request.run_time, self._sequence_number, request))
 
     def _can_meet_objective(self, request: Request) -> bool:
         return self._context.now + request.run_time <= request.objective_at
@@ -93,16 +93,19 @@
 
 
 def _discard_unservable(
-    rows: Rows, row: int, is_servable: Callable[[Request], bool], discard: Callable[[Request], None]
+    subqueues: Subqueues,
+    subqueue_id: int,
+    is_servable: Callable[[Request], bool],
+    discard: Callable[[Request], None],
 ) -> None:
     """Remove heads of the row that have left the queue another way, or can't be served in time any more."""
-    queue = rows[row]
-    while queue:
-        request = queue[0][2]
+    subqueue = subqueues[subqueue_id]
+    while subqueue:
+        request = subqueue[0][2]
         is_waiting = request.queued and request.engine is None
         if is_waiting and is_servable(request):
             return
-        heappop(queue)
+        heappop(subqueue)
         if is_waiting:
             discard(request)
-    del rows[row]
+    del subqueues[subqueue_id]
--- a/cypressledge/decisions/request.py
+++ b/cypressledge/decisions/request.py
@@ -34,7 +34,7 @@
     cost: float  # µs of work, corrected by what such requests turned out to cost
     run_time: float  # µs, the cost over the threads that it runs on
     memory_mb: float  # estimated; 0: no estimate
-    queue_row: int  # row of the class's queue: its group where loads can block it, else 0
+    subqueue_id: int  # row of the class's queue: its group where loads can block it, else 0
     objective_at: int  # end of the latency objective
     attempts: int = 0  # attempts started
     engine: Engine | None = None  # where an attempt runs
@@ -60,7 +60,7 @@
     """The state of a request that arrives at `now`, with its corrected cost in µs of work."""
     run_time = cost / class_settings.threads
     objective = class_settings.latency_objective + int(class_settings.latency_objective_stretch * run_time)
-    has_rows = class_settings.blocked_by_loads or class_settings.is_load
+    has_subqueue = class_settings.blocked_by_loads or class_settings.is_load
     return Request(
         id=received.request,
         class_index=received.class_index,
@@ -73,6 +73,6 @@
         cost=cost,
         run_time=run_time,
         memory_mb=received.memory_mb,
-        queue_row=received.table_group if has_rows else 0,
+        subqueue_id=received.table_group if has_subqueue else 0,
         objective_at=now + min(objective, class_settings.deadline),
     )
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -29,11 +29,11 @@
 RESERVED_COST = 0.5  # to a class free to go anywhere, of engines that another class must use
 LOAD_ENGINE_COST = 2.0  # to what loads block, of engines that the group's loads go to
 NOT_LOAD_ENGINE_COST = 1.0  # to a load, of engines that its group's loads do not go to
-TIE = 1e-9  # difference of costs, in threads a core, up to which they are equal
+TIE_TOLERANCE = 1e-9  # difference of costs, in threads a core, up to which they are equal
 
 
 @dataclass(slots=True)
-class RoutingFacts:
+class CostInputs:
     """What the cost of an engine depends on besides the engine, computed once for each choice."""
 
     request: Request
@@ -84,17 +84,17 @@
         allowance = self._limits.short_work_allowance(request)
         if not self._limits.fleet_has_capacity(request, allowance):
             return None
-        facts = self._facts(request)
+        inputs = self._cost_inputs(request)
         admits = self._admission.admits
-        least = 0.0
+        lowest_cost = 0.0
         ties: list[Engine] = []
         for engine in self._candidates(request):
             if not admits(engine, request, allowance):
                 continue
-            cost = self._cost(engine, facts)
-            if not ties or cost < least - TIE:
-                least, ties = cost, [engine]
-            elif cost < least + TIE:
+            cost = self._cost(engine, inputs)
+            if not ties or cost < lowest_cost - TIE_TOLERANCE:
+                lowest_cost, ties = cost, [engine]
+            elif cost < lowest_cost + TIE_TOLERANCE:
                 ties.append(engine)
         return self._context.random.choice(ties) if ties else None
 
@@ -113,15 +113,15 @@
             excluded = self._affinity.excluded_engines(request)
             engines = [engine for engine in engines if engine not in excluded]
         if class_settings.is_load:
-            starts_soon = self._affinity.load_would_start_soon
-            engines = [engine for engine in engines if starts_soon(engine, request)]
+            would_start_soon = self._affinity.load_would_start_soon
+            engines = [engine for engine in engines if would_start_soon(engine, request)]
         return engines
 
-    def _facts(self, request: Request) -> RoutingFacts:
+    def _cost_inputs(self, request: Request) -> CostInputs:
         affinity, class_settings, group = self._affinity, request.class_settings, request.table_group
         is_load = class_settings.is_load
         has_load_engines = is_load or class_settings.blocked_by_loads
-        return RoutingFacts(
+        return CostInputs(
             request=request,
             threads=class_settings.threads,
             table_group=group,
@@ -140,31 +140,31 @@
 
     # Cost terms, each in threads a core; they are added in this order.
 
-    def _cost(self, engine: Engine, facts: RoutingFacts) -> float:
-        request = facts.request
+    def _cost(self, engine: Engine, inputs: CostInputs) -> float:
+        request = inputs.request
         class_settings = request.class_settings
-        cost = _in_flight_cost(engine, facts)
-        cost += self._reported_load_cost(engine, facts)
-        cost += _affinity_cost(engine, facts)
+        cost = _in_flight_cost(engine, inputs)
+        cost += self._reported_load_cost(engine, inputs)
+        cost += _affinity_cost(engine, inputs)
         if class_settings.blocked_by_loads or class_settings.is_load:
-            cost += _blocked_cost(engine, facts)
-            cost += _load_placement_cost(engine, facts)
-        if engine is request.avoided_engine or facts.now < engine.rejected_until:
+            cost += _blocked_cost(engine, inputs)
+            cost += _load_placement_cost(engine, inputs)
+        if engine is request.avoided_engine or inputs.now < engine.rejected_until:
             cost += FAILED_COST
         if self._reserves_engines and self._is_reserved(engine, class_settings):
             cost += RESERVED_COST
         return cost
 
-    def _reported_load_cost(self, engine: Engine, facts: RoutingFacts) -> float:
+    def _reported_load_cost(self, engine: Engine, inputs: CostInputs) -> float:
         """The other brokers' load as the engine last reported it.
 
         The older the report, the more of it is replaced by a random guess, so that brokers do not all choose
         the engine with the lowest old report.
         """
-        known = 1.0 / (1.0 + (facts.now - engine.reported_at) / REPORT_HALF_LIFE)
+        freshness = 1.0 / (1.0 + (inputs.now - engine.reported_at) / REPORT_HALF_LIFE)
         deviation = 2.0 * self._random() - 1.0
-        guess = (1.0 - known) * facts.load_spread * deviation * (engine.reported_at > 0)
-        return self._report_weight * (known * (engine.reported_load - facts.mean_load) + guess)
+        random_part = (1.0 - freshness) * inputs.load_spread * deviation * (engine.reported_at > 0)
+        return self._report_weight * (freshness * (engine.reported_load - inputs.mean_load) + random_part)
 
     def _is_reserved(self, engine: Engine, class_settings: ClassSettings) -> bool:
         """Whether another class must use the engine, while the request's class may go anywhere."""
@@ -173,29 +173,29 @@
         return engine.kind in self._reserved_kinds or engine.zone in self._reserved_zones
 
 
-def _in_flight_cost(engine: Engine, facts: RoutingFacts) -> float:
+def _in_flight_cost(engine: Engine, inputs: CostInputs) -> float:
     """This broker's threads a core with the request, times how much slower than the fleet the engine is."""
-    load = (engine.threads + facts.threads) / engine.cores
-    relative_slowdown = engine.slowdown / facts.fleet_slowdown
+    load = (engine.threads + inputs.threads) / engine.cores
+    relative_slowdown = engine.slowdown / inputs.fleet_slowdown
     return load * (relative_slowdown if relative_slowdown > 1.0 else 1.0)
 
 
-def _affinity_cost(engine: Engine, facts: RoutingFacts) -> float:
+def _affinity_cost(engine: Engine, inputs: CostInputs) -> float:
     """Penalty on engines that are not among the group's, and on warm ones that the broker does not prefer."""
-    is_uncached = engine not in facts.group_engines
-    is_warm = facts.now >= engine.warm_at
-    return is_uncached * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * facts.distances[engine]
+    is_uncached = engine not in inputs.group_engines
+    is_warm = inputs.now >= engine.warm_at
+    return is_uncached * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * inputs.distances[engine]
 
 
-def _blocked_cost(engine: Engine, facts: RoutingFacts) -> float:
+def _blocked_cost(engine: Engine, inputs: CostInputs) -> float:
     """Penalty on an engine where loads block the group."""
-    is_blocked = engine.blocked_until.get(facts.table_group, 0) > facts.now
-    return BLOCKED_COST * max(engine.loads_in_flight.get(facts.table_group, 0), is_blocked)
+    is_blocked = engine.blocked_until.get(inputs.table_group, 0) > inputs.now
+    return BLOCKED_COST * max(engine.loads_in_flight.get(inputs.table_group, 0), is_blocked)
 
 
-def _load_placement_cost(engine: Engine, facts: RoutingFacts) -> float:
+def _load_placement_cost(engine: Engine, inputs: CostInputs) -> float:
     """Penalty that separates loads from the queries that they block."""
-    is_load_engine = engine in facts.load_engines
-    if facts.request.class_settings.is_load:
+    is_load_engine = engine in inputs.load_engines
+    if inputs.request.class_settings.is_load:
         return (not is_load_engine) * NOT_LOAD_ENGINE_COST
     return is_load_engine * LOAD_ENGINE_COST
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -13,7 +13,7 @@
 LOAD = replace(LOOKUP, is_load=True, latency_objective=4 * SECOND, threads=2)
 
 
-class Ranks:
+class AffinityFixture:
     """The affinity of a broker over ten engines."""
 
     def __init__(self, engines=10, **changes):
@@ -27,27 +27,30 @@
             self.affinity.record_request(group)
 
 
-def test_hashes_are_of_64_bits_and_differ_by_token_and_engine():
+def test_hashes_have_64_bits_and_differ_by_token_and_engine():
     hashes = {rank_hash(token, engine) for token in range(-20, 20) for engine in range(1, 40)}
     assert len(hashes) == 40 * 39
     assert all(0 <= value < 2**64 for value in hashes)
 
 
-def test_hashes_are_those_of_the_brokers_before():
+def test_hashes_equal_those_of_earlier_versions():
     """Brokers of two versions side by side must agree on the ranks."""
     assert rank_hash(9, 7) == 4821312879723589565
     assert rank_hash(-1, 0xABCDEF) == 4881784664114867176
 
 
 def test_ranks_are_the_same_at_every_broker_and_differ_by_group():
-    one, other = Ranks(broker_index=0, broker_count=3), Ranks(broker_index=2, broker_count=3)
+    one, other = (
+        AffinityFixture(broker_index=0, broker_count=3),
+        AffinityFixture(broker_index=2, broker_count=3),
+    )
     for group in range(20):
         assert [e.id for e in one.affinity.ranked(group)] == [e.id for e in other.affinity.ranked(group)]
     assert len({tuple(e.id for e in one.affinity.ranked(group)) for group in range(20)}) > 10
 
 
 def test_ranks_follow_the_registry_after_a_change():
-    broker = Ranks()
+    broker = AffinityFixture()
     before = broker.affinity.ranked(1)
     broker.registry.ready = broker.registry.ready[:5]
     assert broker.affinity.ranked(1) is before
@@ -55,8 +58,8 @@
     assert len(broker.affinity.ranked(1)) == 5
 
 
-def test_a_group_has_engines_by_its_share_of_the_traffic():
-    broker = Ranks()
+def test_a_group_prefers_engines_in_proportion_to_its_traffic():
+    broker = AffinityFixture()
     broker.requests(90, group=1)
     broker.requests(10, group=2)
     assert len(broker.affinity.group_engines(1)) == 10  # 1 + 13.5 of ten
@@ -64,8 +67,8 @@
     assert broker.affinity.group_engines(3) == broker.affinity.ranked(3)[:1]
 
 
-def test_request_counts_fade_and_are_dropped():
-    broker = Ranks()
+def test_request_counts_decay_and_are_dropped():
+    broker = AffinityFixture()
     broker.requests(1, group=1)
     for _ in range(45):
         broker.affinity.end_period()
@@ -75,8 +78,8 @@
     assert len(broker.affinity.group_engines(1)) == 1
 
 
-def test_loads_have_the_last_engines_by_how_many_run_and_never_the_first_fifth():
-    broker = Ranks()
+def test_load_engines_grow_with_running_loads_and_exclude_the_first_fifth():
+    broker = AffinityFixture()
     broker.requests(1, group=1)
     assert broker.affinity.load_engines(1) == []
     broker.registry.ready[0].loads_in_flight[1] = 1
@@ -90,7 +93,7 @@
 
 
 def test_loads_are_excluded_from_the_first_fifth_while_another_engine_is_usable():
-    broker = Ranks()
+    broker = AffinityFixture()
     load = make_request(broker.context, class_index=1, table_group=1)
     assert set(broker.affinity.excluded_engines(load)) == set(broker.affinity.ranked(1)[:2])
     for engine in broker.affinity.ranked(1)[2:]:
@@ -99,7 +102,7 @@
 
 
 def test_queries_are_excluded_where_a_load_blocks_them_while_the_first_fifth_is_usable():
-    broker = Ranks()
+    broker = AffinityFixture()
     query, ranks = make_request(broker.context, table_group=1), broker.affinity.ranked(1)
     assert not broker.affinity.excluded_engines(query)
     ranks[0].loads_in_flight[1] = ranks[4].loads_in_flight[1] = 1
@@ -110,8 +113,8 @@
     assert not broker.affinity.excluded_engines(query)
 
 
-def test_blocking_is_of_the_group():
-    broker = Ranks()
+def test_a_load_blocks_queries_of_its_own_group_only():
+    broker = AffinityFixture()
     engine = broker.registry.ready[0]
     engine.loads_in_flight[1] = 1
     assert blocks_queries(engine, 1, broker.context.now)
@@ -119,8 +122,8 @@
 
 
 @pytest.mark.parametrize(("work", "soon"), [(6 * SECOND, True), (6 * SECOND + 2, False)])
-def test_a_load_starts_soon_where_those_ahead_leave_it_a_quarter_of_its_objective(work, soon):
-    broker = Ranks()
+def test_a_load_starts_soon_if_loads_ahead_leave_it_a_quarter_of_its_objective(work, soon):
+    broker = AffinityFixture()
     broker.estimates.work[1] = work  # on two threads; three quarters of 4 s are 3 s
     engine = broker.registry.ready[0]
     engine.loads_in_flight[1] = 1
@@ -135,8 +138,8 @@
     )
 
 
-def test_other_brokers_loads_count_as_own_ones_do():
-    broker = Ranks(broker_count=2)
+def test_other_brokers_are_assumed_to_run_as_many_loads():
+    broker = AffinityFixture(broker_count=2)
     broker.estimates.work[1] = 4 * SECOND
     broker.registry.ready[0].loads_in_flight[1] = 1
     load = make_request(broker.context, class_index=1, table_group=1)
@@ -144,7 +147,7 @@
 
 
 def test_distances_grow_past_the_preferred_engines_of_the_broker():
-    broker = Ranks(broker_index=3, broker_count=5)
+    broker = AffinityFixture(broker_index=3, broker_count=5)
     distances = broker.affinity.preference_distances(4)
     ranks = broker.affinity.ranked(-4)
     assert [distances[engine] for engine in ranks] == [0, 0, 0, 0, 1.0, 1.25, 1.5, 1.75, 2.0, 2.25]
--- a/tests/decisions/test_attempts.py
+++ b/tests/decisions/test_attempts.py
@@ -23,15 +23,15 @@
 LOAD = replace(LOOKUP, is_load=True)
 
 
-def in_flight(*classes, **changes):
+def make_in_flight(*classes, **changes):
     """An attempt in flight of the first class, with the control over it."""
     context = make_context(*classes, **changes)
     request = start_attempt(context, make_request(context), make_registry(context, 1).engines[1])
     return context, request, AttemptControl(context, RetryPolicy(context, RetryBudget(context)))
 
 
-def test_a_cancelled_attempt_is_so_until_its_outcome_comes():
-    context, request, control = in_flight()
+def test_cancelling_an_attempt_sends_the_action_and_marks_the_request():
+    context, request, control = make_in_flight()
     request.attempts = 3
     control.cancel(request, Reason.RUNAWAY)
     assert context.actions == [CancelAttempt(1, 2, Reason.RUNAWAY)]
@@ -40,7 +40,7 @@
 
 
 def test_a_moved_attempt_is_cancelled_once():
-    context, request, control = in_flight()
+    context, request, control = make_in_flight()
     control.move(request, Reason.BEHIND_LOAD)
     control.move(request, Reason.BEHIND_LOAD)
     assert len(context.actions) == 1
@@ -55,15 +55,15 @@
         (LOOKUP, {"retry_budget_ratio": 0.0, "retry_budget_window": SECOND}),
     ],
 )
-def test_nothing_is_moved_against_class_site_or_budget(class_settings, changes):
-    context, request, control = in_flight(class_settings, **changes)
+def test_attempts_are_not_moved_against_idempotency_settings_or_budget(class_settings, changes):
+    context, request, control = make_in_flight(class_settings, **changes)
     control.move(request, Reason.BEHIND_LOAD)
     assert context.actions == []
 
 
 @pytest.mark.parametrize(("weight", "moved"), [(0.0, 0), (0.19, 0), (0.2, 1)])
-def test_late_work_of_little_weight_is_not_moved(weight, moved):
-    context, request, control = in_flight(replace(LOOKUP, late_priority_weight=weight))
+def test_late_requests_of_low_weight_are_not_moved(weight, moved):
+    context, request, control = make_in_flight(replace(LOOKUP, late_priority_weight=weight))
     context.now += SECOND - request.run_time + 1
     control.move(request, Reason.BEHIND_LOAD)
     assert len(context.actions) == moved
@@ -86,14 +86,14 @@
     assert context.actions == []
 
 
-def test_short_work_goes_first():
+def test_short_requests_have_the_highest_priority():
     context, resources = make_resources()
     resources.update(make_request(context, 1, cost=200_000))
     resources.update(make_request(context, 2, cost=200_001))
     assert priorities(context) == [3, 1]
 
 
-def test_long_work_is_raised_close_to_its_objective_and_lowered_past_it():
+def test_priority_of_long_requests_is_raised_near_the_objective_and_lowered_past_it():
     context, resources = make_resources()
     long = make_request(context, cost=500_000)
     for after in (0, SECOND // 2, 1, SECOND // 2 - 1, 1):
@@ -102,7 +102,7 @@
     assert priorities(context) == [1, 2, 0]  # set where they change
 
 
-def test_short_work_is_lowered_too_once_it_is_late():
+def test_priority_of_short_requests_is_lowered_once_they_are_late():
     context, resources = make_resources()
     short = make_request(context, cost=100)
     context.now += SECOND + 1
@@ -110,7 +110,7 @@
     assert priorities(context) == [0]
 
 
-def test_loads_go_first_however_late():
+def test_loads_keep_the_highest_priority_when_late():
     context, resources = make_resources(LOAD)
     load = make_request(context, cost=5 * SECOND)
     resources.update(load)
@@ -119,7 +119,7 @@
     assert priorities(context) == [3]
 
 
-def test_a_grant_covers_what_most_use_and_is_set_anew_only_at_a_start():
+def test_a_memory_grant_covers_most_requests_and_changes_only_at_a_start():
     context, resources = make_resources(supports_priorities=False, supports_memory_grants=True)
     request = make_request(context, memory_mb=100.0)
     request.sent_at = START
--- a/tests/decisions/test_concurrency_limits.py
+++ b/tests/decisions/test_concurrency_limits.py
@@ -42,20 +42,20 @@
         return count
 
 
-def test_without_pressure_the_bound_binds_past_a_burst():
+def test_without_pressure_the_burst_limit_is_enforced():
     fleet = LimitedFleet()
     assert fleet.fill() == 20  # 1.25 times 16
-    assert fleet.engine.queue_waited
+    assert fleet.engine.requests_waited
 
 
 @pytest.mark.parametrize("pressure", ["slowdown", "overdue_ratio"])
-def test_under_pressure_the_bound_itself_binds(pressure):
+def test_under_pressure_the_bound_itself_is_enforced(pressure):
     fleet = LimitedFleet()
     setattr(fleet.engine, pressure, 1.6)
     assert fleet.fill() == 16
 
 
-def test_a_rejecting_engine_gets_no_more_than_it_had_and_one_attempt_past_it():
+def test_a_rejecting_engine_keeps_its_threads_and_gets_one_probe_per_interval():
     fleet = LimitedFleet()
     for _ in range(5):
         fleet.send()
@@ -67,17 +67,17 @@
     assert fleet.limits.engine_has_capacity(fleet.engine, fleet.request(), 0.0)
 
 
-def test_two_of_the_narrowest_requests_fit_however_small_the_bound():
+def test_two_of_the_smallest_requests_fit_however_small_the_bound():
     fleet = LimitedFleet(replace(LOOKUP, threads=100))
     assert fleet.fill() == 2
 
 
-def test_an_empty_engine_takes_a_request_wider_than_its_bound():
+def test_an_idle_engine_admits_a_request_larger_than_its_bound():
     fleet = LimitedFleet(LOOKUP, replace(LOOKUP, threads=100))
     assert fleet.fill(class_index=1) == 1
 
 
-def test_short_work_has_an_allowance():
+def test_short_requests_have_an_allowance():
     fleet = LimitedFleet()
     fleet.estimates.mean_run_time = 100_000.0
     assert fleet.limits.short_work_allowance(fleet.request(cost=50_000)) == 0.3
@@ -96,22 +96,22 @@
     assert fleet.engine.reserved_memory_mb == pytest.approx(675.0)
 
 
-def test_the_sum_of_bounds_limits_a_broker_whose_shares_are_under_a_query():
+def test_the_sum_of_bounds_limits_a_broker_whose_shares_are_smaller_than_a_query():
     fleet = LimitedFleet(engines=10, broker_count=250)
     count = 0
     while fleet.limits.fleet_has_capacity(fleet.request(), 0.0):
         fleet.send()
         count += 1
     assert count == 3  # ten engines of 16 threads by 250, 1.25 times, and two lookups for chance
-    assert all(engine.queue_waited for engine in fleet.registry.ready)
+    assert all(engine.requests_waited for engine in fleet.registry.ready)
 
 
-def test_an_idle_broker_is_limited_by_nothing():
+def test_an_idle_broker_may_always_send_a_request():
     fleet = LimitedFleet(engines=1, broker_count=100_000)
     assert fleet.limits.fleet_has_capacity(fleet.request(), 0.0)
 
 
-def test_long_work_keeps_to_the_part_of_all_memory_and_short_work_does_not():
+def test_the_fleet_memory_limit_applies_to_long_requests_only():
     fleet = LimitedFleet(engines=1, broker_count=10, kind_memory_mb=(10_000.0,))
     fleet.estimates.mean_run_time = 100_000.0
     fleet.send(memory_mb=800.0)
@@ -122,7 +122,7 @@
 def test_a_bound_grows_while_requests_wait_and_answers_meet_their_objectives():
     fleet = LimitedFleet()
     for _ in range(100):
-        fleet.engine.queue_waited, fleet.engine.objectives_met, fleet.engine.objectives_missed = True, 5, 1
+        fleet.engine.requests_waited, fleet.engine.objectives_met, fleet.engine.objectives_missed = True, 5, 1
         fleet.limits.end_period()
     assert fleet.engine.bound == 48  # three times the initial one
 
@@ -130,13 +130,13 @@
 @pytest.mark.parametrize(("met", "missed", "slowdown"), [(4, 1, 1.0), (5, 1, 1.4)])
 def test_a_bound_stays_where_answers_miss_or_are_slow(met, missed, slowdown):
     fleet = LimitedFleet()
-    fleet.engine.queue_waited, fleet.engine.slowdown = True, slowdown
+    fleet.engine.requests_waited, fleet.engine.slowdown = True, slowdown
     fleet.engine.objectives_met, fleet.engine.objectives_missed = met, missed
     fleet.limits.end_period()
     assert fleet.engine.bound == 16
 
 
-def test_threads_that_nothing_waits_for_are_returned():
+def test_a_bound_returns_to_its_initial_value_while_no_request_waits():
     fleet = LimitedFleet()
     fleet.engine.bound = 18.5
     for _ in range(5):
@@ -157,7 +157,7 @@
     assert fleet.engine.bound == 8
 
 
-def test_answers_count_by_their_objective():
+def test_answers_are_counted_as_meeting_or_missing_their_objective():
     fleet = LimitedFleet()
     request = fleet.request()
     fleet.context.now += SECOND
@@ -167,7 +167,7 @@
     assert (fleet.engine.objectives_met, fleet.engine.objectives_missed) == (1, 1)
 
 
-def test_settings_that_change_are_taken():
+def test_changed_settings_are_applied():
     fleet = LimitedFleet()
     fleet.engine.slowdown = 3.0
     fleet.engine.bound = 1.0
--- a/tests/decisions/test_deadlines.py
+++ b/tests/decisions/test_deadlines.py
@@ -3,7 +3,7 @@
 from cypressledge.decisions.deadlines import DeadlineQueue
 
 
-def test_what_is_due_comes_out_earliest_first_and_once():
+def test_due_requests_are_returned_once_and_earliest_first():
     queue = DeadlineQueue()
     for due_at, number in ((30, 1), (10, 2), (20, 3), (40, 4)):
         queue.schedule(due_at, number)
@@ -14,7 +14,7 @@
     assert queue.next_due_at() is None
 
 
-def test_what_is_scheduled_while_others_come_out_comes_out_too():
+def test_requests_scheduled_during_the_iteration_are_returned_if_due():
     queue = DeadlineQueue()
     queue.schedule(10, 1)
     seen = []
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -12,7 +12,7 @@
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
 
 
-class Dispatch:
+class DispatchFixture:
     """A dispatcher whose router finds the engine for the groups that are free."""
 
     def __init__(self, *classes):
@@ -52,16 +52,16 @@
         return request
 
 
-def test_all_that_finds_an_engine_starts():
-    dispatch = Dispatch()
+def test_every_request_with_an_available_engine_is_started():
+    dispatch = DispatchFixture()
     for number in range(1, 6):
         dispatch.add(number, cost=number)
     dispatch.dispatcher.dispatch()
     assert dispatch.started == [1, 2, 3, 4, 5]
 
 
-def test_a_group_without_an_engine_is_tried_once_and_blocks_no_other():
-    dispatch = Dispatch(BLOCKED)
+def test_a_group_without_an_engine_is_tried_once_and_does_not_block_others():
+    dispatch = DispatchFixture(BLOCKED)
     dispatch.free = {8}
     for number, group in ((1, 7), (2, 7), (3, 8)):
         dispatch.add(number, cost=number, table_group=group)
@@ -71,7 +71,7 @@
 
 
 def test_after_three_groups_without_an_engine_a_class_is_skipped():
-    dispatch = Dispatch(BLOCKED)
+    dispatch = DispatchFixture(BLOCKED)
     dispatch.free = {9}
     for number in range(1, 10):
         dispatch.add(number, cost=number, table_group=number)
@@ -80,8 +80,8 @@
     assert dispatch.started == []
 
 
-def test_a_retry_that_may_not_be_sent_any_more_is_given_up():
-    dispatch = Dispatch()
+def test_a_retry_that_is_no_longer_allowed_is_given_up():
+    dispatch = DispatchFixture()
     dispatch.reason = "budget"
     dispatch.add(1).attempts = 1
     dispatch.add(2)  # a first attempt needs no leave
@@ -91,7 +91,7 @@
 
 
 def test_late_requests_are_given_up():
-    dispatch = Dispatch()
+    dispatch = DispatchFixture()
     dispatch.add(1)
     dispatch.context.now += SECOND
     dispatch.dispatcher.dispatch()
@@ -106,7 +106,7 @@
     return engine, odds
 
 
-def test_a_start_counts_the_delay_and_the_attempt():
+def test_starting_a_first_attempt_records_its_delay_and_updates_the_counts():
     context, calls = make_context(LOOKUP, replace(LOOKUP, is_load=True)), CallRecorder()
     request = make_request(context, class_index=1, table_group=7)
     request.queued = request.blocked = request.response_lost = True
@@ -126,7 +126,7 @@
     assert context.actions == [StartAttempt(1, 1)]
 
 
-def test_a_retry_takes_from_the_budget_and_adds_no_delay():
+def test_a_retry_uses_the_budget_and_records_no_delay():
     context, calls = make_context(), CallRecorder()
     request = make_request(context)
     request.attempts = 1
--- a/tests/decisions/test_engines.py
+++ b/tests/decisions/test_engines.py
@@ -30,20 +30,20 @@
     return [engine.id for engine in registry.ready]
 
 
-def test_engines_are_ready_in_order_of_their_ids():
+def test_ready_engines_are_ordered_by_id():
     registry = make_registry(make_context(), 3, 1, list_entry(2, EngineState.DRAINING))
     assert ready(registry) == [1, 3]
     assert sorted(registry.engines) == [1, 2, 3]
 
 
-def test_the_initial_bound_is_two_threads_a_core_by_the_share():
+def test_the_initial_bound_is_the_brokers_share_of_two_threads_per_core():
     for brokers, bounds in ((1, [16, 8]), (4, [4, 2]), (8, [2, 1])):
         registry = make_registry(make_context(broker_count=brokers), list_entry(1), list_entry(2, kind=1))
         assert [engine.bound for engine in registry.ready] == bounds
         assert [engine.initial_bound for engine in registry.ready] == bounds
 
 
-def test_a_delta_changes_what_it_names_and_a_full_list_removes_what_it_does_not():
+def test_a_delta_changes_listed_engines_and_a_full_list_removes_the_others():
     registry = make_registry(make_context(), 1, 2, 3)
     update(registry, list_entry(2, EngineState.REMOVED))
     assert sorted(registry.engines) == [1, 3]
@@ -51,7 +51,7 @@
     assert sorted(registry.engines) == [3]
 
 
-def test_a_removed_engine_stays_known_while_attempts_run():
+def test_a_removed_engine_stays_registered_while_attempts_run():
     context = make_context()
     registry = make_registry(context, 1)
     running = start_attempt(context, make_request(context), registry.engines[1])
@@ -63,7 +63,7 @@
     assert 1 not in registry.engines
 
 
-def test_a_new_process_begins_a_slow_start_without_the_former_ones_faults():
+def test_a_restarted_engine_begins_a_slow_start_with_its_faults_cleared():
     registry = make_registry(
         make_context(slow_start_window=10 * SECOND), list_entry(1, started_at=START - 60 * SECOND)
     )
@@ -75,18 +75,18 @@
     assert (engine.ejected, engine.slowdown, engine.warm_at) == (False, 1.0, START + 10 * SECOND)
 
 
-def test_a_slow_start_that_was_seen_is_not_cut_short_by_a_list():
+def test_an_engine_list_does_not_shorten_a_slow_start():
     registry = make_registry(make_context(slow_start_window=10 * SECOND), list_entry(1))
     registry.engines[1].warm_at = START + 99 * SECOND
     update(registry, list_entry(1, started_at=START))
     assert registry.engines[1].warm_at == START + 99 * SECOND
 
 
-def test_an_engine_of_unknown_age_is_warm():
+def test_an_engine_with_unknown_start_time_is_warm():
     assert make_registry(make_context(slow_start_window=10 * SECOND), list_entry(1)).engines[1].warm_at == 0
 
 
-def test_memory_is_that_of_the_kind():
+def test_engine_memory_follows_its_kind():
     registry = make_registry(
         make_context(kind_memory_mb=(16_000.0, 8_000.0)), list_entry(1), list_entry(2, kind=1)
     )
@@ -101,7 +101,7 @@
     return context, engines, changes_seen, EngineListSubscription(context, engines, affinity)
 
 
-def test_lists_are_requested_where_they_are_sent_on_request_only():
+def test_lists_are_requested_if_they_are_sent_on_request_only():
     context, _, _, subscription = make_subscription()
     subscription.start()
     assert context.actions == []
@@ -110,7 +110,7 @@
     assert context.actions == [Subscribe()]
 
 
-def test_a_list_is_applied_and_the_affinity_notified():
+def test_a_list_is_applied_and_the_affinity_is_notified():
     _, engines, changes_seen, subscription = make_subscription()
     subscription.list_received(EngineListReceived(EngineListKind.FULL, (list_entry(1),)))
     assert ready(engines) == [1]
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -19,7 +19,7 @@
 )
 
 
-class Health:
+class HealthFixture:
     """The monitor over a few engines."""
 
     def __init__(self, engines=4):
@@ -40,7 +40,7 @@
 
 
 def test_a_silent_engine_is_ejected_while_others_answer():
-    health = Health()
+    health = HealthFixture()
     health.context.now += SECOND
     health.others_answer()
     health.monitor.record_silence(health.engine, 14.0)
@@ -50,15 +50,15 @@
     assert log_texts(health.context) == ["engine 1 is silent while others answer: ejected"]
 
 
-def test_silence_everywhere_ejects_no_engine():
-    health = Health()
+def test_silence_of_all_engines_ejects_no_engine():
+    health = HealthFixture()
     health.context.now += SECOND
     health.monitor.record_silence(health.engine, 100.0)
     assert health.ejected() == []
 
 
 def test_short_silence_ejects_no_engine():
-    health = Health()
+    health = HealthFixture()
     health.monitor.record_answer(health.engine)
     health.context.now += 400_000
     health.others_answer()
@@ -69,8 +69,8 @@
     assert health.ejected() == [1]
 
 
-def test_an_engine_alone_is_never_ejected():
-    health = Health(engines=1)
+def test_the_only_engine_is_never_ejected():
+    health = HealthFixture(engines=1)
     health.context.now += SECOND
     health.monitor.record_silence(health.engine, 100.0)
     for _ in range(100):
@@ -79,7 +79,7 @@
 
 
 def test_an_engine_that_answers_errors_where_others_do_not_is_ejected():
-    health = Health()
+    health = HealthFixture()
     for _ in range(2):
         health.monitor.record_error(health.engine)
     assert health.ejected() == []  # 0.19 of its answers
@@ -87,8 +87,8 @@
     assert health.ejected() == [1]  # 0.27
 
 
-def test_errors_everywhere_are_the_queries_own():
-    health = Health()
+def test_errors_at_all_engines_eject_no_engine():
+    health = HealthFixture()
     for _ in range(100):
         for engine in health.registry.ready:
             health.monitor.record_error(engine)
@@ -96,8 +96,8 @@
 
 
 @pytest.mark.parametrize(("before", "after"), [([2], [1, 2]), ([2, 3], [2, 3])])
-def test_never_more_than_half_of_the_engines(before, after):
-    health = Health(engines=5)
+def test_at_most_half_of_the_engines_are_ejected(before, after):
+    health = HealthFixture(engines=5)
     health.context.now += SECOND
     health.others_answer()
     for number in before:
@@ -107,15 +107,15 @@
 
 
 def test_a_refused_connection_ejects_and_begins_a_slow_start():
-    health = Health()
+    health = HealthFixture()
     health.monitor.record_connection_failure(health.engine, Outcome.CONNECT_FAILED)
     assert health.ejected() == [1]
     assert health.engine.warm_at == health.context.now + 10 * SECOND
     assert log_texts(health.context) == ["engine 1 broke its connections: ejected until it answers"]
 
 
-def test_resets_eject_once_nothing_is_in_flight_and_no_answer_came_between():
-    health = Health()
+def test_consecutive_resets_eject_an_engine_without_attempts_in_flight():
+    health = HealthFixture()
     request = start_attempt(health.context, make_request(health.context), health.engine)
     for _ in range(5):
         health.monitor.record_connection_failure(health.engine, Outcome.RESET)
@@ -129,8 +129,8 @@
     assert health.engine.warm_at == 0
 
 
-def test_a_failure_of_an_ejected_engine_puts_its_trial_off_and_is_not_logged_again():
-    health = Health()
+def test_a_failure_of_an_ejected_engine_postpones_its_trial_and_is_not_logged_again():
+    health = HealthFixture()
     health.monitor.record_connection_failure(health.engine, Outcome.CONNECT_FAILED)
     health.context.now += 500_000
     health.monitor.record_connection_failure(health.engine, Outcome.CONNECT_FAILED)
@@ -138,8 +138,8 @@
     assert len(log_texts(health.context)) == 1
 
 
-def test_an_answer_readmits():
-    health = Health()
+def test_an_answer_readmits_an_ejected_engine():
+    health = HealthFixture()
     for _ in range(20):
         health.monitor.record_error(health.engine)
     assert health.ejected() == [1]
@@ -150,8 +150,8 @@
 
 
 @pytest.mark.parametrize(("class_index", "allowed"), [(0, True), (1, False)])
-def test_a_trial_request_is_one_at_a_time_and_may_be_repeated(class_index, allowed):
-    health = Health()
+def test_trial_requests_are_sent_one_at_a_time_and_must_be_repeatable(class_index, allowed):
+    health = HealthFixture()
     health.monitor.record_connection_failure(health.engine, Outcome.CONNECT_FAILED)
     request = make_request(health.context, class_index=class_index)
     assert not health.monitor.allows_trial(health.engine, request)
@@ -161,8 +161,8 @@
     assert not health.monitor.allows_trial(health.engine, request)
 
 
-def test_a_trial_request_puts_the_next_off():
-    health = Health()
+def test_a_trial_request_postpones_the_next():
+    health = HealthFixture()
     health.monitor.record_send(health.engine)
     assert health.engine.next_trial_at == 0
     health.engine.ejected = True
--- a/tests/decisions/test_inspection.py
+++ b/tests/decisions/test_inspection.py
@@ -15,7 +15,7 @@
 from tests.decisions.parts import LOOKUP, SECOND, make_context, make_registry, make_request, start_attempt
 
 
-class Inspected:
+class InspectionFixture:
     """Two engines, and the findings of an inspection."""
 
     def __init__(self):
@@ -45,7 +45,7 @@
 
 
 def test_an_idle_engine_is_not_overdue_and_not_silent():
-    inspected = Inspected()
+    inspected = InspectionFixture()
     inspected.engine.overdue_ratio = 5.0
     inspected.run()
     assert inspected.engine.overdue_ratio == 1.0
@@ -53,7 +53,7 @@
 
 
 def test_the_overdue_ratio_is_age_over_run_time():
-    inspected = Inspected()
+    inspected = InspectionFixture()
     inspected.send(1, cost=100_000)
     inspected.run(after=50_000)
     assert inspected.engine.overdue_ratio == pytest.approx(1.0, abs=1e-4)
@@ -62,8 +62,8 @@
     assert inspected.engine.overdue_ratio == pytest.approx(750 / 400, abs=1e-4)
 
 
-def test_missing_answers_add_up_and_one_attempt_adds_four_at_most():
-    inspected = Inspected()
+def test_missing_answers_add_up_and_one_attempt_adds_at_most_four():
+    inspected = InspectionFixture()
     inspected.send(1, cost=100_000)
     inspected.send(2, cost=200_000)
     inspected.run(after=300_000)
@@ -73,7 +73,7 @@
 
 
 def test_attempts_of_a_group_that_a_load_may_block_count_once():
-    inspected = Inspected()
+    inspected = InspectionFixture()
     for number in range(1, 6):
         inspected.send(number, class_index=1, table_group=7)
     inspected.send(6, class_index=1, table_group=8)
@@ -82,15 +82,15 @@
 
 
 def test_silence_begins_with_the_engines_last_activity():
-    inspected = Inspected()
+    inspected = InspectionFixture()
     inspected.send(1)
     inspected.engine.last_activity_at = inspected.context.now + 200_000
     inspected.run(after=300_000)
     assert inspected.silences == {1: pytest.approx(1.0)}
 
 
-def test_lost_responses_are_no_silence_and_no_slowness():
-    inspected = Inspected()
+def test_lost_responses_count_neither_as_silence_nor_as_overdue():
+    inspected = InspectionFixture()
     inspected.send(1)
     inspected.lost = {1}
     inspected.run(after=SECOND)
@@ -99,8 +99,8 @@
     assert inspected.updated == []
 
 
-def test_what_runs_at_an_ejected_engine_is_moved_unless_it_is_new_or_over():
-    inspected = Inspected()
+def test_attempts_at_an_ejected_engine_are_moved_unless_new_or_finished():
+    inspected = InspectionFixture()
     inspected.send(1)
     inspected.send(2).finished = True
     inspected.context.now += 1
@@ -110,7 +110,7 @@
     assert inspected.moved == [(1, Reason.ENGINE_SILENT)]
 
 
-class Periodic:
+class PeriodicRecorder:
     """A part of the decisions that notes its periods."""
 
     def __init__(self):
@@ -121,7 +121,7 @@
 
 
 def make_housekeeping(requests, next_due_at=None):
-    context, inspections, part = make_context(), [], Periodic()
+    context, inspections, part = make_context(), [], PeriodicRecorder()
     lifecycle = SimpleNamespace(requests=requests, next_due_at=lambda: next_due_at)
     housekeeping = Housekeeping(context, lifecycle, [lambda: inspections.append(context.now)], [part])
     housekeeping.start()
@@ -137,14 +137,14 @@
     assert part.periods == 2
 
 
-def test_without_an_open_request_there_is_no_timer():
+def test_no_timer_is_started_without_an_open_request():
     context, housekeeping, _, _ = make_housekeeping({})
     housekeeping.schedule_timer()
     assert context.actions == []
 
 
 @pytest.mark.parametrize(("due", "after"), [(None, 100_000), (40_000, 40_000), (1, 5_000), (10**9, 100_000)])
-def test_a_timer_is_for_what_is_due_next_and_one_resolution_away_at_least(due, after):
+def test_the_timer_fires_at_the_next_due_time_but_not_before_one_resolution(due, after):
     context, housekeeping, _, _ = make_housekeeping({1: None}, due and make_context().now + due)
     housekeeping.schedule_timer()
     assert context.actions == [StartTimer(after)]
@@ -152,7 +152,7 @@
     assert len(context.actions) == 1 + (due == 1)  # a running timer is not started again
 
 
-def test_requests_that_still_wait_count_in_the_odds_loop():
+def test_delays_of_waiting_requests_count_in_the_odds_loop():
     context = make_context(LOOKUP, LOOKUP)
     odds = OddsController(2)
     waiting = [make_request(context, number, class_index=number % 2) for number in range(8)]
@@ -165,7 +165,7 @@
     assert odds.sample_counts == [0, 0]  # there were enough
 
 
-class Limit:
+class LimitStub:
     """One limit of an engine, met or not."""
 
     def __init__(self, calls, name, is_open=True):
@@ -182,7 +182,7 @@
 @pytest.mark.parametrize(("ejected", "check_count"), [(False, 2), (True, 3)])
 def test_admission_checks_the_health_of_ejected_engines_then_slow_start_then_capacity(ejected, check_count):
     calls = []
-    parts = [Limit(calls, name) for name in ("health", "slow_start", "limits")]
+    parts = [LimitStub(calls, name) for name in ("health", "slow_start", "limits")]
     context = make_context()
     engine = make_registry(context, 1).engines[1]
     engine.ejected = ejected
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -21,7 +21,7 @@
 from cypressledge.decisions.estimates import ClassEstimates
 from cypressledge.decisions.lifecycle import RequestLifecycle
 from cypressledge.decisions.odds import OddsController
-from cypressledge.decisions.outcomes import AnswerObservers, AttemptOutcomes
+from cypressledge.decisions.outcomes import AttemptOutcomes, OutcomeObservers
 from cypressledge.decisions.queues import ClassQueues
 from cypressledge.decisions.request import PossibleExecution
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
@@ -33,7 +33,7 @@
 ORDERED = replace(UNSAFE, ordered=True)
 
 
-class Lifecycle:
+class LifecycleFixture:
     """The lifecycle of one class, over two engines."""
 
     def __init__(self, class_settings=LOOKUP, **changes):
@@ -50,7 +50,7 @@
             context, estimates, affinity, self.budget, control, self.odds, queues
         )
         self.observed = CallRecorder(answer=1_000.0)
-        observers = AnswerObservers(*[self.observed] * 6)
+        observers = OutcomeObservers(*[self.observed] * 6)
         self.outcomes = AttemptOutcomes(context, self.registry, self.lifecycle, policy, observers)
 
     def receive(self, number=1, key=0, time_limit=5 * SECOND):
@@ -71,15 +71,15 @@
         ]
 
 
-def test_a_request_is_queued_at_its_arrival():
-    setup = Lifecycle()
+def test_a_request_is_queued_on_arrival():
+    setup = LifecycleFixture()
     request = setup.receive()
     assert request.queued
     assert setup.lifecycle.next_due_at() == request.deadline - 30_000
 
 
 def test_requests_of_a_key_are_queued_one_after_the_other():
-    setup = Lifecycle(ORDERED)
+    setup = LifecycleFixture(ORDERED)
     one, two = setup.receive(1, key=7), setup.receive(2, key=7)
     assert (one.queued, two.queued) == (True, False)
     setup.lifecycle.give_up(one, Reason.NO_CAPACITY)
@@ -87,7 +87,7 @@
 
 
 def test_a_client_that_disconnects_ends_its_request_without_an_answer():
-    setup = Lifecycle()
+    setup = LifecycleFixture()
     setup.receive()
     setup.lifecycle.client_disconnected(ClientDisconnected(1))
     setup.lifecycle.client_disconnected(ClientDisconnected(1))
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize(("class_settings", "cancels"), [(LOOKUP, 1), (KEYED, 1), (UNSAFE, 0)])
 def test_attempts_of_a_disconnected_client_are_cancelled_unless_not_idempotent(class_settings, cancels):
-    setup = Lifecycle(class_settings)
+    setup = LifecycleFixture(class_settings)
     request = setup.send(setup.receive())
     setup.lifecycle.client_disconnected(ClientDisconnected(1))
     assert len(setup.context.actions) == cancels
@@ -108,7 +108,7 @@
 
 
 def test_a_request_that_is_withdrawn_unsent_allows_no_retry():
-    setup = Lifecycle(retry_budget_ratio=1.0, retry_budget_window=10 * SECOND)
+    setup = LifecycleFixture(retry_budget_ratio=1.0, retry_budget_window=10 * SECOND)
     setup.receive()
     assert setup.budget.allows_retry()
     setup.lifecycle.client_disconnected(ClientDisconnected(1))
@@ -131,7 +131,7 @@
     ],
 )
 def test_a_request_is_rejected_only_where_its_client_may_send_it_again(class_settings, state, answer):
-    setup = Lifecycle(class_settings)
+    setup = LifecycleFixture(class_settings)
     request = setup.receive()
     if state == "in flight":
         setup.send(request)
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize(("is_sent", "reason"), [(False, Reason.NO_CAPACITY), (True, Reason.DEADLINE)])
 def test_a_request_ends_30_ms_before_its_deadline(is_sent, reason):
     """The margin is DEADLINE_MARGIN."""
-    setup = Lifecycle()
+    setup = LifecycleFixture()
     request = setup.receive()
     if is_sent:
         setup.send(request)
@@ -156,8 +156,8 @@
     assert setup.answers() == [(RejectRequest, reason)]
 
 
-def test_at_the_shutdown_all_that_is_open_is_answered_once():
-    setup = Lifecycle()
+def test_shutdown_answers_every_open_request_once():
+    setup = LifecycleFixture()
     setup.receive(1)
     setup.send(setup.receive(2))
     setup.lifecycle.shutdown_started()
@@ -166,7 +166,7 @@
 
 
 def test_a_request_waits_for_the_cooldown_of_its_key():
-    setup = Lifecycle(ORDERED, ordering_key_cooldown=300_000)
+    setup = LifecycleFixture(ORDERED, ordering_key_cooldown=300_000)
     one, two = setup.receive(1, key=7), setup.receive(2, key=7)
     setup.end(setup.send(one), Outcome.RESET)
     assert not two.queued
@@ -179,7 +179,7 @@
 
 
 def test_an_answer_ends_the_request_and_updates_every_observer():
-    setup = Lifecycle()
+    setup = LifecycleFixture()
     request = setup.send(setup.receive())
     setup.end(request, Outcome.OK, final=True)
     assert setup.lifecycle.requests == {}
@@ -200,7 +200,7 @@
     ],
 )
 def test_other_outcomes_update_their_observers_and_a_retry_is_queued(outcome, updates):
-    setup = Lifecycle()
+    setup = LifecycleFixture()
     request = setup.send(setup.receive())
     setup.end(request, outcome)
     assert setup.observed.names == ["release", *updates]
@@ -222,7 +222,7 @@
     ],
 )
 def test_the_first_attempt_that_may_have_been_executed_is_remembered(outcome, since):
-    setup = Lifecycle(KEYED)
+    setup = LifecycleFixture(KEYED)
     request = setup.send(setup.receive())
     began = setup.context.now
     setup.end(request, outcome, after=1_000)
@@ -231,8 +231,8 @@
     assert request.first_possible_execution.started_at == (began if since else began + 1_000)
 
 
-def test_a_request_with_a_key_waits_within_its_window_only():
-    setup = Lifecycle(KEYED)
+def test_a_retry_with_a_key_waits_only_within_its_deduplication_window():
+    setup = LifecycleFixture(KEYED)
     request = setup.send(setup.receive())
     setup.end(request, Outcome.RESET, after=1_000)
     setup.context.now += 1_400_000 - 1_000  # two seconds less the margin of 600 ms since it was sent
@@ -241,14 +241,14 @@
 
 
 def test_a_request_that_may_not_be_repeated_fails():
-    setup = Lifecycle(UNSAFE)
+    setup = LifecycleFixture(UNSAFE)
     setup.end(setup.send(setup.receive()), Outcome.RESET)
     assert setup.answers() == [(FailRequest, Reason.MAY_HAVE_EXECUTED)]
     assert setup.lifecycle.requests == {}
 
 
-def test_ends_of_other_attempts_change_nothing():
-    setup = Lifecycle()
+def test_ends_of_former_or_unknown_attempts_are_ignored():
+    setup = LifecycleFixture()
     request = setup.send(setup.receive())
     for attempt, engine in ((1, 1), (0, 2), (0, 99)):
         setup.outcomes.attempt_ended(AttemptEnded(1, attempt, engine, Outcome.OK, True, 1_000))
@@ -256,16 +256,16 @@
     assert setup.observed.names == []
 
 
-def test_a_load_that_ends_blocks_no_longer():
-    setup = Lifecycle(replace(LOOKUP, is_load=True))
+def test_the_end_of_a_load_decrements_the_loads_in_flight():
+    setup = LifecycleFixture(replace(LOOKUP, is_load=True))
     request = setup.send(setup.receive())
     setup.engine.loads_in_flight[0] = 1
     setup.end(request, Outcome.OK, final=True)
     assert setup.engine.loads_in_flight == {0: 0}
 
 
-def test_an_answer_of_a_class_that_loads_block_ends_the_blocking():
-    setup = Lifecycle(replace(LOOKUP, blocked_by_loads=True))
+def test_an_answer_of_a_blockable_class_clears_the_blocked_mark_of_its_group():
+    setup = LifecycleFixture(replace(LOOKUP, blocked_by_loads=True))
     setup.engine.blocked_until = {0: setup.context.now + SECOND, 1: setup.context.now + SECOND}
     setup.end(setup.send(setup.receive()), Outcome.OK, final=True)
     assert setup.engine.blocked_until == {1: setup.context.now + SECOND}
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -6,7 +6,7 @@
 from tests.decisions.parts import START, attempt_ended, make_context, make_registry, make_request
 
 
-def reported(*values, fields=("util", "queue", "inflight")):
+def record_report(*values, fields=("util", "queue", "inflight")):
     context = make_context(load_report_fields=fields)
     reports, engine = LoadReports(context), make_registry(context, 1).engines[1]
     request = make_request(context)
@@ -24,24 +24,24 @@
         ((1.0, 4.0, 24.0), 3.5),
     ],
 )
-def test_load_is_busy_cores_and_threads_a_core_beyond_them(values, load):
-    _, engine = reported(*values)
+def test_reported_load_is_busy_cores_plus_excess_threads_per_core(values, load):
+    _, engine = record_report(*values)
     assert engine.reported_load == pytest.approx(load)
     assert engine.reported_at == START
 
 
 def test_fields_come_in_the_order_of_the_settings():
-    _, engine = reported(24.0, 1.0, fields=("inflight", "util"))
+    _, engine = record_report(24.0, 1.0, fields=("inflight", "util"))
     assert engine.reported_load == pytest.approx(3.0)
 
 
 def test_mean_and_spread_follow_the_reports():
-    reports, _ = reported(1.0)
+    reports, _ = record_report(1.0)
     assert reports.mean_load == pytest.approx(0.55)
     assert reports.load_spread == pytest.approx(0.5)
 
 
 def test_an_answer_without_a_report_changes_no_load():
-    reports, engine = reported()
+    reports, engine = record_report()
     assert engine.reported_at == 0
     assert reports.mean_load == 0.5
--- a/tests/decisions/test_lost_responses.py
+++ b/tests/decisions/test_lost_responses.py
@@ -17,7 +17,7 @@
 INTERVAL = SECOND // 2
 
 
-class InFlight:
+class AttemptFixture:
     """One attempt in flight, with the parts that check it for losses and progress."""
 
     def __init__(self, class_settings=LONG_OBJECTIVE, **changes):
@@ -48,52 +48,52 @@
         return [action.reason for action in self.context.actions]
 
 
-def test_a_response_is_lost_after_nearly_two_intervals_without_news():
-    in_flight = InFlight()
+def test_a_response_is_lost_after_nearly_two_intervals_without_activity():
+    in_flight = AttemptFixture()
     assert not in_flight.check(900_000)
     assert in_flight.check(1)
     assert in_flight.cancelled() == [Reason.RESPONSE_LOST]
     assert in_flight.losses.loss_rate == pytest.approx(0.01)
 
 
-def test_it_counts_as_lost_once():
-    in_flight = InFlight()
+def test_a_lost_response_is_counted_once():
+    in_flight = AttemptFixture()
     assert in_flight.check(SECOND)
     in_flight.request.cancelling = False
     assert in_flight.check(SECOND)
     assert in_flight.losses.loss_rate == pytest.approx(0.01)
 
 
-def test_a_silent_engine_loses_no_responses():
-    in_flight = InFlight()
+def test_responses_of_a_silent_engine_are_not_taken_for_lost():
+    in_flight = AttemptFixture()
     in_flight.engine.last_activity_at = in_flight.context.now
     assert not in_flight.check(5 * SECOND, engine_is_active=False)
 
 
-def test_nothing_is_lost_where_there_are_no_notifications():
-    assert not InFlight(progress_interval=0).check(60 * SECOND)
+def test_without_progress_notifications_no_response_is_lost():
+    assert not AttemptFixture(progress_interval=0).check(60 * SECOND)
 
 
 @pytest.mark.parametrize("state", ["finished", "cancelling"])
 def test_finished_and_cancelled_attempts_are_not_checked(state):
-    in_flight = InFlight()
+    in_flight = AttemptFixture()
     setattr(in_flight.request, state, True)
     assert not in_flight.check(60 * SECOND)
 
 
-def test_late_idempotent_work_of_little_weight_is_given_up():
-    in_flight = InFlight(LOOKUP)
+def test_late_idempotent_requests_of_low_weight_are_given_up():
+    in_flight = AttemptFixture(LOOKUP)
     in_flight.check(SECOND)
     assert in_flight.given_up == [Reason.RESPONSE_LOST]
     assert in_flight.cancelled() == []
 
 
-def test_work_with_a_key_is_cancelled_and_work_that_may_not_be_repeated_is_left():
+def test_attempts_with_a_key_are_cancelled_and_not_idempotent_ones_are_kept():
     keyed = replace(LONG_OBJECTIVE, idempotency=Idempotency.WITH_KEY, deduplication_window=60 * SECOND)
-    in_flight = InFlight(keyed)
+    in_flight = AttemptFixture(keyed)
     assert in_flight.check(SECOND)
     assert in_flight.cancelled() == [Reason.RESPONSE_LOST]
-    in_flight = InFlight(replace(LONG_OBJECTIVE, idempotency=Idempotency.NOT_IDEMPOTENT))
+    in_flight = AttemptFixture(replace(LONG_OBJECTIVE, idempotency=Idempotency.NOT_IDEMPOTENT))
     assert in_flight.check(SECOND)
     assert in_flight.cancelled() == in_flight.given_up == []
 
@@ -101,8 +101,8 @@
 @pytest.mark.parametrize(
     ("rate", "blocked", "moved"), [(0.02, False, 0), (0.021, False, 1), (0.021, True, 0)]
 )
-def test_where_many_are_lost_work_is_moved_as_soon_as_it_is_overdue(rate, blocked, moved):
-    in_flight = InFlight()
+def test_at_a_high_loss_rate_overdue_attempts_are_moved(rate, blocked, moved):
+    in_flight = AttemptFixture()
     in_flight.losses.loss_rate, in_flight.request.blocked = rate, blocked
     in_flight.check(340_000)  # three times 100 ms, and 40
     assert in_flight.cancelled() == []
@@ -110,15 +110,15 @@
     assert len(in_flight.cancelled()) == moved
 
 
-def test_answers_lower_the_rate():
-    in_flight = InFlight()
+def test_answers_lower_the_loss_rate():
+    in_flight = AttemptFixture()
     in_flight.losses.loss_rate = 0.5
     in_flight.losses.record_answer()
     assert in_flight.losses.loss_rate == pytest.approx(0.495)
 
 
-def test_a_runaway_is_moved_once_a_fresh_start_would_take_a_third_of_its_rest():
-    in_flight = InFlight()
+def test_a_runaway_is_moved_if_a_new_attempt_would_take_a_third_of_the_remaining_time():
+    in_flight = AttemptFixture()
     in_flight.notify(ProgressKind.PROGRESS, 0.1, after=100_000)
     assert in_flight.cancelled() == []  # not older than a fresh start
     in_flight.notify(ProgressKind.PROGRESS, 0.5, after=150_000)
@@ -128,7 +128,7 @@
 
 
 def test_an_attempt_that_waits_for_a_load_is_moved_and_its_group_blocked():
-    in_flight = InFlight()
+    in_flight = AttemptFixture()
     in_flight.notify(ProgressKind.WAITING, 1.0)  # for memory
     assert in_flight.cancelled() == []
     assert in_flight.request.blocked
@@ -137,8 +137,8 @@
     assert in_flight.engine.blocked_until == {0: in_flight.context.now + 2 * SECOND}
 
 
-def test_a_notification_is_activity_of_attempt_and_engine_and_ends_the_wait():
-    in_flight = InFlight()
+def test_a_notification_records_activity_and_clears_the_blocked_mark():
+    in_flight = AttemptFixture()
     in_flight.request.blocked = True
     in_flight.notify(ProgressKind.SPILLING, 12.0, after=SECOND)
     assert in_flight.request.last_activity_at == in_flight.engine.last_activity_at == in_flight.context.now
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("state", ["former attempt", "finished", "cancelling", "no attempt"])
 def test_notifications_of_finished_attempts_are_ignored(state):
-    in_flight = InFlight()
+    in_flight = AttemptFixture()
     if state == "former attempt":
         in_flight.request.attempts = 2
     elif state == "no attempt":
--- a/tests/decisions/test_manager_faults.py
+++ b/tests/decisions/test_manager_faults.py
@@ -51,7 +51,7 @@
     assert len([s for s in driver.sends if s.engine == 1]) <= 1
 
 
-def test_silence_everywhere_ejects_nobody():
+def test_silence_of_all_engines_ejects_no_engine():
     driver = ManagerDriver(settings(LONG_OBJECTIVE))
     for request in range(60):
         driver.arrive(request)
@@ -109,7 +109,7 @@
     assert all(s.engine != driver.engine_of(1) for s in driver.sends[1:])
 
 
-def test_work_that_misses_its_objective_is_rejected_early():
+def test_requests_that_will_miss_their_objective_are_rejected_early():
     driver = ManagerDriver(
         settings(dataclasses.replace(LOOKUP, latency_objective=SECOND, latency_objective_stretch=0)),
         engines=1,
@@ -143,7 +143,7 @@
     assert not driver.manager.engines[1].ejected
 
 
-def test_errors_everywhere_eject_nobody():
+def test_errors_at_all_engines_eject_no_engine():
     """They are the queries' fault."""
     driver = ManagerDriver(engines=3)
     for request in range(200):
@@ -176,7 +176,7 @@
     assert not driver.manager.engines[1].blocked_until
 
 
-def test_late_work_of_low_priority_weight_is_not_moved():
+def test_late_requests_of_low_priority_weight_are_not_moved():
     """The retry budget is of more value elsewhere."""
     driver = ManagerDriver(
         settings(dataclasses.replace(LOOKUP, late_priority_weight=0.1, blocked_by_loads=True)), engines=2
@@ -191,7 +191,7 @@
     assert [a.request for a in cancellations(driver.actions)] == [1]
 
 
-def test_a_notification_of_waiting_for_a_load_keeps_its_group_away_for_a_while():
+def test_a_notification_of_waiting_for_a_load_diverts_its_group():
     driver = ManagerDriver(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), REPORT))
     driver.arrive(1, table_group=7)
     blocked = driver.engine_of(1)
@@ -202,7 +202,7 @@
         assert driver.engine_of(request) != blocked
 
 
-def test_loads_run_at_the_highest_priority_however_late():
+def test_late_loads_keep_the_highest_priority():
     load = ClassSettings(latency_objective=SECOND, deadline=20 * SECOND, is_load=True)
     driver = ManagerDriver(settings(LOOKUP, load, supports_priorities=True))
     driver.arrive(1, class_index=1, table_group=7)
@@ -228,7 +228,7 @@
 )
 
 
-def test_loads_leave_engines_to_the_queries_of_their_group():
+def test_loads_leave_some_engines_free_for_the_queries_of_their_group():
     """However many arrive: on such engines queries of the group would be blocked by them."""
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, LOAD), engines=5)
     for request in range(1, 60):
@@ -238,7 +238,7 @@
     assert driver.engine_of(100) == driver.manager.affinity.ranked(9)[0].id
 
 
-def test_loads_go_anywhere_where_nothing_else_is_left():
+def test_loads_use_any_engine_if_no_other_is_usable():
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, LOAD), engines=3)
     free = driver.manager.affinity.ranked(9)[0]
     for engine in driver.manager.registry.ready:
@@ -260,7 +260,7 @@
     assert driver.engine_of(10) == other.id
 
 
-def test_loads_wait_shortest_first_at_the_broker_and_not_at_an_engine():
+def test_loads_wait_at_the_broker_shortest_first():
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, LOAD), engines=2)
     for request in range(1, 8):
         driver.arrive(request, class_index=1, table_group=9, cost=(20 - request) * SECOND)
@@ -270,7 +270,7 @@
     assert [s.request for s in driver.sends[sent:]] == [7]
 
 
-def test_short_work_has_an_allowance_where_long_work_fills_the_bound():
+def test_short_requests_have_an_allowance_while_long_ones_fill_the_bound():
     driver = ManagerDriver(settings(LOOKUP, REPORT), engines=1)
     for request in range(1, 30):
         driver.arrive(request, class_index=1, cost=2 * SECOND)
@@ -280,7 +280,7 @@
     assert [s.request for s in driver.sends[10:]] == [100]
 
 
-def test_a_rejecting_engine_gets_the_threads_it_had_and_single_attempts_beyond():
+def test_a_rejecting_engine_gets_its_former_threads_and_single_probes():
     """Its rejections would use up the retry budget."""
     driver = ManagerDriver(engines=2)
     sent = 0
@@ -298,7 +298,7 @@
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS), engines=2)
     free, other = driver.manager.affinity.ranked(9)
     other.blocked_until[9] = driver.now + 10 * SECOND
-    free.rejected_until, free.next_overflow_at = driver.now + 10 * SECOND, driver.now + 10 * SECOND
+    free.rejected_until, free.next_capacity_probe_at = driver.now + 10 * SECOND, driver.now + 10 * SECOND
     driver.arrive(1, table_group=9)
     assert driver.engine_of(1) == other.id
 
@@ -340,7 +340,7 @@
     assert not cancellations(driver.actions)
 
 
-def test_short_work_is_moved_early_where_responses_get_lost():
+def test_short_requests_are_moved_early_while_responses_get_lost():
     driver = ManagerDriver(settings(LOOKUP, progress_interval=SECOND // 2), engines=2)
     driver.arrive(1)
     driver.run(SECOND // 2)
--- a/tests/decisions/test_manager_mechanism.py
+++ b/tests/decisions/test_manager_mechanism.py
@@ -38,7 +38,7 @@
     manager.odds_loop.end_period()
 
 
-def test_odds_start_even():
+def test_initial_odds_are_equal():
     assert ManagerDriver().manager.odds.odds == [0.5, 0.5]
 
 
@@ -65,7 +65,7 @@
     assert manager_after_period([50_000, 200_000], classes=classes).odds.ratios == pytest.approx([1.0])
 
 
-def test_references_weigh_work_against_priority_weight():
+def test_references_are_work_over_priority_weight():
     # equal objectives; work of 1 and 8 for weights of 1 and 4: the reference is 1 / 2
     classes = [
         ClassSettings(latency_objective=SECOND, deadline=20 * SECOND),
@@ -77,20 +77,20 @@
     assert manager.odds.ratios == pytest.approx([1.0])
 
 
-def test_three_classes_by_neighbour_loops():
+def test_three_classes_are_controlled_by_two_neighbour_loops():
     # x1 = 1 + 0.42 * 0.5 = 1.21, x2 = 1 + 0.42 * (1 - 2) = 0.58: weights 1, 1.21, 0.7018
     manager = manager_after_period([100_000, 200_000, 100_000])
     assert manager.odds.odds == pytest.approx([w / 2.9118 for w in (1, 1.21, 0.7018)])
     assert sum(manager.odds.odds) == pytest.approx(1)
 
 
-def test_few_samples_hold_the_integral_and_are_not_dropped():
+def test_few_samples_keep_the_ratio_and_are_not_dropped():
     manager = manager_after_period([0, 900_000], count=2)
     assert manager.odds.ratios == [1.0]
     assert manager.odds.sample_counts == [2, 2]
 
 
-def test_no_waits_at_all_hold_the_integral():
+def test_zero_delays_keep_the_ratio():
     assert manager_after_period([0, 0]).odds.ratios == [1.0]
 
 
@@ -118,7 +118,7 @@
     assert not manager.requests
 
 
-def test_draw_follows_the_odds_and_an_empty_queue_yields():
+def test_draw_follows_the_odds_and_skips_an_empty_queue():
     driver = ManagerDriver(settings(REPORT, REPORT), entries=[entry(1, EngineState.DRAINING)])
     manager = driver.manager
     for request in range(2000):
@@ -141,7 +141,7 @@
     assert sent[-200:] == [0] * 200
 
 
-def test_bound_starts_at_two_threads_a_core_times_the_share():
+def test_initial_bound_is_the_share_of_two_threads_per_core():
     driver = ManagerDriver(settings(broker_count=1), entries=[entry(1), entry(2, kind=1)])
     assert [e.bound for e in driver.manager.registry.ready] == [16, 8]
     driver = ManagerDriver(settings(broker_count=4), entries=[entry(1), entry(2, kind=1)])
@@ -166,15 +166,15 @@
     return new_request(RequestReceived(1, 0, driver.now + SECOND), LOOKUP, driver.now, 0.0)
 
 
-def test_bound_grows_a_thread_a_period_up_to_thrice_and_shrinks_with_latency():
+def test_bound_grows_one_thread_per_period_to_three_times_and_shrinks_with_latency():
     driver = ManagerDriver()
     engine = driver.manager.registry.ready[0]
     for _ in range(100):
-        engine.queue_waited, engine.objectives_met = True, 10
+        engine.requests_waited, engine.objectives_met = True, 10
         driver.manager.housekeeping.end_period()
         assert engine.bound <= 48
     assert engine.bound == 48
-    engine.queue_waited = engine.objectives_met = 0
+    engine.requests_waited = engine.objectives_met = 0
     driver.manager.housekeeping.end_period()
     assert engine.bound == 47  # nothing waited: a thread is returned, down to the initial bound
     for _ in range(60):
@@ -187,7 +187,7 @@
     assert engine.bound == pytest.approx(48 * 0.8**3)
 
 
-def test_bound_binds_only_under_pressure_or_when_passed_by_a_quarter():
+def test_bound_is_enforced_under_pressure_or_when_exceeded_by_a_quarter():
     driver = ManagerDriver(settings(LOOKUP), engines=1)
     for request in range(30):
         driver.arrive(request)
@@ -199,7 +199,7 @@
     assert len(driver.sends) == 16
 
 
-def test_memory_limits_as_threads_do():
+def test_memory_limits_attempts_in_flight():
     driver = ManagerDriver(
         settings(LOOKUP, kind_memory_mb=(1000.0, 1000.0), supports_memory_grants=True), engines=1
     )
@@ -217,7 +217,7 @@
     assert driver.manager.registry.ready[0].bound == 16
 
 
-def test_a_rejection_is_pressure():
+def test_a_rejection_makes_the_bound_apply():
     driver = ManagerDriver(engines=1)
     for request in range(20):
         driver.arrive(request)
@@ -226,7 +226,7 @@
     assert driver.manager.requests[19].queued
 
 
-def test_fewest_own_first_and_ties_at_random():
+def test_the_engine_with_fewest_own_threads_is_chosen_and_ties_are_random():
     firsts = set()
     for seed in range(20):
         driver = ManagerDriver(seed=seed)
@@ -238,7 +238,7 @@
     assert firsts == {1, 2, 3}
 
 
-def test_free_classes_leave_capacity_on_engines_that_another_class_requires():
+def test_unrestricted_classes_leave_capacity_on_engines_that_another_class_requires():
     bound = dataclasses.replace(REPORT, required_kinds=frozenset((0,)))
     driver = ManagerDriver(settings(LOOKUP, bound), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
@@ -273,7 +273,7 @@
     assert not actions_of(SetAttemptResources, driver.actions)
 
 
-def test_short_work_does_not_wait_for_memory_that_long_work_reserves():
+def test_short_requests_do_not_wait_for_memory_that_long_ones_reserve():
     driver = ManagerDriver(
         settings(LOOKUP, REPORT, broker_count=100, kind_memory_mb=(16_000.0, 8_000.0)), engines=10
     )
@@ -287,7 +287,7 @@
     assert driver.sends[-1].request == 9
 
 
-def test_load_reports_steer_away_from_a_crowded_engine():
+def test_load_reports_divert_requests_from_a_busy_engine():
     driver = ManagerDriver(
         settings(LOOKUP, broker_count=100, load_report_fields=("util", "inflight")), engines=2
     )
--- a/tests/decisions/test_manager_placement.py
+++ b/tests/decisions/test_manager_placement.py
@@ -44,7 +44,7 @@
     assert actions_of(StartAttempt, driver.arrive(1))
 
 
-def test_a_class_with_required_kinds_and_zones_goes_nowhere_else():
+def test_a_class_with_required_kinds_and_zones_uses_no_other_engine():
     bound = dataclasses.replace(LOOKUP, required_kinds=frozenset((1,)), required_zones=frozenset((0,)))
     driver = ManagerDriver(settings(bound), entries=[entry(1), entry(2, kind=1), entry(3, kind=1, zone=1)])
     driver.arrive(1)
@@ -56,7 +56,7 @@
     assert len(final_answers(driver.run(5 * SECOND))) >= 1
 
 
-def test_the_sum_of_bounds_limits_a_broker_whose_shares_are_under_a_query():
+def test_the_sum_of_bounds_limits_a_broker_whose_shares_are_smaller_than_a_query():
     driver = ManagerDriver(settings(LOOKUP, broker_count=250), engines=10)
     for request in range(60):
         driver.arrive(request)
--- a/tests/decisions/test_manager_retry_safety.py
+++ b/tests/decisions/test_manager_retry_safety.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_not_idempotent_that_may_have_executed_fails(outcome):
+def test_a_not_idempotent_request_that_may_have_executed_fails(outcome):
     driver = ManagerDriver(settings(NOT_IDEMPOTENT))
     driver.arrive(1)
     actions = driver.end(1, outcome)
@@ -36,20 +36,20 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
-def test_not_idempotent_that_never_executed_is_retried(outcome):
+def test_a_not_idempotent_request_that_never_executed_is_retried(outcome):
     driver = ManagerDriver(settings(NOT_IDEMPOTENT))
     driver.arrive(1)
     assert actions_of(StartAttempt, driver.end(1, outcome))
 
 
-def test_not_idempotent_fails_after_a_rejection_and_a_reset():
+def test_a_not_idempotent_request_fails_after_a_rejection_and_a_reset():
     driver = ManagerDriver(settings(NOT_IDEMPOTENT))
     driver.arrive(1)
     driver.end(1, Outcome.REJECTED)
     assert final_answers(driver.end(1, Outcome.RESET)) == [FailRequest(1)]
 
 
-def test_not_idempotent_in_flight_fails_at_its_deadline_and_is_not_cancelled():
+def test_a_not_idempotent_request_in_flight_fails_at_its_deadline_uncancelled():
     driver = ManagerDriver(settings(NOT_IDEMPOTENT))
     driver.arrive(1, time_limit=SECOND)
     actions = driver.run(SECOND)
@@ -57,7 +57,7 @@
     assert not cancellations(actions)
 
 
-def test_with_key_is_retried_only_within_its_deduplication_scope():
+def test_a_request_with_a_key_is_retried_only_within_its_deduplication_scope():
     for request in range(20):
         zones = [entry(i, zone=i % 2) for i in range(1, 7)]
         driver = ManagerDriver(settings(with_key(DeduplicationScope.ZONE)), entries=zones, seed=request)
@@ -70,7 +70,7 @@
         assert again % 2 == first % 2
 
 
-def test_with_key_fails_outside_its_deduplication_window():
+def test_a_request_with_a_key_fails_outside_its_deduplication_window():
     driver = ManagerDriver(settings(with_key(DeduplicationScope.CELL)))
     driver.arrive(1)
     actions = driver.end(1, Outcome.RESET, after=5 * SECOND)
@@ -78,7 +78,7 @@
     assert not actions_of(StartAttempt, actions)
 
 
-def test_with_key_is_not_retried_when_the_send_may_leave_outside_its_window():
+def test_a_request_with_a_key_is_not_retried_if_the_send_may_be_after_its_window():
     """A transport lets a send wait 0.5 s for its connection."""
     for window, again in ((SECOND // 2, 0), (SECOND, 1)):
         driver = ManagerDriver(
@@ -89,7 +89,7 @@
         assert len(actions_of(StartAttempt, actions)) == again
 
 
-def test_with_key_is_not_queued_beyond_its_window():
+def test_a_request_with_a_key_is_not_queued_beyond_its_window():
     """Guards against a retry that is sent when an engine becomes free after the window."""
     driver = ManagerDriver(
         settings(
@@ -112,7 +112,7 @@
     assert len(driver.sends) == 30
 
 
-def test_never_two_attempts_in_flight():
+def test_a_request_never_has_two_attempts_in_flight():
     """A cancelled attempt is in flight until it has ended."""
     driver = ManagerDriver(settings(dataclasses.replace(LOOKUP, latency_objective=4 * SECOND)))
     run_with_silent_engine(driver)
--- a/tests/decisions/test_manager_scale.py
+++ b/tests/decisions/test_manager_scale.py
@@ -22,7 +22,7 @@
     return {s.engine for s in driver.sends}
 
 
-def test_a_broker_of_many_keeps_to_its_preferred_engines():
+def test_each_of_many_brokers_uses_only_its_preferred_engines():
     # Each engine used is a handshake and an open connection there; without load reports a random guess of the
     # other brokers' load used to scatter the attempts over 10 to 12 of the 30 engines.
     used = [engines_used(broker_index=7, seed=seed) for seed in range(1, 6)]
@@ -30,7 +30,7 @@
     assert all(engines == used[0] for engines in used)  # by its own order, not by chance
 
 
-def test_the_fleet_still_covers_the_engines():
+def test_all_brokers_together_use_nearly_all_engines():
     # Every broker prefers other engines: together they use nearly all.
     covered = set().union(*(engines_used(broker_index) for broker_index in range(0, 40, 4)))
     assert len(covered) >= 25
--- a/tests/decisions/test_manager_slow_start.py
+++ b/tests/decisions/test_manager_slow_start.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(("broker_count", "interval"), [(2, 20_000), (40, 100_000), (250, 200_000)])
-def test_the_slow_start_budget_is_kept_and_used_over_all_brokers(broker_count, interval):
+def test_all_brokers_together_use_and_keep_the_slow_start_budget(broker_count, interval):
     """Managers side by side: what they send a starting engine in all is near the budget, never over it."""
     windows = 3
     work_sent = 0
@@ -65,7 +65,7 @@
     assert driver.manager.engines[first].warm_at == driver.now + 10 * SECOND
 
 
-def test_a_reset_beside_attempts_in_flight_ejects_nothing():
+def test_a_reset_with_other_attempts_in_flight_ejects_no_engine():
     driver = ManagerDriver(engines=1)
     driver.arrive(1)
     driver.arrive(2)
@@ -75,7 +75,7 @@
     assert not driver.manager.engines[1].ejected  # the resent first request lives on
 
 
-def test_resets_without_a_failed_connection_begin_no_slow_start():
+def test_resets_without_a_refused_connection_begin_no_slow_start():
     """Paths reset connections too: an engine that answers again is the one that it was."""
     driver = ManagerDriver(engines=1)
     for request in range(1, 3):
--- a/tests/decisions/test_manager_state.py
+++ b/tests/decisions/test_manager_state.py
@@ -14,7 +14,7 @@
 from tests.decisions.manager_driver import ORDERED, SECOND, ManagerDriver, entry, settings
 
 
-def test_same_events_same_actions():
+def test_the_same_events_produce_the_same_actions():
     one, two = ManagerDriver(seed=5), ManagerDriver(seed=5)
     for driver in (one, two):
         for request in range(50):
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -11,20 +11,20 @@
 COOLDOWN = 300_000 + 5_000  # µs: the settings' and the timer's resolution
 
 
-def ordered():
+def make_order():
     context = make_context(replace(LOOKUP, ordered=True), LOOKUP, ordering_key_cooldown=300_000)
     return context, KeyOrder(context)
 
 
 def test_order_applies_to_ordered_classes_and_requests_with_a_key():
-    context, order = ordered()
+    context, order = make_order()
     assert order.applies_to(make_request(context, key=7))
     assert not order.applies_to(make_request(context, key=0))
     assert not order.applies_to(make_request(context, class_index=1, key=7))
 
 
-def test_one_of_a_key_is_first_and_the_next_follows_it():
-    context, order = ordered()
+def test_the_requests_of_a_key_become_first_in_order_of_arrival():
+    context, order = make_order()
     one, two, three = (make_request(context, number, key=7) for number in (1, 2, 3))
     other = make_request(context, 4, key=8)
     assert [order.join(request) for request in (one, two, three, other)] == [True, False, False, True]
@@ -36,8 +36,8 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_an_uncertain_end_starts_the_cooldown_of_a_key(outcome):
-    context, order = ordered()
+def test_an_uncertain_outcome_starts_the_cooldown_of_its_key(outcome):
+    context, order = make_order()
     one, two = make_request(context, 1, key=7), make_request(context, 2, key=7)
     order.record_end(one, outcome)
     assert not order.may_start(two)
@@ -48,14 +48,14 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED])
-def test_no_cooldown_after_a_certain_end(outcome):
-    context, order = ordered()
+def test_a_certain_outcome_starts_no_cooldown(outcome):
+    context, order = make_order()
     order.record_end(make_request(context, 1, key=7), outcome)
     assert order.may_start(make_request(context, 2, key=7))
 
 
 def test_cooldowns_that_are_over_are_dropped():
-    context, order = ordered()
+    context, order = make_order()
     for key in range(1, 100):
         order.record_end(make_request(context, key, key=key), Outcome.RESET)
     context.now += COOLDOWN
--- a/tests/decisions/test_queues.py
+++ b/tests/decisions/test_queues.py
@@ -13,7 +13,7 @@
 BLOCKED = replace(LOOKUP, blocked_by_loads=True)
 
 
-class Queues:
+class QueuesFixture:
     """The queues of one class, and what they rejected."""
 
     def __init__(self, class_settings: ClassSettings = LOOKUP) -> None:
@@ -31,13 +31,13 @@
         request.queued = False
         self.rejected.append(request.id)
 
-    def head(self, *blocked_rows):
-        request = self.queues.head(0, set(blocked_rows), self.reject)
+    def head(self, *blocked_subqueues):
+        request = self.queues.head(0, set(blocked_subqueues), self.reject)
         return request and request.id
 
 
 def test_shortest_first_then_in_order_of_queueing():
-    queues = Queues()
+    queues = QueuesFixture()
     requests = [queues.add(number, cost) for number, cost in ((1, 300), (2, 100), (3, 100), (4, 200))]
     order = []
     while (number := queues.head()) is not None:
@@ -46,16 +46,16 @@
     assert order == [2, 3, 4, 1]
 
 
-def test_late_requests_without_value_are_rejected():
-    queues = Queues()
+def test_late_requests_without_late_priority_weight_are_rejected():
+    queues = QueuesFixture()
     queues.add(1)
     queues.context.now += SECOND
     assert queues.head() is None
     assert queues.rejected == [1]
 
 
-def test_late_requests_of_value_come_after_those_on_time():
-    queues = Queues(LATE)
+def test_late_requests_with_late_priority_weight_come_after_those_on_time():
+    queues = QueuesFixture(LATE)
     queues.add(1, cost=50_000)
     queues.context.now += SECOND
     queues.add(2, cost=400_000)
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize(("slowdown", "served"), [(1.4, 1), (1.6, None)])
 def test_late_requests_are_served_only_without_overload(slowdown, served):
-    queues = Queues(LATE)
+    queues = QueuesFixture(LATE)
     queues.add(1)
     queues.pace.slowdown = slowdown
     queues.context.now += SECOND
@@ -76,7 +76,7 @@
 
 
 def test_late_requests_are_rejected_once_they_miss_their_deadline():
-    queues = Queues(LATE)
+    queues = QueuesFixture(LATE)
     queues.add(1)
     queues.context.now += SECOND
     assert queues.head() == 1
@@ -85,8 +85,8 @@
     assert queues.rejected == [1]
 
 
-def test_a_blocked_row_blocks_no_other():
-    queues = Queues(BLOCKED)
+def test_a_blocked_subqueue_does_not_block_others():
+    queues = QueuesFixture(BLOCKED)
     queues.add(1, cost=100, table_group=7)
     queues.add(2, cost=200, table_group=8)
     assert queues.head() == 1
@@ -94,15 +94,15 @@
     assert queues.head(7, 8) is None
 
 
-def test_requests_without_loads_share_one_row():
-    queues = Queues()
+def test_requests_of_classes_that_loads_do_not_block_share_one_subqueue():
+    queues = QueuesFixture()
     queues.add(1, table_group=7)
     assert queues.head(7) == 1
     assert queues.head(0) is None
 
 
-def test_only_first_attempts_count_as_waiting():
-    queues = Queues()
+def test_only_requests_without_an_attempt_count_as_waiting():
+    queues = QueuesFixture()
     first, repeated, finished = queues.add(1), queues.add(2), queues.add(3)
     repeated.attempts = 1
     finished.queued = False
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -39,7 +39,7 @@
     return context, RetryBudget(context)
 
 
-def test_no_budget_allows_all():
+def test_without_a_budget_all_retries_are_allowed():
     context = make_context()
     budget = RetryBudget(context)
     for _ in range(1_000):
@@ -74,7 +74,7 @@
     assert budget.allows_retry()
 
 
-def test_a_request_that_is_withdrawn_allows_nothing():
+def test_a_withdrawn_request_allows_no_retry():
     _, budget = make_budget(floor=0.0, ratio=1.0)
     budget.record_request()
     assert budget.allows_retry()
@@ -99,12 +99,12 @@
     assert RetryPolicy(context, budget).reason_against_sending(make_request(context)) is Reason.RETRY_BUDGET
 
 
-def test_what_was_never_executed_may_be_sent_again_whatever_its_class():
+def test_a_request_that_was_never_executed_may_be_sent_again_in_any_class():
     for class_settings in (UNSAFE, keyed()):
         assert reason_against_repeat(class_settings, None, START) is None
 
 
-def test_what_may_have_been_executed_is_sent_again_by_its_idempotency():
+def test_a_request_that_may_have_executed_is_sent_again_only_if_idempotent():
     assert reason_against_repeat(ClassSettings(SECOND, SECOND), EXECUTION, START + 99 * SECOND) is None
     assert reason_against_repeat(UNSAFE, EXECUTION, START) is Reason.MAY_HAVE_EXECUTED
 
@@ -128,7 +128,7 @@
         (DeduplicationScope.CELL, {1, 3}),
     ],
 )
-def test_duplicates_are_dropped_within_the_scope(scope, dropped_at):
+def test_duplicates_are_dropped_within_the_deduplication_scope(scope, dropped_at):
     engines = make_registry(
         make_context(), list_entry(1), list_entry(2, cell=1), list_entry(3, zone=1)
     ).engines
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -19,7 +19,7 @@
 LOAD = replace(LOOKUP, is_load=True, latency_objective=10 * SECOND)
 
 
-class Routing:
+class RoutingFixture:
     """A router over engines that all have capacity, unless the test says otherwise."""
 
     def __init__(self, *classes, engines=(1, 2, 3), **changes):
@@ -52,7 +52,7 @@
 
 
 def test_equal_engines_are_chosen_at_random():
-    routing = Routing()
+    routing = RoutingFixture()
     for group in range(3):
         routing.affinity.record_request(group)
     routing.affinity.group_engines = lambda group: routing.registry.ready
@@ -60,8 +60,8 @@
     assert len(routing.chosen()) == 3
 
 
-def test_the_fewest_own_threads_a_core_win():
-    routing = Routing(engines=[list_entry(1), list_entry(2, kind=1)])  # eight and four cores
+def test_the_engine_with_the_fewest_own_threads_per_core_is_chosen():
+    routing = RoutingFixture(engines=[list_entry(1), list_entry(2, kind=1)])  # eight and four cores
     routing.affinity.group_engines = lambda group: routing.registry.ready
     routing.engine(1).threads, routing.engine(2).threads = 3, 2
     assert routing.chosen() == {1: 200}
@@ -69,16 +69,16 @@
     assert routing.chosen() == {2: 200}
 
 
-def test_engines_without_capacity_are_left_out():
-    routing = Routing()
+def test_engines_without_capacity_are_not_chosen():
+    routing = RoutingFixture()
     routing.full = {1, 3}
     assert routing.chosen() == {2: 200}
     routing.full = {1, 2, 3}
     assert routing.chosen() == {None: 200}
 
 
-def test_a_full_fleet_takes_nothing_and_draws_nothing():
-    routing = Routing()
+def test_without_fleet_capacity_no_engine_is_chosen_and_no_random_number_drawn():
+    routing = RoutingFixture()
     routing.fleet_is_full = True
     before = routing.context.random.getstate()
     assert routing.chosen() == {None: 200}
@@ -87,20 +87,22 @@
 
 def test_only_required_kinds_and_zones_are_chosen():
     bound = replace(LOOKUP, required_kinds=frozenset((1,)), required_zones=frozenset((0,)))
-    routing = Routing(bound, engines=[list_entry(1), list_entry(2, kind=1), list_entry(3, kind=1, zone=1)])
+    routing = RoutingFixture(
+        bound, engines=[list_entry(1), list_entry(2, kind=1), list_entry(3, kind=1, zone=1)]
+    )
     assert routing.chosen() == {2: 200}
 
 
 def test_a_retry_with_a_key_stays_within_its_deduplication_scope():
     keyed = replace(LOOKUP, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ZONE)
-    routing = Routing(keyed, engines=[list_entry(1), list_entry(2, zone=1), list_entry(3)])
+    routing = RoutingFixture(keyed, engines=[list_entry(1), list_entry(2, zone=1), list_entry(3)])
     request = make_request(routing.context)
     request.first_possible_execution = PossibleExecution(START, routing.engine(2))
     assert routing.chosen_for(request) == {2: 200}
 
 
-def test_engines_slower_than_all_cost_as_much_more():
-    routing = Routing(engines=(1, 2))
+def test_cost_grows_with_the_slowdown_relative_to_the_fleet():
+    routing = RoutingFixture(engines=(1, 2))
     routing.affinity.group_engines = lambda group: routing.registry.ready
     routing.engine(1).threads, routing.engine(2).threads = 1, 3
     routing.engine(1).slowdown = 2.1  # two threads count as four and a bit
@@ -110,8 +112,8 @@
 
 
 @pytest.mark.parametrize("what", ["avoided", "rejecting"])
-def test_an_engine_that_just_failed_comes_last(what):
-    routing = Routing()
+def test_an_engine_that_just_failed_is_chosen_last(what):
+    routing = RoutingFixture()
     routing.affinity.group_engines = lambda group: routing.registry.ready
     request = make_request(routing.context)
     assert 1 in routing.chosen_for(request)
@@ -124,9 +126,9 @@
     assert routing.chosen_for(request) == {1: 200}
 
 
-def test_engines_that_another_class_requires_are_spared():
+def test_engines_that_another_class_requires_cost_more():
     bound = replace(LOOKUP, required_kinds=frozenset((1,)))
-    routing = Routing(LOOKUP, bound, engines=[list_entry(1), list_entry(2, kind=1)])
+    routing = RoutingFixture(LOOKUP, bound, engines=[list_entry(1), list_entry(2, kind=1)])
     routing.affinity.group_engines = lambda group: routing.registry.ready
     assert routing.chosen() == {1: 200}
     routing.engine(1).threads = 5
@@ -139,15 +141,15 @@
     assert routing.chosen() == {2: 200}
 
 
-def test_a_groups_own_engines_are_preferred():
-    routing = Routing(engines=range(1, 11))
+def test_the_engines_of_a_group_are_preferred():
+    routing = RoutingFixture(engines=range(1, 11))
     routing.affinity.record_request(7)
     routing.affinity.record_request(8)
     assert set(routing.chosen(table_group=9)) == {routing.affinity.ranked(9)[0].id}
 
 
-def test_a_broker_prefers_its_own_engines_where_they_are_warm():
-    routing = Routing(engines=range(1, 11), broker_index=4, broker_count=20)
+def test_a_broker_avoids_warm_engines_outside_its_preferred_ones():
+    routing = RoutingFixture(engines=range(1, 11), broker_index=4, broker_count=20)
     routing.affinity.group_engines = lambda group: routing.registry.ready
     own = {engine.id for engine in routing.affinity.ranked(-5)[:3]}
     assert set(routing.chosen()) == own
@@ -156,8 +158,8 @@
     assert set(routing.chosen()) == own | {other.id}
 
 
-def test_an_engine_that_others_load_is_avoided_as_its_report_tells():
-    routing = Routing(engines=(1, 2), broker_count=100)
+def test_engines_with_a_high_reported_load_are_avoided_while_the_report_is_fresh():
+    routing = RoutingFixture(engines=(1, 2), broker_count=100)
     routing.affinity.group_engines = lambda group: routing.registry.ready
     routing.engine(1).reported_load, routing.engine(1).reported_at = 1.0, routing.context.now
     routing.engine(2).reported_load, routing.engine(2).reported_at = 0.5, routing.context.now
@@ -167,7 +169,7 @@
 
 
 def test_queries_avoid_engines_where_a_load_blocks_their_group():
-    routing = Routing(BLOCKED)
+    routing = RoutingFixture(BLOCKED)
     routing.affinity.group_engines = lambda group: routing.registry.ready
     routing.affinity.excluded_engines = lambda request: ()  # as where no other engine is usable
     routing.engine(1).blocked_until[7] = routing.context.now + 1
@@ -176,7 +178,7 @@
 
 
 def test_loads_and_queries_that_they_block_go_to_separate_engines():
-    routing = Routing(BLOCKED, LOAD, engines=range(1, 6))
+    routing = RoutingFixture(BLOCKED, LOAD, engines=range(1, 6))
     routing.pace.answer_rate = 10.0  # so many that the broker prefers all five
     ranks = routing.affinity.ranked(7)
     routing.affinity.load_engines = lambda group: ranks[3:]
@@ -186,8 +188,8 @@
     assert not set(routing.chosen(class_index=0, table_group=7)) & loads
 
 
-def test_a_load_waits_where_those_ahead_would_make_it_late():
-    routing = Routing(BLOCKED, LOAD, engines=(1, 2))
+def test_a_load_waits_if_the_loads_ahead_would_make_it_late():
+    routing = RoutingFixture(BLOCKED, LOAD, engines=(1, 2))
     routing.estimates.work[1] = 8 * SECOND
     allowed = routing.affinity.ranked(7)[1]  # the first is left to the group's queries
     assert routing.chosen(class_index=1, table_group=7) == {allowed.id: 200}
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -6,7 +6,7 @@
 from cypressledge.decisions.slow_start import SlowStart
 from tests.decisions.parts import LOOKUP, SECOND, START, list_entry, make_context, make_registry, make_request
 
-SITE = {
+SLOW_START_SETTINGS = {
     "slow_start_window": 10 * SECOND,
     "slow_start_capacity": 0.3,
     "overload_multiple": 2.0,
@@ -15,8 +15,8 @@
 BUDGET = 2.0 * 0.3 * 8 * 2 * SECOND * 0.6  # µs of work in a window, of 8 cores
 
 
-def warming(work=0.0, **changes):
-    context = make_context(LOOKUP, **(SITE | changes))
+def make_slow_start(work=0.0, **changes):
+    context = make_context(LOOKUP, **(SLOW_START_SETTINGS | changes))
     estimates = ClassEstimates(context)
     estimates.work[0], estimates.has_cost_estimates = work, True
     engine = make_registry(context, list_entry(1, started_at=START - SECOND)).engines[1]
@@ -31,8 +31,8 @@
     return sends
 
 
-def test_a_warm_engine_has_no_budget():
-    context, _, slow_start, engine = warming(work=10 * BUDGET)
+def test_the_budget_limits_an_engine_until_it_is_warm():
+    context, _, slow_start, engine = make_slow_start(work=10 * BUDGET)
     assert not slow_start.has_budget(engine, 0)
     context.now = engine.warm_at
     assert slow_start.has_budget(engine, 0)
@@ -40,18 +40,18 @@
 
 def test_work_of_a_window_stays_within_the_budget():
     work = BUDGET / 4
-    context, _, slow_start, engine = warming(work=work)
+    context, _, slow_start, engine = make_slow_start(work=work)
     assert sends_until_full(context, slow_start, engine) == 4
 
 
 def test_the_budget_is_shared_between_brokers():
     work = BUDGET / 4
-    context, _, slow_start, engine = warming(work=work, broker_count=2)
+    context, _, slow_start, engine = make_slow_start(work=work, broker_count=2)
     assert sends_until_full(context, slow_start, engine) == 2
 
 
 def test_sends_leave_the_window():
-    context, _, slow_start, engine = warming(work=BUDGET / 2)
+    context, _, slow_start, engine = make_slow_start(work=BUDGET / 2)
     assert sends_until_full(context, slow_start, engine) == 2
     context.now += 2 * SECOND + 5_000
     assert not slow_start.has_budget(engine, 0)
@@ -61,39 +61,41 @@
     assert not engine.recent_sends
 
 
-def test_small_work_is_sent_at_random_and_adds_up_to_the_budget():
+def test_random_sends_of_small_requests_add_up_to_the_budget():
     """Over all brokers: each has a share of less than a request."""
     sends = 0
     for broker in range(400):
-        context, _, slow_start, engine = warming(work=BUDGET / 100, broker_index=broker, broker_count=400)
+        context, _, slow_start, engine = make_slow_start(
+            work=BUDGET / 100, broker_index=broker, broker_count=400
+        )
         sends += sends_until_full(context, slow_start, engine)
     assert 60 <= sends <= 140
 
 
 @pytest.mark.parametrize(("answers", "allowed"), [(0, 1), (8, 10_000)])
-def test_unknown_work_counts_as_what_its_objective_allows(answers, allowed):
+def test_unknown_work_counts_as_much_as_its_objective_allows(answers, allowed):
     """Without estimates: BUDGET holds 11 seconds and a half of it, a share of five brokers two and a bit."""
-    context, estimates, slow_start, engine = warming(broker_count=9)
+    context, estimates, slow_start, engine = make_slow_start(broker_count=9)
     estimates.has_cost_estimates, estimates.answer_counts = False, [answers]
     assert sends_until_full(context, slow_start, engine) in range(allowed - 1, allowed + 2)
 
 
-def test_an_ejected_engine_has_a_budget_however_warm():
-    context, _, slow_start, engine = warming(work=10 * BUDGET)
+def test_the_budget_limits_an_ejected_engine_even_when_warm():
+    context, _, slow_start, engine = make_slow_start(work=10 * BUDGET)
     context.now = engine.warm_at
     engine.ejected = True
     assert not slow_start.has_budget(engine, 0)
 
 
-def test_a_restart_begins_the_slow_start_anew():
-    context, _, slow_start, engine = warming()
+def test_a_restart_begins_a_new_slow_start():
+    context, _, slow_start, engine = make_slow_start()
     context.now = engine.warm_at
     slow_start.restart(engine)
     assert engine.warm_at == context.now + 10 * SECOND
 
 
-def test_only_so_many_sends_are_remembered():
-    context, estimates, slow_start, engine = warming(work=1.0)
+def test_the_number_of_remembered_sends_is_limited():
+    context, estimates, slow_start, engine = make_slow_start(work=1.0)
     for number in range(500):
         slow_start.record_send(engine, make_request(context, number))
     assert len(engine.recent_sends) == 400
--- a/tests/decisions/test_slow_start_of_all_brokers.py
+++ b/tests/decisions/test_slow_start_of_all_brokers.py
@@ -173,7 +173,9 @@
     [(KINDS, True), (KINDS, False), (KINDS[:1], True)],
     ids=["mixed", "no estimates", "short work"],
 )
-def test_the_sum_of_all_brokers_stays_within_the_budget_and_chance(broker_count, restart, kinds, estimates):
+def test_work_of_all_brokers_keeps_the_budget_within_random_variation(
+    broker_count, restart, kinds, estimates
+):
     """Without estimates, classes of which no answer had come weighed nothing: 86 calls of 24."""
     for seed in (1, 2):
         largest, budget, calls = simulate(broker_count, seed, kinds, estimates, restart)
