--- a/cypressledge/decisions/affinity.py
+++ b/cypressledge/decisions/affinity.py
@@ -1,7 +1,7 @@
 """Affinity of table groups, their loads and this broker to engines, by ranks that are equal at every broker.
 
-Brokers exchange no messages about it: equal ranks concentrate a group on a few engines, where its tables are
-cached, and separate loads from the queries that they block.
+Brokers exchange no messages about affinity. Because their ranks are equal, they send the requests of a group
+to the same few engines, where its tables are cached, and keep loads apart from the queries that they block.
 """
 
 from collections.abc import Collection, Mapping
@@ -14,13 +14,13 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA_WEIGHT
 
-REQUEST_COUNT_DECAY = 0.95  # weight of a group's earlier requests after each control period
-REQUEST_COUNT_MIN = 0.1  # a group with a lower count is dropped
-GROUP_ENGINES_FACTOR = 1.5  # engines of a group over its share of all engines, as its traffic varies
-LOAD_ENGINES_FACTOR = 1.6  # engines of a group's loads over the number that run at once
-LOAD_FREE_SHARE = 0.2  # part of the engines that a group's loads do not use
+REQUEST_COUNT_DECAY = 0.95  # factor on a group's request count at the end of each control period
+REQUEST_COUNT_MIN = 0.1  # requests; a group with a lower count is dropped
+GROUP_ENGINES_FACTOR = 1.5  # engines of a group over its traffic share of all engines, as its traffic varies
+LOAD_ENGINES_FACTOR = 1.6  # engines for a group's loads over the number of its loads that run at once
+LOAD_FREE_SHARE = 0.2  # fraction of the engines that a group's loads do not use
 RUNNING_LOADS_WEIGHT = EWMA_WEIGHT / 2  # weight of one new count in the mean of this broker's running loads
-LOADS_AHEAD_SHARE = 0.75  # part of a load's latency objective that the loads ahead of it may take
+LOADS_AHEAD_SHARE = 0.75  # fraction of a load's latency objective that the loads ahead of it may take
 
 
 class Affinity:
@@ -30,9 +30,9 @@
         self._context = context
         self._registry = registry
         self._estimates = estimates
-        self._request_counts: dict[int, float] = {}  # by group, faded
+        self._request_counts: dict[int, float] = {}  # by group; decayed in each control period
         self._ranks: dict[int, list[Engine]] = {}  # by token
-        self._running_loads = 0.0  # running mean of this broker's own
+        self._running_loads = 0.0  # running mean of the number of this broker's loads in flight
 
     def record_request(self, group: int) -> None:
         """Count a request of the group."""
@@ -44,7 +44,7 @@
         self._running_loads += RUNNING_LOADS_WEIGHT * (running - self._running_loads)
 
     def end_period(self) -> None:
-        """Fade the counts of requests; drop groups with hardly any."""
+        """Decay the request counts; drop groups whose count is at most `REQUEST_COUNT_MIN`."""
         self._request_counts = {
             group: count * REQUEST_COUNT_DECAY
             for group, count in self._request_counts.items()
@@ -52,11 +52,11 @@
         }
 
     def engines_changed(self) -> None:
-        """The registry has changed: ranks are computed anew."""
+        """Discard the cached ranks after a change of the registry."""
         self._ranks.clear()
 
     def ranked(self, token: int) -> list[Engine]:
-        """The engines that take requests, in an order of the token that is equal at every broker."""
+        """Return the ready engines in the order for the token, which is equal at every broker."""
         ranks = self._ranks.get(token)
         if ranks is None:
             ranks = sorted(self._registry.ready, key=lambda engine: rank_hash(token, engine.id))
@@ -64,16 +64,16 @@
         return ranks
 
     def group_engines(self, group: int) -> list[Engine]:
-        """Engines that all brokers prefer for a group, as many as its part of the traffic fills."""
+        """Return the engines that all brokers prefer for a group; their number grows with its traffic."""
         ready_count = len(self._registry.ready)
         count = 1 + ceil(GROUP_ENGINES_FACTOR * self._traffic_fraction(group) * ready_count)
         return self.ranked(group)[:count]
 
     def load_engines(self, group: int) -> list[Engine]:
-        """Engines that all brokers prefer for a group's loads, as many as its part of all loads occupies.
+        """Return the engines that all brokers prefer for a group's loads, enough for their estimated number.
 
-        Guards against queries that are blocked by other brokers' loads, which this broker does not know of:
-        queries prefer other engines.
+        This broker does not know the loads of other brokers, which block queries of their group as well.
+        Queries of the group therefore prefer the other engines.
         """
         broker_count = self._context.settings.broker_count
         fraction = self._traffic_fraction(group)
@@ -83,10 +83,11 @@
         return self.ranked(group)[first:]
 
     def excluded_engines(self, request: Request) -> Collection[Engine]:
-        """Engines that a load leaves to its group's queries, or where such a query would be blocked.
+        """Return the engines that the request must not use; empty if no other engine is usable.
 
-        Guards against a group with loads at every engine, nearly all the time, whose queries would be blocked
-        wherever they are sent or moved. Where no other engine is usable, none is excluded.
+        A load must not use the engines that are kept free for the queries of its group. A query that loads
+        block must not use engines where a load of its group runs. Otherwise, a group with loads at every
+        engine nearly all the time would have its queries blocked wherever they are sent or moved.
         """
         ready, now = self._registry.ready, self._context.now
         group = request.table_group
@@ -102,11 +103,11 @@
         return excluded if any(_is_usable(engine, now) for engine in alternatives) else ()
 
     def load_would_start_soon(self, engine: Engine, load: Request) -> bool:
-        """Whether a load would start in time behind the loads of its group that run at an engine.
+        """Return whether a load would start in time behind the loads of its group that run at an engine.
 
-        Guards against loads that wait at an engine, in order of arrival and occupying its capacity, until
-        they are late: at the broker they wait shortest first, and occupy none. The other brokers are taken to
-        have as many loads there as this one.
+        Loads that wait at an engine run in order of arrival and occupy its capacity until they are late.
+        Loads that wait at the broker are sent shortest first and occupy no capacity. Each of the other
+        brokers is assumed to run as many loads at the engine as this one.
         """
         broker_count = self._context.settings.broker_count
         work, threads = self._estimates.work[load.class_index], load.class_settings.threads
@@ -114,9 +115,10 @@
         return run_time_ahead <= LOADS_AHEAD_SHARE * (load.objective_at - load.received_at)
 
     def preference_distances(self, preferred_count: int) -> Mapping[Engine, float]:
-        """By engine, how far it is from the first `preferred_count` in this broker's order of engines.
+        """Return each engine's distance from the first `preferred_count` engines in this broker's order.
 
-        0.0 for those; 1.0 for the next one, and one more for every `preferred_count` further.
+        The distance is 0.0 for the preferred engines and 1.0 for the next one; it grows by 1.0 with every
+        `preferred_count` further ranks.
         """
         ranks = self.ranked(-1 - self._context.settings.broker_index)
         return {
@@ -129,7 +131,7 @@
 
 
 def blocks_queries(engine: Engine, group: int, now: int) -> bool:
-    """Whether a load of the group runs at the engine, as far as this broker knows."""
+    """Return whether a load of the group runs at the engine, as far as this broker knows."""
     return bool(engine.loads_in_flight.get(group, 0)) or engine.blocked_until.get(group, 0) > now
 
 
--- a/cypressledge/decisions/attempt_resources.py
+++ b/cypressledge/decisions/attempt_resources.py
@@ -6,18 +6,21 @@
 from cypressledge.decisions.request import Request
 
 LATE_PRIORITY, USUAL_PRIORITY, RAISED_PRIORITY, URGENT_PRIORITY = range(4)
-RAISED_SHARE = 0.5  # of the time to its objective after which a request's priority is raised
+RAISED_SHARE = 0.5  # fraction of the time to its objective after which a request's priority is raised
 
 
 class AttemptResources:
-    """Sets grants, and priorities: highest for short work and loads, lowest for work past its objective."""
+    """Sets memory grants and the priorities of requests.
+
+    Short requests and loads have the highest priority, requests past their latency objective the lowest.
+    """
 
     def __init__(self, context: DecisionContext, estimates: ClassEstimates) -> None:
         self._context = context
         self._estimates = estimates
 
     def update(self, request: Request) -> None:
-        """Set the resources of a request's attempt; nothing is sent where they have not changed."""
+        """Set the resources of a request's attempt; add no action if they have not changed."""
         settings = self._context.settings
         if not (settings.supports_priorities or settings.supports_memory_grants):
             return
@@ -32,7 +35,7 @@
     def _priority(self, request: Request) -> int:
         now = self._context.now
         if request.class_settings.is_load:
-            return URGENT_PRIORITY  # even when it is late, since it blocks its group's queries
+            return URGENT_PRIORITY  # even when it is late, because it blocks the queries of its group
         if now > request.objective_at:
             return LATE_PRIORITY
         if request.run_time <= self._estimates.mean_run_time:
--- a/cypressledge/decisions/context.py
+++ b/cypressledge/decisions/context.py
@@ -1,4 +1,4 @@
-"""What the modules of the decisions share: settings, current time, random source and actions."""
+"""State that the modules of the decision logic share: settings, current time, random source and actions."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -8,9 +8,9 @@
 
 @dataclass(slots=True, eq=False)
 class DecisionContext:
-    """The inputs and outputs of one call of the decisions; no clock is read."""
+    """Inputs and outputs of one call of `WorkloadManager.handle`; no clock is read."""
 
     settings: Settings
     random: Random
-    now: int = 0  # µs, time of the events that are handled
-    actions: list[Action] = field(default_factory=list)  # what is to be done, in order
+    now: int = 0  # µs; time of the events being handled
+    actions: list[Action] = field(default_factory=list)  # actions to execute, in order
--- a/cypressledge/decisions/contract.py
+++ b/cypressledge/decisions/contract.py
@@ -1,7 +1,7 @@
-"""The contract of the decisions: the settings, the events they are given and the actions they answer with.
+"""Interface of the decision logic: its settings, the events it handles and the actions it returns.
 
-All times are integer microseconds of one monotonic clock, all spans integer microseconds. Engines and
-requests are identified by opaque integers, table groups and ordering keys by hashes.
+All times are integer microseconds of one monotonic clock, and all durations are integer microseconds. Engines
+and requests are identified by opaque integers, table groups and ordering keys by hashes.
 """
 
 from dataclasses import dataclass, field
@@ -9,15 +9,15 @@
 
 
 class Idempotency(IntEnum):
-    """How safe it is to execute a request of a class more than once."""
+    """Whether a request of a class may safely be executed more than once."""
 
     IDEMPOTENT = 0
-    WITH_KEY = 1  # engines drop a duplicate of the same idempotency key within a window
+    WITH_KEY = 1  # engines drop duplicates with the same idempotency key within a time window
     NOT_IDEMPOTENT = 2
 
 
 class DeduplicationScope(IntEnum):
-    """Which engines drop a duplicate of a request that one of them has executed."""
+    """The engines that drop a duplicate of a request that one of them has executed."""
 
     ALL = 0
     ZONE = 1
@@ -25,12 +25,12 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended, in the codes of the simulator's wire."""
+    """How an attempt ended; the values are the codes of the simulator's wire protocol."""
 
     OK = 0
-    NOT_SENT = 249  # it never left this broker
+    NOT_SENT = 249  # the attempt never left this broker
     CANCELLED = 250
-    RESET = 251  # the connection broke; the engine may have executed it
+    RESET = 251  # the connection broke; the engine may have executed the request
     CONNECT_FAILED = 252
     TIMEOUT = 253
     REJECTED = 254  # the engine has no free session
@@ -41,27 +41,27 @@
 
 
 class Reason(StrEnum):
-    """Why a request ends without a result, or an attempt is cancelled: for logs and counters."""
+    """Why a request ends without a result or an attempt is cancelled; used in logs and counters."""
 
     UNKNOWN = "unknown"
     SHUTTING_DOWN = "shutting-down"
     DEADLINE = "deadline"  # the attempt is still in flight at the client's deadline
-    NO_CAPACITY = "no-capacity"  # it waited for an engine until its deadline
-    OBJECTIVE_MISSED = "objective-missed"  # past its latency objective, and of no value any more
+    NO_CAPACITY = "no-capacity"  # the request waited for an engine until its deadline
+    OBJECTIVE_MISSED = "objective-missed"  # too late for its latency objective, or for late service
     ATTEMPTS_USED = "attempts-used"
     NO_TIME = "no-time-for-retry"
     RETRY_BUDGET = "retry-budget"
     DEDUPLICATION_WINDOW_OVER = "deduplication-window-over"
     MAY_HAVE_EXECUTED = "may-have-executed"
-    RUNAWAY = "runaway"  # it runs far longer than a fresh attempt would
+    RUNAWAY = "runaway"  # the attempt would run far longer than a new one
     BEHIND_LOAD = "behind-load"
     ENGINE_SILENT = "engine-silent"
     RESPONSE_LOST = "response-lost"
-    REQUEST_FINISHED = "request-finished"  # the client disconnected, or has its answer
+    REQUEST_FINISHED = "request-finished"  # the client disconnected or has its final answer
 
 
 class EngineListKind(IntEnum):
-    """What an update of the engine list holds."""
+    """Kind of an update of the engine list."""
 
     DELTA = 0  # changed entries only
     FULL = 1
@@ -78,67 +78,67 @@
 
 
 class ProgressKind(IntEnum):
-    """What a progress notification of an attempt in flight reports."""
+    """Kind of a progress notification of an attempt in flight."""
 
-    PROGRESS = 1  # value: the part done, 0 to 1
-    SPILLING = 2  # value: megabytes of memory missing
+    PROGRESS = 1  # value: the fraction done, 0 to 1
+    SPILLING = 2  # value: megabytes of memory that the attempt lacks
     WAITING = 3  # value: 1 for memory, WAITS_FOR_LOAD for a load
 
 
-WAITS_FOR_LOAD = 2.0
+WAITS_FOR_LOAD = 2.0  # value of a WAITING notification whose attempt waits for a load
 
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """A class of requests, in the order of the settings."""
+    """Settings of one class of requests."""
 
-    latency_objective: int  # µs; what is answered later is worth late_priority_weight
-    deadline: int  # µs after which clients of this class give up
-    priority_weight: float = 1.0
-    late_priority_weight: float = 0.0
-    latency_objective_stretch: float = 0.0  # the objective grows by this multiple of the run time
+    latency_objective: int  # µs; requests answered later have late_priority_weight
+    deadline: int  # µs; time after which clients of this class give up
+    priority_weight: float = 1.0  # weight of requests answered within the latency objective
+    late_priority_weight: float = 0.0  # weight of requests answered later
+    latency_objective_stretch: float = 0.0  # multiple of the run time that is added to the objective
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: int = 0  # µs for which engines drop duplicates
-    ordered: bool = False  # requests of one ordering key run one after the other
-    threads: int = 1  # that a request runs on at an engine
-    is_load: bool = False  # it locks its table group at its engine until it ends
-    blocked_by_loads: bool = False  # it is blocked while a load locks its table group
-    required_kinds: frozenset[int] | None = None  # engine kinds that may run it; None: all
-    required_zones: frozenset[int] | None = None
+    deduplication_window: int = 0  # µs; time during which engines drop duplicates
+    ordered: bool = False  # whether requests with the same ordering key run one after the other
+    threads: int = 1  # threads that a request uses at an engine
+    is_load: bool = False  # whether requests lock their table group at their engine until they end
+    blocked_by_loads: bool = False  # whether requests are blocked while a load locks their table group
+    required_kinds: frozenset[int] | None = None  # engine kinds that may run the requests; None: all
+    required_zones: frozenset[int] | None = None  # zones whose engines may run the requests; None: all
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a workload manager.
+    """Settings of a workload manager.
 
-    Raises ValueError, naming the field, for a value out of range.
+    Raises `ValueError` with the field's name for a value out of range.
     """
 
-    classes: tuple[ClassSettings, ...]
+    classes: tuple[ClassSettings, ...]  # indexed by class_index
     kind_cores: tuple[int, ...]  # cores of an engine, by kind
-    timer_resolution: int  # µs between two rounds of decisions
-    broker_index: int = 0  # number of this broker among broker_count
-    broker_count: int = 1
-    supports_memory_grants: bool = False
-    supports_priorities: bool = False
-    reports_cost: bool = False  # answers report the work and the memory that a request took
-    kind_memory_mb: tuple[float, ...] = ()
-    max_memory_grant: float = 1.0  # part of an engine's memory
-    supports_cancel: bool = False
-    max_attempts: int = 1
-    list_on_request: bool = False  # the engine list is sent only to who subscribes
-    slow_start_capacity: float = 1.0  # part of its capacity that an engine has at its start
-    slow_start_window: int = 0  # µs until it has all of it
-    overload_multiple: float = 0.0  # of its capacity, under which a starting engine fails in overload_window
+    timer_resolution: int  # µs; time between two rounds of decisions
+    broker_index: int = 0  # index of this broker, below broker_count
+    broker_count: int = 1  # brokers that share the engines
+    supports_memory_grants: bool = False  # whether engines accept memory grants
+    supports_priorities: bool = False  # whether engines accept priorities
+    reports_cost: bool = False  # whether answers report the work and the memory that a request took
+    kind_memory_mb: tuple[float, ...] = ()  # memory of an engine, by kind; empty: not known
+    max_memory_grant: float = 1.0  # fraction of an engine's memory
+    supports_cancel: bool = False  # whether engines can cancel attempts
+    max_attempts: int = 1  # attempts of a request, including the first
+    list_on_request: bool = False  # whether the engine list is sent to subscribers only
+    slow_start_capacity: float = 1.0  # fraction of its capacity that an engine has when it starts
+    slow_start_window: int = 0  # µs; time until a started engine has its full capacity
+    overload_multiple: float = 0.0  # work over capacity in overload_window at which a starting engine fails
     overload_window: int = 0  # µs
-    ordering_key_cooldown: int = 0  # µs after an attempt of unknown end before the key's next request
-    load_report_fields: tuple[str, ...] = ()
-    retry_budget_ratio: float | None = None  # retries per request taken in the window; None: no budget
+    ordering_key_cooldown: int = 0  # µs; time between an uncertain outcome and the key's next request
+    load_report_fields: tuple[str, ...] = ()  # names of the values in a load report, in order
+    retry_budget_ratio: float | None = None  # retries per request received in the window; None: no budget
     retry_budget_floor: float = 0.0  # retries allowed in any window
     retry_budget_window: int = 0  # µs
-    max_send_delay: int = 0  # µs between a decision and the send; the budget counts at the send
-    progress_interval: int = 0  # µs between progress notifications; 0: there are none
+    max_send_delay: int = 0  # µs; longest time from a decision to the send, at which the budget counts
+    progress_interval: int = 0  # µs; time between progress notifications; 0: there are none
 
     def __post_init__(self) -> None:
         valid = {
@@ -170,19 +170,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineListEntry:
-    """One engine as a list names it."""
+    """Entry of one engine in an engine list."""
 
     engine: int
     state: EngineState
     kind: int
     zone: int
     cell: int
-    started_at: int  # µs; 0: long ago
+    started_at: int  # µs; start of the engine's process; 0: unknown, taken as long ago
 
 
 @dataclass(frozen=True, slots=True)
 class EngineListReceived:
-    """The engine list, or changes of it, arrived."""
+    """Event: the engine list or changes of it were received."""
 
     kind: EngineListKind
     entries: tuple[EngineListEntry, ...] = ()
@@ -190,13 +190,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request arrived; it is owed one final answer before `deadline`."""
+    """Event: a request was received; it must get exactly one final answer before `deadline`."""
 
     request: int
     class_index: int
-    deadline: int
+    deadline: int  # µs; time at which the client gives up
     key: int = 0  # ordering key; 0: none
-    cost: int = 0  # estimated µs of work of all its threads; 0: not known
+    cost: int = 0  # µs; estimated work of all its threads; 0: not known
     memory_mb: float = 0.0  # estimated need; 0: not known
     table_group: int = 0  # the group of tables that it reads or writes
     is_client_retry: bool = False
@@ -204,52 +204,52 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended. `final`: nothing more is owed for its request."""
+    """Event: an attempt ended. `final`: its request needs no further answer."""
 
     request: int
     attempt: int
     engine: int
     outcome: Outcome
     final: bool
-    latency: int
-    work: int = 0  # µs of work that it took; 0: not reported
-    memory_mb: float = 0.0  # that it needed; 0: not reported
+    latency: int  # µs
+    work: int = 0  # µs; work that the attempt took; 0: not reported
+    memory_mb: float = 0.0  # memory that the attempt needed; 0: not reported
     load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """A progress notification of an attempt in flight."""
+    """Event: a progress notification of an attempt in flight was received."""
 
     request: int
     attempt: int
     engine: int
     kind: ProgressKind
-    value: float
+    value: float  # its meaning depends on `kind`
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of the request disconnected."""
+    """Event: the client of the request disconnected."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process is shutting down: every open request has to be answered now."""
+    """Event: the process is shutting down; every open request must be answered now."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was started ran out."""
+    """Event: the timer that was started with this token fired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """A health check was answered."""
+    """Event: a health check of an engine ended."""
 
     engine: int
     outcome: Outcome
@@ -271,7 +271,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the request to an engine; its first attempt is number 0."""
+    """Action: send the request to an engine. A request's attempts are numbered from 0."""
 
     request: int
     engine: int
@@ -280,16 +280,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAttemptResources:
-    """Memory grant of later attempts (0: the engine's choice), and priority, at once."""
+    """Action: set the memory grant of later attempts, and the priority with immediate effect."""
 
     request: int
-    grant_mb: float
-    priority: int  # 0 to 3, the highest
+    grant_mb: float  # 0: the engine decides
+    priority: int  # 0 to 3; 3 is the highest
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt; its AttemptEnded is still to arrive."""
+    """Action: cancel one attempt; its `AttemptEnded` event still follows."""
 
     request: int
     attempt: int
@@ -298,7 +298,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """End the request; the client may safely retry it."""
+    """Action: reject the request; the client may safely retry it."""
 
     request: int
     reason: Reason = field(default=Reason.UNKNOWN, compare=False)
@@ -306,7 +306,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """End the request with an error; the client is not told whether it was executed."""
+    """Action: end the request with an error that doesn't tell whether the request was executed."""
 
     request: int
     reason: Reason = field(default=Reason.UNKNOWN, compare=False)
@@ -314,20 +314,20 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Ask for a TimerFired with this token after a span."""
+    """Action: start a timer, which causes a `TimerFired` event with this token."""
 
-    after: int
+    after: int  # µs; duration until the timer fires
     token: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for updates of the engine list."""
+    """Action: subscribe to updates of the engine list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Action: write a log line for the operators."""
 
     text: str = ""
 
--- a/cypressledge/decisions/dispatch.py
+++ b/cypressledge/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: weighted draws give free capacity to the classes, and attempts start."""
+"""Dispatch: weighted draws select the class that gets free capacity, and attempts are started."""
 
 from cypressledge.decisions.attempt_resources import AttemptResources
 from cypressledge.decisions.context import DecisionContext
@@ -17,7 +17,7 @@
 
 
 class AttemptStarter:
-    """Starts attempts, and notifies the parts that count them."""
+    """Starts attempts and notifies the components that count them."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
 
 
 class Dispatcher:
-    """Draws classes and starts attempts until no queued request finds an engine."""
+    """Draws classes and starts attempts until no queued request has an available engine."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         while (request := self._draw(blocked)) is not None:
             engine = self._router.choose(request)
             if engine is None:
-                # Guards against a group without a free engine keeping the others of its class waiting.
+                # Skip this subqueue only: other groups of the class may have an available engine.
                 blocked[request.class_index].add(request.subqueue_id)
             elif (reason := self._reason_against(request)) is not None:
                 self._lifecycle.give_up(request, reason)
--- a/cypressledge/decisions/engine_admission.py
+++ b/cypressledge/decisions/engine_admission.py
@@ -1,4 +1,4 @@
-"""Whether an engine may be sent a request now: its health, its slow start and its concurrency limits."""
+"""Admission check for sending a request to an engine: its health, slow start and concurrency limits."""
 
 from cypressledge.decisions.concurrency_limits import ConcurrencyLimits
 from cypressledge.decisions.engines import Engine
@@ -8,7 +8,7 @@
 
 
 class EngineAdmission:
-    """Combines the limits of an engine that change with every attempt."""
+    """Combines the checks of an engine whose results change with every attempt."""
 
     def __init__(self, health: HealthMonitor, slow_start: SlowStart, limits: ConcurrencyLimits) -> None:
         self._health = health
@@ -16,9 +16,10 @@
         self._limits = limits
 
     def admits(self, engine: Engine, request: Request, allowance: float) -> bool:
-        """Whether the engine may be sent the request; `allowance` as in `ConcurrencyLimits`.
+        """Return whether the request may be sent to the engine; `allowance` as in `ConcurrencyLimits`.
 
-        The order matters: the limits come last, as they mark an engine that only they keep a request from.
+        The order matters: the concurrency limits are checked last because they record that a request waited
+        for them, which must count only if nothing else excludes the engine.
         """
         if engine.ejected and not self._health.allows_trial(engine, request):
             return False
@@ -27,7 +28,7 @@
         return self._limits.engine_has_capacity(engine, request, allowance)
 
     def record_attempt(self, engine: Engine, request: Request) -> None:
-        """An attempt starts: count it."""
+        """Count an attempt that starts at the engine in all three checks."""
         self._limits.reserve(engine, request)
         self._slow_start.record_send(engine, request)
         self._health.record_send(engine)
--- a/cypressledge/decisions/engines.py
+++ b/cypressledge/decisions/engines.py
@@ -7,20 +7,20 @@
 from cypressledge.decisions.contract import EngineListEntry, EngineListKind, EngineListReceived, EngineState
 from cypressledge.decisions.request import Request
 
-THREADS_PER_CORE = 2.0  # threads a core of the initial concurrency bound (design page)
+THREADS_PER_CORE = 2.0  # threads per core of the initial concurrency bound (design page)
 
 
 @dataclass(slots=True, eq=False)
 class Engine:
-    """State of one engine, compared by identity; times and spans are in µs.
+    """State of one engine, compared by identity; times and durations are in µs.
 
-    One flat object, since routing reads most of its fields for every request. The comments name the modules
-    that change each group of fields.
+    The fields are in one flat object because routing reads most of them for every request. The comments name
+    the modules that change each group of fields.
     """
 
-    # The engine list (EngineRegistry).
+    # Entry in the engine list (EngineRegistry).
     id: int
-    started_at: int  # of its process; 0: unknown, and long ago
+    started_at: int  # start of its process; 0: unknown, taken as long ago
     state: EngineState
     kind: int
     zone: int
@@ -29,51 +29,51 @@
     memory_mb: float  # 0: not known
 
     # Bound on the threads in flight (concurrency_limits).
-    initial_bound: float  # threads: this broker's share of the bound that all start with
-    bound: float  # threads that this broker may have in flight there under pressure
-    objectives_met: int = 0  # answers of this control period
-    objectives_missed: int = 0
-    requests_waited: bool = False  # a request waited for the bound in this control period
+    initial_bound: float  # threads; this broker's share of the engine's initial bound
+    bound: float  # threads that this broker may have in flight at the engine under pressure
+    objectives_met: int = 0  # answers that met their latency objective in this control period
+    objectives_missed: int = 0  # answers that missed it in this control period
+    requests_waited: bool = False  # whether a request waited for a thread limit in this period
 
     # Work in flight (dispatch, outcomes, concurrency_limits).
-    in_flight: dict[int, Request] = field(default_factory=dict)  # attempts without an outcome, by request
-    threads: int = 0  # of the attempts in flight
-    reserved_memory_mb: float = 0.0  # of the attempts in flight
+    in_flight: dict[int, Request] = field(default_factory=dict)  # requests with an attempt here, by id
+    threads: int = 0  # threads of the attempts in flight
+    reserved_memory_mb: float = 0.0  # memory reserved for the attempts in flight
 
-    # Pace (pace, inspection; the registry resets the slowdown of a restarted engine).
+    # Slowdown (pace, inspection; the registry resets the slowdown of a restarted engine).
     slowdown: float = 1.0  # latency over run time of recent answers
     overdue_ratio: float = 1.0  # age over run time of the attempts in flight
-    latency_sum: float = 0.0  # µs, faded: latencies of recent answers
-    run_time_sum: float = 0.0  # µs, faded: run times of the same answers
+    latency_sum: float = 0.0  # µs; decayed sum of the latencies of recent answers
+    run_time_sum: float = 0.0  # µs; decayed sum of the run times of the same answers
 
     # Health (health, progress; the registry readmits a restarted engine).
-    last_activity_at: int = 0  # last answer or progress notification
-    ejected: bool = False  # only single trial requests go there
-    next_trial_at: int = 0
-    error_rate: float = 0.0  # running mean
-    consecutive_resets: int = 0
+    last_activity_at: int = 0  # time of the last answer or progress notification
+    ejected: bool = False  # whether it gets only single trial requests
+    next_trial_at: int = 0  # earliest time of the next trial request
+    error_rate: float = 0.0  # errors as a fraction of its answers, running mean
+    consecutive_resets: int = 0  # broken or refused connections since the last answer
 
     # Rejections (concurrency_limits).
-    rejected_until: int = 0  # a rejection counts as pressure until then
-    threads_at_rejection: int = 0  # in flight when it last rejected, or more that it has answered under since
-    next_capacity_probe_at: int = 0  # next attempt beyond those threads
+    rejected_until: int = 0  # end of the pressure that its last rejection causes
+    threads_at_rejection: int = 0  # threads in flight at its last rejection, or the most at an answer since
+    next_capacity_probe_at: int = 0  # earliest time of the next attempt beyond threads_at_rejection
 
     # Slow start (slow_start, and the registry from the engine's start).
     warm_at: int = 0  # end of the slow start
     recent_sends: deque[tuple[int, float]] = field(default_factory=deque)  # time and work, both in µs
-    recent_work: float = 0.0  # µs, sum of the work of recent sends
+    recent_work: float = 0.0  # µs; sum of the work of recent sends
 
     # Load reports (load_reports).
-    reported_load: float = 0.0  # threads a core, by its last load report
-    reported_at: int = 0
+    reported_load: float = 0.0  # threads per core, by its last load report
+    reported_at: int = 0  # time of its last load report; 0: none yet
 
     # Loads that lock table groups (dispatch, outcomes, progress).
-    loads_in_flight: dict[int, int] = field(default_factory=dict)  # by group: this broker's own loads
-    blocked_until: dict[int, int] = field(default_factory=dict)  # by group: a load was reported there
+    loads_in_flight: dict[int, int] = field(default_factory=dict)  # number of this broker's loads, by group
+    blocked_until: dict[int, int] = field(default_factory=dict)  # end of a notified block by a load, by group
 
 
 class EngineRegistry:
-    """All known engines by id, and those that take requests in order of their ids."""
+    """All known engines by id, and the ready ones in order of their ids."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -81,7 +81,7 @@
         self.ready: list[Engine] = []
 
     def update(self, received: EngineListReceived) -> None:
-        """Apply an engine list; removed engines stay known while attempts are in flight there."""
+        """Apply an engine list; removed engines stay registered while they have attempts in flight."""
         for entry in received.entries:
             self._update_entry(entry)
         if received.kind is not EngineListKind.DELTA:
--- a/cypressledge/decisions/estimates.py
+++ b/cypressledge/decisions/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of what requests of each class cost: work, memory and latency, from recent answers."""
+"""Estimates of the work, memory and latency of each class's requests, from recent answers."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import AttemptEnded, RequestReceived
@@ -6,41 +6,44 @@
 from cypressledge.decisions.units import EWMA_WEIGHT
 
 MEAN_RUN_TIME_WEIGHT = 0.01  # weight of one new request in the mean run time
-RATIO_LIMIT = 8.0  # largest actual over estimated work or memory that counts
-LATENCY_RATIO_LIMIT = 20.0  # largest latency over run time that counts
-RUN_TIME_MIN = 1.0  # µs, least run time that latencies and other run times are compared with
+RATIO_LIMIT = 8.0  # cap on actual over estimated work or memory
+LATENCY_RATIO_LIMIT = 20.0  # cap on latency over run time
+RUN_TIME_MIN = 1.0  # µs; smallest run time used as a divisor
 MEMORY_RATIO_WEIGHT = EWMA_WEIGHT / 2  # weight of one new answer in the mean memory ratio
-GRANT_QUANTILE = 0.9  # share of needs that the corrected grant covers: a spill costs more than idle memory
-GRANT_STEP = 0.04  # step of that quantile's estimate, as a share of it
-INITIAL_GRANT_RATIO = 1.25  # of estimated memory, before the first answers
-RUN_TIME_WEIGHT_MAX = 5.0  # multiple of the mean run time beyond which a query weighs no more in large memory
+GRANT_QUANTILE = 0.9  # fraction of requests that a grant covers; a spill costs more than idle memory
+GRANT_STEP = 0.04  # relative step of the estimate of that quantile
+INITIAL_GRANT_RATIO = 1.25  # grant over estimated memory before the first answers
+RUN_TIME_WEIGHT_MAX = 5.0  # cap on run time over mean run time as a weight in `weighted_memory_mb`
 
 
 class ClassEstimates:
-    """Running means of each class, and of all requests."""
+    """Running means of work, latency and memory, for each class and over all requests."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         class_count = len(context.settings.classes)
-        self.work = [0.0] * class_count  # µs, usual work of a request; 0: not known
+        self.work = [0.0] * class_count  # µs; mean work of a request; 0: not known
         self.answer_counts = [0] * class_count
         self.latency_ratios = [1.0] * class_count  # latency over run time
         self.cost_ratios = [1.0] * class_count  # actual over estimated work
         self.grant_ratios = [INITIAL_GRANT_RATIO] * class_count  # quantile of used over estimated memory
         self.memory_ratios = [1.0] * class_count  # mean of used over estimated memory
-        self.mean_run_time = 0.0  # µs, of all requests received
-        self.weighted_memory_mb = 0.0  # memory of an attempt, weighted by run time
-        self.has_cost_estimates = False  # whether any request had an estimate
+        self.mean_run_time = 0.0  # µs; over all requests received
+        self.weighted_memory_mb = 0.0  # mean memory of an attempt, weighted by run time
+        self.has_cost_estimates = False  # whether any request carried a cost estimate
 
     def corrected_cost(self, received: RequestReceived) -> float:
-        """Work of a new request, µs: its estimate corrected by earlier ones of its class, or the usual."""
+        """Return the expected work of a new request in µs.
+
+        It is the request's estimate, corrected by earlier requests of its class, or the class's mean work.
+        """
         class_index = received.class_index
         if received.cost:
             return received.cost * self.cost_ratios[class_index]
         return self.work[class_index]
 
     def record_request(self, request: Request) -> None:
-        """Update the usual work and the mean run time with a new request."""
+        """Update the mean run time with a new request; initialize its class's work if it is not known."""
         class_index = request.class_index
         if not self.work[class_index]:
             self.work[class_index] = request.cost
@@ -52,14 +55,14 @@
             self.mean_run_time += run_time
 
     def record_attempt(self, request: Request) -> None:
-        """Update the memory of large queries with an attempt's reserved memory."""
+        """Update the weighted memory with an attempt's reserved memory."""
         weight = min(request.run_time / max(self.mean_run_time, RUN_TIME_MIN), RUN_TIME_WEIGHT_MAX)
         self.weighted_memory_mb += (
             EWMA_WEIGHT * weight / 2 * (request.reserved_memory_mb - self.weighted_memory_mb)
         )
 
     def record_answer(self, request: Request, ended: AttemptEnded) -> float:
-        """Update the estimates with an answered request; return its run time in µs."""
+        """Update the estimates with the answer to a request; return its run time in µs."""
         class_index = request.class_index
         threads = request.class_settings.threads
         self.answer_counts[class_index] += 1
@@ -77,7 +80,7 @@
         return run_time
 
     def _work_done(self, request: Request, ended: AttemptEnded) -> float:
-        """Work of an answered request, µs: as reported, or as estimated, or its latency on all threads."""
+        """Return an answered request's work in µs: reported, or estimated, or its latency on all threads."""
         if self._context.settings.reports_cost and ended.work:
             return ended.work
         return request.cost or ended.latency * request.class_settings.threads
@@ -90,21 +93,24 @@
         self.grant_ratios[class_index] *= 1 + GRANT_STEP * step
 
     def memory_grant_mb(self, request: Request) -> float:
-        """Memory that covers what most requests of the class use."""
+        """Return the memory grant in MB, which covers the need of most requests of the class."""
         return request.memory_mb * self.grant_ratios[request.class_index]
 
     def memory_to_reserve_mb(self, request: Request) -> float:
-        """Memory to count against an engine: between mean need and grant, as rough estimates scatter."""
+        """Return the memory in MB to count against an engine for the request.
+
+        It lies halfway between the mean need and the grant because the estimates are rough.
+        """
         class_index = request.class_index
         return request.memory_mb * (self.memory_ratios[class_index] + self.grant_ratios[class_index]) / 2
 
     def expected_latency(self, request: Request) -> float:
-        """µs that an attempt of the request should take, as the fleet answers its class now."""
+        """Return the latency in µs to expect of an attempt, given the class's current latency ratio."""
         run_time = max(request.run_time, self._context.settings.timer_resolution)
         return run_time * max(self.latency_ratios[request.class_index], 1.0)
 
     def delay_reference(self, class_index: int) -> float:
-        """Reference of a class's queueing delay: its latency objective, by work against priority weight."""
+        """Return the reference of a class's queueing delay: its latency objective times work over weight."""
         class_settings = self._context.settings.classes[class_index]
         work = self.work[class_index]
         stretch = class_settings.latency_objective_stretch * work / class_settings.threads
--- a/cypressledge/decisions/health.py
+++ b/cypressledge/decisions/health.py
@@ -1,4 +1,4 @@
-"""Health of engines: outliers that are silent, answer errors or reset connections are ejected."""
+"""Health of engines: outliers that are silent, answer with errors or reset connections are ejected."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import Idempotency, Log, Outcome
@@ -7,18 +7,21 @@
 from cypressledge.decisions.slow_start import SlowStart
 from cypressledge.decisions.units import EWMA_WEIGHT, MS
 
-MISSING_ANSWERS_LIMIT = 14.0  # missing answers from which an engine is ejected; work varies widely
-MISSING_PER_ATTEMPT_MAX = 4.0  # most that one attempt adds to them, so that one long request ejects no engine
-SILENCE_MIN = 400 * MS  # shortest silence that counts, and age from which attempts at an ejected engine move
-RESPONSIVE_ENGINES_MIN = 3  # other engines that must have answered lately: else the silence may be everywhere
-TRIAL_INTERVAL = 1_000 * MS  # between trial requests at an ejected engine
-ERROR_LIMIT = 0.25  # part of an engine's answers that are errors, from which it is ejected
-OTHERS_ERROR_MULTIPLE = 2.0  # of the other engines' mean error rate, that an outlier's is over besides
-RESETS_BEFORE_EJECTION = 2  # resets with no answer between, and nothing in flight, that show it has ended
+MISSING_ANSWERS_LIMIT = 14.0  # missing answers above which an engine is ejected; high, as work varies widely
+MISSING_PER_ATTEMPT_MAX = 4.0  # limit per attempt, so that one long request ejects no engine
+SILENCE_MIN = 400 * MS  # µs; shortest silence that counts; only older attempts leave an ejected engine
+RESPONSIVE_ENGINES_MIN = 3  # other engines that must have been active lately; else all may be silent
+TRIAL_INTERVAL = 1_000 * MS  # µs; time between trial requests at an ejected engine
+ERROR_LIMIT = 0.25  # error rate above which an engine is ejected if other engines have no errors
+OTHERS_ERROR_MULTIPLE = 2.0  # multiple of the other engines' mean error rate that is added to ERROR_LIMIT
+RESETS_BEFORE_EJECTION = 2  # resets without an answer between, with none in flight, that show a process exit
 
 
 class HealthMonitor:
-    """Ejects outliers, half of the engines at most, and readmits them with their first answer."""
+    """Ejects outliers, up to half of the ready engines, and readmits each with its first answer.
+
+    The limit of one half does not apply to engines that break their connections.
+    """
 
     def __init__(self, context: DecisionContext, registry: EngineRegistry, slow_start: SlowStart) -> None:
         self._context = context
@@ -26,18 +29,21 @@
         self._slow_start = slow_start
 
     def allows_trial(self, engine: Engine, request: Request) -> bool:
-        """Whether the request may go to an ejected engine: as its only, repeatable, trial request."""
+        """Return whether the request may be sent to an ejected engine as a trial request.
+
+        A trial request must be due, must be the only one in flight there, and must be safe to repeat.
+        """
         if engine.in_flight or self._context.now < engine.next_trial_at:
             return False
         return request.class_settings.idempotency is not Idempotency.NOT_IDEMPOTENT
 
     def record_send(self, engine: Engine) -> None:
-        """An attempt was sent: the trial request where the engine is ejected."""
+        """Schedule the next trial after an attempt was sent to an ejected engine."""
         if engine.ejected:
             engine.next_trial_at = self._context.now + TRIAL_INTERVAL
 
     def record_answer(self, engine: Engine) -> None:
-        """The engine answered: it is readmitted where it was ejected."""
+        """Record an answer of the engine; readmit it if it was ejected."""
         engine.error_rate += EWMA_WEIGHT * (0 - engine.error_rate)
         engine.last_activity_at, engine.consecutive_resets = self._context.now, 0
         if engine.ejected:
@@ -45,10 +51,10 @@
             self._context.actions.append(Log(f"engine {engine.id:x} answers again"))
 
     def record_error(self, engine: Engine) -> None:
-        """The engine answered an error.
+        """Record an error of the engine; eject it if its error rate is far above that of the others.
 
-        Guards against an engine that answers errors at once, and so has the fewest queries in flight and
-        attracts the most. Errors at all engines are taken to be the queries' fault.
+        An engine that answers every query with an immediate error has the fewest queries in flight and would
+        attract the most. Errors at all engines are attributed to the queries.
         """
         engine.error_rate += EWMA_WEIGHT * (1 - engine.error_rate)
         ready = self._registry.ready
@@ -63,11 +69,11 @@
             self._eject(engine, "answers errors where others do not: ejected")
 
     def record_connection_failure(self, engine: Engine, outcome: Outcome) -> None:
-        """A connection to the engine was refused or reset.
+        """Record a refused or reset connection; eject the engine if its process seems to have exited.
 
-        A process that has ended resets all its connections and refuses new ones: it is ejected until it
-        answers, and begins a slow start where it refused one. Single resets are taken to be the network's
-        fault.
+        When a process exits, its connections are reset and new ones are refused. The engine is ejected until
+        it answers; after a refused connection it begins a slow start. Single resets are attributed to the
+        network.
         """
         engine.consecutive_resets += 1
         if outcome is Outcome.CONNECT_FAILED:
@@ -80,11 +86,12 @@
             self._eject(engine, "broke its connections: ejected until it answers")
 
     def record_silence(self, engine: Engine, missing_answers: float) -> None:
-        """Answers are missing at the engine, as a multiple of their expected latencies.
+        """Eject the engine if it is silent while many answers are missing and other engines are active.
 
-        Guards against an engine that takes work and answers nothing, whatever the reason. Expected latencies
-        follow the answers of all engines, so that slowness everywhere ejects none, and others must have
-        answered meanwhile. The price: an engine that is far slower than all others is ejected as well.
+        `missing_answers` is the sum of the silences of its attempts, each as a multiple of the attempt's
+        expected latency. The rule ejects an engine that accepts work but does not answer, for any reason.
+        Expected latencies follow the answers of all engines, so that slowness of all engines ejects none. The
+        drawback: an engine that is far slower than all others is ejected as well.
         """
         active_since = self._context.now - SILENCE_MIN
         if (
@@ -99,7 +106,7 @@
             self._eject(engine, "is silent while others answer: ejected")
 
     def _may_eject(self) -> bool:
-        """Whether at most half of the engines would be ejected with one more."""
+        """Return whether at most half of the ready engines would be ejected after one more ejection."""
         ready = self._registry.ready
         return 2 * (sum(engine.ejected for engine in ready) + 1) <= len(ready)
 
--- a/cypressledge/decisions/housekeeping.py
+++ b/cypressledge/decisions/housekeeping.py
@@ -1,4 +1,4 @@
-"""Work that is done at intervals, and the timer for it."""
+"""Periodic tasks of the decision logic and the timer that runs them."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -11,14 +11,14 @@
 
 
 class Periodic(Protocol):
-    """A part of the decisions that does something at the end of each control period."""
+    """A component of the decision logic that is updated at the end of each control period."""
 
     def end_period(self) -> None:
-        """The period ends."""
+        """Update the component at the end of a control period."""
 
 
 class Housekeeping:
-    """Runs inspections and control periods when due; keeps a timer running while a request is open."""
+    """Runs inspections and ends control periods when due; keeps a timer running while a request is open."""
 
     def __init__(
         self,
@@ -31,16 +31,16 @@
         self._lifecycle = lifecycle
         self._inspections = inspections
         self._periodic = periodic
-        self._next_period = self._next_inspection = 0  # µs
-        self._timer_at = 0  # µs, when the timer that was last started fires
+        self._next_period = self._next_inspection = 0  # µs; when each is due
+        self._timer_at = 0  # µs; when the timer that was started last fires
 
     def start(self) -> None:
-        """Begin the intervals, at the first events."""
+        """Start the intervals when the first events are handled."""
         now = self._context.now
         self._next_period, self._next_inspection = now + CONTROL_PERIOD, now + INSPECTION_INTERVAL
 
     def run(self) -> None:
-        """Run what is due."""
+        """Run the inspections and end the control period if they are due."""
         now = self._context.now
         if now >= self._next_inspection:
             self._next_inspection = now + INSPECTION_INTERVAL
@@ -55,12 +55,12 @@
             inspect()
 
     def end_period(self) -> None:
-        """Run the PI loop, fade counts and means, and adjust the concurrency bounds."""
+        """Run the PI loop, decay counts and sums, and adjust the concurrency bounds."""
         for component in self._periodic:
             component.end_period()
 
     def schedule_timer(self) -> None:
-        """Start the next timer, unless an earlier one is running or no request is open."""
+        """Start a timer for the next due time, unless an earlier one is running or no request is open."""
         if not self._lifecycle.requests:
             return
         now, due_at = self._context.now, self._next_inspection
--- a/cypressledge/decisions/inspection.py
+++ b/cypressledge/decisions/inspection.py
@@ -1,4 +1,4 @@
-"""Regular inspection of the attempts in flight: overdue, lost and silent ones, and their priorities."""
+"""Periodic inspection of the attempts in flight for overdue work, lost responses and silent engines."""
 
 from cypressledge.decisions.attempt_resources import AttemptResources
 from cypressledge.decisions.attempts import AttemptControl
@@ -10,7 +10,7 @@
 from cypressledge.decisions.lost_responses import LostResponses
 from cypressledge.decisions.units import MS
 
-INSPECTION_INTERVAL = 100 * MS  # short against the shortest latency objectives
+INSPECTION_INTERVAL = 100 * MS  # µs; short compared with the shortest latency objectives
 
 
 class Inspection:
@@ -35,7 +35,7 @@
         self._attempts = attempts
 
     def run(self) -> None:
-        """Inspect the attempts of every engine that takes requests."""
+        """Inspect the attempts of every ready engine."""
         for engine in self._registry.ready:
             if not engine.in_flight:
                 engine.overdue_ratio = 1.0
@@ -46,13 +46,14 @@
                 self._move_from_ejected(engine)
 
     def _inspect_attempts(self, engine: Engine) -> float:
-        """Update an engine's overdue ratio and its attempts' priorities; return the answers missing there.
+        """Update an engine's overdue ratio and its attempts' priorities; return its missing answers.
 
-        An attempt's missing answer is the engine's silence during it, as a multiple of its expected latency.
+        Each attempt adds the engine's silence since the attempt started, as a multiple of the attempt's
+        expected latency.
         """
         now = self._context.now
         age_sum, missing = 0.0, 0.0
-        run_time_sum = 1.0  # µs, guards against a division by zero
+        run_time_sum = 1.0  # µs; not 0, since it is a divisor
         missing_by_group: dict[int, float] = {}
         for request in list(engine.in_flight.values()):
             if self._lost_responses.check(engine, request):
@@ -63,7 +64,7 @@
             silence = min(age, now - engine.last_activity_at)
             multiple = min(silence / self._estimates.expected_latency(request), MISSING_PER_ATTEMPT_MAX)
             if request.class_settings.blocked_by_loads:
-                # One load may block all attempts of its group: they count once.
+                # One load may block all attempts of its group, so they count once.
                 group = request.table_group
                 missing_by_group[group] = max(missing_by_group.get(group, 0.0), multiple)
             else:
--- a/cypressledge/decisions/lifecycle.py
+++ b/cypressledge/decisions/lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from their arrival to their final answer."""
+"""Lifecycle of requests, from their arrival to their final answer."""
 
 from cypressledge.decisions.affinity import Affinity
 from cypressledge.decisions.attempts import AttemptControl
@@ -22,7 +22,7 @@
 
 
 class RequestLifecycle:
-    """Requests that are owed an answer, or have an attempt in flight."""
+    """Holds the requests that need an answer or have an attempt in flight, and ends them."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._deadlines = DeadlineQueue()
 
     def receive(self, received: RequestReceived) -> None:
-        """Add a new request, and queue it unless it waits for an earlier one of its key."""
+        """Add a new request, and queue it unless it waits for an earlier request with its ordering key."""
         class_settings = self._context.settings.classes[received.class_index]
         cost = self._estimates.corrected_cost(received)
         request = new_request(received, class_settings, self._context.now, cost)
@@ -61,7 +61,7 @@
             self._queue_first_of_key(request)
 
     def client_disconnected(self, event: ClientDisconnected) -> None:
-        """The client disconnected: no answer is owed any more."""
+        """Finish the request of a client that disconnected; it gets no answer."""
         request = self.requests.get(event.request)
         if request is None or request.finished:
             return
@@ -70,7 +70,7 @@
         self.finish(request)
 
     def give_up(self, request: Request, reason: Reason) -> None:
-        """End the request without a result: rejected where the client may safely retry it, else failed."""
+        """End the request without a result: reject it if the client may safely retry it, else fail it."""
         if self._client_may_retry(request):
             self._context.actions.append(RejectRequest(request.id, reason))
         else:
@@ -79,7 +79,7 @@
 
     @staticmethod
     def _client_may_retry(request: Request) -> bool:
-        """Whether the client may retry the request without it being executed twice."""
+        """Return whether a retry by the client is safe: no harmful second execution is possible."""
         class_settings = request.class_settings
         if class_settings.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -91,17 +91,20 @@
         )
 
     def retry(self, request: Request, wait_until: int | None) -> None:
-        """Queue the request for another attempt; after `wait_until`, µs, it is given up if it still waits."""
+        """Queue the request for another attempt; it is given up if it still waits at `wait_until`, µs."""
         if wait_until is not None:
             self._deadlines.schedule(wait_until, request.id)
         self._queues.enqueue(request)
 
     def reject_late(self, request: Request) -> None:
-        """End a request that can't be answered in time."""
+        """Give up a request that can't be answered in time."""
         self.give_up(request, Reason.OBJECTIVE_MISSED)
 
     def finish(self, request: Request) -> None:
-        """Nothing more is owed for the request; an attempt in flight still occupies capacity and its key."""
+        """Mark the request as finished; remove it, or cancel its attempt in flight if that is allowed.
+
+        Until it ends, an attempt in flight occupies capacity and blocks the request's ordering key.
+        """
         if request.attempts == 0:
             self._odds.record_delay(request.class_index, self._context.now - request.received_at)
         request.finished, request.queued = True, False
@@ -113,13 +116,13 @@
             self._attempts.cancel(request, Reason.REQUEST_FINISHED)
 
     def remove(self, request: Request) -> None:
-        """Drop a finished request without an attempt; the next one of its key may start."""
+        """Remove a finished request without an attempt in flight; queue the next request of its key."""
         del self.requests[request.id]
         if self.key_order.applies_to(request) and (following := self.key_order.leave(request)):
             self._queue_first_of_key(following)
 
     def expire(self) -> None:
-        """End requests that are due; queue those whose key's cooldown is over."""
+        """Give up requests that are due; queue requests whose key's cooldown has ended."""
         now = self._context.now
         for request_id in self._deadlines.expired(now):
             request = self.requests.get(request_id)
@@ -133,13 +136,13 @@
                 self._queue_first_of_key(request)
 
     def shutdown_started(self) -> None:
-        """The process is shutting down: all open requests are answered now."""
+        """Give up all open requests because the process is shutting down."""
         for request in list(self.requests.values()):
             if not request.finished:
                 self.give_up(request, Reason.SHUTTING_DOWN)
 
     def next_due_at(self) -> int | None:
-        """The next time, µs, at which a request expires or a key's cooldown ends; None without any."""
+        """Return the next time, µs, at which a request is due or a key's cooldown ends; None without any."""
         due_times = (self._deadlines.next_due_at(), self.key_order.cooldowns.next_due_at())
         return min((due_at for due_at in due_times if due_at is not None), default=None)
 
@@ -153,7 +156,7 @@
         return self.key_order.is_first(request)
 
     def _reason_expired(self, request: Request) -> Reason:
-        """Why a request that is due ends."""
+        """Return the reason for giving up a request that is due."""
         if not request.queued:
             return Reason.DEADLINE
         is_due = self._context.now >= request.deadline - DEADLINE_MARGIN
--- a/cypressledge/decisions/load_reports.py
+++ b/cypressledge/decisions/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of engines: how busy they are with the work of all brokers."""
+"""Load reports of engines, which cover the work of all brokers."""
 
 from cypressledge.decisions.context import DecisionContext
 from cypressledge.decisions.contract import AttemptEnded
@@ -6,21 +6,24 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA_WEIGHT
 
-INITIAL_LOAD = 0.5  # threads a core, before the first reports
+INITIAL_LOAD = 0.5  # threads per core; mean and spread before the first reports
 
 
 class LoadReports:
-    """Mean and spread of the reported loads, in threads a core."""
+    """Mean and spread of the reported loads, in threads per core."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self.mean_load = INITIAL_LOAD
-        self.load_spread = INITIAL_LOAD  # mean distance of a report from the mean
-        self._latency_sum = 0.0  # µs, running
-        self._thread_time_sum = 0.0  # µs of threads, running
+        self.load_spread = INITIAL_LOAD  # mean absolute deviation of a report from the mean
+        self._latency_sum = 0.0  # µs; decayed sum of latencies
+        self._thread_time_sum = 0.0  # µs; decayed sum of latency times threads
 
     def record_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
-        """Update an engine's load from its answer's report: busy cores, and threads a core beyond them."""
+        """Update an engine's load from the report in its answer, if there is one.
+
+        The load is the busy fraction of its cores plus the threads per core beyond them.
+        """
         threads = request.class_settings.threads
         self._latency_sum += ended.latency - EWMA_WEIGHT * self._latency_sum
         self._thread_time_sum += ended.latency * threads - EWMA_WEIGHT * self._thread_time_sum
--- a/cypressledge/decisions/lost_responses.py
+++ b/cypressledge/decisions/lost_responses.py
@@ -1,4 +1,4 @@
-"""Responses that never come although their engine is active: found by missing progress notifications."""
+"""Detection of lost responses of active engines by missing progress notifications."""
 
 from cypressledge.decisions.attempts import AttemptControl
 from cypressledge.decisions.context import DecisionContext
@@ -9,18 +9,18 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import EWMA_WEIGHT, MS
 
-LOST_AFTER_INTERVALS = 1.8  # progress intervals without activity after which an attempt's response is lost
+LOST_AFTER_INTERVALS = 1.8  # progress intervals without activity after which a response counts as lost
 LOSS_RATE_WEIGHT = EWMA_WEIGHT / 10  # weight of one new response in the loss rate
-LOSS_RATE_HIGH = 0.02  # loss rate from which short work is moved as soon as it is overdue
-OVERDUE_MULTIPLE = 3.0  # multiple of the expected latency that silence of overdue work exceeds,
-OVERDUE_MIN = 40 * MS  # by this much at the least
+LOSS_RATE_HIGH = 0.02  # loss rate above which short work is moved as soon as it is overdue
+OVERDUE_MULTIPLE = 3.0  # multiple of its expected latency after which a silent attempt is overdue
+OVERDUE_MIN = 40 * MS  # µs; added to that multiple
 
 
 class LostResponses:
-    """Finds lost responses and cancels their attempts, as far as class and budget allow.
+    """Detects lost responses and cancels their attempts, as far as idempotency and retry budget allow.
 
-    Guards against responses that never come, which keep capacity reserved until the client disconnects. An
-    active engine sends a progress notification of each attempt that it runs at each interval.
+    An active engine sends a progress notification for each of its running attempts at each interval. Without
+    detection, an attempt whose response never arrives keeps capacity reserved until the client disconnects.
     """
 
     def __init__(
@@ -34,16 +34,16 @@
         self._estimates = estimates
         self._attempts = attempts
         self._lifecycle = lifecycle
-        self.loss_rate = 0.0  # lost responses as a part of all, running mean
+        self.loss_rate = 0.0  # lost responses as a fraction of all responses, running mean
 
     def record_answer(self) -> None:
-        """An answer came."""
+        """Lower the loss rate after an answer was received."""
         self.loss_rate -= LOSS_RATE_WEIGHT * self.loss_rate
 
     def check(self, engine: Engine, request: Request) -> bool:
-        """Whether the response to the request's attempt is lost.
+        """Check the request's attempt in flight; return whether its response is lost.
 
-        Such an attempt is ended; while many responses are lost, an overdue one is moved.
+        An attempt with a lost response is ended. While the loss rate is high, an overdue attempt is moved.
         """
         now, interval = self._context.now, self._context.settings.progress_interval
         engine_is_silent = now - engine.last_activity_at > interval
--- a/cypressledge/decisions/manager.py
+++ b/cypressledge/decisions/manager.py
@@ -1,7 +1,7 @@
-"""The workload manager: all decisions of one broker, from events to actions, without I/O.
+"""Workload manager: makes all decisions of one broker, from events to actions, without I/O.
 
 Requests wait in the queues of their classes. Free capacity goes to the class that a weighted draw selects,
-with odds that a PI loop adjusts; a router chooses the engine. docs/design.md names each departure from the
+with odds that a PI loop adjusts; a router chooses the engine. docs/design.md lists each deviation from the
 paper.
 """
 
@@ -51,7 +51,7 @@
 
 
 class WorkloadManager:
-    """The decisions of one broker: `handle` takes events and returns actions."""
+    """Makes the decisions of one broker: `handle` takes events and returns actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = context = DecisionContext(settings, Random(seed))
@@ -104,7 +104,7 @@
         }
 
     def configure(self, settings: Settings) -> None:
-        """Apply changed settings; the number and the order of the classes must be the same."""
+        """Apply changed settings; the number and the order of the classes must not change."""
         self.context.settings = settings
         self.limits.configure()
         self.router.configure()
@@ -116,21 +116,21 @@
 
     @property
     def engines(self) -> Mapping[int, Engine]:
-        """Engines by id: those listed, and those removed where attempts still run."""
+        """Engines by id: the listed ones, and removed ones that still have attempts in flight."""
         return self.registry.engines
 
     @property
     def latency_ratios(self) -> Sequence[float]:
-        """By class: latency over run time of recent answers, over all engines."""
+        """Latency over run time of recent answers from all engines, by class index."""
         return self.estimates.latency_ratios
 
     @property
     def requests(self) -> Mapping[int, Request]:
-        """Requests by id that are owed an answer, or have an attempt in flight."""
+        """Requests by id that need an answer or have an attempt in flight."""
         return self.lifecycle.requests
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Handle the events of one batch at time `now`, µs; return the actions in order."""
+        """Handle a batch of events at time `now`, µs; return the actions in order."""
         context = self.context
         context.now, context.actions = now, []
         if not self._is_started:
--- a/cypressledge/decisions/ordering.py
+++ b/cypressledge/decisions/ordering.py
@@ -1,4 +1,4 @@
-"""Ordering keys: requests of one key run one after the other, with a cooldown after an uncertain end."""
+"""Ordering keys: requests with the same key run one at a time, with a cooldown after an uncertain outcome."""
 
 from collections import deque
 
@@ -11,17 +11,17 @@
 
 
 class KeyOrder:
-    """For each ordering key the open requests in order of arrival, and the end of its cooldown."""
+    """Keeps the open requests of each ordering key in order of arrival, and the end of the key's cooldown."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self._requests: dict[int, deque[Request]] = {}
-        self._cooldown_until: dict[int, int] = {}  # µs
-        self._cooldowns = DeadlineQueue()  # requests that are first of their key and wait for its cooldown
+        self._cooldown_until: dict[int, int] = {}  # µs; end of the cooldown, by key
+        self._cooldowns = DeadlineQueue()  # first requests of their keys, which wait for the cooldown's end
 
     @staticmethod
     def applies_to(request: Request) -> bool:
-        """Whether the request waits for earlier ones of its key."""
+        """Return whether the request must be ordered by its key."""
         return bool(request.class_settings.ordered and request.key)
 
     def join(self, request: Request) -> bool:
@@ -31,7 +31,7 @@
         return requests[0] is request
 
     def leave(self, request: Request) -> Request | None:
-        """Remove a request that has ended; return the one that becomes first of its key thereby, if any."""
+        """Remove a request that has ended; return the request that becomes the first of its key, if any."""
         requests = self._requests.get(request.key)
         if not requests:
             return None
@@ -43,7 +43,10 @@
         return requests[0] if was_first else None
 
     def may_start(self, request: Request) -> bool:
-        """Whether the first request of a key may be queued; else it is scheduled for the cooldown's end."""
+        """Return whether the first request of a key may be queued now.
+
+        During the key's cooldown it may not, and is scheduled for the cooldown's end.
+        """
         until = self._cooldown_until.get(request.key, 0)
         if until > self._context.now:
             self._cooldowns.schedule(until, request.id)
@@ -52,11 +55,11 @@
         return True
 
     def is_first(self, request: Request) -> bool:
-        """Whether the request is the first of its key."""
+        """Return whether the request is the first open request of its key."""
         return self._requests[request.key][0] is request
 
     def record_end(self, request: Request, outcome: Outcome) -> None:
-        """An attempt ended: an uncertain outcome starts its key's cooldown."""
+        """Start the cooldown of the request's key if the outcome of its attempt is uncertain."""
         if self.applies_to(request) and outcome in UNCERTAIN_OUTCOMES:
             settings = self._context.settings
             cooldown = settings.ordering_key_cooldown + settings.timer_resolution
@@ -64,10 +67,10 @@
 
     @property
     def cooldowns(self) -> DeadlineQueue:
-        """Requests that wait for the end of their key's cooldown."""
+        """Queue of the requests that wait for the end of their key's cooldown."""
         return self._cooldowns
 
     def end_period(self) -> None:
-        """Drop the cooldowns that are over."""
+        """Remove the cooldowns that have ended."""
         now = self._context.now
         self._cooldown_until = {key: until for key, until in self._cooldown_until.items() if until > now}
--- a/cypressledge/decisions/outcomes.py
+++ b/cypressledge/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""Ends of attempts: the effects on the request, its engine and the estimates."""
+"""Outcomes of attempts and their effects on the request, its engine and the estimates."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeObservers:
-    """The parts that are updated by outcomes."""
+    """Components that are updated with the outcomes of attempts."""
 
     estimates: ClassEstimates
     pace: FleetPace
@@ -29,7 +29,7 @@
 
 
 class AttemptOutcomes:
-    """Handles the ends of attempts."""
+    """Handles the events that report the ends of attempts."""
 
     def __init__(
         self,
@@ -46,9 +46,9 @@
         self._observers = observers
 
     def attempt_ended(self, ended: AttemptEnded) -> None:
-        """Free an attempt's capacity, update the observers, then retry or end its request.
+        """Release an attempt's capacity, update the observers, then retry or end its request.
 
-        Ends of former attempts, and of attempts at unknown engines, are ignored.
+        Events of former attempts and of attempts at unknown engines are ignored.
         """
         engine = self._registry.engines.get(ended.engine)
         if engine is None:
@@ -89,7 +89,7 @@
         self._lifecycle.retry(request, wait_until)
 
     def _update_observers(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
-        """Update costs, needs, and the engine's pace and health with an outcome."""
+        """Update the estimates and the engine's slowdown, limits and health with an outcome."""
         outcome, observers = ended.outcome, self._observers
         if outcome is Outcome.OK:
             self._record_answer(engine, request, ended)
@@ -103,7 +103,7 @@
     def _record_answer(self, engine: Engine, request: Request, ended: AttemptEnded) -> None:
         observers, class_settings = self._observers, request.class_settings
         if class_settings.blocked_by_loads:
-            # It was executed, so no load blocks its group any more.
+            # The request was executed, so no load blocks its group any more.
             engine.blocked_until.pop(request.table_group, None)
         observers.lost_responses.record_answer()
         observers.health.record_answer(engine)
--- a/cypressledge/decisions/pace.py
+++ b/cypressledge/decisions/pace.py
@@ -1,29 +1,29 @@
-"""The pace of the fleet and of each engine: slowdowns measured on recent answers, and answers a second."""
+"""Slowdowns of the fleet and of each engine, computed from recent answers, and the rate of answers."""
 
 from cypressledge.decisions.engines import Engine, EngineRegistry
 from cypressledge.decisions.estimates import LATENCY_RATIO_LIMIT, RUN_TIME_MIN, ClassEstimates
 from cypressledge.decisions.units import EWMA_WEIGHT, MS, SECOND
 
-CONTROL_PERIOD = 2_000 * MS  # sampling period of the PI loop, the bounds and the answer rate (design page)
-OVERLOAD_SLOWDOWN = 1.5  # slowdown from which a bound binds
-PERIOD_DECAY = 0.7  # weight that old answers keep from period to period in slowdowns
-SLOWDOWN_MIN = 0.5  # least slowdown of one engine
+CONTROL_PERIOD = 2_000 * MS  # µs; sampling period of the PI loop, bounds and answer rate (design page)
+OVERLOAD_SLOWDOWN = 1.5  # slowdown above which bounds are enforced and late requests are not served
+PERIOD_DECAY = 0.7  # factor on the sums of old answers at the end of each control period
+SLOWDOWN_MIN = 0.5  # smallest slowdown of one engine
 
 
 class FleetPace:
-    """How much longer answers take than their work would take by itself, over all engines."""
+    """Slowdown of the fleet: the latency of answers over the run time of their work, over all engines."""
 
     def __init__(self, registry: EngineRegistry, estimates: ClassEstimates) -> None:
         self._registry = registry
         self._estimates = estimates
         self.slowdown = 1.0
-        self.latency_sum = 0.0  # µs, faded
-        self.run_time_sum = 0.0  # µs, faded
-        self.answer_rate = 1.0  # answers a second, running mean
-        self.answer_count = 0  # in this control period
+        self.latency_sum = 0.0  # µs; decayed sum of the latencies of recent answers
+        self.run_time_sum = 0.0  # µs; decayed sum of the run times of the same answers
+        self.answer_rate = 1.0  # answers per second, running mean
+        self.answer_count = 0  # answers in this control period
 
     def record_answer(self, engine: Engine, latency: int, run_time: float) -> None:
-        """An engine answered after `latency` µs a request whose work takes `run_time` µs by itself."""
+        """Record an answer after `latency` µs; the work takes `run_time` µs on an idle engine."""
         self.answer_count += 1
         for totals in (engine, self):
             totals.latency_sum += (
@@ -33,7 +33,7 @@
         self._update(engine)
 
     def end_period(self) -> None:
-        """Fade the answers of earlier periods, and update the answer rate."""
+        """Decay the sums of earlier answers, and update the answer rate."""
         self.answer_rate = (self.answer_rate + self.answer_count * SECOND / CONTROL_PERIOD) / 2
         self.answer_count = 0
         self.latency_sum, self.run_time_sum = (
@@ -48,10 +48,10 @@
             self._update(engine)
 
     def _update(self, engine: Engine) -> None:
-        """Work out the fleet's slowdown and an engine's.
+        """Compute the slowdowns of the fleet and of an engine.
 
-        With few answers each is drawn to a prior, which weighs as much as one request of mean run time: 1.0
-        for the fleet, the fleet's slowdown for the engine.
+        Each is averaged with a prior that has the weight of one request of mean run time, which dominates
+        while there are few answers: 1.0 for the fleet, and the fleet's slowdown for the engine.
         """
         prior = max(self._estimates.mean_run_time, RUN_TIME_MIN)
         self.slowdown = (self.latency_sum + prior) / (self.run_time_sum + prior)
--- a/cypressledge/decisions/progress.py
+++ b/cypressledge/decisions/progress.py
@@ -1,4 +1,4 @@
-"""Progress notifications of attempts in flight."""
+"""Handling of the progress notifications of attempts in flight."""
 
 from cypressledge.decisions.attempts import AttemptControl
 from cypressledge.decisions.context import DecisionContext
@@ -8,13 +8,13 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import MS
 
-RUNAWAY_MULTIPLE = 3.0  # of a new attempt's expected latency: one that would still take longer is moved
-PROGRESS_MIN = 0.01  # least progress from which the time remaining is worked out
-BLOCKED_BY_LOAD_TTL = 2_000 * MS  # for which one notification marks its group as blocked at its engine
+RUNAWAY_MULTIPLE = 3.0  # multiple of a new attempt's expected latency; longer remaining work is moved
+PROGRESS_MIN = 0.01  # smallest progress used as a divisor to estimate the remaining time
+BLOCKED_BY_LOAD_TTL = 2_000 * MS  # µs; how long a notification marks its group as blocked at its engine
 
 
 class ProgressNotifications:
-    """Moves attempts that make too little progress, or wait for a load."""
+    """Moves attempts that make too little progress or wait for a load."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._lifecycle = lifecycle
 
     def received(self, progress: AttemptProgress) -> None:
-        """Handle a notification; those of former attempts and of finished requests are ignored."""
+        """Handle a notification; ignore those of former or cancelled attempts and of finished requests."""
         request = self._lifecycle.requests.get(progress.request)
         if request is None or request.finished or request.cancelling or request.engine is None:
             return
@@ -46,7 +46,10 @@
             self._attempts.move(request, Reason.BEHIND_LOAD)
 
     def _is_runaway(self, request: Request, progress: float) -> bool:
-        """Whether the rest of the attempt would take far longer than a new one; `progress`: the part done."""
+        """Return whether the rest of the attempt would take far longer than a new attempt.
+
+        `progress` is the fraction done.
+        """
         age = self._context.now - request.sent_at
         fresh_latency = self._estimates.expected_latency(request)
         remaining = age * (1.0 - progress) / max(progress, PROGRESS_MIN)
--- a/cypressledge/decisions/queues.py
+++ b/cypressledge/decisions/queues.py
@@ -1,7 +1,7 @@
 """Queues of the classes: shortest first among requests that can meet their latency objective, then late ones.
 
-A class's queue has a row for each table group where loads can block it, so that a group without a free engine
-does not block the others of the class.
+The queue of a class of loads, or of a class that loads can block, has a subqueue for each table group, so
+that a group without an available engine does not block the other groups of the class.
 """
 
 from collections.abc import Callable, Container, Iterator
@@ -12,12 +12,12 @@
 from cypressledge.decisions.pace import OVERLOAD_SLOWDOWN, FleetPace
 from cypressledge.decisions.request import Request
 
-Subqueue = list[tuple[float, int, Request]]  # heap of run time in µs, order of queueing, request
-Subqueues = dict[int, Subqueue]
+Subqueue = list[tuple[float, int, Request]]  # heap of run time in µs, sequence number and request
+Subqueues = dict[int, Subqueue]  # by subqueue id
 
 
 class ClassQueues:
-    """Requests that wait for an engine, by class and row."""
+    """Requests that wait for an engine, by class and subqueue."""
 
     def __init__(self, context: DecisionContext, pace: FleetPace) -> None:
         self._context = context
@@ -25,15 +25,15 @@
         class_count = len(context.settings.classes)
         self._on_time: list[Subqueues] = [{} for _ in range(class_count)]
         self._late: list[Subqueues] = [{} for _ in range(class_count)]
-        self._sequence_number = 0  # of the last request queued: breaks ties in order of queueing
+        self._sequence_number = 0  # number of the last request queued; equal run times keep this order
 
     def enqueue(self, request: Request) -> None:
-        """Queue the request for an engine."""
+        """Add the request to the queue of its class."""
         request.queued = True
         self._push(self._on_time, request)
 
     def waiting_for_first_attempt(self) -> Iterator[Request]:
-        """Queued requests without an attempt so far."""
+        """Yield the queued requests that have had no attempt yet."""
         for subqueues in self._on_time + self._late:
             for _, _, request in chain.from_iterable(subqueues.values()):
                 if request.queued and request.attempts == 0:
@@ -42,7 +42,11 @@
     def head(
         self, class_index: int, blocked_subqueues: Container[int], reject_late: Callable[[Request], None]
     ) -> Request | None:
-        """The next request of a class outside the blocked rows; late ones not worth serving are rejected."""
+        """Return the next request of a class outside the blocked subqueues.
+
+        Requests that will miss their objective are queued for late service, or passed to `reject_late` if
+        they can't be served late.
+        """
 
         def postpone(request: Request) -> None:
             """Queue a request that will miss its objective for late service, or reject it."""
@@ -65,7 +69,7 @@
         is_servable: Callable[[Request], bool],
         discard: Callable[[Request], None],
     ) -> Request | None:
-        """The shortest of the rows' heads, after those that can't be served any more were discarded."""
+        """Return the shortest head of the subqueues, after discarding heads that can't be served any more."""
         free = [subqueue_id for subqueue_id in subqueues if subqueue_id not in blocked_subqueues]
         for subqueue_id in free:
             _discard_unservable(subqueues, subqueue_id, is_servable, discard)
@@ -98,7 +102,10 @@
     is_servable: Callable[[Request], bool],
     discard: Callable[[Request], None],
 ) -> None:
-    """Remove heads of the row that have left the queue another way, or can't be served in time any more."""
+    """Remove requests at the head of the subqueue that no longer wait or can't be served in time any more.
+
+    `discard` is called for those that still waited. An empty subqueue is deleted.
+    """
     subqueue = subqueues[subqueue_id]
     while subqueue:
         request = subqueue[0][2]
--- a/cypressledge/decisions/retries.py
+++ b/cypressledge/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: their budget, and the rules on sending a request again."""
+"""Retries: the retry budget, and the rules on sending a request again."""
 
 from collections import deque
 
@@ -9,39 +9,39 @@
 from cypressledge.decisions.request import PossibleExecution, Request
 from cypressledge.decisions.units import MS
 
-# Time before a deduplication window's end from which nothing is repeated. It has to be over the time that a
-# send may wait for its connection (Settings.max_send_delay, which the broker sets to 500 ms).
+# µs; time before the end of a deduplication window after which no request is sent again. It must exceed the
+# time that a send may wait for its connection (Settings.max_send_delay, which the broker sets to 500 ms).
 WINDOW_MARGIN = 600 * MS
 
 
 class RetryBudget:
-    """Retries allowed over a sliding window: a fixed number, and a part of the requests received in it."""
+    """Limits retries in a sliding window to a fixed number plus a ratio of the requests received in it."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
-        self._received: deque[int] = deque()  # times in µs
-        self._retries: deque[int] = deque()  # times in µs
+        self._received: deque[int] = deque()  # µs; times of requests received
+        self._retries: deque[int] = deque()  # µs; times of retries started
 
     def record_request(self) -> None:
-        """A request was received."""
+        """Count a request that was received."""
         if self._context.settings.retry_budget_ratio is not None:
             self._received.append(self._context.now)
 
     def withdraw_request(self, received_at: int) -> None:
         """Uncount a request that was never sent and whose client disconnected.
 
-        Guards against clients that withdraw hundreds of requests at once, which would enlarge the budget.
+        Otherwise, clients that withdraw hundreds of requests at once would enlarge the budget.
         """
         if self._received and self._received[0] <= received_at:
             self._received.remove(received_at)
 
     def record_retry(self) -> None:
-        """A retry was started."""
+        """Count a retry that was started."""
         if self._context.settings.retry_budget_ratio is not None:
             self._retries.append(self._context.now)
 
     def allows_retry(self) -> bool:
-        """Whether one more retry is within the budget, however long its send waits."""
+        """Return whether one more retry is within the budget, however long its send is delayed."""
         settings, now = self._context.settings, self._context.now
         if settings.retry_budget_ratio is None:
             return True
@@ -53,14 +53,14 @@
 
 
 class RetryPolicy:
-    """Whether a request gets another attempt: attempts, time, budget and the idempotency of its class."""
+    """Decides on retries by the attempts, the time, the retry budget and the idempotency of the class."""
 
     def __init__(self, context: DecisionContext, budget: RetryBudget) -> None:
         self._context = context
         self._budget = budget
 
     def reason_against_retry(self, request: Request) -> Reason | None:
-        """The reason why the request gets no further attempt; None where it gets one."""
+        """Return the reason why the request gets no further attempt; None if it gets one."""
         if request.attempts >= self._context.settings.max_attempts:
             return Reason.ATTEMPTS_USED
         if self._context.now + request.run_time > request.deadline - DEADLINE_MARGIN:
@@ -68,9 +68,9 @@
         return self.reason_against_sending(request)
 
     def reason_against_sending(self, request: Request) -> Reason | None:
-        """The reason why a retry may not be sent now, None where it may.
+        """Return the reason why a retry must not be sent now; None if it may be sent.
 
-        Asked once more when an engine is found, which may be much later than the end of the last attempt.
+        This is checked again when an engine is found, which may be long after the end of the last attempt.
         """
         if not self._budget.allows_retry():
             return Reason.RETRY_BUDGET
@@ -79,20 +79,20 @@
 
 
 def _drop_until(times: deque[int], last: int) -> None:
-    """Remove times up to the last one that lies before the window."""
+    """Remove the times up to and including `last`, µs, which are before the window."""
     while times and times[0] <= last:
         times.popleft()
 
 
 def window_end(class_settings: ClassSettings, execution: PossibleExecution) -> int:
-    """Time, µs, from which a request with a key that may have been executed is not sent again."""
+    """Return the time, µs, from which a request with a key that may have been executed is not sent again."""
     return execution.started_at + class_settings.deduplication_window - WINDOW_MARGIN
 
 
 def reason_against_repeat(
     class_settings: ClassSettings, execution: PossibleExecution | None, now: int
 ) -> Reason | None:
-    """The reason why a request may not be sent again at `now`, µs; None where it may.
+    """Return the reason why a request must not be sent again at `now`, µs; None if it may be.
 
     `execution` is the first attempt that may have been executed, None without any.
     """
@@ -106,9 +106,9 @@
 
 
 def deduplicates(class_settings: ClassSettings, first: Engine, engine: Engine) -> bool:
-    """Whether an engine drops the repeat of a request that may have been executed at the first one.
+    """Return whether an engine drops a duplicate of a request that the engine `first` may have executed.
 
-    No engine is ruled out for classes that aren't idempotent by a key.
+    The result is true for all engines if the class has no idempotency key.
     """
     scope = class_settings.deduplication_scope
     if class_settings.idempotency is not Idempotency.WITH_KEY or scope is DeduplicationScope.ALL:
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -1,6 +1,6 @@
-"""Routing: a request goes to the engine of least cost among those that admit it; ties are broken at random.
+"""Routing: a request goes to the engine of lowest cost among those that admit it; ties are broken at random.
 
-A cost is in threads a core: this broker's work in flight, and penalties in the same unit.
+A cost is in threads per core: this broker's work in flight, plus penalties in the same unit.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -18,38 +18,39 @@
 from cypressledge.decisions.retries import deduplicates
 from cypressledge.decisions.units import MS
 
-REPORT_WEIGHT = 2.0  # of the other brokers' reported load against this broker's threads a core
-REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about the run time of expensive work
-PREFERRED_ENGINES_MIN = 3  # engines that a broker prefers at the least
-ANSWERS_PER_PREFERRED_ENGINE = 2  # answers a second for which it prefers one more
-UNPREFERRED_ENGINE_COST = 1.0  # of the first engine that the broker does not prefer, in threads a core
-UNCACHED_COST = 0.25  # of engines that are not among the group's, in threads a core
-BLOCKED_COST = 2.0  # of an engine where a load blocks the group, in threads a core
-FAILED_COST = 2.0  # of an engine that just failed the request or rejects, in threads a core
-RESERVED_COST = 0.5  # to a class free to go anywhere, of engines that another class must use
-LOAD_ENGINE_COST = 2.0  # to what loads block, of engines that the group's loads go to
-NOT_LOAD_ENGINE_COST = 1.0  # to a load, of engines that its group's loads do not go to
-TIE_TOLERANCE = 1e-9  # difference of costs, in threads a core, up to which they are equal
+REPORT_WEIGHT = 2.0  # weight of the other brokers' reported load relative to this broker's own load
+REPORT_HALF_LIFE = 2_000 * MS  # µs; age at which a report counts half, about the run time of expensive work
+PREFERRED_ENGINES_MIN = 3  # fewest engines that a broker prefers
+ANSWERS_PER_PREFERRED_ENGINE = 2  # answers per second for each further engine that a broker prefers
+# Costs are in threads per core.
+UNPREFERRED_ENGINE_COST = 1.0  # cost of the first engine that the broker does not prefer
+UNCACHED_COST = 0.25  # cost of engines that are not among the group's engines, which cache its tables
+BLOCKED_COST = 2.0  # cost of an engine for each load that blocks the group there
+FAILED_COST = 2.0  # cost of an engine that just failed the request or rejects attempts
+RESERVED_COST = 0.5  # cost of engines that another class requires, for classes without requirements
+LOAD_ENGINE_COST = 2.0  # cost of the load engines of the group, for requests that loads block
+NOT_LOAD_ENGINE_COST = 1.0  # cost of engines that are not load engines of the group, for loads
+TIE_TOLERANCE = 1e-9  # largest difference of equal costs
 
 
 @dataclass(slots=True)
 class CostInputs:
-    """What the cost of an engine depends on besides the engine, computed once for each choice."""
+    """Inputs of the engine costs that are the same for all engines, computed once for each choice."""
 
     request: Request
-    threads: int  # that the request runs on
+    threads: int  # threads that the request uses
     table_group: int
     now: int  # µs
     fleet_slowdown: float
-    mean_load: float  # threads a core, of load reports
-    load_spread: float
-    distances: Mapping[Engine, float]  # as Affinity.preference_distances gives them
-    group_engines: Collection[Engine]
-    load_engines: Collection[Engine]
+    mean_load: float  # threads per core, of load reports
+    load_spread: float  # threads per core, of load reports
+    distances: Mapping[Engine, float]  # result of Affinity.preference_distances
+    group_engines: Collection[Engine]  # engines without UNCACHED_COST
+    load_engines: Collection[Engine]  # result of Affinity.load_engines; empty if loads don't matter
 
 
 class Router:
-    """Chooses engines for requests."""
+    """Chooses the engine that a request is sent to."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         self.configure()
 
     def configure(self) -> None:
-        """Apply the context's settings."""
+        """Apply the context's settings: required kinds and zones, and the weight of load reports."""
         settings = self._context.settings
         self._reserved_kinds = frozenset().union(*(c.required_kinds or () for c in settings.classes))
         self._reserved_zones = frozenset().union(*(c.required_zones or () for c in settings.classes))
@@ -80,7 +81,7 @@
         self._report_weight = REPORT_WEIGHT * (1.0 - 1.0 / settings.broker_count)
 
     def choose(self, request: Request) -> Engine | None:
-        """The allowed engine with capacity and the least cost; None without any."""
+        """Return the candidate with capacity and the lowest cost; None without any."""
         allowance = self._limits.short_work_allowance(request)
         if not self._limits.fleet_has_capacity(request, allowance):
             return None
@@ -99,7 +100,7 @@
         return self._context.random.choice(ties) if ties else None
 
     def _candidates(self, request: Request) -> Sequence[Engine]:
-        """Engines that the rules on kinds, zones, retries and loads allow for the request."""
+        """Return the engines that the rules on kinds, zones, retries and loads allow for the request."""
         class_settings = request.class_settings
         engines = self._registry.ready
         if (kinds := class_settings.required_kinds) is not None:
@@ -135,10 +136,10 @@
         )
 
     def _preferred_count(self) -> int:
-        """Engines that this broker prefers, by its traffic."""
+        """Return how many engines this broker prefers, which grows with its rate of answers."""
         return PREFERRED_ENGINES_MIN + int(self._pace.answer_rate / ANSWERS_PER_PREFERRED_ENGINE)
 
-    # Cost terms, each in threads a core; they are added in this order.
+    # Cost terms in threads per core, in the order in which they are added.
 
     def _cost(self, engine: Engine, inputs: CostInputs) -> float:
         request = inputs.request
@@ -156,10 +157,10 @@
         return cost
 
     def _reported_load_cost(self, engine: Engine, inputs: CostInputs) -> float:
-        """The other brokers' load as the engine last reported it.
+        """Return the cost of the other brokers' load, as the engine last reported it.
 
-        The older the report, the more of it is replaced by a random guess, so that brokers do not all choose
-        the engine with the lowest old report.
+        The older the report, the more of it is replaced by a random value, so that the brokers do not all
+        choose the engine with the lowest old report.
         """
         freshness = 1.0 / (1.0 + (inputs.now - engine.reported_at) / REPORT_HALF_LIFE)
         deviation = 2.0 * self._random() - 1.0
@@ -167,34 +168,34 @@
         return self._report_weight * (freshness * (engine.reported_load - inputs.mean_load) + random_part)
 
     def _is_reserved(self, engine: Engine, class_settings: ClassSettings) -> bool:
-        """Whether another class must use the engine, while the request's class may go anywhere."""
+        """Return whether another class requires the engine's kind or zone and this class requires none."""
         if class_settings.required_kinds is not None or class_settings.required_zones is not None:
             return False
         return engine.kind in self._reserved_kinds or engine.zone in self._reserved_zones
 
 
 def _in_flight_cost(engine: Engine, inputs: CostInputs) -> float:
-    """This broker's threads a core with the request, times how much slower than the fleet the engine is."""
+    """Return this broker's threads per core including the request, times the engine's relative slowdown."""
     load = (engine.threads + inputs.threads) / engine.cores
     relative_slowdown = engine.slowdown / inputs.fleet_slowdown
     return load * (relative_slowdown if relative_slowdown > 1.0 else 1.0)
 
 
 def _affinity_cost(engine: Engine, inputs: CostInputs) -> float:
-    """Penalty on engines that are not among the group's, and on warm ones that the broker does not prefer."""
+    """Return the penalty on engines outside the group's and on warm engines that aren't preferred."""
     is_uncached = engine not in inputs.group_engines
     is_warm = inputs.now >= engine.warm_at
     return is_uncached * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * inputs.distances[engine]
 
 
 def _blocked_cost(engine: Engine, inputs: CostInputs) -> float:
-    """Penalty on an engine where loads block the group."""
+    """Return the penalty on an engine where loads block the group."""
     is_blocked = engine.blocked_until.get(inputs.table_group, 0) > inputs.now
     return BLOCKED_COST * max(engine.loads_in_flight.get(inputs.table_group, 0), is_blocked)
 
 
 def _load_placement_cost(engine: Engine, inputs: CostInputs) -> float:
-    """Penalty that separates loads from the queries that they block."""
+    """Return the penalty that separates loads from the queries that they block."""
     is_load_engine = engine in inputs.load_engines
     if inputs.request.class_settings.is_load:
         return (not is_load_engine) * NOT_LOAD_ENGINE_COST
--- a/cypressledge/decisions/units.py
+++ b/cypressledge/decisions/units.py
@@ -1,4 +1,4 @@
-"""Units of time, and the weight of new values in the running means of several modules."""
+"""Units of time, and the weight of new values that several modules use in running means."""
 
 MS = 1_000  # µs
 SECOND = 1_000 * MS  # µs
--- a/tests/decisions/manager_driver.py
+++ b/tests/decisions/manager_driver.py
@@ -1,6 +1,6 @@
-"""Drives a workload manager in a test: virtual time, a small fleet, and attempts that end as the test says.
+"""Driver of a workload manager in tests: virtual time, a small fleet, and attempts that the test ends.
 
-Times and spans are in µs. `parts.py` is for tests of one module alone.
+Times and durations are in µs. `parts.py` is for tests of a single module.
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 from cypressledge.decisions.manager import WorkloadManager
 
 SECOND = 1_000_000
-STEP = 20_000  # between two timers of ManagerDriver.run
+STEP = 20_000  # µs; time between two timers of ManagerDriver.run
 START = 100 * SECOND
 LOOKUP = ClassSettings(latency_objective=1 * SECOND, deadline=5 * SECOND, latency_objective_stretch=2.0)
 REPORT = ClassSettings(
@@ -43,7 +43,7 @@
 
 
 def with_key(scope: DeduplicationScope) -> ClassSettings:
-    """A class whose requests have an idempotency key, which engines of this scope remember for 5 s."""
+    """Return a class with idempotency keys; engines within `scope` drop duplicates for 5 s."""
     return ClassSettings(
         latency_objective=SECOND,
         deadline=20 * SECOND,
@@ -54,7 +54,7 @@
 
 
 def settings(*classes, **changes):
-    """Settings of a plain site of these classes (LOOKUP and REPORT by default), with changes."""
+    """Return default settings for these classes (LOOKUP and REPORT if none are given), with changes."""
     plain = {
         "timer_resolution": 5000,
         "kind_cores": (8, 4),
@@ -70,27 +70,27 @@
 
 
 def entry(engine, state=EngineState.READY, kind=0, zone=0, cell=0, started_at=0):
-    """An entry of an engine list: a ready engine that started long ago."""
+    """Return an entry of an engine list, by default of a ready engine with unknown start time."""
     return EngineListEntry(engine, state, kind, zone, cell, started_at)
 
 
 class ManagerDriver:
-    """A manager under test with its clock, the actions it answered with, and the attempts it started.
+    """A manager under test with its clock, the actions it returned, and the attempts it started.
 
-    It begins with a list of `entries`, or of as many plain engines as `engines` says, numbered from 1.
+    The initial engine list holds `entries`, or `engines` default entries with ids from 1.
     """
 
     def __init__(self, config=None, engines=3, seed=1, entries=None):
         self.manager = WorkloadManager(config or settings(), seed)
         self.now = START
-        self.actions = []  # all so far
+        self.actions = []  # all actions returned so far
         self.sends = []  # the StartAttempt actions among them
         self.attempts = {}  # number of the last attempt, by request
         listed = tuple(entries or (entry(number + 1) for number in range(engines)))
         self.handle(EngineListReceived(EngineListKind.CACHED, listed))
 
     def handle(self, *events, after=0):
-        """Give the manager events after a span; return the actions that it answers with."""
+        """Pass events to the manager `after` µs later; return its actions."""
         self.now += after
         actions = self.manager.handle(self.now, list(events))
         for action in actions:
@@ -101,16 +101,16 @@
         return actions
 
     def arrive(self, request, class_index=0, cost=100_000, time_limit=None, **fields):
-        """A request arrives, with the deadline of its class or a time limit; return the actions."""
+        """Pass a new request to the manager, due at the deadline of its class or after a time limit."""
         deadline = self.now + (time_limit or self.manager.settings.classes[class_index].deadline)
         return self.handle(RequestReceived(request, class_index, deadline, cost=cost, **fields))
 
     def engine_of(self, request):
-        """The engine of the request's last attempt."""
+        """Return the engine of the request's last attempt."""
         return next(send.engine for send in reversed(self.sends) if send.request == request)
 
     def end(self, request, outcome=Outcome.OK, final=None, after=0, work=100_000, latency=100_000, memory=0):
-        """The request's last attempt ends after a span; return the actions. Final with OK by default."""
+        """End the request's last attempt `after` µs later; return the actions. OK is final by default."""
         final = outcome is Outcome.OK if final is None else final
         return self.handle(
             AttemptEnded(
@@ -127,7 +127,7 @@
         )
 
     def run(self, span):
-        """Let the housekeeping timer fire each STEP for a span; return all actions."""
+        """Fire the housekeeping timer every STEP for `span` µs; return all actions."""
         actions = []
         for _ in range(0, span, STEP):
             actions += self.handle(TimerFired(0), after=STEP)
@@ -135,7 +135,7 @@
 
 
 def run_with_silent_engine(driver, silent=1, span=3 * SECOND):
-    """Traffic for a span on all engines, of which one answers nothing: the others do after 100 ms."""
+    """Send traffic for `span` µs; the engine `silent` does not answer, the others answer after 100 ms."""
     request = 1000
     for _ in range(span // STEP):
         for _ in range(2):
@@ -151,15 +151,15 @@
 
 
 def actions_of(kind, actions):
-    """The actions of a type, or of one of several types."""
+    """Return the actions of a type, or of one of several types."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def final_answers(actions):
-    """The rejections and failures among actions."""
+    """Return the rejections and failures among the actions."""
     return actions_of((RejectRequest, FailRequest), actions)
 
 
 def cancellations(actions):
-    """The cancellations among actions."""
+    """Return the cancellations among the actions."""
     return actions_of(CancelAttempt, actions)
--- a/tests/decisions/parts.py
+++ b/tests/decisions/parts.py
@@ -1,6 +1,6 @@
-"""Builds what a test of one module of the decisions needs: a context, engines, requests and their attempts.
+"""Builders for tests of single decision modules: a context, engines, requests and their attempts.
 
-Times and spans are in µs. `manager_driver.py` is for tests of the whole manager.
+Times and durations are in µs. `manager_driver.py` is for tests of the complete manager.
 """
 
 from random import Random
@@ -26,18 +26,18 @@
 
 
 def make_context(*classes, now=START, seed=1, **changes):
-    """A context of a plain site of these classes (LOOKUP by default), with changes of its settings."""
+    """Return a context with default settings for these classes (LOOKUP if none are given), with changes."""
     usual = {"kind_cores": (8, 4), "timer_resolution": 5_000, "supports_cancel": True, "max_attempts": 4}
     return DecisionContext(Settings(classes=classes or (LOOKUP,), **(usual | changes)), Random(seed), now)
 
 
 def list_entry(engine, state=EngineState.READY, kind=0, zone=0, cell=0, started_at=0):
-    """An entry of an engine list: a ready engine that started long ago."""
+    """Return an entry of an engine list, by default of a ready engine with unknown start time."""
     return EngineListEntry(engine, state, kind, zone, cell, started_at)
 
 
 def make_registry(context, *engines):
-    """A registry that has a list of these engines: list entries, or numbers of plain ones."""
+    """Return a registry with these engines, given as list entries or as ids of default entries."""
     registry = EngineRegistry(context)
     entries = tuple(
         engine if isinstance(engine, EngineListEntry) else list_entry(engine) for engine in engines
@@ -47,9 +47,9 @@
 
 
 def make_request(context, number=1, class_index=0, cost=100_000, work=None, **fields):
-    """A request that arrives now, with further fields of RequestReceived.
+    """Return a request that arrives now; `fields` are further fields of RequestReceived.
 
-    `work` is its corrected cost where that differs from the estimate `cost`.
+    `work` is its corrected cost if that differs from the estimate `cost`.
     """
     class_settings = context.settings.classes[class_index]
     deadline = context.now + class_settings.deadline
@@ -58,7 +58,7 @@
 
 
 def start_attempt(context, request, engine, attempts=1):
-    """Put the last of so many attempts of a request in flight at an engine, since now; return the request."""
+    """Put the last of `attempts` attempts of a request in flight at an engine now; return the request."""
     request.attempts = attempts
     request.engine = engine
     request.sent_at = request.last_activity_at = context.now
@@ -67,7 +67,7 @@
 
 
 def attempt_ended(request, outcome=Outcome.OK, latency=100_000, work=0, memory_mb=0.0, load_report=()):
-    """The end of the request's last attempt, final with OK."""
+    """Return the event that ends the request's last attempt; it is final if the outcome is OK."""
     engine = request.engine.id if request.engine else 0
     return AttemptEnded(
         request=request.id,
@@ -83,7 +83,7 @@
 
 
 class CallRecorder:
-    """Takes the place of any part: records the names of the methods called, which all return `answer`."""
+    """Stand-in for any component: records the names of the methods called, which all return `answer`."""
 
     def __init__(self, answer=None):
         self.names = []
@@ -98,5 +98,5 @@
 
 
 def log_texts(context):
-    """The log lines among the actions."""
+    """Return the texts of the log lines among the actions."""
     return [action.text for action in context.actions if hasattr(action, "text")]
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -1,4 +1,4 @@
-"""Engines that groups, loads and brokers keep to, by ranks that are the same at every broker."""
+"""Engines that groups, loads and brokers prefer, by ranks that are equal at every broker."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
 
 
 class AffinityFixture:
-    """The affinity of a broker over ten engines."""
+    """The affinity of one broker, by default over ten engines."""
 
     def __init__(self, engines=10, **changes):
         self.context = make_context(BLOCKED, LOAD, **changes)
@@ -34,7 +34,7 @@
 
 
 def test_hashes_equal_those_of_earlier_versions():
-    """Brokers of two versions side by side must agree on the ranks."""
+    """Brokers of different versions that run at the same time must agree on the ranks."""
     assert rank_hash(9, 7) == 4821312879723589565
     assert rank_hash(-1, 0xABCDEF) == 4881784664114867176
 
@@ -62,7 +62,7 @@
     broker = AffinityFixture()
     broker.requests(90, group=1)
     broker.requests(10, group=2)
-    assert len(broker.affinity.group_engines(1)) == 10  # 1 + 13.5 of ten
+    assert len(broker.affinity.group_engines(1)) == 10  # 1 + 13.5, limited to ten
     assert broker.affinity.group_engines(2) == broker.affinity.ranked(2)[:3]  # 1 + 1.5, rounded up
     assert broker.affinity.group_engines(3) == broker.affinity.ranked(3)[:1]
 
@@ -73,7 +73,7 @@
     for _ in range(45):
         broker.affinity.end_period()
     broker.requests(1, group=2)
-    assert len(broker.affinity.group_engines(1)) == 1 + 2  # 0.1 of the traffic still
+    assert len(broker.affinity.group_engines(1)) == 1 + 2  # group 1 still has about 0.1 of the traffic
     broker.affinity.end_period()
     assert len(broker.affinity.group_engines(1)) == 1
 
@@ -85,7 +85,7 @@
     broker.registry.ready[0].loads_in_flight[1] = 1
     for _ in range(1_000):
         broker.affinity.record_running_loads()
-    assert broker.affinity.load_engines(1) == broker.affinity.ranked(1)[-2:]  # 1.6 of them, rounded up
+    assert broker.affinity.load_engines(1) == broker.affinity.ranked(1)[-2:]  # 1.6, rounded up
     broker.registry.ready[0].loads_in_flight[1] = 100
     for _ in range(1_000):
         broker.affinity.record_running_loads()
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize(("work", "soon"), [(6 * SECOND, True), (6 * SECOND + 2, False)])
 def test_a_load_starts_soon_if_loads_ahead_leave_it_a_quarter_of_its_objective(work, soon):
     broker = AffinityFixture()
-    broker.estimates.work[1] = work  # on two threads; three quarters of 4 s are 3 s
+    broker.estimates.work[1] = work  # µs on two threads; loads ahead may take 3/4 of 4 s
     engine = broker.registry.ready[0]
     engine.loads_in_flight[1] = 1
     assert (
--- a/tests/decisions/test_attempts.py
+++ b/tests/decisions/test_attempts.py
@@ -1,4 +1,4 @@
-"""Cancelling and moving attempts, and the resources they get."""
+"""Cancelling and moving of attempts, and the resources of attempts."""
 
 from dataclasses import replace
 
@@ -24,7 +24,7 @@
 
 
 def make_in_flight(*classes, **changes):
-    """An attempt in flight of the first class, with the control over it."""
+    """Return a context, a request of the first class with an attempt in flight, and its AttemptControl."""
     context = make_context(*classes, **changes)
     request = start_attempt(context, make_request(context), make_registry(context, 1).engines[1])
     return context, request, AttemptControl(context, RetryPolicy(context, RetryBudget(context)))
@@ -99,7 +99,7 @@
     for after in (0, SECOND // 2, 1, SECOND // 2 - 1, 1):
         context.now += after
         resources.update(long)
-    assert priorities(context) == [1, 2, 0]  # set where they change
+    assert priorities(context) == [1, 2, 0]  # an action only at each change
 
 
 def test_priority_of_short_requests_is_lowered_once_they_are_late():
--- a/tests/decisions/test_concurrency_limits.py
+++ b/tests/decisions/test_concurrency_limits.py
@@ -34,7 +34,7 @@
         return request
 
     def fill(self, limit=1_000, **fields):
-        """Send until the engine has no capacity; how many."""
+        """Send requests until the engine has no capacity; return their number."""
         count = 0
         while count < limit and self.limits.engine_has_capacity(self.engine, self.request(**fields), 0.0):
             self.send(**fields)
@@ -89,7 +89,7 @@
 
 def test_memory_is_reserved_and_released():
     fleet = LimitedFleet(kind_memory_mb=(1_000.0,))
-    assert fleet.fill(memory_mb=200.0) == 4  # 225 MB each: between the initial mean and the initial grant
+    assert fleet.fill(memory_mb=200.0) == 4  # 225 MB each, between initial mean and grant
     assert fleet.limits.reserved_memory_mb == fleet.engine.reserved_memory_mb == pytest.approx(900.0)
     fleet.limits.release(fleet.engine, fleet.engine.in_flight.pop(2))
     assert fleet.limits.threads == fleet.engine.threads == 3
@@ -102,7 +102,7 @@
     while fleet.limits.fleet_has_capacity(fleet.request(), 0.0):
         fleet.send()
         count += 1
-    assert count == 3  # ten engines of 16 threads by 250, 1.25 times, and two lookups for chance
+    assert count == 3  # ten engines of 16 threads over 250 brokers, times 1.25, plus two lookups
     assert all(engine.requests_waited for engine in fleet.registry.ready)
 
 
@@ -124,7 +124,7 @@
     for _ in range(100):
         fleet.engine.requests_waited, fleet.engine.objectives_met, fleet.engine.objectives_missed = True, 5, 1
         fleet.limits.end_period()
-    assert fleet.engine.bound == 48  # three times the initial one
+    assert fleet.engine.bound == 48  # three times the initial bound
 
 
 @pytest.mark.parametrize(("met", "missed", "slowdown"), [(4, 1, 1.0), (5, 1, 1.4)])
@@ -171,7 +171,7 @@
     fleet = LimitedFleet()
     fleet.engine.slowdown = 3.0
     fleet.engine.bound = 1.0
-    assert fleet.fill() == 2  # two lookups' worth at least
+    assert fleet.fill() == 2  # at least two lookups are admitted
     fleet.context.settings = replace(fleet.context.settings, classes=(WIDE,))
     fleet.limits.configure()
     assert fleet.limits.engine_has_capacity(fleet.engine, fleet.request(), 0.0)
--- a/tests/decisions/test_deadlines.py
+++ b/tests/decisions/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The queue of request ids by due time."""
+"""Queue of request ids by due time."""
 
 from cypressledge.decisions.deadlines import DeadlineQueue
 
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: draws until nothing queued finds an engine, and starts of attempts."""
+"""Dispatch: draws until no queued request has an available engine, and the start of attempts."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -13,7 +13,7 @@
 
 
 class DispatchFixture:
-    """A dispatcher whose router finds the engine for the groups that are free."""
+    """A dispatcher whose router returns the engine for the groups in `free`, or for all if that is None."""
 
     def __init__(self, *classes):
         self.context = make_context(*(classes or (LOOKUP,)))
@@ -84,7 +84,7 @@
     dispatch = DispatchFixture()
     dispatch.reason = "budget"
     dispatch.add(1).attempts = 1
-    dispatch.add(2)  # a first attempt needs no leave
+    dispatch.add(2)  # first attempts are not checked
     dispatch.dispatcher.dispatch()
     assert dispatch.given_up == [(1, "budget")]
     assert dispatch.started == [2]
--- a/tests/decisions/test_engines.py
+++ b/tests/decisions/test_engines.py
@@ -1,4 +1,4 @@
-"""The registry of engines, and the subscription that fills it."""
+"""Registry of engines, and the subscription that updates it."""
 
 from types import SimpleNamespace
 
--- a/tests/decisions/test_estimates.py
+++ b/tests/decisions/test_estimates.py
@@ -1,4 +1,4 @@
-"""What requests cost, learnt from answers."""
+"""Estimates of the cost of requests from answers."""
 
 from dataclasses import replace
 
@@ -111,7 +111,7 @@
 def test_expected_latency_is_the_run_time_times_the_fleets_latency_ratio():
     context, estimates = make_estimates()
     assert estimates.expected_latency(make_request(context, cost=100_000)) == 100_000
-    assert estimates.expected_latency(make_request(context, cost=1)) == 5_000  # the timer resolution at least
+    assert estimates.expected_latency(make_request(context, cost=1)) == 5_000  # at least the timer resolution
     estimates.latency_ratios[0] = 0.5
     assert estimates.expected_latency(make_request(context, cost=100_000)) == 100_000
     estimates.latency_ratios[0] = 3.0
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Ejection of outliers, and their trial requests."""
+"""Ejection of outliers, and trial requests to ejected engines."""
 
 from dataclasses import replace
 
@@ -20,7 +20,7 @@
 
 
 class HealthFixture:
-    """The monitor over a few engines."""
+    """A health monitor with its engines; engine 1 is the one under test."""
 
     def __init__(self, engines=4):
         self.context = make_context(
@@ -82,9 +82,9 @@
     health = HealthFixture()
     for _ in range(2):
         health.monitor.record_error(health.engine)
-    assert health.ejected() == []  # 0.19 of its answers
+    assert health.ejected() == []  # an error rate of 0.19
     health.monitor.record_error(health.engine)
-    assert health.ejected() == [1]  # 0.27
+    assert health.ejected() == [1]  # an error rate of 0.27
 
 
 def test_errors_at_all_engines_eject_no_engine():
--- a/tests/decisions/test_inspection.py
+++ b/tests/decisions/test_inspection.py
@@ -1,4 +1,4 @@
-"""The inspection of attempts in flight, and when it and the control period are due."""
+"""Inspection of attempts in flight, housekeeping intervals, inputs of the odds loop, and admission."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 
 
 class InspectionFixture:
-    """Two engines, and the findings of an inspection."""
+    """An inspection of two engines that records its findings."""
 
     def __init__(self):
         self.context = make_context(LOOKUP, replace(LOOKUP, blocked_by_loads=True))
@@ -58,7 +58,7 @@
     inspected.run(after=50_000)
     assert inspected.engine.overdue_ratio == pytest.approx(1.0, abs=1e-4)
     inspected.send(2, cost=300_000)
-    inspected.run(after=350_000)  # 400 ms and 350 ms old
+    inspected.run(after=350_000)  # ages of 400 ms and 350 ms
     assert inspected.engine.overdue_ratio == pytest.approx(750 / 400, abs=1e-4)
 
 
@@ -111,7 +111,7 @@
 
 
 class PeriodicRecorder:
-    """A part of the decisions that notes its periods."""
+    """A periodic component that counts its control periods."""
 
     def __init__(self):
         self.periods = 0
@@ -149,7 +149,7 @@
     housekeeping.schedule_timer()
     assert context.actions == [StartTimer(after)]
     housekeeping.schedule_timer()
-    assert len(context.actions) == 1 + (due == 1)  # a running timer is not started again
+    assert len(context.actions) == 1 + (due == 1)  # a running timer that fires as early is not started again
 
 
 def test_delays_of_waiting_requests_count_in_the_odds_loop():
@@ -162,11 +162,11 @@
     loop.end_period()
     assert odds.ratios == [1.0]  # equal delays
     assert odds.previous_errors == [0.0]
-    assert odds.sample_counts == [0, 0]  # there were enough
+    assert odds.sample_counts == [0, 0]  # reset, because there were enough samples
 
 
 class LimitStub:
-    """One limit of an engine, met or not."""
+    """Stand-in for one check of an engine: records calls, and returns `is_open` from each."""
 
     def __init__(self, calls, name, is_open=True):
         self.calls, self.name, self.is_open = calls, name, is_open
@@ -192,5 +192,5 @@
     for closed in parts[-check_count:]:
         closed.is_open = False
         assert not admission.admits(engine, make_request(context), 0.0)
-        assert calls[-1][0] == closed.name  # the limits after it are not checked
+        assert calls[-1][0] == closed.name  # the checks after it are skipped
         closed.is_open = True
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from their arrival to their final answer, and the effects of ends of attempts on them."""
+"""Lifecycle of requests, and the effects of the outcomes of their attempts."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -34,7 +34,7 @@
 
 
 class LifecycleFixture:
-    """The lifecycle of one class, over two engines."""
+    """The lifecycle of requests of one class, with two engines."""
 
     def __init__(self, class_settings=LOOKUP, **changes):
         self.context = context = make_context(class_settings, **changes)
@@ -93,7 +93,7 @@
     setup.lifecycle.client_disconnected(ClientDisconnected(1))
     assert setup.lifecycle.requests == {}
     assert setup.context.actions == []
-    assert setup.odds.sample_counts == [1]  # it has waited in vain
+    assert setup.odds.sample_counts == [1]  # the delay counts although no attempt was started
 
 
 @pytest.mark.parametrize(("class_settings", "cancels"), [(LOOKUP, 1), (KEYED, 1), (UNSAFE, 0)])
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize(("is_sent", "reason"), [(False, Reason.NO_CAPACITY), (True, Reason.DEADLINE)])
 def test_a_request_ends_30_ms_before_its_deadline(is_sent, reason):
-    """The margin is DEADLINE_MARGIN."""
+    """The 30 ms are DEADLINE_MARGIN."""
     setup = LifecycleFixture()
     request = setup.receive()
     if is_sent:
@@ -235,7 +235,7 @@
     setup = LifecycleFixture(KEYED)
     request = setup.send(setup.receive())
     setup.end(request, Outcome.RESET, after=1_000)
-    setup.context.now += 1_400_000 - 1_000  # two seconds less the margin of 600 ms since it was sent
+    setup.context.now += 1_400_000 - 1_000  # window of 2 s less the margin of 600 ms, since the send
     setup.lifecycle.expire()
     assert setup.answers() == [(RejectRequest, Reason.DEDUPLICATION_WINDOW_OVER)]
 
--- a/tests/decisions/test_load_reports.py
+++ b/tests/decisions/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports in answers."""
+"""Load that is computed from the reports in answers."""
 
 import pytest
 
@@ -19,8 +19,8 @@
     ("values", "load"),
     [
         ((0.4, 0.0, 3.0), 0.4),
-        ((1.0, 4.0, 8.0), 1.5),  # four queries of a thread wait for eight cores
-        ((1.0, 0.0, 24.0), 3.0),  # three threads a core, one of them in the busy cores
+        ((1.0, 4.0, 8.0), 1.5),  # four queries with one thread each wait for eight cores
+        ((1.0, 0.0, 24.0), 3.0),  # three threads per core, one of which is in the busy cores
         ((1.0, 4.0, 24.0), 3.5),
     ],
 )
--- a/tests/decisions/test_lost_responses.py
+++ b/tests/decisions/test_lost_responses.py
@@ -1,4 +1,4 @@
-"""Responses that never come, and attempts that make no progress."""
+"""Detection of lost responses, and handling of progress notifications."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -18,7 +18,7 @@
 
 
 class AttemptFixture:
-    """One attempt in flight, with the parts that check it for losses and progress."""
+    """One attempt in flight, with the components that check it for a lost response and for progress."""
 
     def __init__(self, class_settings=LONG_OBJECTIVE, **changes):
         self.context = make_context(class_settings, **({"progress_interval": INTERVAL} | changes))
@@ -104,7 +104,7 @@
 def test_at_a_high_loss_rate_overdue_attempts_are_moved(rate, blocked, moved):
     in_flight = AttemptFixture()
     in_flight.losses.loss_rate, in_flight.request.blocked = rate, blocked
-    in_flight.check(340_000)  # three times 100 ms, and 40
+    in_flight.check(340_000)  # three times 100 ms, plus 40 ms
     assert in_flight.cancelled() == []
     in_flight.check(1)
     assert len(in_flight.cancelled()) == moved
@@ -120,16 +120,16 @@
 def test_a_runaway_is_moved_if_a_new_attempt_would_take_a_third_of_the_remaining_time():
     in_flight = AttemptFixture()
     in_flight.notify(ProgressKind.PROGRESS, 0.1, after=100_000)
-    assert in_flight.cancelled() == []  # not older than a fresh start
+    assert in_flight.cancelled() == []  # not older than the expected latency of a new attempt
     in_flight.notify(ProgressKind.PROGRESS, 0.5, after=150_000)
-    assert in_flight.cancelled() == []  # its rest is 250 ms
+    assert in_flight.cancelled() == []  # 250 ms remain
     in_flight.notify(ProgressKind.PROGRESS, 0.4)
-    assert in_flight.cancelled() == [Reason.RUNAWAY]  # 375 ms
+    assert in_flight.cancelled() == [Reason.RUNAWAY]  # 375 ms remain
 
 
 def test_an_attempt_that_waits_for_a_load_is_moved_and_its_group_blocked():
     in_flight = AttemptFixture()
-    in_flight.notify(ProgressKind.WAITING, 1.0)  # for memory
+    in_flight.notify(ProgressKind.WAITING, 1.0)  # waits for memory
     assert in_flight.cancelled() == []
     assert in_flight.request.blocked
     in_flight.notify(ProgressKind.WAITING, 2.0)
--- a/tests/decisions/test_manager_faults.py
+++ b/tests/decisions/test_manager_faults.py
@@ -1,4 +1,4 @@
-"""How a manager reacts to faults of engines, to loads that block queries, and to overload."""
+"""Reactions of a manager to faults of engines, to loads that block queries, and to overload."""
 
 import dataclasses
 
@@ -115,7 +115,7 @@
         engines=1,
     )
     driver.manager.registry.ready[0].slowdown, driver.manager.registry.ready[0].bound = 3.0, 1
-    for request in (1, 2, 3):  # two lookups are sent
+    for request in (1, 2, 3):  # the bound admits two lookups
         driver.arrive(request)
     assert not final_answers(driver.run(SECOND // 2))
     assert [a.request for a in final_answers(driver.run(SECOND // 2))] == [3]
@@ -128,7 +128,7 @@
 
 
 def test_an_engine_that_answers_errors_at_once_is_ejected():
-    """It has the fewest queries in flight, so it would attract the most."""
+    """Such an engine has the fewest queries in flight and would attract the most."""
     driver = ManagerDriver(engines=3)
     for request in range(200):
         driver.arrive(request)
@@ -144,7 +144,7 @@
 
 
 def test_errors_at_all_engines_eject_no_engine():
-    """They are the queries' fault."""
+    """Errors at all engines are attributed to the queries."""
     driver = ManagerDriver(engines=3)
     for request in range(200):
         driver.arrive(request)
@@ -153,11 +153,11 @@
 
 
 def test_loads_and_queries_that_they_block_go_to_separate_engines():
-    """No manager knows the others' loads: all send a group's loads to the same engines by rank."""
+    """Managers don't know each other's loads, so all send a group's loads to the same engines by rank."""
     load = ClassSettings(latency_objective=4 * SECOND, deadline=20 * SECOND, is_load=True)
     driver = ManagerDriver(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), load), engines=5)
     driver.arrive(1, class_index=1, table_group=9)
-    driver.run(4 * SECOND)  # as if a load ran all the time
+    driver.run(4 * SECOND)  # the load runs all the time
     load_engines = {e.id for e in driver.manager.affinity.load_engines(9)}
     assert 1 <= len(load_engines) <= 3
     driver.end(1)
@@ -177,7 +177,7 @@
 
 
 def test_late_requests_of_low_priority_weight_are_not_moved():
-    """The retry budget is of more value elsewhere."""
+    """Moving them would use up the retry budget for requests of higher weight."""
     driver = ManagerDriver(
         settings(dataclasses.replace(LOOKUP, late_priority_weight=0.1, blocked_by_loads=True)), engines=2
     )
@@ -229,7 +229,7 @@
 
 
 def test_loads_leave_some_engines_free_for_the_queries_of_their_group():
-    """However many arrive: on such engines queries of the group would be blocked by them."""
+    """Loads on all engines would block every query of the group."""
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, LOAD), engines=5)
     for request in range(1, 60):
         driver.arrive(request, class_index=1, table_group=9)
@@ -248,7 +248,7 @@
 
 
 def test_queries_wait_for_an_engine_where_no_load_locks_their_group():
-    """At the others they would be blocked, and the retry budget could not move them all."""
+    """At other engines the queries would be blocked, and the retry budget would not suffice to move them."""
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, kind_cores=(1, 1)), engines=2)
     free, other = driver.manager.affinity.ranked(9)
     other.blocked_until[9] = driver.now + 10 * SECOND
@@ -256,7 +256,7 @@
         driver.arrive(request, table_group=9)
     assert {s.engine for s in driver.sends} == {free.id}
     assert len(driver.sends) < 8
-    driver.arrive(10, table_group=8)  # another group's queries don't wait for them
+    driver.arrive(10, table_group=8)  # queries of another group don't wait
     assert driver.engine_of(10) == other.id
 
 
@@ -281,12 +281,12 @@
 
 
 def test_a_rejecting_engine_gets_its_former_threads_and_single_probes():
-    """Its rejections would use up the retry budget."""
+    """Without this limit, its rejections would use up the retry budget."""
     driver = ManagerDriver(engines=2)
     sent = 0
     for request in range(1, 101):
         driver.arrive(request)
-        while sent < len(driver.sends):  # this request or one that waited
+        while sent < len(driver.sends):  # this request, or one that waited
             attempt, sent = driver.sends[sent], sent + 1
             if attempt.engine == 1:
                 driver.end(attempt.request, Outcome.REJECTED)
@@ -304,7 +304,7 @@
 
 
 def notify_progress(driver, until, *requests):
-    """Send progress notifications of these requests each half second, until a time."""
+    """Send progress notifications of these requests every half second until the time `until`."""
     while driver.now < until:
         driver.run(SECOND // 2)
         driver.handle(
@@ -316,7 +316,7 @@
 
 
 def test_a_lost_response_is_found_by_missing_progress_notifications():
-    """The engine is active, and would notify of all that it runs."""
+    """An active engine sends notifications of all its attempts; the one without any has lost its response."""
     patient = dataclasses.replace(REPORT, latency_objective=20 * SECOND)
     driver = ManagerDriver(settings(LOOKUP, patient, progress_interval=SECOND // 2), engines=1)
     for request in range(1, 4):
@@ -344,7 +344,7 @@
     driver = ManagerDriver(settings(LOOKUP, progress_interval=SECOND // 2), engines=2)
     driver.arrive(1)
     driver.run(SECOND // 2)
-    assert not cancellations(driver.actions)  # it may only be slow
+    assert not cancellations(driver.actions)  # the attempt may only be slow
     driver.end(1)
     driver.manager.lost_responses.loss_rate = 0.05
     driver.arrive(2)
--- a/tests/decisions/test_manager_final_answers.py
+++ b/tests/decisions/test_manager_final_answers.py
@@ -1,4 +1,4 @@
-"""Every request gets one final answer, before its client's deadline."""
+"""Every request gets exactly one final answer before its client's deadline."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/decisions/test_manager_mechanism.py
+++ b/tests/decisions/test_manager_mechanism.py
@@ -1,4 +1,4 @@
-"""The design's mechanism, against values worked out by hand."""
+"""Scheduling mechanism of the design, checked against values calculated by hand."""
 
 import dataclasses
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
 
 
 def manager_after_period(means, count=10, classes=None):
-    """A manager whose last control period saw these mean delays of its classes, in µs."""
+    """Return a manager after a control period with these mean delays of its classes, in µs."""
     classes = classes or [ClassSettings(latency_objective=SECOND, deadline=20 * SECOND) for _ in means]
     driver = ManagerDriver(settings(*classes))
     manager = driver.manager
@@ -33,7 +33,7 @@
 
 
 def end_period_with_delays(manager, means, count=10):
-    """End a control period in which each class had so many requests with this mean delay, in µs."""
+    """End a control period in which each class had `count` requests with its mean delay, in µs."""
     manager.odds.delay_sums, manager.odds.sample_counts = [w * count for w in means], [count] * len(means)
     manager.odds_loop.end_period()
 
@@ -57,7 +57,7 @@
 
 
 def test_references_follow_the_objectives():
-    # objectives of 1 s and 4 s: the reference is 0.25, so delays of 50 and 200 ms are no error
+    # objectives of 1 s and 4 s: the reference ratio is 0.25, so delays of 50 and 200 ms give no error
     classes = [
         ClassSettings(latency_objective=SECOND, deadline=20 * SECOND),
         ClassSettings(latency_objective=4 * SECOND, deadline=20 * SECOND),
@@ -66,7 +66,7 @@
 
 
 def test_references_are_work_over_priority_weight():
-    # equal objectives; work of 1 and 8 for weights of 1 and 4: the reference is 1 / 2
+    # equal objectives, work of 1 and 8, weights of 1 and 4: the reference ratio is 1 / 2
     classes = [
         ClassSettings(latency_objective=SECOND, deadline=20 * SECOND),
         ClassSettings(latency_objective=SECOND, deadline=20 * SECOND, priority_weight=4.0),
@@ -160,7 +160,7 @@
 
 
 def request_with_threads_in_flight(driver, threads):
-    """A lookup that is about to be sent to the second engine, where so many threads are in flight."""
+    """Return a new lookup; set the number of threads in flight at the second engine."""
     driver.manager.registry.ready[1].in_flight = dict.fromkeys(range(threads))
     driver.manager.registry.ready[1].threads = threads
     return new_request(RequestReceived(1, 0, driver.now + SECOND), LOOKUP, driver.now, 0.0)
@@ -176,7 +176,7 @@
     assert engine.bound == 48
     engine.requests_waited = engine.objectives_met = 0
     driver.manager.housekeeping.end_period()
-    assert engine.bound == 47  # nothing waited: a thread is returned, down to the initial bound
+    assert engine.bound == 47  # no request waited: one thread less per period, down to the initial bound
     for _ in range(60):
         driver.manager.housekeeping.end_period()
     assert engine.bound == 16
@@ -205,7 +205,7 @@
     )
     for request in range(30):
         driver.arrive(request, memory_mb=200.0)
-    assert len(driver.sends) == 4  # 225 MB each: between the starting mean and the starting grant
+    assert len(driver.sends) == 4  # 225 MB each, between the initial mean and the initial grant
 
 
 def test_waiting_for_memory_does_not_grow_the_bound():
@@ -243,7 +243,7 @@
     driver = ManagerDriver(settings(LOOKUP, bound), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
         driver.arrive(request)
-    assert [s.engine for s in driver.sends].count(2) == 3  # half a thread a core ahead, on four cores
+    assert [s.engine for s in driver.sends].count(2) == 3  # reserve of 0.5 threads per core on 4 cores
     driver = ManagerDriver(settings(LOOKUP), entries=[entry(1), entry(2, kind=1)])
     for request in range(6):
         driver.arrive(request)
@@ -282,7 +282,7 @@
     driver.sends.clear()
     for request in range(3):
         driver.arrive(request, class_index=1, cost=3 * SECOND, memory_mb=1500.0)
-    assert len(driver.sends) == 1  # ten engines of 16 GB by 100: one long query fills this manager's part
+    assert len(driver.sends) == 1  # ten engines of 16 GB over 100 brokers: one long query fills the share
     driver.arrive(9, cost=100_000, memory_mb=200.0)
     assert driver.sends[-1].request == 9
 
--- a/tests/decisions/test_manager_ordering.py
+++ b/tests/decisions/test_manager_ordering.py
@@ -1,4 +1,4 @@
-"""Requests of one ordering key run one after the other."""
+"""Requests with the same ordering key run one after the other."""
 
 from cypressledge.decisions.contract import FailRequest, Outcome
 from tests.decisions.manager_driver import ORDERED, SECOND, ManagerDriver, final_answers, settings
--- a/tests/decisions/test_manager_placement.py
+++ b/tests/decisions/test_manager_placement.py
@@ -1,4 +1,4 @@
-"""Which engines get requests: the engine list, and the kinds and zones that a class requires."""
+"""Placement of requests by the engine list and by the kinds and zones that a class requires."""
 
 import dataclasses
 
@@ -60,4 +60,4 @@
     driver = ManagerDriver(settings(LOOKUP, broker_count=250), engines=10)
     for request in range(60):
         driver.arrive(request)
-    assert len(driver.sends) == 3  # ten engines of 16 threads by 250, 1.25 times, and two lookups of room
+    assert len(driver.sends) == 3  # ten engines of 16 threads over 250 brokers, times 1.25, plus two lookups
--- a/tests/decisions/test_manager_retry_budget.py
+++ b/tests/decisions/test_manager_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of retries over a sliding window."""
+"""Retry budget over a sliding window."""
 
 from cypressledge.decisions.contract import ClientDisconnected, Outcome, RequestReceived
 from tests.decisions.manager_driver import LOOKUP, SECOND, ManagerDriver, settings
@@ -14,7 +14,7 @@
             max_attempts=1000,
         )
     )
-    arrivals, retries = [], []  # times
+    arrivals, retries = [], []  # times, µs
     for request in range(60):
         driver.arrive(request)
         arrivals.append(driver.now)
@@ -34,7 +34,7 @@
 
 
 def test_requests_withdrawn_unsent_do_not_enlarge_the_budget():
-    """A client that withdraws hundreds at once must not enlarge the budget for the others."""
+    """A client that withdraws hundreds of requests at once must not enlarge the budget."""
     driver = ManagerDriver(
         settings(
             LOOKUP,
--- a/tests/decisions/test_manager_retry_safety.py
+++ b/tests/decisions/test_manager_retry_safety.py
@@ -1,4 +1,4 @@
-"""Retries execute nothing twice: idempotency, deduplication scope and window, one attempt at a time."""
+"""Retries execute no request twice: idempotency, deduplication scope and window, one attempt at a time."""
 
 import dataclasses
 
@@ -79,7 +79,7 @@
 
 
 def test_a_request_with_a_key_is_not_retried_if_the_send_may_be_after_its_window():
-    """A transport lets a send wait 0.5 s for its connection."""
+    """A transport may delay a send by up to 0.5 s while it waits for its connection."""
     for window, again in ((SECOND // 2, 0), (SECOND, 1)):
         driver = ManagerDriver(
             settings(dataclasses.replace(with_key(DeduplicationScope.ALL), deduplication_window=window))
@@ -90,7 +90,7 @@
 
 
 def test_a_request_with_a_key_is_not_queued_beyond_its_window():
-    """Guards against a retry that is sent when an engine becomes free after the window."""
+    """A retry that waits for an engine must not be sent if one becomes free only after the window."""
     driver = ManagerDriver(
         settings(
             dataclasses.replace(
@@ -102,7 +102,7 @@
     for request in range(30):
         driver.arrive(request)
     first = driver.sends[0].request
-    actions = driver.end(first, Outcome.RESET, after=SECOND // 10)  # the next in the queue is sent instead
+    actions = driver.end(first, Outcome.RESET, after=SECOND // 10)  # the next queued request is sent instead
     assert not final_answers(actions)
     assert RejectRequest(first) in driver.run(SECOND)
     for number in range(1, 30):  # engines become free
@@ -113,7 +113,7 @@
 
 
 def test_a_request_never_has_two_attempts_in_flight():
-    """A cancelled attempt is in flight until it has ended."""
+    """A cancelled attempt is in flight until its AttemptEnded arrives; only then may a retry start."""
     driver = ManagerDriver(settings(dataclasses.replace(LOOKUP, latency_objective=4 * SECOND)))
     run_with_silent_engine(driver)
     moved = {a.request for a in cancellations(driver.actions)}
--- a/tests/decisions/test_manager_slow_start.py
+++ b/tests/decisions/test_manager_slow_start.py
@@ -1,4 +1,4 @@
-"""Engines that have just started: the budget of their slow start, and what begins one."""
+"""Slow start of engines that have just started: its budget, and the events that begin it."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 def work_sent_to_starting_engine(broker_count):
-    """Work in µs that one of so many brokers sends an engine which started a second ago."""
+    """Return the work in µs that one of `broker_count` brokers sends to an engine started a second ago."""
     driver = ManagerDriver(
         settings(LOOKUP, broker_count=broker_count), entries=[entry(1, started_at=99 * SECOND)]
     )
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize(("broker_count", "interval"), [(2, 20_000), (40, 100_000), (250, 200_000)])
 def test_all_brokers_together_use_and_keep_the_slow_start_budget(broker_count, interval):
-    """Managers side by side: what they send a starting engine in all is near the budget, never over it."""
+    """The work that all managers send to a starting engine is near the budget and never above it."""
     windows = 3
     work_sent = 0
     for broker_index in range(broker_count):
@@ -72,11 +72,11 @@
     driver.end(1, Outcome.RESET)
     assert not driver.manager.engines[1].ejected
     driver.end(2, Outcome.RESET)
-    assert not driver.manager.engines[1].ejected  # the resent first request lives on
+    assert not driver.manager.engines[1].ejected  # the retry of request 1 is in flight
 
 
 def test_resets_without_a_refused_connection_begin_no_slow_start():
-    """Paths reset connections too: an engine that answers again is the one that it was."""
+    """The network may have reset the connections; an engine that answers again has not restarted."""
     driver = ManagerDriver(engines=1)
     for request in range(1, 3):
         driver.arrive(request, time_limit=30 * SECOND)
--- a/tests/decisions/test_manager_state.py
+++ b/tests/decisions/test_manager_state.py
@@ -38,11 +38,11 @@
     manager = driver.manager
     assert list(manager.engines) == [200]
     assert not manager.requests
-    assert count_entries(manager) < 100  # groups whose counts still fade; all else is a handful
+    assert count_entries(manager) < 100  # mostly groups whose counts are still decaying
 
 
 def count_entries(owner, seen=None):
-    """Entries in all containers of the decisions' modules, however deep; settings and tables left out."""
+    """Count the entries in all nested containers of the decision modules, except settings and enums."""
     seen = set() if seen is None else seen
     if id(owner) in seen:
         return 0
--- a/tests/decisions/test_odds.py
+++ b/tests/decisions/test_odds.py
@@ -1,4 +1,4 @@
-"""The PI loop and the weighted draw, against values worked out by hand (Pan et al., Equations 11 and 12)."""
+"""PI loop and weighted draw, checked against hand calculations (Pan et al., Equations 11 and 12)."""
 
 from random import Random
 
@@ -6,11 +6,11 @@
 
 from cypressledge.decisions.odds import OddsController
 
-TICK = 5_000  # µs
+TICK = 5_000  # µs; shortest measurable delay
 
 
 def run_period(odds, delays, count=10, references=None):
-    """One period in which the classes had these mean delays, in µs."""
+    """Run one control period in which the classes had these mean delays, in µs."""
     for class_index, delay in enumerate(delays):
         for _ in range(count):
             odds.record_delay(class_index, delay)
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -1,4 +1,4 @@
-"""Order by key, and the pause after an uncertain end."""
+"""Order of requests by key, and the cooldown after an uncertain outcome."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 from cypressledge.decisions.ordering import KeyOrder
 from tests.decisions.parts import LOOKUP, START, make_context, make_request
 
-COOLDOWN = 300_000 + 5_000  # µs: the settings' and the timer's resolution
+COOLDOWN = 300_000 + 5_000  # µs; cooldown of the settings plus the timer resolution
 
 
 def make_order():
@@ -29,7 +29,7 @@
     other = make_request(context, 4, key=8)
     assert [order.join(request) for request in (one, two, three, other)] == [True, False, False, True]
     assert order.is_first(one)
-    assert order.leave(two) is None  # its client has left: nobody's turn comes by that
+    assert order.leave(two) is None  # its client disconnected; `one` stays first
     assert order.leave(one) is three
     assert order.leave(three) is None
     assert order.join(make_request(context, 5, key=7))
--- a/tests/decisions/test_pace.py
+++ b/tests/decisions/test_pace.py
@@ -65,6 +65,6 @@
     for _ in range(20):
         pace.record_answer(one, 1, 1.0)
     pace.end_period()
-    assert pace.answer_rate == (1.0 + 10.0) / 2  # twenty in two seconds
+    assert pace.answer_rate == (1.0 + 10.0) / 2  # 20 answers in 2 s
     pace.end_period()
     assert pace.answer_rate == 5.5 / 2
--- a/tests/decisions/test_queues.py
+++ b/tests/decisions/test_queues.py
@@ -1,4 +1,4 @@
-"""Queues of the classes, by rows."""
+"""Queues of the classes and their subqueues."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 
 
 class QueuesFixture:
-    """The queues of one class, and what they rejected."""
+    """The queue of one class, and the ids of the requests that it rejected."""
 
     def __init__(self, class_settings: ClassSettings = LOOKUP) -> None:
         self.context = make_context(class_settings)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""The retry budget, and the rules on when a request may be sent again."""
+"""Retry budget, and the rules on when a request may be sent again."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 )
 from tests.decisions.parts import SECOND, START, list_entry, make_context, make_registry, make_request
 
-EXECUTION = PossibleExecution(START, engine=None)  # the rules on time ask for no engine
+EXECUTION = PossibleExecution(START, engine=None)  # the time rules don't use the engine
 UNSAFE = ClassSettings(latency_objective=SECOND, deadline=5 * SECOND, idempotency=Idempotency.NOT_IDEMPOTENT)
 
 
@@ -53,13 +53,13 @@
     budget.record_retry()
     assert not budget.allows_retry()
     budget.record_request()
-    assert not budget.allows_retry()  # 2 of 1.5
+    assert not budget.allows_retry()  # 2 retries, 1.5 allowed
     budget.record_request()
-    assert budget.allows_retry()  # 2 of 2
+    assert budget.allows_retry()  # 2 retries, 2 allowed
 
 
 def test_requests_leave_the_window_early_and_retries_late():
-    """By the resolution and the longest delay of a send: the budget must hold whenever the retry leaves."""
+    """The margin is the timer resolution plus the longest send delay, so the budget holds at the send."""
     context, budget = make_budget(floor=0.0, ratio=1.0, delay=500_000)
     budget.record_request()
     context.now = START + 10 * SECOND - 505_000 - 1
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -1,4 +1,4 @@
-"""The choice of an engine: filters and cost terms."""
+"""Choice of an engine: filters and cost terms."""
 
 from collections import Counter
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 
 class RoutingFixture:
-    """A router over engines that all have capacity, unless the test says otherwise."""
+    """A router over engines that all have capacity, except those in `full`."""
 
     def __init__(self, *classes, engines=(1, 2, 3), **changes):
         self.context = make_context(*(classes or (LOOKUP,)), **changes)
@@ -43,7 +43,7 @@
         return self.registry.engines[number]
 
     def chosen(self, times=200, **fields):
-        """How often each engine is chosen for a request."""
+        """Count how often each engine is chosen for a new request."""
         return self.chosen_for(make_request(self.context, **fields), times)
 
     def chosen_for(self, request, times=200):
@@ -105,7 +105,7 @@
     routing = RoutingFixture(engines=(1, 2))
     routing.affinity.group_engines = lambda group: routing.registry.ready
     routing.engine(1).threads, routing.engine(2).threads = 1, 3
-    routing.engine(1).slowdown = 2.1  # two threads count as four and a bit
+    routing.engine(1).slowdown = 2.1  # two threads count as 4.2
     assert routing.chosen() == {2: 200}
     routing.pace.slowdown = 2.1
     assert routing.chosen() == {1: 200}
@@ -132,12 +132,12 @@
     routing.affinity.group_engines = lambda group: routing.registry.ready
     assert routing.chosen() == {1: 200}
     routing.engine(1).threads = 5
-    assert set(routing.chosen()) == {1, 2}  # 6/8 of a thread a core here, 1/4 and the reserve of 1/2 there
+    assert set(routing.chosen()) == {1, 2}  # costs of 6/8, and of 1/4 plus the reserve of 1/2
     routing.engine(1).threads = 0
     assert routing.chosen(class_index=1) == {2: 200}
     routing.context.settings = replace(routing.context.settings, classes=(LOOKUP, LOOKUP))
     routing.router.configure()
-    routing.engine(1).threads = 3  # half a thread a core, which the reserve cost before
+    routing.engine(1).threads = 3  # half a thread per core, as much as the former reserve
     assert routing.chosen() == {2: 200}
 
 
@@ -164,14 +164,14 @@
     routing.engine(1).reported_load, routing.engine(1).reported_at = 1.0, routing.context.now
     routing.engine(2).reported_load, routing.engine(2).reported_at = 0.5, routing.context.now
     assert routing.chosen() == {2: 200}
-    routing.context.now += 60 * SECOND  # the older, the more is guessed
+    routing.context.now += 60 * SECOND  # the older a report, the larger its random part
     assert min(routing.chosen().values()) > 60
 
 
 def test_queries_avoid_engines_where_a_load_blocks_their_group():
     routing = RoutingFixture(BLOCKED)
     routing.affinity.group_engines = lambda group: routing.registry.ready
-    routing.affinity.excluded_engines = lambda request: ()  # as where no other engine is usable
+    routing.affinity.excluded_engines = lambda request: ()  # as if no other engine were usable
     routing.engine(1).blocked_until[7] = routing.context.now + 1
     routing.engine(2).loads_in_flight[7] = 1
     assert routing.chosen(table_group=7) == {3: 200}
@@ -179,7 +179,7 @@
 
 def test_loads_and_queries_that_they_block_go_to_separate_engines():
     routing = RoutingFixture(BLOCKED, LOAD, engines=range(1, 6))
-    routing.pace.answer_rate = 10.0  # so many that the broker prefers all five
+    routing.pace.answer_rate = 10.0  # enough for the broker to prefer all five
     ranks = routing.affinity.ranked(7)
     routing.affinity.load_engines = lambda group: ranks[3:]
     routing.affinity.group_engines = lambda group: routing.registry.ready
@@ -191,7 +191,7 @@
 def test_a_load_waits_if_the_loads_ahead_would_make_it_late():
     routing = RoutingFixture(BLOCKED, LOAD, engines=(1, 2))
     routing.estimates.work[1] = 8 * SECOND
-    allowed = routing.affinity.ranked(7)[1]  # the first is left to the group's queries
+    allowed = routing.affinity.ranked(7)[1]  # the first is kept free for the group's queries
     assert routing.chosen(class_index=1, table_group=7) == {allowed.id: 200}
     allowed.loads_in_flight[7] = 1
     assert routing.chosen(class_index=1, table_group=7) == {None: 200}
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Budgets of engines that warm up."""
+"""Budgets of engines that are warming up."""
 
 import pytest
 
@@ -12,7 +12,7 @@
     "overload_multiple": 2.0,
     "overload_window": 2 * SECOND,
 }
-BUDGET = 2.0 * 0.3 * 8 * 2 * SECOND * 0.6  # µs of work in a window, of 8 cores
+BUDGET = 2.0 * 0.3 * 8 * 2 * SECOND * 0.6  # µs; work in a window for 8 cores
 
 
 def make_slow_start(work=0.0, **changes):
@@ -62,7 +62,7 @@
 
 
 def test_random_sends_of_small_requests_add_up_to_the_budget():
-    """Over all brokers: each has a share of less than a request."""
+    """Each broker's share is smaller than a request; the sum over all brokers is near the budget."""
     sends = 0
     for broker in range(400):
         context, _, slow_start, engine = make_slow_start(
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize(("answers", "allowed"), [(0, 1), (8, 10_000)])
 def test_unknown_work_counts_as_much_as_its_objective_allows(answers, allowed):
-    """Without estimates: BUDGET holds 11 seconds and a half of it, a share of five brokers two and a bit."""
+    """With few answers and no cost estimates, a request counts as one second, its latency objective."""
     context, estimates, slow_start, engine = make_slow_start(broker_count=9)
     estimates.has_cost_estimates, estimates.answer_counts = False, [answers]
     assert sends_until_full(context, slow_start, engine) in range(allowed - 1, allowed + 2)
--- a/tests/decisions/test_slow_start_of_all_brokers.py
+++ b/tests/decisions/test_slow_start_of_all_brokers.py
@@ -1,7 +1,7 @@
-"""The slow start budget of one engine over all brokers: many managers, which share nothing, in virtual time.
+"""Slow start budget of one engine over all brokers: many independent managers in virtual time.
 
-A starting engine fails under the work of all brokers together. In any overload window they may send it its
-budget of N calls of mean work, and 2 sqrt(N) + 2 calls more by chance.
+A starting engine fails under the combined work of all brokers. In any overload window they may send it its
+budget of N calls of mean work, plus a random variation of up to 2 sqrt(N) + 2 calls.
 """
 
 import heapq
@@ -30,17 +30,17 @@
 
 TICK, SECOND = 5_000, 1_000_000
 START = 1_700_000_000 * SECOND
-STARTED_AT = START + 2 * SECOND  # of the starting engine
-STARTING, WARM, WINDOW = 1, range(10, 13), 2 * SECOND  # engines, and the overload window
-TIME_LIMIT = 18 * SECOND  # of a request
+STARTED_AT = START + 2 * SECOND  # start of the starting engine
+STARTING, WARM, WINDOW = 1, range(10, 13), 2 * SECOND  # engine ids, and the overload window in µs
+TIME_LIMIT = 18 * SECOND  # µs; time from a request's arrival to its deadline
 SLOW_START_CAPACITY, OVERLOAD_MULTIPLE, CORES = 0.31, 2.0, 8
 
 
 @dataclass(frozen=True)
 class Kind:
-    """Requests of one class."""
+    """Properties of the requests of one class."""
 
-    weight: float  # of its rate of arrival against the other kinds
+    weight: float  # rate of arrival relative to the other kinds
     mean_work: int  # µs
     threads: int
 
@@ -49,7 +49,7 @@
 
 
 class Broker:
-    """One broker: its manager, its attempts in flight, and its clients."""
+    """One broker with its manager, its attempts in flight, and its simulated clients."""
 
     def __init__(self, broker_index, broker_count, seed, kinds, estimates, warm):
         self.seed, self.kinds, self.estimates, self.warm = seed, kinds, estimates, warm
@@ -78,15 +78,15 @@
         self.start(START)
 
     def start(self, now):
-        """The broker starts, for the first time or anew, and knows only the engine list."""
+        """Start or restart the broker; its only initial state is the engine list."""
         self.manager = WorkloadManager(self.settings, self.seed + now % 997)
         self.running = []  # heap of end, request and engine of the attempts in flight
-        self.timers = []  # heap of times
-        self.work = {}  # kind and work in µs by request
+        self.timers = []  # heap of due times
+        self.work = {}  # kind and work in µs, by request
         self.list_updates = [engine_list(now, self.warm)]
 
     def step(self, now, rate):
-        """One tick with `rate` requests a second; the kinds of what it sends to the starting engine."""
+        """Run one tick with `rate` requests per second; return the kinds that go to the starting engine."""
         events, self.list_updates = self.list_updates, []
         events += self.arrivals(now, rate)
         events += self.attempt_ends(now)
@@ -106,7 +106,7 @@
         return sent
 
     def arrivals(self, now, rate):
-        """The requests that have arrived until now."""
+        """Return the events of the requests that have arrived until now."""
         events = []
         while self.next_arrival < now:
             self.next_arrival += int(self.random.expovariate(rate) * SECOND)
@@ -120,7 +120,7 @@
         return events
 
     def attempt_ends(self, now):
-        """The attempts that have ended until now."""
+        """Return the events of the attempts that have ended until now."""
         events = []
         while self.running and self.running[0][0] <= now:
             _, number, engine = heapq.heappop(self.running)
@@ -131,7 +131,7 @@
 
 
 def engine_list(now, warm):
-    """The warm engines, with the starting one once it has started."""
+    """Return a full list of the warm engines, with the starting engine once it has started."""
     entries = [EngineListEntry(number, EngineState.READY, 0, 0, 0, 0) for number in warm]
     if now > STARTED_AT:
         entries.append(EngineListEntry(STARTING, EngineState.READY, 0, 0, 0, STARTED_AT))
@@ -139,9 +139,10 @@
 
 
 def simulate(broker_count, seed, kinds, estimates, restart, warm=WARM):
-    """14 s of many brokers, of which the starting engine's largest sum of work in any window is of interest.
+    """Simulate many brokers for 14 s; measure the work that they send to the starting engine.
 
-    Returns that sum in calls of mean work, the budget in the same unit, and the number of calls of each kind.
+    Returns the largest sum of work in any window in calls of mean work, the budget in the same unit, and the
+    number of calls of each kind.
     """
     brokers = [
         Broker(index, broker_count, seed * 1000 + index, kinds, estimates, warm)
@@ -167,7 +168,7 @@
 
 
 @pytest.mark.parametrize("broker_count", [20, 30])
-@pytest.mark.parametrize("restart", [False, True], ids=["running", "all start anew"])
+@pytest.mark.parametrize("restart", [False, True], ids=["running", "all restart"])
 @pytest.mark.parametrize(
     ("kinds", "estimates"),
     [(KINDS, True), (KINDS, False), (KINDS[:1], True)],
@@ -176,7 +177,7 @@
 def test_work_of_all_brokers_keeps_the_budget_within_random_variation(
     broker_count, restart, kinds, estimates
 ):
-    """Without estimates, classes of which no answer had come weighed nothing: 86 calls of 24."""
+    """Without estimates, classes with no answer yet used to count as no work: 86 calls for a budget of 24."""
     for seed in (1, 2):
         largest, budget, calls = simulate(broker_count, seed, kinds, estimates, restart)
         print(f"seed {seed}: {largest:.1f} calls of N = {budget:.1f}, by class {calls}")
