--- a/cypressledge/decisions/dispatch.py
+++ b/cypressledge/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: weighted draws give free capacity to the classes, and attempts start."""
+"""Dispatch: weighted draws select the class that gets free capacity, and attempts are started."""
 
 from cypressledge.decisions.attempt_resources import AttemptResources
 from cypressledge.decisions.context import DecisionContext
@@ -13,11 +13,11 @@
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
 from cypressledge.decisions.routing import Router
 
-BLOCKED_ROWS_MAX = 3  # rows of a class found without an engine after which a dispatch skips it, to save time
+BLOCKED_SUBQUEUES_MAX = 3  # subqueues without an engine after which a dispatch skips their class
 
 
 class AttemptStarter:
-    """Starts attempts, and notifies the parts that count them."""
+    """Starts attempts and notifies the components that count them."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
 
 
 class Dispatcher:
-    """Draws classes and starts attempts until no queued request finds an engine."""
+    """Draws classes and starts attempts until no queued request has an available engine."""
 
     def __init__(
         self,
@@ -83,8 +83,8 @@
         while (request := self._draw(blocked)) is not None:
             engine = self._router.choose(request)
             if engine is None:
-                # Guards against a group without a free engine keeping the others of its class waiting.
-                blocked[request.class_index].add(request.queue_row)
+                # Skip this subqueue only: other groups of the class may have an available engine.
+                blocked[request.class_index].add(request.subqueue_id)
             elif (reason := self._reason_against(request)) is not None:
                 self._lifecycle.give_up(request, reason)
             else:
@@ -93,8 +93,10 @@
     def _draw(self, blocked: list[set[int]]) -> Request | None:
         reject_late = self._lifecycle.reject_late
         heads = [
-            None if len(rows) >= BLOCKED_ROWS_MAX else self._queues.head(class_index, rows, reject_late)
-            for class_index, rows in enumerate(blocked)
+            None
+            if len(subqueues) >= BLOCKED_SUBQUEUES_MAX
+            else self._queues.head(class_index, subqueues, reject_late)
+            for class_index, subqueues in enumerate(blocked)
         ]
         return self._odds.draw(heads, self._context.random)
 
