--- a/cypressledge/__main__.py
+++ b/cypressledge/__main__.py
@@ -17,12 +17,12 @@
         from cypressledge.cli import cli
 
         cli(prog_name="cypressledge")
-    early: list[int] = []
+    early_signals: list[int] = []
     for number in HANDLED_SIGNALS:
-        signal.signal(number, lambda received, _: early.append(received))
+        signal.signal(number, lambda received, _: early_signals.append(received))
     from cypressledge.broker_process.process import main as run
 
-    return run(early)
+    return run(early_signals)
 
 
 if __name__ == "__main__":
--- a/cypressledge/broker/attempt_dispatcher.py
+++ b/cypressledge/broker/attempt_dispatcher.py
@@ -68,7 +68,7 @@
             return
         self._counters.add("attempts.first" if attempt.number == 0 else "attempts.retry")
         if attempt.number:
-            self._counters.add(f"retry_after.{self._log.retried(attempt)}")
+            self._counters.add(f"retry_after.{self._log.retry_started(attempt)}")
         self._loop.timers.schedule(deadline, self._check_timeout, (request.number, attempt.number))
         self.transports[endpoint.wire].send(attempt)
 
@@ -101,8 +101,8 @@
             self._log.attempt_cancelled(attempt, action.reason)
         self.cancel(attempt, c.Outcome.CANCELLED)
 
-    def _check_timeout(self, named: tuple[int, int]) -> None:
-        number, attempt_number = named
+    def _check_timeout(self, attempt_key: tuple[int, int]) -> None:
+        number, attempt_number = attempt_key
         if (request := self._requests.get(number)) is not None:
             attempt = request.attempts[attempt_number]
             if request.streaming_attempt is not attempt:
--- a/cypressledge/broker/engine_registry.py
+++ b/cypressledge/broker/engine_registry.py
@@ -87,7 +87,7 @@
             for engine in engines
             if engine.entry.state is c.EngineState.READY
         }
-        self._loop.post(self._hand_over, self._last_kind, engines)
+        self._loop.post(self._deliver_list, self._last_kind, engines)
 
     def _effective_entry(self, engine: ListedEngine) -> c.EngineListEntry:
         """A list's entry under maintenance and the failover plan."""
@@ -96,7 +96,7 @@
             return replace(entry, state=c.EngineState.DRAINING)
         return entry
 
-    def _hand_over(self, kind: c.EngineListKind, engines: list[ListedEngine]) -> None:
+    def _deliver_list(self, kind: c.EngineListKind, engines: list[ListedEngine]) -> None:
         # Engines that are gone are forgotten: their endpoints would pile up.
         self.endpoints = {engine.endpoint.id: engine.endpoint for engine in engines}
         self._counters.add("lists")
@@ -120,15 +120,15 @@
 
     def _log_change(self, name: str, old: EngineProcess | None, new: EngineProcess | None) -> None:
         restarted = old is not None and new is not None and old.started_at_ms != new.started_at_ms
-        more = {"process": "new"} if restarted else {}
+        extra_fields = {"process": "new"} if restarted else {}
         self._event_log.write(
-            EventKind.ENGINE_STATE, engine=name, from_=_state_name(old), to=_state_name(new), **more
+            EventKind.ENGINE_STATE, engine=name, from_=_state_name(old), to=_state_name(new), **extra_fields
         )
 
     def _log_for_module(self, action: c.Log) -> None:
         """The module knows engines by number; whoever reads the log knows them by name."""
-        log("module: " + ENGINE_NUMBER.sub(self._with_name, action.text))
+        log("module: " + ENGINE_NUMBER.sub(self._with_engine_name, action.text))
 
-    def _with_name(self, match: re.Match) -> str:
+    def _with_engine_name(self, match: re.Match) -> str:
         endpoint = self.endpoints.get(int(match[1], 16))
         return f"engine {endpoint.name}" if endpoint else match[0]
--- a/cypressledge/broker/engine_start_times.py
+++ b/cypressledge/broker/engine_start_times.py
@@ -6,7 +6,8 @@
 as too small an age is safe:
 
 - our wall clock as it was when this process began, carried on by the monotonic clock;
-- the newest start that is listed, and what may have passed since then for it to make no difference: `doubt`.
+- the newest start that is listed, and what may have passed since then for it to make no difference:
+  `max_age_error`.
 """
 
 from collections.abc import Mapping
@@ -33,13 +34,14 @@
         self.wall_offset = wall_offset
         self.starts: dict[str, EngineStart] = {}
 
-    def update(self, listed: Mapping[str, int], now: int, doubt: int) -> None:
+    def update(self, listed: Mapping[str, int], now: int, max_age_error: int) -> None:
         """Take a complete list: engines' starts in ms of Unix time, 0 being long ago.
 
-        `now`: the monotonic clock, µs; `doubt`: µs by which an engine may be taken for older than it is.
+        `now`: the monotonic clock, µs; `max_age_error`: µs by which an engine may be taken for older
+        than it is.
         The time computed when a start is first listed stays, so a later step of the clock changes nothing."""
         newest = max(listed.values(), default=0) * US_PER_MS
-        reference = min(now + self.wall_offset, newest + doubt)
+        reference = min(now + self.wall_offset, newest + max_age_error)
         for engine, listed_ms in listed.items():
             known = self.starts.get(engine)
             if listed_ms and (known is None or known.listed_ms != listed_ms):
--- a/cypressledge/broker/event_loop.py
+++ b/cypressledge/broker/event_loop.py
@@ -86,9 +86,9 @@
         """One turn: what was posted, the timers that are due, and the module's batch. `now`: µs."""
         while self._inbox:
             callback, args = self._inbox.popleft()
-            self._call_guarded(callback, *args)
+            self._call_and_log_errors(callback, *args)
         for callback, argument in self.timers.pop_due(now):
-            self._call_guarded(callback, argument)
+            self._call_and_log_errors(callback, argument)
         self._decide(now)
 
     def _wait(self) -> None:
@@ -108,10 +108,10 @@
         self.decided_at = now = max(now, self.decided_at)
         if self.pending_events:
             events, self.pending_events = self.pending_events, []
-            for action in self._call_guarded(self.manager.handle, now, events) or ():
-                self._call_guarded(self._action_handlers[type(action)], action)
+            for action in self._call_and_log_errors(self.manager.handle, now, events) or ():
+                self._call_and_log_errors(self._action_handlers[type(action)], action)
 
-    def _call_guarded(self, callback: Callable, *args: object) -> Any:
+    def _call_and_log_errors(self, callback: Callable, *args: object) -> Any:
         """Guards against one odd event stopping all service: the ledger answers what was lost by it."""
         try:
             return callback(*args)
--- a/cypressledge/broker/request_ledger.py
+++ b/cypressledge/broker/request_ledger.py
@@ -268,7 +268,7 @@
     def _answer_rejected(self, request: Request, reason: c.Reason) -> None:
         """Reject a request that the module has given up, and of which nothing ran."""
         self._counters.add(f"{EventKind.REJECTED}.{reason}")
-        self._log.unserved(EventKind.REJECTED, request, reason)
+        self._log.rejected_or_failed(EventKind.REJECTED, request, reason)
         if self._claim_answer(request, "rejected", "overload"):
             request.reply.reject(self.max_retry_after)
             self._conclude(request)
@@ -276,7 +276,7 @@
     def _answer_failed(self, request: Request, reason: c.Reason, fault: EngineFault) -> None:
         """Fail a request that the module, or its deadline, has given up."""
         self._counters.add(f"{EventKind.FAILED}.{reason}")
-        self._log.unserved(EventKind.FAILED, request, reason)
+        self._log.rejected_or_failed(EventKind.FAILED, request, reason)
         self._fail(request, fault)
 
     def _complete(self, request: Request, rows: bytes) -> None:
--- a/cypressledge/broker/request_log.py
+++ b/cypressledge/broker/request_log.py
@@ -6,7 +6,7 @@
 from cypressledge.decisions import contract as c
 
 US_PER_MS = 1_000
-STILL_OUT = "out"  # in place of an outcome, where the attempt before a retry has not ended
+STILL_OPEN = "out"  # in place of an outcome, where the attempt before a retry has not ended
 
 
 class RequestLog:
@@ -21,7 +21,7 @@
         """A query was rejected before it reached the decision module."""
         self._event_log.write(EventKind.REJECTED, request=query.id, class_=query.class_name, reason=reason)
 
-    def unserved(self, kind: EventKind, request: Request, reason: c.Reason) -> None:
+    def rejected_or_failed(self, kind: EventKind, request: Request, reason: c.Reason) -> None:
         """A request ends rejected or failed (`kind`), without an engine's answer."""
         query = request.query
         self._event_log.write(
@@ -54,11 +54,11 @@
             reason=reason,
         )
 
-    def retried(self, attempt: Attempt) -> str:
+    def retry_started(self, attempt: Attempt) -> str:
         """A further attempt starts; answers with what the one before it ended by."""
         attempts = attempt.request.attempts
         first, previous = attempts[0], attempts[attempt.number - 1]
-        outcome = previous.outcome.name.lower() if previous.outcome is not None else STILL_OUT
+        outcome = previous.outcome.name.lower() if previous.outcome is not None else STILL_OPEN
         self._event_log.write(
             EventKind.RETRY,
             request=attempt.query.id,
--- a/cypressledge/broker_process/process.py
+++ b/cypressledge/broker_process/process.py
@@ -103,19 +103,21 @@
                 self.fleet.reload()
             log("reload: the new configuration is in force")
 
-    def run(self, early: list[int]) -> None:
-        """Serve until told to stop; then answer all that was taken. `early`: signals that came before."""
+    def run(self, early_signals: list[int]) -> None:
+        """Serve until told to stop; then answer all that was taken.
+
+        `early_signals`: signals that came before."""
         host, port = self.config.listen
         ready = len(self.core.engines.ready_endpoints)
         log(f"{self.config.name}: listening on {host}:{port}, {ready} engines ready")
         for greenlet in map(gevent.spawn, self._greenlets):
-            greenlet.link_exception(self._exit_failed)
-        self._install_signal_handlers(early)
+            greenlet.link_exception(self._exit_on_failure)
+        self._install_signal_handlers(early_signals)
         self._stopping.wait()
         self._shutdown()
         self.counters.print("exit")
 
-    def _install_signal_handlers(self, early: list[int]) -> None:
+    def _install_signal_handlers(self, early_signals: list[int]) -> None:
         handlers: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self._stopping.set,
             signal.SIGINT: self._stopping.set,
@@ -124,7 +126,7 @@
         }
         for number, handler in handlers.items():
             gevent.signal_handler(number, handler)
-        for number in early:
+        for number in early_signals:
             handlers[number]()
 
     # Shutdown
@@ -132,7 +134,7 @@
     def _shutdown(self) -> None:
         """Go on serving for a moment while reporting unhealthy; then answer whatever is open, and flush."""
         log("stopping: no longer healthy, still serving")
-        self.core.ledger.start_shutdown(monotonic_us() + self._shutdown_span())
+        self.core.ledger.start_shutdown(monotonic_us() + self._shutdown_timeout_us())
         if self.fleet is not None:
             self.fleet.stop()
         if self.control is not None:
@@ -148,17 +150,17 @@
         frontend.drain()
         while any(not request.is_concluded for request in self.core.ledger.requests.values()):
             gevent.sleep(SHUTDOWN_POLL_S)
-        flush_s = self._flush_span()
+        flush_s = self._flush_timeout_s()
         for each in self.parts.frontends():
             each.flush(flush_s)
 
-    def _shutdown_span(self) -> int:
+    def _shutdown_timeout_us(self) -> int:
         """µs that a stopping broker has for its answers. By the deployment's rule SIGKILL comes no earlier
         than the longest deadline, of which 3 s count, and 0.7 s after SIGTERM."""
         longest = max(k.deadline for k in self.core.settings.classes)
         return min(longest, MAX_COUNTED_DEADLINE_US) + KILL_MARGIN_US - GIVE_UP_MARGIN_US
 
-    def _flush_span(self) -> float:
+    def _flush_timeout_s(self) -> float:
         """Seconds for the last answers to leave, so that the process ends before SIGKILL comes."""
         kill_at = self.core.ledger.shutdown_deadline + GIVE_UP_MARGIN_US
         left = (kill_at - monotonic_us()) / US_PER_SECOND - EXIT_MARGIN_S
@@ -176,7 +178,7 @@
             tasks.append(parts.maintenance_file.refresh)
         run_maintenance(tasks, self.counters)
 
-    def _exit_failed(self, greenlet: gevent.Greenlet) -> None:
+    def _exit_on_failure(self, greenlet: gevent.Greenlet) -> None:
         """A loop that ended by an exception can't be done without: end, so that the platform starts anew."""
         log(f"a part of the broker failed: {greenlet.exception!r}")
         os._exit(EXIT_PART_FAILED)
@@ -210,9 +212,9 @@
         raise ConfigError(f"cannot listen: {err}") from None
 
 
-def main(early: list[int]) -> int:
-    """Run one broker; a bad configuration is one plain line. `early`: signals that came before."""
-    if signal.SIGTERM in early or signal.SIGINT in early:
+def main(early_signals: list[int]) -> int:
+    """Run one broker; a bad configuration is one plain line. `early_signals`: signals that came before."""
+    if signal.SIGTERM in early_signals or signal.SIGINT in early_signals:
         return EXIT_OK  # nobody has met this process yet
     try:
         broker = assemble(sys.argv[1:], os.environ)
@@ -221,5 +223,5 @@
         return EXIT_BAD_CONFIGURATION
     gc.collect()
     gc.freeze()  # what is there at the start is never garbage: no collection looks at it again
-    broker.run(early)
+    broker.run(early_signals)
     return EXIT_OK
--- a/cypressledge/broker_process/reconfiguration.py
+++ b/cypressledge/broker_process/reconfiguration.py
@@ -19,7 +19,7 @@
 BYTES_PER_OPEN_REQUEST = 10_000  # of memory, its statement aside
 MEMORY_SHARE_OF_STATEMENTS = 8  # one part in so many of the spare memory
 MEMORY_SHARE_OF_BUFFERS = 4
-DESCRIPTORS_PER_SPARE_CLIENT = 32
+DESCRIPTORS_PER_CLOSING_CLIENT = 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
         parts.transport.max_connections = limits.max_engine_connections(is_shared)
         parts.tenants.site_tenants = config.tenants
         parts.frontend.listener.max_connections = limits.max_clients(is_shared)
-        parts.frontend.listener.max_closing = limits.max_sockets // DESCRIPTORS_PER_SPARE_CLIENT
+        parts.frontend.listener.max_closing = limits.max_sockets // DESCRIPTORS_PER_CLOSING_CLIENT
         if parts.service is not None:
             parts.service.apply_limits(limits)
         if parts.management is not None:
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -25,7 +25,7 @@
 MEMORY_SHARE_OF_BODIES = 8  # one part in so many of the spare memory
 
 
-def _names(tenants: Iterable[Mapping[str, Any]]) -> set[str]:
+def _tenant_names(tenants: Iterable[Mapping[str, Any]]) -> set[str]:
     return {given["name"] for given in tenants}
 
 
@@ -54,7 +54,7 @@
 
     def _apply(self, settings: ServiceConfig) -> None:
         """Tenants that the file no longer names are gone; those that the API has added stay."""
-        for name in _names(self._settings.tenants) - _names(settings.tenants):
+        for name in _tenant_names(self._settings.tenants) - _tenant_names(settings.tenants):
             self._tenants.remove(name)
         for given in settings.tenants:
             self._tenants.update(given["name"], given)
--- a/cypressledge/simulator_wire.py
+++ b/cypressledge/simulator_wire.py
@@ -87,12 +87,12 @@
 _Value = TypeVar("_Value")
 
 
-def lookup(table: Mapping[int, _Value], number: int, what: str) -> _Value:
+def lookup(table: Mapping[int, _Value], number: int, code_kind: str) -> _Value:
     """The value of a code; raises `WireError` for an unknown one."""
     try:
         return table[number]
     except KeyError:
-        raise WireError(f"unknown {what} {number}") from None
+        raise WireError(f"unknown {code_kind} {number}") from None
 
 
 def tail_slice(frame: bytes, tail: int, offset: int, size: int) -> bytes:
--- a/cypressledge/tenants.py
+++ b/cypressledge/tenants.py
@@ -75,8 +75,8 @@
         """The tenant, if the key is its own and it is enabled; takes as long for a wrong name."""
         tenant = self.by_name.get(name)
         expected = tenant.key_sha256 if tenant is not None else key_digest("")
-        is_right = hmac.compare_digest(key_digest(key), expected)
-        return tenant if tenant is not None and is_right and tenant.enabled else None
+        key_matches = hmac.compare_digest(key_digest(key), expected)
+        return tenant if tenant is not None and key_matches and tenant.enabled else None
 
     def remove(self, name: str) -> bool:
         """Forget a tenant, and answer whether there was one; what it has open is still answered."""
--- a/tests/broker/test_event_log.py
+++ b/tests/broker/test_event_log.py
@@ -15,14 +15,14 @@
 
 
 class Events(BrokerTestCase):
-    def events(self, broker, kind, least=1):
+    def events(self, broker, kind, min_count=1):
         """The fields of all events of a kind, once there are so many."""
 
         def found():
             lines = [fields(line) for line in broker.log_text().splitlines() if line.startswith(f"{kind} ")]
-            return lines if len(lines) >= least else None
+            return lines if len(lines) >= min_count else None
 
-        return wait_until(found, f"{least} events {kind}")
+        return wait_until(found, f"{min_count} events {kind}")
 
     def test_a_retry_event_names_its_request_and_the_outcome_before(self):
         def play(engine, say, name, fields, statement):
--- a/tests/broker/test_operators_address.py
+++ b/tests/broker/test_operators_address.py
@@ -24,12 +24,12 @@
 class OperatorsAddress(BrokerTestCase):
     """The operators' address is served whatever else the broker does."""
 
-    def broker_with_address(self, *engines, env_more=None, **more):
+    def broker_with_address(self, *engines, extra_env=None, **more):
         """A broker that serves an operators' address, and its port."""
         port = free_port()
         shared = self.enterContext(tempfile.TemporaryDirectory())
         env = {"ROUTER_MANAGEMENT": f"127.0.0.1:{port}", "TMPDIR": shared}
-        broker = self.broker(*engines, env=env | (env_more or {}), **more)
+        broker = self.broker(*engines, env=env | (extra_env or {}), **more)
         wait_until(lambda: status(port) == 200, "the operators' address")
         return broker, port
 
@@ -137,11 +137,11 @@
     def test_maintenance_outlives_the_process(self):
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
         shared = self.enterContext(tempfile.TemporaryDirectory())
-        broker, port = self.broker_with_address(one, two, env_more={"TMPDIR": shared})
+        broker, port = self.broker_with_address(one, two, extra_env={"TMPDIR": shared})
         assert call(port, "/maintenance/enter", "s-2") == 200
         broker.process.send_signal(signal.SIGTERM)
         assert broker.process.wait(WAIT) == 0
-        again, _ = self.broker_with_address(one, two, env_more={"TMPDIR": shared})
+        again, _ = self.broker_with_address(one, two, extra_env={"TMPDIR": shared})
         assert self.attempts_of(20, again, (one, two)) == [20, 0]
 
 
--- a/tests/broker/test_process.py
+++ b/tests/broker/test_process.py
@@ -55,7 +55,7 @@
         client.ask()
         assert result_rows(client.get()) == ROW
 
-    def test_an_invalid_configuration_is_one_log_line(self):
+    def test_an_invalid_configuration_is_reported_in_one_log_line(self):
         for change, reason in (
             ({"listen": "nowhere"}, "HOST:PORT"),
             ({"settings": {}}, "Limits"),
@@ -72,14 +72,14 @@
                 assert len(lines) == 1, lines
                 assert reason in lines[0]
 
-    def test_a_missing_configuration_is_one_log_line(self):
+    def test_a_missing_configuration_is_reported_in_one_log_line(self):
         run = subprocess.run([sys.executable, "-m", "cypressledge"], cwd=ROOT, env={}, capture_output=True)
         assert (run.returncode, run.stderr) == (2, b"cypressledge: ROUTER_CONFIG is not set\n")
 
     def test_a_refused_connection_proves_that_nothing_was_executed(self):
-        dead = self.engine()
-        dead.close()
-        broker = self.broker(dead)
+        stopped_engine = self.engine()
+        stopped_engine.close()
+        broker = self.broker(stopped_engine)
         client = self.client(broker)
         client.ask("order-load", once="cd" * 16, wait=1200)
         assert client.get()["error"]["code"] == -32066
--- a/tests/broker/test_request_ledger.py
+++ b/tests/broker/test_request_ledger.py
@@ -14,7 +14,7 @@
 from cypressledge.net.line_protocol.transport import MAX_CONNECTIONS_TRIED, LineProtocolTransport
 from cypressledge.settings import parse_settings
 
-LONG_AFTER = 60_000_000  # µs, beyond the deadline of every request here
+AFTER_ALL_DEADLINES_US = 60_000_000  # µs, beyond the deadline of every request here
 
 
 class Recorder:
@@ -100,7 +100,7 @@
         assert self.reply.calls == [("complete", b"a\n")]
 
     def test_a_request_that_the_decisions_forget_is_answered_and_counted(self):
-        ((check_deadline, number),) = self.core.loop.timers.pop_due(monotonic_us() + LONG_AFTER)
+        ((check_deadline, number),) = self.core.loop.timers.pop_due(monotonic_us() + AFTER_ALL_DEADLINES_US)
         with self.assertRaisesRegex(AssertionError, "overdue"):
             check_deadline(number)
         counters = self.core.counters
@@ -115,7 +115,7 @@
         self.settle()
         assert (self.request.query.statement, self.ledger.statement_bytes) == (b"", 0)
 
-    def test_timers_keep_no_answered_request_alive(self):
+    def test_timers_hold_no_reference_to_answered_requests(self):
         """Timers live until the deadline: on a long day, what they referred to was most of the memory."""
         attempt = self.send()
         attempt.transport_state = Recorder()
@@ -125,7 +125,7 @@
         self.transport.calls.clear()
         self.settle()
         assert [reference() for reference in references] == [None, None]
-        timers = list(self.core.loop.timers.pop_due(monotonic_us() + LONG_AFTER))
+        timers = list(self.core.loop.timers.pop_due(monotonic_us() + AFTER_ALL_DEADLINES_US))
         assert len(timers) == 2
         for callback, argument in timers:
             callback(argument)  # and the timers do no harm
--- a/tests/broker/test_serving.py
+++ b/tests/broker/test_serving.py
@@ -17,7 +17,7 @@
 
 
 class Serving(BrokerTestCase):
-    def test_query_reaches_the_engine_unaltered_and_rows_come_back_byte_for_byte(self):
+    def test_a_query_and_its_rows_are_passed_on_byte_for_byte(self):
         engine = self.engine()
         client = self.client(self.broker(engine))
         statement = "SELECT 'é\r\n' FROM sales_17.orders -- x_9.y".encode()
@@ -57,7 +57,7 @@
         assert len(engine.wants) == 2
         assert engine.wants[0][0] is not engine.wants[1][0]
 
-    def test_connections_carry_32_attempts_each(self):
+    def test_connections_carry_at_most_the_configured_number_of_attempts(self):
         engine = self.engine(never_answer)
         broker = self.broker(
             engine, change={"settings": SETTINGS | {"Limits": SETTINGS["Limits"] | {"StreamsPerConn": 2}}}
@@ -79,7 +79,7 @@
 
 
 class Outcomes(BrokerTestCase):
-    def test_silent_engine_still_gets_the_client_an_answer_in_time(self):
+    def test_a_client_of_a_silent_engine_is_answered_in_time(self):
         broker = self.broker(self.engine(never_answer))
         client = self.client(broker)
         began = time.monotonic()
@@ -162,7 +162,7 @@
         client.ask()
         assert result_rows(client.get()) == ROW
 
-    def test_attempts_at_an_engine_that_dies_are_reset_and_retried_elsewhere(self):
+    def test_attempts_at_an_engine_that_exits_are_reset_and_retried_elsewhere(self):
         first = self.engine(never_answer)
         second = self.engine(name="s-2")
         broker = self.broker(first)
--- a/tests/race_conditions/test_late_connections.py
+++ b/tests/race_conditions/test_late_connections.py
@@ -67,16 +67,16 @@
 
     def test_an_unreachable_engine_is_ejected(self):
         """A listener whose accept queue is full acts as a machine that has vanished."""
-        gone, good = self.engine(name="s-1"), self.engine(name="s-2")
-        gone.close()
-        full = socket.create_server(("127.0.0.1", gone.port), backlog=0)
+        unreachable, healthy = self.engine(name="s-1"), self.engine(name="s-2")
+        unreachable.close()
+        full = socket.create_server(("127.0.0.1", unreachable.port), backlog=0)
         self.addCleanup(full.close)
-        plugs = [socket.socket() for _ in range(4)]
-        for plug in plugs:
-            self.addCleanup(plug.close)
-            plug.setblocking(False)
-            plug.connect_ex(("127.0.0.1", gone.port))
-        broker = self.broker(gone, good)
+        queue_fillers = [socket.socket() for _ in range(4)]
+        for queue_filler in queue_fillers:
+            self.addCleanup(queue_filler.close)
+            queue_filler.setblocking(False)
+            queue_filler.connect_ex(("127.0.0.1", unreachable.port))
+        broker = self.broker(unreachable, healthy)
         client = self.client(broker)
 
         def ejected():
--- a/tests/race_conditions/test_resource_exhaustion.py
+++ b/tests/race_conditions/test_resource_exhaustion.py
@@ -15,7 +15,7 @@
 from tests.race_conditions.scenarios import METRICS_OFTEN, cpu_ticks, limits, site
 
 
-def lasting_descriptors(pid):
+def permanent_descriptors(pid):
     """The descriptors that a process has open for a second, without those of a poll: they are free again."""
     listings = []
     for _ in range(20):
@@ -84,8 +84,8 @@
         client.ask()
         wait_until(lambda: engine.wants, "the query")
         pid = broker.process.pid
-        lasting = lasting_descriptors(pid)
-        free = next(descriptor for descriptor in range(1024) if descriptor not in lasting)
+        permanent = permanent_descriptors(pid)
+        free = next(descriptor for descriptor in range(1024) if descriptor not in permanent)
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (free, 1024))
         waiting = self.client(broker)
         broker.wait_for_counter("clients.accept_error.24")
@@ -129,9 +129,9 @@
             else answer_at_once(engine, say, name, fields, statement)
         )
         broker = self.broker(engine, change=limits(memory_mb=60))
-        greedy, modest = self.client(broker), self.client(broker)
+        flooding_client, other_client = self.client(broker), self.client(broker)
         for _ in range(30):
-            greedy.ask("report", statement=b"SELECT '" + b"x" * 300_000 + b"'", wait=20_000)
-        assert greedy.get()["error"]["code"] == -32066
-        modest.ask()
-        assert result_rows(modest.get()) == ROW
+            flooding_client.ask("report", statement=b"SELECT '" + b"x" * 300_000 + b"'", wait=20_000)
+        assert flooding_client.get()["error"]["code"] == -32066
+        other_client.ask()
+        assert result_rows(other_client.get()) == ROW
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -60,7 +60,7 @@
     return [reply[12 + 24 * number : 36 + 24 * number] for number in range(count)]
 
 
-def test_an_empty_batch_as_the_page_of_the_wire_shows_it():
+def test_an_empty_batch_is_answered_as_in_the_specification():
     assert SimulatorAdapter().handle_batch(
         bytes.fromhex("140000005a5c80000000000000000000" "01000000")
     ).hex() == ("0c0000000000000001000000")
@@ -97,7 +97,7 @@
     )
 
 
-def test_settings_are_read_under_our_names():
+def test_settings_are_read_under_the_contract_s_names():
     settings = parse_settings_json(json.dumps(SETTINGS).encode())
     assert (
         settings.broker_count,
@@ -145,7 +145,7 @@
     assert (former.returncode, former.stdout) == (0, run_adapter(start()).stdout)
 
 
-def test_input_that_ends_between_frames():
+def test_input_that_ends_between_frames_is_complete():
     run = run_adapter(start())
     assert run.returncode == 0
     assert run.stderr == b""
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("path", DECISIONS, ids=lambda path: path.name)
-def test_decisions_import_nothing_that_does_io_or_tells_the_time(path):
+def test_decisions_import_nothing_that_does_io_or_reads_a_clock(path):
     assert set(imported_modules(path)) <= ALLOWED_IMPORTS
 
 
