--- a/cypressledge/controlplane/change_file.py
+++ b/cypressledge/controlplane/change_file.py
@@ -5,21 +5,23 @@
 
 from cypressledge.controlplane.operator_messages import ChangeOps
 
-KEY_KINDS = {"config": "config", "engines": "engine", "brokers": "broker"}  # parts of a file -> kinds of keys
+KEY_KIND_BY_SECTION = {"config": "config", "engines": "engine", "brokers": "broker"}  # part -> kind of key
 
 
 def read_change_file(path: str) -> ChangeOps:
     """What a file's parts assign, and remove by null. Raises `click.UsageError`."""
     sections = _read_yaml(path)
-    if not isinstance(sections, dict) or not sections or not set(sections) <= set(KEY_KINDS):
-        raise click.UsageError(f"{path}: a change has the parts {', '.join(KEY_KINDS)}, and nothing else")
+    if not isinstance(sections, dict) or not sections or not set(sections) <= set(KEY_KIND_BY_SECTION):
+        raise click.UsageError(
+            f"{path}: a change has the parts {', '.join(KEY_KIND_BY_SECTION)}, and nothing else"
+        )
     assigned: dict[str, object] = {}
     removed: list[str] = []
-    for kind, section in sections.items():
+    for section_name, section in sections.items():
         if not isinstance(section, dict):
-            raise click.UsageError(f"{path}: {kind} is no mapping")
+            raise click.UsageError(f"{path}: {section_name} is no mapping")
         for name, value in section.items():
-            key = f"{KEY_KINDS[kind]}/{name}"
+            key = f"{KEY_KIND_BY_SECTION[section_name]}/{name}"
             if value is None:
                 removed.append(key)
             else:
--- a/cypressledge/controlplane/change_proposals.py
+++ b/cypressledge/controlplane/change_proposals.py
@@ -103,11 +103,11 @@
         try:
             state = self._leader_state()
             base = state.version if change.base is None else change.base
-            check_new(state, change)
+            check_new_change(state, change)
             if change.dry_run:
                 self._answer(exchange, HTTPStatus.OK, dry_run(state, base, change))
                 return
-            proposal = self.leadership.voter().propose(
+            proposal = self.leadership.voting_replica().propose(
                 now, change.ops, base, change.request, change.who, change.why, time.time_ns() // 1_000_000
             )
         except NotLeaderError:
@@ -163,7 +163,7 @@
     return DryRunAnswer(state.version + 1, len(change.ops))
 
 
-def check_new(state: FleetState, change: ChangeRequest) -> None:
+def check_new_change(state: FleetState, change: ChangeRequest) -> None:
     """The rules for a change that isn't known yet. Guards against "refused" for a repeat that was taken.
     Raises `StateError`."""
     if change.dry_run or state.version_of_request(change.request) is None:
@@ -172,9 +172,9 @@
 
 def _check_class_names(state: FleetState, ops: list[Op]) -> None:
     """Guards against settings that no broker can take before its restart. Raises `StateError`."""
-    held = state.entries.get(CLASSES_KEY)
+    current = state.entries.get(CLASSES_KEY)
     new = next((op.value for op in ops if op.key == CLASSES_KEY), None)
-    if held is not None and new is not None and _class_names(held.value) != _class_names(new):
+    if current is not None and new is not None and _class_names(current.value) != _class_names(new):
         raise StateError(
             "config: brokers take other classes only at a restart: remove all of config, "
             "restart them with files that hold the new classes, then set it again"
@@ -186,4 +186,4 @@
     classes = decode_value(raw)
     if not isinstance(classes, list):
         return []
-    return [one.get("Name") for one in classes if isinstance(one, dict)]
+    return [item.get("Name") for item in classes if isinstance(item, dict)]
--- a/cypressledge/controlplane/committed_changes.py
+++ b/cypressledge/controlplane/committed_changes.py
@@ -11,29 +11,29 @@
 
     def __init__(self, history: ChangeHistory, record: ActivityRecord, inbox: Inbox) -> None:
         self._history, self._record, self._inbox = history, record, inbox
-        self._is_unpublished = False
+        self._has_unpublished = False
 
     def apply(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
         """Take changes, or a snapshot in place of all before. In the owner's greenlet."""
         if snapshot is not None:
             self._history.reset(snapshot)
-            self._note(snapshot)
+            self._record_version(snapshot)
         for change in changes or ():
             self._history.apply(change)
-            self._note(change)
-        self._is_unpublished = True
+            self._record_version(change)
+        self._has_unpublished = True
 
-    def apply_elsewhere(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
+    def apply_from_other_greenlet(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
         """As `apply`, from another greenlet than the owner's."""
         self.apply(changes, snapshot)
         self._inbox.wake()
 
     def take_unpublished(self) -> bool:
         """Whether something was committed since the last call."""
-        is_unpublished, self._is_unpublished = self._is_unpublished, False
-        return is_unpublished
+        had_unpublished, self._has_unpublished = self._has_unpublished, False
+        return had_unpublished
 
-    def _note(self, committed: Change | Snapshot) -> None:
+    def _record_version(self, committed: Change | Snapshot) -> None:
         """Each version by itself: a checker compares with it what brokers had in force."""
         self._record.write(
             "committed",
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -170,7 +170,7 @@
                 self.server.zone,
                 self.server.region,
                 self.log,
-                self.committed.apply_elsewhere,
+                self.committed.apply_from_other_greenlet,
             )
         return Replica(
             ReplicaIdentity(self.name, self.instance_id, settings.voters),
@@ -324,7 +324,7 @@
         now = self.clock.now()
         self._is_stopping = True
         self.listener.stop()
-        self.replica.lease(now, None, 0)
+        self.replica.update_lease(now, None, 0)
         self.node.stop()
         self.proposals.settle(now)
         self.publisher.stop()
--- a/cypressledge/controlplane/leader_recovery.py
+++ b/cypressledge/controlplane/leader_recovery.py
@@ -59,15 +59,15 @@
         for peer in self._context.peers:
             if peer not in self._promises:
                 self._context.send(peer, Prepare(self._log.epoch, self._context.instance_id))
-        self._consider_promises()
+        self._evaluate_promises()
 
     def on_promise(self, sender: str, message: Promise) -> None:
         """A voter's promise in the candidate's epoch."""
         if self.phase is RecoveryPhase.PREPARE:
             self._promises[sender] = message
-            self._consider_promises()
+            self._evaluate_promises()
 
-    def _consider_promises(self) -> None:
+    def _evaluate_promises(self) -> None:
         """Go on from a majority's promises, as soon as there is one."""
         own_name, counted = self._context.name, self._counted_promises()
         if not self._context.is_majority(len(counted)) or own_name not in counted:
--- a/cypressledge/controlplane/leader_reports.py
+++ b/cypressledge/controlplane/leader_reports.py
@@ -32,28 +32,28 @@
     publisher: Publisher
     sender: PeerSender
     applied: AppliedVersions
-    _due: int = 0
+    _due_at: int = 0
     _reported_to: tuple[str, int] = ("", 0)  # the leader and the epoch of the last report
     _is_complete_due: bool = True
 
     def send(self, now: int) -> int:
         """Tell the leader what has changed, if it is time; when to call again, µs."""
-        if now < self._due:
-            return self._due
-        self._due = now + REPORT_INTERVAL_US
+        if now < self._due_at:
+            return self._due_at
+        self._due_at = now + REPORT_INTERVAL_US
         leader, epoch = self.leadership.leader, self.leadership.replica.epoch
         if (leader, epoch) != self._reported_to:  # a new one knows nothing yet
             self._reported_to, self._is_complete_due = (leader, epoch), True
         is_self = leader == self.leadership.name
         if not leader or not is_self and leader not in self.sender.reachable:
-            return self._due
+            return self._due_at
         report = self.publisher.subscriptions.report(self._is_complete_due)
         self._is_complete_due = False
         if report is not None and is_self:
             self.applied.report(now, leader, report)
         elif report is not None:
             self.sender.send(leader, report)
-        return self._due
+        return self._due_at
 
     def send_all_next(self) -> None:
         """The next report tells of all brokers: what was sent before may be lost."""
@@ -88,13 +88,13 @@
     registry: BrokerRegistry
     connected: ConnectedBrokers
     events: ProcessEvents
-    _due: int = 0
+    _due_at: int = 0
 
     def send(self, now: int) -> int:
         """Pass on, or as the leader propose, what is due; when to call again, µs."""
-        if now < self._due:
-            return self._due
-        self._due = now + REGISTRATION_INTERVAL_US
+        if now < self._due_at:
+            return self._due_at
+        self._due_at = now + REGISTRATION_INTERVAL_US
         leader, state = self.leadership.leader, self.history.state
         self.registry.request(self.publisher.subscriptions.registrations(state))
         ops = self.registry.take_unsent(now, state)
@@ -103,7 +103,7 @@
         elif ops and leader in self.sender.reachable:
             self.registry.mark_sent(now, ops)
             self.sender.send(leader, RegisterBrokers(ops))
-        return self._due
+        return self._due_at
 
     def _propose(self, now: int, ops: list[Op]) -> None:
         """Register brokers, and take out those that are gone, each in a change of its own."""
--- a/cypressledge/controlplane/leader_role.py
+++ b/cypressledge/controlplane/leader_role.py
@@ -27,14 +27,14 @@
         self._context = context
         self._log = log
         self._recovery: LeaderRecovery | None = None  # while a candidate gathers the newest log
-        self._leading: LeaderReplication | None = None  # from the first entry of the own epoch on
+        self._replication: LeaderReplication | None = None  # from the first entry of the own epoch on
         self._answered_at: dict[str, int] = {}  # µs, when a peer last answered in the own epoch
         self.lease_until = NEVER  # µs
 
     @property
     def progress(self) -> Mapping[str, PeerProgress]:
         """By name, how far each other voter is, while this replica leads or is about to."""
-        return {} if self._leading is None else self._leading.progress
+        return {} if self._replication is None else self._replication.progress
 
     @property
     def is_preparing(self) -> bool:
@@ -43,14 +43,14 @@
 
     # From the lease to stepping down
 
-    def is_leased(self, now: int) -> bool:
+    def holds_lease(self, now: int) -> bool:
         """Guards against a message from one who may no longer be the leader."""
         return now < self.lease_until
 
     def renew_lease(self, token: int | None, until: int) -> None:
-        """What is known of the lease now (see `Replica.lease`); steps down where it is not this epoch's."""
+        """What is known of the lease (see `Replica.update_lease`); steps down unless it is this epoch's."""
         self.lease_until = until if token is not None else NEVER
-        if token != self._log.epoch or not self.is_leased(self._context.now):
+        if token != self._log.epoch or not self.holds_lease(self._context.now):
             self.step_down("lease")
 
     def take_over(self, token: int) -> bool:
@@ -61,17 +61,17 @@
         context.role = Role.CANDIDATE
         context.report("recovering", epoch=token)
         self._answered_at = dict.fromkeys(context.peers, context.now)
-        self._recovery = LeaderRecovery(context, self._log, self._begin_leading)
+        self._recovery = LeaderRecovery(context, self._log, self._start_leading)
         self._recovery.start()
         return True
 
-    def _begin_leading(self) -> None:
+    def _start_leading(self) -> None:
         """The newest log of a majority is held here: write and send the first entry of the own epoch."""
-        leading = self._leading = LeaderReplication(self._context, self._log, self)
+        replication = self._replication = LeaderReplication(self._context, self._log, self)
         self._recovery = None
-        if leading.write_first_entry():
+        if replication.write_first_entry():
             self._context.leader = self._context.name
-            leading.start()
+            replication.start()
 
     def step_down(self, reason: str) -> None:
         """Be a follower again, without a known leader."""
@@ -79,9 +79,9 @@
         if context.role is Role.FOLLOWER:
             return
         context.report("stepped_down", epoch=self._log.epoch, was=context.role.value, why=reason)
-        if self._leading is not None:
-            self._leading.stop()
-        self._recovery = self._leading = None
+        if self._replication is not None:
+            self._replication.stop()
+        self._recovery = self._replication = None
         context.role = Role.FOLLOWER
         context.leader = ""
 
@@ -95,17 +95,17 @@
     def on_answer(self, sender: str, message: Message) -> None:
         """A voter's answer in this replica's epoch, to whatever part has asked, if it is still there."""
         self._answered_at[sender] = self._context.now
-        recovery, leading = self._recovery, self._leading
+        recovery, replication = self._recovery, self._replication
         if recovery is not None:
             if isinstance(message, Promise):
                 recovery.on_promise(sender, message)
             elif isinstance(message, EntriesFetched):
                 recovery.on_entries_fetched(sender, message)
-        elif leading is not None:
+        elif replication is not None:
             if isinstance(message, EntriesAppended):
-                leading.on_entries_appended(sender, message)
+                replication.on_entries_appended(sender, message)
             elif isinstance(message, Mismatch):
-                leading.on_mismatch(sender, message)
+                replication.on_mismatch(sender, message)
 
     def on_denied(self, sender: str, message: Denied) -> None:
         """A voter's refusal."""
@@ -119,26 +119,26 @@
 
     # Changes and time
 
-    def require_leading(self) -> LeaderReplication:
+    def require_leader_replication(self) -> LeaderReplication:
         """Raises `NotLeaderError`, and `StateError` while too many changes are pending."""
         context = self._context
-        if context.role is not Role.FOLLOWER and not self.is_leased(context.now):
+        if context.role is not Role.FOLLOWER and not self.holds_lease(context.now):
             self.step_down("lease")
-        if context.role is not Role.LEADER or self._leading is None:
+        if context.role is not Role.LEADER or self._replication is None:
             raise NotLeaderError("" if context.leader == context.name else context.leader)
-        self._leading.check_capacity()
-        return self._leading
+        self._replication.check_capacity()
+        return self._replication
 
     def tick(self) -> int:
         """Do what is due; when to be called again at the latest, µs."""
         now = self._context.now
         if self._context.role is not Role.FOLLOWER:
-            if not self.is_leased(now):
+            if not self.holds_lease(now):
                 self.step_down("lease")
             elif self._has_lost_quorum(now):
                 self.step_down("quorum_lost")
-        if self._leading is not None:
-            return self._leading.tick()
+        if self._replication is not None:
+            return self._replication.tick()
         recovery = self._recovery
         if recovery is None:
             return now + HEARTBEAT_INTERVAL_US
--- a/cypressledge/controlplane/leadership.py
+++ b/cypressledge/controlplane/leadership.py
@@ -13,7 +13,7 @@
 from cypressledge.fleet.node import FleetNode
 
 PRIMARY_LEASE = "primary"
-GIVE_BACK_REST_S = 1.0  # after a lease of no use here was given back, until it is asked for again
+RELEASE_BACKOFF_S = 1.0  # after a lease of no use here was given back, until it is asked for again
 
 
 class Leadership:
@@ -24,16 +24,16 @@
         self,
         name: str,
         is_voter: bool,
-        term: int,
+        lease_term: int,
         clock: LeaseClock,
         node: FleetNode,
         replica: Replica | NonVotingReplica,
     ) -> None:
-        self.name, self.is_voter, self.term, self.clock = name, is_voter, term, clock
+        self.name, self.is_voter, self.lease_term, self.clock = name, is_voter, lease_term, clock
         self.node, self.replica = node, replica
         self.suspended_until = 0  # µs: the disk here refuses until then, as far as is known
 
-    def voter(self) -> Replica:
+    def voting_replica(self) -> Replica:
         """The replica, where this process votes. Raises `NotLeaderError` where it doesn't."""
         if not isinstance(self.replica, Replica):
             raise NotLeaderError(self.leader)
@@ -42,7 +42,7 @@
     def latest_state(self) -> FleetState:
         """The state with what isn't committed yet: what the next change is made on. Raises `NotLeaderError`
         where there is none."""
-        state = self.voter().latest_state
+        state = self.voting_replica().latest_state
         if state is None:
             raise NotLeaderError(self.leader)
         return state
@@ -67,21 +67,21 @@
         """The disk has refused: stay away from the lease for two terms. Whether this begins now. Guards
         against a process that takes the lease from the others again, and that keeps brokers while its
         history stands still."""
-        begins = not self.is_suspended(now)
-        self.suspended_until = now + 2 * self.term
-        return begins
+        newly_suspended = not self.is_suspended(now)
+        self.suspended_until = now + 2 * self.lease_term
+        return newly_suspended
 
     def apply_lease(self, now: int) -> None:
         """Tell the replica what holds of the lease; it is asked for only where that could lead."""
         self._request_lease(now)
         grant = self.node.held_lease(PRIMARY_LEASE)
         if grant is None:
-            self.replica.lease(now, None, 0)
-        elif not self.replica.lease(now, grant.token, grant.expires_at):
+            self.replica.update_lease(now, None, 0)
+        elif not self.replica.update_lease(now, grant.token, grant.expires_at):
             if grant.token <= self.replica.epoch:
                 self.node.token_rejected(PRIMARY_LEASE, self.replica.epoch)
             else:
-                self.node.release(PRIMARY_LEASE, "replica cannot lead", GIVE_BACK_REST_S)
+                self.node.release(PRIMARY_LEASE, "replica cannot lead", RELEASE_BACKOFF_S)
 
     def _request_lease(self, now: int) -> None:
         is_eligible = self.replica.is_eligible(now) and not self.is_suspended(now) and self.is_voter
@@ -93,4 +93,4 @@
         if self.is_leader:
             publisher.on_leader_contact(now, self.name)
         elif self.replica.leader and self.replica.leader != self.name:
-            publisher.on_leader_contact(self.replica.leader_heard_at, self.replica.leader)
+            publisher.on_leader_contact(self.replica.last_leader_contact, self.replica.leader)
--- a/cypressledge/controlplane/log_replication.py
+++ b/cypressledge/controlplane/log_replication.py
@@ -32,10 +32,10 @@
 FIRST_VERSION_REASON = "the first version"
 
 
-class Leadership(Protocol):
+class LeaseHolder(Protocol):
     """What decides whether this replica still leads."""
 
-    def is_leased(self, now: int) -> bool:
+    def holds_lease(self, now: int) -> bool:
         """Whether the lease is held at a moment (µs)."""
 
     def step_down(self, reason: str) -> None:
@@ -45,15 +45,15 @@
 class LeaderReplication:
     """A leader's part, from its first entry until it steps down."""
 
-    def __init__(self, context: ReplicaContext, log: ReplicatedLog, leadership: Leadership) -> None:
+    def __init__(self, context: ReplicaContext, log: ReplicatedLog, lease_holder: LeaseHolder) -> None:
         self._context = context
         self._log = log
-        self._leadership = leadership
+        self._lease_holder = lease_holder
         self.is_active = True
         self.progress = {peer: PeerProgress(next_version=log.last.version) for peer in context.peers}
         self.heartbeat_at = NEVER  # µs, when the last heartbeat was sent
         self._proposals: dict[int, PendingProposal] = {}  # by version
-        self._first_version = 0  # the first version of the own epoch
+        self._epoch_start_version = 0  # the first version of the own epoch
 
     def write_first_entry(self) -> bool:
         """The first entry of the own epoch, which commits all before it; whether it could be written."""
@@ -63,7 +63,7 @@
         change = self._log.append_next(ops, ChangeOrigin(reason=reason))
         if change is None:
             return False
-        self._first_version = change.version
+        self._epoch_start_version = change.version
         return True
 
     def start(self) -> None:
@@ -92,14 +92,14 @@
         """A change that someone asks for, who looked at `base_version`; see `Replica.propose`."""
         known = self._log.version_of_request(origin.request_id)
         if known is not None:
-            return self._known_proposal(known, origin.request_id, ops)
+            return self._existing_proposal(known, origin.request_id, ops)
         validate_change(self._log.latest_state, ops)
         if keys := find_conflicts(self._log.latest_state, base_version, ops):
             raise VersionConflictError(keys)
         return self._propose(ops, origin)
 
-    def _known_proposal(self, version: int, request_id: str, ops: list[Op]) -> PendingProposal:
-        if self._log.differs_from(version, ops):
+    def _existing_proposal(self, version: int, request_id: str, ops: list[Op]) -> PendingProposal:
+        if self._log.has_different_ops(version, ops):
             raise StateError(
                 f"request {request_id} became version {version}, with other contents: give this "
                 "one a name of its own"
@@ -208,14 +208,14 @@
         version = sorted(map(self._acknowledged_version, voters), reverse=True)[len(voters) // 2]
         if version <= self._log.commit or not self._log.is_of_current_epoch(version):
             return
-        if not self._leadership.is_leased(now):
-            self._leadership.step_down("lease")
+        if not self._lease_holder.holds_lease(now):
+            self._lease_holder.step_down("lease")
             return
         if not self._log.advance_commit(version):
             return
         for done in [pending for pending in self._proposals if pending <= version]:
             self._proposals.pop(done).state = ProposalState.DONE
-        if self._context.role is Role.CANDIDATE and version >= self._first_version:
+        if self._context.role is Role.CANDIDATE and version >= self._epoch_start_version:
             self._context.role = Role.LEADER
             self._context.report("primary", epoch=self._log.epoch, version=version)
         for peer in self.progress:
@@ -239,10 +239,10 @@
         versions = [change.version for change in message.changes]
         in_order = versions == list(range(message.prev_version + 1, matching + 1))
         if not in_order or not log.append(message.changes):
-            if not log.is_uncertain:
+            if not log.needs_reload:
                 self._context.send(sender, Denied(log.epoch, "state"))
             return
-        if log.advance_commit(log.committed_here(message.commit, matching)):
+        if log.advance_commit(log.follower_commit(message.commit, matching)):
             self._answer_appended(sender, message.epoch, message.commit, matching)
 
     def _answer_mismatch(self, sender: str, message: AppendEntries) -> None:
@@ -277,12 +277,12 @@
             return
         if self._log.install(snapshot):
             self._answer_appended(sender, message.epoch, message.commit, snapshot.version)
-        elif not self._log.is_uncertain:
+        elif not self._log.needs_reload:
             self._context.send(sender, Denied(self._log.epoch, "lineage"))
 
     def _answer_appended(self, sender: str, epoch: int, leader_commit: int, version: int) -> None:
         log = self._log
         if log.finish_joining(epoch, leader_commit):
             self._context.report("joined", version=log.last.version)
-        if not log.is_uncertain:
+        if not log.needs_reload:
             self._context.send(sender, EntriesAppended(epoch, version, log.joining))
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -40,7 +40,7 @@
     ) -> None:
         self.epoch = 0
         self.leader = ""  # the last one known; empty: none
-        self.leader_heard_at = NEVER  # µs
+        self.last_leader_contact = NEVER  # µs
         self._on_commit = on_commit
         voters = msgspec.structs.replace(settings, servers=[s for s in settings.servers if s.votes])
         self._subscriber = SubscriberClient(
@@ -76,7 +76,7 @@
         """Whether this replica could lead: never."""
         return False
 
-    def lease(self, now: int, token: int | None, until: int) -> bool:
+    def update_lease(self, now: int, token: int | None, until: int) -> bool:
         """Whether the lease is of use here: never."""
         return False
 
@@ -107,21 +107,21 @@
         status = self._subscriber.status()
         if status.leader:
             self.leader = status.leader
-            self.leader_heard_at = now - status.stale_ms * 1_000
+            self.last_leader_contact = now - status.stale_ms * 1_000
         self.epoch = status.epoch
         return now + TICK_INTERVAL_US
 
     def status(self, now: int) -> ReplicaStatus:
         """As of now (µs)."""
         state = self._subscriber.state
-        heard_at = self.leader_heard_at
+        contact_at = self.last_leader_contact
         return ReplicaStatus(
             role="learner",
             epoch=state.epoch,
             last=state.version,
             commit=state.version,
             match={},
-            leader_silence_ms=-1 if heard_at == NEVER else (now - heard_at) // 1_000,
+            leader_silence_ms=-1 if contact_at == NEVER else (now - contact_at) // 1_000,
             leader=self.leader,
             cluster_id=state.cluster_id,
             joining=False,
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -37,10 +37,10 @@
 
 BACKOFF_MIN_S, BACKOFF_MAX_S = 0.05, 1.0  # between attempts to reach a peer, doubling
 REJECTED_RETRY_MS = 1_000  # that a rejected peer stays away
-FLUSH_S = 1.0  # for a frame to leave before the laboratory's fault
+FLUSH_TIMEOUT_S = 1.0  # for a frame to leave before the laboratory's fault
 
 
-class HistoryOwner(Protocol):
+class ClusterIdentity(Protocol):
     """Who knows which history this process belongs to."""
 
     @property
@@ -58,7 +58,7 @@
         """A peer's connection to here has ended: nothing is heard of it until the next one."""
 
     def reachable(self, now: int, peer: str) -> None:
-        """A connection to a peer is up. What was sent over the former one may be lost."""
+        """A connection to a peer is up. What was sent over the previous one may be lost."""
 
 
 class PeerSender:
@@ -95,7 +95,7 @@
             self._faults.strike()
         frames.send(message)
         if is_due and self._faults.when == "after":
-            frames.writer.flushed.wait(FLUSH_S)
+            frames.writer.flushed.wait(FLUSH_TIMEOUT_S)
             self._faults.strike()
 
     @staticmethod
@@ -111,13 +111,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHandshake:
-    """Says and checks who is at the two ends of a connection. `owner`: who knows the history's identity."""
+    """Says and checks who is at the two ends of a connection. `cluster`: who knows the history's identity."""
 
     name: str
     instance_id: int
     server_names: frozenset[str]
     history: ChangeHistory
-    owner: HistoryOwner
+    cluster: ClusterIdentity
     events: ProcessEvents
 
     def hello(self) -> Hello:
@@ -128,7 +128,7 @@
             "control",
             self.name,
             self.instance_id,
-            self.owner.cluster_id,
+            self.cluster.cluster_id,
             state.epoch,
             state.version,
             state.digest,
@@ -136,7 +136,7 @@
 
     def answer(self) -> HelloAccepted:
         """The first frame over a connection that is taken."""
-        return HelloAccepted(self.name, self.instance_id, self.owner.cluster_id)
+        return HelloAccepted(self.name, self.instance_id, self.cluster.cluster_id)
 
     def rejection_reason(self, hello: Hello) -> str:
         """Why a control process is rejected; empty: it isn't."""
@@ -157,7 +157,7 @@
             raise ConnectionEndedError("other cluster")
 
     def _is_other_history(self, cluster_id: str) -> bool:
-        own = self.owner.cluster_id
+        own = self.cluster.cluster_id
         return bool(own and cluster_id) and own != cluster_id
 
 
@@ -213,9 +213,9 @@
             self._handshake.events.emit("peer_rejected", peer=hello.name, why=why, lineage=hello.cluster_id)
             reject_connection(frames, Disconnect(why, REJECTED_RETRY_MS))
             return
-        former = self._connections.get(hello.name)
-        if former is not None:
-            former.close()
+        previous = self._connections.get(hello.name)
+        if previous is not None:
+            previous.close()
         self._connections[hello.name] = frames
         frames.set_max_frame_bytes(MAX_FRAME_BYTES)
         frames.send(self._handshake.answer())
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -73,8 +73,8 @@
         self.log.joining = self.log.joining or joining
         self._quarantined_until = now + quarantine_us if self.log.joining else NEVER
         self._leader_role = LeaderRole(self._context, self.log)
-        self._following = FollowerReplication(self._context, self.log)
-        self.leader_heard_at = NEVER  # µs
+        self._follower_replication = FollowerReplication(self._context, self.log)
+        self.last_leader_contact = NEVER  # µs
 
     def _on_storage_failure(self) -> None:
         self._leader_role.step_down("disk")
@@ -128,11 +128,11 @@
 
     def is_eligible(self, now: int) -> bool:
         """Whether this replica could lead: it makes no sense to ask for the lease otherwise."""
-        if self.log.joining or self._is_quarantined(now) or self.log.is_uncertain:
+        if self.log.joining or self._is_quarantined(now) or self.log.needs_reload:
             return False
         return self.log.has_history or self._context.first_version is not None
 
-    def lease(self, now: int, token: int | None, until: int) -> bool:
+    def update_lease(self, now: int, token: int | None, until: int) -> bool:
         """Tell what is known of the lease now: its token, where it is held here, and until when (µs).
 
         Answers whether it is of use: one that isn't should be given back, to be had again with a higher
@@ -145,7 +145,7 @@
             return False
         if self.role is not Role.FOLLOWER:
             return True
-        if not self.log.reload_if_uncertain() or not self.is_eligible(now) or not leader_role.is_leased(now):
+        if not self.log.reload_if_needed() or not self.is_eligible(now) or not leader_role.holds_lease(now):
             return False
         if token <= self.epoch:
             self._context.report("token_behind", token=token, promised=self.epoch)
@@ -165,7 +165,7 @@
             return
         if not isinstance(message, (*REQUESTS, *ANSWERS, Denied)):
             return
-        if not self.log.reload_if_uncertain():
+        if not self.log.reload_if_needed():
             if isinstance(message, REQUESTS):
                 self._deny(sender, "disk")
             return
@@ -174,17 +174,17 @@
                 self._leader_role.on_answer(sender, message)
             return
         self._on_request(sender, message)
-        if self.log.is_uncertain and isinstance(message, Prepare | AppendEntries | InstallSnapshot):
+        if self.log.needs_reload and isinstance(message, Prepare | AppendEntries | InstallSnapshot):
             self._deny(sender, "disk")
 
     def _on_request(self, sender: str, message: Message) -> None:
         """What a candidate or leader says, or a refusal."""
         if isinstance(message, AppendEntries):
             if self._accepts_leader(sender, message.epoch):
-                self._following.on_append_entries(sender, message)
+                self._follower_replication.on_append_entries(sender, message)
         elif isinstance(message, InstallSnapshot):
             if self._accepts_leader(sender, message.epoch):
-                self._following.on_install_snapshot(sender, message)
+                self._follower_replication.on_install_snapshot(sender, message)
         elif isinstance(message, Prepare):
             self._on_prepare(sender, message)
         elif isinstance(message, FetchEntries):
@@ -214,7 +214,7 @@
         self._leader_role.step_down("other_leader")
         if epoch > self.epoch and not self.log.promise(epoch, 0):
             return False
-        self._context.leader, self.leader_heard_at = sender, self._context.now
+        self._context.leader, self.last_leader_contact = sender, self._context.now
         return True
 
     # Changes
@@ -235,16 +235,16 @@
         `VersionConflictError`.
         """
         self._context.now = now
-        leading = self._leader_role.require_leading()
+        leader_replication = self._leader_role.require_leader_replication()
         origin = ChangeOrigin(request_id, author, reason, created_at_ms)
-        return leading.propose(ops, base_version, origin)
+        return leader_replication.propose(ops, base_version, origin)
 
     def propose_internal(
         self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
     ) -> PendingProposal:
         """A change that the leader makes by itself. Raises `NotLeaderError`, `StateError`."""
         self._context.now = now
-        return self._leader_role.require_leading().propose_internal(ops, reason, created_at_ms)
+        return self._leader_role.require_leader_replication().propose_internal(ops, reason, created_at_ms)
 
     # Time
 
@@ -253,17 +253,17 @@
         self._context.now = now
         if self._is_quarantined(now):
             return self._quarantined_until
-        self.log.reload_if_uncertain()
+        self.log.reload_if_needed()
         return self._leader_role.tick()
 
     def status(self, now: int) -> ReplicaStatus:
         """As of now (µs)."""
         if self.role is Role.LEADER:
             silence_ms = 0
-        elif self.leader_heard_at == NEVER:
+        elif self.last_leader_contact == NEVER:
             silence_ms = -1
         else:
-            silence_ms = (now - self.leader_heard_at) // 1_000
+            silence_ms = (now - self.last_leader_contact) // 1_000
         return ReplicaStatus(
             self.role.value,
             self.epoch,
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -39,7 +39,7 @@
         self._on_commit = on_commit
         self._on_storage_failure = on_storage_failure
         self._snapshots = CompressedSnapshotCache()
-        self.is_uncertain = False  # a durable step failed: the storage is read again before anything else
+        self.needs_reload = False  # a durable step failed: the storage is read again before anything else
         self.commit = -1  # newest version known to be committed; -1: no history
         self.joining = False  # this voter has lost its disk, or has an old one: it does not count
         self.promised = NOTHING_PROMISED
@@ -87,7 +87,7 @@
     def _load(self) -> None:
         stored = self._storage.load()
         self.promised, self.joining = PromisedEpoch(*stored.promised), stored.joining
-        already_handed_on = self.commit
+        previous_commit = self.commit
         if stored.base is None:
             self.entries, self.commit = LogEntries(), -1
             self._committed_state = self._latest_state = None
@@ -101,12 +101,12 @@
             self._rebuild_latest_state()
         except StateError as err:
             raise StorageError(f"the history kept does not fit together: {err}") from None
-        if self.commit > max(already_handed_on, 0):
+        if self.commit > max(previous_commit, 0):
             self._on_commit(None, state.snapshot())
 
-    def reload_if_uncertain(self) -> bool:
+    def reload_if_needed(self) -> bool:
         """Read the storage again after an error; whether it is known what it holds."""
-        if not self.is_uncertain:
+        if not self.needs_reload:
             return True
         joining = self.joining
         try:
@@ -115,7 +115,7 @@
             self._context.report("disk_error", step="load", why=str(err))
             return False
         self.joining = joining  # guards against an end of joining that may or may not have been stored
-        self.is_uncertain = False
+        self.needs_reload = False
         return True
 
     def _rebuild_latest_state(self) -> None:
@@ -130,7 +130,7 @@
             write()
             return True
         except StorageError as err:
-            self.is_uncertain = True
+            self.needs_reload = True
             self._context.report("disk_error", step=step, why=str(err))
             self._on_storage_failure()
             return False
@@ -233,14 +233,14 @@
             self._on_commit(changes, None)
         if self._storage.needs_compaction:
             self._compact()
-        return not self.is_uncertain
+        return not self.needs_reload
 
     def _compact(self) -> None:
         """Replace the changes up to the commit by a snapshot, here and in the storage."""
         if self._persist("compact", partial(self._storage.compact, self.committed_state.snapshot())):
             self.entries.drop_compacted(self.commit)
 
-    def committed_here(self, leader_commit: int, matching: int) -> int:
+    def follower_commit(self, leader_commit: int, matching: int) -> int:
         """Guards against calling committed what is held here but not known to be the leader's."""
         return min(leader_commit, matching)
 
@@ -302,11 +302,11 @@
         """Guards against a request that is applied twice."""
         return self.latest_state.version_of_request(request_id)
 
-    def differs_from(self, version: int, ops: list[Op]) -> bool:
+    def has_different_ops(self, version: int, ops: list[Op]) -> bool:
         """Guards against "done" for a change that was never made: its request id was another one's.
 
         Known as long as the entry is held.
         """
-        held = self.entries.between(version - 1, version) if version > self.entries.base.version else []
-        asked = {op.key: op.value for op in ops}
-        return any({op.key: op.value for op in change.ops} != asked for change in held)
+        stored = self.entries.between(version - 1, version) if version > self.entries.base.version else []
+        requested = {op.key: op.value for op in ops}
+        return any({op.key: op.value for op in change.ops} != requested for change in stored)
--- a/cypressledge/controlplane/sqlite_storage.py
+++ b/cypressledge/controlplane/sqlite_storage.py
@@ -18,7 +18,7 @@
 from cypressledge.controlplane.log_storage import PromisedEpoch, StorageError, StoredLog
 from cypressledge.controlplane.messages import Change, Snapshot
 from cypressledge.controlplane.sqlite_file import SqliteFile
-from cypressledge.controlplane.sqlite_wal import transactions_after_damage
+from cypressledge.controlplane.sqlite_wal import count_transactions_after_damage
 
 FORMAT = 1  # of the file
 COMPACTION_CHANGES = 8_192  # changes behind the snapshot from which a compaction is due
@@ -66,7 +66,7 @@
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
-def _no_fault(step: str) -> None:
+def _ignore_step(step: str) -> None:
     pass
 
 
@@ -81,7 +81,7 @@
         path: str | Path,
         name: str,
         mode: OpenMode | str = OpenMode.EXISTING,
-        before_step: Callable[[str], None] = _no_fault,
+        before_step: Callable[[str], None] = _ignore_step,
     ) -> None:
         self.path = Path(path)
         self.change_count = self.change_bytes = 0  # of the changes behind the snapshot
@@ -93,14 +93,14 @@
         try:
             self._file = SqliteFile(self.path, before_step)
         except sqlite3.Error as err:
-            raise StorageUnusableError(self._damaged(err)) from None
+            raise StorageUnusableError(self._describe_failure(err)) from None
         self.db = self._file.db
         try:
             self._prepare(is_new, mode)
             self._load()
         except (sqlite3.Error, StorageError) as err:
             self.close()
-            raise StorageUnusableError(self._damaged(err)) from None
+            raise StorageUnusableError(self._describe_failure(err)) from None
         except StorageUnusableError:
             self.close()
             raise
@@ -122,10 +122,10 @@
                 f"{path}: only a log of it is left. Move that away and start with --rejoin."
             )
         wal = Path(f"{path}-wal")
-        if wal.exists() and transactions_after_damage(wal.read_bytes()) > 1:
-            raise StorageUnusableError(self._damaged("its log is garbled"))
+        if wal.exists() and count_transactions_after_damage(wal.read_bytes()) > 1:
+            raise StorageUnusableError(self._describe_failure("its log is garbled"))
 
-    def _damaged(self, err: Exception | str) -> str:
+    def _describe_failure(self, err: Exception | str) -> str:
         """What an operator has to do where the file can't be read."""
         if "locked" in str(err):
             return f"{self.path}: another process has it open. Stop that one first."
@@ -202,7 +202,7 @@
             if body is None:
                 raise StorageError("a row is lost")
             self._header = header = _decode_header(body)
-            self._check_owner()
+            self._check_format_and_name()
             base = self._get(SNAPSHOT_ROW)
             snapshot = None if base is None else _decode_snapshot(base)
             changes = list(self._load_changes(-1 if snapshot is None else snapshot.version))
@@ -212,7 +212,7 @@
         promised = PromisedEpoch(header.epoch, header.instance_id)
         return StoredLog(snapshot, changes, header.commit, promised, header.joining)
 
-    def _check_owner(self) -> None:
+    def _check_format_and_name(self) -> None:
         header = self._header
         if header.format != FORMAT:
             raise StorageUnusableError(
--- a/cypressledge/controlplane/sqlite_wal.py
+++ b/cypressledge/controlplane/sqlite_wal.py
@@ -8,25 +8,25 @@
 DEFAULT_PAGE_BYTES = 4_096  # where the header's page size is damaged
 
 # Offsets in the log's header:
-HEADER_SALT_AT = 16
-HEADER_CHECKSUM_AT = 24
+HEADER_SALT_OFFSET = 16
+HEADER_CHECKSUM_OFFSET = 24
 # Offsets in a frame's header:
-COMMIT_SIZE_AT = 4  # pages of the database after a transaction, 0 within it
-SALT_AT = 8
-CHECKSUM_AT = 16
+COMMIT_SIZE_OFFSET = 4  # pages of the database after a transaction, 0 within it
+SALT_OFFSET = 8
+CHECKSUM_OFFSET = 16
 SALT_BYTES = 8
 
 
 def _checksum(words: tuple[int, ...], sums: tuple[int, int]) -> tuple[int, int]:
     """Continues the checksum over more words (section 4.2)."""
     first, second = sums
-    for at in range(0, len(words), 2):
-        first = first + words[at] + second & 0xFFFFFFFF
-        second = second + words[at + 1] + first & 0xFFFFFFFF
+    for offset in range(0, len(words), 2):
+        first = first + words[offset] + second & 0xFFFFFFFF
+        second = second + words[offset + 1] + first & 0xFFFFFFFF
     return first, second
 
 
-def transactions_after_damage(log: bytes) -> int:
+def count_transactions_after_damage(log: bytes) -> int:
     """Finished transactions in a write-ahead log from the first damaged frame on.
 
     sqlite drops them without a word. But for one at the end, which a power cut may have torn, they had been
@@ -40,22 +40,22 @@
     byte_order = ">" if magic & 1 else "<"
     page_words = f"{byte_order}{page_bytes // 4}I"
     # Of the first frame, as the header itself may be damaged:
-    salt = log[HEADER_BYTES + SALT_AT : HEADER_BYTES + SALT_AT + SALT_BYTES]
+    salt = log[HEADER_BYTES + SALT_OFFSET : HEADER_BYTES + SALT_OFFSET + SALT_BYTES]
     sums = _checksum(struct.unpack_from(byte_order + "6I", log), (0, 0))
-    is_sound = (
-        sums == struct.unpack_from(">2I", log, HEADER_CHECKSUM_AT)
-        and salt == log[HEADER_SALT_AT : HEADER_SALT_AT + SALT_BYTES]
+    is_valid = (
+        sums == struct.unpack_from(">2I", log, HEADER_CHECKSUM_OFFSET)
+        and salt == log[HEADER_SALT_OFFSET : HEADER_SALT_OFFSET + SALT_BYTES]
     )
-    lost = 0
+    lost_transactions = 0
     frame_bytes = FRAME_HEADER_BYTES + page_bytes
-    for at in range(HEADER_BYTES, len(log) - frame_bytes + 1, frame_bytes):
-        has_salt = log[at + SALT_AT : at + SALT_AT + SALT_BYTES] == salt
-        if is_sound:
-            sums = _checksum(struct.unpack_from(byte_order + "2I", log, at), sums)
-            sums = _checksum(struct.unpack_from(page_words, log, at + FRAME_HEADER_BYTES), sums)
+    for offset in range(HEADER_BYTES, len(log) - frame_bytes + 1, frame_bytes):
+        has_salt = log[offset + SALT_OFFSET : offset + SALT_OFFSET + SALT_BYTES] == salt
+        if is_valid:
+            sums = _checksum(struct.unpack_from(byte_order + "2I", log, offset), sums)
+            sums = _checksum(struct.unpack_from(page_words, log, offset + FRAME_HEADER_BYTES), sums)
             # What ends the log for sqlite; another salt is what an earlier round of the log left there.
-            is_sound = has_salt and sums == struct.unpack_from(">2I", log, at + CHECKSUM_AT)
-        is_commit = log[at + COMMIT_SIZE_AT : at + COMMIT_SIZE_AT + 4] != bytes(4)
-        if not is_sound and has_salt and is_commit:
-            lost += 1
-    return lost
+            is_valid = has_salt and sums == struct.unpack_from(">2I", log, offset + CHECKSUM_OFFSET)
+        is_commit = log[offset + COMMIT_SIZE_OFFSET : offset + COMMIT_SIZE_OFFSET + 4] != bytes(4)
+        if not is_valid and has_salt and is_commit:
+            lost_transactions += 1
+    return lost_transactions
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -95,11 +95,11 @@
         self.entries: dict[str, StateEntry] = {}
         self.requests: dict[str, int] = {}  # request id -> version it became, oldest first
         self.removed: dict[str, int] = {}  # key -> version that removed it, oldest first
-        self.removed_since = 0  # removals of later versions are all in `removed`
+        self.removals_known_since = 0  # removals of later versions are all in `removed`
         self.size_bytes = 0  # of all entries
         self._digest_sum = 0
-        self._key_at: dict[Address, str] | None = None  # kept up from the first call of `addresses` on
-        self._address_of_key: dict[str, Address] = {}
+        self._key_by_address: dict[Address, str] | None = None  # kept from the first `addresses` on
+        self._address_by_key: dict[str, Address] = {}
 
     @property
     def position(self) -> Position:
@@ -170,31 +170,31 @@
     def _digest_sum_after(self, ops: list[Op], version: int) -> int:
         total = self._digest_sum
         for op in ops:
-            if former := self.entries.get(op.key):
-                total -= _digest_term(former.key, former.value, former.version)
+            if previous := self.entries.get(op.key):
+                total -= _digest_term(previous.key, previous.value, previous.version)
             if op.value is not None:
                 total += _digest_term(op.key, op.value, version)
         return total % (1 << 8 * DIGEST_BYTES)
 
     def _apply_op(self, op: Op, version: int) -> None:
-        former = self.entries.pop(op.key, None)
-        if former:
-            self.size_bytes -= entry_size(former.key, former.value)
+        previous = self.entries.pop(op.key, None)
+        if previous:
+            self.size_bytes -= entry_size(previous.key, previous.value)
         self.removed.pop(op.key, None)
         if op.value is not None:
             self.entries[op.key] = StateEntry(op.key, op.value, version)
             self.size_bytes += entry_size(op.key, op.value)
-        elif former:
+        elif previous:
             self.removed[op.key] = version
-            self._bound_removed()
-        if self._key_at is not None:
-            self._index_address(self._key_at, op.key, op.value)
+            self._evict_old_removals()
+        if self._key_by_address is not None:
+            self._index_address(self._key_by_address, op.key, op.value)
 
-    def _bound_removed(self) -> None:
+    def _evict_old_removals(self) -> None:
         """Guards against memory that grows with each key ever removed."""
         while len(self.removed) > MAX_REMEMBERED_REMOVALS:
             oldest = next(iter(self.removed))
-            self.removed_since = self.removed.pop(oldest)
+            self.removals_known_since = self.removed.pop(oldest)
 
     def _remember_request(self, request_id: str, version: int) -> None:
         self.requests.pop(request_id, None)
@@ -206,23 +206,23 @@
 
     def addresses(self) -> Mapping[Address, str]:
         """Which key is at which address."""
-        if self._key_at is None:
-            self._key_at = {}
+        if self._key_by_address is None:
+            self._key_by_address = {}
             for entry in self.entries.values():
-                self._index_address(self._key_at, entry.key, entry.value)
-        return self._key_at
+                self._index_address(self._key_by_address, entry.key, entry.value)
+        return self._key_by_address
 
-    def _index_address(self, key_at: dict[Address, str], key: str, value: bytes | None) -> None:
+    def _index_address(self, key_by_address: dict[Address, str], key: str, value: bytes | None) -> None:
         """Keep the index up. A committed value that can't be read has no address: replicas stay equal."""
-        former = self._address_of_key.pop(key, None)
-        if former and key_at.get(former) == key:
-            del key_at[former]
+        previous = self._address_by_key.pop(key, None)
+        if previous and key_by_address.get(previous) == key:
+            del key_by_address[previous]
         try:
             address = None if value is None else address_of(key, value)
         except StateError:
             return
         if address:
-            key_at[address], self._address_of_key[key] = key, address
+            key_by_address[address], self._address_by_key[key] = key, address
 
     # Snapshots
 
@@ -254,7 +254,7 @@
             raise StateError("snapshot: the digest differs")
         state.size_bytes = sum(entry_size(entry.key, entry.value) for entry in snapshot.entries)
         state.requests = dict(snapshot.requests)
-        state.removed_since = snapshot.version  # what was removed before isn't in a snapshot
+        state.removals_known_since = snapshot.version  # what was removed before isn't in a snapshot
         return state
 
     def digest_matches(self) -> bool:
--- a/cypressledge/controlplane/state_validation.py
+++ b/cypressledge/controlplane/state_validation.py
@@ -19,7 +19,7 @@
 
 MAX_STATE_BYTES = 3 << 20  # of all keys and values: guards against a snapshot that fits in no frame
 BASE_TOO_OLD = "base too old"
-BASE_NOT_YET = "base not yet reached"
+BASE_NOT_REACHED = "base not yet reached"
 POSITIVE_LIMITS = ("StreamsPerConn", "ConnectTimeout", "ConnIdle")  # of the settings' section Limits
 
 
@@ -57,8 +57,8 @@
 def _check_state_size(state: FleetState, ops: list[Op]) -> None:
     size = state.size_bytes
     for op in ops:
-        if former := state.entries.get(op.key):
-            size -= entry_size(former.key, former.value)
+        if previous := state.entries.get(op.key):
+            size -= entry_size(previous.key, previous.value)
         if op.value is not None:
             size += entry_size(op.key, op.value)
     if size > MAX_STATE_BYTES:
@@ -129,25 +129,29 @@
         changed_at = entry.version if entry else self.state.removed.get(key, 0)
         return changed_at > self.version
 
-    def is_uncertain(self, key: str) -> bool:
+    def may_have_been_removed(self, key: str) -> bool:
         """A key that isn't there may have been removed before the removals known begin."""
-        return key not in self.state.entries and self.version < self.state.removed_since
+        return key not in self.state.entries and self.version < self.state.removals_known_since
 
 
 def find_conflicts(state: FleetState, base_version: int, ops: list[Op]) -> list[str]:
     """The touched keys that were set or removed after the version that a request was made on; empty: none.
 
     For a config key that is any config key, as sections are checked together. `BASE_TOO_OLD` is added where
-    the state no longer knows, `BASE_NOT_YET` is the answer for a version that it hasn't reached.
+    the state no longer knows, `BASE_NOT_REACHED` is the answer for a version that it hasn't reached.
     """
     if base_version > state.version:
-        return [BASE_NOT_YET]
+        return [BASE_NOT_REACHED]
     since = _ChangesSince(state, base_version)
     keys = {op.key for op in ops}
     touches_config = any(key.startswith(CONFIG_PREFIX) for key in keys)
     if touches_config:
         keys |= {key for key in (*state.entries, *state.removed) if key.startswith(CONFIG_PREFIX)}
     conflicts = sorted(key for key in keys if since.has_changed(key))
-    if touches_config and base_version < state.removed_since or any(since.is_uncertain(key) for key in keys):
+    if (
+        touches_config
+        and base_version < state.removals_known_since
+        or any(since.may_have_been_removed(key) for key in keys)
+    ):
         conflicts.append(BASE_TOO_OLD)
     return conflicts
--- a/tests/controlplane/conftest.py
+++ b/tests/controlplane/conftest.py
@@ -9,16 +9,16 @@
 @pytest.fixture
 def cluster(request):
     """Three control processes that run, called over HTTP."""
-    made = ControlCluster(**getattr(request, "param", {}))
-    yield made
-    made.close()
+    control_cluster = ControlCluster(**getattr(request, "param", {}))
+    yield control_cluster
+    control_cluster.close()
 
 
 @pytest.fixture
 def plane(request):
     """Three control processes, or as many and of them as many voters as a test asks for; not started yet."""
-    made = ControlPlane(**getattr(request, "param", {}))
+    control_plane = ControlPlane(**getattr(request, "param", {}))
     try:
-        yield made
+        yield control_plane
     finally:
-        made.close()
+        control_plane.close()
--- a/tests/controlplane/fleet_states.py
+++ b/tests/controlplane/fleet_states.py
@@ -6,7 +6,7 @@
 from cypressledge.controlplane.state_values import Broker, Engine, encode_value
 from cypressledge.lab.site import SETTINGS
 
-SECTIONS = [Op(f"config/{name}", encode_value(value)) for name, value in SETTINGS.items()]
+SETTINGS_OPS = [Op(f"config/{name}", encode_value(value)) for name, value in SETTINGS.items()]
 
 
 def engine(name: str, address: str, **more) -> Op:
@@ -17,15 +17,17 @@
     return Op(f"broker/{name}", encode_value(Broker(address)))
 
 
-def grow(state, *ops, epoch=1, **more) -> Change:
+def apply_ops(state, *ops, epoch=1, **more) -> Change:
     validate_change(state, list(ops))
     change = state.draft_change(epoch, list(ops), **more)
     state.apply(change)
     return change
 
 
-def filled() -> FleetState:
+def populated_state() -> FleetState:
     state = FleetState("line")
-    grow(state, *SECTIONS)
-    grow(state, engine("e1", "10.0.0.1:9000"), engine("e2", "10.0.0.2:9000"), broker("b1", "10.0.1.1:7400"))
+    apply_ops(state, *SETTINGS_OPS)
+    apply_ops(
+        state, engine("e1", "10.0.0.1:9000"), engine("e2", "10.0.0.2:9000"), broker("b1", "10.0.1.1:7400")
+    )
     return state
--- a/tests/controlplane/replica_scenes.py
+++ b/tests/controlplane/replica_scenes.py
@@ -7,9 +7,9 @@
 from tests.fakes.replica_world import SECOND, SafetyViolationError, World, engine
 
 
-def started_world(kind, among="abc", names="abc", quarantine=0):
+def started_world(replica_class, among="abc", names="abc", quarantine=0):
     """`a` leads in epoch 1, and these have its first version."""
-    world = World(names, kind, quarantine)
+    world = World(names, replica_class, quarantine)
     world.lease("a", 1)
     world.run(among)
     assert world.running["a"].role == "primary"
@@ -21,8 +21,8 @@
     return isinstance(message, AppendEntries) and any(not c.ops for c in message.changes)
 
 
-def one_epoch_two_instances(kind):
-    world = started_world(kind)
+def one_epoch_two_instances(replica_class):
+    world = started_world(replica_class)
     world.lease("a", 2)
     world.run("ab")
     world.lease("c", 2)
@@ -31,16 +31,16 @@
     world.run("abc")
 
 
-def deposed_leader_appends(kind):
-    world = started_world(kind)
+def deposed_leader_appends(replica_class):
+    world = started_world(replica_class)
     world.lease("b", 2)
     world.run("bc")
     world.propose("a", "x")
     world.run("ac")
 
 
-def tail_of_an_old_epoch(kind):
-    world = started_world(kind)
+def stale_entries_of_an_old_epoch(replica_class):
+    world = started_world(replica_class)
     world.propose("a", "x")
     world.propose("a", "y")
     world.run("")
@@ -55,8 +55,8 @@
     world.pass_time(SECOND, "abc")
 
 
-def commit_behind_a_tail(kind):
-    world = started_world(kind)
+def commit_beyond_matching_entries(replica_class):
+    world = started_world(replica_class)
     world.propose("a", "x")
     world.propose("a", "y")
     world.run("")
@@ -70,9 +70,9 @@
     world.pass_time(SECOND, "abc")
 
 
-def entry_of_an_older_epoch_counted(kind):
+def entry_of_an_older_epoch_counted(replica_class):
     """Figure 8 of Raft's paper."""
-    world = started_world(kind, "abcde", "abcde")
+    world = started_world(replica_class, "abcde", "abcde")
     world.propose("a", "x", engine("x", 1_200))  # so large that it goes alone
     world.run("ab")
     world.crash("a")
@@ -88,17 +88,17 @@
     world.run("bcde")
 
 
-def acknowledgement_after_the_lease(kind):
-    world = started_world(kind)
+def acknowledgement_after_lease_expiry(replica_class):
+    world = started_world(replica_class)
     world.lease("a", 1, world.now + 10)
-    ticket = world.propose("a", "x")
+    proposal = world.propose("a", "x")
     world.now += 10
     world.run("abc")
-    assert ticket.state == "unknown"
+    assert proposal.state == "unknown"
 
 
-def lost_disk_counted_for_a_promise(kind):
-    world = started_world(kind)
+def lost_disk_counted_for_a_promise(replica_class):
+    world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
     world.crash("a")
@@ -111,9 +111,9 @@
     assert world.requests == {"x": 2}
 
 
-def empty_disk_counted(kind):
+def empty_disk_counted(replica_class):
     """As above, but the operator said --first."""
-    world = started_world(kind)
+    world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
     world.crash("a")
@@ -125,8 +125,8 @@
     world.pass_time(SECOND, "bc")
 
 
-def lost_disk_counted_for_an_entry(kind):
-    world = started_world(kind)
+def lost_disk_counted_for_an_entry(replica_class):
+    world = started_world(replica_class)
     world.lease("a", 2)
     world.run("ac", is_epoch_start)
     world.lease("c", 3)
@@ -136,8 +136,8 @@
     world.pass_time(2 * SECOND, "bc")
 
 
-def joined_too_early(kind):
-    world = started_world(kind)
+def joined_too_early(replica_class):
+    world = started_world(replica_class)
     world.lease("a", None)
     world.lease("b", 2)
     world.run("abc")
@@ -152,8 +152,8 @@
     world.pass_time(SECOND, "bc")
 
 
-def lost_promise(kind):
-    world = started_world(kind, quarantine=5 * SECOND)
+def promise_lost_with_the_disk(replica_class):
+    world = started_world(replica_class, quarantine=5 * SECOND)
     world.lease("c", 2, world.now + 5 * SECOND)
     world.run("bc", is_epoch_start)
     world.lose_disk("b")
@@ -162,8 +162,8 @@
     world.pass_time(4 * SECOND, "bc")
 
 
-def disks_restored_from_old_copies(kind):
-    world = started_world(kind)
+def disks_restored_from_old_copies(replica_class):
+    world = started_world(replica_class)
     old = {n: world.disks[n].load() for n in "bc"}
     world.propose("a", "x")
     world.propose("a", "y")
@@ -184,8 +184,8 @@
     assert world.events.count(("b", "history_behind")) == 1
 
 
-def less_than_a_majority(kind):
-    world = started_world(kind)
+def promises_of_a_minority(replica_class):
+    world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
     world.lease("c", 2)
@@ -194,8 +194,8 @@
     world.pass_time(SECOND, "bc")
 
 
-def other_cluster(kind):
-    world = started_world(kind)
+def other_cluster(replica_class):
+    world = started_world(replica_class)
     other = FleetState("of another fleet")
     other.epoch = 5
     other.apply(other.draft_change(5, engine("x")))
@@ -207,8 +207,8 @@
     assert world.network.pop() == ("c", "b", Denied(5, "lineage"))
 
 
-def repeated_request(kind):
-    world = started_world(kind)
+def repeated_request(replica_class):
+    world = started_world(replica_class)
     first = world.propose("a", "x")
     world.propose("a", "x")
     world.run("abc")
@@ -219,8 +219,8 @@
     assert (again.version, again.state) == (first.version, "done")
 
 
-def promise_not_persisted(kind):
-    world = started_world(kind)
+def promise_not_persisted(replica_class):
+    world = started_world(replica_class)
     world.lease("c", 2)
     world.run("bc", is_epoch_start)
     world.crash("b")
@@ -230,8 +230,8 @@
     world.pass_time(2 * SECOND, "bc")
 
 
-def entry_not_persisted(kind):
-    world = started_world(kind)
+def entry_not_persisted(replica_class):
+    world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
     world.crash("a")
--- a/tests/controlplane/test_change_history.py
+++ b/tests/controlplane/test_change_history.py
@@ -13,19 +13,19 @@
 from cypressledge.controlplane.messages import Change, Op
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError, encode_value
-from tests.controlplane.fleet_states import engine, filled
+from tests.controlplane.fleet_states import engine, populated_state
 
 
 def test_decompression_is_bounded_and_raises_one_error():
-    packed = compress_snapshot(filled().snapshot())
-    assert decompress_snapshot(packed) == filled().snapshot()
+    packed = compress_snapshot(populated_state().snapshot())
+    assert decompress_snapshot(packed) == populated_state().snapshot()
     bomb = zlib.compress(b"\0" * (MAX_SNAPSHOT_BYTES + 1))
     for bad in (b"", packed[:-5], packed + b"x", b"x" * 50, bomb, zlib.compress(b"\xc1")):
         with pytest.raises(StateError):
             decompress_snapshot(bad)
 
 
-def test_history_sends_what_it_keeps_and_no_more():
+def test_history_returns_only_the_changes_that_it_keeps():
     history = ChangeHistory(FleetState("line"), max_changes=5)
     positions = [(0, 0, history.state.digest)]
     for number in range(8):
--- a/tests/controlplane/test_control_parts.py
+++ b/tests/controlplane/test_control_parts.py
@@ -16,7 +16,7 @@
 from cypressledge.controlplane.applied_versions import MAX_NAMES, AppliedVersions, LagReport
 from cypressledge.controlplane.broker_integration import BrokerIntegration
 from cypressledge.controlplane.change_history import ChangeHistory
-from cypressledge.controlplane.change_proposals import check_new
+from cypressledge.controlplane.change_proposals import check_new_change
 from cypressledge.controlplane.faults import FaultInjection
 from cypressledge.controlplane.framing import ConnectionEndedError, FramedConnection
 from cypressledge.controlplane.log_storage import StorageError
@@ -353,7 +353,7 @@
     first, other = ([Op("config/Classes", encode_value([{"Name": name}]))] for name in ("slow", "fast"))
     for ops, request in ((first, "r"), ([Op("config/Classes")], ""), (other, "s")):
         state.apply(state.draft_change(1, ops, request))
-    check_new(state, ChangeRequest(None, "r", "", "", first, False))  # taken once, as version 1
+    check_new_change(state, ChangeRequest(None, "r", "", "", first, False))  # taken once, as version 1
     for request, dry in (("t", False), ("", False), ("r", True)):
         with pytest.raises(StateError, match="only at a restart"):
-            check_new(state, ChangeRequest(None, request, "", "", first, dry))
+            check_new_change(state, ChangeRequest(None, request, "", "", first, dry))
--- a/tests/controlplane/test_fleet_state.py
+++ b/tests/controlplane/test_fleet_state.py
@@ -15,7 +15,7 @@
     StateEntry,
 )
 from cypressledge.controlplane.state_validation import (
-    BASE_NOT_YET,
+    BASE_NOT_REACHED,
     BASE_TOO_OLD,
     MAX_STATE_BYTES,
     find_conflicts,
@@ -23,10 +23,10 @@
 )
 from cypressledge.controlplane.state_values import Broker, Engine, StateError, decode_value, encode_value
 from cypressledge.lab.site import SETTINGS
-from tests.controlplane.fleet_states import SECTIONS, broker, engine, filled, grow
+from tests.controlplane.fleet_states import SETTINGS_OPS, apply_ops, broker, engine, populated_state
 
 
-def test_one_encoding_for_equal_data():
+def test_equal_values_have_the_same_encoding():
     assert encode_value({"b": 1, "a": [2.5, None]}) == encode_value({"a": [2.5, None], "b": 1})
     as_dict = {"zone": "", "state": "ready", "kind": "", "cell": 0, "born_ms": 0, "address": "a:1"}
     assert encode_value(Engine("a:1")) == encode_value(as_dict)
@@ -38,8 +38,8 @@
         decode_value(b"\xc1")
 
 
-def test_reads_what_was_set():
-    state = filled()
+def test_state_returns_the_values_that_were_set():
+    state = populated_state()
     assert state.config() == SETTINGS
     assert state.position == (1, 2)
     assert state.engines()["e2"] == Engine("10.0.0.2:9000")
@@ -54,7 +54,7 @@
 
 
 @given(st.lists(_ops, max_size=12))
-def test_digest_kept_up_is_the_digest_of_the_whole(steps):
+def test_incremental_digest_equals_the_digest_of_the_complete_state(steps):
     state = s.FleetState("line")
     for number, step in enumerate(steps):
         before = state.snapshot()
@@ -68,8 +68,8 @@
         assert again.version_of_request(f"r{number}") == state.version
 
 
-def test_a_change_that_does_not_fit_changes_nothing():
-    state = filled()
+def test_an_invalid_change_leaves_the_state_unchanged():
+    state = populated_state()
     good = state.draft_change(2, [engine("e3", "10.0.0.3:9000")])
     before = state.snapshot()
     many = [Op(f"engine/n{i}", b"\x01") for i in range(MAX_OPS_PER_CHANGE + 1)]
@@ -84,9 +84,9 @@
         Change(2, 3, good.ops * 2, good.digest),
         Change(2, 3, good.ops, good.digest, "r" * 600),
     ):
-        with pytest.raises(StateError) as told:
+        with pytest.raises(StateError) as raised:
             state.apply(bad)
-        assert "\n" not in str(told.value)
+        assert "\n" not in str(raised.value)
         assert state.snapshot() == before
     state.apply(good)
     assert state.position == (2, 3)
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ops", "says"),
+    ("ops", "message"),
     [
         ([Op("engine/-x", b"\x01")], "no key"),
         ([Op("other/x", b"\x01")], "no key"),
@@ -124,33 +124,33 @@
         ([Op("config/Extra", encode_value("x" * MAX_CHANGE_BYTES))], "bytes"),
     ],
 )
-def test_what_is_refused_before_it_is_taken(ops, says):
-    with pytest.raises(StateError, match=says) as told:
-        validate_change(filled(), ops)
-    assert "\n" not in str(told.value)
+def test_invalid_operations_are_rejected(ops, message):
+    with pytest.raises(StateError, match=message) as raised:
+        validate_change(populated_state(), ops)
+    assert "\n" not in str(raised.value)
 
 
-def test_what_is_taken():
-    state = filled()
+def test_valid_operations_are_accepted():
+    state = populated_state()
     validate_change(state, [])
-    grow(state, engine("e1", "10.0.0.2:9000"), engine("e2", "10.0.0.1:9000"))  # change places
-    grow(state, Op("engine/e1", None), engine("e3", "10.0.0.2:9000"))
-    grow(state, engine("e4", "10.0.1.1:7400"))  # engines and brokers don't share sockets
-    grow(state, engine("e5", "10.0.0.1:9000", zone="z"), Op("engine/e2"))
-    grow(state, Op("engine/e5"))
-    grow(state, engine("e6", "10.0.0.1:9000"))  # free since the change before
+    apply_ops(state, engine("e1", "10.0.0.2:9000"), engine("e2", "10.0.0.1:9000"))  # change places
+    apply_ops(state, Op("engine/e1", None), engine("e3", "10.0.0.2:9000"))
+    apply_ops(state, engine("e4", "10.0.1.1:7400"))  # engines and brokers don't share sockets
+    apply_ops(state, engine("e5", "10.0.0.1:9000", zone="z"), Op("engine/e2"))
+    apply_ops(state, Op("engine/e5"))
+    apply_ops(state, engine("e6", "10.0.0.1:9000"))  # free since the change before
     with pytest.raises(StateError, match="engine/e3"):
         validate_change(state, [engine("e1", "10.0.0.2:9000")])
     other = state.copy()
-    grow(other, engine("e9", "10.0.0.9:9000"))
-    grow(state, engine("e8", "10.0.0.9:9000"))  # a copy's places are its own
-    grow(state, *(Op(op.key) for op in SECTIONS))
+    apply_ops(other, engine("e9", "10.0.0.9:9000"))
+    apply_ops(state, engine("e8", "10.0.0.9:9000"))  # a copy's places are its own
+    apply_ops(state, *(Op(op.key) for op in SETTINGS_OPS))
     assert state.config() == {}
     assert state.digest_matches()
     assert other.digest_matches()
 
 
-def test_a_state_too_large_for_a_frame_is_refused():
+def test_a_state_too_large_for_a_frame_is_rejected():
     state = s.FleetState("line")
     value = encode_value(Engine("a:1", kind="k" * 64))
     state.entries = {f"engine/n{i}": StateEntry(f"engine/n{i}", value, 1) for i in range(10)}
@@ -159,19 +159,19 @@
         validate_change(state, [engine("x", "b:1")])
 
 
-def test_clashes_see_sets_and_removals_and_any_section():
-    state = filled()
+def test_conflicts_cover_updates_removals_and_all_config_sections():
+    state = populated_state()
     base = state.version
     assert find_conflicts(state, base, [engine("e1", "a:1")]) == []
-    grow(state, Op("engine/e1"), engine("e2", "10.0.0.2:9001"))
-    grow(state, Op("config/Rules", encode_value(SETTINGS["Rules"] | {"StartCapacity": 0.5})))
+    apply_ops(state, Op("engine/e1"), engine("e2", "10.0.0.2:9001"))
+    apply_ops(state, Op("config/Rules", encode_value(SETTINGS["Rules"] | {"StartCapacity": 0.5})))
     assert find_conflicts(state, base, [engine("e1", "a:1"), engine("e2", "a:2"), engine("e3", "a:3")]) == [
         "engine/e1",
         "engine/e2",
     ]
     assert find_conflicts(state, base, [Op("config/Dcs", b"")]) == ["config/Rules"]
     assert find_conflicts(state, state.version, [Op("config/Dcs", b""), Op("engine/e1", b"")]) == []
-    assert find_conflicts(state, state.version + 1, []) == [BASE_NOT_YET]
+    assert find_conflicts(state, state.version + 1, []) == [BASE_NOT_REACHED]
     again = s.FleetState.restore(state.snapshot())  # of keys that aren't there it knows nothing before
     assert find_conflicts(again, base, [engine("e1", "a:1")]) == [BASE_TOO_OLD]
     assert find_conflicts(again, base, [engine("e2", "a:1")]) == ["engine/e2"]
@@ -179,25 +179,25 @@
     assert find_conflicts(again, again.version, [engine("e1", "a:1"), Op("config/Dcs", b"")]) == []
 
 
-def test_removals_and_requests_known_are_bounded(monkeypatch):
+def test_remembered_removals_and_requests_are_bounded(monkeypatch):
     monkeypatch.setattr(s, "MAX_REMEMBERED_REMOVALS", 2)
     state = s.FleetState("line")
-    grow(state, *(engine(f"e{number}", f"h:{number + 1}") for number in range(4)))
+    apply_ops(state, *(engine(f"e{number}", f"h:{number + 1}") for number in range(4)))
     for number in range(4):
-        grow(state, Op(f"engine/e{number}"), request_id=f"a{number}")
+        apply_ops(state, Op(f"engine/e{number}"), request_id=f"a{number}")
     assert list(state.removed) == ["engine/e2", "engine/e3"]
-    assert state.removed_since == 3
+    assert state.removals_known_since == 3
     assert find_conflicts(state, 1, [Op("engine/e0")]) == [BASE_TOO_OLD]
     for number in range(s.MAX_REMEMBERED_REQUESTS):
-        grow(state, request_id=f"b{number}")
+        apply_ops(state, request_id=f"b{number}")
     assert len(state.requests) == s.MAX_REMEMBERED_REQUESTS
     assert state.version_of_request("a3") is None
     assert state.version_of_request("b0") == 6
     assert state.version_of_request("") is None
 
 
-def test_a_snapshot_that_does_not_verify_is_refused():
-    good = filled().snapshot()
+def test_a_snapshot_that_does_not_verify_is_rejected():
+    good = populated_state().snapshot()
     entry = good.entries[0]
     rest = good.entries[1:]
     for entries in (
--- a/tests/controlplane/test_leader_changes.py
+++ b/tests/controlplane/test_leader_changes.py
@@ -12,60 +12,60 @@
 
 
 @pytest.mark.parametrize("fault", ["kill-after:append:1", "kill-before:append:1", "stop-before:append:2"])
-def test_a_primary_that_fails_amid_a_change_loses_none(plane, fault):
+def test_a_leader_that_fails_during_a_change_loses_no_change(plane, fault):
     """A change is on one disk alone, or on two. Whatever of it had left: what was acknowledged stays, and a
     repeat comes into force once."""
     first = plane.start(fault)
-    struck = plane.controls[first]
+    failed = plane.controls[first]
     engines = [{f"s-{n}": ENGINE | {"address": f"127.0.0.1:{n + 1}"}} for n in range(3)]
     changes = {f"r{n}": {"engines": engine} for n, engine in enumerate(engines)}
-    for request, what in changes.items():
-        code, words = plane.change(what, "--request", request)
-        assert code == 0, words + plane.log_text()
+    for request, content in changes.items():
+        code, output = plane.change(content, "--request", request)
+        assert code == 0, output + plane.log_text()
     killed = fault.startswith("kill")
-    assert struck.process.poll() == (-signal.SIGKILL if killed else None), plane.log_text()
+    assert failed.process.poll() == (-signal.SIGKILL if killed else None), plane.log_text()
     if killed:
-        struck.start()
+        failed.start()
     else:
-        struck.process.send_signal(signal.SIGCONT)
+        failed.process.send_signal(signal.SIGCONT)
     newest = plane.controls[plane.leader(first)].status()
-    assert until(lambda: struck.status().get("digest") == newest["digest"], WAIT), plane.log_text()
-    for request, what in changes.items():
-        assert plane.change(what, "--request", request)[0] == 0, plane.log_text()
-    for told in plane.records("acknowledged"):
-        again = {r["version"] for r in plane.records("acknowledged") if r["request"] == told["request"]}
-        assert again == {told["version"]}
+    assert until(lambda: failed.status().get("digest") == newest["digest"], WAIT), plane.log_text()
+    for request, content in changes.items():
+        assert plane.change(content, "--request", request)[0] == 0, plane.log_text()
+    for record in plane.records("acknowledged"):
+        versions = {r["version"] for r in plane.records("acknowledged") if r["request"] == record["request"]}
+        assert versions == {record["version"]}
     assert plane.controls[plane.leader()].status()["version"] == newest["version"]
-    code, words, _ = run("control", "state", *plane.at_options(), "--prefix", "engine/")
-    assert [f"engine/s-{n}" in words for n in range(3)] == [True] * 3
+    code, output, _ = run("control", "state", *plane.at_options(), "--prefix", "engine/")
+    assert [f"engine/s-{n}" in output for n in range(3)] == [True] * 3
 
 
-def test_another_takes_over_from_a_killed_primary(plane):
+def test_another_process_takes_over_from_a_killed_leader(plane):
     first = plane.start()
     broker = plane.broker("n1")
-    code, words = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one")
-    assert code == 0, words + plane.log_text()
+    code, output = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one")
+    assert code == 0, output + plane.log_text()
     plane.controls[first].kill()
-    killed = time.monotonic()
+    killed_at = time.monotonic()
     second = plane.leader(first, timeout_s=8)
-    assert time.monotonic() - killed < 8
-    code, again = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one")
-    assert (code, version_of(again)) == (0, version_of(words)), again + plane.log_text()
-    code, more = plane.change({"engines": {"s-2": ENGINE | {"address": "127.0.0.1:8"}}})
-    assert code == 0, more + plane.log_text()
-    assert "in force at 1 of 1 brokers" in more, more + plane.log_text()
-    assert version_of(more) > version_of(words)
+    assert time.monotonic() - killed_at < 8
+    code, repeated_output = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one")
+    assert (code, version_of(repeated_output)) == (0, version_of(output)), repeated_output + plane.log_text()
+    code, later_output = plane.change({"engines": {"s-2": ENGINE | {"address": "127.0.0.1:8"}}})
+    assert code == 0, later_output + plane.log_text()
+    assert "in force at 1 of 1 brokers" in later_output, later_output + plane.log_text()
+    assert version_of(later_output) > version_of(output)
     assert broker.status()["digest"] == plane.controls[second].status()["digest"]
     plane.controls[first].start()  # its disk is there: no flag
-    assert until(lambda: plane.controls[first].status().get("version", 0) >= version_of(more), WAIT)
+    assert until(lambda: plane.controls[first].status().get("version", 0) >= version_of(later_output), WAIT)
 
 
-def test_a_stopped_primary_gives_the_lease_back(plane):
+def test_a_leader_releases_the_lease_on_shutdown(plane):
     first = plane.start()
-    asked = time.monotonic()
+    requested_at = time.monotonic()
     assert plane.controls[first].terminate(WAIT) == 0
-    assert time.monotonic() - asked < 2
-    began = time.monotonic()
+    assert time.monotonic() - requested_at < 2
+    exited_at = time.monotonic()
     plane.leader(first)
-    assert time.monotonic() - began < LEASE_TERM
+    assert time.monotonic() - exited_at < LEASE_TERM
     assert "counters (exit)" in plane.controls[first].log_text()
--- a/tests/controlplane/test_leader_crashes.py
+++ b/tests/controlplane/test_leader_crashes.py
@@ -12,15 +12,15 @@
 
 
 @pytest.mark.parametrize("cluster", [{"fault": "kill-before-answer:3"}], indirect=True, ids=[""])
-def test_primary_killed_before_its_answer_and_then_all_at_once(cluster):
+def test_leader_killed_before_its_answer_then_all_processes_killed(cluster):
     first = cluster.wait_for_settled_leader()
     subscriber = cluster.follow("b1", "z1")
     done = {f"engine/e{i}": cluster.change({f"engine/e{i}": engine(i)}, f"r{i}")["version"] for i in (1, 2)}
-    lose_the_answer(cluster, first)
-    restart_all_at_once(cluster, first, subscriber, done)
+    check_leader_killed_before_answer(cluster, first)
+    kill_and_restart_all(cluster, first, subscriber, done)
 
 
-def lose_the_answer(cluster, first):
+def check_leader_killed_before_answer(cluster, first):
     """The first leader is killed before it answers; a repeat at the next one is in force once."""
     # decided, and then nothing
     assert cluster.post_change(first, {"engine/e3": engine(3)}, "r3") == (0, {})
@@ -36,7 +36,7 @@
     assert cluster.change({"engine/e3": engine(3)}, "r3")["version"] == answer["version"]
 
 
-def restart_all_at_once(cluster, first, subscriber, done):
+def kill_and_restart_all(cluster, first, subscriber, done):
     position, entries = cluster.position(first), first.call("state")[1]["entries"]
     cluster.wait_for(lambda: subscriber.version == position.version, "the subscriber")
     digest = subscriber.state.digest
@@ -58,7 +58,7 @@
     assert subscriber.has_never_gone_back()
 
 
-class StruckLeader(NamedTuple):
+class ChangesUntilFault(NamedTuple):
     """What was asked of a leader until its fault struck."""
 
     done: dict[str, int]  # keys acknowledged, and their versions
@@ -66,16 +66,16 @@
     request: str
 
 
-def change_until_the_fault(cluster, leader) -> StruckLeader:
+def change_until_fault(cluster, leader) -> ChangesUntilFault:
     """Ask for changes until the leader's fault strikes."""
     done = {}
     for number in range(1, 30):
         key, request = f"engine/e{number}", f"r{number}"
-        asked = gevent.spawn(cluster.post_change, leader, {key: engine(number)}, request)
-        until(lambda a=asked: leader.is_halted() or not leader.running() or a.ready(), WAIT)
+        pending = gevent.spawn(cluster.post_change, leader, {key: engine(number)}, request)
+        until(lambda a=pending: leader.is_halted() or not leader.running() or a.ready(), WAIT)
         if leader.is_halted() or not leader.running():
-            return StruckLeader(done, key, request)
-        status, answer = asked.get(timeout=WAIT)
+            return ChangesUntilFault(done, key, request)
+        status, answer = pending.get(timeout=WAIT)
         assert status == 200, answer
         done[key] = answer["version"]
     raise AssertionError("no fault has struck")
@@ -87,27 +87,27 @@
     indirect=True,
     ids=["killed", "stopped"],
 )
-def test_primary_killed_or_stopped_between_its_own_disk_and_the_next(cluster):
+def test_leader_killed_or_stopped_before_replicating_its_entry(cluster):
     leader = cluster.wait_for_settled_leader()
     other, away = cluster.others(leader.name)
     away.kill()  # so that every change has one way to go
     cluster.wait_for(lambda: leader.status()["peers"] == [other.name], "a link that has ended")
-    struck = change_until_the_fault(cluster, leader)
+    result = change_until_fault(cluster, leader)
     halted = leader.is_halted()
-    assert len(struck.done) > 2
+    assert len(result.done) > 2
     assert halted == leader.running()
     away.start()
     cluster.leader(leader.name)
     later = cluster.change({"engine/late": engine(99)}, "late")
-    assert struck.request not in {change[2] for change in cluster.changes(other)}  # nobody else had it
+    assert result.request not in {change[2] for change in cluster.changes(other)}  # nobody else had it
     if halted:
         resume_deposed(cluster, leader)
     else:
         kept = leader.last_stored_position()
-        assert kept[1] > max(struck.done.values())
+        assert kept[1] > max(result.done.values())
         assert kept[0] < later["epoch"]
         leader.start()
-    check_dropped_and_repeated(cluster, leader, struck, later["version"])
+    check_dropped_and_repeated(cluster, leader, result, later["version"])
 
 
 def resume_deposed(cluster, leader):
@@ -123,14 +123,14 @@
     cluster.wait_for(lambda: denials() >= 1, "a denial")
 
 
-def check_dropped_and_repeated(cluster, leader, struck, later_version):
+def check_dropped_and_repeated(cluster, leader, result, later_version):
     """What was under way is dropped, all that was acknowledged stays, and a repeat is in force once."""
     cluster.wait_for(lambda: leader.logged("truncated"), "a tail that is dropped")
     cluster.wait_for_one_history(later_version)
     assert leader.status()["role"] == "standby"
-    assert {key: cluster.version_of_key(key) for key in struck.done} == struck.done
-    assert cluster.version_of_key(struck.key) == -1
-    again = cluster.change({struck.key: engine(50)}, struck.request)
+    assert {key: cluster.version_of_key(key) for key in result.done} == result.done
+    assert cluster.version_of_key(result.key) == -1
+    again = cluster.change({result.key: engine(50)}, result.request)
     cluster.wait_for_one_history(again["version"])
-    assert cluster.times_in_history(struck.request) == 1
-    assert cluster.version_of_key(struck.key) == again["version"]
+    assert cluster.times_in_history(result.request) == 1
+    assert cluster.version_of_key(result.key) == again["version"]
--- a/tests/controlplane/test_network_partitions.py
+++ b/tests/controlplane/test_network_partitions.py
@@ -10,27 +10,27 @@
 
 
 @pytest.mark.parametrize("cluster", [{"proxied": True}], indirect=True, ids=[""])
-def test_region_cut_off_during_a_change_and_a_disk_that_was_put_back(cluster):
+def test_partition_during_a_change_and_a_restored_old_store(cluster):
     leader = cluster.wait_for_settled_leader()
     cluster.change({"engine/e1": engine(1)}, "r1")
     inside = cluster.follow("inside", only=(leader.name,))
     outside = cluster.follow("outside", only=tuple(other.name for other in cluster.others(leader.name)))
     cluster.wait_for(lambda: inside.version == outside.version == leader.status()["version"], "subscribers")
-    second = cut_off_during_a_change(cluster, leader, inside, outside)
+    second = partition_leader_during_change(cluster, leader, inside, outside)
     old = next(iter(cluster.others(cluster.leader().name)))
-    put_back_old_copy(cluster, old)
+    restore_old_store(cluster, old)
     assert second.running()
     assert all(subscriber.has_never_gone_back() for subscriber in cluster.subscribers)
 
 
-def cut_off_during_a_change(cluster, leader, inside, outside):
+def partition_leader_during_change(cluster, leader, inside, outside):
     """Cut off a leader while it decides; the next leader."""
     cluster.cut(leader.name)
-    asked = gevent.spawn(cluster.post_change, leader, {"engine/e2": engine(2)}, "r2")
+    pending = gevent.spawn(cluster.post_change, leader, {"engine/e2": engine(2)}, "r2")
     second = cluster.leader(leader.name)
     change = cluster.change({"engine/e3": engine(3)}, "r3")
     cluster.wait_for(lambda: outside.version >= change["version"], "the majority's side goes on")
-    status, answer = asked.get(timeout=WAIT)
+    status, answer = pending.get(timeout=WAIT)
     assert (status, answer["answer"]) == (503, "unknown"), answer
     check_deposed(cluster, leader, inside, change["version"])
     cluster.heal()
@@ -45,19 +45,19 @@
 
 def check_deposed(cluster, leader, inside, newer_version):
     """A leader that is cut off leads no more, and its subscriber knows that it is stale."""
-    shown = leader.status()
-    assert shown["role"] != "primary"
-    assert shown["primary"] == ""
-    assert shown["version"] < newer_version
+    status_of_deposed = leader.status()
+    assert status_of_deposed["role"] != "primary"
+    assert status_of_deposed["primary"] == ""
+    assert status_of_deposed["version"] < newer_version
     assert cluster.post_change(leader, {"engine/e4": engine(4)}, "r4")[0] == 421
     cluster.wait_for(
         lambda: inside.status().stale_ms > 2000 * LEASE_TERM, "a subscriber that knows it is stale"
     )
     assert inside.server() == leader.name
-    assert inside.version == shown["version"]
+    assert inside.version == status_of_deposed["version"]
 
 
-def put_back_old_copy(cluster, old):
+def restore_old_store(cluster, old):
     """Its store is as it was some changes ago; the subscriber that holds more does not go back."""
     subscriber = cluster.follow("after", only=(old.name,))
     old.kill()
@@ -74,14 +74,14 @@
     shutil.copytree(cluster.folder / "copy", old.store)
     cluster.cut(old.name)  # it has its old copy alone, and its subscriber nobody else
     old.start()
-    check_old_copy_is_not_taken(cluster, old, subscriber, held)
+    check_old_store_is_not_followed(cluster, old, subscriber, held)
     cluster.heal()
     change = cluster.change({"engine/e9": engine(9)}, "r9")
     cluster.wait_for(lambda: subscriber.version >= change["version"], "a subscriber that goes on")
     cluster.wait_for_one_history(change["version"])
 
 
-def check_old_copy_is_not_taken(cluster, old, subscriber, held):
+def check_old_store_is_not_followed(cluster, old, subscriber, held):
     """Its subscriber, which holds a newer version, stays at that."""
     cluster.wait_for(
         lambda: subscriber.server() and old.status().get("brokers"), "an old one that is followed"
--- a/tests/controlplane/test_operator_changes.py
+++ b/tests/controlplane/test_operator_changes.py
@@ -15,22 +15,22 @@
 from tests.fakes.control_plane import WAIT
 
 
-def test_operators_at_once_and_bad_changes(cluster):
+def test_concurrent_and_invalid_operator_changes(cluster):
     leader = cluster.wait_for_settled_leader()
-    version = change_at_once(cluster, leader)
+    version = make_concurrent_changes(cluster, leader)
     before = cluster.position(leader)
     check_bad_changes_are_rejected(cluster, leader)
     assert cluster.position(leader) == before
     assert cluster.wait_for_one_history() == version
-    change_twice_by_command(cluster)
+    repeat_change_by_command(cluster)
     assert cluster.times_in_history("cli") == 1
     assert cluster.wait_for_one_history() == version + 1
 
 
-def change_at_once(cluster, leader) -> int:
+def make_concurrent_changes(cluster, leader) -> int:
     """Two changes of one key, asked for at once: one is done, one conflicts. The version after."""
     base = leader.status()["version"]
-    both = [
+    pending = [
         gevent.spawn(
             cluster.post_change,
             leader,
@@ -40,8 +40,8 @@
         )
         for i in (1, 2)
     ]
-    gevent.joinall(both, WAIT)
-    answers = sorted((asked.value for asked in both), key=lambda answer: answer[0])
+    gevent.joinall(pending, WAIT)
+    answers = sorted((post.value for post in pending), key=lambda answer: answer[0])
     assert [status for status, _ in answers] == [200, 409], answers
     assert answers[1][1]["answer"] == "clash"
     assert answers[1][1]["keys"] == ["engine/e1"]
@@ -62,7 +62,7 @@
         assert answer["why"], answer
 
 
-def change_twice_by_command(cluster):
+def repeat_change_by_command(cluster):
     """A command that is refused in one line, and one that is repeated under its request."""
     file = cluster.folder / "change.yaml"
     file.write_text(yaml.safe_dump({"engines": {"e2": SEED["engines"]["e0"]}}))
@@ -78,23 +78,27 @@
     assert codes[0][1] == codes[1][1], codes
 
 
-def test_a_change_comes_into_force_at_a_broker(plane):
+def test_a_change_is_applied_by_a_broker(plane):
     plane.start()
     engine = LabEngine("s-1", "room1")
     broker = plane.broker("n1")
     assert plane.broker_has_version(broker, 1), plane.log_text()
     port = engine.server.server_port
-    code, words = plane.change(
+    code, output = plane.change(
         {
             "engines": {"s-1": ENGINE | {"address": f"127.0.0.1:{port}"}},
             "config": {"Customers": [{"Name": "sahel"}, {"Name": "dune"}]},
         }
     )
-    assert code == 0, words + plane.log_text()
-    assert "in force at 1 of 1 brokers" in words
-    told = broker.status()
-    assert (told["version"], told["refused"], told["engines_from_here"]) == (version_of(words), "", True)
-    assert told["digest"] == plane.controls[plane.leader()].status()["digest"]
+    assert code == 0, output + plane.log_text()
+    assert "in force at 1 of 1 brokers" in output
+    status = broker.status()
+    assert (status["version"], status["refused"], status["engines_from_here"]) == (
+        version_of(output),
+        "",
+        True,
+    )
+    assert status["digest"] == plane.controls[plane.leader()].status()["digest"]
     assert broker.serves(), broker.log_text()
     assert broker.counter("reloads") == 2  # the seed's settings, and the change's
     engine.server.stop()
@@ -108,48 +112,48 @@
 
 
 @pytest.mark.parametrize("plane", [{"seed": {"config": SETTINGS, "engines": MANY}}], indirect=True)
-def test_a_large_state_reaches_everybody(plane):
+def test_a_large_state_reaches_all_voters_and_brokers(plane):
     """Its first change takes more than any first frame may, towards a voter and towards a broker."""
     plane.start()
     broker = plane.broker("n1")
     assert plane.broker_has_version(broker, 1), plane.log_text()
-    code, words = plane.change({"engines": {name: None for name in list(MANY)[:700]}})
-    assert code == 0, words + plane.log_text()
-    assert "in force at 1 of 1 brokers" in words, words + plane.log_text()
+    code, output = plane.change({"engines": {name: None for name in list(MANY)[:700]}})
+    assert code == 0, output + plane.log_text()
+    assert "in force at 1 of 1 brokers" in output, output + plane.log_text()
     digest = plane.controls[plane.leader()].status()["digest"]
     assert until(lambda: all(c.status()["digest"] == digest for c in plane.controls.values()), WAIT)
     assert broker.counter("ready_engines") == len(MANY) - 700
 
 
-def test_a_change_that_is_refused_changes_nothing(plane):
+def test_a_rejected_change_leaves_the_state_unchanged(plane):
     plane.start()
     before = plane.controls[plane.leader()].status()["version"]
-    code, words = plane.change({"config": {"Classes": []}})
+    code, output = plane.change({"config": {"Classes": []}})
     assert code == 2
-    assert "refused: bad: config:" in words
-    code, words = plane.change({"engines": {"s-1": ENGINE, "s-2": ENGINE}})
+    assert "refused: bad: config:" in output
+    code, output = plane.change({"engines": {"s-1": ENGINE, "s-2": ENGINE}})
     assert code == 2
-    assert "at the address of" in words
-    code, words = plane.change({"engines": {"s-1": ENGINE}}, "--dry-run")
-    assert (code, words) == (0, f"would be version {before + 1}: 1 keys\n")
+    assert "at the address of" in output
+    code, output = plane.change({"engines": {"s-1": ENGINE}}, "--dry-run")
+    assert (code, output) == (0, f"would be version {before + 1}: 1 keys\n")
     assert plane.controls[plane.leader()].status()["version"] == before
     assert plane.change({"engines": {"s-1": ENGINE}}, "--against", str(before))[0] == 0
-    code, words = plane.change({"engines": {"s-1": ENGINE | {"zone": "x"}}}, "--against", str(before))
+    code, output = plane.change({"engines": {"s-1": ENGINE | {"zone": "x"}}}, "--against", str(before))
     assert code == 2
-    assert "refused: clash: changed meanwhile: engine/s-1" in words
+    assert "refused: clash: changed meanwhile: engine/s-1" in output
 
 
-def test_a_lost_answer_is_had_again_under_the_same_request(plane):
+def test_a_repeated_request_returns_the_lost_answer(plane):
     first = plane.start("kill-before-answer:1")
-    code, words = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one", "--wait", "0.5")
-    assert code == 1, words + plane.log_text()
-    assert "repeat it with --request one" in words, words + plane.log_text()
+    code, output = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one", "--wait", "0.5")
+    assert code == 1, output + plane.log_text()
+    assert "repeat it with --request one" in output, output + plane.log_text()
     assert plane.controls[first].process.wait(WAIT) == -signal.SIGKILL
     before = {r["version"] for r in plane.records("committed")}
-    code, words = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one")
-    assert code == 0, words + plane.log_text()
-    assert version_of(words) in before, words + plane.log_text()
+    code, output = plane.change({"engines": {"s-1": ENGINE}}, "--request", "one")
+    assert code == 0, output + plane.log_text()
+    assert version_of(output) in before, output + plane.log_text()
     primary = plane.controls[plane.leader(first)]
-    code, told, _ = run("control", "history", "--at", plane.servers[primary.name]["management"], "--json")
+    code, history, _ = run("control", "history", "--at", plane.servers[primary.name]["management"], "--json")
     assert code == 0
-    assert told.count('"request": "one"') == 1
+    assert history.count('"request": "one"') == 1
--- a/tests/controlplane/test_replica.py
+++ b/tests/controlplane/test_replica.py
@@ -10,23 +10,23 @@
 from tests.fakes.replica_world import SECOND, engine
 
 
-def test_refusals():
+def test_rejected_proposals_and_leases():
     world = started_world(Replica)
-    with pytest.raises(NotLeaderError) as found:
+    with pytest.raises(NotLeaderError) as raised:
         world.running["b"].propose(world.now, engine("x"), 1, "r", "me", "", 0)
-    assert found.value.leader == "a"
+    assert raised.value.leader == "a"
     leader = world.running["a"]
     leader.propose(world.now, engine("x"), 1, "r", "me", "", 0)
-    with pytest.raises(VersionConflictError) as clash:
+    with pytest.raises(VersionConflictError) as conflict:
         leader.propose(world.now, engine("x"), 1, "s", "me", "", 0)
-    assert clash.value.keys == ["engine/x-0"]
+    assert conflict.value.keys == ["engine/x-0"]
     with pytest.raises(StateError):
         leader.propose_internal(world.now, engine("/"))
     # The epoch was promised already: another token is needed.
-    assert not world.running["b"].lease(world.now, 1, 1 << 60)
+    assert not world.running["b"].update_lease(world.now, 1, 1 << 60)
 
 
-def test_a_name_stands_for_one_change():
+def test_a_request_id_identifies_one_change():
     world = started_world(Replica)
     first = world.propose("a", "x")
     for _ in range(2):  # while it waits, and once it is committed
@@ -42,12 +42,12 @@
     assert world.running["b"].latest_state.entries.keys() == {"engine/x-0"}
 
 
-def test_a_full_disk_costs_the_lead_and_nothing_else():
+def test_a_full_disk_costs_leadership_but_no_change():
     world = started_world(Replica)
     world.disks["b"].plan = ["full"]
-    ticket = world.propose("a", "x")
+    proposal = world.propose("a", "x")
     world.run("abc")
-    assert ticket.state == "done"
+    assert proposal.state == "done"
     assert ("a", "voter_denied") in world.events
     world.disks["a"].plan = ["full"]
     assert world.propose("a", "y").state == "unknown"
@@ -55,15 +55,15 @@
     world.settle(5)
 
 
-def test_a_primary_without_a_majority_gives_up():
+def test_a_leader_without_a_majority_steps_down():
     world = started_world(Replica)
-    ticket = world.propose("a", "x")
+    proposal = world.propose("a", "x")
     world.pass_time(9 * SECOND, "a")
     assert world.running["a"].role == "primary"
-    assert ticket.state == "open"
+    assert proposal.state == "open"
     world.pass_time(SECOND, "a")
     assert world.running["a"].role == "standby"
-    assert ticket.state == "unknown"
+    assert proposal.state == "unknown"
     assert not world.lease("a", 1)
     world.lease("b", 2)
     world.pass_time(20 * SECOND, "bc")
@@ -85,7 +85,7 @@
     assert world.running["a"].log.entries.base.version > 20
 
 
-def test_a_lost_disk_comes_back():
+def test_a_voter_that_lost_its_disk_rejoins():
     world = started_world(Replica, quarantine=5 * SECOND)
     world.lose_disk("b")
     world.propose("a", "x")
--- a/tests/controlplane/test_replica_guards.py
+++ b/tests/controlplane/test_replica_guards.py
@@ -24,7 +24,7 @@
     """A scene, and the guard without which it goes wrong."""
 
     scene: Callable
-    owner: type
+    target: type
     method: str
     without: Callable  # in place of the method
 
@@ -60,15 +60,15 @@
     ),
     Guard(scenes.deposed_leader_appends, ReplicatedLog, "is_stale", lambda self, epoch: False),
     Guard(
-        scenes.tail_of_an_old_epoch,
+        scenes.stale_entries_of_an_old_epoch,
         ReplicatedLog,
         "contains",
         lambda self, epoch, version: self.entries.epoch_at(version) is not None,
     ),
     Guard(
-        scenes.commit_behind_a_tail,
+        scenes.commit_beyond_matching_entries,
         ReplicatedLog,
-        "committed_here",
+        "follower_commit",
         lambda self, commit, matching: min(commit, self.last.version),
     ),
     Guard(
@@ -77,7 +77,7 @@
         "is_of_current_epoch",
         lambda self, version: True,
     ),
-    Guard(scenes.acknowledgement_after_the_lease, LeaderRole, "is_leased", lambda self, now: True),
+    Guard(scenes.acknowledgement_after_lease_expiry, LeaderRole, "holds_lease", lambda self, now: True),
     Guard(scenes.lost_disk_counted_for_a_promise, LeaderRecovery, "_counted_promises", count_all_promises),
     Guard(scenes.empty_disk_counted, LeaderRecovery, "_counted_promises", count_promises_of_empty_disks),
     Guard(
@@ -92,14 +92,14 @@
         "_has_caught_up",
         lambda self, epoch, leader_commit: leader_commit <= self.commit,
     ),
-    Guard(scenes.lost_promise, Replica, "_is_quarantined", lambda self, now: False),
+    Guard(scenes.promise_lost_with_the_disk, Replica, "_is_quarantined", lambda self, now: False),
     Guard(
         scenes.disks_restored_from_old_copies,
         LeaderRecovery,
         "_lacks_committed_entries",
         lambda self, newest: False,
     ),
-    Guard(scenes.less_than_a_majority, ReplicaContext, "is_majority", lambda self, count: True),
+    Guard(scenes.promises_of_a_minority, ReplicaContext, "is_majority", lambda self, count: True),
     Guard(scenes.other_cluster, ReplicatedLog, "_is_same_cluster", lambda self, cluster_id: True),
     Guard(scenes.repeated_request, ReplicatedLog, "version_of_request", lambda self, request_id: None),
     Guard(scenes.promise_not_persisted, ReplicatedLog, "promise", promise_in_memory),
@@ -108,16 +108,16 @@
 
 
 @pytest.mark.parametrize("guard", GUARDS, ids=lambda guard: guard.scene.__name__)
-def test_guard_holds_and_is_needed(guard, monkeypatch):
+def test_each_guard_prevents_a_safety_violation(guard, monkeypatch):
     guard.scene(Replica)
-    assert guard.method in vars(guard.owner)
-    monkeypatch.setattr(guard.owner, guard.method, guard.without)
-    with pytest.raises(SafetyViolationError) as found:
+    assert guard.method in vars(guard.target)
+    monkeypatch.setattr(guard.target, guard.method, guard.without)
+    with pytest.raises(SafetyViolationError) as raised:
         guard.scene(Replica)
-    print(f"without {guard.method}: {found.value}")
+    print(f"without {guard.method}: {raised.value}")
 
 
-def test_what_is_committed_is_never_dropped(monkeypatch):
+def test_committed_entries_are_never_truncated(monkeypatch):
     world = started_world(Replica)
     world.propose("a", "x")
     world.run("abc")
--- a/tests/controlplane/test_replica_random_worlds.py
+++ b/tests/controlplane/test_replica_random_worlds.py
@@ -10,8 +10,8 @@
 
 
 @pytest.mark.parametrize(("names", "losses"), [("abc", False), ("abcde", False), ("abc", True)])
-def test_random_worlds_keep_one_history(names, losses):
-    seen = {"worlds": 0, "versions": 0, "acknowledged": 0, "epochs": 0, "joined": 0}
+def test_random_schedules_keep_one_history(names, losses):
+    totals = {"worlds": 0, "versions": 0, "acknowledged": 0, "epochs": 0, "joined": 0}
 
     @settings(
         max_examples=150,
@@ -23,14 +23,14 @@
     @given(st.binary(min_size=500, max_size=900))
     def play(raw):
         world = walk(struct.unpack(f">{len(raw) // 2}H", raw[: len(raw) // 2 * 2]), names, losses=losses)
-        seen["worlds"] += 1
-        seen["versions"] += len(world.truth)
-        seen["joined"] += sum(event == "joined" for _, event in world.events)
-        seen["acknowledged"] += len(world.acknowledged) - 1  # but for the last one, in peace
-        seen["epochs"] += len({epoch for epoch, *_ in world.truth.values()})
+        totals["worlds"] += 1
+        totals["versions"] += len(world.truth)
+        totals["joined"] += sum(event == "joined" for _, event in world.events)
+        totals["acknowledged"] += len(world.acknowledged) - 1  # but for the last one, in peace
+        totals["epochs"] += len({epoch for epoch, *_ in world.truth.values()})
 
     play()
-    print(seen)
-    assert seen["acknowledged"] > 300
-    assert seen["epochs"] > 300
-    assert seen["joined"] > 50 or not losses
+    print(totals)
+    assert totals["acknowledged"] > 300
+    assert totals["epochs"] > 300
+    assert totals["joined"] > 50 or not losses
--- a/tests/controlplane/test_sqlite_storage.py
+++ b/tests/controlplane/test_sqlite_storage.py
@@ -16,11 +16,11 @@
 from cypressledge.controlplane.state_values import Engine, encode_value
 
 
-class Writer:
+class StoreWriter:
     """A state and its store, change by change."""
 
-    def __init__(self, path, **how):
-        self.store = SqliteStorage(path, "a", "first", **how)
+    def __init__(self, path, **options):
+        self.store = SqliteStorage(path, "a", "first", **options)
         self.state = FleetState("l")
         self.store.install(self.state.snapshot())
 
@@ -36,7 +36,7 @@
             self.store.commit(change.version)
 
 
-def state_of(loaded):
+def position_and_digest_of(loaded):
     """(version, digest) of all that a store holds; its digests are checked as it is applied."""
     state = FleetState.restore(loaded.base)
     for change in loaded.changes:
@@ -53,15 +53,15 @@
         return str(err)
     try:
         loaded = store.load()
-        return (*state_of(loaded), loaded.promised, loaded.commit)
+        return (*position_and_digest_of(loaded), loaded.promised, loaded.commit)
     finally:
         store.close()
 
 
 @pytest.fixture
-def kept(tmp_path):
+def killed_store(tmp_path):
     """Files of a process that was killed: 20 changes; every complete state that there was on the way."""
-    writer = Writer(tmp_path / "live", before_step=lambda step: None)
+    writer = StoreWriter(tmp_path / "live", before_step=lambda step: None)
     writer.store.promise(3, 5)
     states = {(0, writer.state.digest, (3, 5), 0)}
     for number in range(20):
@@ -79,7 +79,7 @@
     return files, states, tmp_path / "tried"
 
 
-def put(path, files):
+def write_store_files(path, files):
     """These, and no others; a file that was closed has no log."""
     for end in ("", "-wal"):
         Path(f"{path}{end}").unlink(missing_ok=True)
@@ -87,44 +87,44 @@
         Path(f"{path}{end}").write_bytes(body)
 
 
-def test_what_a_killed_process_leaves_is_whole(kept):
-    files, states, path = kept
+def test_the_store_of_a_killed_process_is_complete(killed_store):
+    files, states, path = killed_store
     del files["closed"]
-    put(path, files)
+    write_store_files(path, files)
     found = read(path)
     assert found == max(states, key=lambda s: (s[0], s[3]))
     assert found[0] == 20
 
 
-@pytest.mark.parametrize("how", ["cut", "garbled"])
-@pytest.mark.parametrize("which", ["closed", "", "-wal"])
-def test_a_damaged_file_is_an_earlier_state_or_refused(kept, which, how):
-    files, states, path = kept
-    body, seen = files[which], {"refused": 0, "earlier": 0, "whole": 0}
+@pytest.mark.parametrize("damage", ["cut", "garbled"])
+@pytest.mark.parametrize("damaged_file", ["closed", "", "-wal"])
+def test_a_damaged_file_is_rejected_or_holds_an_earlier_state(killed_store, damaged_file, damage):
+    files, states, path = killed_store
+    body, outcomes = files[damaged_file], {"refused": 0, "earlier": 0, "whole": 0}
     newest = max(states, key=lambda s: (s[0], s[3]))
     step = max(64, len(body) // 120 // 64 * 64)
-    if which != "closed":
+    if damaged_file != "closed":
         del files["closed"]
     for at in range(0, len(body), step):
         flipped = body[:at] + bytes(b ^ 0x55 for b in body[at : at + 64]) + body[at + 64 :]
-        put(path, files | {which: body[:at] if how == "cut" else flipped})
+        write_store_files(path, files | {damaged_file: body[:at] if damage == "cut" else flipped})
         found = read(path)
         if isinstance(found, str):
-            seen["refused"] += 1
+            outcomes["refused"] += 1
             continue
         assert found in states, (at, found)
-        seen["whole" if found == newest else "earlier"] += 1
-    print(which or "file", how, seen)
+        outcomes["whole" if found == newest else "earlier"] += 1
+    print(damaged_file or "file", damage, outcomes)
     # A file whose pages are all in its log as well is whole again, a log without its end an earlier state.
-    log = "earlier" if how == "cut" else "refused"
-    assert seen[{"closed": "refused", "": "whole", "-wal": log}[which]] > 20
-    assert log == "earlier" or seen["earlier"] < 10  # damage to the last step only
+    log = "earlier" if damage == "cut" else "refused"
+    assert outcomes[{"closed": "refused", "": "whole", "-wal": log}[damaged_file]] > 20
+    assert log == "earlier" or outcomes["earlier"] < 10  # damage to the last step only
 
 
-def test_lost_files_and_flags(kept):
-    files, _, path = kept
+def test_missing_files_and_open_modes(killed_store):
+    files, _, path = killed_store
     assert "--rejoin" in read(path)  # nothing there
-    put(path, {"-wal": files["-wal"]})
+    write_store_files(path, {"-wal": files["-wal"]})
     with pytest.raises(StorageUnusableError, match="only a log of it is left"):
         SqliteStorage(path, "a", "first")
     Path(f"{path}-wal").unlink()
@@ -136,16 +136,16 @@
     again.joined()
     again.close()
     assert "it holds no history" in read(path)
-    put(path, files)
+    write_store_files(path, files)
     assert "the store of a, not of b" in read(path, "b")
     held = SqliteStorage(path, "a", "first")
     assert "another process has it open" in read(path)
     held.close()
 
 
-def test_an_old_copy_joins(kept):
-    files, _, path = kept
-    put(path, files)
+def test_an_old_copy_joins_after_its_quarantine(killed_store):
+    files, _, path = killed_store
+    write_store_files(path, files)
     store = SqliteStorage(path, "a", "rejoin")
     assert store.load().joining
     assert store.load().commit == 20
@@ -161,8 +161,8 @@
     assert not replica.is_eligible(9)
 
 
-def test_an_edit_that_sqlite_takes_for_good_is_refused(kept):
-    files, _, path = kept
+def test_an_edit_that_sqlite_accepts_is_rejected(killed_store):
+    files, _, path = killed_store
     edits = [
         "DELETE FROM changes WHERE version = 7",
         "DELETE FROM changes WHERE version = 20",
@@ -175,7 +175,7 @@
         "WHERE version = 4",
     ]
     for edit in edits:
-        put(path, files)
+        write_store_files(path, files)
         db = sqlite3.connect(path)
         db.execute(edit)
         db.commit()
@@ -183,8 +183,8 @@
         assert "damaged" in read(path), edit
 
 
-def test_a_full_disk_refuses_and_takes_again(tmp_path):
-    writer = Writer(tmp_path / "full")
+def test_writes_succeed_again_after_a_full_disk(tmp_path):
+    writer = StoreWriter(tmp_path / "full")
     run = writer.store.db.execute
     run(f"PRAGMA max_page_count={run('PRAGMA page_count').fetchone()[0] + 8}")
     with pytest.raises(StorageError, match="full"):
@@ -193,27 +193,27 @@
     before = (writer.state.version, writer.state.digest)
     with pytest.raises(StorageError):
         writer.change(1_000)
-    assert state_of(writer.store.load()) == before
+    assert position_and_digest_of(writer.store.load()) == before
     run("PRAGMA max_page_count=1000000")
     writer.change(1_001)
-    assert state_of(writer.store.load()) == (writer.state.version, writer.state.digest)
+    assert position_and_digest_of(writer.store.load()) == (writer.state.version, writer.state.digest)
     writer.store.close()
 
 
-def test_a_step_is_whole_or_not_there(tmp_path):
+def test_each_durable_step_is_atomic(tmp_path):
     """The process ends before a step: nothing of it is found, and all before it."""
     steps = []
 
-    def faults(step):
+    def exit_before_step(step):
         steps.append(step)
         if step == end:
             raise SystemExit
 
     for end in ("promise", "append", "truncate", "commit", "compact", "install", "joined"):
         path = tmp_path / end
-        Writer(path).store.close()
+        StoreWriter(path).store.close()
         steps.clear()
-        store = SqliteStorage(path, "a", "rejoin", faults)
+        store = SqliteStorage(path, "a", "rejoin", exit_before_step)
         state = FleetState.restore(store.load().base)
         change = state.draft_change(1, [])
         after = FleetState.restore(state.snapshot())
@@ -240,10 +240,10 @@
         again.close()
 
 
-def test_the_size_is_bounded(tmp_path, monkeypatch):
+def test_the_store_size_is_bounded(tmp_path, monkeypatch):
     """50,000 changes of 490 engines. synchronous is off here only: it decides when, not what is written."""
     path = tmp_path / "steady"
-    writer, sizes = Writer(path), []
+    writer, sizes = StoreWriter(path), []
     writer.store.db.execute("PRAGMA synchronous=OFF")
     for batch_number in range(500):
         batch = []
@@ -260,19 +260,21 @@
         if writer.store.needs_compaction:
             writer.store.compact(writer.state.snapshot())
         if batch_number % 60 == 59:  # as a kill would leave it, in many rounds of the log
-            put(tmp_path / "killed", {end: Path(f"{path}{end}").read_bytes() for end in ("", "-wal")})
+            write_store_files(
+                tmp_path / "killed", {end: Path(f"{path}{end}").read_bytes() for end in ("", "-wal")}
+            )
             assert read(tmp_path / "killed")[:2] == (writer.state.version, writer.state.digest)
         sizes.append(sum(Path(f"{path}{end}").stat().st_size for end in ("", "-wal")))
     print(f"largest {max(sizes):,} bytes, last {sizes[-1]:,}, file {path.stat().st_size:,}")
     assert max(sizes) < 10 << 20
     assert max(sizes[250:]) <= 1.2 * max(sizes[:250])
     assert writer.store.change_count <= module.COMPACTION_CHANGES
-    assert state_of(writer.store.load()) == (50_000, writer.state.digest)
+    assert position_and_digest_of(writer.store.load()) == (50_000, writer.state.digest)
     writer.store.close()
 
 
-def test_many_bytes_are_compacted_too(tmp_path):
-    writer = Writer(tmp_path / "large")
+def test_compaction_is_due_by_size_too(tmp_path):
+    writer = StoreWriter(tmp_path / "large")
     ops = [Op(f"engine/e{i}", encode_value(Engine(f"h{i}:80", zone="z" * 60))) for i in range(1_500)]
     while not writer.store.needs_compaction:
         change = writer.state.draft_change(1, ops)
--- a/tests/controlplane/test_storage_failures.py
+++ b/tests/controlplane/test_storage_failures.py
@@ -12,7 +12,7 @@
 from tests.fakes.control_plane import WAIT
 
 
-def test_full_disk_and_a_file_that_is_cut_off(cluster):
+def test_full_disk_and_a_truncated_store(cluster):
     leader = cluster.wait_for_settled_leader()
     subscriber = cluster.follow("b1", "z1")
     keys = [f"engine/e{i}" for i in range(1, 6)]
@@ -21,7 +21,7 @@
     damaged = cluster.others(cluster.leader().name)[0]
     damage_last_page(damaged)
     answer = cluster.change({"engine/e9": engine(9)}, "r9")
-    empty_store(damaged)
+    move_store_away(damaged)
     damaged.start("--rejoin")
     cluster.wait_for(lambda: damaged.logged("joined"), "a voter that has joined")
     cluster.wait_for_one_history(answer["version"])
@@ -62,7 +62,7 @@
     assert "--rejoin" in lines[0], lines
 
 
-def empty_store(control):
+def move_store_away(control):
     """Move the files of its store away: it doesn't start with an empty one either."""
     for left in control.store.iterdir():
         left.rename(control.folder / f"moved-{left.name}")
@@ -79,7 +79,7 @@
     return control.log_text().splitlines()[before:]
 
 
-def test_a_full_disk_ends_a_primary_and_no_change_is_lost(plane):
+def test_a_full_disk_ends_leadership_and_no_change_is_lost(plane):
     for name, control in plane.controls.items():
         control.start("--first", str(plane.seed_file), fault="disk-full:append:3" if name == "c1" else "")
     plane.leader()
@@ -90,32 +90,32 @@
     assert broker.status()["server"] == "c1", plane.log_text()
     for number in range(4):
         engine = ENGINE | {"address": f"127.0.0.1:{number + 1}"}
-        code, words = plane.change({"engines": {f"s-{number}": engine}})
-        assert code == 0, words + plane.log_text()
-        assert "in force at 1 of 1 brokers" in words, words + plane.log_text()
+        code, output = plane.change({"engines": {f"s-{number}": engine}})
+        assert code == 0, output + plane.log_text()
+        assert "in force at 1 of 1 brokers" in output, output + plane.log_text()
     assert plane.controls["c1"].logged("disk_error")
     assert broker.status()["server"] != "c1"
     primary = plane.controls[plane.leader("c1")]
-    code, told, _ = run(
+    code, entries, _ = run(
         "control", "state", "--at", plane.servers[primary.name]["management"], "--prefix", "engine/"
     )
-    assert [f"engine/s-{n}" in told for n in range(4)] == [True] * 4
+    assert [f"engine/s-{n}" in entries for n in range(4)] == [True] * 4
 
 
-def test_a_lost_disk_needs_a_word_and_comes_back(plane):
+def test_a_lost_disk_requires_the_rejoin_option(plane):
     first = plane.start()
     lost = plane.controls[next(n for n in plane.controls if n != first)]
     assert plane.change({"engines": {"s-1": ENGINE}})[0] == 0
     lost.kill()
     shutil.rmtree(lost.store)
-    said = len(lost.log_text())
+    log_length = len(lost.log_text())
     lost.start()
     assert lost.process.wait(WAIT) == 2
-    words = lost.log_text()[said:]
-    assert "Start with --rejoin" in words
-    assert len(words.splitlines()) == 1
+    output = lost.log_text()[log_length:]
+    assert "Start with --rejoin" in output
+    assert len(output.splitlines()) == 1
     lost.start("--rejoin")
-    assert until(lambda: lost.status().get("version", 0) >= 2 and not lost.status()["joining"], WAIT), words
+    assert until(lambda: lost.status().get("version", 0) >= 2 and not lost.status()["joining"], WAIT), output
     assert plane.change({"engines": {"s-2": ENGINE | {"address": "127.0.0.1:8"}}})[0] == 0
     newest = plane.controls[plane.leader()].status()
     assert until(lambda: lost.status()["digest"] == newest["digest"], WAIT), plane.log_text()
--- a/tests/fakes/replica_world.py
+++ b/tests/fakes/replica_world.py
@@ -157,7 +157,7 @@
 
     def lease(self, name, token, until=1 << 60):
         if name in self.running:
-            return self.call(name, lambda: self.running[name].lease(self.now, token, until))
+            return self.call(name, lambda: self.running[name].update_lease(self.now, token, until))
         return None
 
     def propose(self, name, request, ops=None):
--- a/tests/recordings/test_control_store_recording.py
+++ b/tests/recordings/test_control_store_recording.py
@@ -95,7 +95,7 @@
 
 
 def test_a_request_of_then_is_known_when_repeated_and_the_history_goes_on(replica):
-    assert replica.lease(2 * SECOND, 7, 1 << 60)
+    assert replica.update_lease(2 * SECOND, 7, 1 << 60)
     for request, version in (("request-1", 2), ("request-2", 3)):
         known = replica.propose(3 * SECOND, [Op("engine/e1")], 0, request)
         assert (known.version, known.state) == (version, "done")
@@ -109,11 +109,11 @@
 
 
 def test_a_promise_of_then_binds(replica):
-    assert not replica.lease(2 * SECOND, 6, 1 << 60)
+    assert not replica.update_lease(2 * SECOND, 6, 1 << 60)
 
 
 def test_what_it_writes_is_read_back_with_the_same_bytes_before(store, replica):
-    replica.lease(2 * SECOND, 7, 1 << 60)
+    replica.update_lease(2 * SECOND, 7, 1 << 60)
     replica.propose(3 * SECOND, [Op("engine/e2")], 7, "request-4")
     loaded = store.load()
     assert plain(loaded.changes[:3]) == EXPECTED["changes"]
