--- a/cypressledge/controlplane/change_file.py
+++ b/cypressledge/controlplane/change_file.py
@@ -1,25 +1,28 @@
-"""An operator's YAML file of changes: the parts config, engines and brokers, where null removes a key."""
+"""An operator's YAML file of changes with the sections config, engines and brokers; null removes a key."""
 
 import click
 import yaml
 
 from cypressledge.controlplane.operator_messages import ChangeOps
 
-KEY_KIND_BY_SECTION = {"config": "config", "engines": "engine", "brokers": "broker"}  # part -> kind of key
+KEY_KIND_BY_SECTION = {"config": "config", "engines": "engine", "brokers": "broker"}  # section -> kind of key
 
 
 def read_change_file(path: str) -> ChangeOps:
-    """What a file's parts assign, and remove by null. Raises `click.UsageError`."""
+    """Return the keys that a file's sections assign, and those they remove by null.
+
+    Raises `click.UsageError`.
+    """
     sections = _read_yaml(path)
     if not isinstance(sections, dict) or not sections or not set(sections) <= set(KEY_KIND_BY_SECTION):
         raise click.UsageError(
-            f"{path}: a change has the parts {', '.join(KEY_KIND_BY_SECTION)}, and nothing else"
+            f"{path}: must be a non-empty mapping with only the sections {', '.join(KEY_KIND_BY_SECTION)}"
         )
     assigned: dict[str, object] = {}
     removed: list[str] = []
     for section_name, section in sections.items():
         if not isinstance(section, dict):
-            raise click.UsageError(f"{path}: {section_name} is no mapping")
+            raise click.UsageError(f"{path}: section {section_name!r} must be a mapping")
         for name, value in section.items():
             key = f"{KEY_KIND_BY_SECTION[section_name]}/{name}"
             if value is None:
--- a/cypressledge/controlplane/change_history.py
+++ b/cypressledge/controlplane/change_history.py
@@ -1,4 +1,4 @@
-"""The committed state and the last changes that made it: what brokers are sent. No I/O."""
+"""The committed state and the most recent changes to it, from which brokers are updated. No I/O."""
 
 import zlib
 from collections import deque
@@ -13,9 +13,9 @@
 from cypressledge.controlplane.state_values import StateError
 
 MAX_KEPT_CHANGES = 4_096
-MAX_KEPT_BYTES = 4 << 20  # of the changes kept, encoded
-MAX_SNAPSHOT_BYTES = 64 << 20  # of a snapshot before compression
-COMPRESSION_LEVEL = 6  # zlib's
+MAX_KEPT_BYTES = 4 << 20  # bytes; total size of the changes kept, encoded
+MAX_SNAPSHOT_BYTES = 64 << 20  # bytes; size of a snapshot before compression
+COMPRESSION_LEVEL = 6  # zlib compression level
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
@@ -27,32 +27,34 @@
 
 
 def compress_snapshot(snapshot: Snapshot) -> bytes:
-    """The snapshot as it goes into a message: zlib over its encoding."""
+    """Return the snapshot as messages carry it: its encoding compressed with zlib."""
     return zlib.compress(_encode(snapshot), COMPRESSION_LEVEL)
 
 
 def decompress_snapshot(compressed: bytes) -> Snapshot:
-    """A snapshot from a message; its digest is checked by `FleetState.restore`. Raises `StateError`."""
+    """Return the snapshot in a message; `FleetState.restore` checks its digest. Raises `StateError`."""
     reader = zlib.decompressobj()
     try:
-        # Guards against a few bytes that decompress into all memory.
+        # The limit keeps a small message from exhausting the memory when it is decompressed.
         body = reader.decompress(compressed, MAX_SNAPSHOT_BYTES)
         if not reader.eof or reader.unused_data or len(compressed) > MAX_FRAME_BYTES:
-            raise StateError("snapshot: cut short, or too large")
+            raise StateError(
+                f"snapshot: incomplete, followed by other data, or over {MAX_SNAPSHOT_BYTES} bytes"
+            )
         return _decode_snapshot(body)
     except (zlib.error, msgspec.MsgspecError, ValueError, RecursionError) as err:
         raise StateError(f"snapshot: {err}") from None
 
 
 class CompressedSnapshotCache:
-    """The last snapshot made of one state, as it goes into a message."""
+    """Caches the compressed snapshot of the newest version of a state."""
 
     def __init__(self) -> None:
         self._position: DigestPosition | None = None
         self._compressed = b""
 
     def get(self, state: FleetState) -> bytes:
-        """The snapshot of a state; made once a version."""
+        """Return the compressed snapshot of a state; it is built once per version."""
         position = state.digest_position
         if position != self._position:
             self._position, self._compressed = position, compress_snapshot(state.snapshot())
@@ -60,7 +62,7 @@
 
 
 class ChangeHistory:
-    """The state at its newest version, and the changes from version `base` on that can be sent."""
+    """The state at its newest version, and the kept changes, which follow the position `base`."""
 
     def __init__(
         self, state: FleetState, max_changes: int = MAX_KEPT_CHANGES, max_bytes: int = MAX_KEPT_BYTES
@@ -71,18 +73,18 @@
 
     def _start_from(self, state: FleetState) -> None:
         self.state = state
-        self.base = state.digest_position  # the changes kept follow it
+        self.base = state.digest_position  # the kept changes follow this position
         self._kept: deque[_KeptChange] = deque()
-        self.kept_bytes = 0  # encoded
+        self.kept_bytes = 0  # bytes; total encoded size of the kept changes
         self._snapshots = CompressedSnapshotCache()
 
     @property
     def changes(self) -> list[Change]:
-        """The changes kept, oldest first."""
+        """The kept changes, oldest first."""
         return [kept.change for kept in self._kept]
 
     def apply(self, change: Change) -> None:
-        """Take the next committed change. Raises `StateError`, and changes nothing, where it doesn't fit."""
+        """Apply the next committed change. Raises `StateError` and changes nothing if it does not fit."""
         self.state.apply(change)
         size = len(_encode(change))
         self._kept.append(_KeptChange(change, size))
@@ -92,7 +94,7 @@
         self.counters.invariant(self.base.version + len(self._kept) == self.state.version, "history_whole")
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Start again from a snapshot. Raises `StateError`, and changes nothing, where it isn't sound."""
+        """Replace the history by a snapshot. Raises `StateError` and changes nothing if it is invalid."""
         self._start_from(FleetState.restore(snapshot))
 
     def compact(self, keep: int = 0) -> None:
@@ -106,7 +108,7 @@
         self.base = DigestPosition(change.epoch, change.version, change.digest)
 
     def position_at(self, version: int) -> DigestPosition | None:
-        """The position and digest of a version; none where it is no longer or not yet known."""
+        """Return the position and digest of a version; None if it is no longer or not yet known."""
         index = version - self.base.version
         if not 0 <= index <= len(self._kept):
             return None
@@ -118,9 +120,10 @@
     def changes_since(
         self, epoch: int, version: int, digest: bytes, max_bytes: int = MAX_BATCH_BYTES
     ) -> list[Change] | None:
-        """The changes after a position, up to `max_bytes` of them but at least one; empty if there are none.
+        """Return changes after a position, up to `max_bytes` but at least one; empty if there are none.
 
-        None: only a snapshot can follow it, as it is too old, not yet reached, or not of this history.
+        Returns None if only a snapshot can follow the position, because it is too old, not yet reached or not
+        part of this history.
         """
         if self.position_at(version) != (epoch, version, digest):
             return None
@@ -134,5 +137,5 @@
         return changes
 
     def compressed_snapshot(self) -> bytes:
-        """The snapshot of the newest version as it goes into a message; made once a version."""
+        """Return the newest version as a compressed snapshot for messages; it is built once per version."""
         return self._snapshots.get(self.state)
--- a/cypressledge/controlplane/change_proposals.py
+++ b/cypressledge/controlplane/change_proposals.py
@@ -1,4 +1,4 @@
-"""Operators' changes, from the call to the answer: the leader proposes them to a majority."""
+"""Changes requested by operators, from the call to the answer: the leader proposes them to a majority."""
 
 import time
 from dataclasses import dataclass, field
@@ -31,19 +31,19 @@
 from cypressledge.controlplane.state_values import CONFIG_PREFIX, StateError, decode_value
 from cypressledge.net.http_server import HttpExchange
 
-MAJORITY_TIMEOUT_US = 5_000_000  # for a change's majority
+MAJORITY_TIMEOUT_US = 5_000_000  # µs; maximum time for a majority to store a change
 CLASSES_KEY = CONFIG_PREFIX + "Classes"
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderLocator:
-    """Where operators find the leader."""
+    """Locates the leader for operators."""
 
     leadership: Leadership
     servers: list[ServerSpec]
 
     def locate(self) -> LeaderAddresses:
-        """As far as is known here."""
+        """Return the last known leader, its address, and the addresses of all control processes."""
         addresses = {server.name: server.management for server in self.servers}
         leader = self.leadership.leader
         return LeaderAddresses(
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _WaitingChange:
-    """A change that waits for its majority, until a moment (µs)."""
+    """A change that waits for its majority until `deadline` (µs)."""
 
     proposal: PendingProposal
     change: ChangeRequest
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class ChangeProposals:
-    """The changes of operators that this process is asked for."""
+    """The changes that operators request from this process."""
 
     leadership: Leadership
     locator: LeaderLocator
@@ -75,18 +75,18 @@
 
     @property
     def waiting(self) -> int:
-        """How many wait for their majority."""
+        """The number of changes that wait for their majority."""
         return len(self._waiting)
 
     def submit(self, change: ChangeRequest, exchange: HttpExchange) -> None:
-        """From a caller's greenlet: the owner decides."""
+        """Queue a requested change for the process's main greenlet; called in the caller's greenlet."""
         try:
             self.inbox.put_nowait(self._propose, change, exchange)
         except InboxFullError:
             self._answer(exchange, HTTPStatus.SERVICE_UNAVAILABLE, OutcomeUnknownAnswer(UNSET, "busy"))
 
     def settle(self, now: int) -> int:
-        """Answer the changes of which it is known what became of them; when to call again, µs."""
+        """Answer the changes that are committed, failed or timed out; return the next call's time, µs."""
         still_waiting = []
         for waiting in self._waiting:
             if waiting.proposal.state is ProposalState.OPEN and now < waiting.deadline:
@@ -99,7 +99,10 @@
         return min((waiting.deadline for waiting in still_waiting), default=now + MAJORITY_TIMEOUT_US)
 
     def _propose(self, now: int, change: ChangeRequest, exchange: HttpExchange) -> None:
-        """In the owner's greenlet: propose a change, or answer why not, or what would come of it."""
+        """Propose a change, or answer with the error or the result of a dry run.
+
+        Called in the process's main greenlet.
+        """
         try:
             state = self._leader_state()
             base = state.version if change.base is None else change.base
@@ -121,7 +124,7 @@
             self._waiting.append(_WaitingChange(proposal, change, exchange, now + MAJORITY_TIMEOUT_US))
 
     def _leader_state(self) -> FleetState:
-        """The state that a change is made on. Raises `NotLeaderError`."""
+        """Return the state that a change applies to. Raises `NotLeaderError`."""
         if not self.leadership.is_leader:
             raise NotLeaderError(self.leadership.leader)
         return self.leadership.latest_state()
@@ -151,12 +154,15 @@
         self._answer(waiting.exchange, HTTPStatus.SERVICE_UNAVAILABLE, unknown)
 
     def _answer(self, exchange: HttpExchange, status: HTTPStatus, body: AnswerBody) -> None:
-        """With where the leader is: the caller asks there next time."""
+        """Send an answer with the leader's address, so that the caller contacts the leader next time."""
         send_answer(exchange, Answer(status, body, self.locator.locate()))
 
 
 def dry_run(state: FleetState, base: int, change: ChangeRequest) -> DryRunAnswer:
-    """What would come of a change that was made on version `base`. Raises as `Replica.propose` does."""
+    """Return the result of a change based on version `base` without making it.
+
+    Raises the same errors as `Replica.propose`.
+    """
     validate_change(state, change.ops)
     if keys := find_conflicts(state, base, change.ops):
         raise VersionConflictError(keys)
@@ -164,14 +170,16 @@
 
 
 def check_new_change(state: FleetState, change: ChangeRequest) -> None:
-    """The rules for a change that isn't known yet. Guards against "refused" for a repeat that was taken.
-    Raises `StateError`."""
+    """Apply the rules that hold only for a change that is not known yet. Raises `StateError`.
+
+    A repetition of a change that was made must not be rejected by them.
+    """
     if change.dry_run or state.version_of_request(change.request) is None:
         _check_class_names(state, change.ops)
 
 
 def _check_class_names(state: FleetState, ops: list[Op]) -> None:
-    """Guards against settings that no broker can take before its restart. Raises `StateError`."""
+    """Raise `StateError` if the class names change, because brokers cannot apply that until they restart."""
     current = state.entries.get(CLASSES_KEY)
     new = next((op.value for op in ops if op.key == CLASSES_KEY), None)
     if current is not None and new is not None and _class_names(current.value) != _class_names(new):
@@ -182,7 +190,7 @@
 
 
 def _class_names(raw: bytes) -> list[object]:
-    """Of a value of `CLASSES_KEY` that may not be checked yet."""
+    """Return the class names in a value of `CLASSES_KEY`, which may not have been validated yet."""
     classes = decode_value(raw)
     if not isinstance(classes, list):
         return []
--- a/cypressledge/controlplane/errors.py
+++ b/cypressledge/controlplane/errors.py
@@ -1,12 +1,12 @@
-"""Errors of the replicated log that its callers tell apart."""
+"""Errors of the replicated log that callers handle separately."""
 
 
 class LogInvariantError(Exception):
-    """A committed entry would be lost or changed, or one epoch has two leaders: the process has to stop."""
+    """A committed entry would be lost or changed, or one epoch has two leaders: the process must stop."""
 
 
 class NotLeaderError(Exception):
-    """This replica is not the leader. `leader`: who is, as far as is known here; empty where it isn't."""
+    """This replica is not the leader. `leader` is the name of the last known leader, empty if unknown."""
 
     def __init__(self, leader: str) -> None:
         super().__init__(f"the leader is {leader or 'not known'}")
@@ -14,7 +14,7 @@
 
 
 class VersionConflictError(Exception):
-    """`keys` have changed since the version that a request was made on."""
+    """`keys` have changed since the version that a request was based on."""
 
     def __init__(self, keys: list[str]) -> None:
         super().__init__(f"changed meanwhile: {', '.join(keys)}")
--- a/cypressledge/controlplane/leader_recovery.py
+++ b/cypressledge/controlplane/leader_recovery.py
@@ -1,8 +1,9 @@
-"""How a candidate becomes ready to lead: promises of a majority, then the newest log that one of them holds.
+"""A candidate's recovery before it leads: it collects a majority's promises and fetches their newest log.
 
-The lease takes the place of Raft's elections: its token is the epoch. A candidate sends `Prepare`, takes from
-a majority's promises, its own among them, who holds the newest log, fetches what it lacks, and hands over to
-`log_replication.py`. Where all of a majority are empty it starts a new log, if it has been permitted to.
+The lease takes the place of Raft's elections: its token is the epoch. A candidate sends `Prepare`, determines
+from the promises of a majority (including its own) which voter holds the newest log, fetches the entries that
+it lacks, and hands over to `log_replication.py`. If all voters of a majority are empty, it starts a new log,
+provided that it is permitted to.
 """
 
 from collections.abc import Callable
@@ -22,21 +23,21 @@
 from cypressledge.controlplane.state import FleetState, Position
 from cypressledge.controlplane.state_values import StateError
 
-MAX_FETCH_ATTEMPTS = 5  # requests to one voter before a candidate begins again without it
+MAX_FETCH_ATTEMPTS = 5  # requests to one voter before the candidate starts over without it
 
 
 class RecoveryPhase(Enum):
-    """What a candidate waits for."""
+    """The phase of a candidate's recovery."""
 
-    PREPARE = "prepare"  # promises of a majority
-    FETCH = "fetch"  # entries of the voter with the newest log
-    DONE = "done"  # nothing: it has handed over
+    PREPARE = "prepare"  # waiting for the promises of a majority
+    FETCH = "fetch"  # waiting for entries from the voter with the newest log
+    DONE = "done"  # handed over to replication
 
 
 class LeaderRecovery:
     """One attempt to lead, in an epoch that is already promised to this replica.
 
-    `on_recovered()` is called once the newest log of a majority is held here.
+    `on_recovered()` is called once this replica holds the newest log of a majority.
     """
 
     def __init__(self, context: ReplicaContext, log: ReplicatedLog, on_recovered: Callable[[], None]) -> None:
@@ -44,17 +45,17 @@
         self._log = log
         self._on_recovered = on_recovered
         self.phase = RecoveryPhase.PREPARE
-        self.requested_at = NEVER  # µs, when something was last asked for
+        self.requested_at = NEVER  # µs; time of the last request
         self._promises = {context.name: log.promise_message()}
-        self._source = ""  # the voter whose log is fetched
+        self._source = ""  # name of the voter whose log is fetched
         self._fetch_attempts = 0
-        self._fetch_from = Position(0, 0)  # what is fetched follows it
+        self._fetch_from = Position(0, 0)  # the fetched entries follow this position
         self._reported_voters: tuple[str, ...] = ()
 
     # Promises
 
     def start(self) -> None:
-        """Ask those for promises who haven't answered."""
+        """Request promises from the voters that have not answered yet."""
         self.phase, self.requested_at = RecoveryPhase.PREPARE, self._context.now
         for peer in self._context.peers:
             if peer not in self._promises:
@@ -62,13 +63,13 @@
         self._evaluate_promises()
 
     def on_promise(self, sender: str, message: Promise) -> None:
-        """A voter's promise in the candidate's epoch."""
+        """Process a voter's promise in the candidate's epoch."""
         if self.phase is RecoveryPhase.PREPARE:
             self._promises[sender] = message
             self._evaluate_promises()
 
     def _evaluate_promises(self) -> None:
-        """Go on from a majority's promises, as soon as there is one."""
+        """Continue with the next phase once a majority, including this replica, has promised."""
         own_name, counted = self._context.name, self._counted_promises()
         if not self._context.is_majority(len(counted)) or own_name not in counted:
             return
@@ -84,9 +85,10 @@
             self._fetch_missing(source)
 
     def _counted_promises(self) -> dict[str, Promise]:
-        """Guards against a majority of those who have forgotten what they promised or held.
+        """Return the promises that count towards a majority, by voter.
 
-        Empty voters count only as long as nobody knows of anything committed.
+        Joining voters do not count, since they may have lost promises or entries. Empty voters count only as
+        long as no voter knows of a committed version.
         """
         is_any_committed = any(promise.commit >= 1 for promise in self._promises.values())
         return {
@@ -96,21 +98,24 @@
         }
 
     def _lacks_committed_entries(self, newest: Promise) -> bool:
-        """Whether some voter knows of a commit that even the newest log lacks.
+        """Return whether some voter knows of a committed version that even the newest log lacks.
 
-        Guards against a majority of disks that were put back.
+        This happens when a majority of the disks was restored from old copies.
         """
         return any(promise.commit > newest.last_version for promise in self._promises.values())
 
     def _report_missing_entries(self, newest: Promise) -> None:
         voters = tuple(sorted(self._promises))
-        if voters != self._reported_voters:  # guards against a line in the log at each repeat
+        if voters != self._reported_voters:  # report once, not at each retry
             self._reported_voters = voters
             known = max(promise.commit for promise in self._promises.values())
             self._context.report("history_behind", last=newest.last_version, committed=known, voters=voters)
 
     def _start_first_log(self) -> None:
-        """Version 0 is empty and of this epoch, so that no other first log's entries can follow it."""
+        """Start a new log if that is permitted.
+
+        Its version 0 is empty and of this epoch, so that entries of another first log cannot follow it.
+        """
         first = self._context.first_version
         if first is None:
             return
@@ -137,7 +142,7 @@
         self._context.send(self._source, FetchEntries(self._log.epoch, *position))
 
     def on_entries_fetched(self, sender: str, message: EntriesFetched) -> None:
-        """Entries, and a snapshot before them where needed, from the voter that was asked."""
+        """Process the requested voter's entries, and the snapshot before them if there is one."""
         if self.phase is not RecoveryPhase.FETCH or sender != self._source:
             return
         version = self._fetch_from.version
@@ -158,9 +163,9 @@
             self._fetch(Position(self._log.entries.epoch_at(end) or 0, end))
 
     def _append_fetched(self, version: int, message: EntriesFetched) -> bool:
-        """Whether entries that should follow this version are held now."""
+        """Append the fetched entries after a version; return whether all of them are stored."""
         changes = message.changes
-        # Guards against a repeat of an earlier answer.
+        # A repeated earlier answer does not continue the log.
         if changes and (changes[0].version != version + 1 or self._log.entries.epoch_at(version) is None):
             return False
         return self._log.append(changes)
@@ -173,7 +178,7 @@
             return None
 
     def retry(self) -> None:
-        """Ask again; begin anew without a voter that does not answer."""
+        """Repeat the last request; start over without a voter that does not answer."""
         if self.phase is RecoveryPhase.FETCH and self._fetch_attempts < MAX_FETCH_ATTEMPTS:
             self._fetch(self._fetch_from)
             return
@@ -185,7 +190,7 @@
 
 
 def answer_fetch(context: ReplicaContext, log: ReplicatedLog, sender: str, message: FetchEntries) -> None:
-    """A voter's answer to a candidate: entries, or a snapshot first where those can't follow."""
+    """Answer a candidate's request with entries, after a snapshot if they cannot follow its position."""
     if message.epoch != log.epoch:
         context.send(sender, Denied(log.epoch))
         return
--- a/cypressledge/controlplane/leader_reports.py
+++ b/cypressledge/controlplane/leader_reports.py
@@ -1,7 +1,7 @@
-"""What each control process tells the leader of its brokers: which version they hold, and where they are.
+"""Reports of each control process to the leader about its brokers: applied versions and addresses.
 
-The leader takes its own part without a connection. A report that is lost is repeated when the connection to
-the leader is new, or when another one leads.
+The leader passes its own report to itself without a connection. A lost report is repeated when a new
+connection to the leader is up or when the leader has changed.
 """
 
 import time
@@ -20,29 +20,32 @@
 from cypressledge.controlplane.state_values import StateError
 from cypressledge.fleet.node import FleetNode
 
-REPORT_INTERVAL_US = 200_000  # between reports of what brokers have in force
-REGISTRATION_INTERVAL_US = 100_000  # in which registrations are gathered into one change
+REPORT_INTERVAL_US = 200_000  # µs; time between reports of the versions that brokers have applied
+REGISTRATION_INTERVAL_US = 100_000  # µs; registrations within it are combined into one change
 
 
 @dataclass(slots=True)
 class AppliedVersionReports:
-    """Reports which versions the brokers here have in force. `applied`: what the leader knows of all."""
+    """Reports to the leader which versions the brokers connected to this process have applied.
+
+    `applied` collects the reports about all brokers while this process leads.
+    """
 
     leadership: Leadership
     publisher: Publisher
     sender: PeerSender
     applied: AppliedVersions
     _due_at: int = 0
-    _reported_to: tuple[str, int] = ("", 0)  # the leader and the epoch of the last report
+    _reported_to: tuple[str, int] = ("", 0)  # leader and epoch of the last report
     _is_complete_due: bool = True
 
     def send(self, now: int) -> int:
-        """Tell the leader what has changed, if it is time; when to call again, µs."""
+        """Report changes to the leader if a report is due; return the time of the next call, µs."""
         if now < self._due_at:
             return self._due_at
         self._due_at = now + REPORT_INTERVAL_US
         leader, epoch = self.leadership.leader, self.leadership.replica.epoch
-        if (leader, epoch) != self._reported_to:  # a new one knows nothing yet
+        if (leader, epoch) != self._reported_to:  # a new leader has no reports yet
             self._reported_to, self._is_complete_due = (leader, epoch), True
         is_self = leader == self.leadership.name
         if not leader or not is_self and leader not in self.sender.reachable:
@@ -56,14 +59,16 @@
         return self._due_at
 
     def send_all_next(self) -> None:
-        """The next report tells of all brokers: what was sent before may be lost."""
+        """Make the next report cover all brokers, because earlier reports may be lost."""
         self._is_complete_due = True
 
 
 @dataclass(slots=True)
 class ConnectedBrokers:
-    """Which brokers are connected anywhere, as the leader knows it. `server_names`: of all control
-    processes in the settings, this one (`name`) among them."""
+    """The brokers connected to any control process, as known to the leader.
+
+    `server_names` are the names of all control processes in the settings, including this one (`name`).
+    """
 
     name: str
     server_names: frozenset[str]
@@ -72,14 +77,14 @@
     applied: AppliedVersions
 
     def names(self) -> set[str] | None:
-        """Of all connected brokers; None while a control process of the settings is out of sight."""
+        """Return the names of all connected brokers; None if a configured process is unreachable."""
         visible = self.node.alive() & {self.name, *self.sender.reachable}
         return self.applied.connected(self.server_names, visible)
 
 
 @dataclass(slots=True)
 class BrokerRegistrations:
-    """Passes on where brokers are; the leader proposes it, and takes out those that are gone."""
+    """Forwards the addresses of brokers to the leader, which proposes them and removes absent brokers."""
 
     leadership: Leadership
     history: ChangeHistory
@@ -91,7 +96,7 @@
     _due_at: int = 0
 
     def send(self, now: int) -> int:
-        """Pass on, or as the leader propose, what is due; when to call again, µs."""
+        """Forward due registrations, or propose them as the leader; return the time of the next call, µs."""
         if now < self._due_at:
             return self._due_at
         self._due_at = now + REGISTRATION_INTERVAL_US
@@ -106,7 +111,7 @@
         return self._due_at
 
     def _propose(self, now: int, ops: list[Op]) -> None:
-        """Register brokers, and take out those that are gone, each in a change of its own."""
+        """Propose the registrations and the removal of absent brokers, each in a change of its own."""
         registry = self.registry
         if not ops and not registry.is_observation_due(now):
             return
@@ -136,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageRouter:
-    """Hands what other control processes send to the part that it is for."""
+    """Dispatches the messages of other control processes to the components that handle them."""
 
     leadership: Leadership
     applied: AppliedVersions
@@ -144,7 +149,7 @@
     reports: AppliedVersionReports
 
     def received(self, now: int, peer: str, message: Message) -> None:
-        """A message of a peer. Reports are taken by one that is about to lead, too."""
+        """Dispatch a peer's message. A candidate, which is about to lead, accepts reports too."""
         replica = self.leadership.replica
         if isinstance(message, AppliedReport):
             if replica.role is not Role.FOLLOWER:
@@ -156,11 +161,11 @@
             replica.receive(now, peer, message)
 
     def disconnected(self, now: int, peer: str) -> None:
-        """What a peer said of its brokers may no longer be so."""
+        """Discard a peer's reports about its brokers, as they may be out of date."""
         self.applied.drop(peer)
 
     def reachable(self, now: int, peer: str) -> None:
-        """What was sent to the leader over the former connection may be lost."""
+        """Repeat everything on a new connection to the leader: the previous messages may be lost."""
         if peer == self.leadership.leader:
             self.reports.send_all_next()
             self.registry.resend_all()
--- a/cypressledge/controlplane/leader_role.py
+++ b/cypressledge/controlplane/leader_role.py
@@ -1,4 +1,4 @@
-"""What a replica does with the lease: it recovers the newest log, leads, and steps down."""
+"""A replica's actions on the lease: recovering the newest log, leading, and stepping down."""
 
 from collections.abc import Mapping
 
@@ -17,44 +17,44 @@
 from cypressledge.controlplane.replica_context import HEARTBEAT_INTERVAL_US, NEVER, ReplicaContext, Role
 from cypressledge.controlplane.replicated_log import ReplicatedLog
 
-QUORUM_TIMEOUT_US = 10_000_000  # without an answer from a majority for so long, another should try
+QUORUM_TIMEOUT_US = 10_000_000  # µs; time without a majority's answers before it lets another replica try
 
 
 class LeaderRole:
-    """A replica as candidate and leader, between taking over and stepping down."""
+    """The candidate and leader roles of a replica, from taking over the lease to stepping down."""
 
     def __init__(self, context: ReplicaContext, log: ReplicatedLog) -> None:
         self._context = context
         self._log = log
-        self._recovery: LeaderRecovery | None = None  # while a candidate gathers the newest log
-        self._replication: LeaderReplication | None = None  # from the first entry of the own epoch on
-        self._answered_at: dict[str, int] = {}  # µs, when a peer last answered in the own epoch
-        self.lease_until = NEVER  # µs
+        self._recovery: LeaderRecovery | None = None  # set while a candidate recovers the newest log
+        self._replication: LeaderReplication | None = None  # set from the first entry of its own epoch on
+        self._answered_at: dict[str, int] = {}  # µs; time of each peer's last answer in this epoch
+        self.lease_until = NEVER  # µs; expiry of the lease held here
 
     @property
     def progress(self) -> Mapping[str, PeerProgress]:
-        """By name, how far each other voter is, while this replica leads or is about to."""
+        """Replication progress of each other voter by name, while this replica leads or is about to lead."""
         return {} if self._replication is None else self._replication.progress
 
     @property
     def is_preparing(self) -> bool:
-        """Whether this is a candidate that waits for promises."""
+        """Whether this replica is a candidate that waits for promises."""
         return self._recovery is not None and self._recovery.phase is RecoveryPhase.PREPARE
 
-    # From the lease to stepping down
+    # Role changes
 
     def holds_lease(self, now: int) -> bool:
-        """Guards against a message from one who may no longer be the leader."""
+        """Return whether the lease is held at `now` (µs); without it another replica may be the leader."""
         return now < self.lease_until
 
     def renew_lease(self, token: int | None, until: int) -> None:
-        """What is known of the lease (see `Replica.update_lease`); steps down unless it is this epoch's."""
+        """Record the lease (see `Replica.update_lease`); step down unless it is valid for this epoch."""
         self.lease_until = until if token is not None else NEVER
         if token != self._log.epoch or not self.holds_lease(self._context.now):
             self.step_down("lease")
 
     def take_over(self, token: int) -> bool:
-        """Become a candidate in the lease's epoch; whether that could be promised."""
+        """Become a candidate in the epoch `token`; return whether the promise is stored."""
         context = self._context
         if not self._log.promise(token, context.instance_id):
             return False
@@ -66,7 +66,7 @@
         return True
 
     def _start_leading(self) -> None:
-        """The newest log of a majority is held here: write and send the first entry of the own epoch."""
+        """Write and send the first entry of this epoch, after the newest log of a majority is held here."""
         replication = self._replication = LeaderReplication(self._context, self._log, self)
         self._recovery = None
         if replication.write_first_entry():
@@ -74,7 +74,7 @@
             replication.start()
 
     def step_down(self, reason: str) -> None:
-        """Be a follower again, without a known leader."""
+        """Become a follower without a known leader; `reason` is reported."""
         context = self._context
         if context.role is Role.FOLLOWER:
             return
@@ -86,14 +86,17 @@
         context.leader = ""
 
     def _has_lost_quorum(self, now: int) -> bool:
-        """Guards against a lease that is of no use to whoever has it and is missing elsewhere."""
+        """Return whether no majority has answered for `QUORUM_TIMEOUT_US`.
+
+        A leader without a majority keeps a lease that it cannot use and that another replica could.
+        """
         answers = sorted((now, *self._answered_at.values()), reverse=True)
         return now >= answers[len(self._context.voters) // 2] + QUORUM_TIMEOUT_US
 
-    # Messages
+    # Message handling
 
     def on_answer(self, sender: str, message: Message) -> None:
-        """A voter's answer in this replica's epoch, to whatever part has asked, if it is still there."""
+        """Pass a voter's answer in this epoch to the recovery or replication that requested it, if active."""
         self._answered_at[sender] = self._context.now
         recovery, replication = self._recovery, self._replication
         if recovery is not None:
@@ -108,19 +111,23 @@
                 replication.on_mismatch(sender, message)
 
     def on_denied(self, sender: str, message: Denied) -> None:
-        """A voter's refusal."""
+        """Process a voter's `Denied`: step down if the epoch was promised elsewhere, else report it."""
         if self._context.role is Role.FOLLOWER:
             return
         if message.reason != "epoch":
             self._context.report("voter_denied", voter=sender, why=message.reason)
-        # The same epoch: another instance has it at that voter. A leader has its majority, and goes on.
+        # Same epoch: the voter has promised it to another instance. A leader has its majority and continues.
         elif message.epoch > self._log.epoch or message.epoch == self._log.epoch and self.is_preparing:
             self.step_down("denied")
 
-    # Changes and time
+    # Proposals and timers
 
     def require_leader_replication(self) -> LeaderReplication:
-        """Raises `NotLeaderError`, and `StateError` while too many changes are pending."""
+        """Return the leader's replication.
+
+        Raises `NotLeaderError` if this replica does not lead and `StateError` while too many changes are
+        pending.
+        """
         context = self._context
         if context.role is not Role.FOLLOWER and not self.holds_lease(context.now):
             self.step_down("lease")
@@ -130,7 +137,7 @@
         return self._replication
 
     def tick(self) -> int:
-        """Do what is due; when to be called again at the latest, µs."""
+        """Perform the actions that are due; return the latest time for the next call, µs."""
         now = self._context.now
         if self._context.role is not Role.FOLLOWER:
             if not self.holds_lease(now):
--- a/cypressledge/controlplane/leadership.py
+++ b/cypressledge/controlplane/leadership.py
@@ -1,6 +1,6 @@
-"""Who leads the control processes: the lease `primary`, handed to the replica that it allows to lead.
+"""Leadership among the control processes: passes the state of the lease `primary` to the replica.
 
-The lease only decides who tries to lead; the safety of the history is the replica's alone.
+The lease only decides which process tries to lead; the replica alone ensures the safety of the history.
 """
 
 from cypressledge.controlplane.errors import NotLeaderError
@@ -13,12 +13,14 @@
 from cypressledge.fleet.node import FleetNode
 
 PRIMARY_LEASE = "primary"
-RELEASE_BACKOFF_S = 1.0  # after a lease of no use here was given back, until it is asked for again
+RELEASE_BACKOFF_S = 1.0  # s; time after releasing a lease that could not be used until it is requested again
 
 
 class Leadership:
-    """The lease's state towards the replica of one control process. `term`: of the lease, µs; `is_voter`:
-    whether this process may lead at all."""
+    """Connects the lease with the replica of one control process.
+
+    `lease_term` is in µs; `is_voter` tells whether this process may lead at all.
+    """
 
     def __init__(
         self,
@@ -31,17 +33,19 @@
     ) -> None:
         self.name, self.is_voter, self.lease_term, self.clock = name, is_voter, lease_term, clock
         self.node, self.replica = node, replica
-        self.suspended_until = 0  # µs: the disk here refuses until then, as far as is known
+        self.suspended_until = 0  # µs; until then the disk here is assumed to fail
 
     def voting_replica(self) -> Replica:
-        """The replica, where this process votes. Raises `NotLeaderError` where it doesn't."""
+        """Return the replica if this process votes; raise `NotLeaderError` otherwise."""
         if not isinstance(self.replica, Replica):
             raise NotLeaderError(self.leader)
         return self.replica
 
     def latest_state(self) -> FleetState:
-        """The state with what isn't committed yet: what the next change is made on. Raises `NotLeaderError`
-        where there is none."""
+        """Return the state including uncommitted changes, on which the next change is based.
+
+        Raises `NotLeaderError` if there is none.
+        """
         state = self.voting_replica().latest_state
         if state is None:
             raise NotLeaderError(self.leader)
@@ -54,25 +58,27 @@
 
     @property
     def leader(self) -> str:
-        """The name of who leads, as far as is known here; empty where nobody does."""
+        """The name of the last known leader; empty if there is none."""
         if self.is_leader:
             return self.name
         return "" if self.replica.leader == self.name else self.replica.leader
 
     def is_suspended(self, now: int) -> bool:
-        """Whether this process neither leads nor takes brokers for now."""
+        """Return whether this process currently neither leads nor accepts brokers."""
         return now < self.suspended_until
 
     def suspend(self, now: int) -> bool:
-        """The disk has refused: stay away from the lease for two terms. Whether this begins now. Guards
-        against a process that takes the lease from the others again, and that keeps brokers while its
-        history stands still."""
+        """Stop requesting the lease for two terms after a disk failure; return whether the suspension is new.
+
+        Otherwise this process could take the lease from the others again, and keep its brokers while its
+        history makes no progress.
+        """
         newly_suspended = not self.is_suspended(now)
         self.suspended_until = now + 2 * self.lease_term
         return newly_suspended
 
     def apply_lease(self, now: int) -> None:
-        """Tell the replica what holds of the lease; it is asked for only where that could lead."""
+        """Pass the state of the lease to the replica; request the lease only while the replica could lead."""
         self._request_lease(now)
         grant = self.node.held_lease(PRIMARY_LEASE)
         if grant is None:
@@ -89,7 +95,7 @@
             (self.node.request_lease if is_eligible else self.node.release_group)(PRIMARY_LEASE)
 
     def report_contact(self, now: int, publisher: Publisher) -> None:
-        """Tell the publisher when a leader was heard last."""
+        """Report the time of the last contact with the leader to the publisher."""
         if self.is_leader:
             publisher.on_leader_contact(now, self.name)
         elif self.replica.leader and self.replica.leader != self.name:
--- a/cypressledge/controlplane/log_entries.py
+++ b/cypressledge/controlplane/log_entries.py
@@ -7,16 +7,16 @@
 from cypressledge.controlplane.messages import MAX_BATCH_BYTES, Change
 from cypressledge.controlplane.state import Position
 
-MAX_KEPT_ENTRIES = 1_024  # committed entries kept after a compaction, for voters that are a little behind
-MAX_KEPT_BYTES = 2 << 20  # of those entries, encoded
+MAX_KEPT_ENTRIES = 1_024  # committed entries kept after a compaction, for voters that are slightly behind
+MAX_KEPT_BYTES = 2 << 20  # bytes; total size of those entries, encoded
 
-NO_HISTORY = Position(0, -1)  # position of a log that holds not even the empty version 0
+NO_HISTORY = Position(0, -1)  # position of a log without even the empty version 0
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class LogEntries:
-    """The entries after the position `base`, without a gap."""
+    """The log entries that follow the position `base` without a gap."""
 
     __slots__ = ("_changes", "_sizes", "base")
 
@@ -28,21 +28,21 @@
 
     @property
     def last(self) -> Position:
-        """Position of the newest entry."""
+        """The position of the newest entry; `base` if there is none."""
         if not self._changes:
             return self.base
         newest = self._changes[-1]
         return Position(newest.epoch, newest.version)
 
     def epoch_at(self, version: int) -> int | None:
-        """The epoch of an entry, the base included; none where the version is not held here."""
+        """Return the epoch of the entry at a version or of the base; None if the version is not held."""
         index = version - self.base.version
         if version < 0 or not 0 <= index <= len(self._changes):
             return None
         return self._changes[index - 1].epoch if index else self.base.epoch
 
     def extend(self, changes: Sequence[Change]) -> None:
-        """Add changes that follow the last one."""
+        """Append changes that follow the last entry."""
         self._changes += changes
         self._sizes += [len(_encode(change)) for change in changes]
 
@@ -52,11 +52,11 @@
         del self._changes[start:], self._sizes[start:]
 
     def between(self, after_version: int, to_version: int) -> list[Change]:
-        """The entries after one version, up to another."""
+        """Return the entries after one version, up to and including another."""
         return self._changes[after_version - self.base.version : to_version - self.base.version]
 
     def batch_after(self, version: int) -> list[Change]:
-        """The entries after a version, up to `MAX_BATCH_BYTES` but at least one, if there is one."""
+        """Return entries after a version, up to `MAX_BATCH_BYTES` but at least one if there is one."""
         start = end = version - self.base.version
         total = 0
         while end < len(self._changes) and (end == start or total + self._sizes[end] <= MAX_BATCH_BYTES):
@@ -65,7 +65,7 @@
         return self._changes[start:end]
 
     def drop_compacted(self, commit: int) -> None:
-        """Drop all but the last committed entries, of which some are kept, and the uncommitted ones."""
+        """Drop old entries; keep the last committed ones, up to the limits, and all uncommitted ones."""
         committed = commit - self.base.version
         keep = total = 0
         while keep < min(committed, MAX_KEPT_ENTRIES):
--- a/cypressledge/controlplane/log_replication.py
+++ b/cypressledge/controlplane/log_replication.py
@@ -1,8 +1,9 @@
-"""Replication of a leader's log: what the leader sends and counts, and how a voter takes it.
+"""Replication of a leader's log: sending and counting by the leader, and receiving by the other voters.
 
-The method is Raft's (Ongaro and Ousterhout, 2014): entries follow a position that both hold, a mismatch takes
-the leader back, a snapshot replaces entries that are no longer kept, and what a majority has on disk in the
-leader's own epoch is committed. Guards are methods of their own, so that the tests can take each of them out.
+The algorithm is Raft's (Ongaro and Ousterhout, 2014): entries follow a position that both logs contain, a
+mismatch makes the leader continue from an earlier position, a snapshot replaces entries that are no longer
+kept, and an entry of the leader's own epoch is committed once a majority has it on disk. Each safety check is
+a method of its own, so that tests can disable it.
 """
 
 from typing import Protocol
@@ -25,25 +26,25 @@
 from cypressledge.controlplane.state_validation import find_conflicts, validate_change
 from cypressledge.controlplane.state_values import StateError
 
-RESEND_US = 1_000_000  # an AppendEntries that wasn't answered for so long is sent again
-SNAPSHOT_RESEND_US = 5_000_000  # the same for a snapshot, which takes longer on its way
-MAX_PENDING_PROPOSALS = 1_000  # guards against memory that grows while there is no majority
-FIRST_ENTRY_REASON = "a new primary"  # kept in the log: the same words as in earlier versions
+RESEND_US = 1_000_000  # µs; time until an unanswered AppendEntries is sent again
+SNAPSHOT_RESEND_US = 5_000_000  # µs; the same for a snapshot, which takes longer to transfer
+MAX_PENDING_PROPOSALS = 1_000  # bounds the memory used while there is no majority
+FIRST_ENTRY_REASON = "a new primary"  # stored in the log: the text must equal that of earlier versions
 FIRST_VERSION_REASON = "the first version"
 
 
 class LeaseHolder(Protocol):
-    """What decides whether this replica still leads."""
+    """The part of the replica that knows the lease and ends the leadership."""
 
     def holds_lease(self, now: int) -> bool:
-        """Whether the lease is held at a moment (µs)."""
+        """Return whether the lease is held at `now` (µs)."""
 
     def step_down(self, reason: str) -> None:
-        """Lead no more."""
+        """End the leadership; `reason` is reported."""
 
 
 class LeaderReplication:
-    """A leader's part, from its first entry until it steps down."""
+    """The leader's side of replication, from its first entry until it steps down."""
 
     def __init__(self, context: ReplicaContext, log: ReplicatedLog, lease_holder: LeaseHolder) -> None:
         self._context = context
@@ -51,14 +52,14 @@
         self._lease_holder = lease_holder
         self.is_active = True
         self.progress = {peer: PeerProgress(next_version=log.last.version) for peer in context.peers}
-        self.heartbeat_at = NEVER  # µs, when the last heartbeat was sent
+        self.heartbeat_at = NEVER  # µs; time of the last heartbeat
         self._proposals: dict[int, PendingProposal] = {}  # by version
-        self._epoch_start_version = 0  # the first version of the own epoch
+        self._epoch_start_version = 0  # the first version of this leader's epoch
 
     def write_first_entry(self) -> bool:
-        """The first entry of the own epoch, which commits all before it; whether it could be written."""
+        """Write the first entry of this epoch, which commits all before it; return whether it is stored."""
         ops, reason, first = [], FIRST_ENTRY_REASON, self._context.first_version
-        if not self._log.last.version and first:  # a first log of which only the empty version 0 was written
+        if not self._log.last.version and first:  # a new log that contains only the empty version 0
             ops, reason = first.ops, FIRST_VERSION_REASON
         change = self._log.append_next(ops, ChangeOrigin(reason=reason))
         if change is None:
@@ -67,19 +68,19 @@
         return True
 
     def start(self) -> None:
-        """Send the first entry to all."""
+        """Send a heartbeat and the first entry to all peers."""
         self._send_heartbeats()
         self._replicate()
 
     def stop(self) -> None:
-        """This replica leads no more: it is not known what becomes of the proposals."""
+        """End replication when this replica steps down; the outcome of open proposals becomes unknown."""
         self.is_active = False
         for proposal in self._proposals.values():
             proposal.state = ProposalState.UNKNOWN
         self._proposals.clear()
 
     def tick(self) -> int:
-        """Send what is due; when to be called again, µs."""
+        """Send due heartbeats and entries; return the time of the next call, µs."""
         if self._context.now >= self.heartbeat_at + HEARTBEAT_INTERVAL_US:
             self._send_heartbeats()
         for peer in self._context.peers:
@@ -89,7 +90,7 @@
     # Proposals
 
     def propose(self, ops: list[Op], base_version: int, origin: ChangeOrigin) -> PendingProposal:
-        """A change that someone asks for, who looked at `base_version`; see `Replica.propose`."""
+        """Propose a requested change that is based on `base_version`; see `Replica.propose`."""
         known = self._log.version_of_request(origin.request_id)
         if known is not None:
             return self._existing_proposal(known, origin.request_id, ops)
@@ -109,13 +110,13 @@
         return pending or PendingProposal(version, epoch, ProposalState.DONE)
 
     def propose_internal(self, ops: list[Op], reason: str, created_at_ms: int) -> PendingProposal:
-        """A change that the leader makes by itself. Raises `StateError`."""
+        """Propose a change that the leader itself originates. Raises `StateError`."""
         validate_change(self._log.latest_state, ops)
         origin = ChangeOrigin(author=self._context.name, reason=reason, created_at_ms=created_at_ms)
         return self._propose(ops, origin)
 
     def check_capacity(self) -> None:
-        """Raises `StateError` while too many proposals wait for a majority."""
+        """Raise `StateError` while too many proposals wait for a majority."""
         if len(self._proposals) >= MAX_PENDING_PROPOSALS:
             raise StateError(f"{MAX_PENDING_PROPOSALS} changes wait for a majority of the control processes")
 
@@ -131,13 +132,13 @@
     # Sending
 
     def _replicate(self) -> None:
-        """Send what is new, and see what is committed."""
+        """Send new entries to all peers and update the committed version."""
         for peer in self._context.peers:
             self._send_entries(peer)
         self._advance_commit()
 
     def _send_entries(self, peer: str) -> None:
-        """The next entries to a voter, unless some are in flight: one message is at a time."""
+        """Send the next entries or a snapshot to a voter, unless a message with some is in flight."""
         progress, log, now = self.progress[peer], self._log, self._context.now
         if progress.in_flight_end >= 0 and now < progress.resend_at:
             return
@@ -157,14 +158,14 @@
         self._context.send(peer, AppendEntries(log.epoch, epoch, after_version, changes, log.commit))
 
     def _send_heartbeats(self) -> None:
-        """A sign of life, which also finds out where a voter is."""
+        """Send heartbeats, whose answers also show how far each voter is."""
         self.heartbeat_at = self._context.now
         for peer, progress in self.progress.items():
             if self._log.entries.epoch_at(progress.next_version) is not None:
                 self._append(peer, progress.next_version, [])
 
     def _notify_commit(self, peer: str) -> None:
-        """What is committed, at once, to a voter that holds it."""
+        """Send a new committed version at once to a voter that already has its entries."""
         progress, log = self.progress[peer], self._log
         if (
             progress.notified_commit < min(log.commit, progress.match_version)
@@ -172,10 +173,10 @@
         ):
             self._append(peer, progress.match_version, [])
 
-    # Answers
+    # Answers of voters
 
     def on_entries_appended(self, sender: str, message: EntriesAppended) -> None:
-        """A voter has everything up to a version on its disk."""
+        """Record that a voter has everything up to a version on its disk."""
         if message.version > self._log.last.version:
             return
         self.progress[sender].acknowledged(message.version, message.joining)
@@ -185,17 +186,17 @@
             self._notify_commit(sender)
 
     def on_mismatch(self, sender: str, message: Mismatch) -> None:
-        """A voter has no such entry: go on behind a version that it may have."""
+        """Continue after an earlier version that the voter may have, since it lacks the previous entry."""
         progress = self.progress[sender]
         if message.version < 0 and progress.next_version < 0:
-            return  # guards against a snapshot for each repeat
+            return  # a repeated answer must not cause another snapshot
         progress.go_back(min(message.version, self._log.last.version))
         self._send_entries(sender)
 
     def _acknowledged_version(self, voter: str) -> int:
-        """The version that counts as being on a voter's disk.
+        """Return the version that counts as being on a voter's disk.
 
-        Guards against counting one that has forgotten what it promised or held.
+        It is -1 for a joining voter, which may have lost promises or entries.
         """
         if voter == self._context.name:
             return self._log.last.version
@@ -203,7 +204,7 @@
         return -1 if progress.joining else progress.match_version
 
     def _advance_commit(self) -> None:
-        """What a majority has on disk is committed, if it is of the own epoch."""
+        """Commit what a majority has on disk, if its newest entry is of this leader's epoch."""
         voters, now = self._context.voters, self._context.now
         version = sorted(map(self._acknowledged_version, voters), reverse=True)[len(voters) // 2]
         if version <= self._log.commit or not self._log.is_of_current_epoch(version):
@@ -223,14 +224,14 @@
 
 
 class FollowerReplication:
-    """A voter's part: it takes what the leader of its epoch sends, and answers."""
+    """A follower's side of replication: stores what the leader of its epoch sends, and answers."""
 
     def __init__(self, context: ReplicaContext, log: ReplicatedLog) -> None:
         self._context = context
         self._log = log
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
-        """Entries, a heartbeat or news of a commit from the leader."""
+        """Process entries, a heartbeat or a new committed version from the leader."""
         log = self._log
         if not log.contains(message.prev_epoch, message.prev_version):
             self._answer_mismatch(sender, message)
@@ -246,7 +247,7 @@
             self._answer_appended(sender, message.epoch, message.commit, matching)
 
     def _answer_mismatch(self, sender: str, message: AppendEntries) -> None:
-        """Where the leader may begin again: everything committed is the same there."""
+        """Answer with a version after which the leader can continue; committed entries equal the leader's."""
         log = self._log
         if not log.has_history:
             self._context.send(sender, Mismatch(message.epoch, -1))
@@ -255,10 +256,10 @@
         held_epoch = log.entries.epoch_at(prev_version)
         if held_epoch is not None and prev_version <= log.commit and log.commit >= 1:
             raise LogInvariantError(
-                f"version {prev_version}, committed, is of epoch {held_epoch} here, of "
+                f"committed version {prev_version} has epoch {held_epoch} here, but epoch "
                 f"{message.prev_epoch} at {sender}"
             )
-        # Guards against a first log that was never committed: version 0 is of another epoch there.
+        # This voter has a first log of which nothing was committed: its version 0 is of another epoch.
         is_other_first_log = log.commit < 1 and held_epoch is not None and not prev_version
         if is_other_first_log:
             version = -1
@@ -269,7 +270,7 @@
         self._context.send(sender, Mismatch(message.epoch, version))
 
     def on_install_snapshot(self, sender: str, message: InstallSnapshot) -> None:
-        """A snapshot from the leader, in place of entries that it no longer keeps."""
+        """Install a snapshot from the leader in place of entries that it no longer keeps."""
         try:
             snapshot = decompress_snapshot(message.compressed)
         except StateError as err:
--- a/cypressledge/controlplane/log_storage.py
+++ b/cypressledge/controlplane/log_storage.py
@@ -1,4 +1,4 @@
-"""What a voter keeps durably: the protocol that a disk implements, what it returns, and its error."""
+"""Durable storage of a voter: the storage protocol, the data that it returns, and its error."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple, Protocol
@@ -7,11 +7,11 @@
 
 
 class StorageError(Exception):
-    """The storage did not take or return something: it is full or damaged."""
+    """The storage could not write or read something: it is full or damaged."""
 
 
 class PromisedEpoch(NamedTuple):
-    """The epoch promised last, and to which process instance (0: to whoever leads that epoch)."""
+    """The epoch promised last and the process instance it was promised to (0: any leader of that epoch)."""
 
     epoch: int
     instance_id: int
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredLog:
-    """All that is stored. `base`: none before there is any history; `changes` follow it without a gap."""
+    """Everything that a voter stores.
+
+    `base` is None until there is a history; `changes` follow it without a gap.
+    """
 
     base: Snapshot | None = None
     changes: list[Change] = field(default_factory=list)
@@ -39,16 +42,16 @@
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether it holds so many changes that `compact` is due."""
+        """Whether so many changes are stored that `compact` is due."""
 
     def load(self) -> StoredLog:
-        """Everything that is stored."""
+        """Return everything that is stored."""
 
     def promise(self, epoch: int, instance_id: int) -> None:
-        """Store which epoch was promised, and to which instance (0: to whoever leads that epoch)."""
+        """Store the promised epoch and the instance it is promised to (0: any leader of that epoch)."""
 
     def append(self, changes: list[Change]) -> None:
-        """Store changes that follow the last one."""
+        """Store changes that follow the last stored one."""
 
     def truncate(self, after_version: int) -> None:
         """Drop the changes after a version."""
@@ -57,10 +60,10 @@
         """Store that everything up to this version is known to be committed."""
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace all history by a committed snapshot."""
+        """Replace the complete history by a committed snapshot."""
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Replace the changes up to a snapshot's version by the snapshot; later ones stay."""
+        """Replace the changes up to a snapshot's version by the snapshot; keep later changes."""
 
     def joined(self) -> None:
         """Store that this replica counts in majorities again."""
--- a/cypressledge/controlplane/non_voting_replica.py
+++ b/cypressledge/controlplane/non_voting_replica.py
@@ -1,6 +1,7 @@
-"""What a control process that doesn't vote has in place of a `Replica`: it follows a voter, as a broker does.
+"""The replica of a control process that does not vote: it follows a voter in the same way as a broker.
 
-It keeps nothing on a disk, promises nothing and never leads; what it hands on was committed when it came.
+It stores nothing on disk, makes no promises and never leads. Everything that it receives and passes on is
+already committed.
 """
 
 from typing import Any
@@ -18,11 +19,11 @@
 from cypressledge.controlplane.subscriber import BrokerIdentity
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 
-TICK_INTERVAL_US = 500_000
+TICK_INTERVAL_US = 500_000  # µs; time between ticks
 
 
 class NonVotingReplica:
-    """Answers what is asked of a `Replica`. `on_commit` as there; `log`: a structured logger."""
+    """A replica with the interface of `Replica`; `on_commit` is the same, `log` is a structured logger."""
 
     role = Role.FOLLOWER
     joining = False
@@ -39,8 +40,8 @@
         on_commit: CommitHandler,
     ) -> None:
         self.epoch = 0
-        self.leader = ""  # the last one known; empty: none
-        self.last_leader_contact = NEVER  # µs
+        self.leader = ""  # name of the last known leader; empty if there is none
+        self.last_leader_contact = NEVER  # µs; time of the last contact with a leader
         self._on_commit = on_commit
         voters = msgspec.structs.replace(settings, servers=[s for s in settings.servers if s.votes])
         self._subscriber = SubscriberClient(
@@ -60,28 +61,28 @@
 
     @property
     def cluster_id(self) -> str:
-        """Of the history held."""
+        """The identity of the history that this process follows."""
         return self._subscriber.state.cluster_id
 
     @property
     def latest_state(self) -> FleetState:
-        """The newest state held; all of it is committed."""
+        """The newest state received; all of it is committed."""
         return self._subscriber.state
 
     def permit_first_version(self, cluster_id: str, ops: list[Op]) -> None:
-        """Raises `NotLeaderError`: only voters start a new log."""
+        """Raise `NotLeaderError`: only voters start a new log."""
         raise NotLeaderError(self.leader)
 
     def is_eligible(self, now: int) -> bool:
-        """Whether this replica could lead: never."""
+        """Return whether this replica could lead: never."""
         return False
 
     def update_lease(self, now: int, token: int | None, until: int) -> bool:
-        """Whether the lease is of use here: never."""
+        """Return whether this replica can use the lease: never."""
         return False
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """Ignore what voters tell each other."""
+        """Ignore the messages that voters exchange."""
 
     def propose(
         self,
@@ -93,17 +94,17 @@
         reason: str = "",
         created_at_ms: int = 0,
     ) -> PendingProposal:
-        """Raises `NotLeaderError`."""
+        """Raise `NotLeaderError`: this replica never leads."""
         raise NotLeaderError(self.leader)
 
     def propose_internal(
         self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
     ) -> PendingProposal:
-        """Raises `NotLeaderError`."""
+        """Raise `NotLeaderError`: this replica never leads."""
         raise NotLeaderError(self.leader)
 
     def tick(self, now: int) -> int:
-        """Learn from the voter that is followed when a leader was last heard; the next tick's moment, µs."""
+        """Update the last contact with a leader from the followed voter; return the next tick's time, µs."""
         status = self._subscriber.status()
         if status.leader:
             self.leader = status.leader
@@ -112,7 +113,7 @@
         return now + TICK_INTERVAL_US
 
     def status(self, now: int) -> ReplicaStatus:
-        """As of now (µs)."""
+        """Return the status of this replica at `now` (µs)."""
         state = self._subscriber.state
         contact_at = self.last_leader_contact
         return ReplicaStatus(
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -1,7 +1,7 @@
 """The connections between control processes. Uses gevent.
 
-Each process sends over the connection that it dialled itself, and only receives over the other: two
-processes that dial each other at once need no rule which connection stays.
+Each process sends over the connection that it dialled itself and only receives over the other one, so two
+processes that dial each other at the same time need no rule about which connection to keep.
 """
 
 from collections.abc import Callable
@@ -35,13 +35,13 @@
 from cypressledge.controlplane.settings import ServerSpec
 from cypressledge.controlplane.traffic_counters import TrafficCounters
 
-BACKOFF_MIN_S, BACKOFF_MAX_S = 0.05, 1.0  # between attempts to reach a peer, doubling
-REJECTED_RETRY_MS = 1_000  # that a rejected peer stays away
-FLUSH_TIMEOUT_S = 1.0  # for a frame to leave before the laboratory's fault
+BACKOFF_MIN_S, BACKOFF_MAX_S = 0.05, 1.0  # s; time between attempts to reach a peer, doubled each time
+REJECTED_RETRY_MS = 1_000  # ms; time after which a rejected peer may reconnect
+FLUSH_TIMEOUT_S = 1.0  # s; maximum time for sending a frame before an injected fault takes effect
 
 
 class ClusterIdentity(Protocol):
-    """Who knows which history this process belongs to."""
+    """Provides the identity of the history that this process belongs to."""
 
     @property
     def cluster_id(self) -> str:
@@ -49,20 +49,20 @@
 
 
 class PeerHandler(Protocol):
-    """Who takes what other control processes send, called in the owner's greenlet; `now` in µs."""
+    """Callbacks for peers' messages and connections, run by the process's main greenlet; `now` is in µs."""
 
     def received(self, now: int, peer: str, message: Message) -> None:
-        """A message of a peer."""
+        """Process a message from a peer."""
 
     def disconnected(self, now: int, peer: str) -> None:
-        """A peer's connection to here has ended: nothing is heard of it until the next one."""
+        """Handle the end of a peer's incoming connection: no messages arrive until the next one."""
 
     def reachable(self, now: int, peer: str) -> None:
-        """A connection to a peer is up. What was sent over the previous one may be lost."""
+        """Handle a new outgoing connection to a peer; messages sent over the previous one may be lost."""
 
 
 class PeerSender:
-    """The connections that were dialled here, to send over."""
+    """Sends messages over the connections that this process dialled."""
 
     def __init__(self, counters: Counters, faults: FaultInjection) -> None:
         self._counters, self._faults = counters, faults
@@ -70,22 +70,22 @@
 
     @property
     def reachable(self) -> frozenset[str]:
-        """Names of the peers to whom there is a connection."""
+        """The names of the peers to which there is a connection."""
         return frozenset(self._connections)
 
     def add(self, peer: str, frames: FramedConnection) -> None:
-        """A new connection."""
+        """Use a new connection for a peer."""
         self._connections[peer] = frames
 
     def remove(self, peer: str, frames: FramedConnection) -> bool:
-        """A connection has ended; whether it was the one in use."""
+        """Remove an ended connection; return whether it was the one in use."""
         if self._connections.get(peer) is not frames:
             return False
         del self._connections[peer]
         return True
 
     def send(self, peer: str, message: Message) -> None:
-        """Queue a message; dropped where there is no connection: whoever sends repeats it."""
+        """Queue a message for a peer; without a connection it is dropped, and the caller has to repeat it."""
         frames = self._connections.get(peer)
         if frames is None:
             self._counters.add("control.peer_unreachable")
@@ -100,18 +100,24 @@
 
     @staticmethod
     def _counts_for_fault(message: Message) -> bool:
-        """Of AppendEntries only those with an operator's change count: signs of life come at any moment."""
+        """Return whether fault injection counts a message.
+
+        An `AppendEntries` counts only with an operator's change, because heartbeats are sent at any time.
+        """
         return not isinstance(message, AppendEntries) or any(change.request_id for change in message.changes)
 
     def finish(self) -> None:
-        """Nothing more is sent."""
+        """Finish sending on all connections."""
         for frames in self._connections.values():
             frames.finish_sending()
 
 
 @dataclass(frozen=True, slots=True)
 class PeerHandshake:
-    """Says and checks who is at the two ends of a connection. `cluster`: who knows the history's identity."""
+    """Creates and checks the first frames of a connection between control processes.
+
+    `cluster` provides the identity of this process's history.
+    """
 
     name: str
     instance_id: int
@@ -121,7 +127,7 @@
     events: ProcessEvents
 
     def hello(self) -> Hello:
-        """The first frame over a connection that is dialled here."""
+        """Return the first frame for a connection that this process dials."""
         state = self.history.state
         return Hello(
             FORMAT,
@@ -135,11 +141,11 @@
         )
 
     def answer(self) -> HelloAccepted:
-        """The first frame over a connection that is taken."""
+        """Return the first frame for a connection that this process accepts."""
         return HelloAccepted(self.name, self.instance_id, self.cluster.cluster_id)
 
     def rejection_reason(self, hello: Hello) -> str:
-        """Why a control process is rejected; empty: it isn't."""
+        """Return why a peer is rejected; an empty string if it is accepted."""
         if hello.format != FORMAT:
             return "format"
         if hello.name == self.name or hello.name not in self.server_names:
@@ -147,14 +153,14 @@
         return "lineage" if self._is_other_history(hello.cluster_id) else ""
 
     def check_answer(self, peer: str, message: Message | None) -> None:
-        """Raises `ConnectionEndedError` unless the other end is who it should be."""
+        """Raise `ConnectionEndedError` unless the answer is from the expected peer of the same cluster."""
         if isinstance(message, Disconnect):
             raise ConnectionEndedError(f"peer disconnected: {message.reason}")
         if not isinstance(message, HelloAccepted) or message.name != peer:
             raise ConnectionEndedError("no answer to hello")
         if self._is_other_history(message.cluster_id):
             self.events.emit("peer_rejected", peer=peer, why="lineage", lineage=message.cluster_id)
-            raise ConnectionEndedError("other cluster")
+            raise ConnectionEndedError(f"peer belongs to another cluster, {message.cluster_id!r}")
 
     def _is_other_history(self, cluster_id: str) -> bool:
         own = self.cluster.cluster_id
@@ -163,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerDialer:
-    """Keeps a connection to each other control process, to send over."""
+    """Maintains an outgoing connection to each other control process."""
 
     handshake: PeerHandshake
     sender: PeerSender
@@ -174,7 +180,7 @@
     log: EventLogger
 
     def maintain(self, peer: ServerSpec, is_stopping: Callable[[], bool]) -> None:
-        """A greenlet: dials one peer again and again until this process stops."""
+        """Keep dialling one peer until this process stops; runs as a greenlet."""
         backoff = BACKOFF_MIN_S
         while not is_stopping():
             frames = None
@@ -200,14 +206,17 @@
 
 
 class PeerReceiver:
-    """The connections that other control processes dialled, to receive over."""
+    """Receives messages over the connections that other control processes dialled."""
 
     def __init__(self, handshake: PeerHandshake, handler: PeerHandler, inbox: Inbox) -> None:
         self._handshake, self._handler, self._inbox = handshake, handler, inbox
         self._connections: dict[str, FramedConnection] = {}
 
     def serve(self, hello: Hello, frames: FramedConnection) -> None:
-        """Read what a peer sends until its connection ends. Raises `ConnectionEndedError` then."""
+        """Read a peer's messages until its connection ends, then raise `ConnectionEndedError`.
+
+        Returns without reading if the peer is rejected.
+        """
         why = self._handshake.rejection_reason(hello)
         if why:
             self._handshake.events.emit("peer_rejected", peer=hello.name, why=why, lineage=hello.cluster_id)
@@ -230,6 +239,6 @@
                 self._inbox.put(self._handler.disconnected, hello.name)
 
     def finish(self) -> None:
-        """Nothing more is sent over them either."""
+        """Finish sending on all incoming connections."""
         for frames in self._connections.values():
             frames.finish_sending()
--- a/cypressledge/controlplane/proposals.py
+++ b/cypressledge/controlplane/proposals.py
@@ -1,4 +1,4 @@
-"""What becomes of a change that was proposed to the leader."""
+"""Changes proposed to the leader: their origin and their outcome."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,7 +6,7 @@
 
 
 class ChangeOrigin(NamedTuple):
-    """Where a change comes from; the same fields as in `Change`. Internal changes have no request id."""
+    """The origin of a change, with the same fields as in `Change`. Internal changes have no request id."""
 
     request_id: str = ""
     author: str = ""
@@ -15,16 +15,16 @@
 
 
 class ProposalState(StrEnum):
-    """What became of a proposed change."""
+    """The outcome of a proposed change."""
 
-    OPEN = "open"  # it waits for a majority
-    DONE = "done"  # it is committed
-    UNKNOWN = "unknown"  # the leader stepped down: asking again with the same request id tells
+    OPEN = "open"  # waiting for a majority
+    DONE = "done"  # committed
+    UNKNOWN = "unknown"  # the leader stepped down: repeating the request with the same id gives the outcome
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A proposed change and what becomes of it."""
+    """The position of a proposed change and its outcome."""
 
     version: int
     epoch: int
--- a/cypressledge/controlplane/replica.py
+++ b/cypressledge/controlplane/replica.py
@@ -1,13 +1,14 @@
-"""One replica of the fleet's replicated log: its role, and the entry point of messages, time and changes.
+"""One replica of the fleet's replicated log: its role, and the entry point for messages, time and changes.
 
-No I/O but for the storage it is given; it is told the time (µs, on the process's own clock). The method is
-Raft's log (Ongaro and Ousterhout, 2014) with the lease `primary` in place of elections: its token is the
-term, named epoch here. Safety rests on the promises and the log alone; a wrong lease costs attempts, never
-history. The argument is in docs/controlplane.md. Guards are methods of their own, so that the tests can take
-each of them out.
+It does no I/O except through the storage that it is given, and every call passes the current time (µs, on the
+process's own clock). The algorithm is Raft's log replication (Ongaro and Ousterhout, 2014) with the lease
+`primary` in place of elections: the lease's token is the term, which is called epoch here. Safety depends on
+the promises and the log alone: a wrong lease causes failed attempts but never loses history. The safety
+argument is in docs/controlplane.md. Each safety check is a method of its own, so that tests can disable it.
 
-`replicated_log.py` has what is held, `leader_role.py` what is done with the lease, `leader_recovery.py` the
-way from a lease to the newest log, `log_replication.py` the way of an entry to a majority.
+`replicated_log.py` holds the log and the states built from it, `leader_role.py` acts on the lease,
+`leader_recovery.py` brings a new lease holder up to the newest log, and `log_replication.py` replicates
+entries to a majority.
 """
 
 from collections.abc import Mapping
@@ -50,11 +51,11 @@
 
 
 class Replica:
-    """A voter, and the leader while it holds the lease.
+    """A voter, which is the leader while it holds the lease.
 
-    `joining`: this voter has lost its disk, or has an old one; `quarantine_us`: how long one that joins
-    sends nothing, the longest term of the lease. Raises `StorageError` where the storage can't be read at the
-    start, `LogInvariantError` at any call.
+    `joining` is true if this voter has lost its disk or runs on an old copy. `quarantine_us` is how long a
+    joining voter sends nothing: the longest term of the lease, in µs. The constructor raises `StorageError`
+    if the storage cannot be read; any call can raise `LogInvariantError`.
     """
 
     def __init__(
@@ -74,69 +75,69 @@
         self._quarantined_until = now + quarantine_us if self.log.joining else NEVER
         self._leader_role = LeaderRole(self._context, self.log)
         self._follower_replication = FollowerReplication(self._context, self.log)
-        self.last_leader_contact = NEVER  # µs
+        self.last_leader_contact = NEVER  # µs; time of the last contact with a leader
 
     def _on_storage_failure(self) -> None:
         self._leader_role.step_down("disk")
 
     @property
     def role(self) -> Role:
-        """What this replica is now."""
+        """The current role of this replica."""
         return self._context.role
 
     @property
     def leader(self) -> str:
-        """The last leader known; empty: none."""
+        """The name of the last known leader; empty if there is none."""
         return self._context.leader
 
     @property
     def lease_until(self) -> int:
-        """Until when the lease is held here, µs."""
+        """The time at which the lease held by this replica expires, µs."""
         return self._leader_role.lease_until
 
     @property
     def epoch(self) -> int:
-        """The epoch promised last; the own one, unless this is a follower."""
+        """The epoch promised last; for a candidate or leader, its own epoch."""
         return self.log.epoch
 
     @property
     def joining(self) -> bool:
-        """Whether this voter has lost its disk, or has an old one, and does not count yet."""
+        """Whether this voter lost its disk or runs on an old copy, and does not count in majorities yet."""
         return self.log.joining
 
     @property
     def cluster_id(self) -> str:
-        """Of the history held; empty before any of it is known to be committed."""
+        """The identity of the stored history; empty until some of it is known to be committed."""
         return self.log.cluster_id
 
     @property
     def latest_state(self) -> FleetState:
-        """The state with all entries, committed or not; only where there is a history."""
+        """The state after all entries, committed or not. Raises `LogInvariantError` without a history."""
         return self.log.latest_state
 
     @property
     def progress(self) -> Mapping[str, PeerProgress]:
-        """By name, how far each other voter is, while this replica leads or is about to."""
+        """Replication progress of each other voter by name, while this replica leads or is about to lead."""
         return self._leader_role.progress
 
-    # The lease
+    # Lease handling
 
     def permit_first_version(self, cluster_id: str, ops: list[Op]) -> None:
-        """Permit to start a new log, should a majority be empty. Raises `StateError`."""
+        """Permit this replica to start a new log if a majority of voters is empty. Raises `StateError`."""
         validate_change(FleetState(cluster_id), ops)
         self._context.first_version = FirstVersion(cluster_id, ops)
 
     def is_eligible(self, now: int) -> bool:
-        """Whether this replica could lead: it makes no sense to ask for the lease otherwise."""
+        """Return whether this replica could lead; if it could not, the lease should not be requested."""
         if self.log.joining or self._is_quarantined(now) or self.log.needs_reload:
             return False
         return self.log.has_history or self._context.first_version is not None
 
     def update_lease(self, now: int, token: int | None, until: int) -> bool:
-        """Tell what is known of the lease now: its token, where it is held here, and until when (µs).
+        """Process the current state of the lease: its token (None if not held here) and its expiry (µs).
 
-        Answers whether it is of use: one that isn't should be given back, to be had again with a higher
-        token.
+        Returns whether this replica can use the lease. A lease that it cannot use should be released, so that
+        it can be acquired again with a higher token.
         """
         self._context.now = now
         leader_role = self._leader_role
@@ -153,13 +154,17 @@
         return leader_role.take_over(token)
 
     def _is_quarantined(self, now: int) -> bool:
-        """Guards against a promise that was lost with the disk, until its leader has lost the lease."""
+        """Return whether this joining voter must still send nothing.
+
+        A promise may have been lost with the disk. The quarantine lasts until the lease of the leader that
+        received the promise has expired.
+        """
         return now < self._quarantined_until
 
-    # Messages
+    # Message handling
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """Take a message of another control process; those of no voter are ignored."""
+        """Process a message from another control process; messages from non-voters are ignored."""
         self._context.now = now
         if sender not in self._context.peers or self._is_quarantined(now):
             return
@@ -178,7 +183,7 @@
             self._deny(sender, "disk")
 
     def _on_request(self, sender: str, message: Message) -> None:
-        """What a candidate or leader says, or a refusal."""
+        """Dispatch a candidate's or leader's request, or a voter's `Denied`."""
         if isinstance(message, AppendEntries):
             if self._accepts_leader(sender, message.epoch):
                 self._follower_replication.on_append_entries(sender, message)
@@ -204,7 +209,10 @@
             self._context.send(sender, self.log.promise_message())
 
     def _accepts_leader(self, sender: str, epoch: int) -> bool:
-        """Whether what the leader of an epoch says is to be taken: it is the one that is heard from now."""
+        """Return whether messages from the leader of `epoch` are accepted; if so, follow that leader.
+
+        A stale epoch is answered with `Denied`. Raises `LogInvariantError` if the epoch has two leaders.
+        """
         if self.log.is_stale(epoch):
             self._deny(sender)
             return False
@@ -217,7 +225,7 @@
         self._context.leader, self.last_leader_contact = sender, self._context.now
         return True
 
-    # Changes
+    # Proposing changes
 
     def propose(
         self,
@@ -229,9 +237,9 @@
         reason: str = "",
         created_at_ms: int = 0,
     ) -> PendingProposal:
-        """A change that someone asks for, who looked at `base_version`; `created_at_ms`: wall clock.
+        """Propose a requested change that is based on `base_version`; `created_at_ms` is the wall clock.
 
-        A repeated request is answered with what the first became. Raises `NotLeaderError`, `StateError`,
+        A repeated request returns the proposal of the first one. Raises `NotLeaderError`, `StateError`,
         `VersionConflictError`.
         """
         self._context.now = now
@@ -242,14 +250,14 @@
     def propose_internal(
         self, now: int, ops: list[Op], reason: str = "", created_at_ms: int = 0
     ) -> PendingProposal:
-        """A change that the leader makes by itself. Raises `NotLeaderError`, `StateError`."""
+        """Propose a change that the leader itself originates. Raises `NotLeaderError`, `StateError`."""
         self._context.now = now
         return self._leader_role.require_leader_replication().propose_internal(ops, reason, created_at_ms)
 
-    # Time
+    # Timers and status
 
     def tick(self, now: int) -> int:
-        """Do what is due; when to be called again at the latest, µs."""
+        """Perform the actions that are due; return the latest time for the next call, µs."""
         self._context.now = now
         if self._is_quarantined(now):
             return self._quarantined_until
@@ -257,7 +265,7 @@
         return self._leader_role.tick()
 
     def status(self, now: int) -> ReplicaStatus:
-        """As of now (µs)."""
+        """Return the status of this replica at `now` (µs)."""
         if self.role is Role.LEADER:
             silence_ms = 0
         elif self.last_leader_contact == NEVER:
--- a/cypressledge/controlplane/replica_context.py
+++ b/cypressledge/controlplane/replica_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one replica share: its name and voters, the time, its role, and the ways out."""
+"""State shared by the parts of one replica: its name and voters, the time, its role and its callbacks."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -6,12 +6,12 @@
 
 from cypressledge.controlplane.messages import Change, Message, Op, Snapshot
 
-NEVER = -(1 << 62)  # µs: a moment before all others
-HEARTBEAT_INTERVAL_US = 500_000  # between a leader's heartbeats, and repeats of a candidate's requests
+NEVER = -(1 << 62)  # µs; earlier than any other time
+HEARTBEAT_INTERVAL_US = 500_000  # µs; time between a leader's heartbeats and between a candidate's retries
 
 
 class Role(StrEnum):
-    """Raft's roles; the values are the words of operators' calls and events."""
+    """Raft's roles; the values are the names that operator calls and events use."""
 
     FOLLOWER = "standby"
     CANDIDATE = "recovering"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaIdentity:
-    """Who a replica is, and the names of all voters, its own among them."""
+    """A replica's name and process instance, and the names of all voters including its own."""
 
     name: str
     instance_id: int
@@ -32,20 +32,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaHandlers:
-    """The ways out of a replica; none may call back into it.
+    """Callbacks of a replica; none of them may call back into it.
 
-    `on_commit(changes, None)` or `on_commit(None, snapshot)` is called as versions become committed here, at
-    the start too.
+    `on_commit(changes, None)` or `on_commit(None, snapshot)` is called when versions become committed here,
+    also during construction.
     """
 
-    send: Callable[[str, Message], None]  # to a peer
+    send: Callable[[str, Message], None]  # sends a message to a peer
     on_commit: CommitHandler
-    report: Callable[..., None]  # an event by name, with its fields
+    report: Callable[..., None]  # reports an event by name, with its fields
 
 
 @dataclass(frozen=True, slots=True)
 class FirstVersion:
-    """Permission to start a new replicated log, should a majority be empty: its name and first changes."""
+    """Permission to start a new replicated log if a majority is empty: its identity and first operations."""
 
     cluster_id: str
     ops: list[Op]
@@ -53,10 +53,10 @@
 
 @dataclass(slots=True)
 class ReplicaContext:
-    """Shared by the parts of one replica, which alone change what is not fixed at the start.
+    """State shared by the parts of one replica; only they modify its variable fields.
 
-    `send(peer, message)` and `report(event, **fields)` must not call back into the replica. `now` is µs on
-    the process's own clock, set at each call from outside.
+    `send(peer, message)` and `report(event, **fields)` must not call back into the replica. `now` is in µs on
+    the process's own clock and is set by each external call.
     """
 
     name: str
@@ -66,7 +66,7 @@
     report: Callable[..., None]
     now: int
     role: Role = Role.FOLLOWER
-    leader: str = ""  # the last one known; empty: none
+    leader: str = ""  # name of the last known leader; empty if there is none
     first_version: FirstVersion | None = None
     peers: tuple[str, ...] = field(init=False)
 
@@ -74,5 +74,5 @@
         self.peers = tuple(voter for voter in self.voters if voter != self.name)
 
     def is_majority(self, count: int) -> bool:
-        """Guards against two halves of the voters that have nobody in common."""
+        """Return whether `count` voters are a majority; any two majorities share at least one voter."""
         return count > len(self.voters) // 2
--- a/cypressledge/controlplane/replica_status.py
+++ b/cypressledge/controlplane/replica_status.py
@@ -1,14 +1,15 @@
-"""What a replica tells of itself."""
+"""The status that a replica reports."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """For operators' calls and counters.
+    """Status of a replica, for operator calls and counters.
 
-    `match`: by voter, the version known to be on its disk (-1: none known), while this is the leader.
-    `leader_silence_ms`: since a leader was last heard from; -1: never.
+    `match` maps each voter to the version known to be on its disk (-1 if none is known); it is filled while
+    this replica is the leader. `leader_silence_ms` is the time since the last contact with a leader, -1 if
+    there has been none.
     """
 
     role: str
--- a/cypressledge/controlplane/sqlite_storage.py
+++ b/cypressledge/controlplane/sqlite_storage.py
@@ -1,10 +1,11 @@
-"""A voter's durable log (`log_storage.py`) in one sqlite file, each change with a digest of its own.
-
-WAL with synchronous=FULL: a step is on the disk when its call returns, completely or not at all. What was cut
-off, garbled or mixed is found at the start and refused: the file holds one snapshot and the changes behind it
-without a gap, all of them with digests (BLAKE2b-128, against faults and not forgers), up to a last version
-that another row names. Two things can't be told from what a power cut leaves, and are an earlier state: a log
-without its end, and damage to the last step in it. Then, as when an old copy was put back: --rejoin.
+"""A voter's durable log (`log_storage.py`) in one sqlite file, where each change has its own digest.
+
+WAL mode with synchronous=FULL: a step is on the disk when its call returns, either completely or not at all.
+A truncated, corrupted or mixed file is detected at the start and rejected: the file holds one snapshot and
+the changes after it without a gap, all with digests (BLAKE2b-128, which detects faults but does not withstand
+forgery), up to a last version that the header row names. Two kinds of damage cannot be distinguished from the
+effects of a power failure and are read as an earlier state: a write-ahead log without its end, and damage to
+its last step. In these cases, as after restoring an old copy, the process has to be started with --rejoin.
 """
 
 import sqlite3
@@ -20,13 +21,13 @@
 from cypressledge.controlplane.sqlite_file import SqliteFile
 from cypressledge.controlplane.sqlite_wal import count_transactions_after_damage
 
-FORMAT = 1  # of the file
-COMPACTION_CHANGES = 8_192  # changes behind the snapshot from which a compaction is due
-COMPACTION_BYTES = 16 << 20  # or so many bytes of them
-DIGEST_BYTES = 16  # of a row
-ALL_VERSIONS = 1 << 62  # above each version
+FORMAT = 1  # version of the file format
+COMPACTION_CHANGES = 8_192  # a compaction is due above this number of changes after the snapshot
+COMPACTION_BYTES = 16 << 20  # bytes; a compaction is due above this size of the changes, too
+DIGEST_BYTES = 16  # bytes; size of a row's digest
+ALL_VERSIONS = 1 << 62  # higher than any version
 
-# Rows besides the changes:
+# Names of the rows in the table `rows`:
 HEADER_ROW = "mark"
 SNAPSHOT_ROW = "base"
 
@@ -36,19 +37,19 @@
 
 
 class StorageUnusableError(Exception):
-    """The file can't be used: one plain line that says what to do."""
+    """The file cannot be used; the message is one line that tells the operator what to do."""
 
 
 class OpenMode(StrEnum):
-    """What the start's flags allow."""
+    """The files that the start options allow."""
 
-    EXISTING = ""  # a file that holds a history, or joins one
-    FIRST = "first"  # the same, or a new file that holds none yet
-    REJOIN = "rejoin"  # a new file, or one that was put back: it joins
+    EXISTING = ""  # a file that holds a history or is joining one
+    FIRST = "first"  # the same, or a new file without a history
+    REJOIN = "rejoin"  # a new file or a restored old copy, which then joins
 
 
 class StorageHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The row that says what the others must be."""
+    """The header row, which describes what the other rows must contain."""
 
     format: int
     name: str
@@ -71,9 +72,10 @@
 
 
 class SqliteStorage:
-    """A `LogStorage`. Its calls raise `StorageError`, and work again once the disk does.
+    """A `LogStorage` in a sqlite file; the constructor raises `StorageUnusableError`.
 
-    `before_step(step)` is called before each durable step, for tests. Raises `StorageUnusableError`.
+    Its calls raise `StorageError` and succeed again once the disk works again. `before_step(step)` is called
+    before each durable step, for tests.
     """
 
     def __init__(
@@ -84,7 +86,7 @@
         before_step: Callable[[str], None] = _ignore_step,
     ) -> None:
         self.path = Path(path)
-        self.change_count = self.change_bytes = 0  # of the changes behind the snapshot
+        self.change_count = self.change_bytes = 0  # number and bytes of the changes after the snapshot
         self._name = name
         self._header = StorageHeader(FORMAT, name)
         mode = OpenMode(mode)
@@ -106,10 +108,10 @@
             raise
         self._check_mode(mode)
 
-    # Opening
+    # Opening the file
 
     def _check_files(self, is_new: bool, mode: OpenMode) -> None:
-        """What can be said before sqlite opens the file. Raises `StorageUnusableError`."""
+        """Check the files before sqlite opens them. Raises `StorageUnusableError`."""
         path = self.path
         if is_new and mode is OpenMode.EXISTING:
             raise StorageUnusableError(
@@ -117,27 +119,28 @@
                 "--first if there has never been a history."
             )
         if is_new and any(Path(f"{path}{suffix}").exists() for suffix in ("-wal", "-journal")):
-            # Guards against a log that belonged to the file that is lost: sqlite would take or drop it.
+            # The log belongs to the lost file: sqlite would apply it to the new file or delete it.
             raise StorageUnusableError(
-                f"{path}: only a log of it is left. Move that away and start with --rejoin."
+                f"{path}: the file is missing, only a log of it is left. Move the log away and start with "
+                "--rejoin."
             )
         wal = Path(f"{path}-wal")
         if wal.exists() and count_transactions_after_damage(wal.read_bytes()) > 1:
-            raise StorageUnusableError(self._describe_failure("its log is garbled"))
+            raise StorageUnusableError(self._describe_failure("its write-ahead log is corrupted"))
 
     def _describe_failure(self, err: Exception | str) -> str:
-        """What an operator has to do where the file can't be read."""
+        """Return why the file cannot be read and what the operator has to do."""
         if "locked" in str(err):
-            return f"{self.path}: another process has it open. Stop that one first."
+            return f"{self.path}: another process has it open. Stop that process first."
         return (
             f"{self.path}: damaged ({err}). Move it and its -wal file away and start with --rejoin, "
             "while a majority of the control processes runs."
         )
 
     def _prepare(self, is_new: bool, mode: OpenMode) -> None:
-        """Set sqlite up, make the tables where there are none, and have it check the file."""
+        """Configure sqlite, create the tables if there are none, and check the file's integrity."""
         self._file.configure(is_new)
-        # One that was stopped before its tables were there is new too.
+        # A file whose process was stopped before it created the tables is new, too.
         if mode is not OpenMode.EXISTING and not self._file.has_tables():
             self._create_tables()
         self._file.check()
@@ -153,7 +156,7 @@
             self._put(HEADER_ROW, _encode(self._header))
 
     def _check_mode(self, mode: OpenMode) -> None:
-        """Whether a file without a history may be used."""
+        """Check whether the mode allows a file without a history; raise `StorageUnusableError` otherwise."""
         if mode is OpenMode.REJOIN:
             if not self._header.joining:
                 self._replace_header("rejoin", joining=True)
@@ -165,7 +168,7 @@
             )
 
     def close(self) -> None:
-        """Close the file; no call follows."""
+        """Close the file; the storage cannot be used afterwards."""
         self._file.close()
 
     # Rows
@@ -178,7 +181,7 @@
         if row is None:
             return None
         if _digest(row[0]) != row[1]:
-            raise StorageError(f"the digest of its {name} differs")
+            raise StorageError(f"the digest of row {name!r} does not match its body")
         return row[0]
 
     def _replace_header(self, step: str, **fields: object) -> None:
@@ -190,7 +193,7 @@
     # Loading
 
     def load(self) -> StoredLog:
-        """See `LogStorage`; everything is read from the file and checked."""
+        """See `LogStorage.load`; everything is read from the file and checked."""
         try:
             return self._load()
         except (sqlite3.Error, StorageUnusableError) as err:
@@ -200,14 +203,14 @@
         try:
             body = self._get(HEADER_ROW)
             if body is None:
-                raise StorageError("a row is lost")
+                raise StorageError(f"row {HEADER_ROW!r} is missing")
             self._header = header = _decode_header(body)
             self._check_format_and_name()
             base = self._get(SNAPSHOT_ROW)
             snapshot = None if base is None else _decode_snapshot(base)
             changes = list(self._load_changes(-1 if snapshot is None else snapshot.version))
         except (msgspec.MsgspecError, RecursionError, TypeError, ValueError) as err:
-            raise StorageError(f"a row can't be read: {err}") from None
+            raise StorageError(f"a row cannot be decoded: {err}") from None
         self._check_complete(snapshot, changes)
         promised = PromisedEpoch(header.epoch, header.instance_id)
         return StoredLog(snapshot, changes, header.commit, promised, header.joining)
@@ -216,25 +219,26 @@
         header = self._header
         if header.format != FORMAT:
             raise StorageUnusableError(
-                f"{self.path}: of format {header.format}, this program's is {FORMAT}. Start "
-                "the program that wrote it."
+                f"{self.path}: it has file format {header.format}, this program supports {FORMAT}. Start "
+                "the version of the program that wrote it."
             )
         if header.name != self._name:
             raise StorageUnusableError(
-                f"{self.path}: it is the store of {header.name}, not of {self._name}. Give each its own."
+                f"{self.path}: it is the store of {header.name}, not of {self._name}. Give each process "
+                "a store of its own."
             )
 
     def _load_changes(self, after_version: int) -> Iterator[Change]:
-        """The changes that must follow a version without a gap."""
+        """Yield the stored changes, which must follow a version without a gap."""
         self.change_count = self.change_bytes = 0
         expected = after_version
         for version, body, digest in self.db.execute("SELECT * FROM changes ORDER BY version"):
             expected += 1
             if _digest(body) != digest:
-                raise StorageError(f"the digest of change {version} differs")
+                raise StorageError(f"the digest of change {version} does not match its body")
             change = _decode_change(body)
             if not version == change.version == expected:
-                raise StorageError(f"change {expected} is lost")
+                raise StorageError(f"change {expected} is missing")
             self.change_count += 1
             self.change_bytes += len(body)
             yield change
@@ -243,38 +247,42 @@
         base = -1 if snapshot is None else snapshot.version
         last = base + len(changes)
         if snapshot is None and changes:
-            raise StorageError("its snapshot is lost")
+            raise StorageError(f"row {SNAPSHOT_ROW!r} is missing, but there are changes")
         if self._header.last != last:
-            raise StorageError(f"its last change is {last}, not {self._header.last}")
+            raise StorageError(
+                f"the newest version is {last}, row {HEADER_ROW!r} names version {self._header.last}"
+            )
         if not max(base, 0) <= self._header.commit <= max(last, 0):
-            raise StorageError("its committed version is not among its changes")
+            raise StorageError(
+                f"committed version {self._header.commit} is not within the stored versions {base} to {last}"
+            )
 
     # Durable steps
 
     @property
     def needs_compaction(self) -> bool:
-        """See `LogStorage`."""
+        """See `LogStorage.needs_compaction`."""
         return self.change_count > COMPACTION_CHANGES or self.change_bytes > COMPACTION_BYTES
 
     def promise(self, epoch: int, instance_id: int) -> None:
-        """See `LogStorage`."""
+        """See `LogStorage.promise`."""
         self._replace_header("promise", epoch=epoch, instance_id=instance_id)
 
     def commit(self, version: int) -> None:
-        """See `LogStorage`."""
+        """See `LogStorage.commit`."""
         self._replace_header("commit", commit=version)
 
     def joined(self) -> None:
-        """See `LogStorage`."""
+        """See `LogStorage.joined`."""
         self._replace_header("joined", joining=False)
 
     def append(self, changes: list[Change]) -> None:
-        """See `LogStorage`."""
+        """See `LogStorage.append`."""
         bodies = [_encode(change) for change in changes]
         rows = [(change.version, body, _digest(body)) for change, body in zip(changes, bodies, strict=True)]
         last = self._header.last + len(rows)
         if [version for version, _, _ in rows] != list(range(self._header.last + 1, last + 1)):
-            raise StorageError(f"append: the changes don't follow {self._header.last}")
+            raise StorageError(f"append: the changes do not follow version {self._header.last}")
         header = msgspec.structs.replace(self._header, last=last)
         with self._file.transaction("append"):
             self.db.executemany("INSERT INTO changes VALUES (?, ?, ?)", rows)
@@ -284,7 +292,7 @@
         self.change_bytes += sum(map(len, bodies))
 
     def truncate(self, after_version: int) -> None:
-        """See `LogStorage`."""
+        """See `LogStorage.truncate`."""
         header = msgspec.structs.replace(self._header, last=min(after_version, self._header.last))
         with self._file.transaction("truncate"):
             self.db.execute("DELETE FROM changes WHERE version > ?", (after_version,))
@@ -293,16 +301,16 @@
         self._count_changes()
 
     def install(self, snapshot: Snapshot) -> None:
-        """See `LogStorage`."""
+        """See `LogStorage.install`."""
         header = msgspec.structs.replace(self._header, commit=snapshot.version, last=snapshot.version)
         self._replace_base("install", snapshot, header, ALL_VERSIONS)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """See `LogStorage`."""
+        """See `LogStorage.compact`."""
         self._replace_base("compact", snapshot, self._header, snapshot.version)
 
     def _replace_base(self, step: str, snapshot: Snapshot, header: StorageHeader, to_version: int) -> None:
-        """A snapshot in place of the changes up to a version."""
+        """Replace the changes up to a version by a snapshot."""
         with self._file.transaction(step):
             self.db.execute("DELETE FROM changes WHERE version <= ?", (to_version,))
             self._put(SNAPSHOT_ROW, _encode(snapshot))
@@ -315,5 +323,5 @@
         try:
             row = self.db.execute("SELECT COUNT(*), COALESCE(SUM(LENGTH(body)), 0) FROM changes").fetchone()
         except sqlite3.Error as err:
-            raise StorageError(f"count: {err}") from None
+            raise StorageError(f"cannot count the stored changes: {err}") from None
         self.change_count, self.change_bytes = row
--- a/cypressledge/controlplane/state.py
+++ b/cypressledge/controlplane/state.py
@@ -1,8 +1,8 @@
 """The fleet's state at a position of the replicated log, and its digest. No I/O.
 
-The digest is the sum, modulo 2^128, of a hash of each (key, value, version that set it), so a change costs
-what it touches. Method: incremental hashing, Bellare and Micciancio (1997). It finds faults; it withstands no
-forger.
+The digest is the sum, modulo 2^128, of a hash of each (key, value, version that set it), so the cost of an
+update depends only on the keys that a change touches. The method is incremental hashing (Bellare and
+Micciancio, 1997). The digest detects faults but does not withstand forgery.
 """
 
 from collections.abc import Iterable, Mapping
@@ -33,24 +33,24 @@
     decode_value,
 )
 
-MAX_REMEMBERED_REQUESTS = 512  # request ids whose repeat is recognised
+MAX_REMEMBERED_REQUESTS = 512  # request ids whose repetition is recognised
 MAX_REMEMBERED_REMOVALS = 4_096  # removed keys whose version is still known
 MAX_TEXT_LENGTH = 512  # characters of a request id, an author or a reason
-ENTRY_OVERHEAD_BYTES = 32  # that an entry takes in a snapshot beside key and value, at most
+ENTRY_OVERHEAD_BYTES = 32  # bytes; maximum size of an entry in a snapshot besides its key and value
 DIGEST_BYTES = 16
 
 _encode = msgspec.msgpack.Encoder(order="sorted").encode
 
 
 class Position(NamedTuple):
-    """A position of the replicated log: its version, and the epoch that version was written in."""
+    """A position in the replicated log: a version and the epoch in which it was written."""
 
     epoch: int
     version: int
 
 
 class DigestPosition(NamedTuple):
-    """A position and the digest of the state there: equal ones are of one history."""
+    """A position and the digest of the state there; equal ones belong to the same history."""
 
     epoch: int
     version: int
@@ -58,12 +58,12 @@
 
     @property
     def position(self) -> Position:
-        """Without the digest."""
+        """The position without the digest."""
         return Position(self.epoch, self.version)
 
 
 def _digest_term(key: str, value: bytes, version: int) -> int:
-    """A key's part of the digest's sum."""
+    """Return a key's term in the digest's sum."""
     return int.from_bytes(blake2b(_encode((key, value, version)), digest_size=DIGEST_BYTES).digest(), "big")
 
 
@@ -72,12 +72,12 @@
 
 
 def entry_size(key: str, value: bytes) -> int:
-    """Bytes that an entry counts for."""
+    """Return the number of bytes that an entry counts for."""
     return len(key) + len(value) + ENTRY_OVERHEAD_BYTES
 
 
 def check_change_size(ops: list[Op]) -> None:
-    """Raises `StateError` where a change is over its limits."""
+    """Raise `StateError` if a change has too many operations or bytes."""
     if len(ops) > MAX_OPS_PER_CHANGE:
         raise StateError(f"{len(ops)} keys in one change; {MAX_OPS_PER_CHANGE} can be")
     size = sum(entry_size(op.key, op.value or b"") for op in ops)
@@ -86,7 +86,10 @@
 
 
 class FleetState:
-    """The state at a position. `entries`, `requests` and `removed` are read by others, written here alone."""
+    """The fleet's state at a position.
+
+    Other modules read `entries`, `requests` and `removed`; only this class modifies them.
+    """
 
     def __init__(self, cluster_id: str = "") -> None:
         self.cluster_id = cluster_id
@@ -95,31 +98,31 @@
         self.entries: dict[str, StateEntry] = {}
         self.requests: dict[str, int] = {}  # request id -> version it became, oldest first
         self.removed: dict[str, int] = {}  # key -> version that removed it, oldest first
-        self.removals_known_since = 0  # removals of later versions are all in `removed`
-        self.size_bytes = 0  # of all entries
+        self.removals_known_since = 0  # `removed` contains all removals of later versions
+        self.size_bytes = 0  # total size of all entries
         self._digest_sum = 0
-        self._key_by_address: dict[Address, str] | None = None  # kept from the first `addresses` on
+        self._key_by_address: dict[Address, str] | None = None  # None until the first call of `addresses`
         self._address_by_key: dict[str, Address] = {}
 
     @property
     def position(self) -> Position:
-        """Epoch and version of the last change applied."""
+        """The epoch and version of the last change applied."""
         return Position(self.epoch, self.version)
 
     @property
     def digest_position(self) -> DigestPosition:
-        """The same, with the digest."""
+        """The position with the digest of the state."""
         return DigestPosition(self.epoch, self.version, self.digest)
 
     @property
     def digest(self) -> bytes:
-        """Of all keys, values and versions that set them; 16 bytes."""
+        """The digest of all keys, values and versions that set them; 16 bytes."""
         return self._digest_sum.to_bytes(DIGEST_BYTES, "big")
 
     # Changes
 
     def version_of_request(self, request_id: str) -> int | None:
-        """The version that a request became; none unless it is among the last `MAX_REMEMBERED_REQUESTS`."""
+        """Return the version that a request became, None unless among the last `MAX_REMEMBERED_REQUESTS`."""
         return self.requests.get(request_id) if request_id else None
 
     def draft_change(
@@ -131,10 +134,10 @@
         reason: str = "",
         created_at_ms: int = 0,
     ) -> Change:
-        """The next change of an epoch, with the digest after it; the state stays as it is.
+        """Return the next change, of epoch `epoch`, with the digest after it; the state does not change.
 
-        Looks at the touched keys only: `validate_change` and `find_conflicts` come before. Raises
-        `StateError`.
+        Looks only at the touched keys: the caller has to run `validate_change` and `find_conflicts` before.
+        Raises `StateError`.
         """
         version = self.version + 1
         digest = self._digest_sum_after(ops, version).to_bytes(DIGEST_BYTES, "big")
@@ -143,11 +146,11 @@
         return change
 
     def apply(self, change: Change) -> None:
-        """Take the next change. Raises `StateError`, and changes nothing, where it doesn't fit."""
+        """Apply the next change. Raises `StateError` and changes nothing if it does not fit."""
         self._check_is_next(change)
         digest_sum = self._digest_sum_after(change.ops, change.version)
         if digest_sum.to_bytes(DIGEST_BYTES, "big") != change.digest:
-            raise StateError(f"version {change.version}: the digest differs")
+            raise StateError(f"version {change.version}: its digest does not match the resulting state")
         self.epoch, self.version, self._digest_sum = change.epoch, change.version, digest_sum
         for op in change.ops:
             self._apply_op(op, change.version)
@@ -155,11 +158,11 @@
             self._remember_request(change.request_id, change.version)
 
     def _check_is_next(self, change: Change) -> None:
-        """Raises `StateError` where a change can't be the next one."""
+        """Raise `StateError` unless a change can be the next one."""
         if change.version != self.version + 1:
-            raise StateError(f"version {change.version} does not follow {self.version}")
+            raise StateError(f"version {change.version} does not follow version {self.version}")
         if change.epoch < self.epoch:
-            raise StateError(f"epoch {change.epoch} is below {self.epoch}")
+            raise StateError(f"epoch {change.epoch} is below the state's epoch {self.epoch}")
         if max(len(change.request_id), len(change.author), len(change.reason)) > MAX_TEXT_LENGTH:
             raise StateError(f"a request's name, who or why is over {MAX_TEXT_LENGTH} characters")
         check_change_size(change.ops)
@@ -191,7 +194,7 @@
             self._index_address(self._key_by_address, op.key, op.value)
 
     def _evict_old_removals(self) -> None:
-        """Guards against memory that grows with each key ever removed."""
+        """Forget the oldest removals, so that memory does not grow with each key ever removed."""
         while len(self.removed) > MAX_REMEMBERED_REMOVALS:
             oldest = next(iter(self.removed))
             self.removals_known_since = self.removed.pop(oldest)
@@ -205,7 +208,7 @@
     # Addresses
 
     def addresses(self) -> Mapping[Address, str]:
-        """Which key is at which address."""
+        """Return the keys of all engines and brokers by address."""
         if self._key_by_address is None:
             self._key_by_address = {}
             for entry in self.entries.values():
@@ -213,7 +216,10 @@
         return self._key_by_address
 
     def _index_address(self, key_by_address: dict[Address, str], key: str, value: bytes | None) -> None:
-        """Keep the index up. A committed value that can't be read has no address: replicas stay equal."""
+        """Update the index of addresses for one key.
+
+        A committed value that cannot be decoded has no address, so that all replicas handle it the same way.
+        """
         previous = self._address_by_key.pop(key, None)
         if previous and key_by_address.get(previous) == key:
             del key_by_address[previous]
@@ -227,7 +233,7 @@
     # Snapshots
 
     def snapshot(self) -> Snapshot:
-        """The complete state, keys sorted: equal states make equal snapshots."""
+        """Return the complete state with sorted keys, so that equal states make equal snapshots."""
         return Snapshot(
             self.cluster_id,
             self.epoch,
@@ -239,40 +245,43 @@
 
     @classmethod
     def restore(cls, snapshot: Snapshot) -> "FleetState":
-        """A state from a snapshot. Raises `StateError` where the digest is not that of the entries."""
+        """Return the state in a snapshot. Raises `StateError` if the snapshot or its digest is invalid."""
         state = cls(snapshot.cluster_id)
         state.epoch, state.version = snapshot.epoch, snapshot.version
         state.entries = {entry.key: entry for entry in snapshot.entries}
         if len(state.entries) < len(snapshot.entries):
-            raise StateError("snapshot: a key is there twice")
+            raise StateError("snapshot: it contains a key more than once")
         if min(snapshot.epoch, snapshot.version) < 0 or len(snapshot.requests) > MAX_REMEMBERED_REQUESTS:
-            raise StateError("snapshot: no position of a history, or too many requests")
+            raise StateError(
+                f"snapshot: epoch {snapshot.epoch} or version {snapshot.version} is negative, or it has over "
+                f"{MAX_REMEMBERED_REQUESTS} requests"
+            )
         if not all(0 < entry.version <= snapshot.version for entry in snapshot.entries):
-            raise StateError("snapshot: a key is newer than the whole")
+            raise StateError(f"snapshot: a key's version is not between 1 and {snapshot.version}")
         state._digest_sum = _digest_sum(snapshot.entries)
         if state.digest != snapshot.digest:
-            raise StateError("snapshot: the digest differs")
+            raise StateError("snapshot: the digest does not match the entries")
         state.size_bytes = sum(entry_size(entry.key, entry.value) for entry in snapshot.entries)
         state.requests = dict(snapshot.requests)
-        state.removals_known_since = snapshot.version  # what was removed before isn't in a snapshot
+        state.removals_known_since = snapshot.version  # a snapshot does not contain removals
         return state
 
     def digest_matches(self) -> bool:
-        """Whether the entries still sum to the digest; looks at all. Guards against corrupted memory."""
+        """Return whether the digest still matches all entries; if not, memory is corrupted."""
         return _digest_sum(self.entries.values()) == self._digest_sum
 
     def copy(self) -> "FleetState":
-        """Another state, equal to this one, that changes independently."""
+        """Return an independent copy of this state."""
         other = FleetState(self.cluster_id)
         vars(other).update(
             {name: value.copy() if isinstance(value, dict) else value for name, value in vars(self).items()}
         )
         return other
 
-    # Reading
+    # Typed access
 
     def config(self) -> dict[str, object]:
-        """The sections of the brokers' settings, by name."""
+        """Return the sections of the brokers' settings by name."""
         return {
             key.removeprefix(CONFIG_PREFIX): decode_value(entry.value)
             for key, entry in self.entries.items()
@@ -280,11 +289,11 @@
         }
 
     def engines(self) -> Mapping[str, Engine]:
-        """The engines by name. Raises `StateError` where one can't be read."""
+        """Return the engines by name. Raises `StateError` if one cannot be decoded."""
         return {name: decode_engine(value) for name, value in self._values(ENGINE_PREFIX)}
 
     def brokers(self) -> Mapping[str, Broker]:
-        """The brokers by name. Raises `StateError` where one can't be read."""
+        """Return the brokers by name. Raises `StateError` if one cannot be decoded."""
         return {name: decode_broker(value) for name, value in self._values(BROKER_PREFIX)}
 
     def _values(self, prefix: str) -> Iterable[tuple[str, bytes]]:
--- a/cypressledge/controlplane/state_validation.py
+++ b/cypressledge/controlplane/state_validation.py
@@ -1,4 +1,4 @@
-"""What a change may do to the fleet's state, and which changes conflict. No I/O."""
+"""Validation of changes to the fleet's state, and detection of conflicting changes. No I/O."""
 
 import json
 from dataclasses import dataclass
@@ -17,17 +17,17 @@
 )
 from cypressledge.settings import SettingsError, parse_settings
 
-MAX_STATE_BYTES = 3 << 20  # of all keys and values: guards against a snapshot that fits in no frame
+MAX_STATE_BYTES = 3 << 20  # bytes of all keys and values; keeps a snapshot small enough for one frame
 BASE_TOO_OLD = "base too old"
 BASE_NOT_REACHED = "base not yet reached"
-POSITIVE_LIMITS = ("StreamsPerConn", "ConnectTimeout", "ConnIdle")  # of the settings' section Limits
+POSITIVE_LIMITS = ("StreamsPerConn", "ConnectTimeout", "ConnIdle")  # keys of the settings' section Limits
 
 
 def validate_change(state: FleetState, ops: list[Op]) -> None:
-    """Look at the complete state after a change, before the change is taken.
+    """Check the complete state that would result from a change, before the change is made.
 
-    Raises `StateError` with what is wrong: keys, sizes, values, two engines or two brokers at one address, or
-    settings that aren't complete.
+    Raises `StateError` for invalid keys, sizes or values, for two engines or two brokers at one address, and
+    for settings that are not complete.
     """
     check_change_size(ops)
     _check_keys(ops)
@@ -74,14 +74,14 @@
         if address is None:
             continue
         other = claimed.get(address) or held.get(address)
-        # What the same change moves or removes does not conflict: two engines may exchange addresses.
+        # Keys that the same change moves or removes do not conflict: two engines may exchange addresses.
         if other and (address in claimed or other not in touched):
             raise StateError(f"{op.key} is at the address of {other}")
         claimed[address] = op.key
 
 
 def _check_settings(state: FleetState, ops: list[Op]) -> None:
-    """Raises `StateError` unless the sections are complete settings, as a broker reads them, or none."""
+    """Raise `StateError` unless the sections are complete settings, as a broker reads them, or absent."""
     encoded: dict[str, bytes | None] = {
         key: entry.value for key, entry in state.entries.items() if key.startswith(CONFIG_PREFIX)
     }
@@ -94,7 +94,7 @@
     if not sections:
         return
     try:
-        json.dumps(sections, allow_nan=False)  # guards against what no configuration file could hold
+        json.dumps(sections, allow_nan=False)  # rejects values that no configuration file could hold
         parse_settings(sections)
         _check_names([k["Name"] for k in sections["Classes"]], "class")
         _check_names(list(sections["Skus"]), "kind")
@@ -118,27 +118,28 @@
 
 @dataclass(frozen=True, slots=True)
 class _ChangesSince:
-    """What changed after a version, as far as the state knows."""
+    """The changes after a version, as far as the state knows them."""
 
     state: FleetState
     version: int
 
     def has_changed(self, key: str) -> bool:
-        """Whether a key was set, or is known to have been removed, after the version."""
+        """Return whether a key was set, or is known to have been removed, after the version."""
         entry = self.state.entries.get(key)
         changed_at = entry.version if entry else self.state.removed.get(key, 0)
         return changed_at > self.version
 
     def may_have_been_removed(self, key: str) -> bool:
-        """A key that isn't there may have been removed before the removals known begin."""
+        """Return whether an absent key may have been removed after the version without being remembered."""
         return key not in self.state.entries and self.version < self.state.removals_known_since
 
 
 def find_conflicts(state: FleetState, base_version: int, ops: list[Op]) -> list[str]:
-    """The touched keys that were set or removed after the version that a request was made on; empty: none.
+    """Return the touched keys that were set or removed after the version that a request is based on.
 
-    For a config key that is any config key, as sections are checked together. `BASE_TOO_OLD` is added where
-    the state no longer knows, `BASE_NOT_REACHED` is the answer for a version that it hasn't reached.
+    A change to a config key conflicts with a change to any other config key, because sections are validated
+    together. `BASE_TOO_OLD` is added if the state no longer knows; `[BASE_NOT_REACHED]` is returned for a
+    version that the state has not reached.
     """
     if base_version > state.version:
         return [BASE_NOT_REACHED]
--- a/cypressledge/controlplane/state_values.py
+++ b/cypressledge/controlplane/state_values.py
@@ -7,24 +7,24 @@
 
 from cypressledge.config import ConfigError, parse_address
 
-# Names as in fleet.settings.Name.
+# The names have the same form as `fleet.settings.Name`.
 KEY_PATTERN = re.compile(r"(config|engine|broker)/[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
-CONFIG_PREFIX, ENGINE_PREFIX, BROKER_PREFIX = "config/", "engine/", "broker/"  # of keys
-MAX_HOST_LENGTH = 253  # characters of a DNS name (RFC 1035)
+CONFIG_PREFIX, ENGINE_PREFIX, BROKER_PREFIX = "config/", "engine/", "broker/"  # prefixes of keys
+MAX_HOST_LENGTH = 253  # characters; maximum length of a DNS name (RFC 1035)
 
 ShortText = Annotated[str, msgspec.Meta(max_length=64)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
 
 
 class StateError(ValueError):
-    """A change, value or snapshot that can't be taken: one plain line."""
+    """A change, value or snapshot is invalid; the message is one line of plain text."""
 
 
 class Engine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One engine, as operators set it.
+    """One engine as set by operators.
 
     `address` is HOST:PORT; `kind` and `zone` are names in the settings; `start_time_ms` is the wall clock at
-    the start of its process, ms, 0 where it isn't known.
+    the start of the engine's process, in ms, 0 if unknown.
     """
 
     address: str
@@ -36,7 +36,7 @@
 
 
 class Broker(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One broker. `address`: HOST:PORT of its fleet socket."""
+    """One broker; `address` is the HOST:PORT of its fleet socket."""
 
     address: str
     zone: ShortText = ""
@@ -44,9 +44,9 @@
 
 
 class Address(NamedTuple):
-    """Where an engine or a broker is; two of a kind can't be at one address."""
+    """The address of an engine or broker; two of the same kind cannot share an address."""
 
-    kind: str  # engine or broker
+    kind: str  # "engine" or "broker"
     host: str
     port: int
 
@@ -58,7 +58,7 @@
 
 
 def encode_value(value: object) -> bytes:
-    """The one encoding of plain data, or of an `Engine` or `Broker`: MessagePack, keys sorted.
+    """Return the canonical encoding of plain data, an `Engine` or a `Broker`: MessagePack with sorted keys.
 
     Raises `StateError`.
     """
@@ -69,7 +69,7 @@
 
 
 def decode_value(encoded: bytes) -> object:
-    """The plain data that `encode_value` encoded. Raises `StateError`."""
+    """Return the plain data that `encode_value` encoded. Raises `StateError`."""
     try:
         return _decode(encoded)
     except (msgspec.MsgspecError, TypeError, ValueError, RecursionError) as err:
@@ -77,7 +77,7 @@
 
 
 def decode_engine(encoded: bytes) -> Engine:
-    """An engine's value. Raises `StateError`."""
+    """Return the decoded value of an engine. Raises `StateError`."""
     try:
         return _decode_engine(encoded)
     except (msgspec.MsgspecError, RecursionError) as err:
@@ -85,7 +85,7 @@
 
 
 def decode_broker(encoded: bytes) -> Broker:
-    """A broker's value. Raises `StateError`."""
+    """Return the decoded value of a broker. Raises `StateError`."""
     try:
         return _decode_broker(encoded)
     except (msgspec.MsgspecError, RecursionError) as err:
@@ -93,7 +93,7 @@
 
 
 def address_of(key: str, value: bytes) -> Address | None:
-    """Where an engine or broker is; none for other keys. Raises `StateError`."""
+    """Return the address of an engine or broker, None for other keys. Raises `StateError`."""
     kind = key.partition("/")[0]
     if kind not in ("engine", "broker"):
         return None
@@ -102,7 +102,7 @@
         host, port = parse_address(typed.address)
     except (msgspec.MsgspecError, ConfigError, ValueError, RecursionError) as err:
         raise StateError(f"{key}: {err}") from None
-    # Guards against an address that nobody can connect to.
+    # An address must be one that a client can connect to.
     is_host = bool(host) and host.isprintable() and " " not in host and len(host) <= MAX_HOST_LENGTH
     if not is_host or not port:
         raise StateError(f"{key}: no HOST:PORT that can be connected to")
--- a/tests/controlplane/conftest.py
+++ b/tests/controlplane/conftest.py
@@ -1,4 +1,4 @@
-"""Control processes for tests; a test's parameters of the fixture go to the constructor."""
+"""Fixtures with control processes; parameters given to a fixture are passed to the constructor."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def cluster(request):
-    """Three control processes that run, called over HTTP."""
+    """Three running control processes that are called over HTTP."""
     control_cluster = ControlCluster(**getattr(request, "param", {}))
     yield control_cluster
     control_cluster.close()
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def plane(request):
-    """Three control processes, or as many and of them as many voters as a test asks for; not started yet."""
+    """Control processes that are not started yet; three voters unless a test's parameters say otherwise."""
     control_plane = ControlPlane(**getattr(request, "param", {}))
     try:
         yield control_plane
--- a/tests/controlplane/fleet_states.py
+++ b/tests/controlplane/fleet_states.py
@@ -1,4 +1,4 @@
-"""States of a fleet that tests of the control plane begin with."""
+"""Fleet states and operations that tests of the control plane start from."""
 
 from cypressledge.controlplane.messages import Change, Op
 from cypressledge.controlplane.state import FleetState
--- a/tests/controlplane/replica_scenes.py
+++ b/tests/controlplane/replica_scenes.py
@@ -1,4 +1,4 @@
-"""Scenes of replicas in a virtual world, each with what goes wrong where one guard is missing."""
+"""Scenarios of replicas in a simulated world; each one violates safety if a certain check is disabled."""
 
 from cypressledge.controlplane.change_history import compress_snapshot
 from cypressledge.controlplane.log_storage import StoredLog
@@ -8,7 +8,7 @@
 
 
 def started_world(replica_class, among="abc", names="abc", quarantine=0):
-    """`a` leads in epoch 1, and these have its first version."""
+    """Return a world in which `a` leads in epoch 1 and the replicas `among` have its first version."""
     world = World(names, replica_class, quarantine)
     world.lease("a", 1)
     world.run(among)
@@ -17,11 +17,12 @@
 
 
 def is_epoch_start(message):
-    """The first entry of an epoch, or what follows it."""
+    """Return whether a message contains the first entry of an epoch, which has no operations."""
     return isinstance(message, AppendEntries) and any(not c.ops for c in message.changes)
 
 
 def one_epoch_two_instances(replica_class):
+    """Two replicas get the lease with the same epoch; a voter must not promise it to both."""
     world = started_world(replica_class)
     world.lease("a", 2)
     world.run("ab")
@@ -32,6 +33,7 @@
 
 
 def deposed_leader_appends(replica_class):
+    """A leader of epoch 1 sends entries to a voter that has promised epoch 2; they must be rejected."""
     world = started_world(replica_class)
     world.lease("b", 2)
     world.run("bc")
@@ -40,6 +42,7 @@
 
 
 def stale_entries_of_an_old_epoch(replica_class):
+    """A voter has uncommitted entries of epoch 1; newer entries must replace them, not follow them."""
     world = started_world(replica_class)
     world.propose("a", "x")
     world.propose("a", "y")
@@ -56,6 +59,7 @@
 
 
 def commit_beyond_matching_entries(replica_class):
+    """A heartbeat's commit version must not commit stale entries that differ from the leader's."""
     world = started_world(replica_class)
     world.propose("a", "x")
     world.propose("a", "y")
@@ -65,15 +69,15 @@
     world.run("bc")
     world.start("a")
     progress = world.running["b"].progress["a"]
-    progress.in_flight_end = 2  # an AppendEntries to a is out: only heartbeats go there
+    progress.in_flight_end = 2  # an AppendEntries to `a` is in flight, so only heartbeats are sent to it
     progress.resend_at = 1 << 60
     world.pass_time(SECOND, "abc")
 
 
 def entry_of_an_older_epoch_counted(replica_class):
-    """Figure 8 of Raft's paper."""
+    """The scenario of figure 8 in the Raft paper: an entry of an older epoch must not be counted."""
     world = started_world(replica_class, "abcde", "abcde")
-    world.propose("a", "x", engine("x", 1_200))  # so large that it goes alone
+    world.propose("a", "x", engine("x", 1_200))  # so large that it is sent in a message of its own
     world.run("ab")
     world.crash("a")
     world.lease("e", 2)
@@ -89,6 +93,7 @@
 
 
 def acknowledgement_after_lease_expiry(replica_class):
+    """The answers of a majority arrive after the lease has expired; the change must not be done."""
     world = started_world(replica_class)
     world.lease("a", 1, world.now + 10)
     proposal = world.propose("a", "x")
@@ -98,6 +103,7 @@
 
 
 def lost_disk_counted_for_a_promise(replica_class):
+    """A voter that lost its disk, and a committed entry with it, must not count for a promise."""
     world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
@@ -112,7 +118,7 @@
 
 
 def empty_disk_counted(replica_class):
-    """As above, but the operator said --first."""
+    """A voter lost its disk like in the scenario before, but the operator started it with --first."""
     world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
@@ -126,17 +132,19 @@
 
 
 def lost_disk_counted_for_an_entry(replica_class):
+    """A voter that lost its disk, and a promise with it, must not count for an entry."""
     world = started_world(replica_class)
     world.lease("a", 2)
     world.run("ac", is_epoch_start)
     world.lease("c", 3)
-    world.run("bc", is_epoch_start)  # c has b's promise, and b loses it
+    world.run("bc", is_epoch_start)  # `c` has received the promise of `b`, which `b` loses with its disk
     world.lose_disk("b")
     world.pass_time(SECOND, "ab")
     world.pass_time(2 * SECOND, "bc")
 
 
 def joined_too_early(replica_class):
+    """A voter that lost its disk must hold a committed entry of the leader's epoch before it counts again."""
     world = started_world(replica_class)
     world.lease("a", None)
     world.lease("b", 2)
@@ -153,6 +161,7 @@
 
 
 def promise_lost_with_the_disk(replica_class):
+    """A voter loses a promise with its disk; it must send nothing until the other leader's lease expires."""
     world = started_world(replica_class, quarantine=5 * SECOND)
     world.lease("c", 2, world.now + 5 * SECOND)
     world.run("bc", is_epoch_start)
@@ -163,6 +172,7 @@
 
 
 def disks_restored_from_old_copies(replica_class):
+    """A majority runs on old copies; it must not lead, as another voter knows of a newer commit."""
     world = started_world(replica_class)
     old = {n: world.disks[n].load() for n in "bc"}
     world.propose("a", "x")
@@ -173,7 +183,7 @@
     for name in "bc":
         world.disks[name].kept = old[name]
         world.start(name)
-    world.truth.clear()  # what was acknowledged is lost by now
+    world.truth.clear()  # the acknowledged changes are lost with a majority's disks
     world.lease("b", 2)
     world.run("bc")
     world.start("a")
@@ -185,6 +195,7 @@
 
 
 def promises_of_a_minority(replica_class):
+    """A candidate must not lead with its own promise alone."""
     world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
@@ -195,6 +206,7 @@
 
 
 def other_cluster(replica_class):
+    """A snapshot of another cluster must not replace a voter's history."""
     world = started_world(replica_class)
     other = FleetState("of another fleet")
     other.epoch = 5
@@ -202,12 +214,13 @@
     message = InstallSnapshot(5, compress_snapshot(other.snapshot()), 1)
     world.call("c", lambda: world.running["c"].receive(world.now, "b", message))
     if world.running["c"].cluster_id != "of a":
-        raise SafetyViolationError("a history has been taken in place of another")
+        raise SafetyViolationError("a replica replaced its history by that of another cluster")
     assert ("c", "other_cluster") in world.events
     assert world.network.pop() == ("c", "b", Denied(5, "lineage"))
 
 
 def repeated_request(replica_class):
+    """A request that is repeated at its leader and at the next one is applied once."""
     world = started_world(replica_class)
     first = world.propose("a", "x")
     world.propose("a", "x")
@@ -220,6 +233,7 @@
 
 
 def promise_not_persisted(replica_class):
+    """A voter that restarts must still know its promise."""
     world = started_world(replica_class)
     world.lease("c", 2)
     world.run("bc", is_epoch_start)
@@ -231,6 +245,7 @@
 
 
 def entry_not_persisted(replica_class):
+    """A voter that restarts must still have the entry that it acknowledged."""
     world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
--- a/tests/controlplane/test_change_history.py
+++ b/tests/controlplane/test_change_history.py
@@ -1,4 +1,4 @@
-"""The committed changes that brokers can be sent: how many are kept, and snapshots in messages."""
+"""The history of committed changes for brokers: its limits, and snapshots in messages."""
 
 import zlib
 
--- a/tests/controlplane/test_fleet_state.py
+++ b/tests/controlplane/test_fleet_state.py
@@ -1,4 +1,4 @@
-"""The fleet's state: its encoding and digest, what a change may do, and what is refused."""
+"""The fleet's state: its encoding and digest, and which changes are accepted and rejected."""
 
 import pytest
 from hypothesis import given
@@ -133,17 +133,17 @@
 def test_valid_operations_are_accepted():
     state = populated_state()
     validate_change(state, [])
-    apply_ops(state, engine("e1", "10.0.0.2:9000"), engine("e2", "10.0.0.1:9000"))  # change places
+    apply_ops(state, engine("e1", "10.0.0.2:9000"), engine("e2", "10.0.0.1:9000"))  # swap addresses
     apply_ops(state, Op("engine/e1", None), engine("e3", "10.0.0.2:9000"))
     apply_ops(state, engine("e4", "10.0.1.1:7400"))  # engines and brokers don't share sockets
     apply_ops(state, engine("e5", "10.0.0.1:9000", zone="z"), Op("engine/e2"))
     apply_ops(state, Op("engine/e5"))
-    apply_ops(state, engine("e6", "10.0.0.1:9000"))  # free since the change before
+    apply_ops(state, engine("e6", "10.0.0.1:9000"))  # the previous change freed the address
     with pytest.raises(StateError, match="engine/e3"):
         validate_change(state, [engine("e1", "10.0.0.2:9000")])
     other = state.copy()
     apply_ops(other, engine("e9", "10.0.0.9:9000"))
-    apply_ops(state, engine("e8", "10.0.0.9:9000"))  # a copy's places are its own
+    apply_ops(state, engine("e8", "10.0.0.9:9000"))  # a copy has its own index of addresses
     apply_ops(state, *(Op(op.key) for op in SETTINGS_OPS))
     assert state.config() == {}
     assert state.digest_matches()
@@ -172,7 +172,7 @@
     assert find_conflicts(state, base, [Op("config/Dcs", b"")]) == ["config/Rules"]
     assert find_conflicts(state, state.version, [Op("config/Dcs", b""), Op("engine/e1", b"")]) == []
     assert find_conflicts(state, state.version + 1, []) == [BASE_NOT_REACHED]
-    again = s.FleetState.restore(state.snapshot())  # of keys that aren't there it knows nothing before
+    again = s.FleetState.restore(state.snapshot())  # a snapshot contains no removals
     assert find_conflicts(again, base, [engine("e1", "a:1")]) == [BASE_TOO_OLD]
     assert find_conflicts(again, base, [engine("e2", "a:1")]) == ["engine/e2"]
     assert find_conflicts(again, base, [Op("config/Dcs", b"")]) == ["config/Rules", BASE_TOO_OLD]
--- a/tests/controlplane/test_leader_changes.py
+++ b/tests/controlplane/test_leader_changes.py
@@ -1,4 +1,4 @@
-"""Another leader takes over: after a fault amid a change, a kill, and a graceful shutdown."""
+"""Another leader takes over after a fault during a change, after a kill, and after a graceful shutdown."""
 
 import signal
 import time
@@ -13,8 +13,10 @@
 
 @pytest.mark.parametrize("fault", ["kill-after:append:1", "kill-before:append:1", "stop-before:append:2"])
 def test_a_leader_that_fails_during_a_change_loses_no_change(plane, fault):
-    """A change is on one disk alone, or on two. Whatever of it had left: what was acknowledged stays, and a
-    repeat comes into force once."""
+    """No acknowledged change is lost, and a repeated request is applied once.
+
+    The leader fails when a change is on its own disk alone or on two disks.
+    """
     first = plane.start(fault)
     failed = plane.controls[first]
     engines = [{f"s-{n}": ENGINE | {"address": f"127.0.0.1:{n + 1}"}} for n in range(3)]
@@ -56,7 +58,7 @@
     assert "in force at 1 of 1 brokers" in later_output, later_output + plane.log_text()
     assert version_of(later_output) > version_of(output)
     assert broker.status()["digest"] == plane.controls[second].status()["digest"]
-    plane.controls[first].start()  # its disk is there: no flag
+    plane.controls[first].start()  # its disk is intact, so it needs no option
     assert until(lambda: plane.controls[first].status().get("version", 0) >= version_of(later_output), WAIT)
 
 
--- a/tests/controlplane/test_leader_crashes.py
+++ b/tests/controlplane/test_leader_crashes.py
@@ -1,4 +1,4 @@
-"""A leader that is killed or stopped in the middle of a change, and all control processes killed at once."""
+"""A leader is killed or stopped during a change, and all control processes are killed at once."""
 
 import signal
 from typing import NamedTuple
@@ -21,8 +21,8 @@
 
 
 def check_leader_killed_before_answer(cluster, first):
-    """The first leader is killed before it answers; a repeat at the next one is in force once."""
-    # decided, and then nothing
+    """The first leader is killed before it answers; a repetition at the next leader is applied once."""
+    # The change is committed, but the connection ends without an answer.
     assert cluster.post_change(first, {"engine/e3": engine(3)}, "r3") == (0, {})
     first.process.wait(WAIT)
     assert first.process.returncode == -signal.SIGKILL
@@ -42,7 +42,7 @@
     digest = subscriber.state.digest
     for control in cluster.controls.values():
         control.kill()
-    cluster.wait_for(lambda: not subscriber.server(), "a subscriber that is alone")
+    cluster.wait_for(lambda: not subscriber.server(), "a subscriber without a server")
     assert subscriber.version == position.version
     assert subscriber.state.digest == digest
     for control in cluster.controls.values():
@@ -52,22 +52,22 @@
     entries_after = first.call("state")[1]["entries"]
     assert entries_after == entries
     assert {key: entries_after[key]["version"] for key in done} == done
-    cluster.wait_for(lambda: subscriber.version == version, "a subscriber that goes on")
+    cluster.wait_for(lambda: subscriber.version == version, "a subscriber that receives changes again")
     answer = cluster.change({"engine/e3": engine(3)}, "r3")
-    assert answer["version"] == cluster.version_of_key("engine/e3") < version  # known still
+    assert answer["version"] == cluster.version_of_key("engine/e3") < version  # the request is still known
     assert subscriber.has_never_gone_back()
 
 
 class ChangesUntilFault(NamedTuple):
-    """What was asked of a leader until its fault struck."""
+    """The changes requested from a leader until its injected fault took effect."""
 
-    done: dict[str, int]  # keys acknowledged, and their versions
-    key: str  # of the change that was under way
-    request: str
+    done: dict[str, int]  # acknowledged keys and their versions
+    key: str  # key of the unacknowledged change
+    request: str  # request id of the unacknowledged change
 
 
 def change_until_fault(cluster, leader) -> ChangesUntilFault:
-    """Ask for changes until the leader's fault strikes."""
+    """Request changes until the leader's injected fault takes effect."""
     done = {}
     for number in range(1, 30):
         key, request = f"engine/e{number}", f"r{number}"
@@ -78,7 +78,7 @@
         status, answer = pending.get(timeout=WAIT)
         assert status == 200, answer
         done[key] = answer["version"]
-    raise AssertionError("no fault has struck")
+    raise AssertionError("the injected fault has not taken effect")
 
 
 @pytest.mark.parametrize(
@@ -90,8 +90,8 @@
 def test_leader_killed_or_stopped_before_replicating_its_entry(cluster):
     leader = cluster.wait_for_settled_leader()
     other, away = cluster.others(leader.name)
-    away.kill()  # so that every change has one way to go
-    cluster.wait_for(lambda: leader.status()["peers"] == [other.name], "a link that has ended")
+    away.kill()  # so that every change has to be replicated to the same peer
+    cluster.wait_for(lambda: leader.status()["peers"] == [other.name], "a connection that has ended")
     result = change_until_fault(cluster, leader)
     halted = leader.is_halted()
     assert len(result.done) > 2
@@ -99,7 +99,7 @@
     away.start()
     cluster.leader(leader.name)
     later = cluster.change({"engine/late": engine(99)}, "late")
-    assert result.request not in {change[2] for change in cluster.changes(other)}  # nobody else had it
+    assert result.request not in {change[2] for change in cluster.changes(other)}  # no other process has it
     if halted:
         resume_deposed(cluster, leader)
     else:
@@ -111,7 +111,7 @@
 
 
 def resume_deposed(cluster, leader):
-    """A leader that was stopped goes on, and steps down."""
+    """Resume a stopped leader, which steps down."""
     ended = len(leader.logged("leader_stopped"))
     leader.signal(signal.SIGCONT)
     cluster.wait_for(lambda: len(leader.logged("leader_stopped")) > ended, "a leader that steps down")
@@ -119,13 +119,13 @@
     def denials():
         return leader.status()["traffic"].get("in.denied", {}).get("frames", 0)
 
-    # Its AppendEntries left after it went on: both turn it down.
+    # The resumed leader sent its AppendEntries, which both other voters deny.
     cluster.wait_for(lambda: denials() >= 1, "a denial")
 
 
 def check_dropped_and_repeated(cluster, leader, result, later_version):
-    """What was under way is dropped, all that was acknowledged stays, and a repeat is in force once."""
-    cluster.wait_for(lambda: leader.logged("truncated"), "a tail that is dropped")
+    """The unacknowledged change is dropped, acknowledged ones stay, and its repetition is applied once."""
+    cluster.wait_for(lambda: leader.logged("truncated"), "truncated entries")
     cluster.wait_for_one_history(later_version)
     assert leader.status()["role"] == "standby"
     assert {key: cluster.version_of_key(key) for key in result.done} == result.done
--- a/tests/controlplane/test_network_partitions.py
+++ b/tests/controlplane/test_network_partitions.py
@@ -1,4 +1,4 @@
-"""A region that is cut off during a change, and a control process whose disk was put back."""
+"""A region is cut off during a change, and a control process starts on an old copy of its store."""
 
 import shutil
 
@@ -24,12 +24,12 @@
 
 
 def partition_leader_during_change(cluster, leader, inside, outside):
-    """Cut off a leader while it decides; the next leader."""
+    """Cut off a leader during a change; return the next leader."""
     cluster.cut(leader.name)
     pending = gevent.spawn(cluster.post_change, leader, {"engine/e2": engine(2)}, "r2")
     second = cluster.leader(leader.name)
     change = cluster.change({"engine/e3": engine(3)}, "r3")
-    cluster.wait_for(lambda: outside.version >= change["version"], "the majority's side goes on")
+    cluster.wait_for(lambda: outside.version >= change["version"], "subscribers on the majority's side")
     status, answer = pending.get(timeout=WAIT)
     assert (status, answer["answer"]) == (503, "unknown"), answer
     check_deposed(cluster, leader, inside, change["version"])
@@ -37,14 +37,14 @@
     cluster.wait_for_one_history(change["version"])
     assert cluster.times_in_history("r2") == cluster.times_in_history("r4") == 0
     again = cluster.change({"engine/e2": engine(2)}, "r2")
-    cluster.wait_for(lambda: inside.version >= again["version"] <= outside.version, "all go on")
+    cluster.wait_for(lambda: inside.version >= again["version"] <= outside.version, "all subscribers")
     assert cluster.times_in_history("r2") == 1
     assert inside.status().stale_ms < 3000 * LEASE_TERM
     return second
 
 
 def check_deposed(cluster, leader, inside, newer_version):
-    """A leader that is cut off leads no more, and its subscriber knows that it is stale."""
+    """A leader that is cut off has stepped down, and its subscriber detects that it is stale."""
     status_of_deposed = leader.status()
     assert status_of_deposed["role"] != "primary"
     assert status_of_deposed["primary"] == ""
@@ -58,7 +58,7 @@
 
 
 def restore_old_store(cluster, old):
-    """Its store is as it was some changes ago; the subscriber that holds more does not go back."""
+    """Restore an old copy of a store; a subscriber that holds a newer version does not go back."""
     subscriber = cluster.follow("after", only=(old.name,))
     old.kill()
     shutil.copytree(old.store, cluster.folder / "copy")
@@ -66,30 +66,30 @@
     for number in range(5, 9):
         change = cluster.change({f"engine/e{number}": engine(number)}, f"r{number}")
     cluster.wait_for(
-        lambda: subscriber.version >= change["version"], "a subscriber of the one to be put back"
+        lambda: subscriber.version >= change["version"], "a subscriber of the process to be restored"
     )
     held = subscriber.version
     old.kill()
     shutil.rmtree(old.store)
     shutil.copytree(cluster.folder / "copy", old.store)
-    cluster.cut(old.name)  # it has its old copy alone, and its subscriber nobody else
+    cluster.cut(old.name)  # it has only its old copy, and its subscriber no other server
     old.start()
     check_old_store_is_not_followed(cluster, old, subscriber, held)
     cluster.heal()
     change = cluster.change({"engine/e9": engine(9)}, "r9")
-    cluster.wait_for(lambda: subscriber.version >= change["version"], "a subscriber that goes on")
+    cluster.wait_for(lambda: subscriber.version >= change["version"], "the subscriber")
     cluster.wait_for_one_history(change["version"])
 
 
 def check_old_store_is_not_followed(cluster, old, subscriber, held):
-    """Its subscriber, which holds a newer version, stays at that."""
+    """The process's subscriber keeps its newer version."""
     cluster.wait_for(
-        lambda: subscriber.server() and old.status().get("brokers"), "an old one that is followed"
+        lambda: subscriber.server() and old.status().get("brokers"), "a subscriber of the restored process"
     )
     assert old.status()["version"] < held
     heartbeats = subscriber.traffic.frames["in.beat"]
     cluster.wait_for(
-        lambda: subscriber.traffic.frames["in.beat"] > heartbeats + 2, "some heartbeats of the old one"
+        lambda: subscriber.traffic.frames["in.beat"] > heartbeats + 2, "heartbeats of the restored process"
     )
     assert subscriber.version == held
     assert subscriber.subscriber.counters.show().get("update_rejected", 0) == 0
--- a/tests/controlplane/test_operator_changes.py
+++ b/tests/controlplane/test_operator_changes.py
@@ -1,4 +1,4 @@
-"""Changes that operators make: in force at brokers, refused, repeated, and two at once."""
+"""Changes by operators: applied at brokers, rejected, repeated, and concurrent."""
 
 import signal
 
@@ -28,7 +28,7 @@
 
 
 def make_concurrent_changes(cluster, leader) -> int:
-    """Two changes of one key, asked for at once: one is done, one conflicts. The version after."""
+    """Make two concurrent changes of one key: one succeeds, one conflicts. Return the version after them."""
     base = leader.status()["version"]
     pending = [
         gevent.spawn(
@@ -63,7 +63,7 @@
 
 
 def repeat_change_by_command(cluster):
-    """A command that is refused in one line, and one that is repeated under its request."""
+    """Run a command that is rejected with one line, and one that is repeated with the same request id."""
     file = cluster.folder / "change.yaml"
     file.write_text(yaml.safe_dump({"engines": {"e2": SEED["engines"]["e0"]}}))
     at = [
@@ -100,7 +100,7 @@
     )
     assert status["digest"] == plane.controls[plane.leader()].status()["digest"]
     assert broker.serves(), broker.log_text()
-    assert broker.counter("reloads") == 2  # the seed's settings, and the change's
+    assert broker.counter("reloads") == 2  # the settings of the first version and those of the change
     engine.server.stop()
 
 
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("plane", [{"seed": {"config": SETTINGS, "engines": MANY}}], indirect=True)
 def test_a_large_state_reaches_all_voters_and_brokers(plane):
-    """Its first change takes more than any first frame may, towards a voter and towards a broker."""
+    """The first change exceeds the size limit of first frames, for voters and for brokers."""
     plane.start()
     broker = plane.broker("n1")
     assert plane.broker_has_version(broker, 1), plane.log_text()
--- a/tests/controlplane/test_replica.py
+++ b/tests/controlplane/test_replica.py
@@ -1,4 +1,4 @@
-"""Replicas of the fleet's history: rejections, requests by name, disks, majorities and snapshots."""
+"""Replicas of the fleet's history: rejections, request ids, disk failures, majorities and snapshots."""
 
 import pytest
 
@@ -22,14 +22,14 @@
     assert conflict.value.keys == ["engine/x-0"]
     with pytest.raises(StateError):
         leader.propose_internal(world.now, engine("/"))
-    # The epoch was promised already: another token is needed.
+    # The epoch is promised already, so the lease needs a higher token.
     assert not world.running["b"].update_lease(world.now, 1, 1 << 60)
 
 
 def test_a_request_id_identifies_one_change():
     world = started_world(Replica)
     first = world.propose("a", "x")
-    for _ in range(2):  # while it waits, and once it is committed
+    for _ in range(2):  # while the change is pending, and once it is committed
         with pytest.raises(StateError, match=f"became version {first.version}, with other contents"):
             world.running["a"].propose(world.now, engine("y"), 1, "x", "me", "", 0)
         again = world.running["a"].propose(world.now, engine("x"), 0, "x", "me", "", 0)
@@ -37,7 +37,7 @@
         world.run("abc")
     world.lease("b", 2)
     world.run("abc")
-    with pytest.raises(StateError, match="with other contents"):  # a new primary knows it, too
+    with pytest.raises(StateError, match="with other contents"):  # a new leader knows the request, too
         world.running["b"].propose(world.now, engine("x", 2), 1, "x", "me", "", 0)
     assert world.running["b"].latest_state.entries.keys() == {"engine/x-0"}
 
--- a/tests/controlplane/test_replica_guards.py
+++ b/tests/controlplane/test_replica_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of a replica holds, and is seen to be needed."""
+"""Each safety check of a replica works, and disabling it leads to a safety violation."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -21,12 +21,12 @@
 
 
 class Guard(NamedTuple):
-    """A scene, and the guard without which it goes wrong."""
+    """A scenario and the safety check without which it violates safety."""
 
     scene: Callable
-    target: type
-    method: str
-    without: Callable  # in place of the method
+    target: type  # class with the check
+    method: str  # name of the check
+    without: Callable  # replacement that disables the check
 
 
 def promise_in_memory(self, epoch, instance_id):
@@ -132,4 +132,4 @@
     world.start("b")
     world.running["b"].receive(world.now, "c", AppendEntries(9, 1, 1, [other], 1))
     log = world.running["b"].log
-    assert log.last.version < log.commit  # without the guard: gone, unnoticed
+    assert log.last.version < log.commit  # without the check, committed entries are lost silently
--- a/tests/controlplane/test_replica_random_worlds.py
+++ b/tests/controlplane/test_replica_random_worlds.py
@@ -1,4 +1,4 @@
-"""Replicas in random worlds keep one history."""
+"""Replicas in randomly simulated worlds keep one history."""
 
 import struct
 
@@ -26,7 +26,7 @@
         totals["worlds"] += 1
         totals["versions"] += len(world.truth)
         totals["joined"] += sum(event == "joined" for _, event in world.events)
-        totals["acknowledged"] += len(world.acknowledged) - 1  # but for the last one, in peace
+        totals["acknowledged"] += len(world.acknowledged) - 1  # except the last one, made without faults
         totals["epochs"] += len({epoch for epoch, *_ in world.truth.values()})
 
     play()
--- a/tests/controlplane/test_sqlite_storage.py
+++ b/tests/controlplane/test_sqlite_storage.py
@@ -1,4 +1,4 @@
-"""The file that a control process keeps: cut, garbled, put back, full, and its size over many changes."""
+"""A control process's sqlite file: truncated, corrupted, restored or full, and its size over many changes."""
 
 import shutil
 import sqlite3
@@ -17,7 +17,7 @@
 
 
 class StoreWriter:
-    """A state and its store, change by change."""
+    """Applies changes to a state and writes each of them to a store."""
 
     def __init__(self, path, **options):
         self.store = SqliteStorage(path, "a", "first", **options)
@@ -37,7 +37,7 @@
 
 
 def position_and_digest_of(loaded):
-    """(version, digest) of all that a store holds; its digests are checked as it is applied."""
+    """Return (version, digest) of a store's contents; applying the changes checks their digests."""
     state = FleetState.restore(loaded.base)
     for change in loaded.changes:
         state.apply(change)
@@ -45,7 +45,7 @@
 
 
 def read(path, name="a"):
-    """What is there, or the refusal's line."""
+    """Return the contents of a store, or the one-line error with which it is rejected."""
     try:
         store = SqliteStorage(path, name)
     except StorageUnusableError as err:
@@ -60,12 +60,12 @@
 
 @pytest.fixture
 def killed_store(tmp_path):
-    """Files of a process that was killed: 20 changes; every complete state that there was on the way."""
+    """Files of a process killed after 20 changes, all complete states until then, and a path to write to."""
     writer = StoreWriter(tmp_path / "live", before_step=lambda step: None)
     writer.store.promise(3, 5)
     states = {(0, writer.state.digest, (3, 5), 0)}
     for number in range(20):
-        if number == 10:  # a part is in the file, another in its log
+        if number == 10:  # one part is in the file, the other in its write-ahead log
             writer.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchall()
         writer.change(number, commit=False)
         states.add((writer.state.version, writer.state.digest, (3, 5), writer.state.version - 1))
@@ -80,7 +80,7 @@
 
 
 def write_store_files(path, files):
-    """These, and no others; a file that was closed has no log."""
+    """Write these files and delete others; a file that was closed has no write-ahead log."""
     for end in ("", "-wal"):
         Path(f"{path}{end}").unlink(missing_ok=True)
     for end, body in ({"": files["closed"]} if "closed" in files else files).items():
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("damaged_file", ["closed", "", "-wal"])
 def test_a_damaged_file_is_rejected_or_holds_an_earlier_state(killed_store, damaged_file, damage):
     files, states, path = killed_store
-    body, outcomes = files[damaged_file], {"refused": 0, "earlier": 0, "whole": 0}
+    body, outcomes = files[damaged_file], {"rejected": 0, "earlier": 0, "complete": 0}
     newest = max(states, key=lambda s: (s[0], s[3]))
     step = max(64, len(body) // 120 // 64 * 64)
     if damaged_file != "closed":
@@ -110,20 +110,21 @@
         write_store_files(path, files | {damaged_file: body[:at] if damage == "cut" else flipped})
         found = read(path)
         if isinstance(found, str):
-            outcomes["refused"] += 1
+            outcomes["rejected"] += 1
             continue
         assert found in states, (at, found)
-        outcomes["whole" if found == newest else "earlier"] += 1
+        outcomes["complete" if found == newest else "earlier"] += 1
     print(damaged_file or "file", damage, outcomes)
-    # A file whose pages are all in its log as well is whole again, a log without its end an earlier state.
-    log = "earlier" if damage == "cut" else "refused"
-    assert outcomes[{"closed": "refused", "": "whole", "-wal": log}[damaged_file]] > 20
+    # A file whose pages are all in its log, too, is complete again. A log without its end gives an
+    # earlier state.
+    log = "earlier" if damage == "cut" else "rejected"
+    assert outcomes[{"closed": "rejected", "": "complete", "-wal": log}[damaged_file]] > 20
     assert log == "earlier" or outcomes["earlier"] < 10  # damage to the last step only
 
 
 def test_missing_files_and_open_modes(killed_store):
     files, _, path = killed_store
-    assert "--rejoin" in read(path)  # nothing there
+    assert "--rejoin" in read(path)  # there is no file
     write_store_files(path, {"-wal": files["-wal"]})
     with pytest.raises(StorageUnusableError, match="only a log of it is left"):
         SqliteStorage(path, "a", "first")
@@ -131,7 +132,7 @@
     SqliteStorage(path, "a", "first").close()
     assert "it holds no history" in read(path)
     SqliteStorage(path, "a", "rejoin").close()
-    again = SqliteStorage(path, "a")  # it goes on joining without the flag
+    again = SqliteStorage(path, "a")  # it continues joining without the option
     assert again.load().joining
     again.joined()
     again.close()
@@ -157,7 +158,7 @@
         quarantine_us=5,
     )
     assert replica.joining
-    assert replica.tick(4) == 5  # until then it says nothing
+    assert replica.tick(4) == 5  # it sends nothing during its quarantine
     assert not replica.is_eligible(9)
 
 
@@ -201,7 +202,7 @@
 
 
 def test_each_durable_step_is_atomic(tmp_path):
-    """The process ends before a step: nothing of it is found, and all before it."""
+    """If the process ends before a step, the store holds nothing of it and all earlier steps."""
     steps = []
 
     def exit_before_step(step):
@@ -241,7 +242,10 @@
 
 
 def test_the_store_size_is_bounded(tmp_path, monkeypatch):
-    """50,000 changes of 490 engines. synchronous is off here only: it decides when, not what is written."""
+    """The size stays bounded over 50,000 changes of 490 engines.
+
+    `synchronous` is off in this test only: it determines when data is written, not which data.
+    """
     path = tmp_path / "steady"
     writer, sizes = StoreWriter(path), []
     writer.store.db.execute("PRAGMA synchronous=OFF")
@@ -259,7 +263,7 @@
         writer.store.commit(writer.state.version)
         if writer.store.needs_compaction:
             writer.store.compact(writer.state.snapshot())
-        if batch_number % 60 == 59:  # as a kill would leave it, in many rounds of the log
+        if batch_number % 60 == 59:  # the files as a kill would leave them, over many resets of the log
             write_store_files(
                 tmp_path / "killed", {end: Path(f"{path}{end}").read_bytes() for end in ("", "-wal")}
             )
--- a/tests/controlplane/test_storage_failures.py
+++ b/tests/controlplane/test_storage_failures.py
@@ -1,4 +1,4 @@
-"""Disks of control processes that are full, damaged or lost."""
+"""Full, damaged and lost disks of control processes."""
 
 import os
 import resource
@@ -30,9 +30,9 @@
 
 
 def fill_disk(cluster, leader, subscriber, done):
-    """The leader's disk is full for a change, which another one takes; then it has room again."""
+    """The leader's disk is full during a change, which another leader makes; later it has space again."""
     size = (leader.store / "history.sqlite-wal").stat().st_size
-    assert size > 4 * leader.log_file.stat().st_size  # the limit counts for its log too
+    assert size > 4 * leader.log_file.stat().st_size  # the limit applies to its log file too
     soft, hard = resource.prlimit(leader.process.pid, resource.RLIMIT_FSIZE)
     resource.prlimit(leader.process.pid, resource.RLIMIT_FSIZE, (size, hard))
     status, answer = cluster.post_change(leader, {"engine/full": engine(60)}, "full")
@@ -42,7 +42,7 @@
     cluster.leader(leader.name)
     answer = cluster.change({"engine/full": engine(60)}, "full")
     assert answer["primary"] != leader.name
-    cluster.wait_for(lambda: subscriber.version >= answer["version"], "others that go on")
+    cluster.wait_for(lambda: subscriber.version >= answer["version"], "a subscriber of the others")
     assert leader.running()
     assert cluster.position(leader).version < answer["version"]
     resource.prlimit(leader.process.pid, resource.RLIMIT_FSIZE, (soft, hard))
@@ -52,7 +52,7 @@
 
 
 def damage_last_page(control):
-    """Cut its store off in the middle of the last page: it doesn't start."""
+    """Truncate a process's store in the middle of the last page: the process does not start."""
     assert control.terminate() == 0
     file = control.store / "history.sqlite"
     os.truncate(file, file.stat().st_size - 2048)
@@ -63,7 +63,7 @@
 
 
 def move_store_away(control):
-    """Move the files of its store away: it doesn't start with an empty one either."""
+    """Move the files of a process's store away: the process does not start without them either."""
     for left in control.store.iterdir():
         left.rename(control.folder / f"moved-{left.name}")
     lines = lines_of_failed_start(control)
@@ -72,7 +72,7 @@
 
 
 def lines_of_failed_start(control) -> list[str]:
-    """What it logs while it refuses to start."""
+    """Return the lines that a process logs when it fails to start."""
     before = len(control.log_text().splitlines())
     control.start()
     assert control.process.wait(WAIT) == 2
@@ -85,7 +85,7 @@
     plane.leader()
     servers = [Server(name, "") for name in plane.controls]
     name = next(n for n in map(str, range(100)) if order(n, "", "", servers)[0].name == "c1")
-    broker = plane.broker(name)  # it follows the one whose disk will be full
+    broker = plane.broker(name)  # it follows the process whose disk will be full
     assert plane.broker_has_version(broker, 1), plane.log_text()
     assert broker.status()["server"] == "c1", plane.log_text()
     for number in range(4):
