--- a/tests/controlplane/test_replica_guards.py
+++ b/tests/controlplane/test_replica_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of a replica holds, and is seen to be needed."""
+"""Each safety check of a replica works, and disabling it leads to a safety violation."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -21,12 +21,12 @@
 
 
 class Guard(NamedTuple):
-    """A scene, and the guard without which it goes wrong."""
+    """A scenario and the safety check without which it violates safety."""
 
     scene: Callable
-    owner: type
-    method: str
-    without: Callable  # in place of the method
+    target: type  # class with the check
+    method: str  # name of the check
+    without: Callable  # replacement that disables the check
 
 
 def promise_in_memory(self, epoch, instance_id):
@@ -60,15 +60,15 @@
     ),
     Guard(scenes.deposed_leader_appends, ReplicatedLog, "is_stale", lambda self, epoch: False),
     Guard(
-        scenes.tail_of_an_old_epoch,
+        scenes.stale_entries_of_an_old_epoch,
         ReplicatedLog,
         "contains",
         lambda self, epoch, version: self.entries.epoch_at(version) is not None,
     ),
     Guard(
-        scenes.commit_behind_a_tail,
+        scenes.commit_beyond_matching_entries,
         ReplicatedLog,
-        "committed_here",
+        "follower_commit",
         lambda self, commit, matching: min(commit, self.last.version),
     ),
     Guard(
@@ -77,7 +77,7 @@
         "is_of_current_epoch",
         lambda self, version: True,
     ),
-    Guard(scenes.acknowledgement_after_the_lease, LeaderRole, "is_leased", lambda self, now: True),
+    Guard(scenes.acknowledgement_after_lease_expiry, LeaderRole, "holds_lease", lambda self, now: True),
     Guard(scenes.lost_disk_counted_for_a_promise, LeaderRecovery, "_counted_promises", count_all_promises),
     Guard(scenes.empty_disk_counted, LeaderRecovery, "_counted_promises", count_promises_of_empty_disks),
     Guard(
@@ -92,14 +92,14 @@
         "_has_caught_up",
         lambda self, epoch, leader_commit: leader_commit <= self.commit,
     ),
-    Guard(scenes.lost_promise, Replica, "_is_quarantined", lambda self, now: False),
+    Guard(scenes.promise_lost_with_the_disk, Replica, "_is_quarantined", lambda self, now: False),
     Guard(
         scenes.disks_restored_from_old_copies,
         LeaderRecovery,
         "_lacks_committed_entries",
         lambda self, newest: False,
     ),
-    Guard(scenes.less_than_a_majority, ReplicaContext, "is_majority", lambda self, count: True),
+    Guard(scenes.promises_of_a_minority, ReplicaContext, "is_majority", lambda self, count: True),
     Guard(scenes.other_cluster, ReplicatedLog, "_is_same_cluster", lambda self, cluster_id: True),
     Guard(scenes.repeated_request, ReplicatedLog, "version_of_request", lambda self, request_id: None),
     Guard(scenes.promise_not_persisted, ReplicatedLog, "promise", promise_in_memory),
@@ -108,16 +108,16 @@
 
 
 @pytest.mark.parametrize("guard", GUARDS, ids=lambda guard: guard.scene.__name__)
-def test_guard_holds_and_is_needed(guard, monkeypatch):
+def test_each_guard_prevents_a_safety_violation(guard, monkeypatch):
     guard.scene(Replica)
-    assert guard.method in vars(guard.owner)
-    monkeypatch.setattr(guard.owner, guard.method, guard.without)
-    with pytest.raises(SafetyViolationError) as found:
+    assert guard.method in vars(guard.target)
+    monkeypatch.setattr(guard.target, guard.method, guard.without)
+    with pytest.raises(SafetyViolationError) as raised:
         guard.scene(Replica)
-    print(f"without {guard.method}: {found.value}")
+    print(f"without {guard.method}: {raised.value}")
 
 
-def test_what_is_committed_is_never_dropped(monkeypatch):
+def test_committed_entries_are_never_truncated(monkeypatch):
     world = started_world(Replica)
     world.propose("a", "x")
     world.run("abc")
@@ -132,4 +132,4 @@
     world.start("b")
     world.running["b"].receive(world.now, "c", AppendEntries(9, 1, 1, [other], 1))
     log = world.running["b"].log
-    assert log.last.version < log.commit  # without the guard: gone, unnoticed
+    assert log.last.version < log.commit  # without the check, committed entries are lost silently
--- a/tests/controlplane/test_storage_failures.py
+++ b/tests/controlplane/test_storage_failures.py
@@ -1,4 +1,4 @@
-"""Disks of control processes that are full, damaged or lost."""
+"""Full, damaged and lost disks of control processes."""
 
 import os
 import resource
@@ -12,7 +12,7 @@
 from tests.fakes.control_plane import WAIT
 
 
-def test_full_disk_and_a_file_that_is_cut_off(cluster):
+def test_full_disk_and_a_truncated_store(cluster):
     leader = cluster.wait_for_settled_leader()
     subscriber = cluster.follow("b1", "z1")
     keys = [f"engine/e{i}" for i in range(1, 6)]
@@ -21,7 +21,7 @@
     damaged = cluster.others(cluster.leader().name)[0]
     damage_last_page(damaged)
     answer = cluster.change({"engine/e9": engine(9)}, "r9")
-    empty_store(damaged)
+    move_store_away(damaged)
     damaged.start("--rejoin")
     cluster.wait_for(lambda: damaged.logged("joined"), "a voter that has joined")
     cluster.wait_for_one_history(answer["version"])
@@ -30,9 +30,9 @@
 
 
 def fill_disk(cluster, leader, subscriber, done):
-    """The leader's disk is full for a change, which another one takes; then it has room again."""
+    """The leader's disk is full during a change, which another leader makes; later it has space again."""
     size = (leader.store / "history.sqlite-wal").stat().st_size
-    assert size > 4 * leader.log_file.stat().st_size  # the limit counts for its log too
+    assert size > 4 * leader.log_file.stat().st_size  # the limit applies to its log file too
     soft, hard = resource.prlimit(leader.process.pid, resource.RLIMIT_FSIZE)
     resource.prlimit(leader.process.pid, resource.RLIMIT_FSIZE, (size, hard))
     status, answer = cluster.post_change(leader, {"engine/full": engine(60)}, "full")
@@ -42,7 +42,7 @@
     cluster.leader(leader.name)
     answer = cluster.change({"engine/full": engine(60)}, "full")
     assert answer["primary"] != leader.name
-    cluster.wait_for(lambda: subscriber.version >= answer["version"], "others that go on")
+    cluster.wait_for(lambda: subscriber.version >= answer["version"], "a subscriber of the others")
     assert leader.running()
     assert cluster.position(leader).version < answer["version"]
     resource.prlimit(leader.process.pid, resource.RLIMIT_FSIZE, (soft, hard))
@@ -52,7 +52,7 @@
 
 
 def damage_last_page(control):
-    """Cut its store off in the middle of the last page: it doesn't start."""
+    """Truncate a process's store in the middle of the last page: the process does not start."""
     assert control.terminate() == 0
     file = control.store / "history.sqlite"
     os.truncate(file, file.stat().st_size - 2048)
@@ -62,8 +62,8 @@
     assert "--rejoin" in lines[0], lines
 
 
-def empty_store(control):
-    """Move the files of its store away: it doesn't start with an empty one either."""
+def move_store_away(control):
+    """Move the files of a process's store away: the process does not start without them either."""
     for left in control.store.iterdir():
         left.rename(control.folder / f"moved-{left.name}")
     lines = lines_of_failed_start(control)
@@ -72,50 +72,50 @@
 
 
 def lines_of_failed_start(control) -> list[str]:
-    """What it logs while it refuses to start."""
+    """Return the lines that a process logs when it fails to start."""
     before = len(control.log_text().splitlines())
     control.start()
     assert control.process.wait(WAIT) == 2
     return control.log_text().splitlines()[before:]
 
 
-def test_a_full_disk_ends_a_primary_and_no_change_is_lost(plane):
+def test_a_full_disk_ends_leadership_and_no_change_is_lost(plane):
     for name, control in plane.controls.items():
         control.start("--first", str(plane.seed_file), fault="disk-full:append:3" if name == "c1" else "")
     plane.leader()
     servers = [Server(name, "") for name in plane.controls]
     name = next(n for n in map(str, range(100)) if order(n, "", "", servers)[0].name == "c1")
-    broker = plane.broker(name)  # it follows the one whose disk will be full
+    broker = plane.broker(name)  # it follows the process whose disk will be full
     assert plane.broker_has_version(broker, 1), plane.log_text()
     assert broker.status()["server"] == "c1", plane.log_text()
     for number in range(4):
         engine = ENGINE | {"address": f"127.0.0.1:{number + 1}"}
-        code, words = plane.change({"engines": {f"s-{number}": engine}})
-        assert code == 0, words + plane.log_text()
-        assert "in force at 1 of 1 brokers" in words, words + plane.log_text()
+        code, output = plane.change({"engines": {f"s-{number}": engine}})
+        assert code == 0, output + plane.log_text()
+        assert "in force at 1 of 1 brokers" in output, output + plane.log_text()
     assert plane.controls["c1"].logged("disk_error")
     assert broker.status()["server"] != "c1"
     primary = plane.controls[plane.leader("c1")]
-    code, told, _ = run(
+    code, entries, _ = run(
         "control", "state", "--at", plane.servers[primary.name]["management"], "--prefix", "engine/"
     )
-    assert [f"engine/s-{n}" in told for n in range(4)] == [True] * 4
+    assert [f"engine/s-{n}" in entries for n in range(4)] == [True] * 4
 
 
-def test_a_lost_disk_needs_a_word_and_comes_back(plane):
+def test_a_lost_disk_requires_the_rejoin_option(plane):
     first = plane.start()
     lost = plane.controls[next(n for n in plane.controls if n != first)]
     assert plane.change({"engines": {"s-1": ENGINE}})[0] == 0
     lost.kill()
     shutil.rmtree(lost.store)
-    said = len(lost.log_text())
+    log_length = len(lost.log_text())
     lost.start()
     assert lost.process.wait(WAIT) == 2
-    words = lost.log_text()[said:]
-    assert "Start with --rejoin" in words
-    assert len(words.splitlines()) == 1
+    output = lost.log_text()[log_length:]
+    assert "Start with --rejoin" in output
+    assert len(output.splitlines()) == 1
     lost.start("--rejoin")
-    assert until(lambda: lost.status().get("version", 0) >= 2 and not lost.status()["joining"], WAIT), words
+    assert until(lambda: lost.status().get("version", 0) >= 2 and not lost.status()["joining"], WAIT), output
     assert plane.change({"engines": {"s-2": ENGINE | {"address": "127.0.0.1:8"}}})[0] == 0
     newest = plane.controls[plane.leader()].status()
     assert until(lambda: lost.status()["digest"] == newest["digest"], WAIT), plane.log_text()
