--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -160,7 +160,7 @@
             raise ConnectionEndedError("no answer to hello")
         if self._is_other_history(message.cluster_id):
             self.events.emit("peer_rejected", peer=peer, why="lineage", lineage=message.cluster_id)
-            raise ConnectionEndedError(f"peer belongs to another cluster, {message.cluster_id!r}")
+            raise ConnectionEndedError("other cluster")
 
     def _is_other_history(self, cluster_id: str) -> bool:
         own = self.cluster.cluster_id
