--- a/cypressledge/broker_process/process.py
+++ b/cypressledge/broker_process/process.py
@@ -90,9 +90,9 @@
 
     def _follow_control_plane(self, file: str) -> "BrokerIntegration":
         """The control plane. Imported here alone: `run` without it must not load it."""
-        from cypressledge.controlplane.broker_integration import follow
+        from cypressledge.controlplane.broker_integration import follow_control_plane
 
-        control = follow(file, self)
+        control = follow_control_plane(file, self)
         self._greenlets += control.loops
         return control
 
--- a/cypressledge/controlplane/accepted_state.py
+++ b/cypressledge/controlplane/accepted_state.py
@@ -30,7 +30,7 @@
         """After each change, or a snapshot."""
 
     @property
-    def settled(self) -> Callable[[], str | None] | None:
+    def message_applied(self) -> Callable[[], str | None] | None:
         """Once all that a message brought is taken."""
 
 
@@ -71,7 +71,7 @@
         version_before = self.state.version
         request = self._apply_all(changes)
         if self.state.version > version_before:
-            self._settle()
+            self._finish_message()
         return request
 
     def _apply_all(self, changes: list[Change]) -> SnapshotRequest | None:
@@ -98,7 +98,7 @@
         if self._is_newer(snapshot):
             before, self.state = self.state.position, state
             self._notify_changed(before, None)
-            self._settle()
+            self._finish_message()
 
     def _is_newer(self, snapshot: Snapshot) -> bool:
         """Whether a snapshot is to be taken: see the head of this file."""
@@ -129,9 +129,9 @@
         self._counters.add("snapshots_applied" if change is None else "changes_applied")
         self.rejection_reason = to_printable_line(self._callbacks.changed(self.state, change) or "")
 
-    def _settle(self) -> None:
-        if self._callbacks.settled is not None:
-            self.rejection_reason = to_printable_line(self._callbacks.settled() or "")
+    def _finish_message(self) -> None:
+        if self._callbacks.message_applied is not None:
+            self.rejection_reason = to_printable_line(self._callbacks.message_applied() or "")
 
     def _reject(self, epoch: int, version: int) -> None:
         self._report("update_rejected", epoch=epoch, version=version, own=self.state.position)
--- a/cypressledge/controlplane/broker_connections.py
+++ b/cypressledge/controlplane/broker_connections.py
@@ -12,7 +12,7 @@
 
 MAX_FRAME_BYTES = 64 << 10  # of a broker's frames after its first
 MAX_SILENCE_S = 60.0  # between two frames of a peer; it may be silent for longer: only its end is waited for
-LAST_READ_S = 1.0  # for what a rejected peer still sends
+FINAL_READ_TIMEOUT_S = 1.0  # for what a rejected peer still sends
 RETRY_AFTER_MS = 5_000  # that a broker stays away from a control process that stops, or whose disk refuses
 
 
@@ -77,4 +77,4 @@
     """Send a peer why it is rejected, and read what it still sends. Raises `ConnectionEndedError`."""
     frames.send(message)
     frames.finish_sending()
-    frames.receive(LAST_READ_S)
+    frames.receive(FINAL_READ_TIMEOUT_S)
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -49,14 +49,14 @@
         settings = read_control_settings(file)
         self.fleet = broker.fleet
         self.instance_id = new_instance_id() if self.fleet is None else self.fleet.node.instance_id
-        self._touched_kinds: set[str] = set()  # of which something has come that isn't in force yet
+        self._changed_kinds: set[str] = set()  # of which something has come that isn't in force yet
         self._rejections: dict[str, str] = {}  # by kind: why the newest of that kind is not in force
         self.client = SubscriberClient(
             self._identity(env),
             settings,
             self.counters,
-            self._changed,
-            self._settled,
+            self._on_state_changed,
+            self._on_message_applied,
             SubscriberOptions(record=settings.lab.record),
         )
         self.loops = self.client.loops
@@ -96,24 +96,24 @@
 
     # What a new state brings
 
-    def _changed(self, state: FleetState, change: Change | None) -> str:
+    def _on_state_changed(self, state: FleetState, change: Change | None) -> str:
         """Something of these kinds of keys; `change` is None for a snapshot."""
-        self._touched_kinds |= (
+        self._changed_kinds |= (
             set(KINDS) if change is None else {op.key.partition("/")[0] for op in change.ops}
         )
         return self.rejection_reason
 
-    def _settled(self) -> str:
+    def _on_message_applied(self) -> str:
         """Take what differs; why some of it is not in force. Guards against requests that stand still while
         the list is taken anew for each of some hundred changes that came together."""
-        state, touched = self.client.state, self._touched_kinds
-        self._touched_kinds = set()
+        state, changed = self.client.state, self._changed_kinds
+        self._changed_kinds = set()
         for kind, apply in (
             ("config", lambda: self._apply_settings(state.config())),
             ("engine", lambda: self._apply_engines(state.engines())),
-            ("broker", self.name_peers),
+            ("broker", self._apply_peer_addresses),
         ):
-            if kind in touched:
+            if kind in changed:
                 self._apply(kind, apply)
         return self.rejection_reason
 
@@ -138,11 +138,11 @@
         if not engines and not self.broker.configuration.has_external_engine_list:
             return
         self.broker.configuration.apply_engine_list(
-            [_listed(name, engine) for name, engine in sorted(engines.items())]
+            [_discovered_engine(name, engine) for name, engine in sorted(engines.items())]
         )
         self.counters.add("control.engine_lists")
 
-    def name_peers(self) -> None:
+    def _apply_peer_addresses(self) -> None:
         """Where the other brokers are: as the fleet's file says, and above that as the state does."""
         if self.fleet is None:
             return
@@ -150,7 +150,7 @@
         self.fleet.name_peers({name: parse_address(broker.address) for name, broker in brokers.items()})
 
 
-def _listed(name: str, engine: Engine) -> DiscoveredEngine:
+def _discovered_engine(name: str, engine: Engine) -> DiscoveredEngine:
     host, port = parse_address(engine.address)
     return DiscoveredEngine(
         name,
@@ -164,6 +164,6 @@
     )
 
 
-def follow(file: str, broker: "BrokerProcess") -> BrokerIntegration:
+def follow_control_plane(file: str, broker: "BrokerProcess") -> BrokerIntegration:
     """The integration of a broker that is being put together."""
     return BrokerIntegration(file, broker, os.environ)
--- a/cypressledge/controlplane/change_proposals.py
+++ b/cypressledge/controlplane/change_proposals.py
@@ -129,7 +129,7 @@
     def _acknowledge(self, waiting: _WaitingChange) -> None:
         proposal, change = waiting.proposal, waiting.change
         if self.faults.is_due("answer"):
-            self.faults.strike()
+            self.faults.inject()
         self.events.emit(
             "change_acknowledged",
             epoch=proposal.epoch,
--- a/cypressledge/controlplane/cli.py
+++ b/cypressledge/controlplane/cli.py
@@ -17,7 +17,7 @@
 from cypressledge.cli_support import ManagementAddress, as_json, show
 from cypressledge.controlplane.change_file import read_change_file
 from cypressledge.controlplane.operator_client import (
-    PAUSE_S,
+    RETRY_INTERVAL_S,
     Address,
     LeaderClient,
     NoAnswerError,
@@ -38,7 +38,7 @@
 STATUS_COLUMNS = ("name", "role", "primary", "epoch", "version", "commit", "brokers", "peers", "digest")
 EXIT_IN_FORCE, EXIT_LAGGING_OR_UNKNOWN, EXIT_REFUSED = 0, 1, 2
 
-at_control = click.option(
+control_address_option = click.option(
     "--at",
     "servers",
     type=ManagementAddress(),
@@ -76,7 +76,7 @@
 
 
 @control.command()
-@at_control
+@control_address_option
 @as_json
 def status(servers: tuple[Address, ...], as_json: bool) -> None:
     """How each of the control processes named stands."""
@@ -94,7 +94,7 @@
 
 
 @control.command()
-@at_control
+@control_address_option
 @click.option("--prefix", default="", help="Keys that begin so: config/, engine/, broker/.")
 def state(servers: tuple[Address, ...], prefix: str) -> None:
     """The committed state, as JSON."""
@@ -103,7 +103,7 @@
 
 
 @control.command()
-@at_control
+@control_address_option
 @click.option("--from", "first", default=0, type=click.IntRange(0), help="From this version on.")
 @as_json
 def history(servers: tuple[Address, ...], first: int, as_json: bool) -> None:
@@ -118,7 +118,7 @@
 
 
 @control.command()
-@at_control
+@control_address_option
 @click.option("--version", default=0, type=click.IntRange(0), help="The newest where none is named.")
 def lag(servers: tuple[Address, ...], version: int) -> None:
     """Who has not a version in force yet. Exit code 1 where anybody lags or rejects it."""
@@ -160,7 +160,7 @@
 
 @control.command()
 @click.argument("file", metavar="FILE.yaml")
-@at_control
+@control_address_option
 @click.option("--request", default="", help="Names this request, so that a repeat is known; drawn if absent.")
 @click.option(
     "--against",
@@ -231,7 +231,7 @@
         is_settled = lag is not None and not lag.lagging_count and not lag.unheard
         if is_settled or time.monotonic() >= deadline:
             break
-        time.sleep(PAUSE_S)
+        time.sleep(RETRY_INTERVAL_S)
     if lag is None:
         click.echo("not known who lags", err=True)
         return EXIT_LAGGING_OR_UNKNOWN
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -184,9 +184,9 @@
     def _subscribe(self) -> None:
         """What the parts do at each other's events."""
         for event in ("primary", "stepped_down"):
-            self.events.subscribe(event, partial(self._note_leadership, event))
+            self.events.subscribe(event, partial(self._record_leadership_event, event))
         for event in ("recovering", "stepped_down"):
-            self.events.subscribe(event, self._forget_reports)
+            self.events.subscribe(event, self._clear_reports)
         self.events.subscribe("disk_error", self._suspend)
 
     def _make_leadership(self) -> Leadership:
@@ -236,7 +236,7 @@
 
     def _make_loops(self) -> list[Callable[[], None]]:
         """What runs in a greenlet each, from start to end."""
-        own_loops = [self.run_owner, self.listener.run, self.operators.run]
+        own_loops = [self.run_event_loop, self.listener.run, self.operators.run]
         replica_loops = self.replica.loops if isinstance(self.replica, NonVotingReplica) else []
         return [*self.node.loops, *own_loops, *self._peer_loops(), *replica_loops]
 
@@ -257,10 +257,10 @@
 
     # Events
 
-    def _note_leadership(self, event: str, fields: dict[str, object]) -> None:
+    def _record_leadership_event(self, event: str, fields: dict[str, object]) -> None:
         self.record.write(event, epoch=fields["epoch"], version=fields.get("version", 0))
 
-    def _forget_reports(self, fields: dict[str, object]) -> None:
+    def _clear_reports(self, fields: dict[str, object]) -> None:
         """This process begins or ends as the leader: what it was told before counts no more."""
         self.registry.clear()
         self.applied.clear()
@@ -272,7 +272,7 @@
 
     # The owner
 
-    def run_owner(self) -> None:
+    def run_event_loop(self) -> None:
         """A greenlet: does what is due, and takes in what has come."""
         while not self._is_stopping:
             now = self.clock.now()
--- a/cypressledge/controlplane/faults.py
+++ b/cypressledge/controlplane/faults.py
@@ -15,7 +15,7 @@
 from cypressledge.controlplane.log_storage import StorageError
 
 FAULT_VARIABLE, ONCE_VARIABLE = "CYPRESSLEDGE_LAB_FAULT", "CYPRESSLEDGE_LAB_ONCE"
-FAULT_FORM = re.compile(r"(kill|stop)-(before|after)[:-]([a-z]+):(\d+)|(disk)-(full):([a-z]+):(\d+)")
+FAULT_PATTERN = re.compile(r"(kill|stop)-(before|after)[:-]([a-z]+):(\d+)|(disk)-(full):([a-z]+):(\d+)")
 SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP}
 
 
@@ -25,35 +25,35 @@
 
     def __init__(self, text: str, marker_file: str = "") -> None:
         self.marker_file = marker_file
-        self.what = self.when = self.step = ""
+        self.action = self.timing = self.step = ""
         self._number, self._count = 0, 0
         if not text:
             return
-        found = FAULT_FORM.fullmatch(text)
+        found = FAULT_PATTERN.fullmatch(text)
         if found is None:
             raise ConfigError(f"{FAULT_VARIABLE}: no fault: {text!r}")
-        self.what, self.when, self.step, number = (group for group in found.groups() if group is not None)
+        self.action, self.timing, self.step, number = (group for group in found.groups() if group is not None)
         self._number = int(number)
 
     def is_due(self, step: str) -> bool:
         """A step is reached: whether the fault is to be at it."""
-        if step != self.step or self.what == "disk":
+        if step != self.step or self.action == "disk":
             return False
         self._count += 1
         return self._count == self._number
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         """Kill or stop this process now, unless another one was struck."""
         if self.marker_file:
             try:
                 os.close(os.open(self.marker_file, os.O_CREAT | os.O_EXCL))
             except FileExistsError:
                 return
-        os.kill(os.getpid(), SIGNALS[self.what])
+        os.kill(os.getpid(), SIGNALS[self.action])
 
     def check_disk(self, step: str) -> None:
         """Called before each durable step of the store. Raises `StorageError` from the step named on."""
-        if self.what != "disk" or step != self.step:
+        if self.action != "disk" or step != self.step:
             return
         self._count += 1
         if self._count >= self._number:
--- a/cypressledge/controlplane/operator_client.py
+++ b/cypressledge/controlplane/operator_client.py
@@ -22,7 +22,7 @@
 
 ANSWER_TIMEOUT_S = 2.0
 CHANGE_TIMEOUT_S = 6.0  # a change may wait 5 for its majority
-PAUSE_S = 0.3  # between attempts, and between looks at who lags
+RETRY_INTERVAL_S = 0.3  # between attempts, and between looks at who lags
 RETRIED_ANSWERS = (AnswerTag.NOT_LEADER, AnswerTag.OUTCOME_UNKNOWN)
 
 Body = TypeVar("Body", bound=msgspec.Struct)
@@ -113,7 +113,7 @@
                 self._learn_addresses(answer.read(LeaderAddresses))
             if time.monotonic() >= self._deadline:
                 raise NoAnswerError(why)
-            time.sleep(PAUSE_S)
+            time.sleep(RETRY_INTERVAL_S)
 
     def _find_leader(self) -> None:
         """Put the leader's address first. Guards against a change that waits long for a process that stands
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -91,12 +91,12 @@
             self._counters.add("control.peer_unreachable")
             return
         is_due = self._counts_for_fault(message) and self._faults.is_due(str(message.__struct_config__.tag))
-        if is_due and self._faults.when == "before":
-            self._faults.strike()
+        if is_due and self._faults.timing == "before":
+            self._faults.inject()
         frames.send(message)
-        if is_due and self._faults.when == "after":
+        if is_due and self._faults.timing == "after":
             frames.writer.flushed.wait(FLUSH_S)
-            self._faults.strike()
+            self._faults.inject()
 
     @staticmethod
     def _counts_for_fault(message: Message) -> bool:
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -33,7 +33,7 @@
 from cypressledge.controlplane.subscription import Subscription
 from cypressledge.controlplane.subscription_table import SubscriptionTable
 
-MIN_TICK = 50_000  # µs between ticks at least: guards against one wake for each broker's heartbeat
+MIN_TICK_INTERVAL = 50_000  # µs between ticks at least: guards against one wake for each broker's heartbeat
 MAX_NAME_CHARS = 64  # of a broker that is rejected, in logs
 MAX_REASON_CHARS = 40  # of a broker's reason, in logs
 MAX_ERROR_CHARS = 120  # of what is wrong with an address, in logs
@@ -116,7 +116,7 @@
             return Disconnect("format", limits.mismatch_retry_after_ms)
         if connection in self.subscriptions or hello.role != "broker" or not is_valid_hello(hello):
             return Disconnect("nonsense")
-        former = self.subscriptions.named(hello.name)
+        former = self.subscriptions.by_broker(hello.name)
         if former is not None:
             replaced = Disconnect("replaced", limits.replaced_retry_after_ms)
             self._disconnect(former, replaced)
@@ -190,13 +190,13 @@
         self._send_queued_snapshots(now)
         if self.snapshot_queue:
             due = min(due, self.throttle.free_at(now))
-        return max(due, now + MIN_TICK)
+        return max(due, now + MIN_TICK_INTERVAL)
 
     def _check_times(self, now: int, subscription: Subscription) -> int:
         """One broker's timeouts; when the next of them is."""
         if subscription.expected_position is not None and now >= subscription.answer_deadline:
             self._disconnect(subscription, Disconnect("silent"))
-            return now + MIN_TICK
+            return now + MIN_TICK_INTERVAL
         if now - subscription.heartbeat_at >= self._heartbeat_interval:
             self._send_heartbeat(now, subscription)
         self._report_ahead(now, subscription)
--- a/cypressledge/controlplane/server_selection.py
+++ b/cypressledge/controlplane/server_selection.py
@@ -11,14 +11,19 @@
 
 from cypressledge.fleet.leases.candidate_order import weight
 
-ATTEMPT_SPAN = 100_000  # a random part of it: between the attempts of one round of all servers
-MAX_ROUND_SPAN = 5_000_000  # a random part of it at the most: between rounds, doubling from ATTEMPT_SPAN
-MAX_SPAN_DOUBLINGS = 10
-NEARER_SPAN = (20_000_000, 40_000_000)  # until a nearer server is tried
-MAX_NEARER_DOUBLINGS = 3  # of that while the nearer ones fail; of STALE_SPAN likewise
+MAX_ATTEMPT_DELAY = 100_000  # a random part of it: between the attempts of one round of all servers
+MAX_ROUND_DELAY = (
+    5_000_000  # a random part of it at the most: between rounds, doubling from MAX_ATTEMPT_DELAY
+)
+MAX_ROUND_DELAY_DOUBLINGS = 10
+NEARER_ATTEMPT_DELAY_RANGE = (20_000_000, 40_000_000)  # until a nearer server is tried
+MAX_CHANGE_DELAY_DOUBLINGS = 3  # of that while the nearer ones fail; of STALE_CHANGE_DELAY_RANGE likewise
 MIN_STALE_CONNECTION = 10_000_000  # that a connection is kept, however long no leader is heard over it
-STALE_SPAN = (10_000_000, 20_000_000)  # until the next such change, doubling: all may be cut off alike
-STALE_AVOIDED = 60_000_000  # that a server which heard no leader is not gone back to
+STALE_CHANGE_DELAY_RANGE = (
+    10_000_000,
+    20_000_000,
+)  # until the next such change, doubling: all may be cut off alike
+STALE_AVOIDANCE_TIME = 60_000_000  # that a server which heard no leader is not gone back to
 MAX_RETRY_AFTER = 60_000_000  # that a rejection may keep a broker away
 
 
@@ -47,7 +52,7 @@
     negated_weight: int  # the heaviest first among equally distant ones
 
 
-def order(broker: str, zone: str, region: str, servers: list[Server]) -> list[Server]:
+def order_servers(broker: str, zone: str, region: str, servers: list[Server]) -> list[Server]:
     """Own zone first, then own region, then the others; within each an order of the broker's own (rendezvous
     hashing: Thaler and Ravishankar 1998), so brokers spread and a dead server's spread over the others."""
 
@@ -87,11 +92,11 @@
         """The one that is connected to, or tried next."""
         return self.servers[self.current]
 
-    def first_attempt(self, now: int) -> int:
+    def first_attempt_at(self, now: int) -> int:
         """When to try the first."""
-        return now + self._jitter(ATTEMPT_SPAN)
+        return now + self._jitter(MAX_ATTEMPT_DELAY)
 
-    def attempt_begins(self) -> None:
+    def on_attempt(self) -> None:
         """The current one is tried now."""
         self.nearer_at = None
 
@@ -100,7 +105,7 @@
         self._fallback = None
         if self.current == 0:
             self._nearer_failures = 0
-        self._plan_nearer(now)
+        self._schedule_nearer_attempt(now)
 
     def rejected(self, now: int, retry_after_ms: int) -> None:
         """The current one keeps this broker away."""
@@ -116,15 +121,15 @@
         self.nearer_at = None
         if self._fallback is not None:  # a nearer one did not take us
             self.current, self._fallback = self._fallback, None
-            self._nearer_failures = min(self._nearer_failures + 1, MAX_NEARER_DOUBLINGS)
-            return now + self._jitter(ATTEMPT_SPAN)
+            self._nearer_failures = min(self._nearer_failures + 1, MAX_CHANGE_DELAY_DOUBLINGS)
+            return now + self._jitter(MAX_ATTEMPT_DELAY)
         # All servers in a row, then a pause: guards against a span that grows while most are down, and puts
         # off the one that is up.
         self._failures += 1
         rounds, within = divmod(self._failures, len(self.servers))
-        span = ATTEMPT_SPAN
+        span = MAX_ATTEMPT_DELAY
         if not within:
-            span = min(ATTEMPT_SPAN << min(rounds - 1, MAX_SPAN_DOUBLINGS), MAX_ROUND_SPAN)
+            span = min(MAX_ATTEMPT_DELAY << min(rounds - 1, MAX_ROUND_DELAY_DOUBLINGS), MAX_ROUND_DELAY)
         return self._choose_next(now + self._jitter(span))
 
     def _choose_next(self, at: int) -> int:
@@ -138,23 +143,23 @@
         self.current = free
         return at
 
-    def _plan_nearer(self, now: int) -> None:
-        low, high = NEARER_SPAN
+    def _schedule_nearer_attempt(self, now: int) -> None:
+        low, high = NEARER_ATTEMPT_DELAY_RANGE
         span = low + self._jitter(high - low)
         self.nearer_at = now + (span << self._nearer_failures) if self.current else None
 
     def choose_nearer(self, now: int) -> bool:
         """Choose a nearer one, if one may be tried now. Where that fails, `failed` goes back."""
-        nearer = [i for i in range(self.current) if self._may_return_to(i, now)]
+        nearer = [i for i in range(self.current) if self._is_selectable(i, now)]
         if not nearer:
-            self._plan_nearer(now)
+            self._schedule_nearer_attempt(now)
             return False
         # In turn: guards against one that stays dead hiding the others.
         self._fallback, self.current = self.current, nearer[self._nearer_attempts % len(nearer)]
         self._nearer_attempts += 1
         return True
 
-    def _may_return_to(self, server: int, now: int) -> bool:
+    def _is_selectable(self, server: int, now: int) -> bool:
         return all(until.get(server, 0) <= now for until in (self._not_before, self._stale_until))
 
     def on_leader_contact(self) -> None:
@@ -170,10 +175,10 @@
             or now < self._next_stale_change
         ):
             return False
-        low, high = STALE_SPAN
+        low, high = STALE_CHANGE_DELAY_RANGE
         self._next_stale_change = now + (low + self._jitter(high - low) << self._stale_changes)
-        self._stale_changes = min(self._stale_changes + 1, MAX_NEARER_DOUBLINGS)
-        self._stale_until[self.current] = now + STALE_AVOIDED
+        self._stale_changes = min(self._stale_changes + 1, MAX_CHANGE_DELAY_DOUBLINGS)
+        self._stale_until[self.current] = now + STALE_AVOIDANCE_TIME
         return True
 
     def _jitter(self, span: int) -> int:
--- a/cypressledge/controlplane/settings.py
+++ b/cypressledge/controlplane/settings.py
@@ -29,7 +29,7 @@
     votes: bool = True
 
 
-class Lab(StrictStruct, frozen=True):
+class TestRunOptions(StrictStruct, frozen=True):
     """For the laboratory alone: a clock of another rate and offset, and a file of what was done when."""
 
     clock_rate: Annotated[float, msgspec.Meta(ge=0.5, le=2)] = 1.0
@@ -53,7 +53,7 @@
         default=2_000, name="brokers_most"
     )
     forget_s: Annotated[float, msgspec.Meta(ge=0, le=1e7)] = 3_600.0
-    lab: Lab = Lab()
+    lab: TestRunOptions = TestRunOptions()
 
     @property
     def term(self) -> int:
@@ -75,10 +75,10 @@
 
 def read_control_settings(path: str) -> ControlSettings:
     """The file's settings. Raises `ConfigError` with one line that names the mistake."""
-    return read_yaml_settings(path, ControlSettings, check)
+    return read_yaml_settings(path, ControlSettings, validate_settings)
 
 
-def check(settings: ControlSettings) -> None:
+def validate_settings(settings: ControlSettings) -> None:
     """The rules that a schema can't state. Raises `ConfigError`."""
     if not 1 <= len(settings.servers) <= MAX_SERVERS:
         raise ConfigError(f"{len(settings.servers)} control processes; 3 to {MAX_SERVERS} can be")
--- a/cypressledge/controlplane/startup.py
+++ b/cypressledge/controlplane/startup.py
@@ -16,18 +16,18 @@
 from cypressledge.controlplane.state_values import StateError, encode_value
 from cypressledge.net import receive_buffer, socket_writer
 
-OWN_DESCRIPTORS = 128  # that are nobody's connection, or an operator's
+RESERVED_DESCRIPTORS = 128  # that are nobody's connection, or an operator's
 MAX_QUEUED_BYTES = 256 << 20  # to all peers and brokers together
 MAX_BUFFERED_BYTES = 64 << 20  # from all of them
 STORE_FILE = "history.sqlite"  # in the folder that a control process is given
 UNUSABLE_EXIT_CODE = 2  # settings or store can't be used
 
 
-def allow_descriptors(brokers: int) -> None:
+def raise_descriptor_limit(brokers: int) -> None:
     """Raise this process's limit of descriptors as far as so many brokers need. Guards against brokers that
     take the descriptors which the store and the other processes need. Raises `ConfigError`."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    needed = brokers + SPARE_CONNECTIONS + OWN_DESCRIPTORS
+    needed = brokers + SPARE_CONNECTIONS + RESERVED_DESCRIPTORS
     if soft < needed:
         soft = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
@@ -46,7 +46,7 @@
     socket_writer.QUEUED_BYTES.limit = MAX_QUEUED_BYTES
     try:
         settings = read_control_settings(file)
-        allow_descriptors(settings.max_brokers)
+        raise_descriptor_limit(settings.max_brokers)
         process = ControlProcess(settings, _read_options(settings, name, folder, seed, rejoin))
     except (ConfigError, StateError, StorageUnusableError, StorageError) as err:
         log(f"cypressledge: {err}")
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -25,7 +25,7 @@
     HelloAccepted,
     Message,
 )
-from cypressledge.controlplane.server_selection import Server, ServerSelector, order
+from cypressledge.controlplane.server_selection import Server, ServerSelector, order_servers
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError
 
@@ -43,8 +43,8 @@
 
     WAITING = "waiting"
     CONNECTING = "connecting"
-    GREETING = "greeting"
-    FOLLOWING = "following"
+    HANDSHAKE = "greeting"
+    SUBSCRIBED = "following"
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,8 @@
     `send(message)` over the connection; `connect(server)`: answered by `connected` or `disconnected`;
     `disconnect(why)`: close the connection, of which nothing may be passed in any more; `event(name,
     **fields)`: to be logged, counted already. `changed(state, change)` after each change taken (None: a
-    snapshot), which returns why some of it was rejected, if it was; `settled()`, where given, once all that a
+    snapshot), which returns why some of it was rejected, if it was; `message_applied()`, where given, once
+    all that a
     message brought is taken, which returns the same: for what needn't be done at each change."""
 
     send: Callable[[Message], None]
@@ -74,7 +75,7 @@
     disconnect: Callable[[str], None]
     changed: Callable[[FleetState, Change | None], str | None]
     event: Callable[..., None]
-    settled: Callable[[], str | None] | None = None
+    message_applied: Callable[[], str | None] | None = None
 
 
 class SubscriberStatus(msgspec.Struct, frozen=True):
@@ -105,9 +106,11 @@
         cluster_id: str = "",
     ) -> None:
         self.identity, self.callbacks = identity, callbacks
-        self.selector = ServerSelector(order(identity.name, identity.zone, identity.region, servers), seed)
+        self.selector = ServerSelector(
+            order_servers(identity.name, identity.zone, identity.region, servers), seed
+        )
         self.counters = Counters()
-        self._held = AcceptedState(self.counters, callbacks, self._report, cluster_id)
+        self._accepted_state = AcceptedState(self.counters, callbacks, self._report, cluster_id)
         self.phase = Phase.WAITING
         self._started_at: int | None = None
         self._phase_at = 0  # of the wait, the end; of the others, the beginning
@@ -118,12 +121,12 @@
     @property
     def state(self) -> FleetState:
         """What is held; of no cluster while nothing is."""
-        return self._held.state
+        return self._accepted_state.state
 
     @property
     def rejection_reason(self) -> str:
         """Why some of what is held is not in force; empty: all of it is."""
-        return self._held.rejection_reason
+        return self._accepted_state.rejection_reason
 
     # Time and the connection
 
@@ -133,15 +136,15 @@
             return now + IDLE_TICK
         if self._started_at is None:
             self._started_at = now
-            self._phase_at = self.selector.first_attempt(now)
+            self._phase_at = self.selector.first_attempt_at(now)
         if self.phase is Phase.WAITING:
             if now >= self._phase_at:
                 self._connect(now)
         elif self.phase is Phase.CONNECTING:
             if now - self._phase_at >= CONNECT_TIMEOUT:
-                self._leave(now, "connect timeout")
+                self._disconnect(now, "connect timeout")
         elif now - self._last_frame >= SILENCE_TIMEOUT:
-            self._leave(now, "silent")
+            self._disconnect(now, "silent")
         elif self.selector.nearer_at is not None and now >= self.selector.nearer_at:
             self._try_nearer(now)
         return self._next_tick()
@@ -158,7 +161,7 @@
         """The connection that was asked for is up."""
         if self.phase is not Phase.CONNECTING:
             return
-        self.phase, self._phase_at, self._last_frame = Phase.GREETING, now, now
+        self.phase, self._phase_at, self._last_frame = Phase.HANDSHAKE, now, now
         state, identity = self.state, self.identity
         self.callbacks.send(
             Hello(
@@ -180,22 +183,22 @@
     def disconnected(self, now: int, why: str) -> None:
         """The connection has ended, or could not be made."""
         if self.phase is not Phase.WAITING:
-            self._lost(now, why)
+            self._on_connection_ended(now, why)
 
     def _connect(self, now: int) -> None:
         self.phase, self._phase_at = Phase.CONNECTING, now
-        self.selector.attempt_begins()
+        self.selector.on_attempt()
         self.callbacks.connect(self.selector.server)
 
-    def _leave(self, now: int, why: str) -> None:
+    def _disconnect(self, now: int, why: str) -> None:
         """End the connection ourselves, and go on to another."""
         self.callbacks.disconnect(why)
-        self._lost(now, why)
+        self._on_connection_ended(now, why)
 
-    def _lost(self, now: int, why: str) -> None:
+    def _on_connection_ended(self, now: int, why: str) -> None:
         self._report("disconnected", server=self.selector.server.name, why=why)
         was_steady = (
-            self.phase in (Phase.GREETING, Phase.FOLLOWING) and now - self._phase_at >= STEADY_CONNECTION
+            self.phase in (Phase.HANDSHAKE, Phase.SUBSCRIBED) and now - self._phase_at >= STEADY_CONNECTION
         )
         self.phase = Phase.WAITING
         self._phase_at = self.selector.failed(now, was_steady)
@@ -211,29 +214,29 @@
 
     def received(self, now: int, message: Message) -> None:
         """A frame of the server that is followed."""
-        if self.phase not in (Phase.GREETING, Phase.FOLLOWING):
+        if self.phase not in (Phase.HANDSHAKE, Phase.SUBSCRIBED):
             return
         self._last_frame = now
-        is_following = self.phase is Phase.FOLLOWING
+        is_subscribed = self.phase is Phase.SUBSCRIBED
         if isinstance(message, Disconnect):
             self.selector.rejected(now, message.retry_after_ms)
-            self._leave(now, f"server disconnected: {message.reason[:MAX_REASON_CHARS]}")
-        elif isinstance(message, HelloAccepted) and not is_following:
+            self._disconnect(now, f"server disconnected: {message.reason[:MAX_REASON_CHARS]}")
+        elif isinstance(message, HelloAccepted) and not is_subscribed:
             self._on_accepted(now, message)
-        elif isinstance(message, Deltas) and is_following:
+        elif isinstance(message, Deltas) and is_subscribed:
             self._on_changes(message.changes)
-        elif isinstance(message, CompleteSnapshot) and is_following:
+        elif isinstance(message, CompleteSnapshot) and is_subscribed:
             self._on_snapshot(now, message.compressed)
-        elif isinstance(message, Heartbeat) and is_following:
+        elif isinstance(message, Heartbeat) and is_subscribed:
             self._on_heartbeat(now, message)
         else:
-            self._leave(now, "unexpected message")
+            self._disconnect(now, "unexpected message")
 
     def _on_accepted(self, now: int, message: HelloAccepted) -> None:
-        if not self._held.is_same_cluster(message.cluster_id):
-            self._leave(now, "other cluster")
+        if not self._accepted_state.is_same_cluster(message.cluster_id):
+            self._disconnect(now, "other cluster")
             return
-        self.phase = Phase.FOLLOWING
+        self.phase = Phase.SUBSCRIBED
         self.selector.accepted(now)
         self._report("subscribed", server=self.selector.server.name)
 
@@ -243,15 +246,15 @@
             if self._leader_heard_at is None or heard_at > self._leader_heard_at:
                 self._leader_heard_at = heard_at
             self._leader = heartbeat.leader
-        self._held.compare_digest(heartbeat)
+        self._accepted_state.compare_digest(heartbeat)
         if 0 <= heartbeat.leader_silence_ms < STALE_MS:
             self.selector.on_leader_contact()
         elif self.selector.avoid_stale(now, self._phase_at):
-            self._leave(now, "stale")
+            self._disconnect(now, "stale")
 
     def _on_changes(self, changes: list[Change]) -> None:
         """Take what follows; one answer in any case."""
-        request = self._held.apply(changes)
+        request = self._accepted_state.apply(changes)
         if request is None:
             self._send_position()
         else:
@@ -263,12 +266,12 @@
             state = FleetState.restore(snapshot)
         except StateError as err:
             self._report("invalid_snapshot", why=str(err))
-            self._leave(now, "invalid snapshot")
+            self._disconnect(now, "invalid snapshot")
             return
-        if not snapshot.cluster_id or not self._held.is_same_cluster(snapshot.cluster_id):
-            self._leave(now, "other cluster")
+        if not snapshot.cluster_id or not self._accepted_state.is_same_cluster(snapshot.cluster_id):
+            self._disconnect(now, "other cluster")
             return
-        self._held.replace(snapshot, state)
+        self._accepted_state.replace(snapshot, state)
         self._send_position()
 
     def _send_position(self) -> None:
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -48,8 +48,9 @@
     """Follows the control plane for one broker.
 
     `changed(state, change)` is called by the client's greenlet once a newer state is held (no change: it came
-    as a snapshot); it returns why some of it was rejected, nothing where all is in force. `settled()`, where
-    given, is called once all that came together is held: only then is it in force, and it returns instead.
+    as a snapshot); it returns why some of it was rejected, nothing where all is in force.
+    `message_applied()`, where given, is called once all that came together is held: only then is it in force,
+    and it returns instead.
 
     Spawn what `loops` names; `stop` ends it."""
 
@@ -59,16 +60,16 @@
         settings: ControlSettings,
         counters: Counters,
         changed: Callable[[FleetState, Change | None], str | None],
-        settled: Callable[[], str | None] | None = None,
+        message_applied: Callable[[], str | None] | None = None,
         options: SubscriberOptions | None = None,
     ) -> None:
         options = options or SubscriberOptions()
-        self.changed, self.settled, self.counters = changed, settled, counters
+        self.changed, self.message_applied, self.counters = changed, message_applied, counters
         self.clock, self.traffic = LeaseClock(), TrafficCounters()
         self._log = options.log or event_logger(identity.name, identity.instance_id)
         self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.instance_id})
         self._frames: FramedConnection | None = None
-        self._to_dial: Server | None = None
+        self._pending_server: Server | None = None
         self._woken, self._is_stopped = Event(), False
         servers = [Server(s.name, s.address, s.zone, s.region) for s in settings.servers]
         callbacks = SubscriberCallbacks(
@@ -77,7 +78,7 @@
             self._disconnect,
             self._on_changed,
             self._on_event,
-            None if settled is None else partial(self._on_settled, settled),
+            None if message_applied is None else partial(self._on_message_applied, message_applied),
         )
         seed = identity.instance_id if options.seed is None else options.seed
         self.subscriber = ConfigSubscriber(identity, servers, seed, callbacks)
@@ -106,8 +107,8 @@
         """Until stopped: connect where the subscriber asks, pass on what comes, wait until more is due."""
         while not self._is_stopped:
             due = self.subscriber.tick(self.clock.now())
-            if self._to_dial is not None:
-                server, self._to_dial = self._to_dial, None
+            if self._pending_server is not None:
+                server, self._pending_server = self._pending_server, None
                 self._dial(server)
             else:
                 self._wait(min(max((due - self.clock.now()) / 1e6, 0.0), MAX_SLEEP_S))
@@ -150,24 +151,24 @@
             self._frames.send(message)
 
     def _connect(self, server: Server) -> None:
-        self._to_dial = server
+        self._pending_server = server
 
     def _disconnect(self, why: str) -> None:
         """The subscriber wants no more of this connection; nothing of it may be passed on any more."""
-        self._to_dial = None
+        self._pending_server = None
         if self._frames is not None:
             self._frames.close()
             self._frames = None
 
     def _on_changed(self, state: FleetState, change: Change | None) -> str | None:
         rejection = self.changed(state, change)
-        if self.settled is None:
-            self._note_in_force()
+        if self.message_applied is None:
+            self._record_in_force()
         return rejection
 
-    def _on_settled(self, settled: Callable[[], str | None]) -> str | None:
-        rejection = settled()
-        self._note_in_force()
+    def _on_message_applied(self, message_applied: Callable[[], str | None]) -> str | None:
+        rejection = message_applied()
+        self._record_in_force()
         return rejection
 
     def _on_event(self, event: str, **fields: object) -> None:
@@ -175,7 +176,7 @@
         if event not in UNLOGGED_EVENTS:
             self._log.info(f"control_{event}", **fields)
 
-    def _note_in_force(self) -> None:
+    def _record_in_force(self) -> None:
         """For the laboratory: what is in force from now on."""
         if self._record.is_open:
             state = self.subscriber.state  # the complete one: `changed` has taken it by now
--- a/cypressledge/controlplane/subscription_table.py
+++ b/cypressledge/controlplane/subscription_table.py
@@ -8,7 +8,9 @@
 from cypressledge.controlplane.subscription import Subscription
 
 MAX_REASONS = 500  # rejections in one report that say why: guards against more than a frame holds
-MAX_NAMED_CHANGES = 4  # times the subscribers: names of changed ones that are kept for the next report
+MAX_CHANGES_PER_SUBSCRIBER = (
+    4  # times the subscribers: names of changed ones that are kept for the next report
+)
 
 
 class BrokerVersion(NamedTuple):
@@ -28,7 +30,7 @@
         self._by_connection: dict[int, Subscription] = {}
         self._by_name: dict[str, Subscription] = {}
         self._changed: set[str] = set()  # names since the last report
-        self._max_named_changes = MAX_NAMED_CHANGES * max_subscribers
+        self._max_named_changes = MAX_CHANGES_PER_SUBSCRIBER * max_subscribers
         self._is_complete_report_due = False  # too many to name
 
     def __len__(self) -> int:
@@ -48,7 +50,7 @@
         """The one of a connection, if there is one."""
         return self._by_connection.get(connection)
 
-    def named(self, broker: str) -> Subscription | None:
+    def by_broker(self, broker: str) -> Subscription | None:
         """The one of a broker, if it is connected."""
         return self._by_name.get(broker)
 
--- a/tests/controlplane/distribution_world.py
+++ b/tests/controlplane/distribution_world.py
@@ -22,7 +22,7 @@
     max_subscribers=3,
     full_retry_after_ms=500,
 )
-FAULTS = ["break", "dark", "new broker", "new site", "compact", "spoil", "none"]
+FAULTS = ["break", "dark", "new broker", "new node", "compact", "spoil", "none"]
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
 
     publisher: int
     subscriber: int
-    is_dark: bool = False  # nothing passes, and nobody is told
+    is_partitioned: bool = False  # nothing passes, and nobody is told
     last_to_publisher: int = 0  # when the last message of each way arrives
     last_to_subscriber: int = 0
     unconfirmed: int = 0  # updates without an answer
@@ -89,7 +89,7 @@
 
     # Connections
 
-    def later(self, delay: int, act, *arguments) -> None:
+    def schedule(self, delay: int, act, *arguments) -> None:
         heapq.heappush(self.heap, (self.now + delay, next(self.order), act, arguments))
 
     def _connection_of(self, subscriber: int) -> tuple[int, Connection | None]:
@@ -102,13 +102,13 @@
         if connection:
             del self.connections[number]
             publisher = self.publishers[connection.publisher]
-            self.later(self.random.randrange(SECOND_US), publisher.disconnected, self.now, number)
+            self.schedule(self.random.randrange(SECOND_US), publisher.disconnected, self.now, number)
 
     def _dial(self, subscriber: int, server: Server) -> None:
         assert self._connection_of(subscriber)[1] is None, "two connections of one broker"
         number = next(self.ids)
         self.connections[number] = Connection(int(server.name[1:]), subscriber)
-        self.later(self.random.randrange(SECOND_US // 10), self._established, number)
+        self.schedule(self.random.randrange(SECOND_US // 10), self._established, number)
 
     def _established(self, number: int) -> None:
         if number in self.connections:
@@ -116,7 +116,7 @@
 
     def _disconnect(self, number: int, reason: m.Disconnect) -> None:
         self._transmit_to_subscriber(number, reason)
-        self.later(SECOND_US // 2, self._reset, number)
+        self.schedule(SECOND_US // 2, self._reset, number)
 
     def _reset(self, number: int) -> None:
         connection = self.connections.pop(number, None)
@@ -125,18 +125,18 @@
 
     # Messages
 
-    def _transit_end(self, last_arrival: int) -> int:
+    def _arrival_time(self, last_arrival: int) -> int:
         """When a message arrives: after a delay, and not before the one that left earlier."""
         return max(last_arrival, self.now + self.random.randrange(SECOND_US // 5))
 
     def _to_publisher(self, subscriber: int, message: m.Message) -> None:
         number, connection = self._connection_of(subscriber)
-        if connection and not connection.is_dark:
-            connection.last_to_publisher = self._transit_end(connection.last_to_publisher)
+        if connection and not connection.is_partitioned:
+            connection.last_to_publisher = self._arrival_time(connection.last_to_publisher)
             delay = connection.last_to_publisher - self.now
-            self.later(delay, self._at_publisher, number, transmitted(message))
+            self.schedule(delay, self._deliver_to_publisher, number, encode_and_decode(message))
 
-    def _at_publisher(self, number: int, message: m.Message) -> None:
+    def _deliver_to_publisher(self, number: int, message: m.Message) -> None:
         connection = self.connections.get(number)
         if not connection:
             return
@@ -161,10 +161,10 @@
 
     def _transmit_to_subscriber(self, number: int, message: m.Message) -> None:
         connection = self.connections.get(number)
-        if connection and not connection.is_dark:
-            connection.last_to_subscriber = self._transit_end(connection.last_to_subscriber)
+        if connection and not connection.is_partitioned:
+            connection.last_to_subscriber = self._arrival_time(connection.last_to_subscriber)
             delay = connection.last_to_subscriber - self.now
-            self.later(delay, self._at_subscriber, number, transmitted(message))
+            self.schedule(delay, self._deliver_to_subscriber, number, encode_and_decode(message))
 
     def _corrupted(self, message: m.Message) -> m.Message:
         if isinstance(message, m.CompleteSnapshot):
@@ -174,7 +174,7 @@
         bad = m.Change(last.epoch, last.version, [m.Op("engine/bad", b"\x01")], last.digest)
         return m.Deltas([*rest, bad])
 
-    def _at_subscriber(self, number: int, message: m.Message) -> None:
+    def _deliver_to_subscriber(self, number: int, message: m.Message) -> None:
         if number in self.connections:
             self.brokers[self.connections[number].subscriber].received(self.now, message)
 
@@ -183,7 +183,7 @@
     def run(self, span: int) -> None:
         end = self.now + span
         while True:
-            due = [site.tick(self.now) for site in (*self.publishers, *self.brokers)]
+            due = [node.tick(self.now) for node in (*self.publishers, *self.brokers)]
             self.now = max(self.now, min(due + [event[0] for event in self.heap[:1]]))
             if self.now > end:
                 self.now = end
@@ -219,11 +219,11 @@
         elif kind == "dark":
             _, connection = self._connection_of(broker)
             if connection:
-                connection.is_dark = True
+                connection.is_partitioned = True
         elif kind == "new broker":
             self._close(broker)
             self.brokers[broker] = self._broker(broker, number)
-        elif kind == "new site":
+        elif kind == "new node":
             self._restart_publisher(publisher)
         elif kind == "compact":
             self.publishers[publisher].history.compact(keep=number % 3)
@@ -234,8 +234,8 @@
         number, connection = self._connection_of(broker)
         if connection:
             publisher = self.publishers[connection.publisher]
-            self.later(0, self._reset, number)
-            self.later(SECOND_US // 3, publisher.disconnected, self.now, number)
+            self.schedule(0, self._reset, number)
+            self.schedule(SECOND_US // 3, publisher.disconnected, self.now, number)
 
     def _restart_publisher(self, index: int) -> None:
         for number in [n for n, c in self.connections.items() if c.publisher == index]:
@@ -244,6 +244,6 @@
         self.publishers[index] = self._publisher(index, history)
 
 
-def transmitted(message: m.Message) -> m.Message:
+def encode_and_decode(message: m.Message) -> m.Message:
     """The message as its bytes say it."""
     return m.decode(m.encode(message)[4:])
--- a/tests/controlplane/test_broker_addresses.py
+++ b/tests/controlplane/test_broker_addresses.py
@@ -35,43 +35,45 @@
         broker.zone, broker.optimised = "z1", True
         broker.start()
 
-    def place(name):
+    def address(name):
         entry = cluster.leader().call(f"state?prefix=broker/{name}")[1]["entries"].get(f"broker/{name}")
         return entry and entry["value"]["address"]
 
-    cluster.wait_for(lambda: place("n1") and place("n2") == f"127.0.0.1:{ports['n2']}", "both are registered")
+    cluster.wait_for(
+        lambda: address("n1") and address("n2") == f"127.0.0.1:{ports['n2']}", "both are registered"
+    )
     brokers["n2"].kill()
     brokers["n2"].fleet = moved  # its own file alone: n1's goes on naming the old address
     brokers["n2"].start()
-    cluster.wait_for(lambda: place("n2") == f"127.0.0.1:{ports['new']}", "the new address")
+    cluster.wait_for(lambda: address("n2") == f"127.0.0.1:{ports['new']}", "the new address")
 
-    def heard():
+    def n2_receives_from_n1():
         rows = brokers["n2"].show("/fleet/peers") or []
         return any(r["name"] == "n1" and r["state"] == "alive" and r["heard_s"] is not None for r in rows)
 
     # n2 hears n1 only if n1 sends to where n2 is now.
-    cluster.wait_for(heard, f"n1, heard by the new n2\n{brokers['n1'].log_text()[-2000:]}")
+    cluster.wait_for(n2_receives_from_n1, f"n1, heard by the new n2\n{brokers['n1'].log_text()[-2000:]}")
     assert brokers["n1"].show("/control/status")["version"] == cluster.wait_for_one_history()
 
 
-def test_a_broker_under_a_new_address_needs_no_file_change(plane):
-    places = {n: local_address(socket.SOCK_DGRAM) for n in ("n0", "n1", "n2")}
+def test_peers_reach_a_broker_at_a_new_address_without_file_changes(plane):
+    addresses = {n: local_address(socket.SOCK_DGRAM) for n in ("n0", "n1", "n2")}
 
-    def fleet(places):
+    def fleet(addresses):
         return {
-            "peers": [{"name": n, "address": a, "zone": "room1"} for n, a in places.items()],
-            "voters": [{"version": 1, "names": list(places)}],
+            "peers": [{"name": n, "address": a, "zone": "room1"} for n, a in addresses.items()],
+            "voters": [{"version": 1, "names": list(addresses)}],
             "term_s": LEASE_TERM,
             "ping_s": 0.2,
         }
 
     plane.start()
-    for name in places:
-        plane.broker(name, fleet=fleet(places))
+    for name in addresses:
+        plane.broker(name, fleet=fleet(addresses))
 
     def registered():
-        code, told, _ = run("control", "state", *plane.at_options(), "--prefix", "broker/")
-        return all(f'"{place}"' in told for place in places.values())
+        code, output, _ = run("control", "state", *plane.at_options(), "--prefix", "broker/")
+        return all(f'"{address}"' in output for address in addresses.values())
 
     def sees(viewer, seen):
         peers = {p["name"]: p["state"] for p in plane.brokers[viewer].show("/fleet/peers") or ()}
@@ -81,8 +83,8 @@
     assert until(lambda: sees("n0", "n1") and sees("n1", "n0"), WAIT)
     plane.brokers["n1"].kill()
     assert until(lambda: not sees("n0", "n1"), WAIT)
-    places["n1"] = local_address(socket.SOCK_DGRAM)
-    plane.broker("n1", fleet=fleet(places))  # its own file alone says so
+    addresses["n1"] = local_address(socket.SOCK_DGRAM)
+    plane.broker("n1", fleet=fleet(addresses))  # its own file alone says so
     assert until(registered, WAIT), plane.log_text()
 
     def lost():
@@ -92,26 +94,29 @@
     assert until(lambda: not until(lost, 2.0), WAIT), plane.log_text()
 
 
-PLACES = {n: local_address(socket.SOCK_DGRAM) for n in ("n0", "n1", "n2")}
+ADDRESSES = {n: local_address(socket.SOCK_DGRAM) for n in ("n0", "n1", "n2")}
 
 
-GONE = {n: {"address": PLACES[of], "zone": "room1"} for n, of in (("old", "n1"), ("older", "n2"))}
+ABSENT_BROKERS = {
+    n: {"address": ADDRESSES[of], "zone": "room1"} for n, of in (("old", "n1"), ("older", "n2"))
+}
 
 
 @pytest.mark.parametrize(
-    "plane", [{"seed": {"config": SETTINGS, "brokers": GONE}, "forget_s": 20}], indirect=True
+    "plane", [{"seed": {"config": SETTINGS, "brokers": ABSENT_BROKERS}, "forget_s": 20}], indirect=True
 )
-def test_a_machine_under_a_new_name_takes_the_place_of_a_dead_one(plane):
+def test_broker_under_a_new_name_replaces_an_absent_one_at_its_address(plane):
     """And after its time another dead one goes, too."""
     plane.start()
-    peers = [{"name": n, "address": a, "zone": "room1"} for n, a in PLACES.items()]
+    peers = [{"name": n, "address": a, "zone": "room1"} for n, a in ADDRESSES.items()]
     plane.broker(
-        "n1", fleet={"peers": peers, "voters": [{"version": 1, "names": list(PLACES)}], "term_s": LEASE_TERM}
+        "n1",
+        fleet={"peers": peers, "voters": [{"version": 1, "names": list(ADDRESSES)}], "term_s": LEASE_TERM},
     )
 
     def registered():
-        told = json.loads(run("control", "state", *plane.at_options(), "--prefix", "broker/")[1])
-        return set(told["entries"])
+        output = json.loads(run("control", "state", *plane.at_options(), "--prefix", "broker/")[1])
+        return set(output["entries"])
 
     assert until(lambda: registered() == {"broker/n1", "broker/older"}, 2 * WAIT, 0.5), plane.log_text()
     changes = json.loads(run("control", "history", *plane.at_options(), "--json")[1])
--- a/tests/controlplane/test_broker_registry.py
+++ b/tests/controlplane/test_broker_registry.py
@@ -18,7 +18,7 @@
 from cypressledge.controlplane.state_values import Broker, encode_value
 
 SECOND_US = 1_000_000
-FORGET = 3_600 * SECOND_US
+EXPIRE_AFTER = 3_600 * SECOND_US
 
 
 def at(name: str, address: str) -> Op:
@@ -28,8 +28,8 @@
 class RegistryHarness:
     """A registry, the state that its changes become, and who is connected (none: not all can be seen)."""
 
-    def __init__(self, forget: int = FORGET, **brokers: str) -> None:
-        self.registry, self.state, self.now = BrokerRegistry(forget), FleetState("line"), 0
+    def __init__(self, expire_after: int = EXPIRE_AFTER, **brokers: str) -> None:
+        self.registry, self.state, self.now = BrokerRegistry(expire_after), FleetState("line"), 0
         self.connected: set[str] | None = set()
         self.apply([at(name, address) for name, address in brokers.items()] + [Op("engine/e", b"\x80")])
 
@@ -46,14 +46,14 @@
             return [], []
         registry.observe(self.now, self.state, self.connected, ops)
         registry.mark_sent(self.now, ops)
-        change, refused = registry.resolve(self.now, self.state, ops)
-        told = []
+        change, rejections = registry.resolve(self.now, self.state, ops)
+        changed_keys = []
         for part in (change, registry.expired(self.now, self.state)):
             if part:
                 validate_change(self.state, part)
                 self.apply(part)
-                told += [("+" if op.value else "-") + op.key.partition("/")[2] for op in part]
-        return told, refused
+                changed_keys += [("+" if op.value else "-") + op.key.partition("/")[2] for op in part]
+        return changed_keys, rejections
 
     def run_for(self, span: int) -> list[str]:
         """Steps, one a second, over a span: all that they change."""
@@ -64,31 +64,31 @@
         return {key[7:] for key in self.state.entries if key.startswith("broker/")}
 
 
-def test_who_is_connected_nowhere_for_long_leaves_in_one_change():
+def test_brokers_absent_for_long_are_removed():
     harness = RegistryHarness(a="h:1", b="h:2", c="h:3")
     harness.connected = {"c"}
-    assert harness.run_for(FORGET - SECOND_US) == []
+    assert harness.run_for(EXPIRE_AFTER - SECOND_US) == []
     harness.connected = {"b", "c"}  # b comes back for a moment
     harness.step(after=SECOND_US)
     harness.connected = {"c"}
     before = harness.state.version
     assert harness.run_for(5 * SECOND_US) == ["-a"]
     assert harness.state.version == before + 1
-    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    assert harness.run_for(EXPIRE_AFTER - 10 * SECOND_US) == []
     assert harness.run_for(10 * SECOND_US) == ["-b"]
     assert harness.names == {"c"}
     assert "engine/e" in harness.state.entries
     assert harness.step(at("a", "h:1")) == (["+a"], [])  # it comes back
 
 
-def test_all_who_are_due_leave_together_and_no_more_than_a_change_a_second():
+def test_expired_brokers_are_removed_in_at_most_one_change_per_second():
     harness = RegistryHarness(
-        forget=10 * SECOND_US, **{f"b{i}": f"h:{i + 1}" for i in range(MAX_OPS_PER_CHANGE - 1)}
+        expire_after=10 * SECOND_US, **{f"b{i}": f"h:{i + 1}" for i in range(MAX_OPS_PER_CHANGE - 1)}
     )
     harness.apply([at(f"x{i}", f"x:{i + 1}") for i in range(9)])
     harness.run_for(10 * SECOND_US)
-    told = harness.step(after=SECOND_US)[0]
-    assert len(told) == MAX_OPS_PER_CHANGE
+    changed_keys = harness.step(after=SECOND_US)[0]
+    assert len(changed_keys) == MAX_OPS_PER_CHANGE
     assert len(harness.names) == 8
     # A registration doesn't wait.
     assert harness.step(at("new", "y:1"), after=RETRY_INTERVAL_US // 2) == (["+new"], [])
@@ -98,35 +98,35 @@
     assert harness.names == {"new"}
 
 
-def test_nobody_leaves_while_a_control_process_is_out_of_sight():
+def test_no_broker_is_removed_while_a_control_process_is_unreachable():
     harness = RegistryHarness(a="h:1")
-    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    assert harness.run_for(EXPIRE_AFTER - 10 * SECOND_US) == []
     harness.connected = None
-    assert harness.run_for(3 * FORGET) == []
+    assert harness.run_for(3 * EXPIRE_AFTER) == []
     harness.connected = set()  # it is back; its brokers may not be yet
-    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    assert harness.run_for(EXPIRE_AFTER - 10 * SECOND_US) == []
     assert harness.run_for(12 * SECOND_US) == ["-a"]
 
 
-def test_a_new_primary_and_one_that_stood_still_know_no_absence():
+def test_absences_start_anew_after_a_leader_change_or_a_pause():
     harness = RegistryHarness(a="h:1")
-    harness.run_for(FORGET - 10 * SECOND_US)
+    harness.run_for(EXPIRE_AFTER - 10 * SECOND_US)
     harness.registry.clear()
-    assert harness.run_for(FORGET - 10 * SECOND_US) == []
-    assert harness.step(after=2 * FORGET) == ([], [])
-    assert harness.run_for(FORGET - 10 * SECOND_US) == []
+    assert harness.run_for(EXPIRE_AFTER - 10 * SECOND_US) == []
+    assert harness.step(after=2 * EXPIRE_AFTER) == ([], [])
+    assert harness.run_for(EXPIRE_AFTER - 10 * SECOND_US) == []
     assert harness.run_for(12 * SECOND_US) == ["-a"]
-    never = RegistryHarness(forget=0, a="h:1")
-    assert never.run_for(2 * FORGET) == []
+    never = RegistryHarness(expire_after=0, a="h:1")
+    assert never.run_for(2 * EXPIRE_AFTER) == []
 
 
-def test_the_address_of_one_that_is_gone_is_taken_over_in_one_change():
+def test_address_of_an_absent_broker_is_taken_over_in_one_change():
     harness = RegistryHarness(old="h:1", other="h:2")
     harness.connected = {"other"}
     # It may only be on its way to another control process.
-    told, refused = harness.step(at("new", "h:1"), after=SECOND_US)
-    assert told == []
-    assert refused == ["broker/new is at the address of broker/old"]
+    changed_keys, rejections = harness.step(at("new", "h:1"), after=SECOND_US)
+    assert changed_keys == []
+    assert rejections == ["broker/new is at the address of broker/old"]
     harness.run_for(DISPLACEABLE_AFTER_US - 2 * SECOND_US)
     assert harness.step(at("new", "h:1"), after=SECOND_US)[0] == []
     before = harness.state.version
@@ -136,41 +136,41 @@
 
 
 @pytest.mark.parametrize("connected", [{"old"}, None])
-def test_the_address_of_one_that_may_be_there_is_not_taken(connected):
+def test_address_of_a_possibly_connected_broker_is_not_taken_over(connected):
     harness = RegistryHarness(old="h:1")
     harness.connected = connected
     for _ in range(100):
-        told, refused = harness.step(at("new", "h:1"), after=SECOND_US)
-        assert told == []
-        assert refused == ["broker/new is at the address of broker/old"]
+        changed_keys, rejections = harness.step(at("new", "h:1"), after=SECOND_US)
+        assert changed_keys == []
+        assert rejections == ["broker/new is at the address of broker/old"]
     harness.connected = set()  # gone, or in sight again, but only now
     assert harness.step(at("new", "h:1"), after=SECOND_US)[0] == []
 
 
-def test_one_that_asks_for_its_place_is_there():
+def test_broker_that_requests_registration_counts_as_present():
     """Its registration may come before the word that it is connected."""
     harness = RegistryHarness(old="h:1")
     harness.run_for(20 * SECOND_US)
-    told, refused = harness.step(at("new", "h:1"), at("old", "h:9"), after=SECOND_US)
-    assert (told, refused) == (["+new", "+old"], [])  # it moves, and leaves its place
+    changed_keys, rejections = harness.step(at("new", "h:1"), at("old", "h:9"), after=SECOND_US)
+    assert (changed_keys, rejections) == (["+new", "+old"], [])  # it moves, and leaves its place
     assert harness.names == {"new", "old"}
     harness = RegistryHarness(old="h:1")
-    harness.run_for(FORGET - SECOND_US)
-    told, refused = harness.step(
+    harness.run_for(EXPIRE_AFTER - SECOND_US)
+    changed_keys, rejections = harness.step(
         at("new", "h:1"), at("old", "h:9"), at("bad", "nowhere"), after=3 * SECOND_US
     )
-    assert told == ["+old"]
-    assert len(refused) == 2
+    assert changed_keys == ["+old"]
+    assert len(rejections) == 2
     harness.connected = {"old"}
     assert harness.step(at("new", "h:1"), after=SECOND_US) == (["+new"], [])
 
 
-def test_brokers_at_one_address_do_not_hold_up_the_others():
+def test_brokers_at_one_address_do_not_block_other_registrations():
     harness = RegistryHarness(held="h:1", gone="h:2")
     harness.connected = {"held"}
     harness.run_for(20 * SECOND_US)
     many = [at(f"b{i}", f"x:{i + 1}") for i in range(20)]
-    told, refused = harness.step(
+    changed_keys, rejections = harness.step(
         at("n1", "h:1"),
         at("n2", "h:2"),
         at("n3", "h:2"),
@@ -179,17 +179,17 @@
         at("n4", "x:1"),
         after=SECOND_US,
     )
-    assert told == ["-gone", "+n2", *(f"+b{i}" for i in range(20))]
-    assert refused[:2] == [
+    assert changed_keys == ["-gone", "+n2", *(f"+b{i}" for i in range(20))]
+    assert rejections[:2] == [
         "broker/n1 is at the address of broker/held",
         "broker/n3 is at the address of broker/n2",
     ]
-    assert refused[2].startswith("broker/bad: ")
-    assert refused[3:] == ["broker/n4 is at the address of broker/b0"]
+    assert rejections[2].startswith("broker/bad: ")
+    assert rejections[3:] == ["broker/n4 is at the address of broker/b0"]
 
 
-def test_a_registration_is_asked_once_a_second_until_it_is_so():
-    registry, op = BrokerRegistry(FORGET), at("a", "h:1")
+def test_registration_is_resent_once_a_second_until_it_is_in_the_state():
+    registry, op = BrokerRegistry(EXPIRE_AFTER), at("a", "h:1")
     state = FleetState("line")
 
     def taken(now: int, *ops: Op) -> int:
@@ -214,18 +214,18 @@
     assert len(registry.sent) == MAX_REGISTRATIONS  # of the last second alone
 
 
-def test_who_is_connected_is_known_only_where_all_have_spoken():
-    table, all = AppliedVersions(), ["c1", "c2"]
+def test_connected_brokers_are_known_only_after_all_control_processes_reported():
+    table, servers = AppliedVersions(), ["c1", "c2"]
     table.report(1, "c1", AppliedReport(True, [("a", 1, 1)]))
-    assert table.connected(all, all) is None
+    assert table.connected(servers, servers) is None
     table.report(1, "c2", AppliedReport(True, [("b", 1, 1)]))
-    assert table.connected(all, all) == {"a", "b"}
-    assert table.connected(all, ["c1"]) is None
+    assert table.connected(servers, servers) == {"a", "b"}
+    assert table.connected(servers, ["c1"]) is None
     table.drop("c2")
-    assert table.connected(all, all) is None
+    assert table.connected(servers, servers) is None
 
 
-def test_the_time_until_a_broker_is_forgotten_is_a_setting(tmp_path):
+def test_forget_s_is_read_from_the_settings_file(tmp_path):
     assert read_control_settings("deploy/control.yaml").forget_s == 3_600
     file = tmp_path / "control.yaml"
     with open("deploy/control.yaml", encoding="utf-8") as good:
--- a/tests/controlplane/test_broker_settings.py
+++ b/tests/controlplane/test_broker_settings.py
@@ -10,41 +10,41 @@
 from tests.fakes.control_plane import WAIT
 
 
-def test_other_classes_are_not_for_brokers_that_run(plane):
+def test_running_broker_rejects_other_classes(plane):
     """A broker whose file has others says that it refuses; a change to others is refused before that."""
     plane.start()
-    code, words = plane.change({"config": {"Classes": SETTINGS["Classes"][:2]}})
-    assert code == 2, words
-    assert "brokers take other classes only at a restart" in words, words
+    code, output = plane.change({"config": {"Classes": SETTINGS["Classes"][:2]}})
+    assert code == 2, output
+    assert "brokers take other classes only at a restart" in output, output
     broker = plane.broker("n1", settings={"Classes": SETTINGS["Classes"][:1]})
     assert plane.broker_has_version(broker, 1), plane.log_text()
     assert until(lambda: broker.status()["refused"] == "other classes need a restart", WAIT), broker.status()
     assert (broker.counter("control.settings_rejected"), broker.counter("reload_failures")) == (1, 1)
 
 
-def test_a_broker_that_refuses_is_named_and_does_not_count(plane):
+def test_broker_that_rejects_settings_is_named_and_not_counted_as_in_force(plane):
     plane.start()
     good, bad = plane.broker("n1"), plane.broker("n2", settings={"Classes": SETTINGS["Classes"][:1]})
     assert plane.broker_has_version(good, 1), plane.log_text()
     assert plane.broker_has_version(bad, 1), plane.log_text()
-    code, words = plane.change({"engines": {"s-1": ENGINE}})  # its settings are still the older ones
-    assert code == 1, words + plane.log_text()
-    assert "in force at 1 of 2 brokers" in words, words + plane.log_text()
-    assert "refused by: n2: other classes need a restart" in words, words
-    code, words, _ = run("control", "lag", *plane.at_options())
-    assert code == 1, words
-    assert "refused by: n2: other classes need a restart" in words, words
+    code, output = plane.change({"engines": {"s-1": ENGINE}})  # its settings are still the older ones
+    assert code == 1, output + plane.log_text()
+    assert "in force at 1 of 2 brokers" in output, output + plane.log_text()
+    assert "refused by: n2: other classes need a restart" in output, output
+    code, output, _ = run("control", "lag", *plane.at_options())
+    assert code == 1, output
+    assert "refused by: n2: other classes need a restart" in output, output
     assert plane.change({"config": {name: None for name in SETTINGS}})[0] == 0, plane.log_text()
 
 
-def test_a_reload_keeps_what_came_from_the_control_plane(plane):
+def test_reload_keeps_settings_and_engines_of_the_control_plane(plane):
     plane.start()
     engine, other = LabEngine("s-1", "room1"), LabEngine("s-2", "room1")
     broker = plane.broker("n1", [other.member()])
-    code, words = plane.change(
+    code, output = plane.change(
         {"engines": {"s-1": ENGINE | {"address": f"127.0.0.1:{engine.server.server_port}"}}}
     )
-    assert code == 0, words + plane.log_text()
+    assert code == 0, output + plane.log_text()
     assert broker.serves()
     before = other.asked
     broker.process.send_signal(signal.SIGHUP)
@@ -55,12 +55,12 @@
     other.server.stop()
 
 
-def test_a_broker_serves_with_no_control_process(plane):
+def test_broker_serves_without_a_control_process(plane):
     engine = LabEngine("s-1", "room1")
     broker = plane.broker("n1", [engine.member()])  # nobody is there yet
     assert broker.serves(), broker.log_text()
-    told = broker.status()
-    assert (told["version"], told["engines_from_here"]) == (0, False)
+    status = broker.status()
+    assert (status["version"], status["engines_from_here"]) == (0, False)
     plane.start()
     assert plane.broker_has_version(broker, 1), plane.log_text()
     for control in plane.controls.values():
--- a/tests/controlplane/test_control_connections.py
+++ b/tests/controlplane/test_control_connections.py
@@ -12,27 +12,27 @@
 
 
 @pytest.mark.parametrize("plane", [{"count": 4, "voters": 3}], indirect=True)
-def test_one_that_does_not_vote_hands_the_history_on(plane):
+def test_non_voting_control_process_publishes_the_history(plane):
     plane.start()
     others = [c for c in plane.controls.values() if c.name != "c4"]
     learner = plane.controls["c4"]
     assert until(lambda: learner.status().get("version") == 1, WAIT), plane.log_text()
     assert learner.status()["role"] == "learner"
-    told = yaml.safe_load(plane.file.read_text())
-    told["servers"] = [s for s in told["servers"] if s["name"] == "c4"] + [
-        s | {"address": local_address(), "votes": True} for s in told["servers"] if s["name"] != "c4"
+    config = yaml.safe_load(plane.file.read_text())
+    config["servers"] = [s for s in config["servers"] if s["name"] == "c4"] + [
+        s | {"address": local_address(), "votes": True} for s in config["servers"] if s["name"] != "c4"
     ]
-    plane.file.write_text(yaml.safe_dump(told))  # to the broker the others are out of reach
+    plane.file.write_text(yaml.safe_dump(config))  # to the broker the others are out of reach
     broker = plane.broker("n1")
     assert plane.broker_has_version(broker, 1), plane.log_text()
     assert broker.status()["server"] == "c4"
-    code, words = plane.change({"engines": {"s-1": ENGINE}})
-    assert code == 0, words
-    assert "in force at 2 of 2 brokers" in words, words
+    code, output = plane.change({"engines": {"s-1": ENGINE}})
+    assert code == 0, output
+    assert "in force at 2 of 2 brokers" in output, output
     assert [c.process.poll() for c in others] == [None] * 3
 
 
-def test_slow_silent_and_garbled_peers_are_given_up(plane):
+def test_slow_and_malformed_connections_are_closed(plane):
     control = plane.controls["c1"]
     control.start("--first", str(plane.seed_file))
     assert until(control.status, WAIT), plane.log_text()
--- a/tests/controlplane/test_control_framing.py
+++ b/tests/controlplane/test_control_framing.py
@@ -15,22 +15,22 @@
 def pair():
     """Two ends; the second takes small frames only, as before a Hello."""
     ends = [
-        FramedConnection(sock, TrafficCounters(), most)
-        for sock, most in zip(socket.socketpair(), (4 << 20, 4 << 10), strict=True)
+        FramedConnection(sock, TrafficCounters(), max_frame_bytes)
+        for sock, max_frame_bytes in zip(socket.socketpair(), (4 << 20, 4 << 10), strict=True)
     ]
     yield ends
     for end in ends:
         end.close()
 
 
-def test_frames_may_be_larger_once_it_is_known_who_sends(pair):
+def test_larger_frames_are_accepted_after_the_limit_is_raised(pair):
     large = CompleteSnapshot(os.urandom(300_000))
     pair[1].set_max_frame_bytes(4 << 20)
     gevent.spawn(pair[0].send, large)
     assert pair[1].receive(5) == large
 
 
-def test_a_frame_over_the_bound_ends_the_connection(pair):
+def test_frame_over_the_limit_ends_the_connection(pair):
     gevent.spawn(pair[0].send, CompleteSnapshot(bytes(5_000)))
     with pytest.raises(ConnectionEndedError, match="a frame of"):
         pair[1].receive(5)
--- a/tests/controlplane/test_control_parts.py
+++ b/tests/controlplane/test_control_parts.py
@@ -60,7 +60,7 @@
     far.close()
 
 
-def test_frames_come_whole_however_they_are_cut(ends):
+def test_frames_are_reassembled_from_segments_of_any_size(ends):
     frames, far = ends
     raw = encode(ONE) + encode(TWO) + encode(CompleteSnapshot(bytes(300_000)))
 
@@ -83,7 +83,7 @@
         frames.receive(2)
 
 
-def test_after_the_first_frame_larger_ones_are_taken():
+def test_larger_frames_are_accepted_after_the_first_one():
     near, far = pair()
     frames, peer = FramedConnection(near, TrafficCounters(), 4096), FramedConnection(far, TrafficCounters())
     peer.send(ONE)
@@ -104,14 +104,14 @@
         ((MAX_FRAME_BYTES + 1).to_bytes(4, "big"), "a frame of 4194305 bytes"),
     ],
 )
-def test_what_is_no_frame_ends_the_connection(ends, raw, why):
+def test_invalid_frame_ends_the_connection(ends, raw, why):
     frames, far = ends
     far.sendall(raw)
     with pytest.raises(ConnectionEndedError, match=why):
         frames.receive(2)
 
 
-def test_a_frame_that_does_not_end_is_given_up(ends, monkeypatch):
+def test_incomplete_frame_times_out(ends, monkeypatch):
     monkeypatch.setattr(frames_module, "FRAME_TIMEOUT_S", 0.3)
     frames, far = ends
     far.sendall(encode(ONE) + b"\x00\x00\x00\x40half")
@@ -123,7 +123,7 @@
     assert 0.2 < time.monotonic() - began < 2
 
 
-def test_one_that_does_not_read_is_given_up_and_nobody_waits(ends, monkeypatch):
+def test_peer_that_does_not_read_is_dropped_without_blocking_the_sender(ends, monkeypatch):
     monkeypatch.setattr(frames_module, "MAX_QUEUED_BYTES", 1 << 20)
     near, far = pair()
     frames = FramedConnection(near, TrafficCounters())
@@ -136,7 +136,7 @@
     far.close()
 
 
-def test_last_words_arrive_before_the_end(ends):
+def test_last_message_arrives_before_the_connection_ends(ends):
     frames, far = ends
     far.sendall(encode(ONE) * 3)  # never read here: a close over them would reset the connection
     frames.send(TWO)
@@ -152,12 +152,12 @@
     return msgspec.to_builtins(LagAnswer.from_report(report, newest=report.version))
 
 
-def test_who_lags_is_said_by_those_who_know():
+def test_lag_counts_only_what_control_processes_reported():
     table = AppliedVersions()
     table.report(1, "c1", AppliedReport(True, [("b1", 11, 5), ("b2", 12, 4)]))
-    told = lag_json(table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"}))
-    assert (told["connected"], told["in_force"], told["names"]) == (2, 1, ["b2"])
-    assert (told["unreachable_names"], told["unheard"]) == (["b3"], ["c2"])
+    answer = lag_json(table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"}))
+    assert (answer["connected"], answer["in_force"], answer["names"]) == (2, 1, ["b2"])
+    assert (answer["unreachable_names"], answer["unheard"]) == (["b3"], ["c2"])
     table.report(2, "c2", AppliedReport(False, [("b3", 13, 5)]))  # changes of what isn't known here
     assert lag_json(table.lag(5, {"b3"}, {"c1", "c2"}))["unheard"] == ["c2"]
     table.report(3, "c2", AppliedReport(True, [("b2", 12, 5)]))  # b2 has moved
@@ -167,26 +167,26 @@
     table.drop("c2")
     assert lag_json(table.lag(5, {"b2"}, {"c1"}))["unreachable_names"] == ["b2"]
     table.report(5, "c1", AppliedReport(True, [(f"x{i}", 1, 0) for i in range(200)]))
-    told = lag_json(table.lag(1, (), {"c1"}))
-    assert (told["lagging"], len(told["names"])) == (200, MAX_NAMES)
+    answer = lag_json(table.lag(1, (), {"c1"}))
+    assert (answer["lagging"], len(answer["names"])) == (200, MAX_NAMES)
 
 
-def test_who_turned_a_version_down_has_it_not_in_force():
+def test_version_is_not_in_force_at_brokers_that_rejected_it():
     table = AppliedVersions()
     why = "other classes need a restart"
     table.report(
         1, "c1", AppliedReport(True, [("b1", 1, 5), ("b2", 1, 4), ("b3", 1, 5)], {"b3": why, "b2": "older"})
     )
-    told = lag_json(table.lag(5, (), {"c1"}))
-    assert (told["connected"], told["in_force"], told["lagging"], told["refused"]) == (3, 1, 1, 1)
-    assert told["refused_by"] == {"b3": why}  # b2 has yet to say what it does with this version
+    answer = lag_json(table.lag(5, (), {"c1"}))
+    assert (answer["connected"], answer["in_force"], answer["lagging"], answer["refused"]) == (3, 1, 1, 1)
+    assert answer["refused_by"] == {"b3": why}  # b2 has yet to say what it does with this version
     table.report(2, "c1", AppliedReport(False, [("b3", 1, 6)]))
-    told = lag_json(table.lag(5, (), {"c1"}))
-    assert (told["in_force"], told["refused"], told["refused_by"]) == (2, 0, {})
+    answer = lag_json(table.lag(5, (), {"c1"}))
+    assert (answer["in_force"], answer["refused"], answer["refused_by"]) == (2, 0, {})
     many = [(f"x{i}", 1, 9) for i in range(200)]
     table.report(3, "c1", AppliedReport(True, many, {f"x{i}": why for i in range(99)}))
-    told = lag_json(table.lag(9, (), {"c1"}))
-    assert (told["in_force"], told["refused"], len(told["refused_by"])) == (101, 99, MAX_NAMES)
+    answer = lag_json(table.lag(9, (), {"c1"}))
+    assert (answer["in_force"], answer["refused"], len(answer["refused_by"])) == (101, 99, MAX_NAMES)
 
 
 @pytest.mark.parametrize(
@@ -201,8 +201,8 @@
         ({"refused": 9, "refused_by": {"b3": "x", "b4": "y"}}, ["refused by: b3: x; b4: y; and 7 more"]),
     ],
 )
-def test_an_answer_of_who_lags_is_settled_only_where_all_have_it(state, words, capsys):
-    told = {
+def test_lag_exit_code_is_zero_only_if_the_version_is_in_force_everywhere(state, words, capsys):
+    answer = {
         "version": 5,
         "in_force": 1,
         "connected": 2,
@@ -212,7 +212,7 @@
         "unreachable": 0,
         "unreachable_names": [],
     }  # as a primary of the release before says it
-    lag = msgspec.convert(told | state, LagAnswer)
+    lag = msgspec.convert(answer | state, LagAnswer)
     cli.show_lag(lag)
     out = capsys.readouterr().out
     assert all(word in out for word in words)
@@ -220,7 +220,7 @@
     assert cli.lag_exit_code(lag) == (1 if state else 0)
 
 
-def test_a_change_in_json():
+def test_change_is_read_from_json():
     asked = read_change(
         json.dumps(
             {
@@ -258,12 +258,12 @@
         b"\xff\xfe",
     ],
 )
-def test_a_change_that_cannot_be_read_is_refused(body):
+def test_unreadable_change_is_rejected(body):
     with pytest.raises(BadRequestError):
         read_change(body)
 
 
-def test_faults_strike_at_their_step():
+def test_fault_is_injected_at_its_step():
     faults = FaultInjection("kill-after:append:2")
     assert [
         faults.is_due("promised"),
@@ -276,7 +276,7 @@
         True,
         False,
     ]
-    assert (faults.what, faults.when) == ("kill", "after")
+    assert (faults.action, faults.timing) == ("kill", "after")
     assert FaultInjection("kill-before-answer:1").is_due("answer")
     full = FaultInjection("disk-full:append:2")
     full.check_disk("promise")
@@ -290,8 +290,8 @@
         FaultInjection("kill-sometime")
 
 
-class Listener:
-    """As much of a broker as the control plane's part touches."""
+class FakeBroker:
+    """As much of a broker as the control plane's integration touches."""
 
     def __init__(self):
         self.config, self.counters = SimpleNamespace(name="b1"), Counters()
@@ -309,7 +309,7 @@
         self.has_external_engine_list = True
 
 
-def test_changes_that_come_together_make_one_list(tmp_path):
+def test_changes_of_one_message_cause_one_engine_list_update(tmp_path):
     record, file = tmp_path / "record", tmp_path / "control.yaml"
     file.write_text(
         json.dumps(
@@ -321,34 +321,37 @@
             }
         )
     )
-    broker = Listener()
-    part = BrokerIntegration(str(file), broker, {})
-    follower, now = part.client.subscriber, 0
-    while follower.phase.value != "connecting":
-        now = max(now, follower.tick(now))
-    follower.connected(now)
-    follower.received(now, HelloAccepted("c", 1, "line"))
+    broker = FakeBroker()
+    integration = BrokerIntegration(str(file), broker, {})
+    subscriber, now = integration.client.subscriber, 0
+    while subscriber.phase.value != "connecting":
+        now = max(now, subscriber.tick(now))
+    subscriber.connected(now)
+    subscriber.received(now, HelloAccepted("c", 1, "line"))
 
     def engine(number):
         return Op(f"engine/e{number:03}", encode_value({"address": f"e:{number + 1}"}))
 
     history = ChangeHistory(FleetState("line"))
     history.apply(history.state.draft_change(1, [engine(0)]))
-    follower.received(now, CompleteSnapshot(history.compressed_snapshot()))
+    subscriber.received(now, CompleteSnapshot(history.compressed_snapshot()))
     for number in range(1, 300):
         history.apply(history.state.draft_change(1, [engine(number)]))
     history.apply(history.state.draft_change(1, [Op("config/Bad", encode_value(1))]))
-    follower.received(now, Deltas(history.changes[1:]))
+    subscriber.received(now, Deltas(history.changes[1:]))
     assert [len(names) for names in broker.lists] == [1, 300]
-    assert part.rejection_reason == follower.rejection_reason == "not these"
-    in_force = [told for told in map(json.loads, record.read_text().splitlines()) if "version" in told]
-    assert [told["version"] for told in in_force] == [1, 301]  # nothing is said to be in force before it is
-    spoilt = history.state.draft_change(1, [engine(301)])
-    follower.received(now, Deltas([history.state.draft_change(1, [engine(300)]), spoilt]))
+    assert integration.rejection_reason == subscriber.rejection_reason == "not these"
+    in_force = [answer for answer in map(json.loads, record.read_text().splitlines()) if "version" in answer]
+    assert [answer["version"] for answer in in_force] == [
+        1,
+        301,
+    ]  # nothing is said to be in force before it is
+    invalid = history.state.draft_change(1, [engine(301)])
+    subscriber.received(now, Deltas([history.state.draft_change(1, [engine(300)]), invalid]))
     assert len(broker.lists[-1]) == 301  # what came before a gap is in force
 
 
-def test_other_classes_are_refused_but_a_repeat_is_told_what_it_became():
+def test_other_classes_are_rejected_but_a_repeated_request_is_accepted():
     state = FleetState("line")
     first, other = ([Op("config/Classes", encode_value([{"Name": name}]))] for name in ("slow", "fast"))
     for ops, request in ((first, "r"), ([Op("config/Classes")], ""), (other, "s")):
--- a/tests/controlplane/test_control_settings.py
+++ b/tests/controlplane/test_control_settings.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "why"),
+    ("content", "why"),
     [
         ({"servers": [server(1), server(2)]}, "2 control processes vote; 3, 5 or 7 can"),
         ({"servers": [server(n) for n in range(1, 5)]}, "4 control processes vote; 3, 5 or 7 can"),
@@ -37,14 +37,14 @@
         ([], "Expected `object`, got `array`"),
     ],
 )
-def test_a_mistake_in_the_file_is_one_plain_line(tmp_path, told, why):
+def test_invalid_file_is_reported_in_one_line(tmp_path, content, why):
     file = tmp_path / "control.yaml"
-    file.write_text(yaml.safe_dump(told))
+    file.write_text(yaml.safe_dump(content))
     with pytest.raises(ConfigError) as err:
         read_control_settings(str(file))
     assert str(err.value) == f"{file}: {why}"
 
 
-def test_the_file_that_is_deployed_is_good():
+def test_deployed_file_is_valid():
     assert read_control_settings("deploy/control.yaml").voters == ("c1", "c2", "c3")
     assert SETTINGS["Classes"]
--- a/tests/controlplane/test_publisher.py
+++ b/tests/controlplane/test_publisher.py
@@ -7,13 +7,13 @@
 from tests.controlplane.distribution_harnesses import SECOND_US, PublisherHarness, grow_history, position_of
 
 
-def test_publisher_sends_changes_or_a_snapshot_and_one_at_a_time():
+def test_publisher_sends_changes_or_a_snapshot_one_at_a_time():
     sender = PublisherHarness()
-    welcome, beat, whole = sender.hello(1)
-    assert welcome == m.HelloAccepted("c1", 7, "line")
+    accepted, beat, snapshot = sender.hello(1)
+    assert accepted == m.HelloAccepted("c1", 7, "line")
     assert beat.leader_silence_ms == -1
-    assert isinstance(whole, m.CompleteSnapshot)
-    welcome, beat, deltas = sender.hello(2, sender.history.position_at(1))
+    assert isinstance(snapshot, m.CompleteSnapshot)
+    accepted, beat, deltas = sender.hello(2, sender.history.position_at(1))
     assert [c.version for c in deltas.changes] == [2, 3]
     grow_history(sender.history, 2)
     sender.publisher.committed(0)
@@ -62,7 +62,7 @@
         ({"cluster_id": "line", "version": 5, "digest": b"x"}, "nonsense"),
     ],
 )
-def test_publisher_rejects_who_does_not_fit(more, why):
+def test_publisher_rejects_invalid_or_incompatible_hello(more, why):
     sender = PublisherHarness()
     sender.hello(1, **more)
     assert sender.ended[1].reason == why
@@ -74,7 +74,7 @@
     "message",
     [m.Heartbeat(1, 1, b"", "", 0), m.AppliedPosition(1, 3, b""), m.SnapshotRequest("x"), m.Disconnect("x")],
 )
-def test_publisher_ends_nonsense(message):
+def test_publisher_disconnects_on_unexpected_messages(message):
     sender = PublisherHarness()
     sender.hello(1, position_of(sender.history.state))
     sender.publisher.received(0, 1, message)
@@ -83,7 +83,7 @@
     sender.publisher.disconnected(0, 1)
 
 
-def test_publisher_replaces_refuses_when_full_and_says_who_is_here():
+def test_publisher_replaces_rejects_when_full_and_reports_connected_brokers():
     sender = PublisherHarness(max_subscribers=2)
     sender.hello(1)
     sender.hello(2)
@@ -105,7 +105,7 @@
     assert sender.report(True) == m.AppliedReport(True, [])
 
 
-def test_publisher_tells_who_rejected_settings():
+def test_publisher_reports_rejected_settings():
     sender, why = PublisherHarness(), "other classes need a restart"
     sender.hello(1)
     sender.hello(2, position_of(sender.history.state), rejection_reason=why)  # it was so before it came here
@@ -113,9 +113,9 @@
     sender.publisher.received(
         0, 1, m.AppliedPosition(*position_of(sender.history.state), "  a\nlong\x1b[2J" + "x" * 999)
     )
-    told = sender.report(False).rejections["b1"]
-    assert told.startswith("a long?[2Jxxx")
-    assert len(told) == m.MAX_REJECTION_REASON_LENGTH == 200
+    reason = sender.report(False).rejections["b1"]
+    assert reason.startswith("a long?[2Jxxx")
+    assert len(reason) == m.MAX_REJECTION_REASON_LENGTH == 200
     grow_history(sender.history)
     sender.publisher.committed(0)
     sender.publisher.received(0, 1, m.AppliedPosition(*position_of(sender.history.state), "b"))
@@ -132,18 +132,18 @@
     assert sender.report(False) == m.AppliedReport(False, [("b3", 1, 4)], {"b3": why})
 
 
-def test_refusals_of_a_whole_fleet_fit_in_a_frame():
-    sender, most = PublisherHarness(max_subscribers=20_000), 20_000
-    for conn in range(most):
+def test_rejections_of_the_largest_fleet_fit_in_one_frame():
+    sender, broker_count = PublisherHarness(max_subscribers=20_000), 20_000
+    for conn in range(broker_count):
         sender.hello(
             conn, position_of(sender.history.state), name=f"b{conn:063d}", rejection_reason="\u20ac" * 999
         )
     seen = sender.report(True)
     assert len(m.encode(seen)) < m.MAX_FRAME_BYTES
-    assert len(seen.rejections) == len(seen.brokers) == most
+    assert len(seen.rejections) == len(seen.brokers) == broker_count
 
 
-def test_publisher_bounds_names_nobody_asks_for():
+def test_publisher_bounds_names_kept_for_the_next_report():
     sender = PublisherHarness(max_subscribers=1)
     for conn in range(20):
         sender.hello(conn)
@@ -152,7 +152,7 @@
     assert sender.report(False) == m.AppliedReport(True, [])
 
 
-def test_publisher_ends_the_silent_and_beats():
+def test_publisher_disconnects_silent_brokers_and_sends_heartbeats():
     sender = PublisherHarness()
     sender.hello(1)
     sender.hello(2, position_of(sender.history.state))
@@ -160,16 +160,16 @@
     now = 0
     while now < 11 * SECOND_US:
         now = sender.publisher.tick(now)
-    beats = [b for b in sender.sent[2] if isinstance(b, m.Heartbeat)]
+    heartbeats = [b for b in sender.sent[2] if isinstance(b, m.Heartbeat)]
     assert sender.ended[1].reason == "silent"
     assert 2 not in sender.ended
-    assert 10 <= len(beats) <= 12
-    assert beats[-1].leader == "c3"
-    assert beats[-1].leader_silence_ms >= 9_000
+    assert 10 <= len(heartbeats) <= 12
+    assert heartbeats[-1].leader == "c3"
+    assert heartbeats[-1].leader_silence_ms >= 9_000
     assert not sender.publisher.throttle.in_flight
 
 
-def test_publisher_rations_snapshots_in_line():
+def test_publisher_throttles_queued_snapshots():
     sender = PublisherHarness(max_concurrent_snapshots=2, max_snapshots_per_s=3)
     for conn in range(6):
         sender.hello(conn)
@@ -189,7 +189,7 @@
     assert not sender.publisher.snapshot_queue
 
 
-def test_publisher_lets_newcomers_past_those_that_never_answer():
+def test_unanswered_snapshots_do_not_block_new_brokers():
     sender = PublisherHarness(max_concurrent_snapshots=2, snapshot_slot_timeout_s=1.0)
     for conn in range(3):
         sender.hello(conn)
@@ -203,7 +203,7 @@
     assert not sender.publisher.throttle.in_flight  # ended as silent, and counted once
 
 
-def test_publisher_behind_a_broker_waits_and_says_so_once():
+def test_publisher_behind_a_broker_waits_and_reports_it_once():
     sender = PublisherHarness()
     ahead = PublisherHarness(versions=5)
     sent = sender.hello(1, position_of(ahead.history.state))
@@ -218,7 +218,7 @@
     assert [c.version for c in sender.sent[1][-1].changes] == [6]
 
 
-def test_publisher_put_back_sends_nobody_in_line_an_older_snapshot():
+def test_publisher_reset_to_an_older_state_sends_no_queued_snapshot():
     sender, older = (
         PublisherHarness(max_concurrent_snapshots=1),
         PublisherHarness(versions=1).history.state.snapshot(),
@@ -232,7 +232,7 @@
     assert not sender.publisher.snapshot_queue
 
 
-def test_publisher_registers_who_moved():
+def test_publisher_registers_brokers_at_new_addresses():
     sender = PublisherHarness()
     for conn, address in enumerate(["h:1", "h:2", "", "bad"]):
         sender.hello(conn, address=address, zone="z", region="r")
--- a/tests/controlplane/test_subscriber.py
+++ b/tests/controlplane/test_subscriber.py
@@ -17,7 +17,7 @@
 )
 
 
-def test_words_without_refusals_are_read_by_old_and_new():
+def test_messages_of_releases_without_rejections_are_decoded():
     """A control process or broker of the release before knows no refusals."""
     assert m.decode(msgspec.msgpack.encode(["have", 1, 2, b"x"])) == m.AppliedPosition(1, 2, b"x", "")
     assert m.decode(msgspec.msgpack.encode(["seen", True, [["b", 1, 2]]])) == m.AppliedReport(
@@ -26,7 +26,7 @@
     assert m.decode(msgspec.msgpack.encode(["have", 1, 2, b"x", "why", "later"])).rejection_reason == "why"
 
 
-def test_subscriber_says_what_was_rejected_until_it_is_taken():
+def test_subscriber_reports_a_rejection_until_the_settings_are_applied():
     sender, receiver, why = PublisherHarness(), SubscriberHarness().connect(), [""]
     receiver.subscriber.callbacks.changed = lambda state, change: why[0]
     assert receiver.receive(snapshot_of(sender.history.state)).rejection_reason == ""
@@ -39,11 +39,11 @@
         assert (hello.version, hello.rejection_reason) == (sender.history.state.version, why[0])
 
 
-def test_subscriber_takes_a_snapshot_and_what_follows():
+def test_subscriber_applies_a_snapshot_and_the_changes_that_follow():
     sender, receiver = PublisherHarness(), SubscriberHarness().connect()
     assert receiver.sent[0] == m.Hello(m.FORMAT, "broker", "b1", 3, address="b1:1", zone="z", region="r")
-    whole = snapshot_of(sender.history.state)
-    assert receiver.receive(whole) == m.AppliedPosition(*position_of(sender.history.state))
+    snapshot = snapshot_of(sender.history.state)
+    assert receiver.receive(snapshot) == m.AppliedPosition(*position_of(sender.history.state))
     assert receiver.applied == [None]
     grow_history(sender.history, 2)
     assert receiver.receive(m.Deltas(changes_after(sender.history, 3))).version == 5
@@ -58,7 +58,7 @@
     assert status.server == "c0"
 
 
-def test_subscriber_never_goes_back():
+def test_subscriber_never_returns_to_an_older_state():
     sender, receiver = PublisherHarness(versions=4), SubscriberHarness().connect()
     old = PublisherHarness(versions=2)
     receiver.receive(snapshot_of(sender.history.state))
@@ -78,7 +78,7 @@
     assert position_of(receiver.subscriber.state) == position_of(sender.history.state)
 
 
-def test_subscriber_keeps_what_it_had_where_a_digest_differs():
+def test_subscriber_keeps_its_state_if_the_digest_of_a_change_differs():
     sender, receiver = PublisherHarness(), SubscriberHarness().connect()
     changes = m.Deltas(changes_after(sender.history, 0))
     assert receiver.receive(changes) == m.SnapshotRequest("gap")  # holds nothing
@@ -99,7 +99,7 @@
     return state
 
 
-def test_subscriber_at_one_version_with_two_digests():
+def test_subscriber_receives_its_version_with_another_digest():
     sender, receiver = PublisherHarness(), SubscriberHarness().connect()
     receiver.receive(snapshot_of(sender.history.state))
     held = position_of(sender.history.state)
@@ -121,17 +121,17 @@
     assert receiver.counts("digest_differs") == 3  # a beat that differs: once a version
 
 
-def test_subscriber_leaves_bad_snapshots_other_lineages_and_nonsense():
+def test_subscriber_disconnects_on_invalid_snapshots_other_clusters_and_unexpected_messages():
     good = PublisherHarness().history.state.snapshot()
     bad = m.Snapshot("line", 1, 3, b"x" * 16, good.entries, [])
     other = PublisherHarness().history.state.copy()
     other.cluster_id = "other"
-    wholes = [
+    snapshots = [
         m.CompleteSnapshot(packed)
         for packed in (b"x", compress_snapshot(bad), compress_snapshot(other.snapshot()))
     ]
     for message in (
-        *wholes,
+        *snapshots,
         m.HelloAccepted("c", 1, "line"),
         m.AppliedPosition(1, 1, b""),
         m.Disconnect("stopping"),
@@ -151,7 +151,7 @@
     assert position_of(receiver.subscriber.state)[1] == 3
 
 
-def test_subscriber_says_how_stale_it_is():
+def test_subscriber_reports_how_stale_its_state_is():
     receiver = SubscriberHarness(server_count=2).connect()
     assert receiver.subscriber.stale_ms(receiver.now + 2 * SECOND_US) >= 2_000
     receiver.receive(m.Heartbeat(0, 0, b"", "c3", 400))
--- a/tests/controlplane/test_subscriber_connections.py
+++ b/tests/controlplane/test_subscriber_connections.py
@@ -3,7 +3,7 @@
 from itertools import pairwise
 
 from cypressledge.controlplane import messages as m
-from cypressledge.controlplane.server_selection import Server, order
+from cypressledge.controlplane.server_selection import Server, order_servers
 from cypressledge.controlplane.subscriber import (
     SILENCE_TIMEOUT,
     BrokerIdentity,
@@ -16,23 +16,23 @@
 )
 
 
-def test_order_is_zone_region_then_by_hash():
+def test_servers_are_ordered_by_zone_then_region_then_hash():
     servers = [Server(f"c{i}", "", z, r) for i, (z, r) in enumerate(["xp", "zr", "yr", "zr", "xp", "yr"])]
-    found = [order(f"b{i}", "z", "r", servers) for i in range(64)]
+    found = [order_servers(f"b{i}", "z", "r", servers) for i in range(64)]
     assert {tuple(s.zone for s in one) for one in found} == {("z", "z", "y", "y", "x", "x")}
     assert 20 < sum(one[0].name == "c1" for one in found) < 44
 
 
-def test_subscriber_waits_longer_each_time_and_honours_refusals():
-    receiver, now, tries = SubscriberHarness(server_count=3), 0, []
+def test_subscriber_backs_off_and_honours_retry_after():
+    receiver, now, attempts = SubscriberHarness(server_count=3), 0, []
     for _ in range(300):
         due = receiver.subscriber.tick(now)
-        if len(receiver.dialled) > len(tries):
-            tries.append(now)
+        if len(receiver.dialled) > len(attempts):
+            attempts.append(now)
             receiver.subscriber.disconnected(now, "refused")
         else:
             now = due
-    gaps = [b - a for a, b in pairwise(tries)]
+    gaps = [b - a for a, b in pairwise(attempts)]
     assert all(gap <= min(0.1 * SECOND_US * 2**i, 5 * SECOND_US) for i, gap in enumerate(gaps))
     assert len(gaps) > 100
     assert max(gaps[10:]) > 4 * SECOND_US
@@ -49,20 +49,20 @@
     assert receiver.subscriber.selector.current == 1
 
 
-def test_a_connection_that_held_makes_the_waits_short_again():
+def test_steady_connection_resets_the_backoff():
     receiver = SubscriberHarness()
-    for held in [0] * 8 + [5 * SECOND_US] * 8:
+    for connection_us in [0] * 8 + [5 * SECOND_US] * 8:
         receiver.connect(receiver.now if receiver.sent else 0)
-        receiver.subscriber.disconnected(receiver.now + held, "reset")
-        wait = receiver.subscriber.tick(receiver.now + held) - receiver.now - held
-        if held:
+        receiver.subscriber.disconnected(receiver.now + connection_us, "reset")
+        wait = receiver.subscriber.tick(receiver.now + connection_us) - receiver.now - connection_us
+        if connection_us:
             assert wait <= SECOND_US // 10
     assert (
         ConfigSubscriber(BrokerIdentity("b", 1), [], 1, SubscriberCallbacks(*[None] * 5)).tick(0) > SECOND_US
     )  # nobody to follow
 
 
-def test_subscriber_leaves_the_silent_and_times_out():
+def test_subscriber_leaves_a_silent_server_and_times_out_connecting():
     receiver = SubscriberHarness(server_count=2)
     now = receiver.subscriber.tick(0)
     due = receiver.subscriber.tick(now)
@@ -78,7 +78,7 @@
     assert receiver.ended[1:] == ["silent"]
 
 
-def test_subscriber_goes_home_and_back_where_home_fails():
+def test_subscriber_tries_a_nearer_server_and_returns_if_it_fails():
     receiver = SubscriberHarness(server_count=3)
     now = receiver.subscriber.tick(0)
     receiver.subscriber.tick(now)
@@ -103,33 +103,33 @@
 
 
 def outage(receiver: SubscriberHarness, until: int) -> list[tuple[int, str]]:
-    """Refuse each try until then; when each was made, and at whom."""
-    now, made = 0, []
+    """Refuse each attempt until then; when each was made, and at whom."""
+    now, attempts = 0, []
     while now < until:
         due = receiver.subscriber.tick(now)
-        if len(receiver.dialled) > len(made):
-            made.append((now, receiver.dialled[-1].name))
+        if len(receiver.dialled) > len(attempts):
+            attempts.append((now, receiver.dialled[-1].name))
             receiver.subscriber.disconnected(now, "refused")
             due = receiver.subscriber.tick(now)
         now = max(now, due)
-    return made
+    return attempts
 
 
-def test_subscriber_tries_all_in_a_row_and_rests_between_rounds():
+def test_subscriber_tries_all_servers_and_pauses_between_rounds():
     receiver = SubscriberHarness(server_count=8)
-    made = outage(receiver, 60 * SECOND_US)
-    names = [name for _, name in made]
+    attempts = outage(receiver, 60 * SECOND_US)
+    names = [name for _, name in attempts]
     assert names == ([s.name for s in receiver.subscriber.selector.servers] * len(names))[: len(names)]
-    waits = [b - a for (a, _), (b, _) in pairwise(made)]
+    waits = [b - a for (a, _), (b, _) in pairwise(attempts)]
     within = [w for i, w in enumerate(waits) if (i + 1) % 8]
     between = waits[7::8]
     assert max(within) <= 100_000  # the one that is up is found within a second
     assert all(w <= min(100_000 << (i + 1), 5 * SECOND_US) for i, w in enumerate(between))
     assert max(between) > SECOND_US
-    assert len(made) < 8 * 40
+    assert len(attempts) < 8 * 40
 
 
-def test_subscriber_leaves_a_server_that_hears_no_primary():
+def test_subscriber_leaves_a_server_without_leader_contact():
     receiver, left = SubscriberHarness(server_count=3).connect(), []
     stale = m.Heartbeat(0, 0, b"", "c1", 11_000)
     now = receiver.now
@@ -153,7 +153,7 @@
     assert all(at < 81 * SECOND_US for at, _ in left)
 
 
-def test_subscriber_of_one_server_or_of_a_fresh_one_stays():
+def test_subscriber_stays_with_its_only_server_or_one_with_recent_leader_contact():
     for servers, silent in ((1, 60_000), (3, 9_000)):
         receiver = SubscriberHarness(server_count=servers).connect()
         for second in range(1, 15):
--- a/tests/controlplane/test_subscriber_failures.py
+++ b/tests/controlplane/test_subscriber_failures.py
@@ -22,11 +22,11 @@
 
 def incompressible_engines(count, salt):
     """Engines that take some bytes, and do not pack well."""
-    draw = random.Random(salt)
+    rng = random.Random(salt)
     return {
         f"engine/x{i}": {
             "address": f"127.{salt}.{i // 250}.{i % 250 + 1}:7002",
-            "kind": f"{draw.getrandbits(256):064x}",
+            "kind": f"{rng.getrandbits(256):064x}",
         }
         for i in range(count)
     }
@@ -36,13 +36,13 @@
     """Connections that do not read, read slowly, send malformed messages at once or later, or say nothing."""
 
     def __init__(self, port: int) -> None:
-        draw = random.Random(5)
+        rng = random.Random(5)
         self.unread = [RawConnection(port, small_buffer=True).hello(f"deaf{i}") for i in range(4)]
         self.slow = [RawConnection(port, small_buffer=True).hello(f"slow{i}") for i in range(2)]
         malformed = [
             b"\xff" * 8,
             b"\0\0\0\0",
-            draw.randbytes(9000),
+            rng.randbytes(9000),
             b"GET / HTTP/1.1\r\n\r\n",
             b"\0\0\0\4\xc1\xc1\xc1\xc1",
         ]
@@ -50,7 +50,7 @@
         for connection, raw in zip(self.malformed, malformed, strict=True):
             connection.sock.sendall(raw)
         self.malformed_later = RawConnection(port).hello("late")
-        self.malformed_later.sock.sendall(b"\0\0\1\0" + draw.randbytes(256))
+        self.malformed_later.sock.sendall(b"\0\0\1\0" + rng.randbytes(256))
         self.silent = RawConnection(port)  # never says Hello
         self.readers = [gevent.spawn(connection.read_slowly) for connection in self.slow]
         self.ends = [
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class ChangesMeanwhile:
+class ChangeCosts:
     """What changes cost while bad subscribers were connected."""
 
     count: int
@@ -81,10 +81,10 @@
     max_memory: int  # bytes of the control process
 
 
-def change_until_bad_ones_are_gone(cluster, leader, good, changes: ChangesMeanwhile) -> None:
+def commit_changes_until_bad_subscribers_are_gone(cluster, leader, good, changes: ChangeCosts) -> None:
     """Change after change, each waited for at a subscriber, until the leader has the two good ones alone."""
-    until_all = time.monotonic() + PublisherLimits().answer_timeout_s + 6
-    while leader.status()["brokers"] > 2 and time.monotonic() < until_all:
+    deadline = time.monotonic() + PublisherLimits().answer_timeout_s + 6
+    while leader.status()["brokers"] > 2 and time.monotonic() < deadline:
         changes.count += 1
         began = time.monotonic()
         key = f"engine/y{changes.count % 7}"
@@ -94,7 +94,7 @@
         changes.max_memory = max(changes.max_memory, leader.memory_bytes())
 
 
-def test_followers_that_do_not_read_read_slowly_or_talk_nonsense(cluster):
+def test_subscribers_that_do_not_read_or_send_malformed_messages(cluster):
     leader = cluster.wait_for_settled_leader()
     for salt in (1, 2):
         engines = incompressible_engines(1500, salt)
@@ -105,8 +105,8 @@
     bad = BadSubscribers(cluster.ports[leader.name])
     new = cluster.follow("new", only=(leader.name,))
     cluster.wait_for(lambda: new.version, "one that comes while snapshots are out to those")
-    changes = ChangesMeanwhile(0, time.monotonic() - new.dials[0], memory)
-    change_until_bad_ones_are_gone(cluster, leader, good, changes)
+    changes = ChangeCosts(0, time.monotonic() - new.dials[0], memory)
+    commit_changes_until_bad_subscribers_are_gone(cluster, leader, good, changes)
     took, more = time.monotonic() - bad.unread[0].began, changes.max_memory - memory
     print(
         f"all ended after {took:.1f} s, {changes.count} changes, the slowest in force after "
@@ -143,29 +143,29 @@
     return broker
 
 
-def test_a_change_whose_digest_differs_is_not_taken(tmp_path):
-    liar = LyingControlServer()
-    broker = broker_that_follows(liar, tmp_path)
+def test_change_whose_digest_differs_is_not_applied(tmp_path):
+    lying_server = LyingControlServer()
+    broker = broker_that_follows(lying_server, tmp_path)
     broker.start()
     try:
-        assert until(lambda: len(liar.received) == 4, WAIT), broker.log_text()
-        hello, first, asked, last = liar.received
+        assert until(lambda: len(lying_server.received) == 4, WAIT), broker.log_text()
+        hello, first, asked, last = lying_server.received
         assert isinstance(hello, Hello)
         assert isinstance(first, AppliedPosition)
         assert isinstance(last, AppliedPosition)
         assert isinstance(asked, SnapshotRequest), asked
         assert asked.reason == "digest", asked
-        assert (last.version, last.digest) == (2, liar.state.digest)
+        assert (last.version, last.digest) == (2, lying_server.state.digest)
         status = broker.status()
         assert status["counts"]["change_digest_differs"] == 1
-        assert status["digest"] == liar.state.digest.hex()
+        assert status["digest"] == lying_server.state.digest.hex()
         assert [entry["version"] for entry in broker.logged("control_change_digest_differs")] == [2]
     finally:
         broker.kill()
-        liar.server.stop()
+        lying_server.server.stop()
 
 
-def most_snapshots_a_second(subscribers) -> int:
+def max_snapshots_per_second(subscribers) -> int:
     """The most snapshots of one server that were taken within a second."""
     moments = {}
     for subscriber in subscribers:
@@ -175,7 +175,7 @@
     return max(sum(m <= n < m + 1 for n in of_one) for of_one in moments.values() for m in of_one)
 
 
-def test_a_hundred_followers_whose_control_process_dies(cluster):
+def test_hundred_subscribers_reconnect_after_their_control_process_is_killed(cluster):
     leader = cluster.wait_for_settled_leader()
     cluster.change(incompressible_engines(1000, 3), "many")
     began = time.monotonic()
@@ -191,7 +191,7 @@
     cluster.wait_for(lambda: all(s.version >= version for s in subscribers), "all in force again")
     took = time.monotonic() - killed
     again = sorted(s.dials[dials[s]] - killed for s in lost)
-    limits, densest = PublisherLimits(), most_snapshots_a_second(subscribers)
+    limits, densest = PublisherLimits(), max_snapshots_per_second(subscribers)
     print(
         f"{dict(counts)}; {len(lost)} lost, dialled again {again[0]:.3f} to {again[-1]:.3f} s after; all in"
         f" force {took:.2f} s after, {killed - began:.2f} s to begin; {densest} snapshots a second at most"
