--- a/cypressledge/controlplane/__init__.py
+++ b/cypressledge/controlplane/__init__.py
@@ -1,2 +1,4 @@
-"""The control plane: one numbered history of the fleet's state, from control processes to every broker. Off
-in `run`."""
+"""The control plane: control processes replicate the fleet's state and publish it to every broker.
+
+`run` uses it only if `--control` is given.
+"""
--- a/cypressledge/controlplane/accepted_state.py
+++ b/cypressledge/controlplane/accepted_state.py
@@ -1,10 +1,13 @@
-"""Which states of the control plane a broker accepts. No I/O.
+"""Decides which states of the control plane a broker accepts. No I/O.
 
-What is accepted only goes on: no version at or below the own one, no epoch below the own one, no other
-history. One exception: at the same version, a snapshot of a higher epoch, or, where the broker's own entries
-no longer sum to its digest, one of the same epoch. Two sound states of one epoch and version can't both be of
-the history; who is right can't be known here, so the broker keeps what it has, counts and logs it, and the
-next version ends it.
+The accepted position never decreases: an update is rejected if its version is not above the broker's version,
+if its epoch is below the broker's epoch, or if it belongs to another cluster. There is one exception: a
+snapshot of the same version is accepted if its epoch is higher, or if its epoch is the same and the broker's
+entries no longer match the broker's digest.
+
+Two intact states of the same epoch and version but with different digests cannot both belong to the history.
+A broker cannot determine which one does, so it keeps its state and counts and logs the difference. The next
+version resolves it.
 """
 
 from collections.abc import Callable
@@ -23,20 +26,23 @@
 
 
 class StateCallbacks(Protocol):
-    """What is called as a state is accepted; see `SubscriberCallbacks`."""
+    """Callbacks for accepted states; see `SubscriberCallbacks`."""
 
     @property
     def changed(self) -> Callable[[FleetState, Change | None], str | None]:
-        """After each change, or a snapshot."""
+        """Callback for each applied change or snapshot."""
 
     @property
     def message_applied(self) -> Callable[[], str | None] | None:
-        """Once all that a message brought is taken."""
+        """Callback for each message, once everything in it has been applied."""
 
 
 class AcceptedState:
-    """The state that a broker holds. `report(event, **fields)` is to count and log; `cluster_id`: of the only
-    history to be accepted; empty: that of the first snapshot."""
+    """The state that a broker holds.
+
+    `report(event, **fields)` counts and logs an event. `cluster_id` names the only cluster whose history is
+    accepted; if it is empty, the first snapshot determines the cluster.
+    """
 
     def __init__(
         self,
@@ -45,29 +51,32 @@
         report: Callable[..., None],
         cluster_id: str = "",
     ) -> None:
-        self.state = FleetState()  # of no cluster while nothing is held
-        self.rejection_reason = ""  # why some of it is not in force
+        self.state = FleetState()  # its cluster id is empty until a first snapshot is accepted
+        self.rejection_reason = ""  # why a part of the state is not in force
         self._counters, self._callbacks, self._report = counters, callbacks, report
         self._only_cluster_id = cluster_id
-        self._differing_version = -1  # at which a heartbeat's digest differed
+        self._differing_version = -1  # the last version at which a heartbeat's digest differed
 
     def is_same_cluster(self, cluster_id: str) -> bool:
-        """Whether a history may be ours; one that has no id yet has nothing to send."""
+        """Return whether a cluster may be this broker's; one without an id has no history to send yet."""
         return not cluster_id or cluster_id == (self.state.cluster_id or self._only_cluster_id or cluster_id)
 
     def compare_digest(self, heartbeat: Heartbeat) -> None:
-        """Report, once a version, that the control process has another state at the version held."""
+        """Report, once per version, that the control process has another state at the same version."""
         state = self.state
         if not state.cluster_id or heartbeat.version != state.version or heartbeat.digest == state.digest:
             return
-        if self._differing_version != state.version:  # guards against a log line a second
+        if self._differing_version != state.version:  # otherwise each heartbeat would write a log line
             self._differing_version = state.version
             self._report("digest_differs", epoch=heartbeat.epoch, version=heartbeat.version)
 
     # Changes
 
     def apply(self, changes: list[Change]) -> SnapshotRequest | None:
-        """Take what follows, up to where a snapshot is needed instead, if anywhere."""
+        """Apply the changes that follow the state, up to the first one that requires a snapshot instead.
+
+        Returns the request for that snapshot, or None if there is no such change.
+        """
         version_before = self.state.version
         request = self._apply_all(changes)
         if self.state.version > version_before:
@@ -94,14 +103,14 @@
     # Snapshots
 
     def replace(self, snapshot: Snapshot, state: FleetState) -> None:
-        """Take a snapshot and the state restored from it, if that is to be taken."""
+        """Replace the state by the one restored from a snapshot, if the snapshot is accepted."""
         if self._is_newer(snapshot):
             before, self.state = self.state.position, state
             self._notify_changed(before, None)
             self._finish_message()
 
     def _is_newer(self, snapshot: Snapshot) -> bool:
-        """Whether a snapshot is to be taken: see the head of this file."""
+        """Return whether a snapshot is accepted; see the module docstring for the rules."""
         own = self.state
         if not own.cluster_id:
             return True
@@ -120,7 +129,7 @@
         self._reject(snapshot.epoch, snapshot.version)
         return False
 
-    # What others are told
+    # Callbacks and reports
 
     def _notify_changed(self, before: Position, change: Change | None) -> None:
         after = self.state.position
--- a/cypressledge/controlplane/applied_versions.py
+++ b/cypressledge/controlplane/applied_versions.py
@@ -1,7 +1,7 @@
-"""Which version each broker has applied, as the control processes report it to the leader. No I/O.
+"""The version that each broker has applied, as the control processes report it to the leader. No I/O.
 
-Only what was reported counts: a broker whose control process has gone silent is not taken for one that has
-the newest version.
+Only reported versions count: a broker whose control process stopped reporting is not assumed to have the
+newest version.
 """
 
 from collections.abc import Collection, Mapping
@@ -9,12 +9,15 @@
 
 from cypressledge.controlplane.messages import AppliedReport
 
-MAX_NAMES = 50  # of brokers that an answer or event lists
+MAX_NAMES = 50  # brokers that an answer or event lists by name
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedVersion:
-    """What one broker holds, reported at a moment (µs); `rejection`: why some of it is not applied there."""
+    """The version that one broker holds.
+
+    `at`: when it was reported, µs; `rejection`: why the broker has not applied a part of it, or empty.
+    """
 
     instance_id: int
     version: int
@@ -24,11 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LagReport:
-    """Which connected brokers have not a version in force.
+    """The connected brokers where a version is not in force.
 
-    `lagging`: those that have not reached it; `rejections`: those that hold it but have rejected some of it,
-    and why; `unreachable`: those that are registered but connected nowhere; `unheard`: control processes that
-    are alive but have not reported yet: until they have, nobody knows who lags.
+    `lagging`: brokers that have not reached the version; `rejections`: brokers that hold it but rejected a
+    part of it, and the reason; `unreachable`: brokers that are registered but not connected to any control
+    process; `unheard`: control processes that are alive but have not reported yet. Until they have, it is
+    unknown which of their brokers lag.
     """
 
     version: int
@@ -41,13 +45,13 @@
 
 
 class AppliedVersions:
-    """The newest reports of all control processes about their brokers."""
+    """The latest reports of all control processes about their brokers."""
 
     def __init__(self) -> None:
         self._reports: dict[str, dict[str, AppliedVersion]] = {}  # by control process, by broker
 
     def report(self, now: int, sender: str, report: AppliedReport) -> None:
-        """Take a report. One of changes alone says nothing without a complete one before it."""
+        """Store a report. An incremental report is ignored if no complete one preceded it."""
         if report.is_complete:
             self._reports[sender] = {}
         brokers = self._reports.get(sender)
@@ -61,15 +65,15 @@
                 brokers[name] = AppliedVersion(instance_id, version, now, rejection)
 
     def drop(self, sender: str) -> None:
-        """A control process can't be heard: what it reported may no longer be so."""
+        """Discard the reports of a control process that can't be reached; they may be outdated."""
         self._reports.pop(sender, None)
 
     def clear(self) -> None:
-        """This process leads no more."""
+        """Discard all reports, because this process has begun or ceased to lead."""
         self._reports.clear()
 
     def latest(self) -> Mapping[str, AppliedVersion]:
-        """Each connected broker, by name, as last reported."""
+        """Return the last report about each connected broker, by the broker's name."""
         latest: dict[str, AppliedVersion] = {}
         for brokers in self._reports.values():
             for name, applied in brokers.items():
@@ -78,16 +82,17 @@
         return latest
 
     def connected(self, listed: Collection[str], linked: Collection[str]) -> set[str] | None:
-        """Names of all connected brokers; none unless each listed control process is linked and has reported.
+        """Return the names of all connected brokers.
 
-        Nobody else knows who is connected to it.
+        Returns None unless each of the `listed` control processes is among the `linked` ones and has
+        reported: only a control process itself knows which brokers are connected to it.
         """
         if not set(listed) <= set(linked) or not set(listed) <= set(self._reports):
             return None
         return set(self.latest())
 
     def lag(self, version: int, registered: Collection[str], alive: Collection[str]) -> LagReport:
-        """Which connected brokers have not applied a version.
+        """Return which connected brokers have not applied a version.
 
         `registered`: names of all registered brokers; `alive`: names of the control processes that are alive.
         """
--- a/cypressledge/controlplane/broker_hello.py
+++ b/cypressledge/controlplane/broker_hello.py
@@ -1,4 +1,4 @@
-"""A broker's first message: whether it can be, and what the state should say of that broker. No I/O."""
+"""Validates a broker's first message, and derives the broker's registration from it. No I/O."""
 
 from cypressledge.controlplane.messages import Hello, Op
 from cypressledge.controlplane.state import DIGEST_BYTES
@@ -12,7 +12,7 @@
 
 
 def is_valid_hello(hello: Hello) -> bool:
-    """Whether a Hello says a name and a position that can be."""
+    """Return whether the name and the position in a Hello are valid."""
     if not KEY_PATTERN.fullmatch(_broker_key(hello.name)):
         return False
     if not hello.cluster_id:
@@ -21,9 +21,9 @@
 
 
 def registration_of(hello: Hello) -> Op | None:
-    """What the state should say of a broker; none where it isn't to be registered.
+    """Return the operation that registers a broker in the state; None if its Hello has no address.
 
-    Raises `StateError` where it is at no address that can be connected to.
+    Raises `StateError` if the address is not one that can be connected to.
     """
     if not hello.address:
         return None
--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -1,7 +1,8 @@
-"""What a broker takes from the control plane: settings, engines, and where the other brokers are.
+"""Applies the control plane's state to a broker: settings, engines and the addresses of the other brokers.
 
-Nothing here is imported unless `--control FILE` asks for it. Until a first state has come, and whenever no
-control process can be reached, the broker goes on with what it has: what it was started with at first.
+This module is imported only if `--control FILE` is given. Until a first state has been received, the broker
+uses the configuration it was started with; while no control process can be reached, it keeps what is in
+force.
 """
 
 import json
@@ -27,30 +28,33 @@
 if TYPE_CHECKING:
     from cypressledge.broker_process.process import BrokerProcess
 
-KINDS = ("config", "engine", "broker")  # of keys
+KINDS = ("config", "engine", "broker")  # kinds of keys: the part of a key before the first "/"
 ENGINE_STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
 
 
 class BrokerStatusAnswer(SubscriberStatus, frozen=True, kw_only=True):
-    """`GET /control/status` of a broker: its subscriber's status, and what the broker makes of the state."""
+    """`GET /control/status` of a broker: its subscriber's status, and what of the state is in force."""
 
     instance_id: str = msgspec.field(name="run")  # hexadecimal
-    rejection_reason: str = msgspec.field(name="refused")  # why some is not in force; empty: all of it is
-    has_external_engine_list: bool = msgspec.field(name="engines_from_here")  # the control plane's
-    sections: list[str]  # of the settings that are in force from the control plane
-    traffic: Mapping[str, FrameCounts]  # by direction and tag of a message
+    rejection_reason: str = msgspec.field(name="refused")  # why a part is not in force; empty if all of it is
+    has_external_engine_list: bool = msgspec.field(name="engines_from_here")  # from the control plane
+    sections: list[str]  # names of the settings' sections that are in force from the control plane
+    traffic: Mapping[str, FrameCounts]  # by direction and message tag
 
 
 class BrokerIntegration:
-    """Follows the control plane for a broker. Raises `ConfigError` where the file can't be used."""
+    """Subscribes a broker to the control plane, and applies the state that it receives.
+
+    `file`: path of the control plane's settings. Raises `ConfigError` if the file is invalid.
+    """
 
     def __init__(self, file: str, broker: "BrokerProcess", env: Mapping[str, str]) -> None:
         self.broker, self.counters = broker, broker.counters
         settings = read_control_settings(file)
         self.fleet = broker.fleet
         self.instance_id = new_instance_id() if self.fleet is None else self.fleet.node.instance_id
-        self._changed_kinds: set[str] = set()  # of which something has come that isn't in force yet
-        self._rejections: dict[str, str] = {}  # by kind: why the newest of that kind is not in force
+        self._changed_kinds: set[str] = set()  # kinds of keys with received changes that are not in force yet
+        self._rejections: dict[str, str] = {}  # by kind: why the newest values of that kind are not in force
         self.client = SubscriberClient(
             self._identity(env),
             settings,
@@ -64,7 +68,11 @@
             broker.management.add("/control/status", "GET", lambda request: (200, self._status()))
 
     def _identity(self, env: Mapping[str, str]) -> BrokerIdentity:
-        """Zone and region by the environment, else by the fleet's file; no address without that."""
+        """Return the broker's identity.
+
+        Zone and region come from the environment or else from the fleet's settings. Without fleet settings
+        the broker has no address.
+        """
         name, zone, region = self.broker.config.name, env.get("ROUTER_ZONE", ""), env.get("ROUTER_REGION", "")
         if self.fleet is None:
             return BrokerIdentity(name, self.instance_id, zone, region)
@@ -76,11 +84,11 @@
 
     @property
     def rejection_reason(self) -> str:
-        """Why some of the newest state is not in force; empty: all of it is."""
+        """The reason why a part of the newest state is not in force; empty if all of it is."""
         return "; ".join(self._rejections.values())
 
     def stop(self) -> None:
-        """The broker stops."""
+        """End the connection to the control plane."""
         self.client.stop()
 
     def _status(self) -> bytes:
@@ -94,18 +102,21 @@
         )
         return json.dumps(msgspec.to_builtins(status)).encode() + b"\n"
 
-    # What a new state brings
+    # Applying a new state
 
     def _on_state_changed(self, state: FleetState, change: Change | None) -> str:
-        """Something of these kinds of keys; `change` is None for a snapshot."""
+        """Note the kinds of keys that have changed; `change` is None for a snapshot."""
         self._changed_kinds |= (
             set(KINDS) if change is None else {op.key.partition("/")[0] for op in change.ops}
         )
         return self.rejection_reason
 
     def _on_message_applied(self) -> str:
-        """Take what differs; why some of it is not in force. Guards against requests that stand still while
-        the list is taken anew for each of some hundred changes that came together."""
+        """Apply the kinds of keys that have changed; return why a part of the state is not in force.
+
+        This is done once per message. Updating the engine list for each of several hundred changes that
+        arrive in one message would block requests.
+        """
         state, changed = self.client.state, self._changed_kinds
         self._changed_kinds = set()
         for kind, apply in (
@@ -118,7 +129,11 @@
         return self.rejection_reason
 
     def _apply(self, kind: str, apply: Callable[[], None]) -> None:
-        """One kind of key. The control processes check what they take; an older one may not have."""
+        """Apply one kind of key.
+
+        Control processes validate each change, but one of an older release may have accepted a change that
+        this broker rejects.
+        """
         try:
             apply()
         except (ConfigError, StateError) as err:
@@ -129,12 +144,12 @@
             self._rejections.pop(kind, None)
 
     def _apply_settings(self, sections: dict[str, object]) -> None:
-        """Raises `ConfigError` where the broker's process rejects them."""
+        """Apply settings that differ from those in force. Raises `ConfigError` if the broker rejects them."""
         if sections != self.broker.configuration.sections:
             self.broker.configuration.apply_sections(sections)
 
     def _apply_engines(self, engines: Mapping[str, Engine]) -> None:
-        """The list is the control plane's from the first engine on that it names."""
+        """Apply the engine list; the broker's own list stays until the state contains an engine."""
         if not engines and not self.broker.configuration.has_external_engine_list:
             return
         self.broker.configuration.apply_engine_list(
@@ -143,7 +158,7 @@
         self.counters.add("control.engine_lists")
 
     def _apply_peer_addresses(self) -> None:
-        """Where the other brokers are: as the fleet's file says, and above that as the state does."""
+        """Set the other brokers' addresses; those in the state override those in the fleet's settings."""
         if self.fleet is None:
             return
         brokers = self.client.state.brokers()
@@ -165,5 +180,5 @@
 
 
 def follow_control_plane(file: str, broker: "BrokerProcess") -> BrokerIntegration:
-    """The integration of a broker that is being put together."""
+    """Return the control plane integration for a broker that is being assembled."""
     return BrokerIntegration(file, broker, os.environ)
--- a/cypressledge/controlplane/broker_registry.py
+++ b/cypressledge/controlplane/broker_registry.py
@@ -1,9 +1,10 @@
-"""Which brokers are in the state: what is forwarded to the leader, and what that proposes by itself. No I/O.
+"""Registers brokers in the state and removes absent ones, through changes of the leader. No I/O.
 
-A broker that connects is registered; one that has been connected nowhere for long is removed, and so is one
-whose address another one has taken. That holds only while every control process of the settings is in sight:
-a leader that can't see a region's control process doesn't know who is connected there, so what it saw before
-counts no more, and all absences begin anew. Times are µs on the process's own clock.
+A broker that connects is registered; the other control processes forward registrations to the leader. A
+broker that has not been connected to any control process for long is removed, and so is an absent one whose
+address another broker has taken. Brokers are removed only while the leader can reach every control process of
+the settings: without one of them it doesn't know which brokers are connected there. All absence times then
+start anew. Times are µs on the process's own clock.
 """
 
 from collections.abc import Collection, Iterable
@@ -14,12 +15,13 @@
 from cypressledge.controlplane.state_validation import validate_change
 from cypressledge.controlplane.state_values import BROKER_PREFIX, Address, StateError, address_of
 
-RETRY_INTERVAL_US = 1_000_000  # after which a registration is sent, or proposed, once more
-MAX_REGISTRATIONS = MAX_OPS_PER_CHANGE // 2  # in one change: each may remove another key
-OBSERVATION_INTERVAL_US = 1_000_000  # between looks at who is absent, where nothing is to be registered
-MAX_OBSERVATION_GAP_US = 10_000_000  # without a look, after which what was seen before says nothing
-# Guards against a broker that only changes its control process being taken for gone: it notices silence after
-# 3.5 s, waits up to 5 for its next attempt, which may take 1.5.
+RETRY_INTERVAL_US = 1_000_000  # µs; time until a registration is forwarded or proposed again
+MAX_REGISTRATIONS = MAX_OPS_PER_CHANGE // 2  # in one change; each registration may also remove another key
+OBSERVATION_INTERVAL_US = 1_000_000  # µs; time between checks for absent brokers without registrations
+MAX_OBSERVATION_GAP_US = 10_000_000  # µs without a check; after that, earlier absences no longer count
+# µs; absence after which another broker may take the address. A broker that only switches to another control
+# process must not lose its address: it detects silence after 3.5 s, waits up to 5 s until its next attempt,
+# and the attempt may take 1.5 s.
 DISPLACEABLE_AFTER_US = 10_000_000
 
 
@@ -29,44 +31,45 @@
 
 
 class ResolvedRegistrations(NamedTuple):
-    """The change that registers brokers, and why some of them can't be registered."""
+    """A change that registers brokers, and the reasons why some of them can't be registered."""
 
     change: list[Op]
     rejections: list[str]
 
 
 class BrokerRegistry:
-    """The registrations of one control process, and while that leads, the brokers that are absent.
+    """The registrations at one control process and, while it is the leader, the absent brokers.
 
     `expire_after`: µs of absence after which a broker is removed; 0: never.
     """
 
     def __init__(self, expire_after: int) -> None:
         self.expire_after = expire_after
-        self.requested: dict[str, Op] = {}  # by brokers here and, at the leader, elsewhere
-        self.sent: dict[str, _SentRegistration] = {}  # by key, what was asked for last
-        self.absent_since: dict[str, int] = {}  # by key, since when its broker is connected nowhere
+        # By key; of brokers connected to this process and, at the leader, of those connected to the others.
+        self.requested: dict[str, Op] = {}
+        self.sent: dict[str, _SentRegistration] = {}  # by key; the last registration forwarded or proposed
+        self.absent_since: dict[str, int] = {}  # by key; µs, since when the broker is not connected anywhere
         self.observed_at = 0
         self.expired_at = -RETRY_INTERVAL_US
 
     def clear(self) -> None:
-        """This process begins or ends to lead."""
+        """Discard everything, because this process has begun or ceased to lead."""
         self.requested.clear()
         self.sent.clear()
         self.absent_since.clear()
 
     def request(self, ops: Iterable[Op]) -> None:
-        """Ask that connected brokers are registered where these operations say."""
+        """Request the registration of connected brokers; operations on other keys are ignored."""
         for op in ops:
             if op.key.startswith(BROKER_PREFIX) and op.value is not None:
                 self.requested[op.key] = op
 
     def resend_all(self) -> None:
-        """What was forwarded may be lost."""
+        """Send all registrations again, because forwarded ones may be lost."""
         self.sent.clear()
 
     def take_unsent(self, now: int, state: FleetState) -> list[Op]:
-        """What is requested, and neither so already nor sent a moment ago."""
+        """Return the requested registrations that are not in the state and were not sent recently."""
         ops = [op for op in self.requested.values() if self._is_unsent(now, state, op)][:MAX_REGISTRATIONS]
         self.requested.clear()
         return ops
@@ -80,21 +83,25 @@
         return sent is None or sent.value != op.value or now - sent.sent_at >= RETRY_INTERVAL_US
 
     def mark_sent(self, now: int, ops: list[Op]) -> None:
-        """These are forwarded, or proposed, now. Guards against names without end, too."""
+        """Record that registrations are forwarded or proposed now.
+
+        Older records are removed, which bounds the number of names.
+        """
         self.sent = {key: sent for key, sent in self.sent.items() if now - sent.sent_at < RETRY_INTERVAL_US}
         self.sent |= {op.key: _SentRegistration(op.value, now) for op in ops}
 
-    # The leader alone
+    # Used by the leader only
 
     def is_observation_due(self, now: int) -> bool:
-        """Whether it is time to `observe`."""
+        """Return whether `observe` is due."""
         return now - self.observed_at >= OBSERVATION_INTERVAL_US
 
     def observe(self, now: int, state: FleetState, connected: Collection[str] | None, ops: list[Op]) -> None:
-        """Keep up who is absent.
+        """Update the absence times.
 
-        `connected`: names of all connected brokers, none while not all control processes can be seen; `ops`:
-        registrations just taken, of brokers whose connection may not have been reported yet.
+        `connected`: names of all connected brokers, or None while a control process can't be reached; `ops`:
+        registrations returned by `take_unsent` just now, whose brokers' connections may not have been
+        reported yet.
         """
         if connected is None or now - self.observed_at > MAX_OBSERVATION_GAP_US:
             self.absent_since.clear()
@@ -115,10 +122,11 @@
         return key in self.absent_since and now - self.absent_since[key] >= span
 
     def resolve(self, now: int, state: FleetState, ops: list[Op]) -> ResolvedRegistrations:
-        """The change that registers these brokers, and removes those who are gone from their addresses.
+        """Return the change that registers these brokers and removes absent ones at the same addresses.
 
-        Guards against two brokers at one address that hold up the others. `observe` with the same operations
-        comes before: after that nobody is removed whom they name.
+        If the change as a whole is invalid, each broker is resolved on its own, so that two brokers at one
+        address don't block the others. `observe` must be called with the same operations first, so that no
+        broker that they name is removed.
         """
         try:
             change = [*self._displaced(now, state, ops), *ops]
@@ -144,7 +152,7 @@
         return ResolvedRegistrations(change, rejections)
 
     def _displaced(self, now: int, state: FleetState, ops: list[Op]) -> list[Op]:
-        """Removals of those at whose address one of these brokers is. Raises `StateError`."""
+        """Return removals of absent brokers whose address one of these brokers takes. Raises `StateError`."""
         registering = {op.key for op in ops}
         key_at = state.addresses()
         addresses = [_address(op) for op in ops]
@@ -158,7 +166,7 @@
         ]
 
     def expired(self, now: int, state: FleetState) -> list[Op]:
-        """Removals of those absent for too long, once a second at the most."""
+        """Return removals of brokers that have been absent for `expire_after`, at most once per second."""
         if not self.expire_after or now - self.expired_at < RETRY_INTERVAL_US:
             return []
         ops = [
@@ -172,5 +180,5 @@
 
 
 def _address(op: Op) -> Address | None:
-    """Where an operation puts a broker. Raises `StateError`."""
+    """Return the address in a broker's registration, None for a removal. Raises `StateError`."""
     return None if op.value is None else address_of(op.key, op.value)
--- a/cypressledge/controlplane/cli.py
+++ b/cypressledge/controlplane/cli.py
@@ -1,7 +1,8 @@
-"""The operators' commands of the control plane (click): `cypressledge control …`. Exit codes of `change`:
+"""The operators' commands of the control plane (click): `cypressledge control …`.
 
-0: taken, and in force at every broker that is connected; 1: taken, but some brokers lag or reject it, or it
-isn't known whether it was taken: ask again under the same request name; 2: refused, nothing has changed.
+Exit codes of `change`: 0: committed, and in force at every connected broker; 1: committed, but some brokers
+lag or have rejected it, or the outcome is unknown, in which case the change should be repeated with the same
+request name; 2: refused, nothing has changed.
 """
 
 import json
@@ -34,7 +35,7 @@
     Outcome,
 )
 
-LAG_TIMEOUT_S = 6.0  # for finding the leader and its answer
+LAG_TIMEOUT_S = 6.0  # seconds; time to find the leader and receive its answer
 STATUS_COLUMNS = ("name", "role", "primary", "epoch", "version", "commit", "brokers", "peers", "digest")
 EXIT_IN_FORCE, EXIT_LAGGING_OR_UNKNOWN, EXIT_REFUSED = 0, 1, 2
 
@@ -45,33 +46,33 @@
     envvar="CYPRESSLEDGE_CONTROL",
     required=True,
     multiple=True,
-    help="A control process's management address; several may be named.",
+    help="Management address of a control process; may be given several times.",
 )
 
 
 @click.group()
 def control() -> None:
-    """The control plane: one history of configuration, engines and brokers."""
+    """The control plane: the replicated configuration, engines and brokers."""
 
 
 @control.command()
-@click.option("--settings", "file", required=True, metavar="FILE", help="As deploy/control.yaml.")
-@click.option("--name", required=True, help="Which of the file's servers this is.")
-@click.option("--store", "folder", required=True, metavar="DIR", help="Where this one keeps the history.")
+@click.option("--settings", "file", required=True, metavar="FILE", help="Settings; see deploy/control.yaml.")
+@click.option("--name", required=True, help="Name of this process among the servers of the settings.")
+@click.option("--store", "folder", required=True, metavar="DIR", help="Directory of this process's store.")
 @click.option(
     "--first",
     "seed",
     default="",
     metavar="SEED.yaml",
-    help="Begin a new history, with what this file holds (as for `change`). Every voter gets it.",
+    help="Begin a new history with the contents of this file (as for `change`); the same for every voter.",
 )
-@click.option("--rejoin", is_flag=True, help="The disk was lost: take the history from the others.")
+@click.option("--rejoin", is_flag=True, help="The disk was lost: copy the history from the other voters.")
 def serve(file: str, name: str, folder: str, seed: str, rejoin: bool) -> None:
     """Run one control process."""
     from cypressledge.controlplane.startup import run_control_process
 
     if seed and rejoin:
-        raise click.UsageError("--first begins a new history, --rejoin takes the others': not both")
+        raise click.UsageError("--first begins a new history, --rejoin copies the others': use only one")
     sys.exit(run_control_process(file, name, folder, read_change_file(seed) if seed else None, rejoin))
 
 
@@ -79,7 +80,7 @@
 @control_address_option
 @as_json
 def status(servers: tuple[Address, ...], as_json: bool) -> None:
-    """How each of the control processes named stands."""
+    """Show the status of each given control process."""
     rows, silent_count = [], 0
     for server in servers:
         try:
@@ -95,19 +96,19 @@
 
 @control.command()
 @control_address_option
-@click.option("--prefix", default="", help="Keys that begin so: config/, engine/, broker/.")
+@click.option("--prefix", default="", help="Only keys with this prefix: config/, engine/, broker/.")
 def state(servers: tuple[Address, ...], prefix: str) -> None:
-    """The committed state, as JSON."""
+    """Print the committed state as JSON."""
     answer = call_any(servers, f"/control/state?prefix={quote(prefix)}")
     click.echo(json.dumps(answer.body, indent=2))
 
 
 @control.command()
 @control_address_option
-@click.option("--from", "first", default=0, type=click.IntRange(0), help="From this version on.")
+@click.option("--from", "first", default=0, type=click.IntRange(0), help="The first version to show.")
 @as_json
 def history(servers: tuple[Address, ...], first: int, as_json: bool) -> None:
-    """The changes that are kept, the newest last."""
+    """Show the retained changes, the newest last."""
     try:
         history = call_any(servers, f"/control/history?from={first}").read(HistoryAnswer)
     except NoAnswerError as err:
@@ -119,9 +120,9 @@
 
 @control.command()
 @control_address_option
-@click.option("--version", default=0, type=click.IntRange(0), help="The newest where none is named.")
+@click.option("--version", default=0, type=click.IntRange(0), help="Default: the newest version.")
 def lag(servers: tuple[Address, ...], version: int) -> None:
-    """Who has not a version in force yet. Exit code 1 where anybody lags or rejects it."""
+    """Show where a version is not in force yet. Exit code 1 if any broker lags or has rejected it."""
     leader = LeaderClient(servers, time.monotonic() + LAG_TIMEOUT_S)
     try:
         answer = leader.call("GET", f"/control/lag?version={version}")
@@ -135,13 +136,13 @@
 
 
 def lag_exit_code(lag: LagAnswer) -> int:
-    """0 where a version is known to be in force at every connected broker."""
+    """Return the exit code: 0 if the version is known to be in force at every connected broker."""
     is_behind = lag.lagging_count or lag.unheard or lag.rejection_count
     return EXIT_LAGGING_OR_UNKNOWN if is_behind else EXIT_IN_FORCE
 
 
 def show_lag(lag: LagAnswer) -> None:
-    """Who lags, who rejected it, and who can't be reached, a line each."""
+    """Print the brokers that lag, those that rejected the version and the unreachable ones, a line each."""
     in_force = f"version {lag.version}: in force at {lag.in_force} of {lag.connected} brokers"
     lagging = f"; {lag.lagging_count} lag: {' '.join(lag.lagging)}" if lag.lagging_count else ""
     click.echo(in_force + lagging)
@@ -152,7 +153,7 @@
             rejections.append(f"and {unnamed} more")
         click.echo("refused by: " + "; ".join(rejections))
     if lag.unheard:
-        click.echo(f"{' '.join(lag.unheard)} have not said yet who is connected to them")
+        click.echo(f"{' '.join(lag.unheard)} have not reported yet which brokers are connected to them")
     if lag.unreachable_count:
         names = " ".join(lag.unreachable)
         click.echo(f"{lag.unreachable_count} are registered, but connected nowhere: {names}")
@@ -161,22 +162,22 @@
 @control.command()
 @click.argument("file", metavar="FILE.yaml")
 @control_address_option
-@click.option("--request", default="", help="Names this request, so that a repeat is known; drawn if absent.")
+@click.option("--request", default="", help="Request id, to recognize a repetition; default: a random one.")
 @click.option(
     "--against",
     default=None,
     type=click.IntRange(0),
-    help="The version it was made on: refused where one of its keys has changed since.",
+    help="The version the change is based on; it is refused if one of its keys has changed since.",
 )
-@click.option("--why", default="", help="It stands in the history.")
+@click.option("--why", default="", help="The reason, recorded in the history.")
 @click.option(
     "--wait",
     default=30.0,
     show_default=True,
     type=click.FloatRange(0),
-    help="Seconds in all: to be taken, and to be in force everywhere.",
+    help="Seconds in total until the change is committed and in force at every broker.",
 )
-@click.option("--dry-run", is_flag=True, help="Only say what would come of it.")
+@click.option("--dry-run", is_flag=True, help="Only validate the change and show its effect.")
 def change(
     file: str,
     servers: tuple[Address, ...],
@@ -188,8 +189,9 @@
 ) -> None:
     """Change configuration, engines or brokers (FILE.yaml: config, engines, brokers; null removes).
 
-    Exit code 0: taken, and in force at every connected broker. 1: taken, but some lag after the wait or have
-    rejected it, or not known: repeat it under the same --request. 2: refused, nothing changed."""
+    Exit code 0: committed, and in force at every connected broker. 1: committed, but some brokers lag after
+    the wait or have rejected it, or the outcome is unknown: repeat it with the same --request. 2: refused,
+    nothing has changed."""
     ops = read_change_file(file)
     user = os.environ.get("USER", "")
     request = request or f"{os.environ.get('USER', 'operator')}-{uuid.uuid4().hex[:12]}"
@@ -218,7 +220,7 @@
 
 
 def _wait_in_force(leader: LeaderClient, version: int, deadline: float) -> int:
-    """Wait until nobody lags; the exit code."""
+    """Wait until no broker lags or the deadline has passed; return the exit code."""
     lag: LagAnswer | None = None
     while True:
         try:
--- a/cypressledge/controlplane/control_process.py
+++ b/cypressledge/controlplane/control_process.py
@@ -1,6 +1,7 @@
-"""One control process: put together, run, and stopped in good order. Uses gevent.
+"""Assembles, runs and stops one control process. Uses gevent.
 
-One greenlet owns replica, history and publisher; sockets reach it through an inbox of bounded length.
+Only one greenlet, the event loop, accesses the replica, the history and the publisher. The greenlets of
+sockets pass calls to it through an inbox of bounded length.
 """
 
 import os
@@ -56,16 +57,19 @@
 from cypressledge.net.connection_registry import ConnectionRegistry
 from cypressledge.net.listener import Listener
 
-MAX_HELLO_BYTES = 4 << 10  # of the first frame
-SPARE_CONNECTIONS = 64  # beyond the brokers': peers, and those that haven't said Hello
-STOP_DELAY_S = 0.5  # for the last frames to leave
-FAILED_EXIT_CODE = 3  # a part ended by an exception
+MAX_HELLO_BYTES = 4 << 10  # bytes; the largest first frame of a connection
+SPARE_CONNECTIONS = 64  # connections beyond the brokers': peers, and those that have not sent a Hello yet
+STOP_DELAY_S = 0.5  # seconds; time for the last frames to be sent
+FAILED_EXIT_CODE = 3  # exit code if a greenlet ends with an exception
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessOptions:
-    """How a control process is started. `disk`: its store, opened; none where it doesn't vote. `seed`: the
-    first changes of a new history, where this process may begin one. `rejoin`: its disk was lost."""
+    """How a control process is started.
+
+    `disk`: its opened store, None if it doesn't vote. `seed`: the operations of a new history's first
+    version, if this process may begin one. `rejoin`: its disk was lost.
+    """
 
     name: str
     disk: SqliteStorage | None
@@ -75,7 +79,10 @@
 
 
 class ControlProcess:
-    """All parts of one control process. Raises `ConfigError`, `StateError`, `StorageError`, `OSError`."""
+    """One control process with all its parts.
+
+    Raises `ConfigError`, `StateError`, `StorageError`, `OSError`.
+    """
 
     def __init__(self, settings: ControlSettings, options: ProcessOptions) -> None:
         self.settings, self.options, self.name = settings, options, options.name
@@ -89,7 +96,7 @@
         self.events = ProcessEvents(self.counters, self.log)
         self.inbox = Inbox(self.clock)
 
-        # The history, and the brokers that get it
+        # The history, and its publication to brokers
         self.history, self.applied = ChangeHistory(FleetState()), AppliedVersions()
         self.registry = BrokerRegistry(round(settings.forget_s * 1e6))
         self.committed = CommittedChanges(self.history, self.record, self.inbox)
@@ -182,7 +189,7 @@
         )
 
     def _subscribe(self) -> None:
-        """What the parts do at each other's events."""
+        """Connect the parts to each other's events."""
         for event in ("primary", "stepped_down"):
             self.events.subscribe(event, partial(self._record_leadership_event, event))
         for event in ("recovering", "stepped_down"):
@@ -195,7 +202,7 @@
         )
 
     def _permit_first_version(self) -> None:
-        """Raises `StateError` where the seed is no change that can be made."""
+        """Allow the replica to begin a new history with the seed. Raises `StateError` if it is invalid."""
         seed = self.options.seed
         if seed is not None and isinstance(self.replica, Replica):
             self.replica.permit_first_version(f"{self.name}-{self.instance_id:x}", seed)
@@ -235,13 +242,13 @@
         )
 
     def _make_loops(self) -> list[Callable[[], None]]:
-        """What runs in a greenlet each, from start to end."""
+        """Return the functions that each run in a greenlet of their own for the life of the process."""
         own_loops = [self.run_event_loop, self.listener.run, self.operators.run]
         replica_loops = self.replica.loops if isinstance(self.replica, NonVotingReplica) else []
         return [*self.node.loops, *own_loops, *self._peer_loops(), *replica_loops]
 
     def _peer_loops(self) -> Iterator[Callable[[], None]]:
-        """Those that keep connections to the other control processes."""
+        """Yield a loop for each other control process, which keeps a connection to it."""
         dialer = PeerDialer(
             self._handshake,
             self.sender,
@@ -261,19 +268,19 @@
         self.record.write(event, epoch=fields["epoch"], version=fields.get("version", 0))
 
     def _clear_reports(self, fields: dict[str, object]) -> None:
-        """This process begins or ends as the leader: what it was told before counts no more."""
+        """Discard registrations and applied versions, because this process has begun or ceased to lead."""
         self.registry.clear()
         self.applied.clear()
 
     def _suspend(self, fields: dict[str, object]) -> None:
-        """The disk refuses: the brokers go to others."""
+        """Disconnect the brokers after a disk error, so that they switch to other control processes."""
         if self.leadership.suspend(self.clock.now()):
             self.publisher.stop()
 
-    # The owner
+    # Event loop
 
     def run_event_loop(self) -> None:
-        """A greenlet: does what is due, and takes in what has come."""
+        """Run due work and pending calls until the process stops; runs in a greenlet of its own."""
         while not self._is_stopping:
             now = self.clock.now()
             self.leadership.apply_lease(now)
@@ -287,7 +294,7 @@
     # Connections
 
     def _serve(self, sock: gevent.socket.socket) -> None:
-        """A greenlet for each connection that is accepted: its only reader, and its end."""
+        """Serve one accepted connection; its greenlet is the connection's only reader, and closes it."""
         frames = FramedConnection(sock, self.traffic, MAX_HELLO_BYTES)
         try:
             hello = frames.receive(HELLO_TIMEOUT_S)
@@ -304,10 +311,10 @@
         finally:
             frames.close()
 
-    # From start to end
+    # Run and stop
 
     def run(self) -> None:
-        """Serve until a signal asks to stop; then give the lease back, and end the connections."""
+        """Serve until SIGTERM or SIGINT; then release the lease and close the connections."""
         log(f"{self.name}: control process, brokers at {self.server.address}")
         for greenlet in map(gevent.spawn, self.loops):
             greenlet.link_exception(self._exit_failed)
@@ -319,8 +326,10 @@
         self.counters.print("exit")
 
     def stop(self) -> None:
-        """In good order, within `STOP_DELAY_S` and a little: of changes that wait for a majority it is not
-        known whether they were taken."""
+        """Stop within slightly more than `STOP_DELAY_S`.
+
+        Changes that still wait for a majority are answered with an unknown outcome.
+        """
         now = self.clock.now()
         self._is_stopping = True
         self.listener.stop()
@@ -335,6 +344,6 @@
             self.options.disk.close()
 
     def _exit_failed(self, greenlet: gevent.Greenlet) -> None:
-        """A part that ended by an exception can't be done without: end, to be started anew."""
+        """Exit the process, to be restarted: it can't run without the part that ended with an exception."""
         log(f"a part of the control process failed: {greenlet.exception!r}")
         os._exit(FAILED_EXIT_CODE)
--- a/cypressledge/controlplane/faults.py
+++ b/cypressledge/controlplane/faults.py
@@ -1,10 +1,16 @@
-"""Fault injection for the laboratory: a control process that ends or stops itself at a named step.
+"""Fault injection for test runs: a control process kills or stops itself, or its disk fails, at a given step.
 
-CYPRESSLEDGE_LAB_FAULT="WHEN-WHAT:STEP:N": `kill-after:append:1` is killed once the first AppendEntries
-with an operator's named change has left; `kill-before:promised:1`, `stop-before:append:2` (SIGSTOP),
-`kill-before-answer:2` (an operator's second change is decided, not answered), `disk-full:append:2` (its
-second write of entries and all that follow fail). Steps are the tags of `messages.py`, and the store's.
-CYPRESSLEDGE_LAB_ONCE=FILE: of all processes that are given the same file, one is struck: who makes it.
+CYPRESSLEDGE_LAB_FAULT="ACTION-TIMING:STEP:N", where N counts the occurrences of the step:
+
+- `kill-after:append:1`: killed once the first AppendEntries with an operator's named change has been sent;
+- `kill-before:promised:1`: killed before the first Promise is sent;
+- `stop-before:append:2`: stopped (SIGSTOP) before the second such AppendEntries is sent;
+- `kill-before-answer:2`: killed once an operator's second change is decided, but before it is answered;
+- `disk-full:append:2`: the second write of entries and all later ones fail.
+
+Steps are the message tags of `messages.py` and the steps of the store.
+
+CYPRESSLEDGE_LAB_ONCE=FILE: of all processes with the same FILE, only the one that creates it has the fault.
 """
 
 import os
@@ -20,8 +26,11 @@
 
 
 class FaultInjection:
-    """The one fault that `text` names, if any. `marker_file`: of those processes that share it, one is
-    struck; empty: this one in any case. Raises `ConfigError`."""
+    """The fault that `text` describes, if any.
+
+    `marker_file`: only one of the processes that share it has the fault; empty: this process has it in any
+    case. Raises `ConfigError` if `text` is not a valid fault.
+    """
 
     def __init__(self, text: str, marker_file: str = "") -> None:
         self.marker_file = marker_file
@@ -31,19 +40,19 @@
             return
         found = FAULT_PATTERN.fullmatch(text)
         if found is None:
-            raise ConfigError(f"{FAULT_VARIABLE}: no fault: {text!r}")
+            raise ConfigError(f"{FAULT_VARIABLE}: expected ACTION-TIMING:STEP:N, got {text!r}")
         self.action, self.timing, self.step, number = (group for group in found.groups() if group is not None)
         self._number = int(number)
 
     def is_due(self, step: str) -> bool:
-        """A step is reached: whether the fault is to be at it."""
+        """Count an occurrence of a step, and return whether the fault is injected there."""
         if step != self.step or self.action == "disk":
             return False
         self._count += 1
         return self._count == self._number
 
     def inject(self) -> None:
-        """Kill or stop this process now, unless another one was struck."""
+        """Kill or stop this process, unless another process has already created the marker file."""
         if self.marker_file:
             try:
                 os.close(os.open(self.marker_file, os.O_CREAT | os.O_EXCL))
@@ -52,9 +61,9 @@
         os.kill(os.getpid(), SIGNALS[self.action])
 
     def check_disk(self, step: str) -> None:
-        """Called before each durable step of the store. Raises `StorageError` from the step named on."""
+        """Raise `StorageError` from the configured step on; called before each durable step of the store."""
         if self.action != "disk" or step != self.step:
             return
         self._count += 1
         if self._count >= self._number:
-            raise StorageError(f"{step}: no space left on the device, says the laboratory")
+            raise StorageError(f"{step}: no space left on device (injected fault)")
--- a/cypressledge/controlplane/framing.py
+++ b/cypressledge/controlplane/framing.py
@@ -1,7 +1,7 @@
-"""Messages (`messages.py`) framed over TCP, on a gevent socket: one reader, and a writer nobody waits for.
+"""Framed messages (`messages.py`) over TCP on gevent sockets, with one reader and a non-blocking writer.
 
-Guards against peers that send nothing, a byte a second, too much or invalid frames, and against those that
-don't read: each is bounded in time and in bytes, and costs its own connection alone.
+Time and bytes are bounded for each connection. A peer that sends nothing, sends a byte per second, sends too
+much or invalid frames, or doesn't read, therefore loses its own connection and doesn't affect others.
 """
 
 import errno
@@ -23,23 +23,26 @@
 from cypressledge.net.socket_io import close_socket, shutdown_write
 from cypressledge.net.socket_writer import SocketWriter
 
-HELLO_TIMEOUT_S = 5.0  # seconds from a connection's beginning to the end of its first frame
+HELLO_TIMEOUT_S = 5.0  # seconds from a connection's start to the end of its first frame
 FRAME_TIMEOUT_S = 30.0  # seconds from a frame's first byte to its last
-CONNECT_TIMEOUT_S = 1.5  # seconds for a connection to come up
+CONNECT_TIMEOUT_S = 1.5  # seconds to establish a connection
 SEND_TIMEOUT_S = 8.0  # seconds that one send may take
-UNACKNOWLEDGED_TIMEOUT_MS = 10_000  # after which bytes that nobody acknowledges end a connection
+UNACKNOWLEDGED_TIMEOUT_MS = 10_000  # ms; a connection ends if sent bytes stay unacknowledged for so long
 KEEPALIVE_IDLE_S = 5  # seconds of silence before the first keepalive probe
 KEEPALIVE_INTERVAL_S = 2  # seconds between probes
-KEEPALIVE_PROBES = 3  # probes without an answer that end a connection
-MAX_QUEUED_BYTES = 16 << 20  # bytes that wait for one peer: a few of the largest frames
+KEEPALIVE_PROBES = 3  # unanswered probes that end a connection
+MAX_QUEUED_BYTES = 16 << 20  # bytes queued for one peer: a few of the largest frames
 
 
 class ConnectionEndedError(Exception):
-    """The connection has ended, and why: closed, an invalid frame, too slow, or the system's words."""
+    """The connection has ended; the message is the reason: closed, an invalid frame, too slow, an OS error.
+
+    The text before a colon becomes a part of a counter's name.
+    """
 
 
 class FramedConnection:
-    """One connection. Whoever calls `receive` is its only reader, and closes it in the end.
+    """One connection. The caller of `receive` must be its only reader, and must close it.
 
     `max_frame_bytes` bounds the frames that are accepted.
     """
@@ -49,28 +52,28 @@
     ) -> None:
         self.sock, self.traffic = sock, traffic
         self.writer = SocketWriter(sock, MAX_QUEUED_BYTES, SEND_TIMEOUT_S, self._on_send_failure)
-        self.is_finishing = False  # nothing more is sent
+        self.is_finishing = False  # whether `finish_sending` was called
         self._max_frame_bytes = max_frame_bytes
         self._buffer = ReceiveBuffer(max_frame_bytes + LENGTH_PREFIX_BYTES + 1)
-        self._body_bytes = 0  # of the frame whose length prefix has come; 0: none has
-        self._frame_began = 0.0  # s, monotonic: when the first byte of the unfinished frame came
-        self._send_failure = ""  # why the writer gave the connection up
+        self._body_bytes = 0  # body size of the frame whose length prefix was received; 0: no such frame
+        self._frame_began = 0.0  # s, monotonic; when the first byte of the incomplete frame was received
+        self._send_failure = ""  # why the writer abandoned the connection
         set_socket_options(sock)
 
     def set_max_frame_bytes(self, limit: int) -> None:
-        """Accept frames up to another size, now that it is known who this is; the buffer's limit follows."""
+        """Change the largest accepted frame, once the peer is known, and the buffer's limit accordingly."""
         self._max_frame_bytes = limit
         self._buffer.limit = limit + LENGTH_PREFIX_BYTES + 1
 
     def send(self, message: Message, encoded: bytes = b"") -> None:
-        """Queue a frame; never blocks. `encoded`: the same message, encoded before."""
+        """Queue a frame without blocking. `encoded`: the encoded message, if the caller has it already."""
         encoded = encoded or encode(message)
         if not self.writer.closed:
             self.traffic.add("out", message, len(encoded))
             self.writer.write(encoded)
 
     def receive(self, seconds: float) -> Message | None:
-        """The next message; none where it isn't complete within so many seconds, and may still become so.
+        """Return the next message, or None if it is still incomplete after so many seconds.
 
         Raises `ConnectionEndedError`.
         """
@@ -87,7 +90,7 @@
             self._read(deadline - now)
 
     def _take_message(self) -> Message | None:
-        """A message that is complete, taken out of the buffer."""
+        """Take a complete message out of the buffer; None if there is none."""
         buffer = self._buffer
         if self._body_bytes == 0:
             prefix = buffer.take(LENGTH_PREFIX_BYTES)
@@ -108,7 +111,10 @@
         return message
 
     def _read(self, seconds: float) -> None:
-        """Read once, within so many seconds. Yields first to others where the peer always has more."""
+        """Read once, for at most so many seconds.
+
+        If the previous read filled the buffer, other greenlets run first: the peer may always have more data.
+        """
         if self._buffer.was_filled:
             sleep(0)
         is_new_frame = not len(self._buffer) and not self._body_bytes
@@ -127,26 +133,27 @@
             self._frame_began = time.monotonic()
 
     def _on_send_failure(self, reason: str) -> None:
-        """The writer gave the connection up: the reader is woken, and ends it."""
+        """Close the socket after a write failure, which wakes the reader so that it ends the connection."""
         self._send_failure = reason
         close_socket(self.sock)
 
     def finish_sending(self) -> None:
-        """Send what is queued, then shut our side; nothing more is sent.
+        """Send the queued frames, then shut down the sending side; no further frames may be sent.
 
-        The reader goes on until the peer has closed, so that what was sent last isn't lost to a reset.
+        The reader continues until the peer has closed the connection: closing it earlier could reset it, and
+        the last frames would be lost.
         """
         self.is_finishing = True
         self.writer.close(lambda: shutdown_write(self.sock))
 
     def close(self) -> None:
-        """Close at once, for good."""
+        """Close the connection immediately; queued frames are dropped."""
         self.writer.close()
         close_socket(self.sock)
 
 
 def set_socket_options(sock: socket.socket) -> None:
-    """Small frames leave at once, and a peer whose machine is gone is noticed."""
+    """Disable send delays for small frames, and enable the detection of peers whose machine has failed."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
@@ -155,14 +162,14 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     except OSError:
-        pass  # the peer is gone already: the reader will find out
+        pass  # the peer has already disconnected; the reader will notice
 
 
 def connect(address: tuple[str, int], traffic: TrafficCounters) -> FramedConnection:
-    """A connection to a numeric address, within `CONNECT_TIMEOUT_S`. Raises `ConnectionEndedError`."""
+    """Connect to a numeric address within `CONNECT_TIMEOUT_S`. Raises `ConnectionEndedError`."""
     try:
         with Timeout(CONNECT_TIMEOUT_S, TimeoutError("no answer")):
             sock = socket_io.connect(address)
-    except OSError as err:  # TimeoutError is one
+    except OSError as err:  # includes TimeoutError
         raise ConnectionEndedError(f"connect: {err}") from None
     return FramedConnection(sock, traffic)
--- a/cypressledge/controlplane/inbox.py
+++ b/cypressledge/controlplane/inbox.py
@@ -1,6 +1,6 @@
-"""Calls that the greenlets of sockets hand to the one greenlet that owns a control process's state.
+"""Calls that socket greenlets pass to the event loop, the only greenlet that accesses the process's state.
 
-The queue has a bound: a process that can't keep up reads more slowly from its sockets.
+The queue is bounded, so that a process that can't keep up reads more slowly from its sockets.
 """
 
 import contextlib
@@ -12,39 +12,39 @@
 from cypressledge.fleet.clock import LeaseClock
 
 MAX_PENDING_CALLS = 512
-MAX_CALLS_PER_TURN = 64  # made before the sockets' greenlets have their turn
-MAX_SLEEP_S = 0.2  # that the owner sleeps at the most: leases move without a message
+MAX_CALLS_PER_TURN = 64  # calls made before the socket greenlets run again
+MAX_SLEEP_S = 0.2  # seconds; longest sleep of the event loop, because leases change without a message
 
 
 class InboxFullError(Exception):
-    """No further call is taken now."""
+    """The queue is full and accepts no further call."""
 
 
 class Inbox:
-    """A bounded queue of calls. Each call gets the current time (µs, on `clock`) as its first argument."""
+    """A bounded queue of calls. The first argument of each call is the current time (µs, on `clock`)."""
 
     def __init__(self, clock: LeaseClock) -> None:
         self._clock = clock
         self._calls: Queue = Queue(MAX_PENDING_CALLS)
 
     def put(self, call: Callable[..., None], *arguments: object) -> None:
-        """Hand over a call; waits while the queue is full."""
+        """Queue a call; wait while the queue is full."""
         self._calls.put((call, arguments))
 
     def put_nowait(self, call: Callable[..., None], *arguments: object) -> None:
-        """Hand over a call. Raises `InboxFullError`."""
+        """Queue a call without waiting. Raises `InboxFullError`."""
         try:
             self._calls.put_nowait((call, arguments))
         except Full:
-            raise InboxFullError("the owner is busy") from None
+            raise InboxFullError(f"inbox is full: {MAX_PENDING_CALLS} calls are pending") from None
 
     def wake(self) -> None:
-        """Wake the owner: something is due that it does not know of."""
-        with contextlib.suppress(Full):  # it is awake then
+        """Wake the event loop, because work is due earlier than it expects."""
+        with contextlib.suppress(Full):  # with calls pending, the event loop does not sleep
             self._calls.put_nowait((_do_nothing, ()))
 
     def run_pending(self, due: int) -> None:
-        """Make the calls that are queued, or the first to come before `due` (µs)."""
+        """Make the queued calls; if there are none, wait for the first one until `due` (µs)."""
         wait = min((due - self._clock.now()) / 1e6 / self._clock.rate, MAX_SLEEP_S)
         try:
             for _ in range(MAX_CALLS_PER_TURN):
@@ -57,4 +57,4 @@
 
 
 def _do_nothing(now: int) -> None:
-    """The call that only wakes the owner."""
+    """Do nothing; queued by `Inbox.wake` to end the event loop's sleep."""
--- a/cypressledge/controlplane/messages.py
+++ b/cypressledge/controlplane/messages.py
@@ -12,17 +12,17 @@
 
 import msgspec
 
-FORMAT = 1  # of this set of messages, sent in the first frame; a peer with another one is disconnected
-LENGTH_PREFIX_BYTES = 4  # before each message
-MAX_FRAME_BYTES = 4 << 20  # of one message, without its length prefix
+FORMAT = 1  # version of the messages, sent in the first frame; peers with another version are disconnected
+LENGTH_PREFIX_BYTES = 4  # bytes; length prefix of each message
+MAX_FRAME_BYTES = 4 << 20  # bytes; the largest message, without its length prefix
 MAX_OPS_PER_CHANGE = 2_000  # keys that one change may set or remove
-MAX_CHANGE_BYTES = 512 << 10  # of one change's keys and values
-MAX_BATCH_BYTES = 128 << 10  # of the changes in one Deltas or AppendEntries, unless a single change is larger
-MAX_REJECTION_REASON_LENGTH = 200  # characters of why a broker has rejected settings
+MAX_CHANGE_BYTES = 512 << 10  # bytes; keys and values of one change
+MAX_BATCH_BYTES = 128 << 10  # bytes; changes in one Deltas or AppendEntries, unless a single change is larger
+MAX_REJECTION_REASON_LENGTH = 200  # characters; the reason why a broker rejected settings
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of everything that a frame carries; the tag tells the classes apart on the wire."""
+    """Base of all messages that a frame can carry; the tag identifies the class on the wire."""
 
 
 class Op(msgspec.Struct, frozen=True, array_like=True):
@@ -81,28 +81,29 @@
 
 
 class Hello(Message, frozen=True, tag="hello"):
-    """First frame of whoever connects.
+    """The first frame of a process that connects.
 
-    `instance_id` differs between two processes that had the same name one after the other. A broker also says
-    where it is, which position it holds and why it rejected some of that (see `AppliedPosition`).
+    `instance_id` differs between two processes that had the same name one after the other. A broker also
+    sends its location, the position that it holds and why it rejected a part of that state (see
+    `AppliedPosition`).
     """
 
     format: int
     role: Literal["control", "broker"]
     name: str
     instance_id: int
-    cluster_id: str = ""  # of the state held; empty while none is
+    cluster_id: str = ""  # cluster of the state held; empty if none is held
     epoch: int = 0
     version: int = 0
     digest: bytes = b""
-    address: str = ""  # HOST:PORT of a broker's fleet socket; empty: it is not to be registered
+    address: str = ""  # HOST:PORT of a broker's fleet socket; empty: the broker is not registered
     zone: str = ""
     region: str = ""
     rejection_reason: str = ""
 
 
 class HelloAccepted(Message, frozen=True, tag="welcome"):
-    """Answer to `Hello`: the connection is accepted by the control process of this name and instance."""
+    """Answer to `Hello`: a control process with this name and instance id accepts the connection."""
 
     name: str
     instance_id: int
@@ -130,15 +131,15 @@
 
 
 class CompleteSnapshot(Message, frozen=True, tag="whole"):
-    """A committed snapshot: the encoded `Snapshot`, compressed with zlib once a version."""
+    """A committed snapshot: the encoded `Snapshot`, compressed with zlib once per version."""
 
     compressed: bytes
 
 
 class Heartbeat(Message, frozen=True, tag="beat"):
-    """The newest committed position that this control process knows; sent while nothing else is.
+    """The newest committed position that this control process knows; sent at regular intervals.
 
-    `leader_silence_ms` is how long ago it last heard from the leader; -1 if it never has.
+    `leader_silence_ms` is how long ago it last received a message of the leader; -1 if it never has.
     """
 
     epoch: int
@@ -152,10 +153,10 @@
 
 
 class AppliedPosition(Message, frozen=True, tag="have"):
-    """The position that the broker holds now; it also permits the next `Deltas`, of which one is in flight.
+    """The position that the broker holds now; also the permission to send the next `Deltas` or snapshot.
 
-    `rejection_reason` is one short line on why the broker's own process rejected some of that state; empty if
-    all of it is applied.
+    Only one of those is in flight at a time. `rejection_reason` is one short line on why the broker's own
+    process rejected a part of that state; empty if all of it is applied.
     """
 
     epoch: int
@@ -165,7 +166,7 @@
 
 
 class SnapshotRequest(Message, frozen=True, tag="wholewanted"):
-    """What was received does not fit the state held (`reason`: digest or gap): a snapshot is needed."""
+    """The received changes do not fit the state held (`reason`: digest or gap): a snapshot is needed."""
 
     reason: str
 
@@ -183,8 +184,9 @@
 class Promise(Message, frozen=True, tag="promised"):
     """Answer to `Prepare`, once the promise is on disk.
 
-    Tells the position of the newest entry that the sender holds and the highest version that it knows to be
-    committed. A voter that is `joining` has lost its disk or has an old one, and does not count.
+    Contains the position of the newest entry that the sender holds and the highest version that it knows to
+    be committed. A voter that is `joining` has lost its disk or has an old one, and does not count towards a
+    majority.
     """
 
     epoch: int
@@ -218,7 +220,7 @@
 class AppendEntries(Message, frozen=True, tag="append"):
     """The leader's entries that follow a position, and the version up to which its log is committed.
 
-    Without entries it is a heartbeat, or tells a new committed version.
+    Without entries it is a heartbeat, or announces a new committed version.
     """
 
     epoch: int
@@ -239,7 +241,7 @@
 class EntriesAppended(Message, frozen=True, tag="appended"):
     """Everything up to this version is on the sender's disk and equals the leader's log.
 
-    A voter that is `joining` does not count yet.
+    A voter that is `joining` does not count towards a majority yet.
     """
 
     epoch: int
@@ -258,7 +260,7 @@
 
 
 class Denied(Message, frozen=True, tag="denied"):
-    """The sender has promised a higher epoch (`reason`: epoch) or could not take what was sent.
+    """The sender has promised a higher epoch (`reason`: epoch) or could not accept the message.
 
     The other reasons are disk, state and lineage.
     """
@@ -268,10 +270,11 @@
 
 
 class AppliedReport(Message, frozen=True, tag="seen"):
-    """A control process tells the leader which versions its brokers hold.
+    """A control process reports to the leader which versions its brokers hold.
 
-    A complete report comes first on each connection; later ones name the brokers that changed. Version -1:
-    the broker is no longer connected there. `rejections` gives, by name, why a broker rejected that version.
+    The first report on each connection is complete; later ones contain only the brokers that changed.
+    Version -1: the broker is no longer connected there. `rejections` contains, by name, why a broker rejected
+    that version.
     """
 
     is_complete: bool
@@ -280,7 +283,7 @@
 
 
 class RegisterBrokers(Message, frozen=True, tag="register"):
-    """A control process forwards that brokers are at other addresses than the state says, as operations."""
+    """A control process forwards registrations of its brokers that differ from the state, as operations."""
 
     ops: list[Op]
 
@@ -312,28 +315,29 @@
 
 
 class InvalidFrameError(Exception):
-    """A frame whose body is no message; its connection ends."""
+    """A frame whose body is not a valid message; its connection ends."""
 
 
 def to_printable_line(text: str) -> str:
-    """A rejection's reason as one bounded, printable line.
+    """Return a rejection's reason as one printable line of limited length.
 
-    Guards against text without end, and against control characters that an operator's terminal would obey.
+    The text comes from another process: it may be arbitrarily long, and may contain control characters that
+    an operator's terminal would interpret.
     """
     words = " ".join(text[: 4 * MAX_REJECTION_REASON_LENGTH].split())
     return "".join(c if c.isprintable() else "?" for c in words)[:MAX_REJECTION_REASON_LENGTH]
 
 
 def encode(message: Message) -> bytes:
-    """One frame with its length prefix. Raises `ValueError` if the body is over `MAX_FRAME_BYTES`."""
+    """Return one frame with its length prefix. Raises `ValueError` if the body exceeds `MAX_FRAME_BYTES`."""
     body = _encode(message)
     if len(body) > MAX_FRAME_BYTES:
-        raise ValueError(f"a frame of {len(body)} bytes")
+        raise ValueError(f"frame body has {len(body)} bytes, the limit is {MAX_FRAME_BYTES}")
     return len(body).to_bytes(LENGTH_PREFIX_BYTES, "big") + body
 
 
 def decode(body: bytes | memoryview) -> Message:
-    """The message in one frame's body. Raises only `InvalidFrameError`, whatever the bytes are."""
+    """Return the message in a frame's body. Raises only `InvalidFrameError`, whatever the bytes are."""
     try:
         return _decode(body)
     except (msgspec.MsgspecError, ValueError, RecursionError) as err:
--- a/cypressledge/controlplane/operator_api.py
+++ b/cypressledge/controlplane/operator_api.py
@@ -1,4 +1,4 @@
-"""What a control process shows operators: its status, who lags, the state and its history."""
+"""Operators' read-only calls of a control process: its status, lagging brokers, the state and its history."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -27,12 +27,12 @@
 from cypressledge.controlplane.traffic_counters import TrafficCounters
 from cypressledge.net.http_server import HttpRequest
 
-MAX_CHANGES_SHOWN = 500
+MAX_CHANGES_SHOWN = 500  # changes in one answer of `/control/history`
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessCounts:
-    """What a control process counts."""
+    """The sources of the counts in a control process's status."""
 
     traffic: TrafficCounters
     counters: Counters
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorApi:
-    """The calls that are answered at once. `instance_id`: of this process."""
+    """The calls that are answered without waiting. `instance_id`: of this process."""
 
     instance_id: int
     leadership: Leadership
@@ -53,7 +53,7 @@
     counts: ProcessCounts
 
     def calls(self) -> Mapping[str, Call]:
-        """The calls by path."""
+        """Return the calls by URL path."""
         return {
             "/control/status": self.status,
             "/control/lag": self.lag,
@@ -62,7 +62,7 @@
         }
 
     def status(self, request: HttpRequest) -> Answer:
-        """How this process stands."""
+        """Answer `/control/status`: the role, positions and counts of this process."""
         replica = self.leadership.replica.status(self.leadership.clock.now())
         state, counts = self.history.state, self.counts
         status = StatusAnswer(
@@ -90,7 +90,7 @@
         return Answer(HTTPStatus.OK, status, self.locator.locate())
 
     def lag(self, request: HttpRequest) -> Answer:
-        """Which brokers have not a version yet. Only the leader knows."""
+        """Answer `/control/lag`: the brokers that don't have a version yet; only the leader can answer it."""
         if not self.leadership.is_leader:
             return Answer(HTTPStatus.MISDIRECTED_REQUEST, NotLeaderAnswer(), self.locator.locate())
         state = self.history.state
@@ -102,7 +102,7 @@
         return Answer(HTTPStatus.OK, LagAnswer.from_report(report, newest=state.version))
 
     def state(self, request: HttpRequest) -> Answer:
-        """The committed state: the keys with a prefix."""
+        """Answer `/control/state`: the committed state, limited to the keys with a prefix."""
         prefix, state = request.params.get("prefix", ""), self.history.state
         entries = {
             key: KeyAnswer(decode_value(entry.value), entry.version)
@@ -113,7 +113,7 @@
         return Answer(HTTPStatus.OK, shown)
 
     def changes(self, request: HttpRequest) -> Answer:
-        """The changes that are kept, from a version on, oldest first."""
+        """Answer `/control/history`: the retained changes from a version on, oldest first."""
         first = read_version(request, "from", 0)
         kept = [change for change in self.history.changes if change.version >= first]
         history = HistoryAnswer(
--- a/cypressledge/controlplane/operator_calls.py
+++ b/cypressledge/controlplane/operator_calls.py
@@ -1,6 +1,7 @@
-"""The operators' HTTP address of a control process: which calls there are, and how a change is read.
+"""The operators' HTTP server of a control process: routes calls, and parses requests for changes.
 
-Answered from the sockets' greenlets; a change is handed to whoever decides it, and answered afterwards.
+Calls are answered by the socket greenlets. A change is submitted to the event loop, and answered once it is
+decided.
 """
 
 import json
@@ -15,19 +16,19 @@
 from cypressledge.net.http_server import HttpExchange, HttpRequest, HttpServer
 
 CHANGE_PATH = "/control/change"
-MAX_BODY_BYTES = 2 << 20  # of a change in JSON
-MAX_CALLERS = 64  # connections
-MAX_VERSION_DIGITS = 18
+MAX_BODY_BYTES = 2 << 20  # bytes; a change in JSON
+MAX_CALLERS = 64  # concurrent connections
+MAX_VERSION_DIGITS = 18  # of a version in a URL parameter
 CHANGE_FIELDS = frozenset(("base", "request", "who", "why", "ops", "dry_run"))
 
 
 class BadRequestError(Exception):
-    """A request that can't be read: one plain line."""
+    """A request that can't be parsed; the message is one line that states the mistake."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequest:
-    """A change that an operator asks for. `base`: the version it was made on; none: the newest there is."""
+    """A change that an operator requests. `base`: the version it is based on; None: the newest one."""
 
     base: int | None
     request: str
@@ -38,7 +39,7 @@
 
 
 def read_change(body: bytes) -> ChangeRequest:
-    """A change from its JSON. Raises `BadRequestError`."""
+    """Parse a change from JSON. Raises `BadRequestError` if it is malformed."""
     try:
         fields = json.loads(body)
     except (ValueError, RecursionError) as err:
@@ -70,7 +71,7 @@
 
 
 def read_version(request: HttpRequest, name: str, default: int) -> int:
-    """A parameter that is a version. Raises `BadRequestError`."""
+    """Return a URL parameter that is a version. Raises `BadRequestError` if it is not a decimal number."""
     text = request.params.get(name, "")
     if not text:
         return default
@@ -83,8 +84,11 @@
 
 
 class OperatorServer:
-    """The HTTP server. `submit_change(change, exchange)` answers by `exchange.json`, later; `calls`: by path,
-    those that are answered at once, by GET."""
+    """The HTTP server for operators.
+
+    `submit_change(change, exchange)` answers later, by `exchange.json`. `calls`: by path, the GET calls that
+    are answered without waiting.
+    """
 
     def __init__(
         self,
@@ -98,11 +102,11 @@
         self._server.listener.max_connections = MAX_CALLERS
 
     def run(self) -> None:
-        """A greenlet: accepts connections."""
+        """Accept connections; runs in a greenlet of its own."""
         self._server.listener.run()
 
     def _handle(self, request: HttpRequest, exchange: HttpExchange) -> None:
-        request.keep_alive = False  # one call a connection
+        request.keep_alive = False  # one call per connection
         self._counters.add("management.calls")
         try:
             if request.path == CHANGE_PATH:
@@ -123,10 +127,10 @@
 
 
 def send_answer(exchange: HttpExchange, answer: Answer) -> None:
-    """Send a call's complete answer."""
+    """Send the answer to a call as JSON."""
     exchange.json(answer.status, answer.to_json())
 
 
 def reject(exchange: HttpExchange, status: HTTPStatus, why: str) -> None:
-    """Answer a call that can't be made as it is."""
+    """Answer an invalid call with an HTTP status and the reason."""
     send_answer(exchange, Answer(status, RejectedAnswer(why)))
--- a/cypressledge/controlplane/operator_client.py
+++ b/cypressledge/controlplane/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls the operators' HTTP addresses of control processes, and finds the one that leads."""
+"""A client for the operators' HTTP calls of control processes, which finds the leader."""
 
 import http.client
 import json
@@ -20,9 +20,9 @@
 )
 from cypressledge.controlplane.replica_context import Role
 
-ANSWER_TIMEOUT_S = 2.0
-CHANGE_TIMEOUT_S = 6.0  # a change may wait 5 for its majority
-RETRY_INTERVAL_S = 0.3  # between attempts, and between looks at who lags
+ANSWER_TIMEOUT_S = 2.0  # seconds; timeout of a call that is not a change
+CHANGE_TIMEOUT_S = 6.0  # seconds; a change may wait 5 s for its majority
+RETRY_INTERVAL_S = 0.3  # seconds between attempts, and between queries for lagging brokers
 RETRIED_ANSWERS = (AnswerTag.NOT_LEADER, AnswerTag.OUTCOME_UNKNOWN)
 
 Body = TypeVar("Body", bound=msgspec.Struct)
@@ -31,12 +31,12 @@
 
 
 class NoAnswerError(Exception):
-    """Nobody answered, or what came was none of ours."""
+    """No control process answered, or the answer was not one of a control process."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallAnswer:
-    """An HTTP status, and the JSON object that came with it."""
+    """An HTTP status, and the JSON object in the body."""
 
     status: int
     body: Mapping[str, object]
@@ -48,11 +48,11 @@
 
     @property
     def error(self) -> str:
-        """Why it did not."""
+        """The reason why the call failed."""
         return self.read(Outcome).why or f"HTTP {self.status}"
 
     def read(self, body_type: type[Body]) -> Body:
-        """The body as one of the types of `operator_messages`. Raises `NoAnswerError` where it is none."""
+        """Return the body as a type of `operator_messages`. Raises `NoAnswerError` if it does not match."""
         try:
             return msgspec.convert(self.body, body_type)
         except msgspec.ValidationError as err:
@@ -60,7 +60,7 @@
 
 
 def call(server: Address, method: str, path: str, body: str = "") -> CallAnswer:
-    """What a control process answers. Raises `NoAnswerError`."""
+    """Call a control process, and return its answer. Raises `NoAnswerError`."""
     timeout = CHANGE_TIMEOUT_S if method == "POST" else ANSWER_TIMEOUT_S
     connection = http.client.HTTPConnection(*server, timeout=timeout)
     try:
@@ -74,7 +74,10 @@
 
 
 def call_any(servers: tuple[Address, ...], path: str) -> CallAnswer:
-    """The answer of the first that gives one. Raises `ClickException`."""
+    """Return the answer of the first server that gives one.
+
+    Raises `ClickException` if no server answers or if the answer is an error.
+    """
     why = ""
     for server in servers:
         try:
@@ -89,15 +92,20 @@
 
 
 class LeaderClient:
-    """Calls whoever leads, wherever that is now: follows "not primary", and goes round the addresses that are
-    known where nobody answers. `deadline`: on `time.monotonic`, s."""
+    """Calls the leader, even if it changes.
+
+    After an answer "not primary" the client calls the leader named there; without an answer it tries the
+    known addresses in turn. `deadline`: on `time.monotonic`, s.
+    """
 
     def __init__(self, known: tuple[Address, ...], deadline: float) -> None:
         self._known, self._deadline = list(known), deadline
 
     def call(self, method: str, path: str, body: str = "") -> CallAnswer:
-        """The answer, asked for until the time is up: only for calls that are idempotent. Raises
-        `NoAnswerError`."""
+        """Call the leader, and retry until the deadline; only for idempotent calls.
+
+        Raises `NoAnswerError`.
+        """
         while True:
             try:
                 self._find_leader()
@@ -116,8 +124,10 @@
             time.sleep(RETRY_INTERVAL_S)
 
     def _find_leader(self) -> None:
-        """Put the leader's address first. Guards against a change that waits long for a process that stands
-        still. Raises `NoAnswerError`."""
+        """Put the leader's address first. Raises `NoAnswerError`.
+
+        A status call fails sooner than a change, which would wait long for a process that does not respond.
+        """
         status = call(self._known[0], "GET", "/control/status")
         if status.read(ProcessRole).role != Role.LEADER:
             addresses = status.read(LeaderAddresses)
@@ -126,7 +136,7 @@
                 raise NoAnswerError("there is no leader")
 
     def _learn_addresses(self, addresses: LeaderAddresses) -> None:
-        """Where the others are, the leader first."""
+        """Update the known addresses: the leader first, the one that was called last."""
         asked = self._known[0]
         others = [parse_address(text) for text in addresses.servers]
         leader = [parse_address(addresses.address)] if addresses.address else []
--- a/cypressledge/controlplane/operator_messages.py
+++ b/cypressledge/controlplane/operator_messages.py
@@ -1,7 +1,7 @@
-"""The JSON bodies of operators' calls: what is asked, and what is answered.
+"""The JSON bodies of operators' calls: requests and answers.
 
-The fields of a struct stand in the order of its JSON. Where a field's key is another word than its name,
-`msgspec.field(name=...)` says which. An answer with a tag has it under `answer`, first.
+The fields of a struct are in the order of the JSON keys. If a key differs from the field's name, it is given
+by `msgspec.field(name=...)`. The tag of an answer, if it has one, is the first key, `answer`.
 """
 
 import json
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeOps:
-    """What a change does to the state's keys: values assigned (`set` in JSON) and keys removed (`remove`)."""
+    """The operations of a change on the state's keys.
+
+    `assigned`: values by key (`set` in JSON); `removed`: keys to remove (`remove` in JSON).
+    """
 
     assigned: Mapping[str, object]
     removed: list[str]
@@ -30,8 +33,9 @@
 class ChangeBody:
     """The body of `POST /control/change`.
 
-    `base`: the version that the change was made on; None: the newest there is. `request` names it, so that a
-    repeat is recognised; `who` and `why` stand in the history. `dry_run`: only say what would come of it.
+    `base`: the version that the change is based on; None: the newest one. `request` is an id by which a
+    repeated request is recognised; `who` and `why` are recorded in the history. `dry_run`: the change is only
+    validated, and its effect is reported.
     """
 
     base: int | None
@@ -42,7 +46,7 @@
     dry_run: bool
 
     def encode(self) -> str:
-        """As JSON. Raises `TypeError` or `ValueError` where a value is no plain data."""
+        """Return the body as JSON. Raises `TypeError` or `ValueError` if a value is not plain data."""
         body = {
             "base": self.base,
             "request": self.request,
@@ -58,7 +62,7 @@
 
 
 class AnswerTag(StrEnum):
-    """What an answer says under its key `answer`."""
+    """The tag of an answer, under its key `answer`."""
 
     LAG = "lag"
     DRY_RUN = "would do"
@@ -70,10 +74,10 @@
 
 
 class LeaderAddresses(msgspec.Struct, frozen=True, kw_only=True):
-    """Where operators find the leader: the last fields of most answers.
+    """The management addresses of the leader and of all control processes: the last fields of most answers.
 
-    `leader` and `address` (HOST:PORT) are empty where there is none; `servers`: addresses of all control
-    processes. Answers that don't tell it leave all three out.
+    `leader` and `address` (HOST:PORT) are empty if there is no leader; `servers`: addresses of all control
+    processes. The other answers omit all three.
     """
 
     leader: str = msgspec.field(default="", name="primary")
@@ -82,53 +86,56 @@
 
 
 class ProcessRole(msgspec.Struct, frozen=True):
-    """Of `StatusAnswer`, what a client looks at to find the leader."""
+    """The part of `StatusAnswer` that a client reads to find the leader."""
 
     role: str = ""
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Of any answer, what a client looks at first: its tag (`AnswerTag`) and why, empty where it has none."""
+    """The part of any answer that a client reads first: tag (`AnswerTag`) and reason; empty if missing."""
 
     answer: str = ""
     why: str = ""
 
 
 class StatusAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """`GET /control/status`: how a control process stands."""
+    """`GET /control/status`: the role, positions and counts of a control process."""
 
     name: str
     instance_id: str = msgspec.field(name="run")  # hexadecimal
     role: str  # one of `Role`, or "learner"
-    epoch: int  # the one promised last
-    version: int
+    epoch: int  # the last one promised
+    version: int  # of the committed state
     digest: str  # of the committed state, hexadecimal
     cluster_id: str = msgspec.field(name="lineage")
     last: int  # version of the newest entry held
     commit: int
-    match: Mapping[str, int]  # at the leader, by voter: the version known to be on its disk, -1: none known
-    leader_silence_ms: int = msgspec.field(name="silent_ms")  # since one was last heard from; -1: never
+    match: Mapping[str, int]  # at the leader, by voter: the version known to be on its disk; -1: unknown
+    leader_silence_ms: int = msgspec.field(name="silent_ms")  # since the leader's last message; -1: none yet
     joining: bool
     brokers: int  # connected to this process
     peers: list[str]  # control processes that can be reached
     key_count: int = msgspec.field(name="keys")
     size_bytes: int = msgspec.field(name="bytes")  # of keys and values
     waiting: int  # changes that wait for their majority
-    traffic: Mapping[str, FrameCounts]  # by direction and tag of a message
+    traffic: Mapping[str, FrameCounts]  # by direction and message tag
     counters: Mapping[str, int]  # of the process, by name
     published: Mapping[str, int]  # of its publisher, by name
 
 
 class LagAnswer(msgspec.Struct, frozen=True, kw_only=True, tag_field="answer", tag=AnswerTag.LAG.value):
-    """`GET /control/lag`: which connected brokers have not a version in force, of each kind `MAX_NAMES` names
-    at the most. Leaders of older releases leave out fields that have a default."""
+    """`GET /control/lag`: the connected brokers where a version is not in force.
+
+    Each list contains at most `MAX_NAMES` names. Leaders of older releases omit the fields that have a
+    default.
+    """
 
     newest: int = 0  # committed version
-    version: int  # the one asked for
+    version: int  # the requested one
     connected: int
-    in_force: int  # brokers that have it, and have rejected nothing of it
+    in_force: int  # brokers that have the version, and have rejected no part of it
     rejection_count: int = msgspec.field(default=0, name="refused")
-    rejections: Mapping[str, str] = msgspec.field(default_factory=dict, name="refused_by")  # why, by broker
+    rejections: Mapping[str, str] = msgspec.field(default_factory=dict, name="refused_by")  # reason by broker
     lagging_count: int = msgspec.field(name="lagging")
     lagging: list[str] = msgspec.field(name="names")
     registered: int = 0
@@ -138,7 +145,7 @@
 
     @classmethod
     def from_report(cls, report: LagReport, newest: int) -> "LagAnswer":
-        """The answer that tells of a report."""
+        """Return the answer for a report; `newest` is the newest committed version."""
         lagging, rejections = report.lagging, report.rejections
         return cls(
             newest=newest,
@@ -174,7 +181,7 @@
 
 
 class ChangeSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """One change of the history: when it was asked for (ms, wall clock), by whom and why, and its keys."""
+    """One change of the history: when it was requested (ms, wall clock), its author, reason and keys."""
 
     version: int
     epoch: int
@@ -187,8 +194,10 @@
 
 
 class HistoryAnswer(msgspec.Struct, frozen=True):
-    """`GET /control/history`: changes, oldest first; `first_kept` (key `from`) and `newest` (key `to`):
-    versions between which all changes are kept."""
+    """`GET /control/history`: changes, oldest first.
+
+    All changes from version `first_kept` (key `from`) to version `newest` (key `to`) are retained.
+    """
 
     first_kept: int = msgspec.field(name="from")
     newest: int = msgspec.field(name="to")
@@ -196,14 +205,14 @@
 
 
 class DryRunAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag=AnswerTag.DRY_RUN.value):
-    """A dry run: the version that the change would be, and how many keys it would touch (key `keys`)."""
+    """A dry run: the version that the change would become, and how many keys it would set or remove."""
 
     version: int
     key_count: int = msgspec.field(name="keys")
 
 
 class AcknowledgedAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag=AnswerTag.ACKNOWLEDGED.value):
-    """A change is committed, as this version."""
+    """A change has been committed as this version."""
 
     version: int
     epoch: int
@@ -211,7 +220,7 @@
 
 
 class ConflictAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag=AnswerTag.CONFLICT.value):
-    """A change was refused: `keys` have changed since its base. `version`: the newest there is."""
+    """A change was refused, because `keys` have changed since its base. `version`: the newest one."""
 
     why: str
     keys: list[str]
@@ -221,18 +230,18 @@
 class OutcomeUnknownAnswer(
     msgspec.Struct, frozen=True, tag_field="answer", tag=AnswerTag.OUTCOME_UNKNOWN.value
 ):
-    """It isn't known what became of a change. `version`: the one it may have become, if it was proposed."""
+    """The outcome of a change is unknown. `version`: the one it may have become, if it was proposed."""
 
     version: int | msgspec.UnsetType
     why: str
 
 
 class NotLeaderAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag=AnswerTag.NOT_LEADER.value):
-    """Only the leader answers this call."""
+    """The call was rejected, because only the leader can answer it."""
 
 
 class RejectedAnswer(msgspec.Struct, frozen=True, tag_field="answer", tag=AnswerTag.REJECTED.value):
-    """A call that can't be made as it is, and why."""
+    """The call was rejected as invalid, with the reason."""
 
     why: str
 
@@ -253,13 +262,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a call answers: an HTTP status and a body, where it helps the caller with where the leader is."""
+    """The answer to a call: an HTTP status, a body and, for most calls, the addresses of the leader."""
 
     status: HTTPStatus
     body: AnswerBody
     leader: LeaderAddresses | None = None
 
     def to_json(self) -> Mapping[str, object]:
-        """The JSON object, with the leader's addresses last."""
+        """Return the JSON object, with the leader's addresses last."""
         fields = msgspec.to_builtins(self.body)
         return fields if self.leader is None else fields | msgspec.to_builtins(self.leader)
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -1,9 +1,10 @@
-"""A control process towards its brokers: who holds what, and who is sent what next. No I/O; times in µs.
+"""Publishes the history to the brokers of one control process. No I/O; times in µs.
 
-One message is in flight per broker until it has answered with its position, so a slow one costs no memory
-here: it is disconnected, and gets a snapshot when it comes back. Snapshots are throttled and queue. Whoever
-does the I/O ends connections whose socket takes nothing more: heartbeats alone are sent without an answer.
-They are sent under a stream of changes too, as they alone say how long ago a leader was heard.
+At most one message per broker is in flight until the broker answers with its position, so that a slow broker
+uses no memory here: it is disconnected, and receives a snapshot when it reconnects. Snapshots are throttled
+and queued. Only heartbeats are sent without waiting for an answer; the I/O code therefore ends connections
+whose socket accepts no more data. Heartbeats are also sent during a stream of changes, since only they
+contain the time since the leader's last message.
 """
 
 from collections import deque
@@ -33,15 +34,16 @@
 from cypressledge.controlplane.subscription import Subscription
 from cypressledge.controlplane.subscription_table import SubscriptionTable
 
-MIN_TICK_INTERVAL = 50_000  # µs between ticks at least: guards against one wake for each broker's heartbeat
-MAX_NAME_CHARS = 64  # of a broker that is rejected, in logs
-MAX_REASON_CHARS = 40  # of a broker's reason, in logs
-MAX_ERROR_CHARS = 120  # of what is wrong with an address, in logs
+# µs; minimum time between ticks. Otherwise each broker's heartbeat would cause a wakeup.
+MIN_TICK_INTERVAL = 50_000
+MAX_NAME_CHARS = 64  # characters of a rejected broker's name in logs
+MAX_REASON_CHARS = 40  # characters of a broker's reason in logs
+MAX_ERROR_CHARS = 120  # characters of the error about an address in logs
 
 
 @dataclass(frozen=True, slots=True)
 class PublisherLimits:
-    """What brokers may cost a control process."""
+    """Limits and timeouts for the brokers of one control process."""
 
     answer_timeout_s: float = 10.0
     heartbeat_interval_s: float = 1.0
@@ -51,13 +53,16 @@
     max_snapshots_per_s: int = 20
     max_subscribers: int = 600
     full_retry_after_ms: int = 5_000
-    mismatch_retry_after_ms: int = 5_000  # for another format or history
-    replaced_retry_after_ms: int = 1_000  # guards against two of one name that end each other without a pause
+    mismatch_retry_after_ms: int = 5_000  # after another message format or cluster
+    replaced_retry_after_ms: int = 1_000  # so that two brokers of one name don't replace each other in a loop
 
 
 class Publisher:
-    """Sends a history to brokers. `send(connection, message)`; `end(connection, disconnect)`: sends it and
-    closes, and `disconnected` need not be called; `event(name, **fields)`: to be counted and logged."""
+    """Publishes a history to brokers.
+
+    `send(connection, message)` sends a message. `end(connection, disconnect)` sends the message and closes
+    the connection; `disconnected` need not be called then. `event(name, **fields)` counts and logs an event.
+    """
 
     def __init__(
         self,
@@ -73,7 +78,7 @@
         self._send_message, self._end_connection, self._event = send, end, event
         self.counters = Counters()
         self.subscriptions = SubscriptionTable(limits.max_subscribers)
-        self.snapshot_queue: deque[int] = deque()  # connections, first come first
+        self.snapshot_queue: deque[int] = deque()  # connections waiting for a snapshot, first come first
         self.throttle = SnapshotThrottle(
             limits.max_concurrent_snapshots,
             limits.max_snapshots_per_s,
@@ -86,7 +91,7 @@
     # Connections
 
     def connected(self, now: int, connection: int, hello: Hello) -> None:
-        """A broker's first frame has come."""
+        """Handle the first frame of a broker: accept or reject it."""
         rejection = self._rejection(connection, hello)
         if rejection is not None:
             self._reject(connection, hello.name, rejection)
@@ -110,7 +115,10 @@
             self._send_next(now, subscription)
 
     def _rejection(self, connection: int, hello: Hello) -> Disconnect | None:
-        """Why a broker is not taken, if it isn't. One of the same name makes room for it."""
+        """Return the rejection of a broker, or None if it is accepted.
+
+        An older connection of the same name is closed first.
+        """
         limits = self.limits
         if hello.format != FORMAT:
             return Disconnect("format", limits.mismatch_retry_after_ms)
@@ -125,7 +133,7 @@
         return None
 
     def received(self, now: int, connection: int, message: Message) -> None:
-        """Another frame of a broker that `connected`."""
+        """Handle a further frame of a broker."""
         subscription = self.subscriptions.get(connection)
         if subscription is None:
             return
@@ -142,13 +150,13 @@
         self._send_queued_snapshots(now)
 
     def disconnected(self, now: int, connection: int) -> None:
-        """A connection is down."""
+        """Handle the end of a connection."""
         if connection in self.subscriptions:
             self._remove(self.subscriptions[connection])
             self._send_queued_snapshots(now)
 
     def stop(self) -> None:
-        """This control process ends: its brokers go to others."""
+        """Disconnect all brokers, so that they switch to other control processes."""
         for subscription in self.subscriptions:
             self._disconnect(subscription, Disconnect("stopping"))
 
@@ -170,19 +178,19 @@
             self.snapshot_queue.remove(subscription.connection)
         self.subscriptions.remove(subscription)
 
-    # The history and time
+    # Updates of the history, and the passage of time
 
     def committed(self, now: int) -> None:
-        """The history has grown or was reset."""
+        """Send brokers what they lack, after the history has grown or was reset."""
         for subscription in self.subscriptions:
             self._send_next(now, subscription)
 
     def on_leader_contact(self, now: int, name: str) -> None:
-        """A sign of the leader was heard."""
+        """Record that a message of the leader was received."""
         self._leader, self._leader_heard_at = name, now
 
     def tick(self, now: int) -> int:
-        """What time brings about; when to call again, µs."""
+        """Do what is due: heartbeats, timeouts and queued snapshots. Returns when to call it again, µs."""
         due = now + self._heartbeat_interval
         for subscription in self.subscriptions:
             if subscription.connection in self.subscriptions:
@@ -193,7 +201,7 @@
         return max(due, now + MIN_TICK_INTERVAL)
 
     def _check_times(self, now: int, subscription: Subscription) -> int:
-        """One broker's timeouts; when the next of them is."""
+        """Check one broker's timeouts; return when the next one is due, µs."""
         if subscription.expected_position is not None and now >= subscription.answer_deadline:
             self._disconnect(subscription, Disconnect("silent"))
             return now + MIN_TICK_INTERVAL
@@ -204,7 +212,7 @@
         return due if subscription.expected_position is None else min(due, subscription.answer_deadline)
 
     def _report_ahead(self, now: int, subscription: Subscription) -> None:
-        """Once, where a broker has been newer than this process for long."""
+        """Report, once, a broker that has been ahead of this process for longer than tolerated."""
         if subscription.ahead_since is None or subscription.is_ahead_reported:
             return
         if now - subscription.ahead_since >= round(self.limits.ahead_tolerance_s * 1e6):
@@ -225,14 +233,14 @@
             Heartbeat(state.epoch, state.version, state.digest, self._leader, silent_ms),
         )
 
-    # One message at a time
+    # Updates, of which one at a time is in flight
 
     def _on_position(
         self, subscription: Subscription, applied: DigestPosition, rejection_reason: str
     ) -> None:
-        """An answer: what the broker holds after the message that was in flight."""
+        """Handle an answer: the position of the broker after the message that was in flight."""
         expected, was_snapshot = subscription.expected_position, subscription.is_snapshot_in_flight
-        assert expected is not None, "an answer to nothing"
+        assert expected is not None, "position received without a message in flight"
         self._clear_in_flight(subscription)
         has_moved = applied.position != subscription.applied.position
         if has_moved or rejection_reason != subscription.rejection_reason:
@@ -240,7 +248,7 @@
         subscription.rejection_reason = rejection_reason
         if was_snapshot and applied.version:
             subscription.cluster_id = self.history.state.cluster_id
-        # Guards against sending the same again and again to one who does not take it.
+        # A broker that did not apply a message must not be sent the same message in a loop.
         if applied != expected and was_snapshot:
             subscription.rejected_snapshot = expected.position
             self._event(
@@ -257,7 +265,7 @@
             self.throttle.end(subscription.connection)
 
     def _send_next(self, now: int, subscription: Subscription) -> None:
-        """Send a broker what follows what it holds, unless it is busy."""
+        """Send a broker the changes that it lacks, or queue a snapshot for it, unless it is busy."""
         state = self.history.state
         if subscription.is_busy or subscription.connection not in self.subscriptions:
             return
@@ -282,7 +290,7 @@
             self._send(now, subscription, Deltas(changes), after)
 
     def _is_ahead(self, now: int, subscription: Subscription) -> bool:
-        """Whether a broker holds what we have not heard of yet: a standby may be a moment behind."""
+        """Return whether a broker is ahead of this process, which is possible if this is a standby."""
         state = self.history.state
         if subscription.applied.version <= state.version and subscription.applied.epoch <= state.epoch:
             subscription.ahead_since, subscription.is_ahead_reported = None, False
@@ -304,7 +312,7 @@
             if subscription is None or not subscription.is_queued:
                 continue
             subscription.is_queued = subscription.needs_snapshot = False
-            # Guards against a history that was put back behind the broker while it stood in line.
+            # The history may have been reset to a position behind the broker while the broker was queued.
             if self._is_ahead(now, subscription) or not self.history.state.version:
                 continue
             self.throttle.begin(now, subscription.connection)
@@ -317,14 +325,14 @@
             )
 
     def _send(self, now: int, subscription: Subscription, message: Message, after: DigestPosition) -> None:
-        """Send a message; `after`: what the broker holds once it has taken it."""
+        """Send a message; `after`: the position of the broker once it has applied the message."""
         self.counters.invariant(subscription.expected_position is None, "one_message_out")
         subscription.expected_position = after
         subscription.answer_deadline = now + round(self.limits.answer_timeout_s * 1e6)
         self._send_message(subscription.connection, message)
 
     def _registration(self, hello: Hello) -> Op | None:
-        """What the state should say of a broker; none where it isn't to be registered, or can't be."""
+        """Return the operation that registers a broker; None if it has no address or an invalid one."""
         try:
             return registration_of(hello)
         except StateError as err:
--- a/cypressledge/controlplane/server_selection.py
+++ b/cypressledge/controlplane/server_selection.py
@@ -1,7 +1,8 @@
-"""Which control process a broker is connected to, and which it tries next and when. No I/O; times in µs.
+"""Selects the control process that a broker connects to, and when the next attempt is. No I/O; times in µs.
 
-Own zone first, then own region. Waits are random parts of a span that doubles ("full jitter"), so that
-brokers which lost one control process do not all come to the next at once.
+Servers in the broker's own zone come first, then those in its own region. Delays are exponential backoff with
+full jitter (a random part of a span that doubles), so that brokers that lost one control process don't all
+connect to the next one at the same time.
 """
 
 import random
@@ -11,25 +12,24 @@
 
 from cypressledge.fleet.leases.candidate_order import weight
 
-MAX_ATTEMPT_DELAY = 100_000  # a random part of it: between the attempts of one round of all servers
-MAX_ROUND_DELAY = (
-    5_000_000  # a random part of it at the most: between rounds, doubling from MAX_ATTEMPT_DELAY
-)
+MAX_ATTEMPT_DELAY = 100_000  # µs, before jitter; delay between the attempts of one round over all servers
+MAX_ROUND_DELAY = 5_000_000  # µs, before jitter; upper limit between rounds, doubling from MAX_ATTEMPT_DELAY
 MAX_ROUND_DELAY_DOUBLINGS = 10
-NEARER_ATTEMPT_DELAY_RANGE = (20_000_000, 40_000_000)  # until a nearer server is tried
-MAX_CHANGE_DELAY_DOUBLINGS = 3  # of that while the nearer ones fail; of STALE_CHANGE_DELAY_RANGE likewise
-MIN_STALE_CONNECTION = 10_000_000  # that a connection is kept, however long no leader is heard over it
-STALE_CHANGE_DELAY_RANGE = (
-    10_000_000,
-    20_000_000,
-)  # until the next such change, doubling: all may be cut off alike
-STALE_AVOIDANCE_TIME = 60_000_000  # that a server which heard no leader is not gone back to
-MAX_RETRY_AFTER = 60_000_000  # that a rejection may keep a broker away
+NEARER_ATTEMPT_DELAY_RANGE = (20_000_000, 40_000_000)  # µs; time until a nearer server is tried
+# How often NEARER_ATTEMPT_DELAY_RANGE doubles while nearer servers fail, and STALE_CHANGE_DELAY_RANGE
+# likewise.
+MAX_CHANGE_DELAY_DOUBLINGS = 3
+MIN_STALE_CONNECTION = 10_000_000  # µs; minimum duration of a connection to a server without leader contact
+# µs; time until the next change away from such a server. It doubles, as all servers may lack leader contact.
+STALE_CHANGE_DELAY_RANGE = (10_000_000, 20_000_000)
+# µs; time without returns to a server that was left because it had no leader contact.
+STALE_AVOIDANCE_TIME = 60_000_000
+MAX_RETRY_AFTER = 60_000_000  # µs; longest time that a rejection may keep a broker away
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One control process. `address`: HOST:PORT."""
+    """One control process that a broker can connect to. `address`: HOST:PORT."""
 
     name: str
     address: str
@@ -38,7 +38,7 @@
 
 
 class _Distance(IntEnum):
-    """Of a server from the broker, the nearest first."""
+    """Distance of a server from the broker; the nearest is the lowest."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
@@ -46,18 +46,21 @@
 
 
 class _Preference(NamedTuple):
-    """Where a server stands in a broker's order: the least first."""
+    """The sort key of a server in a broker's order of preference, ascending."""
 
     distance: _Distance
-    negated_weight: int  # the heaviest first among equally distant ones
+    negated_weight: int  # equally distant servers are ordered by descending weight
 
 
 def order_servers(broker: str, zone: str, region: str, servers: list[Server]) -> list[Server]:
-    """Own zone first, then own region, then the others; within each an order of the broker's own (rendezvous
-    hashing: Thaler and Ravishankar 1998), so brokers spread and a dead server's spread over the others."""
+    """Return the servers in a broker's order of preference: own zone, own region, then the others.
+
+    Within each of these groups, rendezvous hashing (Thaler and Ravishankar 1998) gives each broker an order
+    of its own. This distributes brokers over the servers, and the brokers of a failed server over the others.
+    """
 
     def preference(server: Server) -> _Preference:
-        """The sort key of one server."""
+        """Return the sort key of one server."""
         if zone and server.zone == zone:
             distance = _Distance.SAME_ZONE
         elif region and server.region == region:
@@ -70,61 +73,66 @@
 
 
 class ServerSelector:
-    """Chooses among `servers`, the nearest first. `current`: the index of the one that is connected to, or
-    tried next; `nearer_at`: when a nearer one is to be tried, None while that isn't planned."""
+    """Selects one of `servers`, which are in order of preference, the nearest first.
+
+    `current`: index of the server that the broker is connected to or tries next; `nearer_at`: when a nearer
+    server is tried, None while no such attempt is scheduled.
+    """
 
     def __init__(self, servers: list[Server], seed: int) -> None:
         self.servers = servers
         self.current = 0
         self.nearer_at: int | None = None
         self._random = random.Random(seed)
-        self._failures = 0  # in a row
-        self._not_before: dict[int, int] = {}  # by server: until when a rejection keeps us away
+        self._failures = 0  # consecutive ones
+        self._not_before: dict[int, int] = {}  # by server: until when a rejection forbids attempts
         self._nearer_failures = 0
         self._nearer_attempts = 0
-        self._fallback: int | None = None  # whom we left to try a nearer one
-        self._stale_until: dict[int, int] = {}  # by server: until when it is not gone back to
+        self._fallback: int | None = None  # the server that was left in order to try a nearer one
+        self._stale_until: dict[int, int] = {}  # by server: until when it is not selected as a nearer one
         self._stale_changes = 0
         self._next_stale_change = 0
 
     @property
     def server(self) -> Server:
-        """The one that is connected to, or tried next."""
+        """The server that the broker is connected to or tries next."""
         return self.servers[self.current]
 
     def first_attempt_at(self, now: int) -> int:
-        """When to try the first."""
+        """Return when the first server is tried."""
         return now + self._jitter(MAX_ATTEMPT_DELAY)
 
     def on_attempt(self) -> None:
-        """The current one is tried now."""
+        """Handle the start of an attempt to connect to the current server."""
         self.nearer_at = None
 
     def accepted(self, now: int) -> None:
-        """The current one takes this broker."""
+        """Handle that the current server has accepted this broker."""
         self._fallback = None
         if self.current == 0:
             self._nearer_failures = 0
         self._schedule_nearer_attempt(now)
 
     def rejected(self, now: int, retry_after_ms: int) -> None:
-        """The current one keeps this broker away."""
+        """Handle that the current server has rejected this broker for a time."""
         wait = min(max(retry_after_ms, 0) * 1000, MAX_RETRY_AFTER)
         if wait:
             self._not_before[self.current] = now + wait + self._jitter(wait // 4)
 
     def failed(self, now: int, was_steady: bool) -> int:
-        """The connection has ended, or could not be made: choose another. `was_steady`: it held for long.
-        When to try that."""
+        """Select another server after a connection has ended or failed; return when to try it.
+
+        `was_steady`: the connection had lasted long enough to reset the backoff.
+        """
         if was_steady:
             self._failures = 0
         self.nearer_at = None
-        if self._fallback is not None:  # a nearer one did not take us
+        if self._fallback is not None:  # the attempt to connect to a nearer server failed
             self.current, self._fallback = self._fallback, None
             self._nearer_failures = min(self._nearer_failures + 1, MAX_CHANGE_DELAY_DOUBLINGS)
             return now + self._jitter(MAX_ATTEMPT_DELAY)
-        # All servers in a row, then a pause: guards against a span that grows while most are down, and puts
-        # off the one that is up.
+        # The delay grows only after a round over all servers. If it grew with each attempt while most servers
+        # are down, the one that is up would be tried late.
         self._failures += 1
         rounds, within = divmod(self._failures, len(self.servers))
         span = MAX_ATTEMPT_DELAY
@@ -133,7 +141,10 @@
         return self._choose_next(now + self._jitter(span))
 
     def _choose_next(self, at: int) -> int:
-        """The next in order that has not kept us away; where all have, whoever is free first. When."""
+        """Select the next server in order that permits attempts; return when to try it.
+
+        If rejections forbid attempts at all servers, the one that permits an attempt first is selected.
+        """
         count = len(self.servers)
         following = [(self.current + 1 + i) % count for i in range(count)]
         free = next((i for i in following if self._not_before.get(i, 0) <= at), None)
@@ -149,12 +160,15 @@
         self.nearer_at = now + (span << self._nearer_failures) if self.current else None
 
     def choose_nearer(self, now: int) -> bool:
-        """Choose a nearer one, if one may be tried now. Where that fails, `failed` goes back."""
+        """Select a nearer server if one may be tried now, and return whether one was selected.
+
+        If the attempt fails, `failed` returns to the present server.
+        """
         nearer = [i for i in range(self.current) if self._is_selectable(i, now)]
         if not nearer:
             self._schedule_nearer_attempt(now)
             return False
-        # In turn: guards against one that stays dead hiding the others.
+        # The nearer servers are tried in turn: one that stays down must not prevent attempts at the others.
         self._fallback, self.current = self.current, nearer[self._nearer_attempts % len(nearer)]
         self._nearer_attempts += 1
         return True
@@ -163,12 +177,14 @@
         return all(until.get(server, 0) <= now for until in (self._not_before, self._stale_until))
 
     def on_leader_contact(self) -> None:
-        """The current one hears a leader."""
+        """Handle that the current server has contact with a leader."""
         self._stale_changes = 0
 
     def avoid_stale(self, now: int, connected_at: int) -> bool:
-        """The current one hears no leader: whether another one is to be tried. Guards against a control
-        process that is cut off from the others while they can be reached."""
+        """Return whether to change away from the current server, which has no contact with a leader.
+
+        The server may be partitioned from the other control processes while the broker can reach them.
+        """
         if (
             len(self.servers) == 1
             or now - connected_at < MIN_STALE_CONNECTION
@@ -182,5 +198,5 @@
         return True
 
     def _jitter(self, span: int) -> int:
-        """A random part of a span ("full jitter")."""
+        """Return a random part of a span (full jitter)."""
         return self._random.randrange(span + 1)
--- a/cypressledge/controlplane/settings.py
+++ b/cypressledge/controlplane/settings.py
@@ -1,7 +1,7 @@
 """Reads `deploy/control.yaml`: the control processes, which of them vote, and the leases' terms.
 
-Checked by msgspec's schema and then by the rules below; whatever is wrong is one plain line. Control
-processes, brokers and operators read the same file.
+The file is validated by msgspec's schema and then by the rules below; each error is reported in one line.
+Control processes, brokers and operators read the same file.
 """
 
 from typing import Annotated
@@ -16,9 +16,12 @@
 
 
 class ServerSpec(StrictStruct, frozen=True):
-    """One control process. `address`: HOST:PORT (TCP) for brokers and the other control processes; `fleet`:
-    HOST:PORT (UDP) of its leases; `management`: HOST:PORT (HTTP) for operators. `votes`: it is one of those
-    whose majority a change needs; the others only hold the history and hand it on."""
+    """One control process.
+
+    `address`: HOST:PORT (TCP) for brokers and the other control processes; `fleet`: HOST:PORT (UDP) of its
+    leases; `management`: HOST:PORT (HTTP) for operators. `votes`: it is a voter; a change needs a majority of
+    the voters. The other control processes only replicate the history and publish it to brokers.
+    """
 
     name: Name
     address: str
@@ -30,7 +33,7 @@
 
 
 class TestRunOptions(StrictStruct, frozen=True):
-    """For the laboratory alone: a clock of another rate and offset, and a file of what was done when."""
+    """Options for test runs only: another rate and offset of the clock, and a file that records events."""
 
     clock_rate: Annotated[float, msgspec.Meta(ge=0.5, le=2)] = 1.0
     clock_offset_s: float = 0.0
@@ -38,10 +41,13 @@
 
 
 class ControlSettings(StrictStruct, frozen=True):
-    """The file. `version`: of the voter set, one higher whenever `votes` changes. `drift_ppm`: how far
-    any clock's rate may be from true, parts in a million. `max_brokers` (key `brokers_most`):
-    connections of brokers that one control process takes. `forget_s`: a broker that was connected nowhere
-    for so long leaves the state (0: never)."""
+    """The contents of the settings file.
+
+    `version`: of the set of voters; must be increased by one whenever `votes` changes. `drift_ppm`: largest
+    error of any clock's rate, parts per million. `max_brokers` (key `brokers_most`): largest number of broker
+    connections that one control process accepts. `forget_s`: seconds without a connection to any control
+    process after which a broker is removed from the state (0: never).
+    """
 
     servers: list[ServerSpec]
     version: Annotated[int, msgspec.Meta(ge=1)] = 1
@@ -62,26 +68,26 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Names of those that vote."""
+        """The names of the control processes that vote."""
         return tuple(s.name for s in self.servers if s.votes)
 
     def server(self, name: str) -> ServerSpec:
-        """One of the servers. Raises `ConfigError` where it isn't named."""
+        """Return the server with a name. Raises `ConfigError` if there is none."""
         for spec in self.servers:
             if spec.name == name:
                 return spec
-        raise ConfigError(f"no control process {name} among {' '.join(s.name for s in self.servers)}")
+        raise ConfigError(f"no control process {name!r} among {' '.join(s.name for s in self.servers)}")
 
 
 def read_control_settings(path: str) -> ControlSettings:
-    """The file's settings. Raises `ConfigError` with one line that names the mistake."""
+    """Return the settings in a file. Raises `ConfigError` with one line that states the mistake."""
     return read_yaml_settings(path, ControlSettings, validate_settings)
 
 
 def validate_settings(settings: ControlSettings) -> None:
-    """The rules that a schema can't state. Raises `ConfigError`."""
+    """Check the rules that a schema can't express. Raises `ConfigError`."""
     if not 1 <= len(settings.servers) <= MAX_SERVERS:
-        raise ConfigError(f"{len(settings.servers)} control processes; 3 to {MAX_SERVERS} can be")
+        raise ConfigError(f"{len(settings.servers)} control processes, expected 3 to {MAX_SERVERS}")
     require_unique([s.name for s in settings.servers], "control process")
     for spec in settings.servers:
         for text in (spec.address, spec.fleet, spec.management):
@@ -91,4 +97,4 @@
     )
     require_unique([s.fleet for s in settings.servers], "fleet address")
     if len(settings.voters) not in VOTER_COUNTS:
-        raise ConfigError(f"{len(settings.voters)} control processes vote; 3, 5 or 7 can")
+        raise ConfigError(f"{len(settings.voters)} control processes vote, expected 3, 5 or 7")
--- a/cypressledge/controlplane/startup.py
+++ b/cypressledge/controlplane/startup.py
@@ -1,4 +1,4 @@
-"""Starts one control process: its settings, its store, and its limits of memory and descriptors."""
+"""Starts one control process: settings, store, and limits on memory and file descriptors."""
 
 import gc
 import os
@@ -16,31 +16,34 @@
 from cypressledge.controlplane.state_values import StateError, encode_value
 from cypressledge.net import receive_buffer, socket_writer
 
-RESERVED_DESCRIPTORS = 128  # that are nobody's connection, or an operator's
-MAX_QUEUED_BYTES = 256 << 20  # to all peers and brokers together
-MAX_BUFFERED_BYTES = 64 << 20  # from all of them
-STORE_FILE = "history.sqlite"  # in the folder that a control process is given
-UNUSABLE_EXIT_CODE = 2  # settings or store can't be used
+RESERVED_DESCRIPTORS = 128  # file descriptors for operators' connections and for all but connections
+MAX_QUEUED_BYTES = 256 << 20  # bytes queued for all peers and brokers together
+MAX_BUFFERED_BYTES = 64 << 20  # bytes received from all peers and brokers together, and not processed yet
+STORE_FILE = "history.sqlite"  # name of the store in the directory given by `--store`
+UNUSABLE_EXIT_CODE = 2  # exit code if settings or store can't be used
 
 
 def raise_descriptor_limit(brokers: int) -> None:
-    """Raise this process's limit of descriptors as far as so many brokers need. Guards against brokers that
-    take the descriptors which the store and the other processes need. Raises `ConfigError`."""
+    """Raise this process's limit of file descriptors as far as so many brokers require.
+
+    Otherwise the brokers could use up the descriptors that the store and the other control processes need.
+    Raises `ConfigError` if the hard limit is too low.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = brokers + SPARE_CONNECTIONS + RESERVED_DESCRIPTORS
     if soft < needed:
         soft = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     if soft < needed:
-        raise ConfigError(f"brokers_most needs {needed} descriptors; this process may have {soft}")
+        raise ConfigError(f"brokers_most requires {needed} file descriptors, but the limit is {soft}")
 
 
 def run_control_process(file: str, name: str, folder: str, seed: ChangeOps | None, rejoin: bool) -> int:
-    """Run one control process until it is stopped; the exit code. What is wrong with its settings or its
-    store is one plain line.
+    """Run one control process until it is stopped; return the exit code.
 
-    `file`: of the settings; `name`: of this process there; `folder`: of its store; `seed`: begins a new
-    history; `rejoin`: the store was lost.
+    An error in its settings or its store is logged in one line. `file`: path of the settings; `name`: name of
+    this process there; `folder`: directory of its store; `seed`: contents of a new history, if one is to be
+    begun; `rejoin`: the store was lost.
     """
     receive_buffer.BUFFER_GROWTH.limit = MAX_BUFFERED_BYTES
     socket_writer.QUEUED_BYTES.limit = MAX_QUEUED_BYTES
@@ -52,7 +55,7 @@
         log(f"cypressledge: {err}")
         return UNUSABLE_EXIT_CODE
     except OSError as err:
-        log(f"cypressledge: cannot begin: {err}")
+        log(f"cypressledge: cannot start: {err}")
         return UNUSABLE_EXIT_CODE
     gc.collect()
     gc.freeze()
@@ -63,7 +66,7 @@
 def _read_options(
     settings: ControlSettings, name: str, folder: str, seed: ChangeOps | None, rejoin: bool
 ) -> ProcessOptions:
-    """What the start's flags and the environment ask for; opens the store of a voter."""
+    """Return the options given by the flags and the environment; open the store of a voter."""
     faults = FaultInjection(os.environ.get(FAULT_VARIABLE, ""), os.environ.get(ONCE_VARIABLE, ""))
     disk = None
     if settings.server(name).votes:
--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -1,7 +1,7 @@
-"""A broker's end of the control plane: its one connection, from the first attempt to the last message.
+"""A broker's subscription to the control plane: the protocol of its only connection to a control process.
 
-Which states it accepts is in `accepted_state.py`, which control process it tries in `server_selection.py`.
-No I/O; time is passed in, µs.
+`accepted_state.py` decides which states are accepted, `server_selection.py` which control process is tried.
+No I/O; times are passed in, µs.
 """
 
 from collections.abc import Callable, Mapping
@@ -29,17 +29,17 @@
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError
 
-CONNECT_TIMEOUT = 1_500_000  # for a TCP connection
-SILENCE_TIMEOUT = 3_500_000  # without a frame, after which another server is followed
-STEADY_CONNECTION = 5_000_000  # that a connection has to hold for the next waits to be short again
-# Without a sign of a leader; longer than a change of leader takes: another server is tried.
+CONNECT_TIMEOUT = 1_500_000  # µs to establish a TCP connection
+SILENCE_TIMEOUT = 3_500_000  # µs without a frame, after which another server is tried
+STEADY_CONNECTION = 5_000_000  # µs; duration of a connection after which the backoff starts anew
+# ms without leader contact after which another server is tried; a change of leader takes less.
 STALE_MS = 10_000
-IDLE_TICK = 3_600_000_000  # until the next tick where nothing is due
-MAX_REASON_CHARS = 40  # of a server's reason, in logs
+IDLE_TICK = 3_600_000_000  # µs until the next tick if nothing is due
+MAX_REASON_CHARS = 40  # characters of a server's reason in logs
 
 
 class Phase(Enum):
-    """Of the one connection."""
+    """The phase of a subscriber's only connection."""
 
     WAITING = "waiting"
     CONNECTING = "connecting"
@@ -49,8 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokerIdentity:
-    """Who follows. `instance_id`: of its process, never 0; `address`: HOST:PORT of its fleet socket, empty
-    where it is not to be registered."""
+    """The broker that subscribes.
+
+    `instance_id`: of its process, never 0; `address`: HOST:PORT of its fleet socket, empty if the broker is
+    not to be registered.
+    """
 
     name: str
     instance_id: int
@@ -61,14 +64,17 @@
 
 @dataclass(slots=True)
 class SubscriberCallbacks:
-    """What a subscriber calls.
-
-    `send(message)` over the connection; `connect(server)`: answered by `connected` or `disconnected`;
-    `disconnect(why)`: close the connection, of which nothing may be passed in any more; `event(name,
-    **fields)`: to be logged, counted already. `changed(state, change)` after each change taken (None: a
-    snapshot), which returns why some of it was rejected, if it was; `message_applied()`, where given, once
-    all that a
-    message brought is taken, which returns the same: for what needn't be done at each change."""
+    """The callbacks of a subscriber.
+
+    - `send(message)` sends a message over the connection.
+    - `connect(server)` begins to connect; `connected` or `disconnected` must be called with the outcome.
+    - `disconnect(why)` closes the connection; none of its messages may be passed in afterwards.
+    - `changed(state, change)` is called after each applied change (None: a snapshot), and returns why a part
+      of it was rejected, if it was.
+    - `event(name, **fields)` logs an event, which is already counted.
+    - `message_applied()`, if given, is called once everything in a message is applied, for work that need not
+      be done for each change. It returns the same as `changed`.
+    """
 
     send: Callable[[Message], None]
     connect: Callable[[Server], None]
@@ -79,23 +85,26 @@
 
 
 class SubscriberStatus(msgspec.Struct, frozen=True):
-    """For operators: what a subscriber holds, and from whom; the first fields of `BrokerStatusAnswer`."""
+    """The status of a subscriber, for operators; its fields are the first ones of `BrokerStatusAnswer`."""
 
     phase: str
-    server: str | None  # that is followed, or tried next; none where the settings name nobody
-    address: str | None  # of the same
+    server: str | None  # the server that is connected or tried next; None if the settings contain none
+    address: str | None  # of that server
     cluster_id: str = msgspec.field(name="lineage")
     epoch: int
     version: int
     digest: str  # hexadecimal
-    leader: str = msgspec.field(name="primary")  # heard of last
-    stale_ms: int  # since a leader was heard
-    counts: Mapping[str, int]  # of events, by name
+    leader: str = msgspec.field(name="primary")  # the last one reported by a heartbeat
+    stale_ms: int  # since the last known contact with a leader
+    counts: Mapping[str, int]  # number of events, by name
 
 
 class ConfigSubscriber:
-    """Follows one control process. `seed`: of its random waits; `cluster_id`: of the only history to be
-    accepted; empty: that of the first snapshot."""
+    """Subscribes to one control process at a time.
+
+    `seed`: for random delays; `cluster_id`: the only cluster whose history is accepted; if it is empty, the
+    first snapshot determines the cluster.
+    """
 
     def __init__(
         self,
@@ -113,25 +122,25 @@
         self._accepted_state = AcceptedState(self.counters, callbacks, self._report, cluster_id)
         self.phase = Phase.WAITING
         self._started_at: int | None = None
-        self._phase_at = 0  # of the wait, the end; of the others, the beginning
+        self._phase_at = 0  # end of the phase WAITING, start of any other phase
         self._last_frame = 0
         self._leader_heard_at: int | None = None
         self._leader = ""
 
     @property
     def state(self) -> FleetState:
-        """What is held; of no cluster while nothing is."""
+        """The state that is held; its cluster id is empty until a first snapshot is accepted."""
         return self._accepted_state.state
 
     @property
     def rejection_reason(self) -> str:
-        """Why some of what is held is not in force; empty: all of it is."""
+        """The reason why a part of the state is not in force; empty if all of it is."""
         return self._accepted_state.rejection_reason
 
-    # Time and the connection
+    # Timeouts and the connection
 
     def tick(self, now: int) -> int:
-        """What time brings about; when to call again, µs."""
+        """Do what is due: attempts, timeouts and changes of server. Returns when to call it again, µs."""
         if not self.selector.servers:
             return now + IDLE_TICK
         if self._started_at is None:
@@ -158,7 +167,7 @@
         return silent_at if nearer_at is None else min(silent_at, nearer_at)
 
     def connected(self, now: int) -> None:
-        """The connection that was asked for is up."""
+        """Handle that the requested connection is established: send the Hello."""
         if self.phase is not Phase.CONNECTING:
             return
         self.phase, self._phase_at, self._last_frame = Phase.HANDSHAKE, now, now
@@ -181,7 +190,7 @@
         )
 
     def disconnected(self, now: int, why: str) -> None:
-        """The connection has ended, or could not be made."""
+        """Handle that the connection has ended or could not be established."""
         if self.phase is not Phase.WAITING:
             self._on_connection_ended(now, why)
 
@@ -191,7 +200,7 @@
         self.callbacks.connect(self.selector.server)
 
     def _disconnect(self, now: int, why: str) -> None:
-        """End the connection ourselves, and go on to another."""
+        """Close the connection, and select another server."""
         self.callbacks.disconnect(why)
         self._on_connection_ended(now, why)
 
@@ -204,7 +213,7 @@
         self._phase_at = self.selector.failed(now, was_steady)
 
     def _try_nearer(self, now: int) -> None:
-        """One attempt at a nearer server; what is held stays, and where it fails we come back."""
+        """Try a nearer server once; the state is kept, and a failure leads back to the present server."""
         if self.selector.choose_nearer(now):
             self.callbacks.disconnect("nearer server")
             self._report("nearer_server_tried", server=self.selector.server.name)
@@ -213,7 +222,7 @@
     # Messages
 
     def received(self, now: int, message: Message) -> None:
-        """A frame of the server that is followed."""
+        """Handle a frame of the connected server."""
         if self.phase not in (Phase.HANDSHAKE, Phase.SUBSCRIBED):
             return
         self._last_frame = now
@@ -253,7 +262,7 @@
             self._disconnect(now, "stale")
 
     def _on_changes(self, changes: list[Change]) -> None:
-        """Take what follows; one answer in any case."""
+        """Apply changes, and send exactly one answer."""
         request = self._accepted_state.apply(changes)
         if request is None:
             self._send_position()
@@ -285,13 +294,15 @@
     # For operators
 
     def stale_ms(self, now: int) -> int:
-        """How long ago a leader was last known to be heard by the server followed then, ms; from the first
-        tick on where none ever was. Grows while there is no connection."""
+        """Return the time since the last known contact of a connected server with a leader, ms.
+
+        It counts from the first tick if there was no such contact, and grows while there is no connection.
+        """
         since = self._started_at if self._leader_heard_at is None else self._leader_heard_at
         return 0 if since is None else max(now - since, 0) // 1000
 
     def status(self, now: int) -> SubscriberStatus:
-        """What is in force, from whom, and how stale it may be."""
+        """Return the connection's phase, the state's position and how stale the state may be."""
         server = self.selector.server if self.selector.servers else None
         state = self.state
         return SubscriberStatus(
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -1,7 +1,7 @@
-"""A broker's connection to the control plane: one greenlet around a `ConfigSubscriber`. Uses gevent.
+"""A broker's connection to the control plane: one greenlet that runs a `ConfigSubscriber`. Uses gevent.
 
-It wakes only when something has come or is due, and needs no other greenlet but a writer's for a moment:
-many of them are cheap in one process.
+The greenlet wakes only if a message has arrived or something is due. It needs no other greenlet except, for
+short times, that of a writer, so that many clients in one process are cheap.
 """
 
 from collections.abc import Callable
@@ -29,15 +29,18 @@
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
 
-MAX_MESSAGES_PER_TURN = 16  # before other greenlets have their turn
-UNLOGGED_EVENTS = frozenset(("disconnected", "subscribed", "nearer_server_tried"))  # these are counted only
-MAX_SLEEP_S = 4.0  # at a time: a suspended machine's timers stand still
+MAX_MESSAGES_PER_TURN = 16  # messages handled before other greenlets run again
+UNLOGGED_EVENTS = frozenset(("disconnected", "subscribed", "nearer_server_tried"))  # only counted
+MAX_SLEEP_S = 4.0  # seconds; longest sleep, because timers do not advance while a machine is suspended
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriberOptions:
-    """What few callers need. `record`: for the laboratory, a file of what was in force when; `log`: in place
-    of a logger of its own; `seed`: of random waits, in place of the instance id."""
+    """Options that few callers need.
+
+    `record`: path of a file that records, for test runs, which state is in force when; `log`: replaces the
+    client's own logger; `seed`: for random delays, replaces the instance id.
+    """
 
     record: str = ""
     log: EventLogger | None = None
@@ -45,14 +48,15 @@
 
 
 class SubscriberClient:
-    """Follows the control plane for one broker.
+    """Subscribes one broker to the control plane.
 
-    `changed(state, change)` is called by the client's greenlet once a newer state is held (no change: it came
-    as a snapshot); it returns why some of it was rejected, nothing where all is in force.
-    `message_applied()`, where given, is called once all that came together is held: only then is it in force,
-    and it returns instead.
+    `changed(state, change)` is called by the client's greenlet after each applied change (None: a snapshot).
+    It returns why a part of it was rejected, or nothing if all of it is in force. `message_applied()`, if
+    given, is called once everything in a message is applied: only then is the state in force, and its result
+    replaces that of `changed`.
 
-    Spawn what `loops` names; `stop` ends it."""
+    The caller spawns the functions in `loops`; `stop` ends them.
+    """
 
     def __init__(
         self,
@@ -87,24 +91,24 @@
 
     @property
     def state(self) -> FleetState:
-        """What is in force."""
+        """The state that is held."""
         return self.subscriber.state
 
     def status(self) -> SubscriberStatus:
-        """For operators: what is in force, from whom, and how stale it may be."""
+        """Return the status for operators: server, position and how stale the state may be."""
         return self.subscriber.status(self.clock.now())
 
     def stop(self) -> None:
-        """End the connection; the greenlet ends soon."""
+        """Close the connection; the greenlet ends soon afterwards."""
         self._is_stopped = True
         self._woken.set()
         if self._frames is not None:
             self._frames.close()
 
-    # The greenlet
+    # Main loop
 
     def run(self) -> None:
-        """Until stopped: connect where the subscriber asks, pass on what comes, wait until more is due."""
+        """Connect as the subscriber requests, pass messages to it, and call its ticks, until stopped."""
         while not self._is_stopped:
             due = self.subscriber.tick(self.clock.now())
             if self._pending_server is not None:
@@ -124,7 +128,7 @@
         self.subscriber.connected(self.clock.now())
 
     def _wait(self, seconds: float) -> None:
-        """Until a message has come and been taken, or the time has passed."""
+        """Wait until messages have arrived and been handled, or until the time has passed."""
         frames = self._frames
         if frames is None:
             self._woken.wait(seconds)
@@ -136,7 +140,7 @@
                     break
                 self.subscriber.received(self.clock.now(), message)
                 if self._frames is not frames:
-                    break  # the subscriber has ended it
+                    break  # the subscriber has closed the connection
                 seconds = 0.0
         except ConnectionEndedError as err:
             frames.close()
@@ -154,7 +158,7 @@
         self._pending_server = server
 
     def _disconnect(self, why: str) -> None:
-        """The subscriber wants no more of this connection; nothing of it may be passed on any more."""
+        """Close the connection; none of its messages may be passed to the subscriber afterwards."""
         self._pending_server = None
         if self._frames is not None:
             self._frames.close()
@@ -177,9 +181,9 @@
             self._log.info(f"control_{event}", **fields)
 
     def _record_in_force(self) -> None:
-        """For the laboratory: what is in force from now on."""
+        """Record, for test runs, the state that is in force from now on."""
         if self._record.is_open:
-            state = self.subscriber.state  # the complete one: `changed` has taken it by now
+            state = self.subscriber.state  # in force by now: the callbacks have applied it
             self._record.write(
                 "in_force", epoch=state.epoch, version=state.version, digest=state.digest.hex()
             )
--- a/cypressledge/controlplane/traffic_counters.py
+++ b/cypressledge/controlplane/traffic_counters.py
@@ -8,27 +8,27 @@
 
 
 class FrameCounts(TypedDict):
-    """How many frames of a kind, and their bytes with length prefixes."""
+    """The number of frames of one direction and tag, and their bytes including length prefixes."""
 
     frames: int
     bytes: int
 
 
 class TrafficCounters:
-    """Frames and bytes, by tag and direction."""
+    """Counts of frames and bytes, by direction and message tag."""
 
     def __init__(self) -> None:
         self.frames: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
 
     def add(self, direction: Literal["in", "out"], message: Message, size: int) -> None:
-        """Count one more frame of `size` bytes, its length prefix included."""
+        """Count one frame of `size` bytes, including its length prefix."""
         key = f"{direction}.{message.__struct_config__.tag}"
         self.frames[key] += 1
         self.bytes[key] += size
 
     def show(self) -> Mapping[str, FrameCounts]:
-        """By direction and tag, as operators' calls answer it."""
+        """Return the counts by direction and tag, as operators' calls show them."""
         return {
             key: FrameCounts(frames=count, bytes=self.bytes[key])
             for key, count in sorted(self.frames.items())
--- a/tests/controlplane/distribution_harnesses.py
+++ b/tests/controlplane/distribution_harnesses.py
@@ -1,4 +1,4 @@
-"""A publisher alone and a subscriber alone, each with a record of what it does."""
+"""Harnesses that run a publisher or a subscriber on its own, and record its messages and events."""
 
 from collections import defaultdict
 
@@ -33,7 +33,7 @@
 
 
 class PublisherHarness:
-    """A publisher and what it sends."""
+    """A publisher with its history, and a record of its messages, disconnects and events."""
 
     def __init__(self, versions: int = 3, **limits) -> None:
         self.history = ChangeHistory(FleetState("line"))
@@ -77,7 +77,7 @@
 
 
 class SubscriberHarness:
-    """A subscriber and what it does."""
+    """A subscriber, and a record of its messages, connection attempts, applied changes and events."""
 
     def __init__(self, server_count: int = 1, **more) -> None:
         self.sent, self.dialled, self.ended, self.applied, self.events = [], [], [], [], []
@@ -99,7 +99,7 @@
         )
 
     def connect(self, now: int = 0, cluster_id: str = "line") -> "SubscriberHarness":
-        """Wait until it connects; accept it."""
+        """Advance the time until the subscriber connects, and accept it."""
         while self.subscriber.phase.value != "connecting":
             now = max(now, self.subscriber.tick(now))
         self.subscriber.connected(now)
@@ -108,7 +108,7 @@
         return self
 
     def receive(self, *messages) -> object:
-        """Give it messages; what it sent last."""
+        """Pass messages to the subscriber; return the last message that it has sent."""
         for message in messages:
             self.subscriber.received(self.now, message)
         return self.sent[-1]
--- a/tests/controlplane/distribution_world.py
+++ b/tests/controlplane/distribution_world.py
@@ -1,4 +1,4 @@
-"""Publishers and subscribers over connections that delay, go dark and break, in virtual time."""
+"""Publishers and subscribers in virtual time, over connections with delays, partitions and resets."""
 
 import heapq
 import itertools
@@ -22,7 +22,7 @@
     max_subscribers=3,
     full_retry_after_ms=500,
 )
-FAULTS = ["break", "dark", "new broker", "new node", "compact", "spoil", "none"]
+FAULTS = ["reset", "partition", "new broker", "new publisher", "compact", "corrupt", "none"]
 
 
 @dataclass(slots=True)
@@ -31,15 +31,15 @@
 
     publisher: int
     subscriber: int
-    is_partitioned: bool = False  # nothing passes, and nobody is told
-    last_to_publisher: int = 0  # when the last message of each way arrives
+    is_partitioned: bool = False  # messages are lost, and neither end is notified
+    last_to_publisher: int = 0  # when the last message in this direction arrives
     last_to_subscriber: int = 0
-    unconfirmed: int = 0  # updates without an answer
+    unconfirmed: int = 0  # unanswered updates
     has_said_hello: bool = False
 
 
 class DistributionWorld:
-    """So many publishers and brokers, and the history that the publishers learn little by little."""
+    """A number of publishers and brokers, and the history, which the publishers receive in steps."""
 
     def __init__(self, seed: int, publishers: int = 3, brokers: int = 4) -> None:
         self.random, self.now, self.heap, self.order = random.Random(seed), 0, [], itertools.count()
@@ -68,10 +68,10 @@
         positions = [(0, 0)]
 
         def changed(state: FleetState, change) -> None:
-            assert state.epoch >= positions[-1][0], "went back"
-            assert state.version > positions[-1][1], "went back"
-            assert state.digest == self.digests[state.version], "not the history's"
-            assert state.digest_matches(), "not the history's"
+            assert state.epoch >= positions[-1][0], "the epoch decreased"
+            assert state.version > positions[-1][1], "the version did not increase"
+            assert state.digest == self.digests[state.version], "the digest differs from the history's"
+            assert state.digest_matches(), "the entries do not match the digest"
             positions.append(state.position)
 
         return ConfigSubscriber(
@@ -97,7 +97,7 @@
         return next(found, (0, None))
 
     def _close(self, subscriber: int) -> None:
-        """The subscriber's side is closed at once; the publisher hears of it later."""
+        """Close the subscriber's end immediately; the publisher is notified after a delay."""
         number, connection = self._connection_of(subscriber)
         if connection:
             del self.connections[number]
@@ -126,7 +126,7 @@
     # Messages
 
     def _arrival_time(self, last_arrival: int) -> int:
-        """When a message arrives: after a delay, and not before the one that left earlier."""
+        """Return when a message arrives: after a random delay, but not before the previous message."""
         return max(last_arrival, self.now + self.random.randrange(SECOND_US // 5))
 
     def _to_publisher(self, subscriber: int, message: m.Message) -> None:
@@ -153,7 +153,7 @@
         connection = self.connections.get(number)
         if connection and isinstance(message, m.Deltas | m.CompleteSnapshot):
             connection.unconfirmed += 1
-            assert connection.unconfirmed <= 1, "more than one message out"
+            assert connection.unconfirmed <= 1, "more than one message in flight"
             if self.messages_to_corrupt:
                 self.messages_to_corrupt -= 1
                 message = self._corrupted(message)
@@ -178,7 +178,7 @@
         if number in self.connections:
             self.brokers[self.connections[number].subscriber].received(self.now, message)
 
-    # What happens
+    # Time, commits and faults
 
     def run(self, span: int) -> None:
         end = self.now + span
@@ -193,7 +193,7 @@
                 act(*arguments)
 
     def commit(self, count: int, epoch_step: int) -> None:
-        """The history grows; each publisher learns of it when it catches up."""
+        """Append changes to the history; each publisher receives them when it catches up."""
         for _ in range(count):
             version = self.truth.version + 1
             value = encode_value(Engine(f"h{version}:1")) if version % 4 else None
@@ -212,22 +212,22 @@
         publisher.committed(self.now)
 
     def fault(self, kind: str, number: int) -> None:
-        """One of `FAULTS`, at the publisher or broker that the number chooses."""
+        """Inject one of `FAULTS` at the publisher or broker that the number selects."""
         publisher, broker = number % len(self.publishers), number % len(self.brokers)
-        if kind == "break":
+        if kind == "reset":
             self._break(broker)
-        elif kind == "dark":
+        elif kind == "partition":
             _, connection = self._connection_of(broker)
             if connection:
                 connection.is_partitioned = True
         elif kind == "new broker":
             self._close(broker)
             self.brokers[broker] = self._broker(broker, number)
-        elif kind == "new node":
+        elif kind == "new publisher":
             self._restart_publisher(publisher)
         elif kind == "compact":
             self.publishers[publisher].history.compact(keep=number % 3)
-        elif kind == "spoil":
+        elif kind == "corrupt":
             self.messages_to_corrupt += 1
 
     def _break(self, broker: int) -> None:
@@ -245,5 +245,5 @@
 
 
 def encode_and_decode(message: m.Message) -> m.Message:
-    """The message as its bytes say it."""
+    """Return the message after encoding and decoding, as its receiver gets it."""
     return m.decode(m.encode(message)[4:])
--- a/tests/controlplane/test_broker_addresses.py
+++ b/tests/controlplane/test_broker_addresses.py
@@ -1,4 +1,4 @@
-"""Brokers that come back at a new address or under a new name."""
+"""Brokers that restart at a new address or under a new name."""
 
 import json
 
@@ -43,7 +43,7 @@
         lambda: address("n1") and address("n2") == f"127.0.0.1:{ports['n2']}", "both are registered"
     )
     brokers["n2"].kill()
-    brokers["n2"].fleet = moved  # its own file alone: n1's goes on naming the old address
+    brokers["n2"].fleet = moved  # only n2's own file: the file of n1 still has the old address
     brokers["n2"].start()
     cluster.wait_for(lambda: address("n2") == f"127.0.0.1:{ports['new']}", "the new address")
 
@@ -51,8 +51,8 @@
         rows = brokers["n2"].show("/fleet/peers") or []
         return any(r["name"] == "n1" and r["state"] == "alive" and r["heard_s"] is not None for r in rows)
 
-    # n2 hears n1 only if n1 sends to where n2 is now.
-    cluster.wait_for(n2_receives_from_n1, f"n1, heard by the new n2\n{brokers['n1'].log_text()[-2000:]}")
+    # n2 receives messages of n1 only if n1 sends them to the new address of n2.
+    cluster.wait_for(n2_receives_from_n1, f"n2 receives from n1\n{brokers['n1'].log_text()[-2000:]}")
     assert brokers["n1"].show("/control/status")["version"] == cluster.wait_for_one_history()
 
 
@@ -84,13 +84,14 @@
     plane.brokers["n1"].kill()
     assert until(lambda: not sees("n0", "n1"), WAIT)
     addresses["n1"] = local_address(socket.SOCK_DGRAM)
-    plane.broker("n1", fleet=fleet(addresses))  # its own file alone says so
+    plane.broker("n1", fleet=fleet(addresses))  # only its own file has the new address
     assert until(registered, WAIT), plane.log_text()
 
     def lost():
         return not all(sees(n, "n1") and sees("n1", n) for n in ("n0", "n2"))
 
-    # And it stays so, for ten pings: they hear its answers, and not only its word.
+    # For ten pings n1 stays alive in their view: they receive the answers of n1 and not only its own
+    # messages.
     assert until(lambda: not until(lost, 2.0), WAIT), plane.log_text()
 
 
@@ -106,7 +107,7 @@
     "plane", [{"seed": {"config": SETTINGS, "brokers": ABSENT_BROKERS}, "forget_s": 20}], indirect=True
 )
 def test_broker_under_a_new_name_replaces_an_absent_one_at_its_address(plane):
-    """And after its time another dead one goes, too."""
+    """Another absent broker is removed after `forget_s`."""
     plane.start()
     peers = [{"name": n, "address": a, "zone": "room1"} for n, a in ADDRESSES.items()]
     plane.broker(
--- a/tests/controlplane/test_broker_registry.py
+++ b/tests/controlplane/test_broker_registry.py
@@ -1,4 +1,4 @@
-"""Where brokers are, as the primary keeps it: who is registered, who is taken out, and when nobody is."""
+"""The leader's registry of brokers: which ones are registered and removed, and when none is removed."""
 
 import pytest
 
@@ -26,7 +26,10 @@
 
 
 class RegistryHarness:
-    """A registry, the state that its changes become, and who is connected (none: not all can be seen)."""
+    """A registry, the state after its changes, and the connected brokers.
+
+    `connected` is None while a control process can't be reached.
+    """
 
     def __init__(self, expire_after: int = EXPIRE_AFTER, **brokers: str) -> None:
         self.registry, self.state, self.now = BrokerRegistry(expire_after), FleetState("line"), 0
@@ -37,7 +40,10 @@
         self.state.apply(self.state.draft_change(1, ops))
 
     def step(self, *ops: Op, after: int = 0) -> tuple[list[str], list[str]]:
-        """As `leader_reports.py` does it, so long later: keys set or removed, and why some are not."""
+        """Advance the time, and use the registry as `leader_reports.py` does.
+
+        Returns the keys set ("+") and removed ("-"), and why registrations were rejected.
+        """
         registry = self.registry
         self.now += after
         registry.request(ops)
@@ -56,7 +62,7 @@
         return changed_keys, rejections
 
     def run_for(self, span: int) -> list[str]:
-        """Steps, one a second, over a span: all that they change."""
+        """Run one step per second over a span; return all keys set and removed."""
         return [word for _ in range(span // SECOND_US) for word in self.step(after=SECOND_US)[0]]
 
     @property
@@ -68,7 +74,7 @@
     harness = RegistryHarness(a="h:1", b="h:2", c="h:3")
     harness.connected = {"c"}
     assert harness.run_for(EXPIRE_AFTER - SECOND_US) == []
-    harness.connected = {"b", "c"}  # b comes back for a moment
+    harness.connected = {"b", "c"}  # b is connected for a moment
     harness.step(after=SECOND_US)
     harness.connected = {"c"}
     before = harness.state.version
@@ -78,7 +84,7 @@
     assert harness.run_for(10 * SECOND_US) == ["-b"]
     assert harness.names == {"c"}
     assert "engine/e" in harness.state.entries
-    assert harness.step(at("a", "h:1")) == (["+a"], [])  # it comes back
+    assert harness.step(at("a", "h:1")) == (["+a"], [])  # it connects again
 
 
 def test_expired_brokers_are_removed_in_at_most_one_change_per_second():
@@ -90,7 +96,7 @@
     changed_keys = harness.step(after=SECOND_US)[0]
     assert len(changed_keys) == MAX_OPS_PER_CHANGE
     assert len(harness.names) == 8
-    # A registration doesn't wait.
+    # A registration is not delayed by the removals.
     assert harness.step(at("new", "y:1"), after=RETRY_INTERVAL_US // 2) == (["+new"], [])
     assert len(harness.names) == 9
     harness.connected = {"new"}
@@ -103,7 +109,7 @@
     assert harness.run_for(EXPIRE_AFTER - 10 * SECOND_US) == []
     harness.connected = None
     assert harness.run_for(3 * EXPIRE_AFTER) == []
-    harness.connected = set()  # it is back; its brokers may not be yet
+    harness.connected = set()  # it can be reached again; its brokers may not have reconnected yet
     assert harness.run_for(EXPIRE_AFTER - 10 * SECOND_US) == []
     assert harness.run_for(12 * SECOND_US) == ["-a"]
 
@@ -123,7 +129,7 @@
 def test_address_of_an_absent_broker_is_taken_over_in_one_change():
     harness = RegistryHarness(old="h:1", other="h:2")
     harness.connected = {"other"}
-    # It may only be on its way to another control process.
+    # It may only be switching to another control process.
     changed_keys, rejections = harness.step(at("new", "h:1"), after=SECOND_US)
     assert changed_keys == []
     assert rejections == ["broker/new is at the address of broker/old"]
@@ -143,16 +149,16 @@
         changed_keys, rejections = harness.step(at("new", "h:1"), after=SECOND_US)
         assert changed_keys == []
         assert rejections == ["broker/new is at the address of broker/old"]
-    harness.connected = set()  # gone, or in sight again, but only now
+    harness.connected = set()  # the absence of the old broker is known only from now on
     assert harness.step(at("new", "h:1"), after=SECOND_US)[0] == []
 
 
 def test_broker_that_requests_registration_counts_as_present():
-    """Its registration may come before the word that it is connected."""
+    """Its registration may arrive before the report that it is connected."""
     harness = RegistryHarness(old="h:1")
     harness.run_for(20 * SECOND_US)
     changed_keys, rejections = harness.step(at("new", "h:1"), at("old", "h:9"), after=SECOND_US)
-    assert (changed_keys, rejections) == (["+new", "+old"], [])  # it moves, and leaves its place
+    assert (changed_keys, rejections) == (["+new", "+old"], [])  # "old" frees its address by moving
     assert harness.names == {"new", "old"}
     harness = RegistryHarness(old="h:1")
     harness.run_for(EXPIRE_AFTER - SECOND_US)
@@ -201,7 +207,7 @@
     assert [
         taken(now, op) for now in (0, RETRY_INTERVAL_US - 1, RETRY_INTERVAL_US, RETRY_INTERVAL_US + 1)
     ] == [1, 0, 1, 0]
-    assert taken(RETRY_INTERVAL_US + 2, at("a", "h:2")) == 1  # another one
+    assert taken(RETRY_INTERVAL_US + 2, at("a", "h:2")) == 1  # another address
     registry.resend_all()
     assert taken(RETRY_INTERVAL_US + 3, at("a", "h:2")) == 1
     state.apply(state.draft_change(1, [op]))
@@ -211,7 +217,7 @@
             taken((9 + number) * RETRY_INTERVAL_US, *(at(f"b{number}-{i}", "h:1") for i in range(2_000)))
             == MAX_REGISTRATIONS
         )
-    assert len(registry.sent) == MAX_REGISTRATIONS  # of the last second alone
+    assert len(registry.sent) == MAX_REGISTRATIONS  # only those of the last second
 
 
 def test_connected_brokers_are_known_only_after_all_control_processes_reported():
--- a/tests/controlplane/test_broker_settings.py
+++ b/tests/controlplane/test_broker_settings.py
@@ -1,4 +1,4 @@
-"""Brokers that refuse settings, keep them over a reload, or have no control process."""
+"""Brokers that reject settings, keep them over a reload, or run without a control process."""
 
 import signal
 
@@ -11,7 +11,11 @@
 
 
 def test_running_broker_rejects_other_classes(plane):
-    """A broker whose file has others says that it refuses; a change to others is refused before that."""
+    """Classes can't change while a broker runs.
+
+    A change to other classes is refused by the control process. A broker whose own file has other classes
+    reports that it rejects those of the control plane.
+    """
     plane.start()
     code, output = plane.change({"config": {"Classes": SETTINGS["Classes"][:2]}})
     assert code == 2, output
@@ -27,7 +31,7 @@
     good, bad = plane.broker("n1"), plane.broker("n2", settings={"Classes": SETTINGS["Classes"][:1]})
     assert plane.broker_has_version(good, 1), plane.log_text()
     assert plane.broker_has_version(bad, 1), plane.log_text()
-    code, output = plane.change({"engines": {"s-1": ENGINE}})  # its settings are still the older ones
+    code, output = plane.change({"engines": {"s-1": ENGINE}})  # n2 still has its older settings
     assert code == 1, output + plane.log_text()
     assert "in force at 1 of 2 brokers" in output, output + plane.log_text()
     assert "refused by: n2: other classes need a restart" in output, output
@@ -57,7 +61,7 @@
 
 def test_broker_serves_without_a_control_process(plane):
     engine = LabEngine("s-1", "room1")
-    broker = plane.broker("n1", [engine.member()])  # nobody is there yet
+    broker = plane.broker("n1", [engine.member()])  # no control process is running yet
     assert broker.serves(), broker.log_text()
     status = broker.status()
     assert (status["version"], status["engines_from_here"]) == (0, False)
--- a/tests/controlplane/test_control_connections.py
+++ b/tests/controlplane/test_control_connections.py
@@ -1,4 +1,4 @@
-"""Connections of control processes: one that does not vote, and peers that are slow, silent or garbled."""
+"""Connections of control processes: a non-voting one, and peers that are slow or send malformed data."""
 
 import time
 
@@ -22,7 +22,7 @@
     config["servers"] = [s for s in config["servers"] if s["name"] == "c4"] + [
         s | {"address": local_address(), "votes": True} for s in config["servers"] if s["name"] != "c4"
     ]
-    plane.file.write_text(yaml.safe_dump(config))  # to the broker the others are out of reach
+    plane.file.write_text(yaml.safe_dump(config))  # the broker can't reach the other control processes
     broker = plane.broker("n1")
     assert plane.broker_has_version(broker, 1), plane.log_text()
     assert broker.status()["server"] == "c4"
@@ -39,7 +39,10 @@
     host, port = plane.servers["c1"]["address"].split(":")
 
     def ended(raw, pause=None):
-        """Seconds until the connection is ended, where a peer says that at once, or a byte at a time."""
+        """Return the seconds until the connection ends.
+
+        The peer sends `raw` at once or, with a pause, one byte at a time.
+        """
         with socket.create_connection((host, int(port)), 2) as sock:
             began = time.monotonic()
             sock.settimeout(0.5 if pause else 10)
@@ -64,5 +67,5 @@
     assert ended(b"\x00\x00\x00\x05abcde") < 2
     assert ended(b"\xff\xff\xff\xff" + bytes(100)) < 2
     assert ended(b"GET / HTTP/1.1\r\n\r\n") < 2
-    assert 4 < ended(b"\x00\x00\x00\x40" + bytes(40), pause=0.5) < 8  # Hello has 5 s
+    assert 4 < ended(b"\x00\x00\x00\x40" + bytes(40), pause=0.5) < 8  # the timeout for the Hello is 5 s
     assert control.process.poll() is None
--- a/tests/controlplane/test_control_framing.py
+++ b/tests/controlplane/test_control_framing.py
@@ -1,4 +1,4 @@
-"""Frames over a real socket: their bounds."""
+"""Size limits of frames over a real socket."""
 
 import os
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def pair():
-    """Two ends; the second takes small frames only, as before a Hello."""
+    """Two ends of a connection; the second accepts only small frames, as before a Hello."""
     ends = [
         FramedConnection(sock, TrafficCounters(), max_frame_bytes)
         for sock, max_frame_bytes in zip(socket.socketpair(), (4 << 20, 4 << 10), strict=True)
--- a/tests/controlplane/test_control_parts.py
+++ b/tests/controlplane/test_control_parts.py
@@ -1,4 +1,4 @@
-"""The small parts round the control plane's decisions: frames, what lags, an operator's change, faults."""
+"""Parts of the control plane: frames, lag reports, operators' changes, fault injection, engine lists."""
 
 import json
 import time
@@ -138,7 +138,7 @@
 
 def test_last_message_arrives_before_the_connection_ends(ends):
     frames, far = ends
-    far.sendall(encode(ONE) * 3)  # never read here: a close over them would reset the connection
+    far.sendall(encode(ONE) * 3)  # never read: closing the socket with unread data would reset the connection
     frames.send(TWO)
     frames.finish_sending()
     reader = FramedConnection(far, TrafficCounters())
@@ -148,7 +148,7 @@
 
 
 def lag_json(report: LagReport) -> dict:
-    """A report as the operators' call answers it."""
+    """Return a report as the JSON answer of the operators' call."""
     return msgspec.to_builtins(LagAnswer.from_report(report, newest=report.version))
 
 
@@ -158,9 +158,9 @@
     answer = lag_json(table.lag(5, {"b1", "b2", "b3"}, {"c1", "c2"}))
     assert (answer["connected"], answer["in_force"], answer["names"]) == (2, 1, ["b2"])
     assert (answer["unreachable_names"], answer["unheard"]) == (["b3"], ["c2"])
-    table.report(2, "c2", AppliedReport(False, [("b3", 13, 5)]))  # changes of what isn't known here
+    table.report(2, "c2", AppliedReport(False, [("b3", 13, 5)]))  # incremental, without a complete one before
     assert lag_json(table.lag(5, {"b3"}, {"c1", "c2"}))["unheard"] == ["c2"]
-    table.report(3, "c2", AppliedReport(True, [("b2", 12, 5)]))  # b2 has moved
+    table.report(3, "c2", AppliedReport(True, [("b2", 12, 5)]))  # b2 has reconnected to c2
     assert lag_json(table.lag(5, (), {"c1", "c2"}))["lagging"] == 0
     table.report(4, "c1", AppliedReport(False, [("b2", 12, -1)]))
     assert table.latest()["b2"].version == 5
@@ -179,7 +179,7 @@
     )
     answer = lag_json(table.lag(5, (), {"c1"}))
     assert (answer["connected"], answer["in_force"], answer["lagging"], answer["refused"]) == (3, 1, 1, 1)
-    assert answer["refused_by"] == {"b3": why}  # b2 has yet to say what it does with this version
+    assert answer["refused_by"] == {"b3": why}  # b2 rejected an older version only
     table.report(2, "c1", AppliedReport(False, [("b3", 1, 6)]))
     answer = lag_json(table.lag(5, (), {"c1"}))
     assert (answer["in_force"], answer["refused"], answer["refused_by"]) == (2, 0, {})
@@ -211,7 +211,7 @@
         "unheard": [],
         "unreachable": 0,
         "unreachable_names": [],
-    }  # as a primary of the release before says it
+    }  # as answered by a leader of the previous release
     lag = msgspec.convert(answer | state, LagAnswer)
     cli.show_lag(lag)
     out = capsys.readouterr().out
@@ -291,7 +291,7 @@
 
 
 class FakeBroker:
-    """As much of a broker as the control plane's integration touches."""
+    """The parts of a broker process that the control plane integration uses."""
 
     def __init__(self):
         self.config, self.counters = SimpleNamespace(name="b1"), Counters()
@@ -342,13 +342,10 @@
     assert [len(names) for names in broker.lists] == [1, 300]
     assert integration.rejection_reason == subscriber.rejection_reason == "not these"
     in_force = [answer for answer in map(json.loads, record.read_text().splitlines()) if "version" in answer]
-    assert [answer["version"] for answer in in_force] == [
-        1,
-        301,
-    ]  # nothing is said to be in force before it is
+    assert [answer["version"] for answer in in_force] == [1, 301]  # recorded only once in force
     invalid = history.state.draft_change(1, [engine(301)])
     subscriber.received(now, Deltas([history.state.draft_change(1, [engine(300)]), invalid]))
-    assert len(broker.lists[-1]) == 301  # what came before a gap is in force
+    assert len(broker.lists[-1]) == 301  # changes before a gap are applied
 
 
 def test_other_classes_are_rejected_but_a_repeated_request_is_accepted():
@@ -356,7 +353,7 @@
     first, other = ([Op("config/Classes", encode_value([{"Name": name}]))] for name in ("slow", "fast"))
     for ops, request in ((first, "r"), ([Op("config/Classes")], ""), (other, "s")):
         state.apply(state.draft_change(1, ops, request))
-    check_new(state, ChangeRequest(None, "r", "", "", first, False))  # taken once, as version 1
+    check_new(state, ChangeRequest(None, "r", "", "", first, False))  # committed before, as version 1
     for request, dry in (("t", False), ("", False), ("r", True)):
         with pytest.raises(StateError, match="only at a restart"):
             check_new(state, ChangeRequest(None, request, "", "", first, dry))
--- a/tests/controlplane/test_control_settings.py
+++ b/tests/controlplane/test_control_settings.py
@@ -20,9 +20,9 @@
 @pytest.mark.parametrize(
     ("content", "why"),
     [
-        ({"servers": [server(1), server(2)]}, "2 control processes vote; 3, 5 or 7 can"),
-        ({"servers": [server(n) for n in range(1, 5)]}, "4 control processes vote; 3, 5 or 7 can"),
-        ({"servers": [server(n) for n in range(1, 10)]}, "9 control processes; 3 to 8 can be"),
+        ({"servers": [server(1), server(2)]}, "2 control processes vote, expected 3, 5 or 7"),
+        ({"servers": [server(n) for n in range(1, 5)]}, "4 control processes vote, expected 3, 5 or 7"),
+        ({"servers": [server(n) for n in range(1, 10)]}, "9 control processes, expected 3 to 8"),
         ({"servers": [server(1), server(2), server(2)]}, "control process c2 is named twice"),
         (
             {"servers": [server(1), server(2), server(3, address="127.0.0.1:9801")]},
--- a/tests/controlplane/test_distribution_convergence.py
+++ b/tests/controlplane/test_distribution_convergence.py
@@ -1,4 +1,7 @@
-"""Random worlds of publishers and brokers: nobody goes back, and all end equal to the history."""
+"""Random schedules of publishers and brokers: no broker returns to an older state, and all converge.
+
+Guards against lost, repeated or corrupted updates after resets, partitions, restarts and compaction.
+"""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -9,12 +12,12 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(FAULTS),
-        st.integers(0, 11),  # whom the fault meets
-        st.integers(0, 4),  # commits
-        st.integers(0, 1),  # the step of the epoch
+        st.integers(0, 11),  # selects the publisher or broker that has the fault
+        st.integers(0, 4),  # number of commits
+        st.integers(0, 1),  # increment of the epoch
         st.integers(0, 2),  # the publisher that catches up
-        st.integers(0, 3),  # so many changes at most
-        st.integers(0, 4 * SECOND_US),  # time that passes
+        st.integers(0, 3),  # the most changes that it catches up with
+        st.integers(0, 4 * SECOND_US),  # µs that pass
     ),
     max_size=25,
 )
--- a/tests/controlplane/test_publisher.py
+++ b/tests/controlplane/test_publisher.py
@@ -1,4 +1,4 @@
-"""What a publisher sends to brokers: changes or a snapshot, one at a time; whom it rejects and reports."""
+"""The messages of a publisher to brokers, and the brokers that it rejects, disconnects and reports."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     assert [c.version for c in deltas.changes] == [2, 3]
     grow_history(sender.history, 2)
     sender.publisher.committed(0)
-    assert len(sender.sent[2]) == 3  # the first is still out
+    assert len(sender.sent[2]) == 3  # the first update is still in flight
     sender.confirm(2, position=sender.history.position_at(3))
     assert [c.version for c in sender.sent[2][3].changes] == [4, 5]
     sender.publisher.received(0, 2, m.SnapshotRequest("digest"))
@@ -26,22 +26,22 @@
     sender.confirm(2)
     assert sender.publisher.subscriptions.applied_versions() == {"b1": (1, 0), "b2": (1, 5)}
     assert len(sender.sent[2]) == 5
-    assert len(sender.hello(3, position_of(sender.history.state))) == 2  # has all
+    assert len(sender.hello(3, position_of(sender.history.state))) == 2  # it has the newest version
     sender.history.compact()
     assert isinstance(sender.hello(4, (1, 4, b"x" * 16))[2], m.CompleteSnapshot)
     assert "digest_differs" not in sender.events
     assert isinstance(sender.hello(5, (1, 5, b"x" * 16))[2], m.CompleteSnapshot)
     assert "digest_differs" in sender.events
-    assert len(PublisherHarness(versions=0).hello(1)) == 2  # nothing to send yet
+    assert len(PublisherHarness(versions=0).hello(1)) == 2  # the history is empty
 
 
 def test_publisher_does_not_repeat_what_was_rejected():
     sender = PublisherHarness()
     first = sender.history.position_at(1)
     sender.hello(1, first)
-    sender.confirm(1, position=first)  # changes not taken: a snapshot
+    sender.confirm(1, position=first)  # the changes were not applied, so a snapshot follows
     assert isinstance(sender.sent[1][-1], m.CompleteSnapshot)
-    sender.confirm(1, position=first)  # nor that: nothing before there is news
+    sender.confirm(1, position=first)  # nor was the snapshot: nothing more until a new version
     sender.publisher.committed(0)
     assert isinstance(sender.sent[1][-1], m.CompleteSnapshot)
     assert len(sender.sent[1]) == 4
@@ -79,7 +79,7 @@
     sender.hello(1, position_of(sender.history.state))
     sender.publisher.received(0, 1, message)
     assert sender.ended[1].reason == "nonsense"
-    sender.publisher.received(0, 1, message)  # what was under way already
+    sender.publisher.received(0, 1, message)  # a frame received after the disconnect is ignored
     sender.publisher.disconnected(0, 1)
 
 
@@ -108,7 +108,7 @@
 def test_publisher_reports_rejected_settings():
     sender, why = PublisherHarness(), "other classes need a restart"
     sender.hello(1)
-    sender.hello(2, position_of(sender.history.state), rejection_reason=why)  # it was so before it came here
+    sender.hello(2, position_of(sender.history.state), rejection_reason=why)  # rejected before it connected
     assert sender.report(False) == m.AppliedReport(False, [("b1", 1, 0), ("b2", 1, 3)], {"b2": why})
     sender.publisher.received(
         0, 1, m.AppliedPosition(*position_of(sender.history.state), "  a\nlong\x1b[2J" + "x" * 999)
@@ -174,7 +174,7 @@
     for conn in range(6):
         sender.hello(conn)
     assert [sender.has_sent_snapshot(conn) for conn in range(6)] == [True, True, False, False, False, False]
-    sender.confirm(0)  # gives the third, the last of this second
+    sender.confirm(0)  # frees a slot for the third snapshot, the last one of this second
     sender.confirm(1)
     assert [sender.has_sent_snapshot(conn) for conn in range(6)] == [True, True, True, False, False, False]
     sender.publisher.disconnected(0, 3)
@@ -194,13 +194,13 @@
     for conn in range(3):
         sender.hello(conn)
     assert [sender.has_sent_snapshot(conn) for conn in range(3)] == [True, True, False]
-    assert sender.publisher.tick(SECOND_US - 100_000) <= SECOND_US  # it wakes for it
+    assert sender.publisher.tick(SECOND_US - 100_000) <= SECOND_US  # the next tick is when the slot times out
     assert not sender.has_sent_snapshot(2)
     sender.publisher.tick(SECOND_US)
     assert sender.has_sent_snapshot(2)
     assert len(sender.publisher.throttle.in_flight) == 3
     sender.publisher.tick(11 * SECOND_US)
-    assert not sender.publisher.throttle.in_flight  # ended as silent, and counted once
+    assert not sender.publisher.throttle.in_flight  # disconnected as silent; each slot was released once
 
 
 def test_publisher_behind_a_broker_waits_and_reports_it_once():
--- a/tests/controlplane/test_subscriber.py
+++ b/tests/controlplane/test_subscriber.py
@@ -1,4 +1,4 @@
-"""What a subscriber takes into force, and what it sends back."""
+"""The states that a subscriber accepts, and the messages that it answers with."""
 
 import msgspec
 
@@ -18,7 +18,7 @@
 
 
 def test_messages_of_releases_without_rejections_are_decoded():
-    """A control process or broker of the release before knows no refusals."""
+    """Control processes and brokers of an older release neither send nor expect rejections."""
     assert m.decode(msgspec.msgpack.encode(["have", 1, 2, b"x"])) == m.AppliedPosition(1, 2, b"x", "")
     assert m.decode(msgspec.msgpack.encode(["seen", True, [["b", 1, 2]]])) == m.AppliedReport(
         True, [("b", 1, 2)], {}
@@ -81,7 +81,7 @@
 def test_subscriber_keeps_its_state_if_the_digest_of_a_change_differs():
     sender, receiver = PublisherHarness(), SubscriberHarness().connect()
     changes = m.Deltas(changes_after(sender.history, 0))
-    assert receiver.receive(changes) == m.SnapshotRequest("gap")  # holds nothing
+    assert receiver.receive(changes) == m.SnapshotRequest("gap")  # it holds no state yet
     receiver.receive(snapshot_of(sender.history.state))
     held = position_of(receiver.subscriber.state)
     grow_history(sender.history)
@@ -104,21 +104,21 @@
     receiver.receive(snapshot_of(sender.history.state))
     held = position_of(sender.history.state)
     other = snapshot_of(other_state(1, 3))
-    assert receiver.receive(other) == m.AppliedPosition(*held)  # who is right isn't known
+    assert receiver.receive(other) == m.AppliedPosition(*held)  # it is unknown which of the two is correct
     assert receiver.counts("digest_differs") == 1
     assert receiver.counts("update_rejected") == 1
     below = snapshot_of(other_state(0, 3))
     assert receiver.receive(below) == m.AppliedPosition(*held)
     above = other_state(2, 3)
     assert receiver.receive(snapshot_of(above)) == m.AppliedPosition(*position_of(above))
-    receiver.subscriber.state.entries.clear()  # memory spoilt
+    receiver.subscriber.state.entries.clear()  # the state in memory is corrupted
     same = other_state(2, 3)
     assert receiver.receive(snapshot_of(same)) == m.AppliedPosition(*position_of(same))
     assert receiver.counts("state_corrupted") == 1
     assert receiver.subscriber.state.digest_matches()
     for _ in range(2):
         receiver.receive(m.Heartbeat(2, 3, b"x" * 16, "c", 0))
-    assert receiver.counts("digest_differs") == 3  # a beat that differs: once a version
+    assert receiver.counts("digest_differs") == 3  # a differing heartbeat is counted once per version
 
 
 def test_subscriber_disconnects_on_invalid_snapshots_other_clusters_and_unexpected_messages():
@@ -156,7 +156,7 @@
     assert receiver.subscriber.stale_ms(receiver.now + 2 * SECOND_US) >= 2_000
     receiver.receive(m.Heartbeat(0, 0, b"", "c3", 400))
     assert receiver.subscriber.stale_ms(receiver.now) == 400
-    receiver.receive(m.Heartbeat(0, 0, b"", "c3", 9_000))  # another that heard less takes nothing back
+    receiver.receive(m.Heartbeat(0, 0, b"", "c3", 9_000))  # an older contact is ignored
     receiver.receive(m.Heartbeat(0, 0, b"", "c3", -1))
     receiver.subscriber.disconnected(receiver.now, "reset")
     assert receiver.subscriber.stale_ms(receiver.now + SECOND_US) == 1_400
--- a/tests/controlplane/test_subscriber_connections.py
+++ b/tests/controlplane/test_subscriber_connections.py
@@ -1,4 +1,4 @@
-"""Which server a subscriber connects to, when, and when it leaves one."""
+"""The servers that a subscriber connects to, the times of its attempts, and when it leaves a server."""
 
 from itertools import pairwise
 
@@ -59,7 +59,7 @@
             assert wait <= SECOND_US // 10
     assert (
         ConfigSubscriber(BrokerIdentity("b", 1), [], 1, SubscriberCallbacks(*[None] * 5)).tick(0) > SECOND_US
-    )  # nobody to follow
+    )  # there is no server
 
 
 def test_subscriber_leaves_a_silent_server_and_times_out_connecting():
@@ -103,7 +103,7 @@
 
 
 def outage(receiver: SubscriberHarness, until: int) -> list[tuple[int, str]]:
-    """Refuse each attempt until then; when each was made, and at whom."""
+    """Refuse each attempt until a time; return the time and the server of each attempt."""
     now, attempts = 0, []
     while now < until:
         due = receiver.subscriber.tick(now)
@@ -123,7 +123,7 @@
     waits = [b - a for (a, _), (b, _) in pairwise(attempts)]
     within = [w for i, w in enumerate(waits) if (i + 1) % 8]
     between = waits[7::8]
-    assert max(within) <= 100_000  # the one that is up is found within a second
+    assert max(within) <= 100_000  # a server that is up is found within a second
     assert all(w <= min(100_000 << (i + 1), 5 * SECOND_US) for i, w in enumerate(between))
     assert max(between) > SECOND_US
     assert len(attempts) < 8 * 40
--- a/tests/controlplane/test_subscriber_failures.py
+++ b/tests/controlplane/test_subscriber_failures.py
@@ -1,4 +1,4 @@
-"""Subscribers that cost a control process, one that lies to its subscriber, and one that dies with many."""
+"""Misbehaving subscribers, a control process with a wrong digest, and one killed with many subscribers."""
 
 import random
 import time
@@ -21,7 +21,7 @@
 
 
 def incompressible_engines(count, salt):
-    """Engines that take some bytes, and do not pack well."""
+    """Return engines whose encoding is large and does not compress well."""
     rng = random.Random(salt)
     return {
         f"engine/x{i}": {
@@ -33,7 +33,7 @@
 
 
 class BadSubscribers:
-    """Connections that do not read, read slowly, send malformed messages at once or later, or say nothing."""
+    """Connections that don't read, read slowly, send malformed messages first or later, or send nothing."""
 
     def __init__(self, port: int) -> None:
         rng = random.Random(5)
@@ -51,7 +51,7 @@
             connection.sock.sendall(raw)
         self.malformed_later = RawConnection(port).hello("late")
         self.malformed_later.sock.sendall(b"\0\0\1\0" + rng.randbytes(256))
-        self.silent = RawConnection(port)  # never says Hello
+        self.silent = RawConnection(port)  # never sends a Hello
         self.readers = [gevent.spawn(connection.read_slowly) for connection in self.slow]
         self.ends = [
             gevent.spawn(connection.read_slowly, 65_536, 0)
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class ChangeCosts:
-    """What changes cost while bad subscribers were connected."""
+    """Number, duration and memory of changes while bad subscribers are connected."""
 
     count: int
     slowest_s: float
@@ -82,7 +82,10 @@
 
 
 def commit_changes_until_bad_subscribers_are_gone(cluster, leader, good, changes: ChangeCosts) -> None:
-    """Change after change, each waited for at a subscriber, until the leader has the two good ones alone."""
+    """Commit changes one after another until only the two good subscribers are connected to the leader.
+
+    Each change is awaited at a good subscriber.
+    """
     deadline = time.monotonic() + PublisherLimits().answer_timeout_s + 6
     while leader.status()["brokers"] > 2 and time.monotonic() < deadline:
         changes.count += 1
@@ -104,12 +107,12 @@
     memory = leader.memory_bytes()
     bad = BadSubscribers(cluster.ports[leader.name])
     new = cluster.follow("new", only=(leader.name,))
-    cluster.wait_for(lambda: new.version, "one that comes while snapshots are out to those")
+    cluster.wait_for(lambda: new.version, "a new subscriber while snapshots to the bad ones are in flight")
     changes = ChangeCosts(0, time.monotonic() - new.dials[0], memory)
     commit_changes_until_bad_subscribers_are_gone(cluster, leader, good, changes)
     took, more = time.monotonic() - bad.unread[0].began, changes.max_memory - memory
     print(
-        f"all ended after {took:.1f} s, {changes.count} changes, the slowest in force after "
+        f"all bad connections closed after {took:.1f} s, {changes.count} changes, the slowest in force after "
         f"{changes.slowest_s:.2f} s, {more / MB:.1f} MB more"
     )
     assert leader.status()["brokers"] == 2
@@ -124,7 +127,7 @@
 
 
 def broker_that_follows(server: LyingControlServer, folder) -> ControlledBroker:
-    """A broker that has this server first, and two that do not exist."""
+    """Return a broker whose settings list this server first, and two servers that don't exist."""
     addresses = [server.address, *(f"127.0.0.1:{free_port()}" for _ in range(2))]
     servers = [
         {
@@ -166,7 +169,7 @@
 
 
 def max_snapshots_per_second(subscribers) -> int:
-    """The most snapshots of one server that were taken within a second."""
+    """Return the most snapshots of one server that were applied within a second."""
     moments = {}
     for subscriber in subscribers:
         for update in subscriber.taken:
@@ -193,12 +196,12 @@
     again = sorted(s.dials[dials[s]] - killed for s in lost)
     limits, densest = PublisherLimits(), max_snapshots_per_second(subscribers)
     print(
-        f"{dict(counts)}; {len(lost)} lost, dialled again {again[0]:.3f} to {again[-1]:.3f} s after; all in"
-        f" force {took:.2f} s after, {killed - began:.2f} s to begin; {densest} snapshots a second at most"
+        f"{dict(counts)}; {len(lost)} disconnected, dialled again after {again[0]:.3f} to {again[-1]:.3f} s; "
+        f"in force after {took:.2f} s; started in {killed - began:.2f} s; up to {densest} snapshots a second"
     )
     assert len(lost) > 15
     assert again[-1] - again[0] > 0.05
-    # begun in the second, and out before it
+    # The snapshots sent within the second, and those in flight at its start.
     assert densest <= limits.max_snapshots_per_s + limits.max_concurrent_snapshots
     assert took < 15
     assert all(s.has_never_gone_back() for s in subscribers)
