--- a/cypressledge/controlplane/subscriber.py
+++ b/cypressledge/controlplane/subscriber.py
@@ -1,7 +1,7 @@
-"""A broker's end of the control plane: its one connection, from the first attempt to the last message.
+"""A broker's subscription to the control plane: the protocol of its only connection to a control process.
 
-Which states it accepts is in `accepted_state.py`, which control process it tries in `server_selection.py`.
-No I/O; time is passed in, µs.
+`accepted_state.py` decides which states are accepted, `server_selection.py` which control process is tried.
+No I/O; times are passed in, µs.
 """
 
 from collections.abc import Callable, Mapping
@@ -25,32 +25,35 @@
     HelloAccepted,
     Message,
 )
-from cypressledge.controlplane.server_selection import Server, ServerSelector, order
+from cypressledge.controlplane.server_selection import Server, ServerSelector, order_servers
 from cypressledge.controlplane.state import FleetState
 from cypressledge.controlplane.state_values import StateError
 
-CONNECT_TIMEOUT = 1_500_000  # for a TCP connection
-SILENCE_TIMEOUT = 3_500_000  # without a frame, after which another server is followed
-STEADY_CONNECTION = 5_000_000  # that a connection has to hold for the next waits to be short again
-# Without a sign of a leader; longer than a change of leader takes: another server is tried.
+CONNECT_TIMEOUT = 1_500_000  # µs to establish a TCP connection
+SILENCE_TIMEOUT = 3_500_000  # µs without a frame, after which another server is tried
+STEADY_CONNECTION = 5_000_000  # µs; duration of a connection after which the backoff starts anew
+# ms without leader contact after which another server is tried; a change of leader takes less.
 STALE_MS = 10_000
-IDLE_TICK = 3_600_000_000  # until the next tick where nothing is due
-MAX_REASON_CHARS = 40  # of a server's reason, in logs
+IDLE_TICK = 3_600_000_000  # µs until the next tick if nothing is due
+MAX_REASON_CHARS = 40  # characters of a server's reason in logs
 
 
 class Phase(Enum):
-    """Of the one connection."""
+    """The phase of a subscriber's only connection."""
 
     WAITING = "waiting"
     CONNECTING = "connecting"
-    GREETING = "greeting"
-    FOLLOWING = "following"
+    HANDSHAKE = "greeting"
+    SUBSCRIBED = "following"
 
 
 @dataclass(frozen=True, slots=True)
 class BrokerIdentity:
-    """Who follows. `instance_id`: of its process, never 0; `address`: HOST:PORT of its fleet socket, empty
-    where it is not to be registered."""
+    """The broker that subscribes.
+
+    `instance_id`: of its process, never 0; `address`: HOST:PORT of its fleet socket, empty if the broker is
+    not to be registered.
+    """
 
     name: str
     instance_id: int
@@ -61,40 +64,47 @@
 
 @dataclass(slots=True)
 class SubscriberCallbacks:
-    """What a subscriber calls.
-
-    `send(message)` over the connection; `connect(server)`: answered by `connected` or `disconnected`;
-    `disconnect(why)`: close the connection, of which nothing may be passed in any more; `event(name,
-    **fields)`: to be logged, counted already. `changed(state, change)` after each change taken (None: a
-    snapshot), which returns why some of it was rejected, if it was; `settled()`, where given, once all that a
-    message brought is taken, which returns the same: for what needn't be done at each change."""
+    """The callbacks of a subscriber.
+
+    - `send(message)` sends a message over the connection.
+    - `connect(server)` begins to connect; `connected` or `disconnected` must be called with the outcome.
+    - `disconnect(why)` closes the connection; none of its messages may be passed in afterwards.
+    - `changed(state, change)` is called after each applied change (None: a snapshot), and returns why a part
+      of it was rejected, if it was.
+    - `event(name, **fields)` logs an event, which is already counted.
+    - `message_applied()`, if given, is called once everything in a message is applied, for work that need not
+      be done for each change. It returns the same as `changed`.
+    """
 
     send: Callable[[Message], None]
     connect: Callable[[Server], None]
     disconnect: Callable[[str], None]
     changed: Callable[[FleetState, Change | None], str | None]
     event: Callable[..., None]
-    settled: Callable[[], str | None] | None = None
+    message_applied: Callable[[], str | None] | None = None
 
 
 class SubscriberStatus(msgspec.Struct, frozen=True):
-    """For operators: what a subscriber holds, and from whom; the first fields of `BrokerStatusAnswer`."""
+    """The status of a subscriber, for operators; its fields are the first ones of `BrokerStatusAnswer`."""
 
     phase: str
-    server: str | None  # that is followed, or tried next; none where the settings name nobody
-    address: str | None  # of the same
+    server: str | None  # the server that is connected or tried next; None if the settings contain none
+    address: str | None  # of that server
     cluster_id: str = msgspec.field(name="lineage")
     epoch: int
     version: int
     digest: str  # hexadecimal
-    leader: str = msgspec.field(name="primary")  # heard of last
-    stale_ms: int  # since a leader was heard
-    counts: Mapping[str, int]  # of events, by name
+    leader: str = msgspec.field(name="primary")  # the last one reported by a heartbeat
+    stale_ms: int  # since the last known contact with a leader
+    counts: Mapping[str, int]  # number of events, by name
 
 
 class ConfigSubscriber:
-    """Follows one control process. `seed`: of its random waits; `cluster_id`: of the only history to be
-    accepted; empty: that of the first snapshot."""
+    """Subscribes to one control process at a time.
+
+    `seed`: for random delays; `cluster_id`: the only cluster whose history is accepted; if it is empty, the
+    first snapshot determines the cluster.
+    """
 
     def __init__(
         self,
@@ -105,43 +115,45 @@
         cluster_id: str = "",
     ) -> None:
         self.identity, self.callbacks = identity, callbacks
-        self.selector = ServerSelector(order(identity.name, identity.zone, identity.region, servers), seed)
+        self.selector = ServerSelector(
+            order_servers(identity.name, identity.zone, identity.region, servers), seed
+        )
         self.counters = Counters()
-        self._held = AcceptedState(self.counters, callbacks, self._report, cluster_id)
+        self._accepted_state = AcceptedState(self.counters, callbacks, self._report, cluster_id)
         self.phase = Phase.WAITING
         self._started_at: int | None = None
-        self._phase_at = 0  # of the wait, the end; of the others, the beginning
+        self._phase_at = 0  # end of the phase WAITING, start of any other phase
         self._last_frame = 0
         self._leader_heard_at: int | None = None
         self._leader = ""
 
     @property
     def state(self) -> FleetState:
-        """What is held; of no cluster while nothing is."""
-        return self._held.state
+        """The state that is held; its cluster id is empty until a first snapshot is accepted."""
+        return self._accepted_state.state
 
     @property
     def rejection_reason(self) -> str:
-        """Why some of what is held is not in force; empty: all of it is."""
-        return self._held.rejection_reason
+        """The reason why a part of the state is not in force; empty if all of it is."""
+        return self._accepted_state.rejection_reason
 
-    # Time and the connection
+    # Timeouts and the connection
 
     def tick(self, now: int) -> int:
-        """What time brings about; when to call again, µs."""
+        """Do what is due: attempts, timeouts and changes of server. Returns when to call it again, µs."""
         if not self.selector.servers:
             return now + IDLE_TICK
         if self._started_at is None:
             self._started_at = now
-            self._phase_at = self.selector.first_attempt(now)
+            self._phase_at = self.selector.first_attempt_at(now)
         if self.phase is Phase.WAITING:
             if now >= self._phase_at:
                 self._connect(now)
         elif self.phase is Phase.CONNECTING:
             if now - self._phase_at >= CONNECT_TIMEOUT:
-                self._leave(now, "connect timeout")
+                self._disconnect(now, "connect timeout")
         elif now - self._last_frame >= SILENCE_TIMEOUT:
-            self._leave(now, "silent")
+            self._disconnect(now, "silent")
         elif self.selector.nearer_at is not None and now >= self.selector.nearer_at:
             self._try_nearer(now)
         return self._next_tick()
@@ -155,10 +167,10 @@
         return silent_at if nearer_at is None else min(silent_at, nearer_at)
 
     def connected(self, now: int) -> None:
-        """The connection that was asked for is up."""
+        """Handle that the requested connection is established: send the Hello."""
         if self.phase is not Phase.CONNECTING:
             return
-        self.phase, self._phase_at, self._last_frame = Phase.GREETING, now, now
+        self.phase, self._phase_at, self._last_frame = Phase.HANDSHAKE, now, now
         state, identity = self.state, self.identity
         self.callbacks.send(
             Hello(
@@ -178,30 +190,30 @@
         )
 
     def disconnected(self, now: int, why: str) -> None:
-        """The connection has ended, or could not be made."""
+        """Handle that the connection has ended or could not be established."""
         if self.phase is not Phase.WAITING:
-            self._lost(now, why)
+            self._on_connection_ended(now, why)
 
     def _connect(self, now: int) -> None:
         self.phase, self._phase_at = Phase.CONNECTING, now
-        self.selector.attempt_begins()
+        self.selector.on_attempt()
         self.callbacks.connect(self.selector.server)
 
-    def _leave(self, now: int, why: str) -> None:
-        """End the connection ourselves, and go on to another."""
+    def _disconnect(self, now: int, why: str) -> None:
+        """Close the connection, and select another server."""
         self.callbacks.disconnect(why)
-        self._lost(now, why)
+        self._on_connection_ended(now, why)
 
-    def _lost(self, now: int, why: str) -> None:
+    def _on_connection_ended(self, now: int, why: str) -> None:
         self._report("disconnected", server=self.selector.server.name, why=why)
         was_steady = (
-            self.phase in (Phase.GREETING, Phase.FOLLOWING) and now - self._phase_at >= STEADY_CONNECTION
+            self.phase in (Phase.HANDSHAKE, Phase.SUBSCRIBED) and now - self._phase_at >= STEADY_CONNECTION
         )
         self.phase = Phase.WAITING
         self._phase_at = self.selector.failed(now, was_steady)
 
     def _try_nearer(self, now: int) -> None:
-        """One attempt at a nearer server; what is held stays, and where it fails we come back."""
+        """Try a nearer server once; the state is kept, and a failure leads back to the present server."""
         if self.selector.choose_nearer(now):
             self.callbacks.disconnect("nearer server")
             self._report("nearer_server_tried", server=self.selector.server.name)
@@ -210,30 +222,30 @@
     # Messages
 
     def received(self, now: int, message: Message) -> None:
-        """A frame of the server that is followed."""
-        if self.phase not in (Phase.GREETING, Phase.FOLLOWING):
+        """Handle a frame of the connected server."""
+        if self.phase not in (Phase.HANDSHAKE, Phase.SUBSCRIBED):
             return
         self._last_frame = now
-        is_following = self.phase is Phase.FOLLOWING
+        is_subscribed = self.phase is Phase.SUBSCRIBED
         if isinstance(message, Disconnect):
             self.selector.rejected(now, message.retry_after_ms)
-            self._leave(now, f"server disconnected: {message.reason[:MAX_REASON_CHARS]}")
-        elif isinstance(message, HelloAccepted) and not is_following:
+            self._disconnect(now, f"server disconnected: {message.reason[:MAX_REASON_CHARS]}")
+        elif isinstance(message, HelloAccepted) and not is_subscribed:
             self._on_accepted(now, message)
-        elif isinstance(message, Deltas) and is_following:
+        elif isinstance(message, Deltas) and is_subscribed:
             self._on_changes(message.changes)
-        elif isinstance(message, CompleteSnapshot) and is_following:
+        elif isinstance(message, CompleteSnapshot) and is_subscribed:
             self._on_snapshot(now, message.compressed)
-        elif isinstance(message, Heartbeat) and is_following:
+        elif isinstance(message, Heartbeat) and is_subscribed:
             self._on_heartbeat(now, message)
         else:
-            self._leave(now, "unexpected message")
+            self._disconnect(now, "unexpected message")
 
     def _on_accepted(self, now: int, message: HelloAccepted) -> None:
-        if not self._held.is_same_cluster(message.cluster_id):
-            self._leave(now, "other cluster")
+        if not self._accepted_state.is_same_cluster(message.cluster_id):
+            self._disconnect(now, "other cluster")
             return
-        self.phase = Phase.FOLLOWING
+        self.phase = Phase.SUBSCRIBED
         self.selector.accepted(now)
         self._report("subscribed", server=self.selector.server.name)
 
@@ -243,15 +255,15 @@
             if self._leader_heard_at is None or heard_at > self._leader_heard_at:
                 self._leader_heard_at = heard_at
             self._leader = heartbeat.leader
-        self._held.compare_digest(heartbeat)
+        self._accepted_state.compare_digest(heartbeat)
         if 0 <= heartbeat.leader_silence_ms < STALE_MS:
             self.selector.on_leader_contact()
         elif self.selector.avoid_stale(now, self._phase_at):
-            self._leave(now, "stale")
+            self._disconnect(now, "stale")
 
     def _on_changes(self, changes: list[Change]) -> None:
-        """Take what follows; one answer in any case."""
-        request = self._held.apply(changes)
+        """Apply changes, and send exactly one answer."""
+        request = self._accepted_state.apply(changes)
         if request is None:
             self._send_position()
         else:
@@ -263,12 +275,12 @@
             state = FleetState.restore(snapshot)
         except StateError as err:
             self._report("invalid_snapshot", why=str(err))
-            self._leave(now, "invalid snapshot")
+            self._disconnect(now, "invalid snapshot")
             return
-        if not snapshot.cluster_id or not self._held.is_same_cluster(snapshot.cluster_id):
-            self._leave(now, "other cluster")
+        if not snapshot.cluster_id or not self._accepted_state.is_same_cluster(snapshot.cluster_id):
+            self._disconnect(now, "other cluster")
             return
-        self._held.replace(snapshot, state)
+        self._accepted_state.replace(snapshot, state)
         self._send_position()
 
     def _send_position(self) -> None:
@@ -282,13 +294,15 @@
     # For operators
 
     def stale_ms(self, now: int) -> int:
-        """How long ago a leader was last known to be heard by the server followed then, ms; from the first
-        tick on where none ever was. Grows while there is no connection."""
+        """Return the time since the last known contact of a connected server with a leader, ms.
+
+        It counts from the first tick if there was no such contact, and grows while there is no connection.
+        """
         since = self._started_at if self._leader_heard_at is None else self._leader_heard_at
         return 0 if since is None else max(now - since, 0) // 1000
 
     def status(self, now: int) -> SubscriberStatus:
-        """What is in force, from whom, and how stale it may be."""
+        """Return the connection's phase, the state's position and how stale the state may be."""
         server = self.selector.server if self.selector.servers else None
         state = self.state
         return SubscriberStatus(
--- a/cypressledge/controlplane/subscriber_client.py
+++ b/cypressledge/controlplane/subscriber_client.py
@@ -1,7 +1,7 @@
-"""A broker's connection to the control plane: one greenlet around a `ConfigSubscriber`. Uses gevent.
+"""A broker's connection to the control plane: one greenlet that runs a `ConfigSubscriber`. Uses gevent.
 
-It wakes only when something has come or is due, and needs no other greenlet but a writer's for a moment:
-many of them are cheap in one process.
+The greenlet wakes only if a message has arrived or something is due. It needs no other greenlet except, for
+short times, that of a writer, so that many clients in one process are cheap.
 """
 
 from collections.abc import Callable
@@ -29,15 +29,18 @@
 from cypressledge.fleet.clock import LeaseClock
 from cypressledge.fleet.event_log import event_logger
 
-MAX_MESSAGES_PER_TURN = 16  # before other greenlets have their turn
-UNLOGGED_EVENTS = frozenset(("disconnected", "subscribed", "nearer_server_tried"))  # these are counted only
-MAX_SLEEP_S = 4.0  # at a time: a suspended machine's timers stand still
+MAX_MESSAGES_PER_TURN = 16  # messages handled before other greenlets run again
+UNLOGGED_EVENTS = frozenset(("disconnected", "subscribed", "nearer_server_tried"))  # only counted
+MAX_SLEEP_S = 4.0  # seconds; longest sleep, because timers do not advance while a machine is suspended
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriberOptions:
-    """What few callers need. `record`: for the laboratory, a file of what was in force when; `log`: in place
-    of a logger of its own; `seed`: of random waits, in place of the instance id."""
+    """Options that few callers need.
+
+    `record`: path of a file that records, for test runs, which state is in force when; `log`: replaces the
+    client's own logger; `seed`: for random delays, replaces the instance id.
+    """
 
     record: str = ""
     log: EventLogger | None = None
@@ -45,13 +48,15 @@
 
 
 class SubscriberClient:
-    """Follows the control plane for one broker.
+    """Subscribes one broker to the control plane.
 
-    `changed(state, change)` is called by the client's greenlet once a newer state is held (no change: it came
-    as a snapshot); it returns why some of it was rejected, nothing where all is in force. `settled()`, where
-    given, is called once all that came together is held: only then is it in force, and it returns instead.
+    `changed(state, change)` is called by the client's greenlet after each applied change (None: a snapshot).
+    It returns why a part of it was rejected, or nothing if all of it is in force. `message_applied()`, if
+    given, is called once everything in a message is applied: only then is the state in force, and its result
+    replaces that of `changed`.
 
-    Spawn what `loops` names; `stop` ends it."""
+    The caller spawns the functions in `loops`; `stop` ends them.
+    """
 
     def __init__(
         self,
@@ -59,16 +64,16 @@
         settings: ControlSettings,
         counters: Counters,
         changed: Callable[[FleetState, Change | None], str | None],
-        settled: Callable[[], str | None] | None = None,
+        message_applied: Callable[[], str | None] | None = None,
         options: SubscriberOptions | None = None,
     ) -> None:
         options = options or SubscriberOptions()
-        self.changed, self.settled, self.counters = changed, settled, counters
+        self.changed, self.message_applied, self.counters = changed, message_applied, counters
         self.clock, self.traffic = LeaseClock(), TrafficCounters()
         self._log = options.log or event_logger(identity.name, identity.instance_id)
         self._record = ActivityRecord(options.record, {"broker": identity.name, "run": identity.instance_id})
         self._frames: FramedConnection | None = None
-        self._to_dial: Server | None = None
+        self._pending_server: Server | None = None
         self._woken, self._is_stopped = Event(), False
         servers = [Server(s.name, s.address, s.zone, s.region) for s in settings.servers]
         callbacks = SubscriberCallbacks(
@@ -77,7 +82,7 @@
             self._disconnect,
             self._on_changed,
             self._on_event,
-            None if settled is None else partial(self._on_settled, settled),
+            None if message_applied is None else partial(self._on_message_applied, message_applied),
         )
         seed = identity.instance_id if options.seed is None else options.seed
         self.subscriber = ConfigSubscriber(identity, servers, seed, callbacks)
@@ -86,28 +91,28 @@
 
     @property
     def state(self) -> FleetState:
-        """What is in force."""
+        """The state that is held."""
         return self.subscriber.state
 
     def status(self) -> SubscriberStatus:
-        """For operators: what is in force, from whom, and how stale it may be."""
+        """Return the status for operators: server, position and how stale the state may be."""
         return self.subscriber.status(self.clock.now())
 
     def stop(self) -> None:
-        """End the connection; the greenlet ends soon."""
+        """Close the connection; the greenlet ends soon afterwards."""
         self._is_stopped = True
         self._woken.set()
         if self._frames is not None:
             self._frames.close()
 
-    # The greenlet
+    # Main loop
 
     def run(self) -> None:
-        """Until stopped: connect where the subscriber asks, pass on what comes, wait until more is due."""
+        """Connect as the subscriber requests, pass messages to it, and call its ticks, until stopped."""
         while not self._is_stopped:
             due = self.subscriber.tick(self.clock.now())
-            if self._to_dial is not None:
-                server, self._to_dial = self._to_dial, None
+            if self._pending_server is not None:
+                server, self._pending_server = self._pending_server, None
                 self._dial(server)
             else:
                 self._wait(min(max((due - self.clock.now()) / 1e6, 0.0), MAX_SLEEP_S))
@@ -123,7 +128,7 @@
         self.subscriber.connected(self.clock.now())
 
     def _wait(self, seconds: float) -> None:
-        """Until a message has come and been taken, or the time has passed."""
+        """Wait until messages have arrived and been handled, or until the time has passed."""
         frames = self._frames
         if frames is None:
             self._woken.wait(seconds)
@@ -135,7 +140,7 @@
                     break
                 self.subscriber.received(self.clock.now(), message)
                 if self._frames is not frames:
-                    break  # the subscriber has ended it
+                    break  # the subscriber has closed the connection
                 seconds = 0.0
         except ConnectionEndedError as err:
             frames.close()
@@ -150,24 +155,24 @@
             self._frames.send(message)
 
     def _connect(self, server: Server) -> None:
-        self._to_dial = server
+        self._pending_server = server
 
     def _disconnect(self, why: str) -> None:
-        """The subscriber wants no more of this connection; nothing of it may be passed on any more."""
-        self._to_dial = None
+        """Close the connection; none of its messages may be passed to the subscriber afterwards."""
+        self._pending_server = None
         if self._frames is not None:
             self._frames.close()
             self._frames = None
 
     def _on_changed(self, state: FleetState, change: Change | None) -> str | None:
         rejection = self.changed(state, change)
-        if self.settled is None:
-            self._note_in_force()
+        if self.message_applied is None:
+            self._record_in_force()
         return rejection
 
-    def _on_settled(self, settled: Callable[[], str | None]) -> str | None:
-        rejection = settled()
-        self._note_in_force()
+    def _on_message_applied(self, message_applied: Callable[[], str | None]) -> str | None:
+        rejection = message_applied()
+        self._record_in_force()
         return rejection
 
     def _on_event(self, event: str, **fields: object) -> None:
@@ -175,10 +180,10 @@
         if event not in UNLOGGED_EVENTS:
             self._log.info(f"control_{event}", **fields)
 
-    def _note_in_force(self) -> None:
-        """For the laboratory: what is in force from now on."""
+    def _record_in_force(self) -> None:
+        """Record, for test runs, the state that is in force from now on."""
         if self._record.is_open:
-            state = self.subscriber.state  # the complete one: `changed` has taken it by now
+            state = self.subscriber.state  # in force by now: the callbacks have applied it
             self._record.write(
                 "in_force", epoch=state.epoch, version=state.version, digest=state.digest.hex()
             )
