--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -147,7 +147,9 @@
         if self.fleet is None:
             return
         brokers = self.client.state.brokers()
-        self.fleet.name_peers({name: parse_address(broker.address) for name, broker in brokers.items()})
+        self.fleet.set_control_plane_peers(
+            {name: parse_address(broker.address) for name, broker in brokers.items()}
+        )
 
 
 def _listed(name: str, engine: Engine) -> DiscoveredEngine:
--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -43,9 +43,9 @@
 ZONE_MESSAGES = (EngineObservations, FailoverPlan, PlanRequest, ZoneCommand)
 SUMMARY_MESSAGES = (MetricsRequest, BrokerMetrics, FleetSummary)
 URGENT_MESSAGES = (FailoverPlan, ZoneCommand, PlanRequest)
-IDLE_TICK = 1_000_000  # µs between ticks where there is no zone failover: nothing else is due sooner
-KEPT_TURN_TIMES = 4_096  # of the node's turns: minutes, for a percentile that operators can go by
-ZONE_STEPS_WARM = 32  # steps of a share in the time that engines take to warm up, at the least
+IDLE_TICK_INTERVAL = 1_000_000  # µs between ticks without zone failover: nothing else is due sooner
+MAX_TURN_TIMES = 4_096  # of the node's turns: minutes, for a percentile that operators can go by
+MIN_WARM_UP_STEPS = 32  # steps of a share in the time that engines take to warm up, at the least
 
 # Keys of the file that only a restart of all brokers can change.
 FIXED_SETTINGS = (
@@ -84,7 +84,7 @@
         self.summaries = FleetSummaries(
             self.name,
             self._own_metrics,
-            self.node.others,
+            self.node.alive_peers,
             lambda: [peer.name for peer in self.settings.peers],
             self.node.send,
             self.node.now,
@@ -96,7 +96,7 @@
         self.runner = TaskRunner(tasks, self.node.held_lease, self.node.now, budget, self._log_event)
         self.loops = [*self.node.loops, self.runner.schedule]
         counters.gauge("fleet.turn_p99_us", self.node.turn_p99)
-        counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest)
+        counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest_slice)
 
     # Putting together
 
@@ -125,8 +125,8 @@
                 slots=_lease_slots(settings),
                 drift_ppm=settings.drift_ppm,
                 ping_s=settings.ping_s,
-                wall=wall_us() + round(settings.lab.wall_step_s * 1e6),
-                turn_times_kept=KEPT_TURN_TIMES,
+                wall_time=wall_us() + round(settings.lab.wall_step_s * 1e6),
+                max_turn_times=MAX_TURN_TIMES,
             ),
             electorate,
             self.counters,
@@ -166,7 +166,7 @@
         links = FleetLinks(
             now=self.node.now,
             send=self.node.send,
-            living_peers=self.node.others,
+            living_peers=self.node.alive_peers,
             likely_planners=lambda: candidate_order(spec.lease, self.node.membership.alive()),
             log_event=self._log_event,
         )
@@ -183,7 +183,7 @@
         """The file's pace, and what engines bear as the site says it."""
         site, pace = self.core.settings, self.settings.zone_pace
         default = FailoverPace()
-        warm = site.slow_start_window or default.warm_up_time
+        warm_up_time = site.slow_start_window or default.warm_up_time
         return FailoverPace(
             confirmation_time=round(pace.confirmation_time_s * 1e6),
             min_time_out=round(pace.min_time_out_s * 1e6),
@@ -191,8 +191,8 @@
             max_time_out=round(pace.max_time_out_s * 1e6),
             max_utilization=pace.max_utilization,
             cold_capacity=site.slow_start_capacity,
-            warm_up_time=warm,
-            share_step_interval=min(default.share_step_interval, warm // ZONE_STEPS_WARM),
+            warm_up_time=warm_up_time,
+            share_step_interval=min(default.share_step_interval, warm_up_time // MIN_WARM_UP_STEPS),
         )
 
     def _make_task(self, spec: TaskSpec) -> Task:
@@ -201,16 +201,16 @@
                 spec.kind, spec.lease, self.zones.act, PLANNER_STEP_S, spec.time_limit_s, spec.priority
             )
         if spec.kind == "summary":
-            act = self.summaries.run
+            run = self.summaries.run
         else:
-            act = ServiceCall(
+            run = ServiceCall(
                 self.name,
                 parse_address(spec.service_address),
                 spec.calls_per_act,
                 spec.call_interval_s,
                 self.node.token_rejected,
             ).run
-        return Task(spec.kind, spec.lease, act, spec.interval_s, spec.time_limit_s, spec.priority)
+        return Task(spec.kind, spec.lease, run, spec.interval_s, spec.time_limit_s, spec.priority)
 
     def add_operator_calls(self, management: ManagementServer) -> None:
         """Add the operators' calls to their address."""
@@ -223,7 +223,7 @@
         self.turns.tick(now)
         if self.recorder is not None:
             self.recorder.record_renewals()
-        return now + IDLE_TICK if self.zones is None else self.zones.tick(now)
+        return now + IDLE_TICK_INTERVAL if self.zones is None else self.zones.tick(now)
 
     def _lease_changed(self, event: LeaseEvent, lease: str, token: int, why: str) -> None:
         if event is LeaseEvent.ACQUIRED:
@@ -249,7 +249,7 @@
             engine.endpoint.name
             for listed in core.engines.engine_lists.values()
             for engine in listed
-            if engine.entry.state is not EngineState.REMOVED and self._avoids(engine)
+            if engine.entry.state is not EngineState.REMOVED and self._is_avoided(engine)
         ]
         return broker_metrics(
             token,
@@ -260,7 +260,7 @@
             len(core.ledger.requests),
         )
 
-    def _avoids(self, listed: ListedEngine) -> bool:
+    def _is_avoided(self, listed: ListedEngine) -> bool:
         core = self.core
         entry = core.engines.maintenance.effective_entry(listed.endpoint.name, listed.entry)
         if entry.state is not EngineState.READY:
@@ -275,7 +275,7 @@
         it runs out by itself, while the process starts anew."""
         self.node.stop(self.turns.leases_kept_on_stop())
 
-    def name_peers(self, peers: dict[str, tuple[str, int]]) -> None:
+    def set_control_plane_peers(self, peers: dict[str, tuple[str, int]]) -> None:
         """Where the control plane has brokers, from now on; the file's others stay. Kept over a reload:
         guards against taking all that the file doesn't name for gone until they are met again."""
         self.control_plane_peers = peers
@@ -288,7 +288,7 @@
         try:
             settings = read_fleet_settings(self.path)
             self._own_peer(settings)
-            self._check_fixed(settings)
+            self._check_fixed_settings(settings)
             changed = electorate.adopt(self.node.now(), max(settings.voter_sets), dict(settings.voter_sets))
         except (ConfigError, VoterSetError) as err:
             self.counters.add("fleet.reload_failures")
@@ -299,7 +299,7 @@
         self.node.set_slots(_lease_slots(settings))
         self.node.log.info("fleet_reloaded", version=electorate.version, voters_changed=changed)
 
-    def _check_fixed(self, settings: FleetSettings) -> None:
+    def _check_fixed_settings(self, settings: FleetSettings) -> None:
         for key in FIXED_SETTINGS:
             if getattr(settings, key) != getattr(self.settings, key):
                 raise ConfigError(f"{self.path}: another {key} needs a restart of all brokers")
--- a/cypressledge/fleet/clock.py
+++ b/cypressledge/fleet/clock.py
@@ -23,6 +23,6 @@
         """µs on this process's clock."""
         return round(time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1000 * self.rate) + self.offset_us
 
-    def true(self, moment: int) -> int:
+    def to_machine_time(self, moment: int) -> int:
         """A moment of this clock on the machine's own, µs: the laboratory's common scale."""
         return round((moment - self.offset_us) / self.rate)
--- a/cypressledge/fleet/datagram_transport.py
+++ b/cypressledge/fleet/datagram_transport.py
@@ -30,15 +30,15 @@
 Address = tuple[str, int]
 
 MAX_INBOX = 1_024  # envelopes that wait to be handled
-RATE = 400.0  # datagrams a second from one address, in the long run
-BURST = 800.0  # datagrams
-MAX_ADDRESSES = 512  # of no peer's; a peer's own has a bucket besides
-BUCKET_IDLE = 60_000_000  # µs after which a bucket may be freed: it is full again long before
+MAX_RATE = 400.0  # datagrams a second from one address, in the long run
+MAX_BURST = 800.0  # datagrams
+MAX_OTHER_BUCKETS = 512  # of no peer's; a peer's own has a bucket besides
+BUCKET_IDLE_TIMEOUT = 60_000_000  # µs after which a bucket may be freed: it is full again long before
 SWEEP_INTERVAL = 1_000_000  # µs between searches for such
 SHARED_ADDRESS = ("", 0)  # the key of the bucket that all further addresses share
 TARGET_DATAGRAM_BYTES = 1_200  # that a datagram is filled up to: under any path's MTU
 MAX_ITEMS_PER_DATAGRAM = 64
-MAX_DRAIN = 256  # datagrams received in one go
+MAX_DATAGRAMS_PER_DRAIN = 256  # datagrams received in one go
 RECEIVE_BUFFER_BYTES = 1 << 20
 
 
@@ -55,12 +55,12 @@
 class TokenBucket:
     """What one address may still send: refilled with time."""
 
-    level: float = BURST
+    level: float = MAX_BURST
     refilled_at: int = 0
 
     def admit(self, now: int) -> bool:
         """Whether one more datagram is admitted at `now` (µs)."""
-        self.level = min(BURST, self.level + (now - self.refilled_at) * RATE / 1e6)
+        self.level = min(MAX_BURST, self.level + (now - self.refilled_at) * MAX_RATE / 1e6)
         self.refilled_at = now
         if self.level < 1:
             return False
@@ -160,10 +160,10 @@
             self.drained.wait()
 
     def drain(self) -> int:
-        """Receive what has come, up to `MAX_DRAIN` datagrams; the number received."""
+        """Receive what has come, up to `MAX_DATAGRAMS_PER_DRAIN` datagrams; the number received."""
         self.received.clear()
         self.drained.set()
-        for count in range(MAX_DRAIN):
+        for count in range(MAX_DATAGRAMS_PER_DRAIN):
             try:
                 raw, source = self.sock._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
@@ -172,7 +172,7 @@
                 self.counters.add("fleet.read_errors")  # an ICMP answer to something sent, most likely
                 continue
             self.receive(raw, source)
-        return MAX_DRAIN
+        return MAX_DATAGRAMS_PER_DRAIN
 
     def receive(self, raw: bytes, source: Address) -> None:
         """Take one datagram into the inbox, or count why not."""
@@ -199,9 +199,9 @@
         nor lock out a peer: its own bucket waits for it."""
         bucket = self.peer_buckets.get(source) or self.other_buckets.get(source)
         if bucket is None:
-            if len(self.other_buckets) >= MAX_ADDRESSES and now - self.swept_at >= SWEEP_INTERVAL:
+            if len(self.other_buckets) >= MAX_OTHER_BUCKETS and now - self.swept_at >= SWEEP_INTERVAL:
                 self._sweep(now)
-            if len(self.other_buckets) >= MAX_ADDRESSES:
+            if len(self.other_buckets) >= MAX_OTHER_BUCKETS:
                 source = SHARED_ADDRESS
             bucket = self.other_buckets.setdefault(source, TokenBucket(refilled_at=now))
         return bucket
@@ -210,5 +210,5 @@
         """Free the buckets of addresses long silent: machines that were replaced."""
         self.swept_at = now
         self.other_buckets = {
-            a: b for a, b in self.other_buckets.items() if now - b.refilled_at < BUCKET_IDLE
+            a: b for a, b in self.other_buckets.items() if now - b.refilled_at < BUCKET_IDLE_TIMEOUT
         }
--- a/cypressledge/fleet/lease_recorder.py
+++ b/cypressledge/fleet/lease_recorder.py
@@ -37,6 +37,6 @@
             return
         else:
             self.recorded_until[lease] = grant.expires_at
-            line = {"lease": lease, "token": grant.token, "until": clock.true(grant.expires_at)}
+            line = {"lease": lease, "token": grant.token, "until": clock.to_machine_time(grant.expires_at)}
         line |= {"broker": self.node.name, "run": self.node.instance_id, "at": LeaseClock().now()}
         self.file.write(json.dumps(line) + "\n")
--- a/cypressledge/fleet/leases/electorate.py
+++ b/cypressledge/fleet/leases/electorate.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-FLOORS_KEPT = 4  # of each voter, newest last: more than one change at a time does not settle
+MAX_VERSIONS_KEPT = 4  # of each voter, newest last: more than one change at a time does not settle
 
 
 class VoterSetError(ValueError):
@@ -52,7 +52,7 @@
         known = self.oldest_accepted_by.setdefault(name, [])
         if not known or oldest_accepted > known[-1][0]:
             known.append((oldest_accepted, now))
-            del known[:-FLOORS_KEPT]
+            del known[:-MAX_VERSIONS_KEPT]
 
     def retain(self, names: Collection[str]) -> None:
         """Drop what is known of brokers other than these and the voters of any version. Guards against a map
@@ -97,13 +97,13 @@
         if version > self.version + 1:
             raise VoterSetError(f"voters version {version} is more than one change from {self.version}")
         check_voter_sets({self.version: self.voters, version: voter_sets[version]})
-        if not self._may_be_followed(now):
+        if not self._is_change_allowed(now):
             raise VoterSetError(f"voters version {self.version} has not settled yet; wait a term, then again")
         self.voter_sets[version] = voter_sets[version]
         self.version, self.adopted_at = version, now
         return True
 
-    def _may_be_followed(self, now: int) -> bool:
+    def _is_change_allowed(self, now: int) -> bool:
         return self.version == min(self.voter_sets) or self.is_settled(now, self.version)
 
 
--- a/cypressledge/fleet/leases/lease_manager.py
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -31,10 +31,10 @@
     VoteRequest,
 )
 
-TIMER_PHASES = 10_000 * MS  # brokers' timers are spread over this
+TIMER_PHASE_RANGE = 10_000 * MS  # brokers' timers are spread over this
 TOKEN_RECOVERY_DELAY = 20 * MS  # from a voter's start to its first questions
 MAX_TICK_INTERVAL = 1_000 * MS
-USUAL_REJECTIONS = (RejectionReason.HELD, RejectionReason.TOKEN)  # competition for a lease; no event
+EXPECTED_REJECTIONS = (RejectionReason.HELD, RejectionReason.TOKEN)  # competition for a lease; no event
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
             electorate=electorate,
             voter=self.voter,
             random=generator,
-            timer_phase=generator.randrange(TIMER_PHASES),
+            timer_phase=generator.randrange(TIMER_PHASE_RANGE),
             send=send,
             on_event=on_event,
             alive=frozenset({name}),
@@ -119,7 +119,7 @@
         if alive == context.alive:
             return
         context.alive = alive
-        context.orders.clear()
+        context.candidate_orders.clear()
         self.next_due_at = 0
         for participation in self.participations.values():
             if (
@@ -182,14 +182,14 @@
             if participation.slot.group == group:
                 self.release(participation.slot.lease, now, "request withdrawn")
 
-    def release(self, lease: str, now: int, reason: str, rest: int = 0) -> bool:
+    def release(self, lease: str, now: int, reason: str, cooldown: int = 0) -> bool:
         """Release a lease; the next candidates are notified. Whatever was done under it must have ended.
-        `rest`: µs in which this broker does not request it again. Whether it was held."""
+        `cooldown`: µs in which this broker does not request it again. Whether it was held."""
         participation = self.participations.get(lease)
         if participation is None or participation.phase is ParticipationPhase.IDLE:
             return False
         self.next_due_at = 0
-        return participation.release(now, reason, rest)
+        return participation.release(now, reason, cooldown)
 
     def token_rejected(self, lease: str, token: int, now: int) -> None:
         """The resource acted on knows a higher token: release, and acquire under one above it."""
@@ -223,7 +223,7 @@
         if answer is None:
             return
         self.context.send(sender, answer)
-        if isinstance(answer, VoteRejected) and answer.reason not in USUAL_REJECTIONS:
+        if isinstance(answer, VoteRejected) and answer.reason not in EXPECTED_REJECTIONS:
             self.context.on_event(LeaseEvent.VOTE_REJECTED, request.lease, request.token, answer.reason)
 
     def _status(self, now: int, request: LeaseStatusRequest) -> LeaseStatus:
--- a/cypressledge/fleet/leases/participation.py
+++ b/cypressledge/fleet/leases/participation.py
@@ -28,10 +28,10 @@
 MS = 1_000
 FAST_RETRIES = 5  # attempts in quick succession after a hint that a lease is free
 MAX_SPLIT_VOTES = 4  # split votes in a row that lengthen the pause before the next attempt
-STATUS_TIMEOUT = 500 * MS  # the longest wait for answers to a status request or a vote request
+MAX_ANSWER_TIMEOUT = 500 * MS  # the longest wait for answers to a status request or a vote request
 MAX_STAGGER = 100 * MS  # the longest lead that one candidate has over the next
 # Reasons that no attempt of this process can change before the voter itself changes.
-WAIT_FOR_VOTER = (
+VOTER_UNAVAILABLE_REASONS = (
     RejectionReason.VOTING_QUARANTINE,
     RejectionReason.VOTERS_VERSION,
     RejectionReason.CAPACITY,
@@ -64,7 +64,7 @@
     stopping: bool = False
     requested_groups: set[str] = field(default_factory=set)  # groups on demand that this broker requests
     participations: "dict[str, LeaseParticipation]" = field(default_factory=dict)
-    orders: dict[str, list[str]] = field(default_factory=dict)  # candidates by lease, of those alive
+    candidate_orders: dict[str, list[str]] = field(default_factory=dict)  # by lease, of those alive
 
     def jitter(self, limit: int) -> int:
         """A random duration below `limit`, µs."""
@@ -72,9 +72,11 @@
 
     def candidates(self, slot: LeaseSlot) -> list[str]:
         """The candidates for a lease among those alive, first to last."""
-        found = self.orders.get(slot.lease)
+        found = self.candidate_orders.get(slot.lease)
         if found is None:
-            found = self.orders[slot.lease] = candidate_order(slot.lease, self.alive, slot.candidates)
+            found = self.candidate_orders[slot.lease] = candidate_order(
+                slot.lease, self.alive, slot.candidates
+            )
         return found
 
     def candidate_rank(self, slot: LeaseSlot) -> int | None:
@@ -127,16 +129,17 @@
             acquisition.expires_at(),
         )
 
-    def release(self, now: int, reason: str, rest: int = 0) -> bool:
+    def release(self, now: int, reason: str, cooldown: int = 0) -> bool:
         """Release the lease, or an attempt at it; the next candidates are notified. Whatever was done under
-        it must have ended. `rest`: µs in which this broker does not request it again. Whether it was held."""
+        it must have ended. `cooldown`: µs in which this broker does not request it again. Whether it was
+        held."""
         if self.phase is ParticipationPhase.IDLE:
             return False
         was_held = self.phase is ParticipationPhase.HELD
         token = self.acquisition.token
         self._send_release()
         self.fast_retries = 0
-        self._rest(now, max(rest, self.slot.term))
+        self._become_idle(now, max(cooldown, self.slot.term))
         if not was_held:
             return False
         if not self.slot.on_demand:
@@ -163,7 +166,7 @@
         elif isinstance(item, LeaseStatus):
             self._receive_status(now, sender, item)
         else:
-            self._receive_hint(now, item)
+            self._receive_release_notice(now, item)
 
     def _receive_rejection(self, now: int, sender: str, item: VoteRejected) -> None:
         self.acquisition.record_rejection(sender, item)
@@ -171,7 +174,7 @@
         if requesting and self.acquisition.cannot_win(self.context.alive):
             self._end_attempt(now)
 
-    def _receive_hint(self, now: int, item: LeaseReleased) -> None:
+    def _receive_release_notice(self, now: int, item: LeaseReleased) -> None:
         """The lease is free, as its holder says: request votes soon, each candidate in its turn."""
         self.acquisition.observe_token(item.token)
         if self.phase is ParticipationPhase.IDLE and self._may_request():
@@ -215,21 +218,21 @@
         if self.phase is ParticipationPhase.HELD and not self.acquisition.is_held(now):
             self._lose(now)
         if now >= self.due_at:
-            self._do_what_is_due(now)
+            self._run_due_action(now)
         if self.phase is ParticipationPhase.HELD:
             return min(self.due_at, self.acquisition.expires_at())
         return self.due_at
 
-    def _do_what_is_due(self, now: int) -> None:
+    def _run_due_action(self, now: int) -> None:
         if self.phase is ParticipationPhase.HELD:
             self._send_vote_requests(now)
             self.due_at = self.context.align_timer(now, self._renewal_interval())
         elif self.phase is ParticipationPhase.REQUESTING_VOTES:
             self._end_attempt(now)
         elif not self._may_request():
-            self._rest(now, self.slot.term)
+            self._become_idle(now, self.slot.term)
         elif self.phase is ParticipationPhase.QUERYING_STATUS:
-            self._rest(now, self.slot.term // 2)
+            self._become_idle(now, self.slot.term // 2)
             self._evaluate_statuses(now, timed_out=True)
         elif self.fast_retries:
             self._start_attempt(now)
@@ -270,30 +273,30 @@
 
     def _answer_timeout(self) -> int:
         """µs that voters have to answer a status request or a vote request."""
-        return min(self.slot.term // 6, STATUS_TIMEOUT)
+        return min(self.slot.term // 6, MAX_ANSWER_TIMEOUT)
 
     def _evaluate_statuses(self, now: int, timed_out: bool = False) -> None:
         """Request votes as soon as a majority is free; rest once all that are alive have answered, or the
         query has `timed_out`: a voter in quarantine may answer before those that are free."""
         electorate, statuses = self.context.electorate, self.statuses
-        waits = sorted(map(self._wait_for_voter, statuses.values()))
+        waits = sorted(map(self._time_until_vote, statuses.values()))
         if len(waits) < electorate.majority:
             return
-        self.known_holder = self._holder_by_statuses()
+        self.known_holder = self._holder_from_statuses()
         wait = waits[electorate.majority - 1]
         if wait <= 0:
-            self._request_in_turn(now)
+            self._request_votes_by_rank(now)
         elif timed_out or all(v in statuses for v in electorate.voters if v in self.context.alive):
             self._wait_for_expiry(now, wait)
 
-    def _holder_by_statuses(self) -> str:
+    def _holder_from_statuses(self) -> str:
         """The holder that most voters name, where a majority names any; else empty."""
         holders = [status.holder for status in self.statuses.values() if status.holder]
         if len(holders) < self.context.electorate.majority:
             return ""
         return max(sorted(set(holders)), key=holders.count)
 
-    def _wait_for_voter(self, status: LeaseStatus) -> int:
+    def _time_until_vote(self, status: LeaseStatus) -> int:
         """µs until a voter may vote for this process. A vote for a former instance is another process's."""
         own = status.holder == self.context.name and self.acquisition.round > 0
         return max(0 if own else status.remaining, status.voting_quarantine)
@@ -304,16 +307,16 @@
         # A far expiry is queried a little early, on a timer moment; the last query times the request.
         interval = self._renewal_interval()
         early = (now + wait + self.context.timer_phase) % interval
-        self._rest(now, wait - early if wait - early > interval // 2 else wait)
+        self._become_idle(now, wait - early if wait - early > interval // 2 else wait)
 
-    def _request_in_turn(self, now: int) -> None:
+    def _request_votes_by_rank(self, now: int) -> None:
         """Request votes at once if first candidate; the others leave the first a lead."""
         stagger = self._stagger()
         if self.slot.on_demand or not self.context.candidate_rank(self.slot) or self.fast_retries:
             self._start_attempt(now)
         else:
             self.fast_retries = 1
-            self._rest(now, stagger)
+            self._become_idle(now, stagger)
 
     def _stagger(self) -> int:
         """µs that this broker leaves the candidates before it."""
@@ -327,7 +330,7 @@
         if self._send_vote_requests(now):
             self.due_at = now + self._answer_timeout()
         else:
-            self._rest(now, self.slot.term // 2)
+            self._become_idle(now, self.slot.term // 2)
 
     def _send_vote_requests(self, now: int) -> bool:
         """Begin a round; whether the voter set may be used."""
@@ -345,17 +348,17 @@
         reason = rejections[-1].reason if rejections else "no answer"
         self._send_release()
         context.on_event(LeaseEvent.ACQUISITION_FAILED, self.slot.lease, acquisition.token, reason)
-        pause = self._pause_after(rejections, reason)
-        self._rest(now, pause + context.jitter(50 * MS))
+        delay = self._retry_delay(rejections, reason)
+        self._become_idle(now, delay + context.jitter(50 * MS))
 
-    def _pause_after(self, rejections: list[VoteRejected], reason: str) -> int:
+    def _retry_delay(self, rejections: list[VoteRejected], reason: str) -> int:
         """µs to rest after a lost attempt."""
         term = self.slot.term
         if rejections and all(r.reason == RejectionReason.TOKEN for r in rejections):
             return 0  # a higher token is known now
         if self.fast_retries:
             return 10 * MS + self.context.jitter(30 * MS)
-        if reason in WAIT_FOR_VOTER:
+        if reason in VOTER_UNAVAILABLE_REASONS:
             return min(max(r.remaining for r in rejections) or term // 2, term)
         if reason == RejectionReason.HELD:
             # It was free when it was queried: a split vote. Query again soon, and not all at the same time.
@@ -372,10 +375,10 @@
         token = self.acquisition.token
         self._send_release()
         self.known_holder = ""
-        self._rest(now, self.context.jitter(100 * MS))
+        self._become_idle(now, self.context.jitter(100 * MS))
         self.context.on_event(LeaseEvent.LOST, self.slot.lease, token, "no majority renewed it in time")
 
-    def _rest(self, now: int, pause: int) -> None:
+    def _become_idle(self, now: int, duration: int) -> None:
         """Do nothing about the lease for `pause` µs."""
         self.phase = ParticipationPhase.IDLE
-        self.due_at = now + pause
+        self.due_at = now + duration
--- a/cypressledge/fleet/membership.py
+++ b/cypressledge/fleet/membership.py
@@ -16,9 +16,9 @@
 from cypressledge.fleet.clock import NEVER
 from cypressledge.fleet.messages import Ack, AnyItem, GossipUpdate, IndirectPing, Ping
 
-MAX_UPDATES = 24  # on one ping, but for the first to a broker that has just started
-MAX_FIRST_UPDATES = 96  # on that first one: under a datagram's bound whatever the names
-ANNOUNCE_TARGETS = 8  # peers that a process that starts pings at once, in fleets
+MAX_PING_UPDATES = 24  # on one ping, but for the first to a broker that has just started
+MAX_UPDATES_TO_NEW_PEER = 96  # on that first one: under a datagram's bound whatever the names
+MIN_ANNOUNCE_TARGETS = 8  # peers that a process that starts pings at once, in fleets
 ANNOUNCE_FLEET_SIZE = 200  # of this size; in larger ones as many more
 LEAVE_TARGETS = 8  # peers that are notified when this broker leaves
 INDIRECT_PINGS = 3  # peers that are asked to ping another
@@ -130,8 +130,8 @@
         member = self.members.get(name)
         if member is None:
             return False
-        does_not_know = incarnation == member.incarnation and member.state == GONE and member.last_heard_at
-        if incarnation < member.incarnation or does_not_know:
+        is_unaware = incarnation == member.incarnation and member.state == GONE and member.last_heard_at
+        if incarnation < member.incarnation or is_unaware:
             self._notify_ignored(now, member)
             return False
         member.last_heard_at = now
@@ -244,7 +244,7 @@
         """At the start: ping some peers at once, whose answers tell of all others: each of as many as an
         answer has room for, so with more peers more are pinged."""
         names = list(self.members)
-        count = max(ANNOUNCE_TARGETS, ANNOUNCE_TARGETS * len(names) // ANNOUNCE_FLEET_SIZE)
+        count = max(MIN_ANNOUNCE_TARGETS, MIN_ANNOUNCE_TARGETS * len(names) // ANNOUNCE_FLEET_SIZE)
         for name in self.random.sample(names, min(count, len(names))):
             self.send(name, Ping(0, [self._own_update(ALIVE)]))
 
@@ -272,7 +272,7 @@
         own = self._own_update(GONE if self.leaving else ALIVE)
         if self._has_just_started(self.members.get(recipient)):
             known = [m for m in self.members.values() if m.incarnation]
-            sample = self.random.sample(known, min(MAX_FIRST_UPDATES, len(known)))
+            sample = self.random.sample(known, min(MAX_UPDATES_TO_NEW_PEER, len(known)))
             return [own, *map(self._update_of, sample)]
         names = self._take_gossip()
         return [own, *(self._update_of(self.members[n]) for n in names if n in self.members)]
@@ -287,8 +287,8 @@
     def _take_gossip(self) -> list[str]:
         """The members whose updates were sent least often; they count as sent once more."""
         names = list(self.transmissions_left)
-        if len(names) > MAX_UPDATES:
-            names = sorted(names, key=self.transmissions_left.__getitem__, reverse=True)[:MAX_UPDATES]
+        if len(names) > MAX_PING_UPDATES:
+            names = sorted(names, key=self.transmissions_left.__getitem__, reverse=True)[:MAX_PING_UPDATES]
         for name in names:
             self.transmissions_left[name] -= 1
             if self.transmissions_left[name] <= 0:
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -43,7 +43,7 @@
 FLOOD_DATAGRAMS = 32  # datagrams or more have been received at once
 MAX_SLEEP_S = 1.0  # that the owner sleeps at a time: a suspended machine's timers stand still
 INSTANCE_ID_BITS = 62
-TURN_TIMES_KEPT = 256
+DEFAULT_MAX_TURN_TIMES = 256
 MEMBERSHIP_ITEMS = get_args(MembershipItem)
 LEASE_ITEMS = get_args(LeaseItem)
 URGENT_ITEMS = frozenset((LeaseReleased, ReleaseLease, VoteRejected, IndirectPing))
@@ -59,8 +59,8 @@
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
     """How a node takes part. `listen`: its own fleet socket; `addresses`: the peers' (its own name among them
-    is ignored). `instance_id`: 0 for a new one; `wall`: µs of the wall clock, for the incarnation and tokens,
-    0 for the machine's."""
+    is ignored). `instance_id`: 0 for a new one; `wall_time`: µs of the wall clock, for the incarnation and
+    tokens, 0 for the machine's."""
 
     listen: Address
     addresses: Mapping[str, Address]
@@ -68,8 +68,8 @@
     drift_ppm: int
     ping_s: float
     instance_id: int = 0
-    wall: int = 0
-    turn_times_kept: int = TURN_TIMES_KEPT
+    wall_time: int = 0
+    max_turn_times: int = DEFAULT_MAX_TURN_TIMES
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,36 +129,36 @@
         self.urgent = URGENT_ITEMS | frozenset(hooks.urgent)
         self.transport = DatagramTransport(name, settings.listen, counters, clock.now, self._sender_state)
         self.transport.set_peers(self._without_itself(settings.addresses))
-        wall = settings.wall or wall_us()
-        self.membership = self._make_membership(settings, wall)
-        self.lease_manager = self._make_lease_manager(settings, wall)
+        wall_time = settings.wall_time or wall_us()
+        self.membership = self._make_membership(settings, wall_time)
+        self.lease_manager = self._make_lease_manager(settings, wall_time)
         self.voters_versions: dict[str, int] = {}  # by peer, as last heard
         self.pending_events: list[LeaseEventRecord] = []
         self.loops = [self.transport.read, self.run]  # to be spawned as greenlets
-        self.owner: gevent.Greenlet | None = None  # runs `run`
+        self.loop_greenlet: gevent.Greenlet | None = None  # runs `run`
         self.stopped = False
         self.in_turn = False
         self.turn_started_ns = 0
         # µs that others may have to wait for a turn
-        self.turn_times: deque[int] = deque(maxlen=settings.turn_times_kept)
+        self.turn_times: deque[int] = deque(maxlen=settings.max_turn_times)
 
-    def _make_membership(self, settings: NodeSettings, wall: int) -> Membership:
+    def _make_membership(self, settings: NodeSettings, wall_time: int) -> Membership:
         return Membership(
             self.name,
             list(settings.addresses),
-            wall // 1000,
+            wall_time // 1000,
             round(settings.ping_s * 1e6),
             self.instance_id,
             self.transport.send,
             self._member_changed,
         )
 
-    def _make_lease_manager(self, settings: NodeSettings, wall: int) -> LeaseManager:
+    def _make_lease_manager(self, settings: NodeSettings, wall_time: int) -> LeaseManager:
         return LeaseManager(
             self.name,
             self.instance_id,
             self.electorate,
-            LeaseSettings(settings.slots, settings.drift_ppm, base_token=wall, seed=self.instance_id),
+            LeaseSettings(settings.slots, settings.drift_ppm, base_token=wall_time, seed=self.instance_id),
             self.clock.now(),
             self.transport.send,
             self._lease_event,
@@ -187,7 +187,7 @@
         """All that can be counted on, this one too."""
         return self.membership.alive()
 
-    def others(self) -> list[str]:
+    def alive_peers(self) -> list[str]:
         """All others that can be counted on, sorted."""
         return sorted(self.membership.alive() - {self.name})
 
@@ -226,7 +226,7 @@
 
     def run(self) -> None:
         """A greenlet: handles what was received, does what is due, sends what that made."""
-        self.owner = gevent.getcurrent()
+        self.loop_greenlet = gevent.getcurrent()
         if self.stopped:  # before it has begun
             return
         self.log.info(
@@ -362,12 +362,12 @@
 
     # Releasing leases, and stopping
 
-    def release(self, lease: str, reason: str, rest_s: float = 0.0) -> bool:
-        """End what is done under a lease, then release it. `rest_s`: seconds in which it is not requested
+    def release(self, lease: str, reason: str, cooldown_s: float = 0.0) -> bool:
+        """End what is done under a lease, then release it. `cooldown_s`: seconds in which it is not requested
         again. Whether it was held, and has been released."""
         if not self.hooks.end_work(lease):
             return False  # work goes on: the lease has to expire with it
-        released = self.lease_manager.release(lease, self.clock.now(), reason, round(rest_s * 1e6))
+        released = self.lease_manager.release(lease, self.clock.now(), reason, round(cooldown_s * 1e6))
         self._report_lease_events()
         self.transport.flush()
         return released
@@ -394,6 +394,6 @@
         """End without notice, as a process does that is killed: greenlets and socket. After `stop` the
         process leaves in good order."""
         self.stopped = True
-        if self.owner is not None:
-            self.owner.kill()
+        if self.loop_greenlet is not None:
+            self.loop_greenlet.kill()
         self.transport.close()
--- a/cypressledge/fleet/operator_api.py
+++ b/cypressledge/fleet/operator_api.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from cypressledge.fleet.broker_integration import FleetIntegration
 
-GIVE_BACK_REST_TERMS = 3  # longest terms in which a lease given back by hand is not asked for again
+RELEASE_COOLDOWN_TERMS = 3  # longest terms in which a lease given back by hand is not asked for again
 
 
 class FleetOperatorApi:
@@ -26,13 +26,13 @@
     def register(self, management: ManagementServer) -> None:
         """Add the calls to the management address."""
         fleet = self.fleet
-        management.add("/fleet/peers", "GET", _shows(self.peers))
-        management.add("/fleet/leases", "GET", _shows(self.leases))
-        management.add("/fleet/tasks", "GET", _shows(self.tasks))
-        management.add("/fleet/summary", "GET", _shows(fleet.summaries.answer))
-        management.add("/fleet/give-back", "POST", self._give_back)
+        management.add("/fleet/peers", "GET", _json_handler(self.peers))
+        management.add("/fleet/leases", "GET", _json_handler(self.leases))
+        management.add("/fleet/tasks", "GET", _json_handler(self.tasks))
+        management.add("/fleet/summary", "GET", _json_handler(fleet.summaries.answer))
+        management.add("/fleet/give-back", "POST", self._release_lease)
         management.add("/fleet/turn", "POST", lambda r: self._turn(r, fleet.turns.request))
-        management.add("/fleet/turn/over", "POST", lambda r: self._turn(r, fleet.turns.give_up))
+        management.add("/fleet/turn/over", "POST", lambda r: self._turn(r, fleet.turns.end_turn))
         if fleet.zones is not None:
             ZoneOperatorApi(fleet.zones, fleet.node.log).register(management)
 
@@ -99,31 +99,31 @@
                 failed=task.failed,
                 priority=task.priority,
                 cpu_ms=round(runner.budget.spent / 1e3, 2),
-                longest_step_ms=round(runner.budget.longest / 1e3, 3),
+                longest_step_ms=round(runner.budget.longest_slice / 1e3, 3),
                 turn_p99_ms=self.fleet.node.turn_p99() / 1e3,
             )
             for task in runner.tasks
         ]
 
-    def _give_back(self, request: HttpRequest) -> Answer:
+    def _release_lease(self, request: HttpRequest) -> Answer:
         node = self.fleet.node
         lease = _text(request)
         if lease not in node.lease_manager.participations:
             return 404, b"no such lease\n"
-        rest_s = GIVE_BACK_REST_TERMS * self.fleet.settings.longest_term / 1e6
-        if not node.release(lease, "by hand", rest_s=rest_s):
+        cooldown_s = RELEASE_COOLDOWN_TERMS * self.fleet.settings.longest_term / 1e6
+        if not node.release(lease, "by hand", cooldown_s=cooldown_s):
             return 409, b"not held here\n"
         return 200, f"{lease} given back\n".encode()
 
-    def _turn(self, request: HttpRequest, act: Callable[[str], RestartTurn]) -> Answer:
+    def _turn(self, request: HttpRequest, action: Callable[[str], RestartTurn]) -> Answer:
         group = _text(request)
         participations = self.fleet.node.lease_manager.participations.values()
         if not any(p.slot.group == group and p.slot.on_demand for p in participations):
             return 404, b"no lease of this name that is asked for by wish\n"
-        return 200, to_body(act(group))
+        return 200, to_body(action(group))
 
 
-def _shows(read: Callable[[], Body]) -> Callable[[HttpRequest], Answer]:
+def _json_handler(read: Callable[[], Body]) -> Callable[[HttpRequest], Answer]:
     """A call that answers with what `read` gives, as JSON."""
     return lambda request: (200, to_body(read()))
 
--- a/cypressledge/fleet/restart_turns.py
+++ b/cypressledge/fleet/restart_turns.py
@@ -32,7 +32,7 @@
         self.tick(self.node.now())
         return self._status(group)
 
-    def give_up(self, group: str) -> RestartTurn:
+    def end_turn(self, group: str) -> RestartTurn:
         """A turn, or the request for one, is over; how it stands."""
         self.requested_groups.discard(group)
         self.node.release_group(group)
--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -34,7 +34,7 @@
     zone: str = ""
 
 
-class Voters(StrictStruct, frozen=True):
+class VoterSet(StrictStruct, frozen=True):
     """One version of the voter set."""
 
     version: Annotated[int, msgspec.Meta(ge=1)]
@@ -104,7 +104,7 @@
         return round(self.duration_s * 1e6)
 
 
-class Lab(StrictStruct, frozen=True):
+class SimulationSettings(StrictStruct, frozen=True):
     """For the laboratory alone: clocks of another rate and offset, and a file of what was held when."""
 
     clock_rate: Annotated[float, msgspec.Meta(ge=0.5, le=2)] = 1.0
@@ -120,7 +120,7 @@
     take; `listen`: where the own address can't be bound."""
 
     peers: list[Peer]
-    voters: list[Voters]
+    voters: list[VoterSet]
     leases: list[LeaseSpec] = []
     tasks: list[TaskSpec] = []
     term_s: Seconds = 3.0
@@ -132,7 +132,7 @@
     listen: str = ""
     zone_pace: ZonePaceSettings = ZonePaceSettings()
     regions: list[Region] = []
-    lab: Lab = Lab()
+    lab: SimulationSettings = SimulationSettings()
 
     @property
     def longest_term(self) -> int:
@@ -141,7 +141,7 @@
 
     @property
     def voter_sets(self) -> Mapping[int, tuple[str, ...]]:
-        """Voters by the version of their set."""
+        """VoterSet by the version of their set."""
         return {v.version: tuple(v.names) for v in self.voters}
 
     def term_of(self, spec: LeaseSpec) -> int:
@@ -195,12 +195,12 @@
     _check_leases(settings)
 
 
-def require_unique(values: list, what: str) -> None:
+def require_unique(values: list, label: str) -> None:
     """Raises `ConfigError` where a value is there twice."""
     seen = set()
     for value in values:
         if value in seen:
-            raise ConfigError(f"{what} {value} is named twice")
+            raise ConfigError(f"{label} {value} is named twice")
         seen.add(value)
 
 
--- a/cypressledge/fleet/tasks/cpu_budget.py
+++ b/cypressledge/fleet/tasks/cpu_budget.py
@@ -15,24 +15,24 @@
 
 @dataclass(slots=True)
 class CpuBudget:
-    """Processor time as it may be spent. `share`: of one core; `slice_us`: at once; `spent`, `longest` in
-    µs."""
+    """Processor time as it may be spent. `share`: of one core; `slice_us`: at once; `spent`,
+    `longest_slice` in µs."""
 
     share: float
     slice_us: int = 300
     overruns: int = 0
-    longest: int = 0
+    longest_slice: int = 0
     spent: int = 0
     next_slice_at: int = 0
 
     def spend(self, now: int, used: int) -> None:
         """Account for a slice of `used` µs that has just been run."""
         self.spent += used
-        self.longest = max(self.longest, used)
+        self.longest_slice = max(self.longest_slice, used)
         self.overruns += used > OVERRUN_FACTOR * self.slice_us
         self.next_slice_at = max(now, self.next_slice_at) + round(used / self.share)
 
-    def wait(self, now: int) -> int:
+    def time_until_next_slice(self, now: int) -> int:
         """µs until the next slice may be run."""
         return max(0, self.next_slice_at - now)
 
--- a/cypressledge/fleet/tasks/fleet_summary.py
+++ b/cypressledge/fleet/tasks/fleet_summary.py
@@ -11,9 +11,9 @@
 from cypressledge.fleet.operator_answers import SummaryAnswer
 from cypressledge.fleet.tasks.task_runner import TaskSteps
 
-GATHER_S = 0.4  # seconds that brokers have to send their metrics
+COLLECTION_WINDOW_S = 0.4  # seconds that brokers have to send their metrics
 PEERS_PER_STEP = 16  # that are sent a message in one step
-COUNTS = ("success", "overload", "error", "dispatches")  # of a class, in this order
+COUNT_NAMES = ("success", "overload", "error", "dispatches")  # of a class, in this order
 MAX_ENGINES = 128  # engines that a summary names: those that most brokers avoid
 
 
@@ -26,7 +26,9 @@
     open_requests: int,
 ) -> BrokerMetrics:
     """A broker's own metrics, from its counters."""
-    counts_by_class = {cls: [counts.get(f"replies.{cls}.{name}", 0) for name in COUNTS] for cls in classes}
+    counts_by_class = {
+        cls: [counts.get(f"replies.{cls}.{name}", 0) for name in COUNT_NAMES] for cls in classes
+    }
     avoided = sorted(avoided_engines)[:MAX_ENGINES]
     return BrokerMetrics(token, counts_by_class, avoided, ready_engines, open_requests)
 
@@ -53,12 +55,12 @@
         avoided: dict[str, int] = {}
         for metrics in self.received.values():
             for cls, values in metrics.counts_by_class.items():
-                if len(values) == len(COUNTS):
-                    sums = counts_by_class.setdefault(cls, [0] * len(COUNTS))
+                if len(values) == len(COUNT_NAMES):
+                    sums = counts_by_class.setdefault(cls, [0] * len(COUNT_NAMES))
                     counts_by_class[cls] = [a + b for a, b in zip(sums, values, strict=True)]
             for engine in metrics.avoided_engines:
                 avoided[engine] = avoided.get(engine, 0) + 1
-        most = sorted(avoided.items(), key=lambda e: (-e[1], e[0]))[:MAX_ENGINES]
+        most_avoided = sorted(avoided.items(), key=lambda e: (-e[1], e[0]))[:MAX_ENGINES]
         missing = sorted(set(brokers) - set(self.received))
         return FleetSummary(
             self.token,
@@ -67,7 +69,7 @@
             len(self.received),
             missing,
             counts_by_class,
-            dict(most),
+            dict(most_avoided),
         )
 
 
@@ -114,11 +116,11 @@
         round_ = self.round = SummaryRound(held.token, held.instance_id, self.name)
         round_.add(self.name, self.own_metrics(held.token))
         yield from self._send_to_all(peers, MetricsRequest(held.lease, held.token, held.instance_id))
-        yield GATHER_S
+        yield COLLECTION_WINDOW_S
         summary = round_.summary(self.all_brokers())
         yield None
         yield from self._send_to_all(peers, summary)
-        self._take(summary)
+        self._store_summary(summary)
 
     def _send_to_all(self, peers: list[str], item: AnyItem) -> TaskSteps:
         for at in range(0, len(peers), PEERS_PER_STEP):
@@ -135,14 +137,14 @@
             if self.round is not None:
                 self.round.add(sender, item)
         elif self._admits("", item):
-            self._take(item)
+            self._store_summary(item)
 
     def _admits(self, resource: str, item: MetricsRequest | FleetSummary) -> bool:
         admitted = self.fences.setdefault(resource, Fence()).admits(item.token, item.instance_id)
         self.rejected += not admitted
         return admitted
 
-    def _take(self, summary: FleetSummary) -> None:
+    def _store_summary(self, summary: FleetSummary) -> None:
         self.latest, self.received_at = summary, self.now()
 
     def answer(self) -> SummaryAnswer | None:
--- a/cypressledge/fleet/tasks/task_runner.py
+++ b/cypressledge/fleet/tasks/task_runner.py
@@ -84,7 +84,7 @@
         """A greenlet: lets the runs take their steps, as the budget allows."""
         while True:
             self.ready.wait()
-            wait = self.budget.wait(self.now())
+            wait = self.budget.time_until_next_slice(self.now())
             if wait:
                 gevent.sleep(wait / 1e6)
             turn = self.queue.take()
--- a/tests/fleet/leases/test_lease_schedules.py
+++ b/tests/fleet/leases/test_lease_schedules.py
@@ -12,16 +12,16 @@
 from tests.fakes.virtual_fleet import settled_world
 
 
-def test_dead_holder_is_followed_within_a_term_and_a_half():
+def test_lease_of_a_killed_holder_is_taken_over_within_a_term_and_a_half():
     waits = []
     for seed in range(20):
         world = settled_world(seed, leases=4, brokers=8, voters=5)
         victim = world.holders("lease-0")[0]
         world.kill(victim)
-        died = world.at
+        killed_at = world.at
         while not world.holders("lease-0"):
             world.run(S // 100)
-        waits.append((world.at - died) / world.term)
+        waits.append((world.at - killed_at) / world.term)
     print(f"terms: {sorted(waits)}")
     assert max(waits) < 1.5
 
@@ -30,13 +30,13 @@
     for seed in range(10):
         world = settled_world(seed)
         node = world.nodes[world.holders("lease-0")[0]]
-        node.lease_manager.release("lease-0", node.now(), "by hand", rest=9 * S)
+        node.lease_manager.release("lease-0", node.now(), "by hand", cooldown=9 * S)
         node.turn()
         world.run(S // 5)
         assert world.holders("lease-0") not in ([], [node.name])
 
 
-def test_two_of_five_voters_dead_cost_nothing_but_time():
+def test_two_of_five_voters_killed_delay_leases_and_lose_none():
     world = settled_world(brokers=7, voters=5, leases=10)
     world.kill("n0")
     world.kill("n1")
@@ -50,7 +50,7 @@
 def test_holder_keeps_its_lease_while_voters_restart_one_after_the_other():
     world = settled_world(voters=5, brokers=6)
     holder, lost = world.holders("lease-0")[0], []
-    world.on_lease_event = lambda w, node, event, *told: event == "lost" and lost.append(node.name)
+    world.on_lease_event = lambda w, node, event, *details: event == "lost" and lost.append(node.name)
     for name in [f"n{i}" for i in range(5) if f"n{i}" != holder]:
         world.kill(name)
         world.run(S // 2)
@@ -65,9 +65,9 @@
 
     def __init__(self, world):
         self.world, self.tokens, self.faults, self.acquired = world, {}, [], 0
-        world.on_lease_event = self.told
+        world.on_lease_event = self.record_event
 
-    def told(self, world, node, event, lease, token, why):
+    def record_event(self, world, node, event, lease, token, why):
         if event == "acquired":
             self.acquired += 1
             if token <= self.tokens.get(lease, 0):
@@ -142,7 +142,7 @@
     assert observer.acquired >= 2
 
 
-def test_drift_beyond_the_bound_is_found_by_the_same_observer():
+def test_observer_detects_faults_of_clock_drift_beyond_the_bound():
     found = 0
     for seed in range(40):
         names = [f"n{i}" for i in range(5)]
--- a/tests/fleet/leases/test_participation.py
+++ b/tests/fleet/leases/test_participation.py
@@ -13,15 +13,15 @@
 from cypressledge.lab.virtual_fleet import SECOND_US as S
 
 
-def test_dead_brokers_leases_spread_over_those_alive():
+def test_leases_of_a_killed_broker_spread_over_those_alive():
     names = [f"n{i}" for i in range(10)]
     leases = [f"l{i}" for i in range(400)]
     firsts = {lease: candidate_order(lease, names)[0] for lease in leases}
-    dead = max(names, key=list(firsts.values()).count)
+    killed = max(names, key=list(firsts.values()).count)
     after = [
-        candidate_order(lease, [n for n in names if n != dead])[0]
+        candidate_order(lease, [n for n in names if n != killed])[0]
         for lease in leases
-        if firsts[lease] == dead
+        if firsts[lease] == killed
     ]
     assert all(candidate_order(n, names)[0] == f for n, f in firsts.items())
     assert len(set(after)) == 9
@@ -58,8 +58,8 @@
 
 
 def test_voter_in_quarantine_that_answers_first_does_not_delay_a_free_lease():
-    mute, free = ("v0", "", 0, 2 * S), [(f"v{i}", "", 0, 0) for i in range(1, 4)]
-    assert after_statuses([mute, *free])[0] is ParticipationPhase.REQUESTING_VOTES
+    quarantined, free = ("v0", "", 0, 2 * S), [(f"v{i}", "", 0, 0) for i in range(1, 4)]
+    assert after_statuses([quarantined, *free])[0] is ParticipationPhase.REQUESTING_VOTES
     assert after_statuses(free)[0] is ParticipationPhase.REQUESTING_VOTES
     held = [(f"v{i}", "n1", 2 * S, 0) for i in range(4)]
     phase, due = after_statuses(held)  # a fifth answer is still out
@@ -73,7 +73,7 @@
     assert 1 < due <= 2.1
 
 
-def test_attempt_that_cannot_win_without_the_dead_ends_at_once():
+def test_attempt_without_a_possible_majority_of_living_voters_ends_at_once():
     for alive, given_up in ((VOTERS, False), (VOTERS[:4], True)):
         manager = LeaseManager(
             "n9",
@@ -98,6 +98,6 @@
         assert not given_up or participation.due_at - 5 * S < S // 5
 
 
-def test_lease_of_a_former_instance_is_not_this_instances():
+def test_votes_for_a_former_instance_are_waited_out():
     former = [(voter, FIRST, 2 * S, 0) for voter in VOTERS]
     assert after_statuses(former)[0] is ParticipationPhase.IDLE
--- a/tests/fleet/leases/test_voter_and_acquisition.py
+++ b/tests/fleet/leases/test_voter_and_acquisition.py
@@ -77,7 +77,7 @@
     assert not acquisition.is_held(2 * TERM)
 
 
-def test_request_delivered_after_its_term_blocks_for_a_term_and_gives_nothing():
+def test_request_delivered_after_its_term_blocks_the_lease_for_a_term_without_granting_it():
     voters, acquisition = three_voters(), make_acquisition()
     request = acquisition.start_round(0)
     for name, voter in voters.items():
@@ -115,24 +115,24 @@
 def test_late_release_frees_no_newer_vote():
     voter, acquisition = make_voter(), make_acquisition()
     acquisition.start_round(0)
-    back = acquisition.release()
-    again = acquisition.start_round(1)
-    voter.vote(1, "p", again)
-    voter.release(back)
+    late_release = acquisition.release()
+    second = acquisition.start_round(1)
+    voter.vote(1, "p", second)
+    voter.release(late_release)
     assert voter.leases["l"].vote is not None
-    voter.release(ReleaseLease("l", 1, again.round))
+    voter.release(ReleaseLease("l", 1, second.round))
     assert voter.leases["l"].vote is None
-    assert voter.vote(2, "p", again) is None  # nor does a copy of the request bring the vote back
+    assert voter.vote(2, "p", second) is None  # nor does a copy of the request bring the vote back
 
 
 def test_restarted_voter_does_not_vote_for_the_longest_term():
-    fresh = make_voter(now=0)
-    answer = fresh.vote(TERM - 1, "p", VoteRequest("l", 1, 1, 1, TERM, 1))
+    restarted = make_voter(now=0)
+    answer = restarted.vote(TERM - 1, "p", VoteRequest("l", 1, 1, 1, TERM, 1))
     assert isinstance(answer, VoteRejected)
     assert answer.reason == "mute"
     assert answer.remaining == 1
-    assert fresh.status(0, LeaseStatusRequest("l")).voting_quarantine == TERM
-    assert isinstance(fresh.vote(TERM, "p", VoteRequest("l", 1, 1, 1, TERM, 1)), VoteGranted)
+    assert restarted.status(0, LeaseStatusRequest("l")).voting_quarantine == TERM
+    assert isinstance(restarted.vote(TERM, "p", VoteRequest("l", 1, 1, 1, TERM, 1)), VoteGranted)
 
 
 def test_tokens_grow_over_a_restart_of_all_voters():
--- a/tests/fleet/membership/test_membership.py
+++ b/tests/fleet/membership/test_membership.py
@@ -9,7 +9,7 @@
 from tests.fakes.virtual_fleet import settled_world
 
 
-def test_members_see_a_death_a_return_and_a_former_instance():
+def test_members_detect_a_killed_and_a_restarted_broker_and_ignore_its_former_instance():
     world = settled_world()
     world.kill("n4")
     world.run(5 * S)
@@ -42,7 +42,7 @@
     assert world.nodes["n0"].membership.members["n3"].state == 0
 
 
-def test_brokers_partitioned_from_each_other_find_each_other_again():
+def test_brokers_all_partitioned_from_each_other_rejoin():
     world = settled_world(brokers=6)
     names = list(world.nodes)
     world.cut = {(a, b) for a in names for b in names if a != b}
@@ -58,7 +58,7 @@
     assert len(world.holders("lease-0")) == 1
 
 
-def test_suspects_are_given_up_and_removed_peers_are_forgotten():
+def test_suspects_time_out_and_removed_peers_are_dropped():
     changed, sent = [], []
     members = Membership(
         "a",
@@ -91,9 +91,9 @@
 
 def test_start_is_announced_to_more_peers_in_larger_fleets():
     sent = []
-    for peers, greeted in ((5, 5), (100, 8), (200, 8), (455, 18), (1_000, 40)):
+    for peers, announced_to in ((5, 5), (100, 8), (200, 8), (455, 18), (1_000, 40)):
         sent.clear()
         Membership(
             "x", [f"n{i}" for i in range(peers)], 1, 100, 1, lambda to, item: sent.append(to), lambda *a: None
         ).announce()
-        assert len(set(sent)) == len(sent) == greeted
+        assert len(set(sent)) == len(sent) == announced_to
--- a/tests/fleet/tasks/test_tasks.py
+++ b/tests/fleet/tasks/test_tasks.py
@@ -10,14 +10,14 @@
 def test_budget_holds_tasks_to_their_share():
     budget, now = CpuBudget(share=0.02), 0
     for _ in range(1000):
-        now += budget.wait(now)
+        now += budget.time_until_next_slice(now)
         budget.spend(now, 300)
         now += 300
     assert budget.spent / now < 0.0201
     assert budget.overruns == 0
     budget.spend(now, 5_000)
     assert budget.overruns == 1
-    assert budget.longest == 5_000
+    assert budget.longest_slice == 5_000
 
 
 def test_lowest_number_goes_first_and_equals_in_order_of_arrival():
--- a/tests/fleet/test_datagram_transport.py
+++ b/tests/fleet/test_datagram_transport.py
@@ -3,7 +3,12 @@
 import pytest
 
 from cypressledge.broker.metrics import Counters
-from cypressledge.fleet.datagram_transport import BUCKET_IDLE, BURST, MAX_ADDRESSES, DatagramTransport
+from cypressledge.fleet.datagram_transport import (
+    BUCKET_IDLE_TIMEOUT,
+    MAX_BURST,
+    MAX_OTHER_BUCKETS,
+    DatagramTransport,
+)
 
 
 @pytest.fixture
@@ -15,11 +20,11 @@
 
 
 def test_buckets_of_long_idle_addresses_are_freed(transport):
-    for port in range(MAX_ADDRESSES + 100):
+    for port in range(MAX_OTHER_BUCKETS + 100):
         transport.receive(b"", ("10.0.0.1", port))
-    assert len(transport.other_buckets) <= MAX_ADDRESSES + 1  # the rest share one
-    assert ("10.0.0.1", MAX_ADDRESSES + 50) not in transport.other_buckets
-    transport.at += BUCKET_IDLE
+    assert len(transport.other_buckets) <= MAX_OTHER_BUCKETS + 1  # the rest share one
+    assert ("10.0.0.1", MAX_OTHER_BUCKETS + 50) not in transport.other_buckets
+    transport.at += BUCKET_IDLE_TIMEOUT
     transport.receive(b"", ("10.0.0.1", 5))
     transport.receive(b"", ("10.0.0.2", 1))
     assert ("10.0.0.2", 1) in transport.other_buckets
@@ -32,10 +37,10 @@
     for port in range(20_000):
         transport.at += 10
         transport.receive(b"", ("10.0.0.1", port))
-    assert len(transport.other_buckets) <= MAX_ADDRESSES + 1
+    assert len(transport.other_buckets) <= MAX_OTHER_BUCKETS + 1
     assert transport.counters.counts["fleet.flooded"] > 15_000
     flooded = transport.counters.counts["fleet.flooded"]
-    for _ in range(int(BURST)):
+    for _ in range(int(MAX_BURST)):
         transport.receive(b"", ("127.0.0.1", 1))
     assert transport.counters.counts["fleet.flooded"] == flooded
     transport.receive(b"", ("127.0.0.1", 1))
--- a/tests/fleet/test_fleet_node.py
+++ b/tests/fleet/test_fleet_node.py
@@ -23,14 +23,14 @@
 NAMES = ("n0", "n1", "n2")
 
 
-class Quiet:
+class SilentLog:
     """A log that nobody reads."""
 
-    def info(self, event, **what):
+    def info(self, event, **fields):
         pass
 
 
-class Trio:
+class ThreeNodes:
     """Three nodes in this process: one lease that all ask for, and one for those that want it."""
 
     def __init__(self):
@@ -51,7 +51,7 @@
             "ping_s": 0.1,
         }
         hooks = NodeHooks(
-            on_lease_event=lambda *what: self.events.append((name, *what)),
+            on_lease_event=lambda *details: self.events.append((name, *details)),
             on_member_change=lambda member, reason: self.changed.append((name, member.name, member.state)),
             end_work=end_work,
         )
@@ -62,7 +62,7 @@
             Counters(),
             clock,
             hooks,
-            log=Quiet(),
+            log=SilentLog(),
         )
         self.greenlets += map(gevent.spawn, node.loops)
         return node
@@ -74,17 +74,17 @@
         for node in self.nodes.values():
             node.close()
         gevent.joinall(self.greenlets, timeout=5, raise_error=True)
-        assert all(part.dead for part in self.greenlets)
+        assert all(greenlet.dead for greenlet in self.greenlets)
 
 
 @pytest.fixture
 def trio():
-    made = Trio()
+    made = ThreeNodes()
     yield made
     made.end()
 
 
-def test_nodes_without_a_broker_hold_a_lease_and_hand_it_over(trio):
+def test_nodes_without_a_broker_acquire_a_lease_and_hand_it_over(trio):
     assert until(trio.holders, 10, 0.01)
     assert until(lambda: all(len(n.alive()) == 3 for n in trio.nodes.values()), 10, 0.01)
     first = trio.holders()[0]
@@ -133,9 +133,9 @@
     for node in trio.nodes.values():
         node.set_peers(trio.at)
     assert trio.nodes["n0"].membership.members["n1"] is known
-    heard = trio.nodes["n2"].now()
+    moved_at = trio.nodes["n2"].now()
     assert until(
-        lambda: all(trio.nodes[n].membership.members["n2"].last_heard_at > heard for n in ("n0", "n1")), 10
+        lambda: all(trio.nodes[n].membership.members["n2"].last_heard_at > moved_at for n in ("n0", "n1")), 10
     )
     assert until(lambda: all(len(n.alive()) == 3 for n in trio.nodes.values()), 10, 0.01)
     left = {n: a for n, a in trio.at.items() if n != "n1"}
@@ -156,10 +156,10 @@
         trio.nodes["n0"].send(peer, EngineObservations([], {}, ["z"]))
     assert until(lambda: got, 10, 0.01) == [("n0", ["z"])]
     assert until(lambda: trio.nodes["n2"].counters.counts["fleet.not_handled"], 10, 0.01)
-    assert not trio.nodes["n2"].owner.dead
+    assert not trio.nodes["n2"].loop_greenlet.dead
 
 
-def test_node_sleeps_until_it_is_due(trio):
+def test_idle_node_wakes_once_a_second_and_sends_at_once(trio):
     trio.nodes["n1"].close()
     lone = trio.start("n1", trio.spare, addresses={}, slots=[], ping_s=2.0)
     gevent.sleep(0.3)
@@ -189,7 +189,7 @@
     )
     part = FleetIntegration(str(file), SimpleNamespace(name="a", classes=(), zones=()), None, Counters())
     try:
-        part.name_peers({"b": ("127.0.0.1", 7), "d": ("127.0.0.1", 8)})
+        part.set_control_plane_peers({"b": ("127.0.0.1", 7), "d": ("127.0.0.1", 8)})
         for name in "bd":
             part.node.membership.observe(part.node.now(), name, 5)
         assert part.node.alive() == {"a", "b", "d"}
@@ -197,7 +197,7 @@
         assert part.node.alive() == {"a", "b", "d"}
         assert part.node.transport.addresses["b"][1] == 7
         assert part.node.transport.addresses["c"][1] == 3
-        part.name_peers({})
+        part.set_control_plane_peers({})
         assert part.node.alive() == {"a", "b"}
         assert part.node.transport.addresses["b"][1] == 2
     finally:
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -31,7 +31,7 @@
         self.ports = free_udp_ports(self.names)
         self.relays, self.resource, self.brokers = UdpProxies(self.ports, 1), ProtectedResource(), Brokers()
         self.voters = [{"version": 1, "names": self.names[:voters]}]
-        self.more = {
+        self.lease_and_task_settings = {
             "leases": [
                 {"name": "ledger"},
                 {"name": "summary"},
@@ -66,27 +66,27 @@
             "term_s": TERM,
             "ping_s": 0.2,
             "grace_s": 1.0,
-            **self.more,
+            **self.lease_and_task_settings,
         }
 
     def __getitem__(self, name):
         return self.brokers.all[name]
 
-    def acted(self, after=0, but=""):
+    def first_accepted_act(self, after=0, excluding=""):
         """The first accepted act after a moment, by another than one."""
         return next(
-            (w for w in self.resource.writes if w.accepted and w.at > after and w.holder != but), None
+            (w for w in self.resource.writes if w.accepted and w.at > after and w.holder != excluding), None
         )
 
-    def wait_act(self, after=0, but="", seconds=WAIT):
-        got = until(lambda: self.acted(after, but), seconds, 0.005)
+    def wait_for_act(self, after=0, excluding="", seconds=WAIT):
+        got = until(lambda: self.first_accepted_act(after, excluding), seconds, 0.005)
         assert got, "\n".join(b.words()[-2000:] for b in self.brokers.all.values())
         return got
 
-    def last(self):
+    def last_write(self):
         return self.resource.writes[-1]
 
-    def told(self, name, event):
+    def events(self, name, event):
         return [e for e in self[name].events() if e["event"] == event]
 
     def cli(self, name, *args):
@@ -106,27 +106,27 @@
     made.end()
 
 
-def in_order(writes):
+def tokens_never_decrease(writes):
     tokens = [w.token for w in writes if w.accepted]
     return tokens == sorted(tokens)
 
 
-def test_killed_holder_is_followed(fleet):
-    first = fleet.wait_act()
+def test_lease_of_a_killed_holder_is_taken_over(fleet):
+    first = fleet.wait_for_act()
     fleet[first.holder].kill()
-    killed = fleet.last().at
-    second = fleet.wait_act(killed, but=first.holder)
+    killed = fleet.last_write().at
+    second = fleet.wait_for_act(killed, excluding=first.holder)
     assert second.token > first.token
     assert (second.at - killed) / 1e6 < 3 * TERM
-    assert in_order(fleet.resource.writes)
+    assert tokens_never_decrease(fleet.resource.writes)
 
 
 def test_holder_stopped_for_longer_than_its_term_is_fenced(fleet):
-    first = fleet.wait_act()
+    first = fleet.wait_for_act()
     gate = fleet.resource.gate(first.holder)
     assert gate.arrived.wait(WAIT)  # an act of it is on its way, past its own check
     fleet[first.holder].signal(signal.SIGSTOP)
-    second = fleet.wait_act(fleet.last().at, but=first.holder)
+    second = fleet.wait_for_act(fleet.last_write().at, excluding=first.holder)
     gate.opened.set()
     late = until(
         lambda: next(
@@ -137,24 +137,24 @@
     assert late.token < second.token
     assert not late.accepted
     fleet[first.holder].signal(signal.SIGCONT)
-    assert until(lambda: fleet.told(first.holder, "lease_lost"), WAIT)
-    assert in_order(fleet.resource.writes)
+    assert until(lambda: fleet.events(first.holder, "lease_lost"), WAIT)
+    assert tokens_never_decrease(fleet.resource.writes)
 
 
-def test_sigterm_hands_over_without_a_gap_of_a_term(fleet):
-    first = fleet.wait_act()
+def test_lease_is_handed_over_within_a_term_of_sigterm(fleet):
+    first = fleet.wait_for_act()
     gevent.sleep(TERM)  # all have seen each other
     began = time.monotonic()
     fleet[first.holder].signal(signal.SIGTERM)
-    told = until(lambda: fleet.told(first.holder, "lease_released"), WAIT, 0.005)
-    second = fleet.wait_act(fleet.last().at, but=first.holder)
-    assert told
+    released = until(lambda: fleet.events(first.holder, "lease_released"), WAIT, 0.005)
+    second = fleet.wait_for_act(fleet.last_write().at, excluding=first.holder)
+    assert released
     assert second.token > first.token
     assert time.monotonic() - began < TERM
 
 
-def test_release_by_hand_and_what_operators_see(fleet):
-    first = fleet.wait_act()
+def test_operators_release_a_lease_and_read_peers_leases_tasks_and_summary(fleet):
+    first = fleet.wait_for_act()
     until(lambda: len(json.loads(fleet.cli(first.holder, "peers", "--json")[1])) == 3, WAIT)
     assert until(lambda: all(p["state"] == "alive" for p in ask(fleet[first.holder], "/fleet/peers")), WAIT)
     rows = json.loads(fleet.cli(first.holder, "leases", "--json")[1])
@@ -164,7 +164,7 @@
     assert fleet.cli(other, "release", "nothing") == (1, "Error: no such lease\n")
     code, words = fleet.cli(first.holder, "give-back", "ledger")  # the former name, hidden
     assert (code, words) == (0, "ledger given back\n")
-    fleet.wait_act(fleet.last().at, but=first.holder)
+    fleet.wait_for_act(fleet.last_write().at, excluding=first.holder)
     code, words = fleet.cli(other, "tasks")
     assert code == 0
     assert "summary" in words
@@ -178,60 +178,60 @@
 
 
 def test_holder_that_receives_no_votes_stops_though_it_reaches_the_resource(fleet):
-    first = fleet.wait_act()
+    first = fleet.wait_for_act()
     for pair in fleet.relays.paths:  # one way: what the voters say does not reach it
         if pair[1] == first.holder:
             fleet.relays.paths[pair] = LinkConditions(cut=True)
-    second = fleet.wait_act(fleet.last().at, but=first.holder)
+    second = fleet.wait_for_act(fleet.last_write().at, excluding=first.holder)
     assert second.token > first.token
-    assert until(lambda: fleet.told(first.holder, "lease_lost"), WAIT)
+    assert until(lambda: fleet.events(first.holder, "lease_lost"), WAIT)
     fleet.relays.heal()
-    assert in_order(fleet.resource.writes)
+    assert tokens_never_decrease(fleet.resource.writes)
 
 
 def test_majority_restarted_within_a_term_makes_no_second_holder(fleet):
-    first = fleet.wait_act()
+    first = fleet.wait_for_act()
     for name in [n for n in fleet.names if n != first.holder]:
         fleet[name].kill()
         fleet[name].start()
-    restarted = fleet.last().at
+    restarted = fleet.last_write().at
     # The holder's votes expire, the restarted voters are in quarantine: no one else acts within a term.
-    after = fleet.wait_act(restarted + round((TERM + 0.5) * 1e6))
+    after = fleet.wait_for_act(restarted + round((TERM + 0.5) * 1e6))
     assert after.token >= first.token
-    assert in_order(fleet.resource.writes)
+    assert tokens_never_decrease(fleet.resource.writes)
     others = [w for w in fleet.resource.writes if w.holder != first.holder and w.accepted]
     assert all(w.at >= restarted + TERM * 0.9e6 for w in others)
 
 
 @pytest.mark.parametrize("fleet", [{"count": 5, "voters": 3}], indirect=True)
 def test_voters_change_one_at_a_time_by_sighup(fleet):
-    fleet.wait_act()
+    fleet.wait_for_act()
     v2 = {"version": 2, "names": ["n0", "n1", "n2", "n3"]}
     v3 = {"version": 3, "names": ["n1", "n2", "n3"]}
 
-    def reread(voters, event, who=fleet.names):
+    def reload_voters(voters, event, who=fleet.names):
         fleet.voters = voters
         for name in who:
-            before = len(fleet.told(name, event))
+            before = len(fleet.events(name, event))
             fleet[name].fleet_file.write_text(json.dumps(fleet.settings(name)))  # JSON is YAML
             fleet[name].signal(signal.SIGHUP)
-            assert until(lambda n=name, b=before: len(fleet.told(n, event)) > b, WAIT), fleet[name].words()
+            assert until(lambda n=name, b=before: len(fleet.events(n, event)) > b, WAIT), fleet[name].words()
 
-    reread([fleet.voters[0], v2 | {"names": ["n0", "n3", "n4"]}], "fleet_reload_refused", ["n0"])
-    reread([fleet.voters[0], v2], "fleet_reloaded")
-    reread([fleet.voters[0], v2, v3], "fleet_reload_refused", ["n1"])  # the last change has not settled
-    assert "not settled" in fleet.told("n1", "fleet_reload_refused")[-1]["why"]
+    reload_voters([fleet.voters[0], v2 | {"names": ["n0", "n3", "n4"]}], "fleet_reload_refused", ["n0"])
+    reload_voters([fleet.voters[0], v2], "fleet_reloaded")
+    reload_voters([fleet.voters[0], v2, v3], "fleet_reload_refused", ["n1"])  # the last has not settled
+    assert "not settled" in fleet.events("n1", "fleet_reload_refused")[-1]["why"]
     gevent.sleep(1.0 + 2 * TERM)  # the grace, and the longest term after it
-    reread([v2, v3], "fleet_reloaded")
-    fleet.wait_act(fleet.last().at)
+    reload_voters([v2, v3], "fleet_reloaded")
+    fleet.wait_for_act(fleet.last_write().at)
     fleet["n0"].kill()
     fleet["n4"].kill()
-    fleet.wait_act(fleet.last().at + round(2 * TERM * 1e6))  # a majority of n1, n2, n3 carries it
-    assert in_order(fleet.resource.writes)
+    fleet.wait_for_act(fleet.last_write().at + round(2 * TERM * 1e6))  # a majority of n1, n2, n3 carries it
+    assert tokens_never_decrease(fleet.resource.writes)
 
 
-def test_restart_turns_go_one_at_a_time(fleet):
-    fleet.wait_act()
+def test_restart_turns_are_granted_one_at_a_time(fleet):
+    fleet.wait_for_act()
     gevent.sleep(TERM)
     assert fleet.cli("n0", "restart-turn", "--wait", "10")[0] == 0
     code, words = fleet.cli("n1", "restart-turn", "--wait", "0.5")
@@ -247,7 +247,7 @@
 
 
 def test_invalid_datagrams_are_counted_and_change_nothing(fleet):
-    first = fleet.wait_act()
+    first = fleet.wait_for_act()
     target = ("127.0.0.1", fleet.ports[first.holder])
     sock = gsocket.socket(gsocket.AF_INET, gsocket.SOCK_DGRAM)
     good = Envelope(VERSION, "nobody", first.holder, 1, 1, 1, 1, [VoteRequest("ledger", 9, 9, 1 << 60, 1, 1)])
@@ -263,7 +263,7 @@
         sock.sendto(b"flood", target)
         gevent.sleep(0.002 if number % 50 == 0 else 0)
     sock.close()
-    fleet.wait_act(fleet.last().at)
+    fleet.wait_for_act(fleet.last_write().at)
     fleet[first.holder].signal(signal.SIGUSR1)
     line = until(
         lambda: next((w for w in fleet[first.holder].words().splitlines() if "counters (asked)" in w), None),
@@ -272,7 +272,7 @@
     counts = dict(pair.split("=") for pair in line.split() if "=" in pair)
     for name in ("bad_garbled", "bad_large", "bad_version", "misdirected", "flooded"):
         assert int(counts[f"fleet.{name}"]) >= 1, line
-    assert not fleet.told(first.holder, "lease_lost")
+    assert not fleet.events(first.holder, "lease_lost")
 
 
 def test_invalid_file_is_one_line_and_exit_2(tmp_path):
@@ -304,7 +304,7 @@
     )
     modules = done.stdout.decode().split()
     assert "cypressledge.broker.core" in modules
-    bad = (
+    unwanted = (
         "cypressledge.fleet",
         "cypressledge.controlplane",
         "cypressledge.lab",
@@ -321,7 +321,7 @@
         "tabulate",
         "sqlite3",
     )
-    assert [m for m in modules if m.startswith(bad)] == []
+    assert [m for m in modules if m.startswith(unwanted)] == []
 
 
 def lab(*args):
@@ -331,7 +331,7 @@
 
 
 @pytest.mark.parametrize("seed", ["11", "21"])
-def test_drawn_faults_never_make_two_holders(seed):
+def test_random_faults_never_make_two_holders(seed):
     code, lines = lab(
         "leases", "--brokers", "5", "--voters", "3", "--seed", seed, "--seconds", "10", "--term", "1"
     )
@@ -339,7 +339,7 @@
     assert ", overlaps 0, stale acts accepted 0, " in lines[-1]
 
 
-def test_without_a_fence_a_stopped_holder_is_found():
+def test_lab_leases_reports_a_stopped_holder_without_a_fence():
     code, lines = lab(
         "leases",
         "--brokers",
@@ -360,7 +360,7 @@
     assert ", overlaps 0," not in lines[-1]
 
 
-def test_the_first_command_works():
+def test_demo_command_works():
     code, lines = lab("demo", "--seconds", "3")
     assert code == 0
     assert any("has followed after" in line for line in lines)
