--- a/cypressledge/fleet/__init__.py
+++ b/cypressledge/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""What several brokers do together. Off unless `--fleet FILE` switches it on; `run` imports nothing of it."""
+"""Cooperation between brokers: membership, leases, tasks under leases and zone failover.
+
+Off unless `--fleet FILE` is given; `run` without that option imports nothing from this package.
+"""
--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -1,7 +1,6 @@
-"""The fleet's part of one broker: its node of the fleet, with tasks, zone failover, summaries, operators'
-calls.
+"""Integration of the fleet into one broker: fleet node, tasks, zone failover, summaries, operators' calls.
 
-Nothing here is imported unless `--fleet FILE` asks for it.
+Imported only if `--fleet FILE` is given.
 """
 
 from typing import cast
@@ -43,11 +42,11 @@
 ZONE_MESSAGES = (EngineObservations, FailoverPlan, PlanRequest, ZoneCommand)
 SUMMARY_MESSAGES = (MetricsRequest, BrokerMetrics, FleetSummary)
 URGENT_MESSAGES = (FailoverPlan, ZoneCommand, PlanRequest)
-IDLE_TICK_INTERVAL = 1_000_000  # µs between ticks without zone failover: nothing else is due sooner
-MAX_TURN_TIMES = 4_096  # of the node's turns: minutes, for a percentile that operators can go by
-MIN_WARM_UP_STEPS = 32  # steps of a share in the time that engines take to warm up, at the least
+IDLE_TICK_INTERVAL = 1_000_000  # µs; time between ticks without zone failover: nothing else is due sooner
+MAX_TURN_TIMES = 4_096  # turn times; those kept cover minutes, so that operators can rely on the percentile
+MIN_WARM_UP_STEPS = 32  # steps; a zone's share is raised in at least this many while its engines warm up
 
-# Keys of the file that only a restart of all brokers can change.
+# Settings that can change only with a restart of all brokers.
 FIXED_SETTINGS = (
     "term_s",
     "longest_term",
@@ -63,9 +62,9 @@
 
 
 class FleetIntegration:
-    """What one broker has to do with the others. `loops`: functions that the broker runs as greenlets.
+    """One broker's membership in a fleet. `loops`: functions that the broker runs as greenlets.
 
-    Raises `ConfigError` where the file can't be used, and `OSError` where its address can't be bound.
+    Raises `ConfigError` if the file is invalid, and `OSError` if the fleet address can't be bound.
     """
 
     def __init__(self, path: str, config: Config, core: BrokerCore, counters: Counters) -> None:
@@ -76,7 +75,7 @@
         self.counters = counters
         self.settings = read_fleet_settings(path)
         own = self._own_peer(self.settings)
-        # Peers as the control plane has them; they go before the file's.
+        # Addresses of peers from the control plane; they override those of the file.
         self.control_plane_peers: dict[str, tuple[str, int]] = {}
         self.node = self._make_node(parse_address(self.settings.listen or own.address))
         self.recorder = self._make_recorder()
@@ -98,7 +97,7 @@
         counters.gauge("fleet.turn_p99_us", self.node.turn_p99)
         counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest_slice)
 
-    # Putting together
+    # Construction
 
     def _own_peer(self, settings: FleetSettings) -> Peer:
         own = next((peer for peer in settings.peers if peer.name == self.name), None)
@@ -144,14 +143,15 @@
         return LeaseRecorder(path, self.node) if path else None
 
     def _handlers(self) -> dict[type, Handler]:
-        """Who takes what. Without zone failover others' messages about zones are only counted."""
+        """Return the handlers by type of message. Without zone failover, messages about zones are only
+        counted."""
         handlers: dict[type, Handler] = dict.fromkeys(SUMMARY_MESSAGES, cast(Handler, self.summaries.receive))
         if self.zones is not None:
             handlers |= dict.fromkeys(ZONE_MESSAGES, cast(Handler, self.zones.receive))
         return handlers
 
     def _make_zones(self, config: Config) -> ZoneFailover | None:
-        """Zone failover, where a task asks for it."""
+        """Return the zone failover if the file configures a task of kind "zones", else None."""
         settings = self.settings
         spec = next((task for task in settings.tasks if task.kind == "zones"), None)
         if spec is None:
@@ -177,10 +177,13 @@
             for zone in region.zones:
                 if zone not in config.zones or region.name in config.zones:
                     known = " ".join(config.zones)
-                    raise ConfigError(f"{self.path}: region {region.name}: the zones are {known}")
+                    raise ConfigError(
+                        f"{self.path}: region {region.name}, zone {zone}: the zone must be one of {known}, "
+                        "and the region's name none of them"
+                    )
 
     def _zone_pace(self) -> FailoverPace:
-        """The file's pace, and what engines bear as the site says it."""
+        """Return the pace from the fleet's file, with the engines' warm-up from the site's settings."""
         site, pace = self.core.settings, self.settings.zone_pace
         default = FailoverPace()
         warm_up_time = site.slow_start_window or default.warm_up_time
@@ -213,13 +216,14 @@
         return Task(spec.kind, spec.lease, run, spec.interval_s, spec.time_limit_s, spec.priority)
 
     def add_operator_calls(self, management: ManagementServer) -> None:
-        """Add the operators' calls to their address."""
+        """Add the operators' calls of the fleet to the management address."""
         FleetOperatorApi(self).register(management)
 
-    # Called by the node's owner
+    # Hooks called by the node
 
     def _tick(self, now: int) -> int:
-        """What else time brings; the moment of the next tick."""
+        """Run the periodic work of restart turns, lease recorder and zone failover; return when the next
+        tick is due, µs."""
         self.turns.tick(now)
         if self.recorder is not None:
             self.recorder.record_renewals()
@@ -243,7 +247,7 @@
         self.node.log.info(event, **fields)
 
     def _own_metrics(self, token: int) -> BrokerMetrics:
-        """This broker's counters for the fleet's summary, and the engines that it avoids."""
+        """Return this broker's counters for the fleet's summary, and the engines that it avoids."""
         core = self.core
         avoided = [
             engine.endpoint.name
@@ -268,22 +272,23 @@
         engine = core.loop.manager.engines.get(entry.engine)
         return engine is not None and engine.ejected
 
-    # Changes
+    # Changes at run time
 
     def stop(self) -> None:
-        """This broker stops: leases go back at once, and the peers are notified. A turn to restart is kept:
-        it runs out by itself, while the process starts anew."""
+        """Release the leases at once and notify the peers that this broker leaves. The lease of a restart
+        turn is kept: it expires by itself while the process restarts."""
         self.node.stop(self.turns.leases_kept_on_stop())
 
     def set_control_plane_peers(self, peers: dict[str, tuple[str, int]]) -> None:
-        """Where the control plane has brokers, from now on; the file's others stay. Kept over a reload:
-        guards against taking all that the file doesn't name for gone until they are met again."""
+        """Set the brokers' addresses from the control plane; peers that only the file names stay. The
+        addresses are kept over a reload: otherwise brokers that the file doesn't name would be treated as
+        gone until their next messages."""
         self.control_plane_peers = peers
         self.node.set_peers(_addresses(self.settings) | peers)
 
     def reload(self) -> None:
-        """Read the file again. Guards against a bad one, and one that changes more than one voter: then the
-        old settings stay in force."""
+        """Read the file again. If it is invalid, or changes more than one voter or a setting that needs a
+        restart, the old settings stay in force."""
         electorate = self.node.electorate
         try:
             settings = read_fleet_settings(self.path)
@@ -302,7 +307,7 @@
     def _check_fixed_settings(self, settings: FleetSettings) -> None:
         for key in FIXED_SETTINGS:
             if getattr(settings, key) != getattr(self.settings, key):
-                raise ConfigError(f"{self.path}: another {key} needs a restart of all brokers")
+                raise ConfigError(f"{self.path}: changing {key} requires a restart of all brokers")
 
 
 def _addresses(settings: FleetSettings) -> dict[str, tuple[str, int]]:
--- a/cypressledge/fleet/datagram_transport.py
+++ b/cypressledge/fleet/datagram_transport.py
@@ -1,8 +1,8 @@
 """Datagrams between brokers: UDP on a gevent socket, with bounds on what any peer can cost. Does I/O only.
 
-Guards against peers that flood, send garbage or stop reading: what is received is limited by address before
-it is decoded, what is sent never blocks and is dropped where the system or a peer's queue is full. Everything
-that uses this expects datagrams to get lost.
+Peers may flood, send garbage or stop reading. So received datagrams are rate-limited by source address before
+they are decoded, and sending never blocks: an item is dropped if the system's buffer or the peer's queue is
+full. All users of this module have to tolerate the loss of datagrams.
 """
 
 from collections import deque
@@ -29,21 +29,21 @@
 
 Address = tuple[str, int]
 
-MAX_INBOX = 1_024  # envelopes that wait to be handled
-MAX_RATE = 400.0  # datagrams a second from one address, in the long run
-MAX_BURST = 800.0  # datagrams
-MAX_OTHER_BUCKETS = 512  # of no peer's; a peer's own has a bucket besides
-BUCKET_IDLE_TIMEOUT = 60_000_000  # µs after which a bucket may be freed: it is full again long before
-SWEEP_INTERVAL = 1_000_000  # µs between searches for such
-SHARED_ADDRESS = ("", 0)  # the key of the bucket that all further addresses share
-TARGET_DATAGRAM_BYTES = 1_200  # that a datagram is filled up to: under any path's MTU
+MAX_INBOX = 1_024  # envelopes; received and not handled yet
+MAX_RATE = 400.0  # datagrams per second; long-term rate accepted from one address
+MAX_BURST = 800.0  # datagrams; accepted from one address at once
+MAX_OTHER_BUCKETS = 512  # buckets of addresses that are no peer's; each peer's address has one of its own
+BUCKET_IDLE_TIMEOUT = 60_000_000  # µs; an idle bucket is freed after this: it has been full for long
+SWEEP_INTERVAL = 1_000_000  # µs; shortest time between searches for idle buckets
+SHARED_ADDRESS = ("", 0)  # key of the bucket that all addresses over `MAX_OTHER_BUCKETS` share
+TARGET_DATAGRAM_BYTES = 1_200  # bytes; datagrams of several items are split above this: under any path's MTU
 MAX_ITEMS_PER_DATAGRAM = 64
-MAX_DATAGRAMS_PER_DRAIN = 256  # datagrams received in one go
+MAX_DATAGRAMS_PER_DRAIN = 256  # datagrams; received by one call of `drain`
 RECEIVE_BUFFER_BYTES = 1 << 20
 
 
 class SenderState(NamedTuple):
-    """What each envelope states of its sender, beside the name."""
+    """The sender's state that each envelope carries, besides its name."""
 
     instance_id: int
     incarnation: int
@@ -53,13 +53,14 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """What one address may still send: refilled with time."""
+    """A token bucket that limits the datagrams from one address. `level`: datagrams that it may still send;
+    `refilled_at` in µs."""
 
     level: float = MAX_BURST
     refilled_at: int = 0
 
     def admit(self, now: int) -> bool:
-        """Whether one more datagram is admitted at `now` (µs)."""
+        """Return whether one more datagram is admitted at `now` (µs), and count it if so."""
         self.level = min(MAX_BURST, self.level + (now - self.refilled_at) * MAX_RATE / 1e6)
         self.refilled_at = now
         if self.level < 1:
@@ -69,7 +70,7 @@
 
 
 class DatagramTransport:
-    """The fleet socket: queues of items to send, an inbox of envelopes received."""
+    """The fleet socket, with a queue of items to send for each peer and an inbox of received envelopes."""
 
     def __init__(
         self,
@@ -93,13 +94,13 @@
         self.reader: gevent.Greenlet | None = None
 
     def close(self) -> None:
-        """End the greenlet that reads, then the socket."""
+        """Kill the reading greenlet, then close the socket."""
         if self.reader is not None:
-            self.reader.kill()  # guards against a wait on a descriptor that another socket gets
+            self.reader.kill()  # else it could wait on this descriptor after another socket has received it
         self.sock.close()
 
     def set_peers(self, addresses: dict[str, Address]) -> None:
-        """Set the peers' addresses; what is queued for one that is no longer among them is dropped."""
+        """Set the peers' addresses; items queued for removed peers are dropped."""
         self.addresses = addresses
         self.peer_buckets = {
             a: self.peer_buckets.get(a) or TokenBucket(refilled_at=self.now()) for a in addresses.values()
@@ -107,7 +108,7 @@
         self.queues = {n: q for n, q in self.queues.items() if n in addresses}
 
     def send(self, peer: str, item: AnyItem) -> None:
-        """Queue an item; it is sent with the next `flush`."""
+        """Queue an item for a peer; it is sent by the next `flush`."""
         if peer not in self.addresses and peer != self.name:
             self.counters.add("fleet.unknown_peer")
             return
@@ -118,8 +119,8 @@
         queue.append(item)
 
     def flush(self, yield_if_due: Callable[[], None] = lambda: None) -> None:
-        """Send what is queued; what is for this broker itself needs no socket. `yield_if_due` is called
-        between datagrams, and may let other greenlets run."""
+        """Send the queued items; those for this broker itself go directly to the inbox. `yield_if_due` is
+        called after each datagram, and may let other greenlets run."""
         queues, self.queues = self.queues, {}
         if own := queues.pop(self.name, None):
             self.inbox.append(Envelope(VERSION, self.name, self.name, *self.sender_state(), own))
@@ -131,7 +132,7 @@
 
     def _send_datagram(self, peer: str, items: list[AnyItem]) -> None:
         address = self.addresses.get(peer)
-        if address is None:  # removed since this flush began, while other greenlets ran
+        if address is None:  # the peer was removed during this flush, while other greenlets ran
             return
         raw = encode(Envelope(VERSION, self.name, peer, *self.sender_state(), items))
         if len(raw) > TARGET_DATAGRAM_BYTES and len(items) > 1:
@@ -143,24 +144,27 @@
             self.counters.add("fleet.too_large")
             return
         try:
-            # Not gevent's sendto: that would wait where the socket's buffer is full.
+            # Not gevent's sendto, which would wait while the socket's buffer is full.
             self.sock._sock.sendto(raw, address)
             self.counters.add("fleet.sent")
         except OSError:
             self.counters.add("fleet.not_sent")
 
     def read(self) -> None:
-        """A greenlet: signals that datagrams have come, and again once those have been drained. The owner
-        drains them, many at a time: waking up costs a process more than all that a datagram asks for."""
+        """Set `received` when datagrams are readable, then wait for `drain`, repeatedly; runs as a greenlet.
+
+        The node's loop drains many datagrams at a time: waking up costs a process more than handling a
+        datagram.
+        """
         self.reader = gevent.getcurrent()
-        while self.sock.fileno() >= 0:  # it may be closed before this has begun
+        while self.sock.fileno() >= 0:  # the socket may be closed before this greenlet starts
             wait_read(self.sock.fileno())
             self.drained.clear()
             self.received.set()
             self.drained.wait()
 
     def drain(self) -> int:
-        """Receive what has come, up to `MAX_DATAGRAMS_PER_DRAIN` datagrams; the number received."""
+        """Receive the datagrams that are readable, up to `MAX_DATAGRAMS_PER_DRAIN`; return their number."""
         self.received.clear()
         self.drained.set()
         for count in range(MAX_DATAGRAMS_PER_DRAIN):
@@ -169,13 +173,13 @@
             except BlockingIOError:
                 return count
             except OSError:
-                self.counters.add("fleet.read_errors")  # an ICMP answer to something sent, most likely
+                self.counters.add("fleet.read_errors")  # most likely an ICMP error for a sent datagram
                 continue
             self.receive(raw, source)
         return MAX_DATAGRAMS_PER_DRAIN
 
     def receive(self, raw: bytes, source: Address) -> None:
-        """Take one datagram into the inbox, or count why not."""
+        """Decode a datagram and append it to the inbox, or count the reason for dropping it."""
         now = self.now()
         if not self._bucket(source, now).admit(now):
             self.counters.add("fleet.flooded")
@@ -195,8 +199,8 @@
         self.inbox.append(envelope)
 
     def _bucket(self, source: Address, now: int) -> TokenBucket:
-        """The bucket of an address. Guards against spoofed addresses, which neither grow this without bound
-        nor lock out a peer: its own bucket waits for it."""
+        """Return the bucket of an address. The number of buckets is bounded, and each peer's address has one
+        of its own: spoofed addresses can neither exhaust memory nor use up a peer's rate."""
         bucket = self.peer_buckets.get(source) or self.other_buckets.get(source)
         if bucket is None:
             if len(self.other_buckets) >= MAX_OTHER_BUCKETS and now - self.swept_at >= SWEEP_INTERVAL:
@@ -207,7 +211,7 @@
         return bucket
 
     def _sweep(self, now: int) -> None:
-        """Free the buckets of addresses long silent: machines that were replaced."""
+        """Free the buckets of addresses that have been idle for long, such as those of replaced machines."""
         self.swept_at = now
         self.other_buckets = {
             a: b for a, b in self.other_buckets.items() if now - b.refilled_at < BUCKET_IDLE_TIMEOUT
--- a/cypressledge/fleet/event_log.py
+++ b/cypressledge/fleet/event_log.py
@@ -1,4 +1,4 @@
-"""The fleet's events as structured log lines (structlog, JSON) on standard error: who, what, token, why."""
+"""Structured log lines (structlog, JSON) of the fleet's events on standard error."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def event_logger(broker: str, instance_id: int) -> FilteringBoundLogger:
-    """A logger whose every line names the broker and its instance (`run`)."""
+    """Return a logger that adds the broker's name and its instance (`run`, hexadecimal) to each line."""
     return structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
         processors=[
--- a/cypressledge/fleet/lease_recorder.py
+++ b/cypressledge/fleet/lease_recorder.py
@@ -1,4 +1,4 @@
-"""For the laboratory alone: a file of what leases this process believed it held, and until when."""
+"""A record, for simulations only, of the leases that this process believed it held, and until when."""
 
 import json
 
@@ -7,8 +7,8 @@
 
 
 class LeaseRecorder:
-    """Appends one JSON line for each change; moments are µs of the machine's clock, that all processes
-    share."""
+    """A file to which one JSON line is appended for each change. Times are µs of the machine's clock, which
+    all processes share."""
 
     def __init__(self, path: str, node: FleetNode) -> None:
         self.node = node
@@ -16,18 +16,19 @@
         self.recorded_until: dict[str, int] = {}
 
     def record_renewals(self) -> None:
-        """Record what has been renewed. An end is recorded once what is done under the lease has ended."""
+        """Record the new expiration of renewed leases. `record_end` records a lease's end, after the work
+        under it has ended."""
         for lease in list(self.recorded_until):
             if self.node.held_lease(lease) is not None:
                 self.record(lease)
 
     def record_end(self, lease: str) -> None:
-        """A lease that may have been recorded is lost."""
+        """Record the end of a lease that is lost or released, if it has been recorded as held."""
         if lease in self.recorded_until:
             self.record(lease)
 
     def record(self, lease: str) -> None:
-        """Record until when this process believes in a lease, where that has changed."""
+        """Record until when this process believes it holds a lease, if that has changed; 0 if not held."""
         clock = self.node.clock
         grant = self.node.lease_manager.held_lease(lease, clock.now())
         if grant is None:
--- a/cypressledge/fleet/leases/__init__.py
+++ b/cypressledge/fleet/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases by majorities of time-bound votes: voters, acquisitions, and when to do what. No I/O."""
+"""Leases granted by majorities of time-bound votes: voters, acquisitions, timing of requests. No I/O."""
--- a/cypressledge/fleet/leases/lease.py
+++ b/cypressledge/fleet/leases/lease.py
@@ -1,4 +1,4 @@
-"""What a lease is to the broker that takes part in it: its slots, what is held, and what happens to it."""
+"""Types that describe a lease at a participating broker: its slots, a held lease and the lease's events."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class LeaseEvent(StrEnum):
-    """What has happened to a lease at this broker. Values as in the log (`lease_…`) and the counters."""
+    """An event of a lease at this broker. The values are written to the log (`lease_…`) and the counters."""
 
     ACQUIRED = "acquired"
     LOST = "lost"
@@ -18,19 +18,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSlot:
-    """One thing to be held: a lease, or one slot of a counted lease (`group/0`, `group/1`, …). One that is
-    `on_demand` is acquired only by brokers that request it."""
+    """A lease that one broker at a time can hold: a simple lease, or one slot of a counted lease (`group/0`,
+    `group/1`, …). `term` in µs. An `on_demand` lease is acquired only by brokers that request its group."""
 
     lease: str
     group: str
     term: int
     on_demand: bool
-    candidates: int = CANDIDATES  # that stand by: those that hold another slot of the group can't take it
+    candidates: int = CANDIDATES  # more for a counted lease: holders of another slot can't take this one
 
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """A lease that is held, with what acts under it need. `expires_at` is on the clock that leases use."""
+    """A held lease, with the data that work under it needs. `expires_at`: µs on the clock that leases use."""
 
     lease: str
     group: str
@@ -40,7 +40,7 @@
 
 
 def lease_slots(name: str, count: int, term: int, on_demand: bool) -> list[LeaseSlot]:
-    """The slots of a lease; one that is not counted is its own only slot."""
+    """Return the slots of a lease, `term` in µs. A lease with one slot has the lease's own name."""
     if count == 1:
         return [LeaseSlot(name, name, term, on_demand)]
     return [LeaseSlot(f"{name}/{i}", name, term, on_demand, CANDIDATES + count - 1) for i in range(count)]
--- a/cypressledge/fleet/leases/lease_manager.py
+++ b/cypressledge/fleet/leases/lease_manager.py
@@ -1,7 +1,7 @@
-"""All leases as one broker sees them, and its vote in them where it is a voter. No I/O.
+"""One broker's participation in all leases, and its votes if it is a voter. No I/O.
 
-Callers pass the time in µs, on the clock that leases use. What is done about each lease is
-`participation.py`'s.
+Callers pass the time in µs, on the clock that leases use. `participation.py` has the logic for a single
+lease.
 """
 
 import random
@@ -31,16 +31,19 @@
     VoteRequest,
 )
 
-TIMER_PHASE_RANGE = 10_000 * MS  # brokers' timers are spread over this
-TOKEN_RECOVERY_DELAY = 20 * MS  # from a voter's start to its first questions
-MAX_TICK_INTERVAL = 1_000 * MS
+TIMER_PHASE_RANGE = 10_000 * MS  # µs; the offsets of brokers' timers are spread over this range
+TOKEN_RECOVERY_DELAY = 20 * MS  # µs; from a voter's start to its first status requests for tokens
+MAX_TICK_INTERVAL = 1_000 * MS  # µs
 EXPECTED_REJECTIONS = (RejectionReason.HELD, RejectionReason.TOKEN)  # competition for a lease; no event
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """The leases there are, the bound on clock rates, and what a start draws: every token granted is above
-    `base_token` (µs of the wall clock), timers are spread by `seed`."""
+    """The leases, the bound on the error of clock rates (parts per million), and values of this start.
+
+    Every token granted is above `base_token` (µs of the wall clock). `seed`: for random delays and the offset
+    of this broker's timers.
+    """
 
     slots: Sequence[LeaseSlot]
     drift_ppm: int
@@ -51,7 +54,8 @@
 class LeaseManager:
     """A broker's participations in all leases, and its votes.
 
-    `send` gets (peer, item), `on_event` (event, lease, token, reason)."""
+    `send` gets (peer, item); `on_event` gets (event, lease, token, reason).
+    """
 
     def __init__(
         self,
@@ -82,21 +86,21 @@
         )
         self.participations = self.context.participations
         self.token_recovery_at = now + TOKEN_RECOVERY_DELAY
-        self.next_due_at = 0  # no participation is due before
+        self.next_due_at = 0  # µs; no participation is due earlier
         self.set_slots(settings.slots, now)
 
     @property
     def alive(self) -> frozenset[str]:
-        """The brokers that are alive, this one too, as last set."""
+        """The brokers that are alive, this one included, as last set by `set_alive`."""
         return self.context.alive
 
     @property
     def requested_groups(self) -> set[str]:
-        """The groups on demand that this broker requests."""
+        """The groups of leases on demand that this broker requests."""
         return self.context.requested_groups
 
     def set_slots(self, slots: Iterable[LeaseSlot], now: int) -> None:
-        """Set the leases there are. One that is held and no longer among them is released."""
+        """Set the leases. Held leases that are removed are released."""
         by_lease = {slot.lease: slot for slot in slots}
         for lease in [name for name in self.participations if name not in by_lease]:
             self.release(lease, now, "lease removed")
@@ -112,9 +116,9 @@
         self.next_due_at = 0
 
     def set_alive(self, alive: frozenset[str], now: int) -> None:
-        """Set who is alive: another set means other candidates for leases."""
+        """Set the brokers that are alive. A change can change the candidates for leases."""
         context = self.context
-        if alive is context.alive:  # mostly: comparing sets costs at size
+        if alive is context.alive:  # the usual case; comparing large sets is slow
             return
         if alive == context.alive:
             return
@@ -130,21 +134,21 @@
                 participation.due_at = min(participation.due_at, now + context.jitter(100 * MS))
 
     def stop(self) -> None:
-        """Request no lease from here on."""
+        """Stop requesting leases."""
         self.context.stopping = True
 
-    # For operators and tasks
+    # Queries and commands of operators and tasks
 
     def candidates(self, lease: str) -> list[str]:
-        """The candidates for a lease among those alive, first to last."""
+        """Return the candidates for a lease among the brokers alive, first to last."""
         return self.context.candidates(self.participations[lease].slot)
 
     def candidate_rank(self, lease: str) -> int | None:
-        """This broker's place among a lease's candidates; None where it is not one."""
+        """Return this broker's place among a lease's candidates, from 0; None if it is not one."""
         return self.context.candidate_rank(self.participations[lease].slot)
 
     def known_holder(self, lease: str, now: int) -> str:
-        """The holder of a lease as last heard of; empty where none is known."""
+        """Return the last known holder of a lease; empty if none is known."""
         participation = self.participations[lease]
         if participation.acquisition.is_held(now):
             return self.name
@@ -154,16 +158,16 @@
         return participation.known_holder if participation.known_holder != self.name else ""
 
     def held_leases(self, now: int) -> list[HeldLease]:
-        """All leases that are held now."""
+        """Return all leases that are held now."""
         return [held for p in self.participations.values() if (held := p.held_lease(now)) is not None]
 
     def held_lease(self, lease: str, now: int) -> HeldLease | None:
-        """A lease, if it is held now."""
+        """Return a lease if it is held now, else None."""
         participation = self.participations.get(lease)
         return None if participation is None else participation.held_lease(now)
 
     def request(self, group: str, now: int) -> bool:
-        """Request a lease on demand; whether there is one of this name."""
+        """Request a lease on demand; return whether a lease of this name exists."""
         requested = [p for p in self.participations.values() if p.slot.group == group and p.slot.on_demand]
         self.requested_groups.add(group)
         for participation in requested:
@@ -172,19 +176,19 @@
         return bool(requested)
 
     def withdraw_request(self, group: str) -> None:
-        """Request a lease on demand no more; one that is held stays held."""
+        """Stop requesting a lease on demand. If it is held, it stays held."""
         self.requested_groups.discard(group)
 
     def release_group(self, group: str, now: int) -> None:
-        """Request a lease on demand no more, and release it where it is held."""
+        """Stop requesting a lease on demand, and release it if it is held."""
         self.withdraw_request(group)
         for participation in self.participations.values():
             if participation.slot.group == group:
                 self.release(participation.slot.lease, now, "request withdrawn")
 
     def release(self, lease: str, now: int, reason: str, cooldown: int = 0) -> bool:
-        """Release a lease; the next candidates are notified. Whatever was done under it must have ended.
-        `cooldown`: µs in which this broker does not request it again. Whether it was held."""
+        """Release a lease and notify the next candidates; return whether it was held. The work under it must
+        have ended. `cooldown`: µs in which this broker does not request it again."""
         participation = self.participations.get(lease)
         if participation is None or participation.phase is ParticipationPhase.IDLE:
             return False
@@ -192,7 +196,8 @@
         return participation.release(now, reason, cooldown)
 
     def token_rejected(self, lease: str, token: int, now: int) -> None:
-        """The resource acted on knows a higher token: release, and acquire under one above it."""
+        """Handle a resource's rejection of this broker's token, with the higher `token` that the resource
+        knows: release the lease, and acquire it under a token above that."""
         participation = self.participations.get(lease)
         if participation is not None:
             self.release(lease, now, f"token rejected: {token} is known there")
@@ -201,13 +206,13 @@
             self.next_due_at = 0
 
     def is_requesting_votes(self) -> bool:
-        """Whether an attempt at a lease is under way."""
+        """Return whether this broker is requesting votes for any lease that it does not hold."""
         return any(p.phase is ParticipationPhase.REQUESTING_VOTES for p in self.participations.values())
 
     # Messages
 
     def receive(self, now: int, sender: str, item: LeaseItem) -> None:
-        """Handle one of the leases' messages, from a peer whose messages count."""
+        """Handle a lease message of a peer whose messages are accepted."""
         if isinstance(item, VoteRequest):
             self._vote(now, sender, item)
         elif isinstance(item, LeaseStatusRequest):
@@ -227,17 +232,17 @@
             self.context.on_event(LeaseEvent.VOTE_REJECTED, request.lease, request.token, answer.reason)
 
     def _status(self, now: int, request: LeaseStatusRequest) -> LeaseStatus:
-        """The status of a lease here, with the highest token that this broker knows as voter or requester."""
+        """Return a lease's status, with the highest token that this broker knows as voter or requester."""
         status = self.voter.status(now, request)
         participation = self.participations.get(request.lease)
         if participation is None or participation.acquisition.highest_token <= status.token:
             return status
         return structs.replace(status, token=participation.acquisition.highest_token)
 
-    # What time brings
+    # Timers
 
     def tick(self, now: int) -> int:
-        """Do what is due; the moment of the next tick."""
+        """Do what is due; return when the next tick is due, µs."""
         self._recover_tokens(now)
         if now < self.next_due_at:
             return self.next_due_at
@@ -248,7 +253,8 @@
         return self.next_due_at
 
     def _recover_tokens(self, now: int) -> None:
-        """A voter that starts has forgotten all tokens: while in quarantine it asks everybody for them."""
+        """Ask all brokers for the tokens of leases while in quarantine: a voter stores nothing on disk, so it
+        knows no tokens after a start."""
         remaining = self.voter.voting_quarantine(now)
         if not remaining or self.name not in self.electorate.voters or now < self.token_recovery_at:
             return
--- a/cypressledge/fleet/leases/participation.py
+++ b/cypressledge/fleet/leases/participation.py
@@ -1,8 +1,8 @@
-"""One broker's participation in one lease: when to query, request votes, renew, stand by, release. No I/O.
+"""One broker's participation in one lease: when to query, request votes, renew, wait and release. No I/O.
 
-Safety rests on `voter.py` and `acquisition.py` alone; here only time can be lost. The first candidate
-(`candidate_order.py`) requests votes at once, the others stand by and request later, so that votes are seldom
-split. Callers pass the time in µs, on the clock that leases use.
+Safety depends only on `voter.py` and `acquisition.py`: a mistake here can only delay a lease. The first
+candidate (`candidate_order.py`) requests votes at once, the others later, so that votes are seldom split.
+Callers pass the time in µs, on the clock that leases use.
 """
 
 import random
@@ -25,12 +25,12 @@
     VoteRejected,
 )
 
-MS = 1_000
-FAST_RETRIES = 5  # attempts in quick succession after a hint that a lease is free
-MAX_SPLIT_VOTES = 4  # split votes in a row that lengthen the pause before the next attempt
-MAX_ANSWER_TIMEOUT = 500 * MS  # the longest wait for answers to a status request or a vote request
-MAX_STAGGER = 100 * MS  # the longest lead that one candidate has over the next
-# Reasons that no attempt of this process can change before the voter itself changes.
+MS = 1_000  # µs per millisecond
+FAST_RETRIES = 5  # attempts; made in quick succession after a notice that a lease is free
+MAX_SPLIT_VOTES = 4  # split votes in a row; each doubles the random delay of the next attempt, up to this
+MAX_ANSWER_TIMEOUT = 500 * MS  # µs; longest wait for answers to a status request or a vote request
+MAX_STAGGER = 100 * MS  # µs; longest time that one candidate waits after the one before it
+# Reasons that stay until the voter's own state changes, whatever this process requests.
 VOTER_UNAVAILABLE_REASONS = (
     RejectionReason.VOTING_QUARANTINE,
     RejectionReason.VOTERS_VERSION,
@@ -39,7 +39,7 @@
 
 
 class ParticipationPhase(Enum):
-    """What a broker does about one lease. Values as operators see them."""
+    """The phase of a broker's participation in one lease. The values are shown to operators."""
 
     IDLE = "idle"
     QUERYING_STATUS = "looking"
@@ -49,29 +49,31 @@
 
 @dataclass(slots=True)
 class ParticipationContext:
-    """What all of a broker's participations share. `send` gets (peer, item), `on_event` (event, lease, token,
-    reason)."""
+    """State and functions that all of a broker's participations share.
+
+    `send` gets (peer, item); `on_event` gets (event, lease, token, reason).
+    """
 
     name: str
     instance_id: int
     electorate: Electorate
     voter: Voter
     random: random.Random
-    timer_phase: int  # µs: offset of this broker's timers, so that brokers' timers do not coincide
+    timer_phase: int  # µs; offset of this broker's timers, so that brokers' timers do not coincide
     send: Callable[[str, AnyItem], None]
     on_event: Callable[[LeaseEvent, str, int, str], None]
     alive: frozenset[str]
     stopping: bool = False
     requested_groups: set[str] = field(default_factory=set)  # groups on demand that this broker requests
     participations: "dict[str, LeaseParticipation]" = field(default_factory=dict)
-    candidate_orders: dict[str, list[str]] = field(default_factory=dict)  # by lease, of those alive
+    candidate_orders: dict[str, list[str]] = field(default_factory=dict)  # by lease; a cache
 
     def jitter(self, limit: int) -> int:
-        """A random duration below `limit`, µs."""
+        """Return a random duration below `limit`, µs."""
         return self.random.randrange(limit)
 
     def candidates(self, slot: LeaseSlot) -> list[str]:
-        """The candidates for a lease among those alive, first to last."""
+        """Return the candidates for a lease among the brokers alive, first to last."""
         found = self.candidate_orders.get(slot.lease)
         if found is None:
             found = self.candidate_orders[slot.lease] = candidate_order(
@@ -80,17 +82,18 @@
         return found
 
     def candidate_rank(self, slot: LeaseSlot) -> int | None:
-        """This broker's place among a lease's candidates; None where it is not one."""
+        """Return this broker's place among a lease's candidates, from 0; None if it is not one."""
         found = self.candidates(slot)
         return found.index(self.name) if self.name in found else None
 
     def align_timer(self, now: int, interval: int) -> int:
-        """The next of this broker's timer moments, `interval` µs from now at most: what is done on them, for
-        any lease, goes to each voter in one datagram."""
+        """Return when this broker's timer of `interval` µs fires next, at most `interval` from now. What is
+        sent for several leases at the same firing goes to each voter in one datagram."""
         return now + interval - (now + self.timer_phase) % interval
 
     def is_group_taken(self, participation: "LeaseParticipation") -> bool:
-        """Whether this broker holds another slot of a counted lease's group, or requests votes for one."""
+        """Return whether this broker holds another slot of a counted lease's group, or requests votes for
+        one."""
         slot = participation.slot
         active = (ParticipationPhase.HELD, ParticipationPhase.REQUESTING_VOTES)
         return slot.candidates > CANDIDATES and any(
@@ -101,7 +104,7 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseParticipation:
-    """One broker's participation in one lease. `due_at`: when `advance` has something to do."""
+    """One broker's participation in one lease. `due_at`: when `advance` has something to do, µs."""
 
     slot: LeaseSlot
     acquisition: LeaseAcquisition
@@ -110,14 +113,14 @@
     phase: ParticipationPhase = ParticipationPhase.IDLE
     attempt_started_at: int = 0
     fast_retries: int = 0
-    split_votes: int = 0  # attempts in a row that split the vote
-    statuses: dict[str, LeaseStatus] = field(default_factory=dict)  # by voter, of the query under way
-    known_holder: str = ""  # as last heard
+    split_votes: int = 0  # attempts in a row that failed with a split vote
+    statuses: dict[str, LeaseStatus] = field(default_factory=dict)  # by voter: answers to the current query
+    known_holder: str = ""  # the last known one; empty if none is known
 
-    # For operators and tasks
+    # Queries and commands
 
     def held_lease(self, now: int) -> HeldLease | None:
-        """The lease, if it is held now."""
+        """Return the lease if it is held now, else None."""
         acquisition = self.acquisition
         if self.phase is not ParticipationPhase.HELD or not acquisition.is_held(now):
             return None
@@ -130,9 +133,9 @@
         )
 
     def release(self, now: int, reason: str, cooldown: int = 0) -> bool:
-        """Release the lease, or an attempt at it; the next candidates are notified. Whatever was done under
-        it must have ended. `cooldown`: µs in which this broker does not request it again. Whether it was
-        held."""
+        """Release the lease and notify the next candidates, or end an attempt to acquire it; return whether
+        it was held. The work under it must have ended. `cooldown`: µs in which this broker does not request
+        it again, at least a term."""
         if self.phase is ParticipationPhase.IDLE:
             return False
         was_held = self.phase is ParticipationPhase.HELD
@@ -153,12 +156,12 @@
         for name in candidate_order(lease, others, self.slot.candidates):
             context.send(name, LeaseReleased(lease, token))
 
-    # Answers of voters, and hints
+    # Voters' answers and release notices
 
     def receive(
         self, now: int, sender: str, item: VoteGranted | VoteRejected | LeaseStatus | LeaseReleased
     ) -> None:
-        """Handle a voter's answer, or a hint that the lease is free."""
+        """Handle a voter's answer, or the notice that the lease has been released."""
         if isinstance(item, VoteGranted):
             self._receive_vote(now, sender, item)
         elif isinstance(item, VoteRejected):
@@ -175,7 +178,7 @@
             self._end_attempt(now)
 
     def _receive_release_notice(self, now: int, item: LeaseReleased) -> None:
-        """The lease is free, as its holder says: request votes soon, each candidate in its turn."""
+        """Handle the holder's notice that it has released the lease: request votes soon, delayed by rank."""
         self.acquisition.observe_token(item.token)
         if self.phase is ParticipationPhase.IDLE and self._may_request():
             self.fast_retries = FAST_RETRIES
@@ -199,7 +202,7 @@
         self.context.on_event(LeaseEvent.ACQUIRED, self.slot.lease, token, "a majority voted")
 
     def _renewal_interval(self) -> int:
-        """µs between renewals of a lease that is held, and of the timer moments that queries go by."""
+        """Return the µs between renewals of a held lease; status queries are aligned to the same timer."""
         return self.slot.term // 3
 
     def _receive_status(self, now: int, sender: str, item: LeaseStatus) -> None:
@@ -211,10 +214,10 @@
             self.statuses[sender] = item
             self._evaluate_statuses(now)
 
-    # What time brings
+    # Timers
 
     def advance(self, now: int) -> int:
-        """Do what is due; the moment at which something is due next."""
+        """Do what is due; return when something is due next, µs."""
         if self.phase is ParticipationPhase.HELD and not self.acquisition.is_held(now):
             self._lose(now)
         if now >= self.due_at:
@@ -240,7 +243,8 @@
             self._query_status(now)
 
     def _may_request(self) -> bool:
-        """Whether this broker requests the lease at all."""
+        """Return whether this broker may request the lease: it is a candidate or has requested the lease's
+        group, is not stopping, and holds no other slot of the group."""
         context = self.context
         if context.stopping or not context.electorate.voters or context.is_group_taken(self):
             return False
@@ -249,8 +253,8 @@
         return context.candidate_rank(self.slot) is not None
 
     def _query_status(self, now: int) -> None:
-        """Ask the voters for the lease's status. A voter whose own vote is in force knows enough to wait for
-        its end."""
+        """Ask the voters for the lease's status. If this broker is a voter and its own vote for another is in
+        force, wait for that vote to expire instead."""
         vote = self._vote_for_another(now)
         if vote is not None:
             self.known_holder = vote.holder
@@ -263,7 +267,8 @@
             self.context.send(voter, LeaseStatusRequest(self.slot.lease))
 
     def _vote_for_another(self, now: int) -> Vote | None:
-        """This broker's own vote as a voter, where it is in force and for another that is alive."""
+        """Return this broker's own vote as a voter if it is in force, for another process, and that one's
+        broker is alive; else None."""
         context = self.context
         state = context.voter.leases.get(self.slot.lease)
         vote = state.vote_in_force(now) if state is not None else None
@@ -272,12 +277,12 @@
         return vote
 
     def _answer_timeout(self) -> int:
-        """µs that voters have to answer a status request or a vote request."""
+        """Return the µs that voters have to answer a status request or a vote request."""
         return min(self.slot.term // 6, MAX_ANSWER_TIMEOUT)
 
     def _evaluate_statuses(self, now: int, timed_out: bool = False) -> None:
-        """Request votes as soon as a majority is free; rest once all that are alive have answered, or the
-        query has `timed_out`: a voter in quarantine may answer before those that are free."""
+        """Request votes as soon as a majority is free. Become idle only when all voters alive have answered
+        or the query has `timed_out`, since a voter in quarantine may answer before those that are free."""
         electorate, statuses = self.context.electorate, self.statuses
         waits = sorted(map(self._time_until_vote, statuses.values()))
         if len(waits) < electorate.majority:
@@ -290,27 +295,29 @@
             self._wait_for_expiry(now, wait)
 
     def _holder_from_statuses(self) -> str:
-        """The holder that most voters name, where a majority names any; else empty."""
+        """Return the holder that most voters name if a majority names any, else an empty string."""
         holders = [status.holder for status in self.statuses.values() if status.holder]
         if len(holders) < self.context.electorate.majority:
             return ""
         return max(sorted(set(holders)), key=holders.count)
 
     def _time_until_vote(self, status: LeaseStatus) -> int:
-        """µs until a voter may vote for this process. A vote for a former instance is another process's."""
+        """Return the µs until a voter may vote for this process. A vote for a former instance of this broker
+        counts as a vote for another process."""
         own = status.holder == self.context.name and self.acquisition.round > 0
         return max(0 if own else status.remaining, status.voting_quarantine)
 
     def _wait_for_expiry(self, now: int, remaining: int) -> None:
-        """Query again when a vote in force may have expired."""
+        """Become idle until the votes in force may have expired, then query again."""
         wait = min(remaining + self._stagger(), self.slot.term) + MS
-        # A far expiry is queried a little early, on a timer moment; the last query times the request.
+        # If the expiration is far off, query a little early, aligned to the timer; the last query before the
+        # expiration determines when votes are requested.
         interval = self._renewal_interval()
         early = (now + wait + self.context.timer_phase) % interval
         self._become_idle(now, wait - early if wait - early > interval // 2 else wait)
 
     def _request_votes_by_rank(self, now: int) -> None:
-        """Request votes at once if first candidate; the others leave the first a lead."""
+        """Request votes at once if this broker is the first candidate; the others wait by their rank."""
         stagger = self._stagger()
         if self.slot.on_demand or not self.context.candidate_rank(self.slot) or self.fast_retries:
             self._start_attempt(now)
@@ -319,7 +326,7 @@
             self._become_idle(now, stagger)
 
     def _stagger(self) -> int:
-        """µs that this broker leaves the candidates before it."""
+        """Return the µs that this broker waits for the candidates before it."""
         rank = self.context.candidate_rank(self.slot) or 0
         return rank * min(self.slot.term // 20, MAX_STAGGER)
 
@@ -333,7 +340,7 @@
             self._become_idle(now, self.slot.term // 2)
 
     def _send_vote_requests(self, now: int) -> bool:
-        """Begin a round; whether the voter set may be used."""
+        """Start a round and send its request to all voters; return whether the voter set may be used."""
         request = self.acquisition.start_round(now)
         if request is None:
             return False
@@ -342,7 +349,8 @@
         return True
 
     def _end_attempt(self, now: int) -> None:
-        """An attempt that can't win: free the votes it has, and try again when that may help."""
+        """End an attempt that can't win or has timed out: release its votes, and retry after a delay that
+        depends on the rejections."""
         context, acquisition = self.context, self.acquisition
         rejections = list(acquisition.rejections.values())
         reason = rejections[-1].reason if rejections else "no answer"
@@ -352,16 +360,17 @@
         self._become_idle(now, delay + context.jitter(50 * MS))
 
     def _retry_delay(self, rejections: list[VoteRejected], reason: str) -> int:
-        """µs to rest after a lost attempt."""
+        """Return the µs to wait after a failed attempt."""
         term = self.slot.term
         if rejections and all(r.reason == RejectionReason.TOKEN for r in rejections):
-            return 0  # a higher token is known now
+            return 0  # the next attempt requests a token above those of the rejections
         if self.fast_retries:
             return 10 * MS + self.context.jitter(30 * MS)
         if reason in VOTER_UNAVAILABLE_REASONS:
             return min(max(r.remaining for r in rejections) or term // 2, term)
         if reason == RejectionReason.HELD:
-            # It was free when it was queried: a split vote. Query again soon, and not all at the same time.
+            # The lease was free when it was queried, so the vote was split. Query again soon, with a random
+            # delay so that candidates do not collide again.
             self.split_votes = min(self.split_votes + 1, MAX_SPLIT_VOTES)
             return 10 * MS + self.context.jitter(40 * MS << self.split_votes)
         return term // 6
@@ -379,6 +388,6 @@
         self.context.on_event(LeaseEvent.LOST, self.slot.lease, token, "no majority renewed it in time")
 
     def _become_idle(self, now: int, duration: int) -> None:
-        """Do nothing about the lease for `pause` µs."""
+        """Do nothing about the lease for `duration` µs."""
         self.phase = ParticipationPhase.IDLE
         self.due_at = now + duration
--- a/cypressledge/fleet/leases/voter.py
+++ b/cypressledge/fleet/leases/voter.py
@@ -1,11 +1,9 @@
-"""A voter's side of leases: one vote a lease, for one process, for a bounded time. No I/O: callers pass the
-time.
-
-A voter votes for one process at a time, on its own clock. Nothing is stored: a voter that starts does not
-vote until whatever it may have granted before has expired. The argument, with every assumption, is in
-docs/leases.md; each guard it names is a method of its own. Method: Gray and Cheriton, "Leases" (1989), for
-the timers; PaxosLease (Trencseni et al., 2012) for majorities without a disk. All times are µs on the
-process's own clock.
+"""The voter's side of leases: for each lease one vote, for one process, for a bounded time.
+
+No I/O: callers pass the time, in µs on the process's own clock. Nothing is stored on disk: after a start, a
+voter does not vote until all votes that it may have granted before have expired. The safety argument, with
+all assumptions, is in docs/leases.md. Each guard that it names is a separate method here. Method: Gray and
+Cheriton, "Leases" (1989), for the timers; PaxosLease (Trencseni et al., 2012) for majorities without a disk.
 """
 
 from dataclasses import dataclass
@@ -21,12 +19,12 @@
     VoteRequest,
 )
 
-MAX_LEASES = 1_024  # leases that one voter keeps the state of
+MAX_LEASES = 1_024  # leases; one voter keeps the state of this many
 
 
 @dataclass(slots=True)
 class Vote:
-    """A vote in force: for which process, in which of its rounds, until when on this voter's clock."""
+    """A vote for a process, granted in one of its rounds. `expires_at`: µs on this voter's clock."""
 
     holder: str
     instance_id: int
@@ -39,19 +37,19 @@
 class VoterLeaseState:
     """The state of one lease at one voter."""
 
-    highest_token: int  # that this voter knows to have been requested
+    highest_token: int  # the highest requested token that this voter knows
     vote: Vote | None = None
     released: tuple[int, int] = (0, 0)  # instance and round of the last release
 
     def vote_in_force(self, now: int) -> Vote | None:
-        """The vote, if it has not expired."""
+        """Return the vote if it has not expired, else None."""
         vote = self.vote
         return vote if vote is not None and now < vote.expires_at else None
 
 
 class Voter:
-    """One voter's side of all leases. Every token it grants is above `base_token`: µs of the wall clock at
-    its start, so that tokens grow over a restart of all voters."""
+    """One voter's votes in all leases. Every token that it grants is above `base_token`, the wall clock's µs
+    at its start, so that tokens also grow over a restart of all voters."""
 
     def __init__(self, electorate: Electorate, now: int, base_token: int) -> None:
         self.electorate = electorate
@@ -60,16 +58,18 @@
         self.leases: dict[str, VoterLeaseState] = {}
 
     def voting_quarantine(self, now: int) -> int:
-        """µs until this voter votes: whatever its former instance may have granted has to expire first."""
+        """Return the µs until this voter votes: all votes that its former instance may have granted have to
+        expire first."""
         return max(0, self.started_at + self.electorate.max_term - now)
 
     def is_free(self, now: int, vote: Vote | None, instance_id: int) -> bool:
-        """Whether the vote may be given to a process: no other has it."""
+        """Return whether the vote may be granted to a process: no vote for another is in force."""
         return vote is None or vote.instance_id == instance_id or now >= vote.expires_at
 
     def is_token_acceptable(self, state: VoterLeaseState, request: VoteRequest) -> bool:
-        """Whether the token requested is above all others, or is still the requester's own. A holder renews
-        under its token whatever others have tried: while it holds, no other can have held a higher one."""
+        """Return whether the requested token is above all known ones, or is still the requester's own. A
+        holder renews under its token even if others have requested higher ones: while it holds the lease, no
+        other can have held it under a higher token."""
         vote = state.vote
         own_token = vote.token if vote is not None and vote.instance_id == request.instance_id else None
         return (
@@ -79,7 +79,7 @@
         )
 
     def status(self, now: int, request: LeaseStatusRequest) -> LeaseStatus:
-        """The status of a lease here; binds nobody."""
+        """Return the status of a lease at this voter. Has no effect on votes."""
         state = self.leases.get(request.lease) or VoterLeaseState(self.base_token)
         vote = state.vote_in_force(now)
         return LeaseStatus(
@@ -91,7 +91,7 @@
         )
 
     def vote(self, now: int, requester: str, request: VoteRequest) -> VoteGranted | VoteRejected | None:
-        """Grant a vote or say why not; None for a round that has been released or superseded."""
+        """Answer a request with a vote or a rejection; None if its round has been released or superseded."""
         state = self.leases.get(request.lease)
         if state is None:
             if len(self.leases) >= MAX_LEASES:
@@ -109,7 +109,7 @@
     def _grant(now: int, requester: str, state: VoterLeaseState, request: VoteRequest) -> None:
         vote = state.vote
         if vote is not None and (vote.instance_id, vote.round) == (request.instance_id, request.round):
-            return  # guards against a duplicate of a request that would extend the vote
+            return  # a duplicate of the request, which must not extend the vote
         expires_at = now + request.term
         if vote is not None and vote.instance_id == request.instance_id:
             expires_at = max(expires_at, vote.expires_at)
@@ -157,11 +157,11 @@
         )
 
     def covers(self, vote: Vote, release: ReleaseLease) -> bool:
-        """Whether a release is of this vote: one of an earlier round is not."""
+        """Return whether a release applies to this vote: one of an earlier round does not."""
         return vote.instance_id == release.instance_id and vote.round <= release.round
 
     def release(self, release: ReleaseLease) -> None:
-        """Free a vote, and reject its round from here on."""
+        """Free a vote, and ignore requests of its round and earlier ones from here on."""
         state = self.leases.get(release.lease)
         if state is None:
             return
@@ -171,7 +171,7 @@
             state.released = (release.instance_id, release.round)
 
     def observe_token(self, lease: str, token: int) -> None:
-        """Record a higher token that somebody knows of."""
+        """Raise the highest known token of a lease to `token` if that is higher."""
         state = self.leases.get(lease)
         if state is None and len(self.leases) < MAX_LEASES:
             state = self.leases[lease] = VoterLeaseState(self.base_token)
--- a/cypressledge/fleet/membership.py
+++ b/cypressledge/fleet/membership.py
@@ -1,10 +1,10 @@
-"""Which peers are alive, suspect or gone, and under which incarnation. No I/O: callers pass the time (µs).
+"""Membership: which peers are alive, suspect or gone, and under which incarnation.
 
-Method: SWIM (Das, Gupta, Motivala, 2002): each period one peer is pinged, in a shuffled round; a peer that
-does not answer is pinged through others, then suspect, then gone; updates ride on the pings as gossip. A
-broker's cost does not depend on the size of the fleet but for the size of the gossip. An incarnation only
-grows: a process that starts takes the wall clock's ms, and goes above whatever it hears of its former
-instance, so clocks need not be right.
+No I/O: callers pass the time in µs. Method: SWIM (Das, Gupta, Motivala, 2002). In each period one peer is
+pinged, in a shuffled round. A peer that does not answer is pinged through others, then becomes suspect, then
+gone. Updates are sent with the pings as gossip. A broker's cost does not depend on the size of the fleet,
+except for the size of the gossip. Incarnations only grow: a process starts with the wall clock's ms, and
+raises its incarnation above any that it receives about its former instance, so clocks need not be right.
 """
 
 import math
@@ -16,43 +16,43 @@
 from cypressledge.fleet.clock import NEVER
 from cypressledge.fleet.messages import Ack, AnyItem, GossipUpdate, IndirectPing, Ping
 
-MAX_PING_UPDATES = 24  # on one ping, but for the first to a broker that has just started
-MAX_UPDATES_TO_NEW_PEER = 96  # on that first one: under a datagram's bound whatever the names
-MIN_ANNOUNCE_TARGETS = 8  # peers that a process that starts pings at once, in fleets
-ANNOUNCE_FLEET_SIZE = 200  # of this size; in larger ones as many more
-LEAVE_TARGETS = 8  # peers that are notified when this broker leaves
-INDIRECT_PINGS = 3  # peers that are asked to ping another
-MAX_RELAYED_PINGS = 64  # pings on others' behalf whose answers are waited for
+MAX_PING_UPDATES = 24  # updates; sent with one ping or ack, unless the receiver has just started
+MAX_UPDATES_TO_NEW_PEER = 96  # updates; sent to such a receiver: they fit a datagram whatever the names
+MIN_ANNOUNCE_TARGETS = 8  # peers; a starting process pings this many at once
+ANNOUNCE_FLEET_SIZE = 200  # peers; in larger fleets the number pinged at start grows in proportion to this
+LEAVE_TARGETS = 8  # peers; notified when this broker leaves
+INDIRECT_PINGS = 3  # peers; asked to ping a peer that does not answer
+MAX_RELAYED_PINGS = 64  # pings; sent on others' behalf and not answered yet
 
 
 class MemberState(IntEnum):
-    """What is held of a member; the numbers are the wire format."""
+    """State of a member as this broker knows it. The numbers are the wire format."""
 
     ALIVE = 0
     SUSPECT = 1
     GONE = 2
 
 
-# Names of their own: an attribute of an enum costs at each access, and all members are looked at.
+# Module constants: access to an enum's attribute is slow, and `alive` checks every member.
 ALIVE, SUSPECT, GONE = MemberState
 STATES = frozenset(MemberState)
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of one peer."""
+    """The state of one peer. Times in µs."""
 
     name: str
     incarnation: int = 0
     state: MemberState = GONE
     state_since: int = 0
-    last_heard_at: int = 0  # when it last spoke itself
-    notified_at: int = NEVER  # when it was last notified that its messages do not count
+    last_heard_at: int = 0  # µs; when its last own message was received, 0 if none was
+    notified_at: int = NEVER  # µs; when it was last notified that its messages are ignored
 
 
 @dataclass(slots=True)
 class PendingPing:
-    """A ping that is not answered yet."""
+    """A ping of this broker that is not answered yet. `sent_at` in µs."""
 
     target: str
     sent_at: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class RelayedPing:
-    """A ping on another's behalf: the answer goes to `requester` under the sequence number that it gave."""
+    """A ping sent on behalf of `requester`, which receives the answer under its own `sequence` number."""
 
     requester: str
     sequence: int
@@ -69,8 +69,11 @@
 
 
 class Membership:
-    """One broker's view of all. `period`: µs between pings; `seed`: of whom it pings and tells; `send` gets
-    (peer, item); `on_change` gets (member, reason) at each change of a peer's state."""
+    """One broker's view of all members.
+
+    `period`: µs between pings; `seed` for the random choice of peers; `send` gets (peer, item); `on_change`
+    gets (member, reason) at each change of a peer's state.
+    """
 
     def __init__(
         self,
@@ -90,17 +93,17 @@
         self.random = random.Random(seed)
         self.members = {p: Member(p) for p in peers if p != name}
         self.suspects: dict[str, Member] = {}
-        self.transmissions_left: dict[str, int] = {}  # of the newest update of each member, as gossip
+        self.transmissions_left: dict[str, int] = {}  # by member: times that its update is still to be sent
         self.ping_round: list[str] = []
         self.pending_pings: dict[int, PendingPing] = {}
         self.relayed_pings: dict[int, RelayedPing] = {}
-        self.sequence = 0  # of the newest ping
+        self.sequence = 0  # number of the newest ping
         self.next_ping_at = 0
         self.leaving = False
-        self._alive: frozenset[str] | None = None  # None: to be computed anew
+        self._alive: frozenset[str] | None = None  # cached result of `alive`; None after a change
 
     def set_peers(self, peers: list[str]) -> None:
-        """Set the peers; those that stay keep what is known of them."""
+        """Set the peers; those that stay keep their state."""
         before = self.members
         self.members = {p: before.get(p) or Member(p) for p in peers if p != self.name}
         for name in self.transmissions_left.keys() - self.members.keys():
@@ -108,25 +111,28 @@
         for name in self.suspects.keys() - self.members.keys():
             del self.suspects[name]
         self.ping_round = [name for name in self.ping_round if name in self.members]
-        # New peers are pinged in this round: it may take minutes.
+        # New peers join the current round, which may take minutes in a large fleet.
         for name in [n for n in self.members if n not in before]:
             self.ping_round.insert(self.random.randint(0, len(self.ping_round)), name)
         self._alive = None
 
     def alive(self) -> frozenset[str]:
-        """All that can be counted on, this broker too."""
+        """Return the names of the members that are alive, including this broker unless it is leaving."""
         if self._alive is None:
             names = {m.name for m in self.members.values() if m.state == ALIVE}
             self._alive = frozenset(names | (set() if self.leaving else {self.name}))
         return self._alive
 
     def missing(self) -> list[str]:
-        """Peers that are not alive."""
+        """Return the sorted names of the peers that are not alive."""
         return sorted(m.name for m in self.members.values() if m.state != ALIVE)
 
     def observe(self, now: int, name: str, incarnation: int) -> bool:
-        """A peer has sent a message; whether it counts. Guards against messages of a former instance, and
-        against a peer held gone that does not know: it has to go above that incarnation."""
+        """Record that a message of a peer was received; return whether the message is accepted.
+
+        Messages of a former instance are ignored, and so are those of a peer that is gone here but does not
+        know it: the peer is notified, and has to raise its incarnation first.
+        """
         member = self.members.get(name)
         if member is None:
             return False
@@ -140,14 +146,15 @@
         return True
 
     def _notify_ignored(self, now: int, member: Member) -> None:
-        """Tell a peer what is held of it. Not at each message: it may not accept the answer either."""
+        """Notify a peer of its state here, at most once per period. If it ignores this broker's messages as
+        well, answering each one would make both notify each other without end."""
         if now - member.notified_at >= self.period:
             member.notified_at = now
             self.send(member.name, Ack(0, "", [self._update_of(member)]))
 
     def refute(self, items: list[AnyItem]) -> None:
-        """Take from a message that does not count what its sender holds of this broker. Guards against
-        brokers that were all partitioned from each other, and would hold each other gone for good."""
+        """Apply the updates about this broker from a message that is ignored otherwise. Brokers that were all
+        partitioned from each other would consider each other gone for ever without it."""
         for item in items:
             if isinstance(item, Ping | Ack):
                 for update in item.updates:
@@ -155,7 +162,7 @@
                         self._refute_update(update)
 
     def receive(self, now: int, sender: str, item: Ping | Ack | IndirectPing) -> None:
-        """Handle one of the membership's messages, from a peer whose messages count."""
+        """Handle a membership message of a peer whose messages are accepted."""
         if isinstance(item, Ping):
             self._apply_updates(now, item.updates)
             self.send(sender, Ack(item.sequence, "", self._updates_for(sender)))
@@ -184,7 +191,8 @@
             self._set_state(now, member, member.incarnation, ALIVE, "indirect ack")
 
     def tick(self, now: int) -> int:
-        """Ping, suspect and give up as time requires; the moment of the next tick."""
+        """Send pings and change the state of peers that have not answered in time; return when the next tick
+        is due, µs."""
         for sequence, ping in list(self.pending_pings.items()):
             self._check_pending(now, sequence, ping)
         for member in list(self.suspects.values()):
@@ -198,11 +206,13 @@
         return min(self.next_ping_at, now + self.period // 4)
 
     def suspicion_timeout(self) -> int:
-        """µs that a suspect has to refute: longer where gossip takes longer to spread."""
+        """Return the µs that a suspect has to refute the suspicion: longer in a larger fleet, where gossip
+        takes longer to spread."""
         return self.period * (3 + math.ceil(math.log10(len(self.members) + 1)))
 
     def _check_pending(self, now: int, sequence: int, ping: PendingPing) -> None:
-        """Ask others to ping after half a period without an ack; give the ping up after two."""
+        """Request indirect pings after half a period without an ack; drop the ping after two periods, and
+        suspect its target if nothing else was received from it either."""
         waited = now - ping.sent_at
         if not ping.is_indirect and waited >= self.period // 2:
             ping.is_indirect = True
@@ -226,8 +236,8 @@
                 self.send(name, Ping(self.sequence, self._updates_for(name)))
 
     def _next_targets(self) -> list[str]:
-        """Whom to ping in this period: the next of the round. One that is gone is pinged too, but not in
-        place of the others."""
+        """Return the peers to ping in this period: the next of the round and, if that one is gone, a random
+        one that is not, so that pings of gone peers do not slow the detection of failures."""
         if not self.members:
             return []
         if not self.ping_round:
@@ -241,15 +251,15 @@
         return [target, self.random.choice(others)] if others else [target]
 
     def announce(self) -> None:
-        """At the start: ping some peers at once, whose answers tell of all others: each of as many as an
-        answer has room for, so with more peers more are pinged."""
+        """Ping some peers at the start of the process, to learn of all others from their answers. An answer
+        has room for a limited number of updates, so more peers are pinged in a larger fleet."""
         names = list(self.members)
         count = max(MIN_ANNOUNCE_TARGETS, MIN_ANNOUNCE_TARGETS * len(names) // ANNOUNCE_FLEET_SIZE)
         for name in self.random.sample(names, min(count, len(names))):
             self.send(name, Ping(0, [self._own_update(ALIVE)]))
 
     def leave(self) -> None:
-        """This broker stops: some peers are notified, and spread it."""
+        """Notify some peers that this broker leaves; they spread it as gossip."""
         self.leaving = True
         self._alive = None
         update = [self._own_update(GONE)]
@@ -257,7 +267,7 @@
         for name in self.random.sample(alive, min(LEAVE_TARGETS, len(alive))):
             self.send(name, Ping(0, update))
 
-    # Gossip
+    # Gossip updates
 
     def _own_update(self, state: MemberState) -> GossipUpdate:
         return GossipUpdate(self.name, self.incarnation, state)
@@ -267,8 +277,8 @@
         return GossipUpdate(member.name, member.incarnation, member.state)
 
     def _updates_for(self, recipient: str) -> list[GossipUpdate]:
-        """What rides on a message: the updates sent least often yet; to a peer that has just started, as much
-        of all that is known as fits."""
+        """Return the updates to send with a message: those sent least often so far, or, to a peer that has
+        just started, a random sample of all members that fits the datagram."""
         own = self._own_update(GONE if self.leaving else ALIVE)
         if self._has_just_started(self.members.get(recipient)):
             known = [m for m in self.members.values() if m.incarnation]
@@ -278,14 +288,14 @@
         return [own, *(self._update_of(self.members[n]) for n in names if n in self.members)]
 
     def _has_just_started(self, member: Member | None) -> bool:
-        """Whether a peer may not know the others yet: it is not alive, or has been for two periods at most
-        when it was last heard."""
+        """Return whether a peer may not know the others yet: it is not alive, or its last message was
+        received less than two periods after it became alive."""
         if member is None or member.state != ALIVE:
             return True
         return member.last_heard_at - member.state_since < 2 * self.period
 
     def _take_gossip(self) -> list[str]:
-        """The members whose updates were sent least often; they count as sent once more."""
+        """Return the members whose updates were sent least often, and count one more transmission of each."""
         names = list(self.transmissions_left)
         if len(names) > MAX_PING_UPDATES:
             names = sorted(names, key=self.transmissions_left.__getitem__, reverse=True)[:MAX_PING_UPDATES]
@@ -303,7 +313,7 @@
                 self._apply_update(now, self.members[update.name], update)
 
     def _refute_update(self, update: GossipUpdate) -> None:
-        """Go above the incarnation of an update about this broker, unless that is true."""
+        """Raise this broker's incarnation above that of an update about it, unless the update is correct."""
         if update.incarnation > self.incarnation or (
             update.incarnation == self.incarnation and update.state != ALIVE and not self.leaving
         ):
@@ -312,7 +322,7 @@
     def _apply_update(self, now: int, member: Member, update: GossipUpdate) -> None:
         newer = update.incarnation > member.incarnation
         worse = update.incarnation == member.incarnation and update.state > member.state
-        # A rumour of suspicion does not outweigh having heard the peer itself just now.
+        # A message of the peer itself within the last period outweighs another broker's suspicion.
         recently_heard = now - member.last_heard_at < self.period
         if worse and update.state == SUSPECT and recently_heard:
             return
--- a/cypressledge/fleet/messages.py
+++ b/cypressledge/fleet/messages.py
@@ -1,44 +1,44 @@
 """Messages between brokers of a fleet, and their encoding (msgspec, MessagePack). No I/O.
 
-One datagram is one `Envelope` with a list of items. MessagePack and msgspec's tagged structs are all of the
-format: a datagram has its own bounds, so there is no framing. Structs are encoded by position: tags, the
-order of fields and `VERSION` are the wire format, names are not. Times in messages are durations in µs, never
-points in time: brokers' clocks share nothing but their rate, within a bound.
+One datagram is one `Envelope` with a list of items, encoded as msgspec's tagged structs in MessagePack. There
+is no framing, since a datagram has its own boundaries. Structs are encoded by position: tags, the order of
+fields and `VERSION` are the wire format, names are not. Times in messages are durations in µs, never points
+in time: brokers' clocks have only their rate in common, within a bound.
 """
 
 from enum import StrEnum
 
 import msgspec
 
-VERSION = 1  # of this set of messages; datagrams of another version are counted and dropped
+VERSION = 1  # version of these messages; datagrams of another version are counted and dropped
 MAX_DATAGRAM_BYTES = 8_192
-MAX_ITEMS = 256  # items of one envelope
+MAX_ITEMS = 256  # items in one envelope
 
 
 class RejectionReason(StrEnum):
     """Why a voter rejects a vote request. The values are the wire format."""
 
-    HELD = "held"  # the vote is another process's still
+    HELD = "held"  # the voter's vote for another process is still in force
     VOTING_QUARANTINE = "mute"  # the voter has started too recently to vote
-    TOKEN = "token"  # the token requested is not above every one known
-    VOTERS_VERSION = "version"  # an older voter set, or one that has not settled
-    TERM = "term"  # longer than the longest term allowed
-    CAPACITY = "full"  # the voter keeps the state of no further lease
+    TOKEN = "token"  # the requested token is not above every token that the voter knows
+    VOTERS_VERSION = "version"  # the request's voter set is too old, or the voter's has not settled
+    TERM = "term"  # the requested term is longer than the longest one allowed
+    CAPACITY = "full"  # the voter already keeps the state of its maximum number of leases
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of everything that an envelope carries."""
+    """Base of all items that an envelope carries."""
 
 
 class LeaseStatusRequest(Item, frozen=True, tag="look"):
-    """Asks for the status of a lease at a voter. Binds nobody."""
+    """Asks for the status of a lease at a voter. Has no effect on votes."""
 
     lease: str
 
 
 class VoteRequest(Item, frozen=True, tag="ask"):
-    """Asks for a vote. `instance_id` names the process, `round` its attempt; `term` is µs on the voter's
-    clock, `voters_version` the voter set that the requester goes by."""
+    """Asks for a vote. `instance_id` identifies the process, `round` its attempt; `term` is in µs on the
+    voter's clock; `voters_version` is the version of the voter set that the requester uses."""
 
     lease: str
     instance_id: int
@@ -50,7 +50,7 @@
 
 
 class ReleaseLease(Item, frozen=True, tag="back"):
-    """Frees the sender's votes for a lease up to and including this round."""
+    """Frees the votes that the sender was granted for a lease in its rounds up to and including this one."""
 
     lease: str
     instance_id: int
@@ -58,8 +58,8 @@
 
 
 class LeaseStatus(Item, frozen=True, tag="seen"):
-    """The status of a lease at one voter. `remaining`: µs until its vote expires; `voting_quarantine`: µs
-    until it votes at all."""
+    """The status of a lease at one voter. `remaining`: µs until the voter's vote expires;
+    `voting_quarantine`: µs until the voter votes at all, 0 unless it has started recently."""
 
     lease: str
     holder: str
@@ -78,8 +78,8 @@
 
 
 class VoteRejected(Item, frozen=True, tag="refuse"):
-    """No vote. `reason`: a `RejectionReason`, or a later version's; `remaining`: µs until it may be
-    granted."""
+    """The vote is rejected. `reason`: a `RejectionReason`, or another text from a later version;
+    `remaining`: µs until a vote may be granted."""
 
     lease: str
     instance_id: int
@@ -91,7 +91,8 @@
 
 
 class LeaseReleased(Item, frozen=True, tag="freed"):
-    """Tells the next candidates that the holder under `token` has released a lease. A hint: may get lost."""
+    """Notifies the next candidates that the holder under `token` has released a lease. Only a hint, which may
+    get lost."""
 
     lease: str
     token: int
@@ -121,14 +122,14 @@
 
 
 class IndirectPing(Item, frozen=True, tag="pingfor"):
-    """Asks the receiver to ping `target`, which the sender can't reach."""
+    """Asks the receiver to ping `target`, which has not answered the sender."""
 
     sequence: int
     target: str
 
 
 class MetricsRequest(Item, frozen=True, tag="want"):
-    """The holder of the summary's lease asks for a broker's metrics, under its token."""
+    """Asks for a broker's metrics; sent by the holder of the summary's lease under its token."""
 
     lease: str
     token: int
@@ -136,7 +137,8 @@
 
 
 class BrokerMetrics(Item, frozen=True, tag="figures"):
-    """One broker's counters. `counts_by_class`: success, overload, error, dispatches."""
+    """One broker's metrics. `counts_by_class`: for each class the counts of success, overload, error and
+    dispatches, in this order."""
 
     token: int
     counts_by_class: dict[str, list[int]]
@@ -146,8 +148,8 @@
 
 
 class FleetSummary(Item, frozen=True, tag="summary"):
-    """All brokers' metrics merged by the holder of `token`. `avoided_engines`: how many brokers avoid
-    each."""
+    """All brokers' metrics merged by the holder of `token`. `counts_by_class` as in `BrokerMetrics`;
+    `avoided_engines`: for each engine the number of brokers that avoid it."""
 
     token: int
     instance_id: int
@@ -159,7 +161,8 @@
 
 
 class EngineObservation(msgspec.Struct, frozen=True, array_like=True):
-    """How one broker's attempts at one engine ended. `engine`: its number, the same at all brokers."""
+    """The outcomes of one broker's attempts at one engine. `engine`: the engine's number, which is the same
+    at all brokers."""
 
     engine: int
     succeeded: int
@@ -167,14 +170,14 @@
     connect_failed: int
     failed: int
     timed_out: int
-    cpu_time: int = 0  # µs of engine processor time of the attempts that succeeded
+    cpu_time: int = 0  # µs; the engine's processor time for the attempts that succeeded
     consecutive_failures: int = 0
-    last_answer_age_ms: int = -1  # -1: no answer is known
+    last_answer_age_ms: int = -1  # ms; -1 if no answer is known
 
 
 class EngineObservations(Item, frozen=True, tag="sight"):
-    """One broker's attempts of the last two seconds; `requests_by_tenant`: requests received in those;
-    `locally_evacuated_zones`: zones that it has left without a plan."""
+    """One broker's attempts of the last two seconds. `requests_by_tenant`: requests received in that time;
+    `locally_evacuated_zones`: zones that the broker has left without a plan."""
 
     engines: list[EngineObservation]
     requests_by_tenant: dict[str, int] = {}
@@ -183,7 +186,7 @@
 
 class ZoneStatus(msgspec.Struct, frozen=True, array_like=True):
     """The status of a zone or region in the plan. `share` in permille; `age` and `override_remaining` in µs;
-    `operator_override`: out, practice, hold or empty."""
+    `flaps`: failed returns; `operator_override`: out, practice, hold or empty."""
 
     name: str
     stage: str
@@ -196,8 +199,8 @@
 
 
 class FailoverPlan(Item, frozen=True, tag="plan"):
-    """The fleet's plan for its zones and regions, by the holder of `token`. `shed`: the part of each tenant's
-    requests to reject, permille."""
+    """The fleet's plan for its zones and regions, from the holder of `token`. `shed`: the share of each
+    tenant's requests to reject, in permille."""
 
     token: int
     instance_id: int
@@ -218,7 +221,7 @@
 
 
 class PlanRequest(Item, frozen=True, tag="planwanted"):
-    """Asks for the newest plan: from a broker that starts, or has received none for long."""
+    """Asks for the newest plan; sent by a broker that starts, or that has not received a plan for long."""
 
 
 LeaseItem = (
@@ -239,8 +242,8 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram. `voters_version`: version of the sender's voter set; `oldest_voters_version`: the oldest
-    that it answers."""
+    """One datagram. `voters_version`: the version of the sender's voter set; `oldest_voters_version`: the
+    oldest version that the sender accepts in requests."""
 
     version: int
     sender: str
@@ -253,7 +256,7 @@
 
 
 class EnvelopeHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The part of an envelope that every version has."""
+    """The part of an envelope that is the same in every version."""
 
     version: int
 
@@ -264,17 +267,17 @@
 
 
 class InvalidDatagramError(Exception):
-    """A datagram that is dropped; its text is the suffix of the counter `fleet.bad_…`: garbled, version,
-    large."""
+    """Raised for a datagram that can't be accepted. Its text is the suffix of the counter `fleet.bad_…`:
+    garbled, version or large."""
 
 
 def encode(envelope: Envelope) -> bytes:
-    """The datagram of an envelope."""
+    """Return the datagram that encodes an envelope."""
     return _encode(envelope)
 
 
 def decode(raw: bytes) -> Envelope:
-    """The envelope of a datagram. Raises `InvalidDatagramError`, and nothing else, whatever the bytes are."""
+    """Return the envelope of a datagram. Raises `InvalidDatagramError`, and nothing else, for any bytes."""
     if len(raw) > MAX_DATAGRAM_BYTES:
         raise InvalidDatagramError("large")
     try:
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -1,8 +1,9 @@
-"""One member of a fleet, whatever its role: transport, membership, leases and their greenlet.
+"""A member of a fleet, independent of its role: transport, membership, leases and the loop that runs them.
 
-Uses gevent. Knows nothing of engines or requests: a broker (`broker_integration.py`), a control process or a
-simulated broker of the laboratory is a `FleetNode` with handlers of its own. One greenlet owns membership and
-leases; what is received waits in the transport's inbox.
+Uses gevent. Independent of engines and requests: a broker (`broker_integration.py`), a control process and a
+simulated broker are each a `FleetNode` with handlers of their own. One greenlet, the node's loop, makes all
+decisions of membership and leases; an iteration of the loop is a turn. Received envelopes wait in the
+transport's inbox for the next turn.
 """
 
 import os
@@ -36,31 +37,35 @@
     VoteRequest,
 )
 
-MAX_ENVELOPES_PER_TURN = 16  # handled before other greenlets run
-MAX_TURN_US = 300  # of the owner's turn, after which requests go first
-TURN_PAUSE_S = 0.03  # between turns: what is received close together is answered together
-URGENT_PAUSE_S = 0.002  # where something is urgent, or
-FLOOD_DATAGRAMS = 32  # datagrams or more have been received at once
-MAX_SLEEP_S = 1.0  # that the owner sleeps at a time: a suspended machine's timers stand still
+MAX_ENVELOPES_PER_TURN = 16  # envelopes; handled before other greenlets run
+MAX_TURN_US = 300  # µs; a turn that takes longer lets requests go first while it sends
+TURN_PAUSE_S = 0.03  # seconds between turns: datagrams received close together are answered together
+URGENT_PAUSE_S = 0.002  # seconds between turns while an urgent item or a flood waits
+FLOOD_DATAGRAMS = 32  # datagrams; this many received at once are a flood
+MAX_SLEEP_S = 1.0  # seconds; longest sleep of the loop, since timers stop while the machine is suspended
 INSTANCE_ID_BITS = 62
-DEFAULT_MAX_TURN_TIMES = 256
+DEFAULT_MAX_TURN_TIMES = 256  # turn times kept for the percentile
 MEMBERSHIP_ITEMS = get_args(MembershipItem)
 LEASE_ITEMS = get_args(LeaseItem)
 URGENT_ITEMS = frozenset((LeaseReleased, ReleaseLease, VoteRejected, IndirectPing))
 COUNTED_ONLY = (LeaseEvent.ACQUISITION_FAILED, LeaseEvent.VOTE_REJECTED)  # lease events that are not logged
-Handler = Callable[[str, AnyItem], None]  # gets the sender's name and an item
+Handler = Callable[[str, AnyItem], None]  # called with the sender's name and an item
 
 
 def new_instance_id() -> int:
-    """A number for this instance of a process: never 0, and unique."""
+    """Return a random number that identifies this instance of a process: unique, and never 0."""
     return int.from_bytes(os.urandom(8), "big") >> (64 - INSTANCE_ID_BITS) or 1
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """How a node takes part. `listen`: its own fleet socket; `addresses`: the peers' (its own name among them
-    is ignored). `instance_id`: 0 for a new one; `wall_time`: µs of the wall clock, for the incarnation and
-    tokens, 0 for the machine's."""
+    """Settings of a node.
+
+    `listen`: address of its own fleet socket; `addresses`: those of the peers (an entry under its own name is
+    ignored). `slots`: the leases it takes part in. `drift_ppm`: bound on the error of any clock's rate, parts
+    per million; `ping_s`: seconds between pings. `instance_id`: 0 for a new one; `wall_time`: µs of the wall
+    clock, for the incarnation and tokens, 0 to read the machine's. `max_turn_times`: turn times kept.
+    """
 
     listen: Address
     addresses: Mapping[str, Address]
@@ -74,13 +79,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeHooks:
-    """What the process does for its node. All are called by the owner, but for those of `FleetNode.release`,
-    `set_slots` and `stop`, which the caller's greenlet calls.
+    """Functions that the node calls in its process. The node's loop calls them, except for calls that result
+    from `FleetNode.release`, `release_group`, `set_slots` and `stop`, which run in the caller's greenlet.
 
-    `on_lease_event(event, lease, token, reason)`: what has happened to a lease, once decided;
-    `on_member_change(member, reason)`: a peer is alive, suspect or gone; must not block;
-    `end_work(lease)`: end what is done under a lease; whether it has ended, else the lease is not released;
-    `tick(now)`: what else time brings, µs; the moment of its next call;
+    `on_lease_event(event, lease, token, reason)`: called after the decision on a lease has been made;
+    `on_member_change(member, reason)`: a peer has become alive, suspect or gone; must not block;
+    `end_work(lease)`: end the work under a lease, and return whether it has ended: else the lease stays held;
+    `tick(now)`: periodic work of the process, `now` in µs; return when it is to be called next;
     `urgent`: types of items that are handled without waiting for further ones.
     """
 
@@ -95,7 +100,7 @@
 
 
 class LeaseEventRecord(NamedTuple):
-    """Something that has happened to a lease, to be reported once all decisions of a turn are made."""
+    """A lease event that waits to be reported until all decisions of a turn have been made."""
 
     event: LeaseEvent
     lease: str
@@ -104,9 +109,12 @@
 
 
 class FleetNode:
-    """Membership and leases of one member of the fleet, on one UDP socket. `handlers`: by type, who handles
-    items that are neither the membership's nor the leases'; others are counted. Raises `OSError` where the
-    socket can't be bound."""
+    """Membership and leases of one member of the fleet, on one UDP socket.
+
+    `handlers`: by type, the functions that handle items of neither membership nor leases; items without a
+    handler are counted. `loops`: functions to be run as greenlets. Raises `OSError` if the socket can't be
+    bound.
+    """
 
     def __init__(
         self,
@@ -132,14 +140,14 @@
         wall_time = settings.wall_time or wall_us()
         self.membership = self._make_membership(settings, wall_time)
         self.lease_manager = self._make_lease_manager(settings, wall_time)
-        self.voters_versions: dict[str, int] = {}  # by peer, as last heard
+        self.voters_versions: dict[str, int] = {}  # by peer: from its last message
         self.pending_events: list[LeaseEventRecord] = []
-        self.loops = [self.transport.read, self.run]  # to be spawned as greenlets
+        self.loops = [self.transport.read, self.run]
         self.loop_greenlet: gevent.Greenlet | None = None  # runs `run`
         self.stopped = False
         self.in_turn = False
         self.turn_started_ns = 0
-        # µs that others may have to wait for a turn
+        # µs that other greenlets had to wait for a turn, or for a part of it.
         self.turn_times: deque[int] = deque(maxlen=settings.max_turn_times)
 
     def _make_membership(self, settings: NodeSettings, wall_time: int) -> Membership:
@@ -168,7 +176,7 @@
         return {peer: address for peer, address in addresses.items() if peer != self.name}
 
     def turn_p99(self) -> int:
-        """The 99th percentile of the owner's turn times kept, µs."""
+        """Return the 99th percentile of the turn times kept, µs; 0 if there are none."""
         times = sorted(self.turn_times)
         return times[len(times) * 99 // 100] if times else 0
 
@@ -177,57 +185,58 @@
         oldest = electorate.oldest_accepted(self.clock.now())
         return SenderState(self.instance_id, self.membership.incarnation, electorate.version, oldest)
 
-    # For the process around it
+    # Called by the process
 
     def now(self) -> int:
-        """µs on the clock that leases use."""
+        """Return the time on the clock that leases use, µs."""
         return self.clock.now()
 
     def alive(self) -> frozenset[str]:
-        """All that can be counted on, this one too."""
+        """Return the names of the members that are alive, this one included."""
         return self.membership.alive()
 
     def alive_peers(self) -> list[str]:
-        """All others that can be counted on, sorted."""
+        """Return the sorted names of the other members that are alive."""
         return sorted(self.membership.alive() - {self.name})
 
     def held_lease(self, lease: str) -> HeldLease | None:
-        """A lease, if it is held now."""
+        """Return a lease if it is held now, else None."""
         return self.lease_manager.held_lease(lease, self.clock.now())
 
     def request_lease(self, group: str) -> bool:
-        """Request a lease on demand; whether there is one of this name."""
+        """Request a lease on demand; return whether a lease of this name exists."""
         found = self.lease_manager.request(group, self.clock.now())
         self.wake()
         return found
 
     def release_group(self, group: str) -> None:
-        """Request a lease on demand no more, and release it where it is held."""
+        """Stop requesting a lease on demand, and release it if it is held."""
         self.lease_manager.release_group(group, self.clock.now())
         self._report_lease_events()
         self.wake()
 
     def token_rejected(self, lease: str, token: int) -> None:
-        """The resource acted on knows a higher token: release, and acquire under one above it."""
+        """Handle a resource's rejection of this node's token, with the higher `token` that the resource
+        knows: release the lease, and acquire it under a token above that."""
         self.lease_manager.token_rejected(lease, token, self.clock.now())
         self.wake()
 
     def send(self, peer: str, item: AnyItem) -> None:
-        """Queue an item for a peer; it is sent at the end of this turn of the owner, or of the next."""
+        """Queue an item for a peer; it is sent at the end of the current turn or of the next."""
         self.transport.send(peer, item)
         self.wake()
 
     def wake(self) -> None:
-        """Something is due that the owner does not know of."""
-        if not self.in_turn:  # guards against turns without end: what a turn itself queues is sent with it
+        """Wake the loop: something has become due, or has been queued, outside a turn."""
+        if not self.in_turn:  # a turn sends what it queues: waking for that would start turns without end
             self.transport.received.set()
 
-    # The owner
+    # The loop
 
     def run(self) -> None:
-        """A greenlet: handles what was received, does what is due, sends what that made."""
+        """Handle received items, do what is due and send the results, turn after turn; runs as a greenlet."""
         self.loop_greenlet = gevent.getcurrent()
-        if self.stopped:  # before it has begun
+        if self.stopped:  # `stop` was called before this greenlet started
             return
         self.log.info(
             "fleet_joined",
@@ -240,7 +249,7 @@
             self._wait(self._turn())
 
     def _turn(self) -> int:
-        """One turn; the moment when the next is due."""
+        """Run one turn; return when the next one is due, µs."""
         self.turn_started_ns = time.perf_counter_ns()
         self.in_turn = True
         now = self.clock.now()
@@ -250,14 +259,16 @@
             self._receive(now, self.transport.inbox.popleft())
         due_at = self._tick(now)
         self._report_lease_events()
-        # Other greenlets may run from here on, and queue for peers that the flush has passed.
+        # Other greenlets may run during the flush, and queue items for peers that it has already served:
+        # `wake` has to work from here on.
         self.in_turn = False
         self.transport.flush(self._yield_if_due)
         self.turn_times.append(self._turn_time())
         return due_at
 
     def _tick(self, now: int) -> int:
-        """Do what time brings; the moment when something is due next."""
+        """Do what is due in membership, leases and the process's hook; return when something is due next,
+        µs."""
         due_at = self.membership.tick(now)
         self.lease_manager.set_alive(self.membership.alive(), now)
         if self.hooks.tick is not None:
@@ -265,11 +276,12 @@
         return min(due_at, self.lease_manager.tick(now))
 
     def _turn_time(self) -> int:
-        """µs since this turn began, or since it last let other greenlets run."""
+        """Return the µs since this turn began, or since it last let other greenlets run."""
         return (time.perf_counter_ns() - self.turn_started_ns) // 1000
 
     def _yield_if_due(self) -> None:
-        """Guards against a turn that keeps requests waiting: a send may take the system long."""
+        """Let other greenlets run if this turn has taken longer than `MAX_TURN_US`. Sending may take the
+        system long, and requests must not wait for it."""
         took = self._turn_time()
         if took > MAX_TURN_US:
             self.turn_times.append(took)
@@ -277,21 +289,21 @@
             self.turn_started_ns = time.perf_counter_ns()
 
     def _wait(self, due_at: int) -> None:
-        """Sleep until something is due or received, then a little longer: what is received close together is
-        answered together."""
+        """Sleep until something is due or received, then for a short pause, so that datagrams received close
+        together are answered together."""
         transport = self.transport
         if not transport.inbox and not transport.queues:
             left_s = (due_at - self.clock.now()) / 1e6 / self.clock.rate
             if left_s > 0:
                 transport.received.wait(min(left_s, MAX_SLEEP_S))
-        # A flood must not fill the socket's buffer while nobody drains it.
+        # A flood shortens the pause: during a long one it could fill the socket's buffer.
         is_flood = transport.drain() >= FLOOD_DATAGRAMS
         gevent.sleep(URGENT_PAUSE_S if is_flood or self._is_urgent() else TURN_PAUSE_S)
         transport.drain()
 
     def _is_urgent(self) -> bool:
-        """Whether something received does not wait for further items: a lease is about to change hands, or
-        the process has named an item of this type urgent. Renewals and pings wait."""
+        """Return whether the next turn should not wait for further items: the holder of a lease is about to
+        change, or an item has an urgent type. Renewals and pings are not urgent."""
         if self.lease_manager.is_requesting_votes():
             return True
         return any(self._is_urgent_item(item) for envelope in self.transport.inbox for item in envelope.items)
@@ -312,7 +324,7 @@
             self._handle(now, sender, item)
 
     def _handle(self, now: int, sender: str, item: AnyItem) -> None:
-        """Hand an item, of a sender whose messages count, to whom it is for."""
+        """Pass an item to membership, leases or its handler. The sender's messages have been accepted."""
         if isinstance(item, MEMBERSHIP_ITEMS):
             self.membership.receive(now, sender, item)
         elif isinstance(item, LEASE_ITEMS):
@@ -320,13 +332,15 @@
         elif (handler := self.handlers.get(type(item))) is not None:
             handler(sender, item)
         else:
-            self.counters.add("fleet.not_handled")  # another role's: a control process gets no plans
+            # An item for members of another role: a control process, for example, has no handler for plans.
+            self.counters.add("fleet.not_handled")
 
     def _lease_event(self, event: LeaseEvent, lease: str, token: int, reason: str) -> None:
         self.pending_events.append(LeaseEventRecord(event, lease, token, reason))
 
     def _report_lease_events(self) -> None:
-        """Report what has happened to leases: work under them starts and ends outside the decisions."""
+        """Report the pending lease events. Work under leases starts and ends here, after all decisions of the
+        turn have been made."""
         events, self.pending_events = self.pending_events, []
         for event, lease, token, reason in events:
             self.hooks.on_lease_event(event, lease, token, reason)
@@ -343,8 +357,8 @@
     # Changes at run time
 
     def set_peers(self, addresses: Mapping[str, Address]) -> None:
-        """Set the peers and their addresses: those that stay keep what is known of them, wherever they have
-        moved to. What is queued for one that is no longer among them is dropped."""
+        """Set the peers and their addresses. Peers that stay keep their state, even if their address has
+        changed; items queued for removed peers are dropped."""
         self.membership.set_peers(list(addresses))
         self.transport.set_peers(self._without_itself(addresses))
         for peer in set(self.voters_versions) - set(addresses):
@@ -353,28 +367,28 @@
         self.wake()
 
     def set_slots(self, slots: Iterable[LeaseSlot]) -> None:
-        """Set the leases there are. One that is no longer among them is released, once its work has ended."""
+        """Set the leases. Those that are removed are released after their work has ended."""
         slots = list(slots)
         for lease in set(self.lease_manager.participations) - {slot.lease for slot in slots}:
             self.hooks.end_work(lease)
         self.lease_manager.set_slots(slots, self.clock.now())
         self.wake()
 
-    # Releasing leases, and stopping
+    # Release of leases and shutdown
 
     def release(self, lease: str, reason: str, cooldown_s: float = 0.0) -> bool:
-        """End what is done under a lease, then release it. `cooldown_s`: seconds in which it is not requested
-        again. Whether it was held, and has been released."""
+        """End the work under a lease, then release it; return whether it was held and has been released.
+        `cooldown_s`: seconds in which this node does not request it again."""
         if not self.hooks.end_work(lease):
-            return False  # work goes on: the lease has to expire with it
+            return False  # the work has not ended: the lease stays held until it expires
         released = self.lease_manager.release(lease, self.clock.now(), reason, round(cooldown_s * 1e6))
         self._report_lease_events()
         self.transport.flush()
         return released
 
     def stop(self, kept: Collection[str] = ()) -> None:
-        """This process stops: leases are released at once, but for those `kept`, and the peers are notified.
-        What is kept expires by itself."""
+        """Release all leases at once, except for those `kept`, and notify the peers that this node leaves.
+        The leases kept expire by themselves."""
         if self.stopped:
             return
         self.stopped = True
@@ -386,13 +400,13 @@
         self.membership.leave()
         self._report_lease_events()
         self.transport.flush()
-        self.wake()  # the owner ends
+        self.wake()  # so that the loop ends
         held = {lease.lease for lease in self.lease_manager.held_leases(now)}
         self.log.info("fleet_left", kept=sorted(held & set(kept)))
 
     def close(self) -> None:
-        """End without notice, as a process does that is killed: greenlets and socket. After `stop` the
-        process leaves in good order."""
+        """End greenlets and socket without notifying peers, as when the process is killed. For an orderly
+        exit, call `stop` first."""
         self.stopped = True
         if self.loop_greenlet is not None:
             self.loop_greenlet.kill()
--- a/cypressledge/fleet/operator_answers.py
+++ b/cypressledge/fleet/operator_answers.py
@@ -1,6 +1,6 @@
-"""The bodies of the answers to operators' calls of fleet and zones. No I/O.
+"""Bodies of the answers to operators' calls about fleet and zones. No I/O.
 
-Operators' scripts read them: keys, their order and the values stay.
+Operators' scripts read them: keys, their order and the values must not change.
 """
 
 import json
@@ -10,12 +10,12 @@
 
 
 class AnswerBody(msgspec.Struct, frozen=True):
-    """Base of all of them. Keys are in the order of fields."""
+    """Base of all bodies. The keys are written in the order of the fields."""
 
 
 class PeerRow(AnswerBody, frozen=True):
-    """One broker as seen from here. `heard_s`: seconds since its last message, None where there was none;
-    `voters_version`: None where it is not known; `is_here`: the broker that answers."""
+    """One broker as the answering broker sees it. `heard_s`: seconds since its last message, None if there
+    was none; `voters_version`: None if it is not known; `is_here`: whether it is the answering broker."""
 
     name: str
     zone: str
@@ -28,8 +28,9 @@
 
 
 class LeaseRow(AnswerBody, frozen=True):
-    """One lease as seen from here. `holder`: as last heard of; `left_s`: seconds that it is held for here
-    without a further vote; `rank`: this broker's place among the `candidates`, None where it is not one."""
+    """One lease as the answering broker sees it. `holder`: the last known one; `left_s`: seconds that the
+    answering broker holds it without a further vote; `rank`: the answering broker's place among the
+    `candidates`, None if it is not one."""
 
     lease: str
     state: str
@@ -41,7 +42,8 @@
 
 
 class TaskRow(AnswerBody, frozen=True):
-    """One task of this broker. Processor times are of all tasks together, `turn_p99_ms` of the node."""
+    """One task of the answering broker. `cpu_ms` and `longest_step_ms` are of all tasks together,
+    `turn_p99_ms` is of the fleet node."""
 
     task: str
     lease: str
@@ -57,8 +59,8 @@
 
 
 class RestartTurn(AnswerBody, frozen=True):
-    """How a turn to restart stands: whether it is `requested` and `granted`, under which token (0: none), and
-    which brokers are missing."""
+    """The status of the answering broker's restart turn: whether it is `requested` and `granted`, its token
+    (0 if not granted), and the brokers that are missing."""
 
     lease: str
     requested: bool = msgspec.field(name="wanted")
@@ -68,8 +70,9 @@
 
 
 class SummaryAnswer(AnswerBody, frozen=True):
-    """The fleet's latest summary. `counts_by_class`: success, overload, error, dispatches;
-    `avoided_engines`: how many brokers avoid each."""
+    """The fleet's latest summary. `age_s`: seconds since it was received; `counts_by_class`: for each class
+    the counts of success, overload, error and dispatches; `avoided_engines`: for each engine the number of
+    brokers that avoid it."""
 
     holder: str
     token: int
@@ -81,8 +84,8 @@
 
 
 class ZoneRow(AnswerBody, frozen=True):
-    """How a zone or region stands at this broker. `share`: 0 to 1; `failed_returns`, `operator_override` and
-    `reason`: as the plan has them; `verdict`: empty where this broker does not plan."""
+    """The status of a zone or region at the answering broker. `share`: 0 to 1; `failed_returns`,
+    `operator_override` and `reason`: from the plan; `verdict`: empty unless this broker is the planner."""
 
     zone: str
     region: str
@@ -96,8 +99,8 @@
 
 
 class ZonesAnswer(AnswerBody, frozen=True):
-    """The plan that this broker follows. `heard_s`: seconds since it came; `shed_permille`: of each tenant's
-    requests; `shed_here`: requests shed by this broker so far."""
+    """The plan that the answering broker follows. `heard_s`: seconds since it was received; `shed_permille`:
+    by tenant, the share of requests to reject; `shed_here`: requests shed by this broker so far."""
 
     planner: str
     token: int
@@ -112,5 +115,5 @@
 
 
 def to_body(answer: Body) -> bytes:
-    """The answer as a line of JSON."""
+    """Return the answer as a line of JSON, in UTF-8."""
     return json.dumps(msgspec.to_builtins(answer)).encode() + b"\n"
--- a/cypressledge/fleet/operator_api.py
+++ b/cypressledge/fleet/operator_api.py
@@ -1,6 +1,6 @@
-"""The operators' calls of the fleet, at a broker's management address: `/fleet/...`.
+"""Operators' calls about the fleet at a broker's management address: `/fleet/...`.
 
-The keys of the answers and the texts of errors are what operators' scripts read: they stay.
+Operators' scripts read the keys of the answers and the texts of errors: they must not change.
 """
 
 from collections.abc import Callable
@@ -14,17 +14,17 @@
 if TYPE_CHECKING:
     from cypressledge.fleet.broker_integration import FleetIntegration
 
-RELEASE_COOLDOWN_TERMS = 3  # longest terms in which a lease given back by hand is not asked for again
+RELEASE_COOLDOWN_TERMS = 3  # longest terms; a broker waits this long to request a lease it released by call
 
 
 class FleetOperatorApi:
-    """Answers operators' calls about peers, leases, tasks and turns."""
+    """Handlers of operators' calls about peers, leases, tasks, the summary and restart turns."""
 
     def __init__(self, fleet: "FleetIntegration") -> None:
         self.fleet = fleet
 
     def register(self, management: ManagementServer) -> None:
-        """Add the calls to the management address."""
+        """Add the calls to the management server."""
         fleet = self.fleet
         management.add("/fleet/peers", "GET", _json_handler(self.peers))
         management.add("/fleet/leases", "GET", _json_handler(self.leases))
@@ -37,7 +37,7 @@
             ZoneOperatorApi(fleet.zones, fleet.node.log).register(management)
 
     def peers(self) -> list[PeerRow]:
-        """Each peer as seen from here, by name."""
+        """Return a row for each peer and this broker, sorted by name."""
         node = self.fleet.node
         now = node.now()
         zones = {peer.name: peer.zone for peer in self.fleet.settings.peers}
@@ -70,7 +70,7 @@
         return sorted(rows, key=lambda peer: peer.name)
 
     def leases(self) -> list[LeaseRow]:
-        """Each lease as seen from here; the holder is as last heard of."""
+        """Return a row for each lease, sorted by name, with the holder that this broker knows of."""
         manager, now = self.fleet.node.lease_manager, self.fleet.node.now()
         return [
             LeaseRow(
@@ -86,7 +86,7 @@
         ]
 
     def tasks(self) -> list[TaskRow]:
-        """Each task, and what it has taken."""
+        """Return a row for each task, with its runs and the processor time of all tasks."""
         runner = self.fleet.runner
         return [
             TaskRow(
@@ -124,7 +124,7 @@
 
 
 def _json_handler(read: Callable[[], Body]) -> Callable[[HttpRequest], Answer]:
-    """A call that answers with what `read` gives, as JSON."""
+    """Return a handler that answers with the result of `read` as JSON."""
     return lambda request: (200, to_body(read()))
 
 
--- a/cypressledge/fleet/restart_turns.py
+++ b/cypressledge/fleet/restart_turns.py
@@ -1,20 +1,21 @@
-"""Turns at restarting: a broker restarts under a lease, and only while few enough others are missing."""
+"""Restart turns: a broker restarts under a lease, and requests it only while few others are missing."""
 
 from cypressledge.fleet.node import FleetNode
 from cypressledge.fleet.operator_answers import RestartTurn
 
 
 class RestartTurns:
-    """The leases that operators have asked for turns under. Each of their slots is one broker that may be
-    missing at once."""
+    """This broker's requests for restart turns, by lease group. The number of a group's slots is the number
+    of brokers that may be missing at the same time."""
 
     def __init__(self, node: FleetNode) -> None:
         self.node = node
         self.requested_groups: set[str] = set()
 
     def tick(self, now: int) -> None:
-        """Ask for a requested turn only while fewer brokers are missing than may be at once: one that had its
-        turn is missing until it is back, however long its start takes."""
+        """Request the lease of a requested turn while fewer brokers are missing than may be at the same time,
+        and withdraw the request otherwise. A broker that restarts in its turn counts as missing until it is
+        back, however long its start takes."""
         manager = self.node.lease_manager
         for group in self.requested_groups:
             if any(granted.group == group for granted in manager.held_leases(now)):
@@ -27,19 +28,19 @@
                 manager.requested_groups.discard(group)
 
     def request(self, group: str) -> RestartTurn:
-        """Ask for a turn; how it stands."""
+        """Request a turn; return its status."""
         self.requested_groups.add(group)
         self.tick(self.node.now())
         return self._status(group)
 
     def end_turn(self, group: str) -> RestartTurn:
-        """A turn, or the request for one, is over; how it stands."""
+        """End a turn, or withdraw the request for one; return its status."""
         self.requested_groups.discard(group)
         self.node.release_group(group)
         return self._status(group)
 
     def leases_kept_on_stop(self) -> set[str]:
-        """The leases that a stop of this process keeps, for the turn that it stops in."""
+        """Return the leases that this process keeps when it stops during its restart turn."""
         return {
             p.slot.lease
             for p in self.node.lease_manager.participations.values()
--- a/cypressledge/fleet/settings.py
+++ b/cypressledge/fleet/settings.py
@@ -1,6 +1,7 @@
-"""Reads `deploy/fleet.yaml`: who the peers are, which of them vote, which leases and tasks there are.
+"""Settings of the fleet from its file (`deploy/fleet.yaml`): peers, voters, leases, tasks and zone failover.
 
-Checked by msgspec's schema first and then by the rules below; an error is one line that names the mistake.
+The file is checked against msgspec's schema first, then against the rules below. An error is one line that
+names the mistake.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,21 +14,21 @@
 from cypressledge.fleet.leases.electorate import VoterSetError, check_voter_sets
 
 T = TypeVar("T")
-MAX_PEERS = 1_000  # 460 brokers, those that replace them in a deployment, control machines
-MAX_SLOTS = 32  # of one lease
-MAX_LEASES = 256  # with all their slots: each has messages of its own
-VOTER_SET_SIZES = range(3, 8)  # voters; 4 and 6 only on the way from one odd number to the next
+MAX_PEERS = 1_000  # 460 brokers, those that replace them during a deployment, and control machines
+MAX_SLOTS = 32  # slots of one lease
+MAX_LEASES = 256  # leases, counting each slot, since each slot has messages of its own
+VOTER_SET_SIZES = range(3, 8)  # voters; 4 and 6 only during the change from one odd number to the next
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$")]
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=600)]
 
 
 class StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A part of the file: an unknown key is an error."""
+    """Base of all parts of a settings file: an unknown key is an error."""
 
 
 class Peer(StrictStruct, frozen=True):
-    """One broker. `address`: HOST:PORT of its fleet socket (UDP)."""
+    """One broker of the fleet. `address`: HOST:PORT of its fleet socket (UDP); `zone`: empty if none."""
 
     name: Name
     address: str
@@ -35,15 +36,16 @@
 
 
 class VoterSet(StrictStruct, frozen=True):
-    """One version of the voter set."""
+    """One version of the voter set: its number and the names of the voters."""
 
     version: Annotated[int, msgspec.Meta(ge=1)]
     names: list[Name]
 
 
 class LeaseSpec(StrictStruct, frozen=True):
-    """A lease. `slots`: how many may hold it at once (key `places`). `on_demand`: only those asked to do so
-    request it (key `wanted`)."""
+    """A lease. `slots` (key `places`): number of brokers that may hold it at the same time. `on_demand` (key
+    `wanted`): a broker requests it only when an operator's call asks for it. `term_s`: seconds; None for the
+    fleet's default."""
 
     name: Name
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)] = msgspec.field(default=1, name="places")
@@ -52,11 +54,12 @@
 
 
 class TaskSpec(StrictStruct, frozen=True):
-    """A task under a lease, in acts.
+    """A task that the holder of a lease runs repeatedly; one run is called an act.
 
-    `interval_s`: between acts (key `every_s`). `time_limit_s`: of an act, which is not begun with less of the
-    lease left (key `longest_s`). For calls of a service: `service_address` (key `at`), `calls_per_act` (key
-    `steps`), and `call_interval_s` between them (key `step_s`).
+    `interval_s` (key `every_s`): seconds between acts. `time_limit_s` (key `longest_s`): seconds; limit of an
+    act, which is not started if the lease expires sooner. `priority`: 0 is the highest. For tasks of kind
+    "call": `service_address` (key `at`), `calls_per_act` (key `steps`), and `call_interval_s` (key `step_s`),
+    the seconds between calls.
     """
 
     kind: Literal["summary", "call", "zones"]
@@ -70,8 +73,8 @@
 
 
 class ZonePaceSettings(StrictStruct, frozen=True):
-    """How zones are left and returned to: seconds, and parts of one; what each means stands at
-    `FailoverPace`. What engines bear is the site's."""
+    """The pace of zone failover: times in seconds, ratios as fractions of 1. `FailoverPace` documents each.
+    The engines' cold capacity and warm-up time come from the site's settings."""
 
     confirmation_time_s: Seconds = msgspec.field(default=0.3, name="confirm_s")
     min_time_out_s: Seconds = msgspec.field(default=5.0, name="hold_s")
@@ -81,15 +84,15 @@
 
 
 class Region(StrictStruct, frozen=True):
-    """Zones that are left and returned to together."""
+    """A group of zones that are evacuated and returned to together."""
 
     name: Name
     zones: Annotated[list[Name], msgspec.Meta(min_length=1)]
 
 
 class ZoneCommandRequest(StrictStruct, frozen=True):
-    """The body of an operator's call: what a zone is to do, and for how long. Keys as in the operators'
-    pages."""
+    """The body of an operator's call that commands a zone: the action, its duration and the reason. The keys
+    are those of the operators' pages."""
 
     zone: str
     action: Literal["leave", "practice", "hold", "return"] = msgspec.field(name="what")
@@ -100,12 +103,13 @@
 
     @property
     def duration(self) -> int:
-        """How long it holds, µs."""
+        """How long the command is in force, µs."""
         return round(self.duration_s * 1e6)
 
 
 class SimulationSettings(StrictStruct, frozen=True):
-    """For the laboratory alone: clocks of another rate and offset, and a file of what was held when."""
+    """Settings for simulations only: rate and offset of the lease clock, a step of the wall clock, and the
+    file of the lease recorder (`record`)."""
 
     clock_rate: Annotated[float, msgspec.Meta(ge=0.5, le=2)] = 1.0
     clock_offset_s: float = 0.0
@@ -114,10 +118,14 @@
 
 
 class FleetSettings(StrictStruct, frozen=True):
-    """The file. `term_s`: of a lease that names none; `longest_term_s`: the longest of any; `drift_ppm`: how
-    far any clock's rate may be from true, parts in a million; `grace_s`: in which the voter set of the
-    version before still counts; `ping_s`: between pings of peers; `task_share`: of one core that tasks may
-    take; `listen`: where the own address can't be bound."""
+    """All settings of the file.
+
+    `term_s`: seconds; term of leases without one of their own. `longest_term_s`: seconds; upper bound of all
+    terms. `drift_ppm`: bound on the error of any clock's rate, parts per million. `grace_s`: seconds in which
+    the previous version of the voter set is still accepted. `ping_s`: seconds between pings of peers.
+    `task_share`: share of one core that tasks may use. `listen`: address to bind, if the broker's own address
+    can't be bound.
+    """
 
     peers: list[Peer]
     voters: list[VoterSet]
@@ -136,26 +144,27 @@
 
     @property
     def longest_term(self) -> int:
-        """The longest term of any lease, µs: what a voter that starts does not vote for."""
+        """The longest term of any lease, µs. A voter does not vote for this long after its start."""
         return round((self.longest_term_s or self.term_s) * 1e6)
 
     @property
     def voter_sets(self) -> Mapping[int, tuple[str, ...]]:
-        """VoterSet by the version of their set."""
+        """The voters' names, by version of the voter set."""
         return {v.version: tuple(v.names) for v in self.voters}
 
     def term_of(self, spec: LeaseSpec) -> int:
-        """A lease's term, µs."""
+        """Return a lease's term, µs."""
         return round((spec.term_s or self.term_s) * 1e6)
 
 
 def read_fleet_settings(path: str) -> FleetSettings:
-    """The file's settings. Raises `ConfigError` with one line that names the mistake."""
+    """Return the settings of the fleet's file. Raises `ConfigError` with one line that names the mistake."""
     return read_yaml_settings(path, FleetSettings, check_fleet_settings)
 
 
 def read_yaml_settings(path: str, schema: type[T], check: Callable[[T], None]) -> T:
-    """A YAML file's settings by their schema, checked whole. Raises `ConfigError` with one line."""
+    """Return a YAML file's settings, converted by `schema` and then passed to `check`. Raises `ConfigError`
+    with one line that names the mistake."""
     try:
         with open(path, encoding="utf-8") as file:
             raw = yaml.safe_load(file)
@@ -174,7 +183,7 @@
 
 
 def check_fleet_settings(settings: FleetSettings) -> None:
-    """The rules that a schema can't state. Raises `ConfigError` or `VoterSetError`."""
+    """Check the rules that the schema can't express. Raises `ConfigError` or `VoterSetError`."""
     names = [p.name for p in settings.peers]
     require_unique(names, "peer")
     require_unique([p.address for p in settings.peers], "address")
@@ -184,8 +193,8 @@
     require_unique([(t.kind, t.lease) for t in settings.tasks], "task")
     if not 1 <= len(names) <= MAX_PEERS:
         raise ConfigError(
-            f"{len(names)} peers; 1 to {MAX_PEERS} can be: 460 brokers, as many that replace "
-            "them, and control machines"
+            f"{len(names)} peers; expected 1 to {MAX_PEERS}: 460 brokers, as many that replace them "
+            "during a deployment, and control machines"
         )
     for peer in settings.peers:
         parse_address(peer.address)
@@ -196,7 +205,7 @@
 
 
 def require_unique(values: list, label: str) -> None:
-    """Raises `ConfigError` where a value is there twice."""
+    """Raise `ConfigError` if a value occurs twice. `label`: what the error calls such a value."""
     seen = set()
     for value in values:
         if value in seen:
@@ -206,14 +215,14 @@
 
 def _check_voters(settings: FleetSettings, names: set[str]) -> None:
     if not settings.voters:
-        raise ConfigError("no voters")
+        raise ConfigError("no voters; expected at least one version of the voter set")
     require_unique([v.version for v in settings.voters], "voters version")
     newest = max(settings.voters, key=lambda v: v.version)
     for voters in settings.voters:
         require_unique(voters.names, f"in voters version {voters.version}, broker")
         if len(voters.names) not in VOTER_SET_SIZES:
             count = len(voters.names)
-            raise ConfigError(f"voters version {voters.version} has {count} voters; 3 to 7 can be")
+            raise ConfigError(f"voters version {voters.version} has {count} voters; expected 3 to 7")
     for name in newest.names:
         if name not in names:
             raise ConfigError(f"voter {name} is not among the peers")
@@ -223,13 +232,13 @@
 def _check_leases(settings: FleetSettings) -> None:
     known = {spec.name for spec in settings.leases}
     if sum(spec.slots for spec in settings.leases) > MAX_LEASES:
-        raise ConfigError(f"more than {MAX_LEASES} leases and places")
+        raise ConfigError(f"more than {MAX_LEASES} leases, counting each of their places")
     for spec in settings.leases:
         if settings.term_of(spec) > settings.longest_term:
             raise ConfigError(f"lease {spec.name}: its term is over longest_term_s")
     for task in settings.tasks:
         if task.lease not in known:
-            raise ConfigError(f"task {task.kind}: no lease {task.lease}")
+            raise ConfigError(f"task {task.kind}: there is no lease {task.lease}")
         term = next(settings.term_of(s) for s in settings.leases if s.name == task.lease)
         if task.time_limit_s * 1e6 * 2 > term:
             raise ConfigError(f"task {task.kind}: longest_s is over half the term of lease {task.lease}")
--- a/cypressledge/fleet/tasks/__init__.py
+++ b/cypressledge/fleet/tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks under leases: what runs them, within a budget, and the tasks themselves. Not imported by `run`."""
+"""Tasks under leases: the runner with its processor budget, and the tasks. Not imported by plain `run`."""
--- a/cypressledge/fleet/tasks/fleet_summary.py
+++ b/cypressledge/fleet/tasks/fleet_summary.py
@@ -1,6 +1,6 @@
-"""The fleet's summary: all brokers' metrics, gathered by the holder of a lease, sent to all, served by each.
+"""The fleet's summary: all brokers' metrics, collected by the holder of a lease and sent to all brokers.
 
-No sockets: messages go through the functions given.
+Every broker serves the latest summary to operators. No sockets: messages go through the functions passed in.
 """
 
 from collections.abc import Callable
@@ -12,9 +12,9 @@
 from cypressledge.fleet.tasks.task_runner import TaskSteps
 
 COLLECTION_WINDOW_S = 0.4  # seconds that brokers have to send their metrics
-PEERS_PER_STEP = 16  # that are sent a message in one step
-COUNT_NAMES = ("success", "overload", "error", "dispatches")  # of a class, in this order
-MAX_ENGINES = 128  # engines that a summary names: those that most brokers avoid
+PEERS_PER_STEP = 16  # peers; one step of the task sends messages to this many
+COUNT_NAMES = ("success", "overload", "error", "dispatches")  # counts of a class, in the order of messages
+MAX_ENGINES = 128  # engines named in a summary: those that most brokers avoid
 
 
 def broker_metrics(
@@ -25,7 +25,7 @@
     ready_engines: int,
     open_requests: int,
 ) -> BrokerMetrics:
-    """A broker's own metrics, from its counters."""
+    """Return a broker's metrics, from its counters `counts`."""
     counts_by_class = {
         cls: [counts.get(f"replies.{cls}.{name}", 0) for name in COUNT_NAMES] for cls in classes
     }
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class SummaryRound:
-    """One round of a summary: metrics as they are received, under one token."""
+    """One round of the summary: the brokers' metrics received under one token."""
 
     token: int
     instance_id: int
@@ -43,14 +43,14 @@
     received: dict[str, BrokerMetrics] = field(default_factory=dict)
 
     def add(self, broker: str, metrics: BrokerMetrics) -> bool:
-        """Add a broker's metrics; whether they are of this round's token."""
+        """Add a broker's metrics; return False, and ignore them, if they are not of this round's token."""
         if metrics.token != self.token:
             return False
         self.received[broker] = metrics
         return True
 
     def summary(self, brokers: list[str]) -> FleetSummary:
-        """All of them merged; those of `brokers` that sent none are named as missing."""
+        """Return the merged metrics. Those of `brokers` that have sent none are named as missing."""
         counts_by_class: dict[str, list[int]] = {}
         avoided: dict[str, int] = {}
         for metrics in self.received.values():
@@ -75,14 +75,14 @@
 
 @dataclass(slots=True)
 class Fence:
-    """What any resource that is acted on keeps: the highest token yet. A lower one is rejected, and so is the
-    same one from another process."""
+    """The check of tokens at a resource that tasks act on. It keeps the highest token so far, and rejects a
+    lower one, or the same one from another process."""
 
     token: int = 0
     instance_id: int = 0
 
     def admits(self, token: int, instance_id: int) -> bool:
-        """Whether an act under this token may take place; it counts from here on."""
+        """Return whether an act under this token may take place; if so, keep the token as the highest."""
         if token < self.token or (token == self.token and instance_id != self.instance_id):
             return False
         self.token, self.instance_id = token, instance_id
@@ -90,8 +90,11 @@
 
 
 class FleetSummaries:
-    """The summary at one broker, as holder of the lease or not. `own_metrics` gets a token; `peers` gives
-    those alive, `all_brokers` all that are configured, alive or not; `send` gets (peer, item)."""
+    """The summary at one broker, whether it holds the lease or not.
+
+    `own_metrics` gets a token and returns this broker's metrics; `peers` returns the other brokers alive,
+    `all_brokers` all that are configured, alive or not; `send` gets (peer, item); `now` returns µs.
+    """
 
     def __init__(
         self,
@@ -111,7 +114,7 @@
         self.rejected = 0
 
     def run(self, held: HeldLease) -> TaskSteps:
-        """One round, under a held lease."""
+        """Run one round under a held lease: collect all brokers' metrics, then send the summary to all."""
         peers = self.peers()
         round_ = self.round = SummaryRound(held.token, held.instance_id, self.name)
         round_.add(self.name, self.own_metrics(held.token))
@@ -129,7 +132,7 @@
             yield None
 
     def receive(self, sender: str, item: MetricsRequest | BrokerMetrics | FleetSummary) -> None:
-        """Handle a peer's message about summaries. One of an older holder is rejected."""
+        """Handle a peer's message about summaries. Messages of an older holder are rejected."""
         if isinstance(item, MetricsRequest):
             if self._admits(item.lease, item):
                 self.send(sender, self.own_metrics(item.token))
@@ -148,7 +151,7 @@
         self.latest, self.received_at = summary, self.now()
 
     def answer(self) -> SummaryAnswer | None:
-        """The latest summary and its age (s), as operators see it."""
+        """Return the operators' answer with the latest summary and its age; None if there is none yet."""
         summary = self.latest
         if summary is None:
             return None
--- a/cypressledge/fleet/tasks/service_call.py
+++ b/cypressledge/fleet/tasks/service_call.py
@@ -1,4 +1,4 @@
-"""Calls of an operators' own service under a lease, over HTTP (http.client on a gevent socket)."""
+"""Calls to a service of the operators under a lease, over HTTP (http.client on a gevent socket)."""
 
 import http.client
 import json
@@ -10,14 +10,17 @@
 from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.tasks.task_runner import TaskCancelledError, TaskSteps
 
-CALL_TIMEOUT_S = 2.0  # seconds for one call
+CALL_TIMEOUT_S = 2.0  # seconds; timeout of one call
 MAX_ANSWER_BYTES = 4_096
 
 
 class ServiceCall:
-    """An operators' own service, called under a lease: POST with lease, token and run as JSON. The service
-    keeps the highest token, and answers 409 with `{"token": N}` to a lower one; `on_token_rejected` gets
-    (lease, N)."""
+    """A task that calls a service of the operators: POST with lease, token and run as JSON.
+
+    The service keeps the highest token, and answers 409 with `{"token": N}` to a lower one; then
+    `on_token_rejected` gets (lease, N). `steps`: calls in one run of the task; `step_interval_s`: seconds
+    between them.
+    """
 
     def __init__(
         self,
@@ -32,7 +35,11 @@
         self.runs = 0
 
     def run(self, held: HeldLease) -> TaskSteps:
-        """One run: as many calls as configured, with a pause between them."""
+        """Run the task once: `steps` calls with a pause between them.
+
+        Raises `TaskCancelledError` if the service rejects the token, and `OSError` for any other status but
+        200.
+        """
         self.runs += 1
         run_number = self.runs
         for step in range(self.steps):
@@ -50,7 +57,9 @@
                 self.on_token_rejected(held.lease, _known_token(answer))
                 raise TaskCancelledError
             if status != 200:
-                raise OSError(f"the service answered {status}")
+                raise OSError(
+                    f"service at {self.address[0]}:{self.address[1]} answered HTTP {status}, expected 200"
+                )
             if step + 1 < self.steps and self.step_interval_s:
                 yield self.step_interval_s
 
@@ -68,7 +77,7 @@
 
 
 def _known_token(answer: bytes) -> int:
-    """The token that a service knows, by its answer; 0 where its answer is not as expected."""
+    """Return the token that a service reports in its answer; 0 if the answer is malformed."""
     try:
         return int(json.loads(answer)["token"])
     except (ValueError, KeyError, TypeError, RecursionError):
--- a/cypressledge/fleet/tasks/task_runner.py
+++ b/cypressledge/fleet/tasks/task_runner.py
@@ -1,9 +1,9 @@
-"""Runs tasks under leases, in greenlets whose steps a budget meters. Uses gevent; no sockets.
+"""Runs tasks under leases, in greenlets whose steps share a processor budget. Uses gevent; no sockets.
 
-A run of a task gets the held lease, and hands its token to whatever it acts on. It is not started when less
-than its time limit is left of the lease, no step is taken once the lease is gone, and losing the lease
-cancels it at once. All that only makes stale acts rare: a process may be stopped between a check and an act,
-and then only the token helps.
+A run of a task gets the held lease, and passes its token to the resources that it acts on. A run is not
+started if the lease expires within the task's time limit, no step is taken after the lease is lost, and its
+loss cancels the run at once. These checks only make stale acts rare: a process may be suspended between a
+check and an act. Only the resource's check of the token rejects all stale acts.
 """
 
 import time
@@ -17,22 +17,26 @@
 from cypressledge.fleet.leases.lease import HeldLease
 from cypressledge.fleet.tasks.cpu_budget import CpuBudget, PriorityQueue
 
-CANCEL_TIMEOUT_S = 0.5  # seconds that a run has to end in once it is cancelled
-MAX_RENEWAL_POLL_S = 0.05  # seconds between looks at whether a lease has been renewed
+CANCEL_TIMEOUT_S = 0.5  # seconds that a cancelled run has to end
+MAX_RENEWAL_POLL_S = 0.05  # seconds; longest time between checks whether a lease has been renewed
 DEFAULT_PRIORITY = 5
 
-Step = float | Callable[[], object] | None  # what a run yields; its callable's result is sent back in
+Step = float | Callable[[], object] | None  # yielded by a run; a callable's result is sent to the generator
 TaskSteps = Generator[Step, Any, None]
 
 
 class TaskCancelledError(Exception):
-    """The lease under which a task runs is gone."""
+    """Raised in a task's run when the lease that it runs under is lost."""
 
 
 @dataclass(slots=True)
 class Task:
-    """What is done under a lease. `run(held_lease)` is a generator: it yields None after a short step,
-    seconds to sleep, or a callable that does I/O (called outside the budget; its result is sent back in)."""
+    """A task that runs repeatedly while a lease of `lease_group` is held.
+
+    `run(held_lease)` is a generator. It yields None after a short step, a number of seconds to sleep, or a
+    callable that does I/O, which is called outside the budget and whose result is sent to the generator.
+    `interval_s`: seconds between runs; `time_limit_s`: seconds; limit of a run.
+    """
 
     name: str
     lease_group: str
@@ -48,8 +52,8 @@
 
 
 class TaskRunner:
-    """All tasks of a broker. `held_lease` gives a lease if it is held now, `now` µs on the clock of leases;
-    `on_event` gets an event and its fields."""
+    """Runs all tasks of a broker. `held_lease` returns a lease if it is held now, `now` the µs on the clock
+    that leases use; `on_event` gets an event and its fields."""
 
     def __init__(
         self,
@@ -65,13 +69,13 @@
         self.ready = Event()
 
     def start(self, lease: str, group: str) -> None:
-        """Start the tasks under a lease: it has been acquired."""
+        """Start the tasks of a lease that has been acquired."""
         for task in self.tasks:
             if task.lease_group == group and lease not in task.running:
                 task.running[lease] = gevent.spawn(self._run_repeatedly, task, lease)
 
     def cancel(self, lease: str) -> bool:
-        """Cancel the tasks under a lease, which is lost or to be released. Whether they have ended."""
+        """Cancel the tasks of a lease that is lost or to be released; return whether all have ended."""
         ended = True
         for task in self.tasks:
             greenlet = task.running.pop(lease, None)
@@ -81,7 +85,7 @@
         return ended
 
     def schedule(self) -> None:
-        """A greenlet: lets the runs take their steps, as the budget allows."""
+        """Let waiting runs take their next steps as the budget allows, by priority; runs as a greenlet."""
         while True:
             self.ready.wait()
             wait = self.budget.time_until_next_slice(self.now())
@@ -98,7 +102,7 @@
         try:
             while (held := self.held_lease(lease)) is not None:
                 if held.expires_at - self.now() < task.time_limit_s * 1e6:
-                    # A renewal is on its way, or the lease ends.
+                    # Too little time is left: wait for the next renewal, or for the end of the lease.
                     gevent.sleep(min(task.time_limit_s / 4, MAX_RENEWAL_POLL_S))
                     continue
                 self._run_once(task, held)
--- a/tests/fleet/leases/test_lease_model.py
+++ b/tests/fleet/leases/test_lease_model.py
@@ -1,4 +1,4 @@
-"""The lease in whole small worlds: never two holders; and every guard is seen to be needed."""
+"""Model checking of the lease in small worlds: there are never two holders, and each guard is necessary."""
 
 from functools import cache
 
--- a/tests/fleet/leases/test_lease_schedules.py
+++ b/tests/fleet/leases/test_lease_schedules.py
@@ -1,4 +1,4 @@
-"""Leases of a fleet in virtual time: takeovers, restarts, long random schedules of faults, cost at size."""
+"""Leases of a fleet in virtual time: takeovers, restarts, random fault schedules, cost in large fleets."""
 
 import random
 import time
@@ -61,7 +61,7 @@
 
 
 class LeaseObserver:
-    """Records every holder and token of a run, and where two held one lease or a token shrank."""
+    """Records in `faults` each lease that had two holders at once or a token that did not increase."""
 
     def __init__(self, world):
         self.world, self.tokens, self.faults, self.acquired = world, {}, [], 0
@@ -81,7 +81,8 @@
 
 
 def inject_fault(world, rng):
-    """One fault or mending, drawn."""
+    """Make one random change: kill, start or pause a broker, partition the network, impair it, restore it,
+    release a broker's leases, or restart two voters."""
     name, kind = rng.choice(world.names), rng.randrange(8)
     if kind == 0 and name in world.nodes:
         world.kill(name)
@@ -137,7 +138,7 @@
             world.start(name)
         world.nodes[name].paused_until = 0
     world.loss, world.copies, world.delay, world.cut = 0, 0, (100, 2_000), set()
-    world.run(20 * S)  # all is well again: each lease finds its holder
+    world.run(20 * S)  # without faults each lease is acquired again
     assert all(len(world.holders(f"lease-{i}")) == 1 for i in range(2))
     assert observer.acquired >= 2
 
--- a/tests/fleet/leases/test_participation.py
+++ b/tests/fleet/leases/test_participation.py
@@ -1,4 +1,4 @@
-"""Candidates for leases, and one broker's participation: when it requests votes, and when it rests."""
+"""Candidates for leases, and one broker's participation: when it requests votes, and when it waits."""
 
 from cypressledge.fleet.leases.candidate_order import candidate_order
 from cypressledge.fleet.leases.electorate import Electorate
@@ -31,13 +31,13 @@
 VOTERS = tuple(f"v{i}" for i in range(5))
 
 
-# A broker that is the first candidate for lease "l", whichever of these voters are alive.
+# A broker that is the first candidate for lease "l", no matter which of these voters are alive.
 FIRST = next(n for n in map("n{}".format, range(100)) if candidate_order("l", [n, *VOTERS])[0] == n)
 
 
 def after_statuses(statuses, alive=5):
-    """The first candidate's phase, and how long it rests (s), after it has queried a lease and got these
-    answers."""
+    """Return the first candidate's phase, and the seconds until it is due, after it has queried a lease's
+    status and received `statuses`: (voter, holder, remaining, quarantine). `alive`: voters alive."""
     sent = []
     manager = LeaseManager(
         FIRST,
@@ -62,7 +62,7 @@
     assert after_statuses([quarantined, *free])[0] is ParticipationPhase.REQUESTING_VOTES
     assert after_statuses(free)[0] is ParticipationPhase.REQUESTING_VOTES
     held = [(f"v{i}", "n1", 2 * S, 0) for i in range(4)]
-    phase, due = after_statuses(held)  # a fifth answer is still out
+    phase, due = after_statuses(held)  # the fifth voter's answer is still missing
     assert phase is ParticipationPhase.QUERYING_STATUS
     assert due <= 0.5
     phase, due = after_statuses(held, alive=4)
--- a/tests/fleet/leases/test_voter_and_acquisition.py
+++ b/tests/fleet/leases/test_voter_and_acquisition.py
@@ -1,4 +1,4 @@
-"""The decisions of voters, acquisitions and electorates one by one, and the hard cases by name."""
+"""Unit tests of voters, acquisitions and electorates, including the difficult sequences of messages."""
 
 import pytest
 
@@ -122,7 +122,7 @@
     assert voter.leases["l"].vote is not None
     voter.release(ReleaseLease("l", 1, second.round))
     assert voter.leases["l"].vote is None
-    assert voter.vote(2, "p", second) is None  # nor does a copy of the request bring the vote back
+    assert voter.vote(2, "p", second) is None  # a duplicate of the released round's request
 
 
 def test_restarted_voter_does_not_vote_for_the_longest_term():
@@ -180,7 +180,7 @@
 
 def test_voter_set_changes_by_one_voter_at_a_time():
     electorate = make_electorate()
-    with pytest.raises(VoterSetError, match="more than one voter"):
+    with pytest.raises(VoterSetError, match="exactly one voter"):
         electorate.adopt(0, 2, {2: ("a", "d", "e")})
     with pytest.raises(VoterSetError, match="more than one change"):
         electorate.adopt(0, 3, {3: ("a", "b", "c", "d")})
--- a/tests/fleet/membership/test_membership.py
+++ b/tests/fleet/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is alive, suspect or gone: a fleet in virtual time, and one broker's membership alone."""
+"""States of members: tests of a fleet in virtual time, and of one broker's membership by itself."""
 
 from cypressledge.fleet.membership import ALIVE, GONE, SUSPECT, Membership
 from cypressledge.fleet.messages import (
@@ -15,7 +15,7 @@
     world.run(5 * S)
     assert all("n4" not in n.membership.alive() for n in world.nodes.values())
     old = world.nodes["n0"].membership.members["n4"].incarnation
-    world.wall_step = -3_600 * S  # its clock says an hour less than it did
+    world.wall_step = -3_600 * S  # the restarted broker's wall clock is an hour behind
     world.start("n4")
     world.run(5 * S)
     for name, node in world.nodes.items():
@@ -23,7 +23,7 @@
             member = node.membership.members["n4"]
             assert member.state == 0
             assert member.incarnation > old
-            assert not node.membership.observe(node.now(), "n4", old)  # a late word of its former self
+            assert not node.membership.observe(node.now(), "n4", old)  # a late message of its former instance
 
 
 def test_member_that_leaves_is_gone_at_once_and_a_suspect_may_refute():
@@ -53,7 +53,7 @@
     world.run(6 * S)
     assert all(n.membership.alive() == set(names) for n in world.nodes.values())
     sent = sum(n.datagrams_sent for n in world.nodes.values()) - before
-    assert sent < 6 * 6 * 60, "the news that somebody is not listened to must not be answered by the same"
+    assert sent < 6 * 6 * 60, "notifications of ignored messages were answered by notifications"
     world.run(8 * S)
     assert len(world.holders("lease-0")) == 1
 
@@ -72,7 +72,7 @@
     for name in "bcdef":
         assert members.observe(1_000, name, 5)
     members.receive(1_200, "b", Ping(1, [GossipUpdate(name, 5, SUSPECT) for name in "cde"]))
-    members.observe(1_210, "e", 6)  # it speaks up
+    members.observe(1_210, "e", 6)  # its own message refutes the suspicion
     assert set(members.suspects) == {"c", "d"}
     members.set_peers([*"abceg"])
     assert set(members.suspects) == {"c"}
--- a/tests/fleet/tasks/test_tasks.py
+++ b/tests/fleet/tasks/test_tasks.py
@@ -1,4 +1,4 @@
-"""The processor budget, the priority queue, the fleet's summary and its fence."""
+"""The processor budget, the priority queue, the fleet's summary and the fence of tokens."""
 
 from cypressledge.fleet.messages import (
     BrokerMetrics,
--- a/tests/fleet/test_datagram_transport.py
+++ b/tests/fleet/test_datagram_transport.py
@@ -1,4 +1,4 @@
-"""The datagram transport's bounds on what any address can cost."""
+"""The datagram transport's rate limits by source address."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 def test_buckets_of_long_idle_addresses_are_freed(transport):
     for port in range(MAX_OTHER_BUCKETS + 100):
         transport.receive(b"", ("10.0.0.1", port))
-    assert len(transport.other_buckets) <= MAX_OTHER_BUCKETS + 1  # the rest share one
+    assert len(transport.other_buckets) <= MAX_OTHER_BUCKETS + 1  # all further addresses share one bucket
     assert ("10.0.0.1", MAX_OTHER_BUCKETS + 50) not in transport.other_buckets
     transport.at += BUCKET_IDLE_TIMEOUT
     transport.receive(b"", ("10.0.0.1", 5))
@@ -44,6 +44,6 @@
         transport.receive(b"", ("127.0.0.1", 1))
     assert transport.counters.counts["fleet.flooded"] == flooded
     transport.receive(b"", ("127.0.0.1", 1))
-    assert transport.counters.counts["fleet.flooded"] == flooded + 1  # a peer has a bound as well
+    assert transport.counters.counts["fleet.flooded"] == flooded + 1  # a peer's rate is limited as well
     transport.set_peers({"n1": ("127.0.0.1", 2)})
     assert list(transport.peer_buckets) == [("127.0.0.1", 2)]
--- a/tests/fleet/test_fleet_messages.py
+++ b/tests/fleet/test_fleet_messages.py
@@ -1,4 +1,4 @@
-"""The encoding of datagrams, and what is no valid datagram."""
+"""The encoding of datagrams, and the rejection of invalid ones."""
 
 import contextlib
 
--- a/tests/fleet/test_fleet_node.py
+++ b/tests/fleet/test_fleet_node.py
@@ -1,4 +1,4 @@
-"""Members of a fleet without a broker: leases, peers that move, turns, and a reload of the settings."""
+"""Fleet nodes without a broker: leases, changes of peers, the loop's sleep, and a reload of the settings."""
 
 import json
 import time
@@ -24,14 +24,14 @@
 
 
 class SilentLog:
-    """A log that nobody reads."""
+    """A logger that discards all lines."""
 
     def info(self, event, **fields):
         pass
 
 
 class ThreeNodes:
-    """Three nodes in this process: one lease that all ask for, and one for those that want it."""
+    """Three nodes in this process, with a lease that all request and the lease "wish" on demand."""
 
     def __init__(self):
         ports = free_udp_ports([*NAMES, "spare"])
@@ -92,7 +92,7 @@
     trio.nodes[first].stop()
     began = time.monotonic()
     assert until(lambda: [n for n in trio.holders() if n != first], 10, 0.005)
-    assert time.monotonic() - began < TERM / 1e6, "a lease that is given back is not waited for"
+    assert time.monotonic() - began < TERM / 1e6, "a released lease must be acquired within its term"
     second = trio.holders()[0]
     assert trio.nodes[second].held_lease("one").token > token
     events = [(n, event) for n, event, lease, *_ in trio.events if lease == "one"]
@@ -121,7 +121,7 @@
     assert not node.release("wish", "by hand")
     assert trio.holders("wish") == ["n2"]
     node.stop()
-    assert trio.holders("wish") == ["n2"]  # it runs out by itself
+    assert trio.holders("wish") == ["n2"]  # `stop` does not release it either: it expires by itself
 
 
 def test_peer_moves_and_another_is_removed_at_run_time(trio):
@@ -165,13 +165,13 @@
     gevent.sleep(0.3)
     lone.turn_times.clear()
     gevent.sleep(2.2)
-    assert 1 <= len(lone.turn_times) <= 3  # it looks at the time once a second
+    assert 1 <= len(lone.turn_times) <= 3  # the loop sleeps at most a second at a time
     lone.set_peers({"n0": trio.at["n0"]})
     gevent.sleep(0.3)
     for _ in range(5):
         sent = lone.counters.counts["fleet.sent"]
         lone.send("n0", EngineObservations([], {}, ["z"]))
-        assert until(lambda sent=sent: lone.counters.counts["fleet.sent"] > sent, 0.3, 0.005)  # at once
+        assert until(lambda sent=sent: lone.counters.counts["fleet.sent"] > sent, 0.3, 0.005)
 
 
 def test_reload_keeps_what_is_known_of_peers_that_only_the_control_plane_names(tmp_path):
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program, with what is between them broken; and `run` without any of it."""
+"""Fleets of broker processes with network and process faults, and the imports of `run` without a fleet."""
 
 import json
 import signal
@@ -24,7 +24,7 @@
 
 
 class Fleet:
-    """So many brokers, a relay between every two, and a resource that a task acts on."""
+    """A fleet of broker processes with a UDP proxy between each two, and a resource that a task acts on."""
 
     def __init__(self, count=3, voters=3, steps=2, places=1):
         self.names = [f"n{i}" for i in range(count)]
@@ -73,7 +73,7 @@
         return self.brokers.all[name]
 
     def first_accepted_act(self, after=0, excluding=""):
-        """The first accepted act after a moment, by another than one."""
+        """Return the first accepted act after a time, by another broker than `excluding`; None if none."""
         return next(
             (w for w in self.resource.writes if w.accepted and w.at > after and w.holder != excluding), None
         )
@@ -124,7 +124,7 @@
 def test_holder_stopped_for_longer_than_its_term_is_fenced(fleet):
     first = fleet.wait_for_act()
     gate = fleet.resource.gate(first.holder)
-    assert gate.arrived.wait(WAIT)  # an act of it is on its way, past its own check
+    assert gate.arrived.wait(WAIT)  # an act has passed the holder's own check and waits at the resource
     fleet[first.holder].signal(signal.SIGSTOP)
     second = fleet.wait_for_act(fleet.last_write().at, excluding=first.holder)
     gate.opened.set()
@@ -143,7 +143,7 @@
 
 def test_lease_is_handed_over_within_a_term_of_sigterm(fleet):
     first = fleet.wait_for_act()
-    gevent.sleep(TERM)  # all have seen each other
+    gevent.sleep(TERM)  # until all brokers have received messages from each other
     began = time.monotonic()
     fleet[first.holder].signal(signal.SIGTERM)
     released = until(lambda: fleet.events(first.holder, "lease_released"), WAIT, 0.005)
@@ -162,7 +162,7 @@
     other = next(n for n in fleet.names if n != first.holder)
     assert fleet.cli(other, "release", "ledger") == (1, "Error: not held here\n")
     assert fleet.cli(other, "release", "nothing") == (1, "Error: no such lease\n")
-    code, words = fleet.cli(first.holder, "give-back", "ledger")  # the former name, hidden
+    code, words = fleet.cli(first.holder, "give-back", "ledger")  # the former name of `release`
     assert (code, words) == (0, "ledger given back\n")
     fleet.wait_for_act(fleet.last_write().at, excluding=first.holder)
     code, words = fleet.cli(other, "tasks")
@@ -173,13 +173,13 @@
     assert until(lambda: ask(fleet[other], "/fleet/summary")["brokers"] == 3, WAIT)
     fleet[first.holder].kill()
     assert until(lambda: ask(fleet[other], "/fleet/summary")["missing"] == [first.holder], WAIT)
-    gevent.sleep(2 * TERM)  # long after it is given up it is missing still
+    gevent.sleep(2 * TERM)  # it stays missing long after its peers consider it gone
     assert ask(fleet[other], "/fleet/summary")["missing"] == [first.holder]
 
 
 def test_holder_that_receives_no_votes_stops_though_it_reaches_the_resource(fleet):
     first = fleet.wait_for_act()
-    for pair in fleet.relays.paths:  # one way: what the voters say does not reach it
+    for pair in fleet.relays.paths:  # a one-way partition: the voters' answers do not reach the holder
         if pair[1] == first.holder:
             fleet.relays.paths[pair] = LinkConditions(cut=True)
     second = fleet.wait_for_act(fleet.last_write().at, excluding=first.holder)
@@ -195,7 +195,8 @@
         fleet[name].kill()
         fleet[name].start()
     restarted = fleet.last_write().at
-    # The holder's votes expire, the restarted voters are in quarantine: no one else acts within a term.
+    # Other brokers must not act within a term: the restarted voters are in quarantine until the votes that
+    # they granted before have expired.
     after = fleet.wait_for_act(restarted + round((TERM + 0.5) * 1e6))
     assert after.token >= first.token
     assert tokens_never_decrease(fleet.resource.writes)
@@ -219,14 +220,14 @@
 
     reload_voters([fleet.voters[0], v2 | {"names": ["n0", "n3", "n4"]}], "fleet_reload_refused", ["n0"])
     reload_voters([fleet.voters[0], v2], "fleet_reloaded")
-    reload_voters([fleet.voters[0], v2, v3], "fleet_reload_refused", ["n1"])  # the last has not settled
+    reload_voters([fleet.voters[0], v2, v3], "fleet_reload_refused", ["n1"])  # version 2 has not settled
     assert "not settled" in fleet.events("n1", "fleet_reload_refused")[-1]["why"]
     gevent.sleep(1.0 + 2 * TERM)  # the grace, and the longest term after it
     reload_voters([v2, v3], "fleet_reloaded")
     fleet.wait_for_act(fleet.last_write().at)
     fleet["n0"].kill()
     fleet["n4"].kill()
-    fleet.wait_for_act(fleet.last_write().at + round(2 * TERM * 1e6))  # a majority of n1, n2, n3 carries it
+    fleet.wait_for_act(fleet.last_write().at + round(2 * TERM * 1e6))  # by votes of two of n1, n2, n3
     assert tokens_never_decrease(fleet.resource.writes)
 
 
@@ -259,7 +260,7 @@
         encode(Envelope(VERSION + 1, *[getattr(good, f) for f in good.__struct_fields__[1:]])),
     ):
         sock.sendto(raw, target)
-    for number in range(6_000):  # at a pace at which the system's own buffer does not drop most of them
+    for number in range(6_000):  # slow enough that the system's receive buffer does not drop most of them
         sock.sendto(b"flood", target)
         gevent.sleep(0.002 if number % 50 == 0 else 0)
     sock.close()
@@ -281,14 +282,14 @@
     broker.start()
     assert broker.process.wait(WAIT) == 2
     assert broker.words().splitlines() == [
-        f"cypressledge: {broker.fleet_file}: 0 peers; 1 to 1000 can be: 460 brokers, as many that replace "
-        "them, and control machines"
+        f"cypressledge: {broker.fleet_file}: 0 peers; expected 1 to 1000: 460 brokers, as many that replace "
+        "them during a deployment, and control machines"
     ]
 
 
 def test_run_imports_nothing_of_the_fleet(tmp_path):
-    """As `deploy/balancer.toml` starts it: no package of the fleet, the control plane, the laboratory, the
-    hosted service, or their libraries."""
+    """The deployment (`deploy/balancer.toml`) starts `run` without the fleet's options. It must not import
+    the packages of the fleet, the control plane, `lab` or the hosted service, nor their libraries."""
     brokers = Brokers(str(tmp_path))
     broker = brokers.add("n1", {})
     code = (
--- a/tests/fleet/test_fleet_settings.py
+++ b/tests/fleet/test_fleet_settings.py
@@ -1,4 +1,4 @@
-"""The fleet's settings file: what is read, and each mistake as one line."""
+"""The fleet's settings file: valid files, and one line of error for each kind of mistake."""
 
 import time
 
@@ -45,7 +45,7 @@
         ({"peers": [*GOOD["peers"], {"name": "e", "address": "nowhere"}]}, "no HOST:PORT"),
         ({"voters": [{"version": 1, "names": ["a", "b"]}]}, "3 to 7"),
         ({"voters": [{"version": 1, "names": ["a", "b", "z"]}]}, "voter z is not among the peers"),
-        ({"voters": [*GOOD["voters"], {"version": 2, "names": ["a", "b", "d"]}]}, "more than one voter"),
+        ({"voters": [*GOOD["voters"], {"version": 2, "names": ["a", "b", "d"]}]}, "exactly one voter"),
         ({"voters": [*GOOD["voters"], FOUR | {"version": 3}]}, "version 2 is missing"),
         ({"leases": [{"name": "l", "term_s": 9}]}, "over longest_term_s"),
         ({"term_s": -1}, "> 0"),
--- a/tests/fleet/test_operator_answers.py
+++ b/tests/fleet/test_operator_answers.py
@@ -1,4 +1,4 @@
-"""Bodies of operators' answers: keys and their order, to the byte."""
+"""Bodies of answers to operators, byte for byte: keys and their order must not change."""
 
 import pytest
 
