--- a/cypressledge/controlplane/broker_integration.py
+++ b/cypressledge/controlplane/broker_integration.py
@@ -162,7 +162,9 @@
         if self.fleet is None:
             return
         brokers = self.client.state.brokers()
-        self.fleet.name_peers({name: parse_address(broker.address) for name, broker in brokers.items()})
+        self.fleet.set_control_plane_peers(
+            {name: parse_address(broker.address) for name, broker in brokers.items()}
+        )
 
 
 def _discovered_engine(name: str, engine: Engine) -> DiscoveredEngine:
--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -1,7 +1,6 @@
-"""The fleet's part of one broker: its node of the fleet, with tasks, zone failover, summaries, operators'
-calls.
+"""Integration of the fleet into one broker: fleet node, tasks, zone failover, summaries, operators' calls.
 
-Nothing here is imported unless `--fleet FILE` asks for it.
+Imported only if `--fleet FILE` is given.
 """
 
 from typing import cast
@@ -43,11 +42,11 @@
 ZONE_MESSAGES = (EngineObservations, FailoverPlan, PlanRequest, ZoneCommand)
 SUMMARY_MESSAGES = (MetricsRequest, BrokerMetrics, FleetSummary)
 URGENT_MESSAGES = (FailoverPlan, ZoneCommand, PlanRequest)
-IDLE_TICK = 1_000_000  # µs between ticks where there is no zone failover: nothing else is due sooner
-KEPT_TURN_TIMES = 4_096  # of the node's turns: minutes, for a percentile that operators can go by
-ZONE_STEPS_WARM = 32  # steps of a share in the time that engines take to warm up, at the least
+IDLE_TICK_INTERVAL = 1_000_000  # µs; time between ticks without zone failover: nothing else is due sooner
+MAX_TURN_TIMES = 4_096  # turn times; those kept cover minutes, so that operators can rely on the percentile
+MIN_WARM_UP_STEPS = 32  # steps; a zone's share is raised in at least this many while its engines warm up
 
-# Keys of the file that only a restart of all brokers can change.
+# Settings that can change only with a restart of all brokers.
 FIXED_SETTINGS = (
     "term_s",
     "longest_term",
@@ -63,9 +62,9 @@
 
 
 class FleetIntegration:
-    """What one broker has to do with the others. `loops`: functions that the broker runs as greenlets.
+    """One broker's membership in a fleet. `loops`: functions that the broker runs as greenlets.
 
-    Raises `ConfigError` where the file can't be used, and `OSError` where its address can't be bound.
+    Raises `ConfigError` if the file is invalid, and `OSError` if the fleet address can't be bound.
     """
 
     def __init__(self, path: str, config: Config, core: BrokerCore, counters: Counters) -> None:
@@ -76,7 +75,7 @@
         self.counters = counters
         self.settings = read_fleet_settings(path)
         own = self._own_peer(self.settings)
-        # Peers as the control plane has them; they go before the file's.
+        # Addresses of peers from the control plane; they override those of the file.
         self.control_plane_peers: dict[str, tuple[str, int]] = {}
         self.node = self._make_node(parse_address(self.settings.listen or own.address))
         self.recorder = self._make_recorder()
@@ -84,7 +83,7 @@
         self.summaries = FleetSummaries(
             self.name,
             self._own_metrics,
-            self.node.others,
+            self.node.alive_peers,
             lambda: [peer.name for peer in self.settings.peers],
             self.node.send,
             self.node.now,
@@ -96,9 +95,9 @@
         self.runner = TaskRunner(tasks, self.node.held_lease, self.node.now, budget, self._log_event)
         self.loops = [*self.node.loops, self.runner.schedule]
         counters.gauge("fleet.turn_p99_us", self.node.turn_p99)
-        counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest)
+        counters.gauge("fleet.step_longest_us", lambda: self.runner.budget.longest_slice)
 
-    # Putting together
+    # Construction
 
     def _own_peer(self, settings: FleetSettings) -> Peer:
         own = next((peer for peer in settings.peers if peer.name == self.name), None)
@@ -125,8 +124,8 @@
                 slots=_lease_slots(settings),
                 drift_ppm=settings.drift_ppm,
                 ping_s=settings.ping_s,
-                wall=wall_us() + round(settings.lab.wall_step_s * 1e6),
-                turn_times_kept=KEPT_TURN_TIMES,
+                wall_time=wall_us() + round(settings.lab.wall_step_s * 1e6),
+                max_turn_times=MAX_TURN_TIMES,
             ),
             electorate,
             self.counters,
@@ -144,14 +143,15 @@
         return LeaseRecorder(path, self.node) if path else None
 
     def _handlers(self) -> dict[type, Handler]:
-        """Who takes what. Without zone failover others' messages about zones are only counted."""
+        """Return the handlers by type of message. Without zone failover, messages about zones are only
+        counted."""
         handlers: dict[type, Handler] = dict.fromkeys(SUMMARY_MESSAGES, cast(Handler, self.summaries.receive))
         if self.zones is not None:
             handlers |= dict.fromkeys(ZONE_MESSAGES, cast(Handler, self.zones.receive))
         return handlers
 
     def _make_zones(self, config: Config) -> ZoneFailover | None:
-        """Zone failover, where a task asks for it."""
+        """Return the zone failover if the file configures a task of kind "zones", else None."""
         settings = self.settings
         spec = next((task for task in settings.tasks if task.kind == "zones"), None)
         if spec is None:
@@ -166,7 +166,7 @@
         links = FleetLinks(
             now=self.node.now,
             send=self.node.send,
-            living_peers=self.node.others,
+            living_peers=self.node.alive_peers,
             likely_planners=lambda: candidate_order(spec.lease, self.node.membership.alive()),
             log_event=self._log_event,
         )
@@ -177,13 +177,16 @@
             for zone in region.zones:
                 if zone not in config.zones or region.name in config.zones:
                     known = " ".join(config.zones)
-                    raise ConfigError(f"{self.path}: region {region.name}: the zones are {known}")
+                    raise ConfigError(
+                        f"{self.path}: region {region.name}, zone {zone}: the zone must be one of {known}, "
+                        "and the region's name none of them"
+                    )
 
     def _zone_pace(self) -> FailoverPace:
-        """The file's pace, and what engines bear as the site says it."""
+        """Return the pace from the fleet's file, with the engines' warm-up from the site's settings."""
         site, pace = self.core.settings, self.settings.zone_pace
         default = FailoverPace()
-        warm = site.slow_start_window or default.warm_up_time
+        warm_up_time = site.slow_start_window or default.warm_up_time
         return FailoverPace(
             confirmation_time=round(pace.confirmation_time_s * 1e6),
             min_time_out=round(pace.min_time_out_s * 1e6),
@@ -191,8 +194,8 @@
             max_time_out=round(pace.max_time_out_s * 1e6),
             max_utilization=pace.max_utilization,
             cold_capacity=site.slow_start_capacity,
-            warm_up_time=warm,
-            share_step_interval=min(default.share_step_interval, warm // ZONE_STEPS_WARM),
+            warm_up_time=warm_up_time,
+            share_step_interval=min(default.share_step_interval, warm_up_time // MIN_WARM_UP_STEPS),
         )
 
     def _make_task(self, spec: TaskSpec) -> Task:
@@ -201,29 +204,30 @@
                 spec.kind, spec.lease, self.zones.act, PLANNER_STEP_S, spec.time_limit_s, spec.priority
             )
         if spec.kind == "summary":
-            act = self.summaries.run
+            run = self.summaries.run
         else:
-            act = ServiceCall(
+            run = ServiceCall(
                 self.name,
                 parse_address(spec.service_address),
                 spec.calls_per_act,
                 spec.call_interval_s,
                 self.node.token_rejected,
             ).run
-        return Task(spec.kind, spec.lease, act, spec.interval_s, spec.time_limit_s, spec.priority)
+        return Task(spec.kind, spec.lease, run, spec.interval_s, spec.time_limit_s, spec.priority)
 
     def add_operator_calls(self, management: ManagementServer) -> None:
-        """Add the operators' calls to their address."""
+        """Add the operators' calls of the fleet to the management address."""
         FleetOperatorApi(self).register(management)
 
-    # Called by the node's owner
+    # Hooks called by the node
 
     def _tick(self, now: int) -> int:
-        """What else time brings; the moment of the next tick."""
+        """Run the periodic work of restart turns, lease recorder and zone failover; return when the next
+        tick is due, µs."""
         self.turns.tick(now)
         if self.recorder is not None:
             self.recorder.record_renewals()
-        return now + IDLE_TICK if self.zones is None else self.zones.tick(now)
+        return now + IDLE_TICK_INTERVAL if self.zones is None else self.zones.tick(now)
 
     def _lease_changed(self, event: LeaseEvent, lease: str, token: int, why: str) -> None:
         if event is LeaseEvent.ACQUIRED:
@@ -243,13 +247,13 @@
         self.node.log.info(event, **fields)
 
     def _own_metrics(self, token: int) -> BrokerMetrics:
-        """This broker's counters for the fleet's summary, and the engines that it avoids."""
+        """Return this broker's counters for the fleet's summary, and the engines that it avoids."""
         core = self.core
         avoided = [
             engine.endpoint.name
             for listed in core.engines.engine_lists.values()
             for engine in listed
-            if engine.entry.state is not EngineState.REMOVED and self._avoids(engine)
+            if engine.entry.state is not EngineState.REMOVED and self._is_avoided(engine)
         ]
         return broker_metrics(
             token,
@@ -260,7 +264,7 @@
             len(core.ledger.requests),
         )
 
-    def _avoids(self, listed: ListedEngine) -> bool:
+    def _is_avoided(self, listed: ListedEngine) -> bool:
         core = self.core
         entry = core.engines.maintenance.effective_entry(listed.endpoint.name, listed.entry)
         if entry.state is not EngineState.READY:
@@ -268,27 +272,28 @@
         engine = core.loop.manager.engines.get(entry.engine)
         return engine is not None and engine.ejected
 
-    # Changes
+    # Changes at run time
 
     def stop(self) -> None:
-        """This broker stops: leases go back at once, and the peers are notified. A turn to restart is kept:
-        it runs out by itself, while the process starts anew."""
+        """Release the leases at once and notify the peers that this broker leaves. The lease of a restart
+        turn is kept: it expires by itself while the process restarts."""
         self.node.stop(self.turns.leases_kept_on_stop())
 
-    def name_peers(self, peers: dict[str, tuple[str, int]]) -> None:
-        """Where the control plane has brokers, from now on; the file's others stay. Kept over a reload:
-        guards against taking all that the file doesn't name for gone until they are met again."""
+    def set_control_plane_peers(self, peers: dict[str, tuple[str, int]]) -> None:
+        """Set the brokers' addresses from the control plane; peers that only the file names stay. The
+        addresses are kept over a reload: otherwise brokers that the file doesn't name would be treated as
+        gone until their next messages."""
         self.control_plane_peers = peers
         self.node.set_peers(_addresses(self.settings) | peers)
 
     def reload(self) -> None:
-        """Read the file again. Guards against a bad one, and one that changes more than one voter: then the
-        old settings stay in force."""
+        """Read the file again. If it is invalid, or changes more than one voter or a setting that needs a
+        restart, the old settings stay in force."""
         electorate = self.node.electorate
         try:
             settings = read_fleet_settings(self.path)
             self._own_peer(settings)
-            self._check_fixed(settings)
+            self._check_fixed_settings(settings)
             changed = electorate.adopt(self.node.now(), max(settings.voter_sets), dict(settings.voter_sets))
         except (ConfigError, VoterSetError) as err:
             self.counters.add("fleet.reload_failures")
@@ -299,10 +304,10 @@
         self.node.set_slots(_lease_slots(settings))
         self.node.log.info("fleet_reloaded", version=electorate.version, voters_changed=changed)
 
-    def _check_fixed(self, settings: FleetSettings) -> None:
+    def _check_fixed_settings(self, settings: FleetSettings) -> None:
         for key in FIXED_SETTINGS:
             if getattr(settings, key) != getattr(self.settings, key):
-                raise ConfigError(f"{self.path}: another {key} needs a restart of all brokers")
+                raise ConfigError(f"{self.path}: changing {key} requires a restart of all brokers")
 
 
 def _addresses(settings: FleetSettings) -> dict[str, tuple[str, int]]:
--- a/cypressledge/fleet/operator_api.py
+++ b/cypressledge/fleet/operator_api.py
@@ -1,6 +1,6 @@
-"""The operators' calls of the fleet, at a broker's management address: `/fleet/...`.
+"""Operators' calls about the fleet at a broker's management address: `/fleet/...`.
 
-The keys of the answers and the texts of errors are what operators' scripts read: they stay.
+Operators' scripts read the keys of the answers and the texts of errors: they must not change.
 """
 
 from collections.abc import Callable
@@ -14,30 +14,30 @@
 if TYPE_CHECKING:
     from cypressledge.fleet.broker_integration import FleetIntegration
 
-GIVE_BACK_REST_TERMS = 3  # longest terms in which a lease given back by hand is not asked for again
+RELEASE_COOLDOWN_TERMS = 3  # longest terms; a broker waits this long to request a lease it released by call
 
 
 class FleetOperatorApi:
-    """Answers operators' calls about peers, leases, tasks and turns."""
+    """Handlers of operators' calls about peers, leases, tasks, the summary and restart turns."""
 
     def __init__(self, fleet: "FleetIntegration") -> None:
         self.fleet = fleet
 
     def register(self, management: ManagementServer) -> None:
-        """Add the calls to the management address."""
+        """Add the calls to the management server."""
         fleet = self.fleet
-        management.add("/fleet/peers", "GET", _shows(self.peers))
-        management.add("/fleet/leases", "GET", _shows(self.leases))
-        management.add("/fleet/tasks", "GET", _shows(self.tasks))
-        management.add("/fleet/summary", "GET", _shows(fleet.summaries.answer))
-        management.add("/fleet/give-back", "POST", self._give_back)
+        management.add("/fleet/peers", "GET", _json_handler(self.peers))
+        management.add("/fleet/leases", "GET", _json_handler(self.leases))
+        management.add("/fleet/tasks", "GET", _json_handler(self.tasks))
+        management.add("/fleet/summary", "GET", _json_handler(fleet.summaries.answer))
+        management.add("/fleet/give-back", "POST", self._release_lease)
         management.add("/fleet/turn", "POST", lambda r: self._turn(r, fleet.turns.request))
-        management.add("/fleet/turn/over", "POST", lambda r: self._turn(r, fleet.turns.give_up))
+        management.add("/fleet/turn/over", "POST", lambda r: self._turn(r, fleet.turns.end_turn))
         if fleet.zones is not None:
             ZoneOperatorApi(fleet.zones, fleet.node.log).register(management)
 
     def peers(self) -> list[PeerRow]:
-        """Each peer as seen from here, by name."""
+        """Return a row for each peer and this broker, sorted by name."""
         node = self.fleet.node
         now = node.now()
         zones = {peer.name: peer.zone for peer in self.fleet.settings.peers}
@@ -70,7 +70,7 @@
         return sorted(rows, key=lambda peer: peer.name)
 
     def leases(self) -> list[LeaseRow]:
-        """Each lease as seen from here; the holder is as last heard of."""
+        """Return a row for each lease, sorted by name, with the holder that this broker knows of."""
         manager, now = self.fleet.node.lease_manager, self.fleet.node.now()
         return [
             LeaseRow(
@@ -86,7 +86,7 @@
         ]
 
     def tasks(self) -> list[TaskRow]:
-        """Each task, and what it has taken."""
+        """Return a row for each task, with its runs and the processor time of all tasks."""
         runner = self.fleet.runner
         return [
             TaskRow(
@@ -99,32 +99,32 @@
                 failed=task.failed,
                 priority=task.priority,
                 cpu_ms=round(runner.budget.spent / 1e3, 2),
-                longest_step_ms=round(runner.budget.longest / 1e3, 3),
+                longest_step_ms=round(runner.budget.longest_slice / 1e3, 3),
                 turn_p99_ms=self.fleet.node.turn_p99() / 1e3,
             )
             for task in runner.tasks
         ]
 
-    def _give_back(self, request: HttpRequest) -> Answer:
+    def _release_lease(self, request: HttpRequest) -> Answer:
         node = self.fleet.node
         lease = _text(request)
         if lease not in node.lease_manager.participations:
             return 404, b"no such lease\n"
-        rest_s = GIVE_BACK_REST_TERMS * self.fleet.settings.longest_term / 1e6
-        if not node.release(lease, "by hand", rest_s=rest_s):
+        cooldown_s = RELEASE_COOLDOWN_TERMS * self.fleet.settings.longest_term / 1e6
+        if not node.release(lease, "by hand", cooldown_s=cooldown_s):
             return 409, b"not held here\n"
         return 200, f"{lease} given back\n".encode()
 
-    def _turn(self, request: HttpRequest, act: Callable[[str], RestartTurn]) -> Answer:
+    def _turn(self, request: HttpRequest, action: Callable[[str], RestartTurn]) -> Answer:
         group = _text(request)
         participations = self.fleet.node.lease_manager.participations.values()
         if not any(p.slot.group == group and p.slot.on_demand for p in participations):
             return 404, b"no lease of this name that is asked for by wish\n"
-        return 200, to_body(act(group))
+        return 200, to_body(action(group))
 
 
-def _shows(read: Callable[[], Body]) -> Callable[[HttpRequest], Answer]:
-    """A call that answers with what `read` gives, as JSON."""
+def _json_handler(read: Callable[[], Body]) -> Callable[[HttpRequest], Answer]:
+    """Return a handler that answers with the result of `read` as JSON."""
     return lambda request: (200, to_body(read()))
 
 
--- a/tests/fleet/leases/test_lease_schedules.py
+++ b/tests/fleet/leases/test_lease_schedules.py
@@ -1,4 +1,4 @@
-"""Leases of a fleet in virtual time: takeovers, restarts, long random schedules of faults, cost at size."""
+"""Leases of a fleet in virtual time: takeovers, restarts, random fault schedules, cost in large fleets."""
 
 import random
 import time
@@ -12,16 +12,16 @@
 from tests.fakes.virtual_fleet import settled_world
 
 
-def test_dead_holder_is_followed_within_a_term_and_a_half():
+def test_lease_of_a_killed_holder_is_taken_over_within_a_term_and_a_half():
     waits = []
     for seed in range(20):
         world = settled_world(seed, leases=4, brokers=8, voters=5)
         victim = world.holders("lease-0")[0]
         world.kill(victim)
-        died = world.at
+        killed_at = world.at
         while not world.holders("lease-0"):
             world.run(S // 100)
-        waits.append((world.at - died) / world.term)
+        waits.append((world.at - killed_at) / world.term)
     print(f"terms: {sorted(waits)}")
     assert max(waits) < 1.5
 
@@ -30,13 +30,13 @@
     for seed in range(10):
         world = settled_world(seed)
         node = world.nodes[world.holders("lease-0")[0]]
-        node.lease_manager.release("lease-0", node.now(), "by hand", rest=9 * S)
+        node.lease_manager.release("lease-0", node.now(), "by hand", cooldown=9 * S)
         node.turn()
         world.run(S // 5)
         assert world.holders("lease-0") not in ([], [node.name])
 
 
-def test_two_of_five_voters_dead_cost_nothing_but_time():
+def test_two_of_five_voters_killed_delay_leases_and_lose_none():
     world = settled_world(brokers=7, voters=5, leases=10)
     world.kill("n0")
     world.kill("n1")
@@ -50,7 +50,7 @@
 def test_holder_keeps_its_lease_while_voters_restart_one_after_the_other():
     world = settled_world(voters=5, brokers=6)
     holder, lost = world.holders("lease-0")[0], []
-    world.on_lease_event = lambda w, node, event, *told: event == "lost" and lost.append(node.name)
+    world.on_lease_event = lambda w, node, event, *details: event == "lost" and lost.append(node.name)
     for name in [f"n{i}" for i in range(5) if f"n{i}" != holder]:
         world.kill(name)
         world.run(S // 2)
@@ -61,13 +61,13 @@
 
 
 class LeaseObserver:
-    """Records every holder and token of a run, and where two held one lease or a token shrank."""
+    """Records in `faults` each lease that had two holders at once or a token that did not increase."""
 
     def __init__(self, world):
         self.world, self.tokens, self.faults, self.acquired = world, {}, [], 0
-        world.on_lease_event = self.told
+        world.on_lease_event = self.record_event
 
-    def told(self, world, node, event, lease, token, why):
+    def record_event(self, world, node, event, lease, token, why):
         if event == "acquired":
             self.acquired += 1
             if token <= self.tokens.get(lease, 0):
@@ -81,7 +81,8 @@
 
 
 def inject_fault(world, rng):
-    """One fault or mending, drawn."""
+    """Make one random change: kill, start or pause a broker, partition the network, impair it, restore it,
+    release a broker's leases, or restart two voters."""
     name, kind = rng.choice(world.names), rng.randrange(8)
     if kind == 0 and name in world.nodes:
         world.kill(name)
@@ -137,12 +138,12 @@
             world.start(name)
         world.nodes[name].paused_until = 0
     world.loss, world.copies, world.delay, world.cut = 0, 0, (100, 2_000), set()
-    world.run(20 * S)  # all is well again: each lease finds its holder
+    world.run(20 * S)  # without faults each lease is acquired again
     assert all(len(world.holders(f"lease-{i}")) == 1 for i in range(2))
     assert observer.acquired >= 2
 
 
-def test_drift_beyond_the_bound_is_found_by_the_same_observer():
+def test_observer_detects_faults_of_clock_drift_beyond_the_bound():
     found = 0
     for seed in range(40):
         names = [f"n{i}" for i in range(5)]
