--- a/cypressledge/cli/broker_client.py
+++ b/cypressledge/cli/broker_client.py
@@ -8,7 +8,7 @@
 
 ANSWER_TIMEOUT_S = 5.0
 
-at_broker = click.option(
+broker_address_option = click.option(
     "--at",
     type=ManagementAddress(),
     envvar="ROUTER_MANAGEMENT",
@@ -17,7 +17,7 @@
 )
 
 
-def call(at: tuple[str, int], method: str, path: str, body: str = "") -> str:
+def call_broker(at: tuple[str, int], method: str, path: str, body: str = "") -> str:
     """Return a broker's answer. Raises `ClickException` with one plain line where there is none."""
     host, port = at
     connection = http.client.HTTPConnection(host, port, timeout=ANSWER_TIMEOUT_S)
--- a/cypressledge/cli/fleet.py
+++ b/cypressledge/cli/fleet.py
@@ -5,15 +5,15 @@
 
 import click
 
-from cypressledge.cli.broker_client import at_broker, call
+from cypressledge.cli.broker_client import broker_address_option, call_broker
 from cypressledge.cli_support import add_hidden_alias, as_json, show
 
-TURN_POLL_S = 0.1  # between two questions whether it is this broker's turn
+TURN_POLL_INTERVAL_S = 0.1  # between two questions whether it is this broker's turn
 CLASS_COLUMNS = ("success", "overload", "error", "dispatches")
 
 
 @click.group()
-@at_broker
+@broker_address_option
 @click.pass_context
 def fleet(ctx: click.Context, at: tuple[str, int]) -> None:
     """What brokers do together, as one of them sees it."""
@@ -25,7 +25,7 @@
 @click.pass_obj
 def peers(at: tuple[str, int], as_json: bool) -> None:
     """Which brokers are alive, suspect or gone; which vote."""
-    show(json.loads(call(at, "GET", "/fleet/peers")), as_json)
+    show(json.loads(call_broker(at, "GET", "/fleet/peers")), as_json)
 
 
 @fleet.command()
@@ -33,7 +33,7 @@
 @click.pass_obj
 def leases(at: tuple[str, int], as_json: bool) -> None:
     """Who holds what, and the candidates after the holder."""
-    show(json.loads(call(at, "GET", "/fleet/leases")), as_json)
+    show(json.loads(call_broker(at, "GET", "/fleet/leases")), as_json)
 
 
 @fleet.command()
@@ -41,7 +41,7 @@
 @click.pass_obj
 def tasks(at: tuple[str, int], as_json: bool) -> None:
     """The tasks of this broker, and what they have taken."""
-    show(json.loads(call(at, "GET", "/fleet/tasks")), as_json)
+    show(json.loads(call_broker(at, "GET", "/fleet/tasks")), as_json)
 
 
 @fleet.command()
@@ -49,7 +49,7 @@
 @click.pass_obj
 def summary(at: tuple[str, int], as_json: bool) -> None:
     """The whole fleet's figures, as last summed up."""
-    answer = json.loads(call(at, "GET", "/fleet/summary"))
+    answer = json.loads(call_broker(at, "GET", "/fleet/summary"))
     if answer is None:
         raise click.ClickException("no summary yet")
     if as_json:
@@ -71,7 +71,7 @@
 @click.pass_obj
 def release(at: tuple[str, int], lease: str) -> None:
     """Make this broker release a lease; the next candidate acquires it."""
-    click.echo(call(at, "POST", "/fleet/give-back", lease).strip())
+    click.echo(call_broker(at, "POST", "/fleet/give-back", lease).strip())
 
 
 add_hidden_alias(fleet, "give-back", release)
@@ -85,17 +85,17 @@
 def restart_turn(at: tuple[str, int], lease: str, wait_s: float, over: bool) -> None:
     """Wait until this broker may be restarted; exit 0 when it is its turn, 1 when it was in vain."""
     if over:
-        call(at, "POST", "/fleet/turn/over", lease)
+        call_broker(at, "POST", "/fleet/turn/over", lease)
         click.echo("over")
         return
     deadline = time.monotonic() + wait_s
     while True:
-        answer = json.loads(call(at, "POST", "/fleet/turn", lease))
+        answer = json.loads(call_broker(at, "POST", "/fleet/turn", lease))
         if answer["yours"]:
             click.echo(f"{lease}: your turn, token {answer['token']}")
             return
         if time.monotonic() >= deadline:
-            call(at, "POST", "/fleet/turn/over", lease)
+            call_broker(at, "POST", "/fleet/turn/over", lease)
             missing = " ".join(answer["missing"]) or "none"
             raise click.ClickException(f"no turn within {wait_s:g} s; brokers missing: {missing}")
-        time.sleep(TURN_POLL_S)
+        time.sleep(TURN_POLL_INTERVAL_S)
--- a/cypressledge/cli/zone.py
+++ b/cypressledge/cli/zone.py
@@ -4,12 +4,12 @@
 
 import click
 
-from cypressledge.cli.broker_client import at_broker, call
+from cypressledge.cli.broker_client import broker_address_option, call_broker
 from cypressledge.cli_support import as_json, show
 
 
 @click.group()
-@at_broker
+@broker_address_option
 @click.pass_context
 def zone(ctx: click.Context, at: tuple[str, int]) -> None:
     """Zones: how they stand, and leaving and returning by hand."""
@@ -21,7 +21,7 @@
 @click.pass_obj
 def status(at: tuple[str, int], as_json: bool) -> None:
     """Each zone's stage and share, the plan they come from, and why."""
-    answer = json.loads(call(at, "GET", "/zone/status"))
+    answer = json.loads(call_broker(at, "GET", "/zone/status"))
     if as_json:
         click.echo(json.dumps(answer, indent=2))
         return
@@ -48,7 +48,7 @@
     def command(at: tuple[str, int], zone_name: str, span_s: float, reason: str, dry_run: bool) -> None:
         """Send the command to a broker, which forwards it; print its answer."""
         body = json.dumps({"zone": zone_name, "what": name, "span_s": span_s, "why": reason})
-        click.echo(call(at, "POST", "/zone/dry-run" if dry_run else "/zone/wish", body).strip())
+        click.echo(call_broker(at, "POST", "/zone/dry-run" if dry_run else "/zone/wish", body).strip())
 
 
 _add_operator_command("leave", "Leave a zone, as far as the others bear its load.")
--- a/cypressledge/net/admin_api.py
+++ b/cypressledge/net/admin_api.py
@@ -50,33 +50,35 @@
     def _route(self, request: HttpRequest) -> Answer:
         parts = request.path.strip("/").split("/")
         if parts[:2] == ["v1", "tenants"] and len(parts) <= 3:
-            return self._tenant(request, parts[2]) if len(parts) == 3 else self._all_tenants(request)
+            return (
+                self._handle_tenant(request, parts[2]) if len(parts) == 3 else self._handle_tenants(request)
+            )
         if request.path == "/v1/engines":
-            self._allow(request, "GET")
-            return 200, {"engines": self._engines()}
+            self._require_method(request, "GET")
+            return 200, {"engines": self._describe_engines()}
         if request.path == "/v1/counters":
-            self._allow(request, "GET")
+            self._require_method(request, "GET")
             return 200, self.core.counters.show()
         raise AdminRequestError(404, "no such resource")
 
     @staticmethod
-    def _allow(request: HttpRequest, *methods: str) -> None:
+    def _require_method(request: HttpRequest, *methods: str) -> None:
         if request.method not in methods:
             raise AdminRequestError(405, "only " + ", ".join(methods))
 
-    def _all_tenants(self, request: HttpRequest) -> Answer:
-        self._allow(request, "GET", "POST")
+    def _handle_tenants(self, request: HttpRequest) -> Answer:
+        self._require_method(request, "GET", "POST")
         tenants = self.tenants.by_name
         if request.method == "GET":
             return 200, {"tenants": [tenants[name].describe() for name in sorted(tenants)]}
-        fields = self._body(request)
+        fields = self._parse_body(request)
         name = fields.get("name")
         if isinstance(name, str) and name in tenants:
             raise AdminRequestError(409, f"tenant {name} exists")
         return 201, self._put_tenant(name, fields)
 
-    def _tenant(self, request: HttpRequest, name: str) -> Answer:
-        self._allow(request, "GET", "PATCH", "DELETE")
+    def _handle_tenant(self, request: HttpRequest, name: str) -> Answer:
+        self._require_method(request, "GET", "PATCH", "DELETE")
         if name not in self.tenants.by_name:
             raise AdminRequestError(404, f"no tenant {name}")
         if request.method == "DELETE":
@@ -84,7 +86,7 @@
             log(f"admin: tenant {name} removed")
             return 204, None
         if request.method == "PATCH":
-            return 200, self._put_tenant(name, self._body(request))
+            return 200, self._put_tenant(name, self._parse_body(request))
         return 200, self.tenants.by_name[name].describe()
 
     def _put_tenant(self, name: Any, fields: dict) -> dict:
@@ -94,7 +96,7 @@
         return tenant.describe()
 
     @staticmethod
-    def _body(request: HttpRequest) -> dict:
+    def _parse_body(request: HttpRequest) -> dict:
         try:
             fields = json.loads(request.body)
         except (ValueError, RecursionError):
@@ -103,7 +105,7 @@
             raise AdminRequestError(400, "the body is no object")
         return fields
 
-    def _engines(self) -> list[dict]:
+    def _describe_engines(self) -> list[dict]:
         attempts = {engine.id: len(engine.in_flight) for engine in self.core.loop.manager.engines.values()}
         return [
             {
--- a/cypressledge/net/clickhouse/authentication.py
+++ b/cypressledge/net/clickhouse/authentication.py
@@ -7,7 +7,7 @@
 from cypressledge.net.http_server import HttpRequest
 from cypressledge.tenants import Tenant, Tenants
 
-MAX_SHOWN_NAME = 64  # characters of a name in an error
+MAX_NAME_IN_ERROR = 64  # characters of a name in an error
 
 
 def authenticate(request: HttpRequest, tenants: Tenants) -> Tenant:
@@ -21,18 +21,18 @@
     if "user" in params or "password" in params:
         credentials.append((params.get("user", ""), params.get("password", "")))
     if len(credentials) > 1:
-        raise _failed("Invalid authentication: only one way of naming the user may be used")
+        raise _authentication_error("Invalid authentication: only one way of naming the user may be used")
     name, key = credentials[0] if credentials else ("default", "")
     tenant = tenants.authenticate(name, key)
     if tenant is None:
-        raise _failed(
-            f"{name[:MAX_SHOWN_NAME]}: Authentication failed: password is incorrect, "
+        raise _authentication_error(
+            f"{name[:MAX_NAME_IN_ERROR]}: Authentication failed: password is incorrect, "
             "or there is no user with such name"
         )
     return tenant
 
 
-def _failed(text: str) -> ClickHouseError:
+def _authentication_error(text: str) -> ClickHouseError:
     return ClickHouseError(ErrorCode.AUTHENTICATION_FAILED, text)
 
 
@@ -41,7 +41,7 @@
     try:
         name, _, key = base64.b64decode(encoded.strip(), validate=True).decode().partition(":")
     except (ValueError, binascii.Error):
-        raise _failed("Invalid authentication: cannot read the Authorization header") from None
+        raise _authentication_error("Invalid authentication: cannot read the Authorization header") from None
     if scheme.lower() != "basic":
-        raise _failed("Invalid authentication: only basic is supported")
+        raise _authentication_error("Invalid authentication: only basic is supported")
     return name, key
--- a/cypressledge/net/clickhouse/engine_exchange.py
+++ b/cypressledge/net/clickhouse/engine_exchange.py
@@ -18,8 +18,8 @@
     from cypressledge.net.clickhouse.transport import ClickHouseTransport
 
 READ_SIZE = 64 << 10  # bytes
-MAX_KILL_ANSWER = 4096  # bytes of the answer to a kill that are read
-PACE_INTERVAL = 0.001  # seconds between looks whether the core has taken the rows
+MAX_KILL_RESPONSE_SIZE = 4096  # bytes of the answer to a kill that are read
+BACKPRESSURE_POLL_INTERVAL = 0.001  # seconds between looks whether the core has taken the rows
 MIN_REMAINING = 1000  # µs: the least time that an engine is given
 PRIORITIES = {0: 4, 1: 3, 2: 2, 3: 1}  # the decisions' priority as ClickHouse's: 1 is the highest
 
@@ -47,7 +47,7 @@
             else:
                 self.transport.close(self.sock)
         if not self.cancelled:
-            rows = b"".join(self.response.held) if result.outcome is Outcome.OK else b""
+            rows = b"".join(self.response.buffered_parts) if result.outcome is Outcome.OK else b""
             self.core.ledger.attempt_ended(self.attempt, result.outcome, rows, result.fault)
 
     def _broken_outcome(self) -> Outcome:
@@ -77,7 +77,7 @@
         try:
             with Timeout(self.transport.limits.connect_timeout_s):
                 sock.sendall(self._encode_request({}, query.encode()))
-                sock.recv(MAX_KILL_ANSWER)
+                sock.recv(MAX_KILL_RESPONSE_SIZE)
             self.core.counters.add("clickhouse.kills")
         except (OSError, Timeout):
             pass
@@ -102,13 +102,13 @@
             if buffer.was_filled:
                 sleep(0)
             response.parser.feed_data(buffer.take_all())
-            self._pace()
+            self._wait_for_consumer()
         return response.result()
 
-    def _pace(self) -> None:
+    def _wait_for_consumer(self) -> None:
         """Read no faster than the core and the client take the rows."""
         while self.attempt.unread_bytes > READ_SIZE and not self.cancelled:
-            sleep(PACE_INTERVAL)
+            sleep(BACKPRESSURE_POLL_INTERVAL)
         while (
             self.attempt.request.streaming_attempt
             and not self.cancelled
--- a/cypressledge/net/clickhouse/engine_response.py
+++ b/cypressledge/net/clickhouse/engine_response.py
@@ -9,7 +9,7 @@
 from cypressledge.broker.requests import DEADLINE_FAULT, Attempt, EngineFault
 from cypressledge.decisions.contract import Outcome, ProgressKind
 
-MAX_RESULT_SIZE = 8 << 20  # bytes of a result that has to be held completely
+MAX_RESULT_SIZE = 8 << 20  # bytes of a result that has to be buffered_parts completely
 MAX_ERROR_SIZE = 16 << 10  # bytes of an error's text that are kept
 NEVER_EXECUTED_CODES = frozenset((0, 202, 439))  # with HTTP 503: rejected before anything ran
 FINAL_STATUSES = frozenset((400, 404, 413, 501))  # the statement itself is at fault: no engine can run it
@@ -31,8 +31,8 @@
         self.status = 0  # of HTTP; 0: not received yet
         self.exception_code = 0
         self.exception_tag = b""  # what introduces an exception in the middle of the rows
-        self.held: list[bytes] = []  # rows that are not streamed, or the text of an error
-        self.held_size = 0
+        self.buffered_parts: list[bytes] = []  # rows that are not streamed, or the text of an error
+        self.buffered_size = 0
         self.unscanned = b""  # the last bytes, which may be the beginning of a tag
         self.is_complete = False
         self.parser = httptools.HttpResponseParser(self)
@@ -45,7 +45,10 @@
         """How the attempt has ended, of a complete response."""
         if self.status == 200 and not self.exception_code:
             return EngineResult(Outcome.OK)
-        text = b"".join(self.held).decode("utf-8", "replace").strip() or f"engine answered {self.status}"
+        text = (
+            b"".join(self.buffered_parts).decode("utf-8", "replace").strip()
+            or f"engine answered {self.status}"
+        )
         fault = EngineFault(text, self.exception_code, self.status if self.status >= 400 else 500)
         if self.status == 503 and self.exception_code in NEVER_EXECUTED_CODES:
             return EngineResult(Outcome.REJECTED, fault)
@@ -81,9 +84,9 @@
     def on_body(self, body: bytes) -> None:
         """Rows, or the text of an error. Raises `ValueError`."""
         if self.status != 200 or self.exception_code:
-            if self.held_size < MAX_ERROR_SIZE:
-                self.held.append(body[: MAX_ERROR_SIZE - self.held_size])
-                self.held_size += len(body)
+            if self.buffered_size < MAX_ERROR_SIZE:
+                self.buffered_parts.append(body[: MAX_ERROR_SIZE - self.buffered_size])
+                self.buffered_size += len(body)
         elif self.exception_tag:
             self._scan_for_exception(body)
         else:
@@ -105,10 +108,10 @@
         if self.attempt.request.reply.supports_streaming:
             self.core.ledger.rows_received(self.attempt, rows)
             return
-        self.held_size += len(rows)
-        if self.held_size > MAX_RESULT_SIZE:
-            raise ValueError("result too long to be held whole")
-        self.held.append(rows)
+        self.buffered_size += len(rows)
+        if self.buffered_size > MAX_RESULT_SIZE:
+            raise ValueError("result too long to be buffered_parts whole")
+        self.buffered_parts.append(rows)
 
     def on_message_complete(self) -> None:
         """The response is complete, as far as HTTP can tell."""
--- a/cypressledge/net/clickhouse/query_parser.py
+++ b/cypressledge/net/clickhouse/query_parser.py
@@ -15,7 +15,7 @@
 
 QUERY_ID = re.compile(r"[!-~]{1,128}\Z", re.A)
 MAX_NUMBER = 1e9  # of any numeric parameter
-MAX_SHOWN_NAME = 64  # characters of a name in an error
+MAX_NAME_IN_ERROR = 64  # characters of a name in an error
 UNSUPPORTED_PARAMETERS = (
     "session_id",
     "compress",
@@ -86,7 +86,7 @@
             loads = [index for index, spec in enumerate(self.core.settings.classes) if spec.is_load]
             return loads[0] if loads and WRITE_STATEMENT.match(text) else 0
         if name not in self.classes:
-            raise ClickHouseError(ErrorCode.BAD_ARGUMENTS, f"Unknown workload {name[:MAX_SHOWN_NAME]}")
+            raise ClickHouseError(ErrorCode.BAD_ARGUMENTS, f"Unknown workload {name[:MAX_NAME_IN_ERROR]}")
         return self.classes[name]
 
 
@@ -104,7 +104,7 @@
     params, headers = request.params, request.headers
     database = params.get("database") or headers.get("x-clickhouse-database", "")
     for name, value in (params | {"database": database}).items():
-        shown = name[:MAX_SHOWN_NAME]
+        shown = name[:MAX_NAME_IN_ERROR]
         if name in UNSUPPORTED_PARAMETERS and value not in ("", "0", "default") or name.startswith("param_"):
             raise ClickHouseError(ErrorCode.NOT_IMPLEMENTED, f"Parameter {shown} is not supported")
         if name not in SUPPORTED_PARAMETERS and name not in UNSUPPORTED_PARAMETERS:
@@ -121,7 +121,7 @@
 
 def _check_format(name: str) -> None:
     if name not in SUPPORTED_FORMATS:
-        text = f"Unknown format {name[:MAX_SHOWN_NAME]}: only TabSeparated is supported"
+        text = f"Unknown format {name[:MAX_NAME_IN_ERROR]}: only TabSeparated is supported"
         raise ClickHouseError(ErrorCode.UNKNOWN_FORMAT, text)
 
 
--- a/cypressledge/net/clickhouse/reply.py
+++ b/cypressledge/net/clickhouse/reply.py
@@ -15,7 +15,7 @@
     "Content-Type": "text/tab-separated-values; charset=UTF-8",
     "X-ClickHouse-Format": "TabSeparated",
 }
-MAX_PACE_WAIT = 1.0  # seconds
+MAX_DRAIN_WAIT = 1.0  # seconds
 
 
 class ClickHouseReply:
@@ -51,7 +51,7 @@
 
     def send_rows(self, rows: bytes) -> None:
         """Send the next rows of an answer in chunks."""
-        if self.exchange.is_over:
+        if self.exchange.is_finished:
             return
         if not self.exchange.has_begun:
             self.exchange.begin(self._id_header() | ROWS_HEADERS)
@@ -59,11 +59,13 @@
 
     def wait_until_drained(self) -> bool:
         """Wait for the client to read, a second at most; whether it did."""
-        return self.exchange.is_over or self.exchange.connection.writer.below_low_water.wait(MAX_PACE_WAIT)
+        return self.exchange.is_finished or self.exchange.connection.writer.below_low_water.wait(
+            MAX_DRAIN_WAIT
+        )
 
     def complete(self, rows: bytes) -> None:
         """Answer with all rows, or those behind the ones of `send_rows`."""
-        if not self.exchange.is_over:
+        if not self.exchange.is_finished:
             self._close()
             if self.supports_streaming:
                 self.send_rows(rows)
@@ -73,7 +75,7 @@
 
     def reject(self, retry_after: int) -> None:
         """Answer that trying again is harmless after so many µs."""
-        if not self.exchange.is_over:
+        if not self.exchange.is_finished:
             self._close()
             headers = self._id_header() | {"Retry-After": str(max(math.ceil(retry_after / 1e6), 1))}
             code = ErrorCode.TOO_MANY_SIMULTANEOUS_QUERIES
@@ -81,7 +83,7 @@
 
     def fail(self, fault: EngineFault) -> None:
         """Answer that it may have run; an answer that has begun is left recognisably incomplete."""
-        if self.exchange.is_over:
+        if self.exchange.is_finished:
             return
         self._close()
         if self.exchange.has_begun:
--- a/cypressledge/net/connection_registry.py
+++ b/cypressledge/net/connection_registry.py
@@ -8,7 +8,9 @@
 
 from cypressledge.net.socket_writer import SocketWriter
 
-EXAMINED = 8  # connections of each kind that one search for an idle one examines, and searches for one place
+MAX_EXAMINED = (
+    8  # connections of each kind that one search for an idle one examines, and searches for one place
+)
 REUSE_WINDOW = 4_500_000  # µs: clients close what was idle for 4 s, so what is idle for longer is not reused
 CONNECT_GRACE = 300_000  # µs in which a client that has just connected does not count as silent
 ACTIVE_WINDOW = 100_000  # µs in which a client that has just been active is not closed
@@ -86,7 +88,7 @@
         """Of those inactive for longest, the one with the least eviction priority; None if there is none.
 
         Those that were examined in vain go to the end, so that the next search finds others."""
-        oldest = [*islice(self.without_request, EXAMINED), *islice(self.with_request, EXAMINED)]
+        oldest = [*islice(self.without_request, MAX_EXAMINED), *islice(self.with_request, MAX_EXAMINED)]
         priorities = ((connection.eviction_priority(now), n) for n, connection in enumerate(oldest))
         priority, position = min(priorities, default=(NOT_EVICTABLE, 0))
         if priority != NOT_EVICTABLE:
--- a/cypressledge/net/engine_naming.py
+++ b/cypressledge/net/engine_naming.py
@@ -10,7 +10,9 @@
 from cypressledge.clock import monotonic_us, wall_offset_us
 from cypressledge.decisions.contract import EngineListEntry, EngineListKind
 
-START_TIME_DOUBT = 4  # an engine may pass for older by 1/4 of its warm-up: by then it has more than its share
+# A start time may err by 1/4 of the slow-start window; an engine that passes for older by more would be sent
+# more than its share while it is still cold.
+START_TIME_TOLERANCE_DIVISOR = 4
 
 
 class EngineNaming:
@@ -38,7 +40,9 @@
         listed = list(engines)
         self.published = kind, listed
         start_times = {engine.name: engine.started_at_ms for engine in listed}
-        self.starts.update(start_times, monotonic_us(), core.settings.slow_start_window // START_TIME_DOUBT)
+        self.starts.update(
+            start_times, monotonic_us(), core.settings.slow_start_window // START_TIME_TOLERANCE_DIVISOR
+        )
         core.engines.update_list(self.wire, kind, list(map(self._listed_engine, listed)))
 
     def _listed_engine(self, engine: DiscoveredEngine) -> ListedEngine:
--- a/cypressledge/net/http_server.py
+++ b/cypressledge/net/http_server.py
@@ -258,12 +258,12 @@
     def __init__(self, connection: HttpConnection, request: HttpRequest) -> None:
         self.connection, self.request = connection, request
         self.on_disconnect: Callable[[], None] | None = None
-        self.has_begun = self.is_over = False
+        self.has_begun = self.is_finished = False
         self.supports_chunks = request.version != "1.0"
 
     def answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """The complete answer."""
-        if not self.is_over and not self.has_begun:
+        if not self.is_finished and not self.has_begun:
             self._write_head(status, headers | {"Content-Length": str(len(body))})
             self.connection.writer.write(body)
             self._finish(self.request.keep_alive)
@@ -280,24 +280,24 @@
 
     def chunk(self, data: bytes) -> None:
         """The next bytes."""
-        if data and not self.is_over:
+        if data and not self.is_finished:
             self.connection.writer.write(b"%x\r\n" % len(data), data, b"\r\n")
 
     def finish(self) -> None:
         """All chunks have been written."""
-        if not self.is_over:
+        if not self.is_finished:
             self.connection.writer.write(b"0\r\n\r\n")
             self._finish(self.request.keep_alive)
 
     def abort(self) -> None:
         """Leave the answer recognisably incomplete: no last chunk, and the connection is closed."""
-        if not self.is_over:
+        if not self.is_finished:
             self._finish(False)
 
     def handle_disconnect(self) -> None:
         """The client has closed its connection."""
-        if not self.is_over:
-            self.is_over = True
+        if not self.is_finished:
+            self.is_finished = True
             if self.on_disconnect is not None:
                 self.on_disconnect()
 
@@ -309,5 +309,5 @@
         self.connection.writer.write("\r\n".join(lines).encode("latin-1"), b"\r\n\r\n")
 
     def _finish(self, keep_alive: bool) -> None:
-        self.is_over = True
+        self.is_finished = True
         self.connection.finish_exchange(keep_alive)
--- a/cypressledge/net/jsonrpc/connection.py
+++ b/cypressledge/net/jsonrpc/connection.py
@@ -33,7 +33,7 @@
     from cypressledge.net.jsonrpc.frontend import JsonRpcFrontend
 
 MAX_OPEN_CALLS = 32  # on one connection
-STATEMENT_SHARE = 4  # one connection may hold 1/4 of the bytes of statements that all may hold
+STATEMENT_BYTES_DIVISOR = 4  # one connection may hold 1/4 of the bytes of statements that all may hold
 SEND_QUEUE_LIMIT = 4 << 20  # bytes of answers that a client may leave unread
 SEND_TIMEOUT = 30.0  # seconds that one send may take
 MESSAGE_TIMEOUT = 2.0  # seconds from the first byte of a message to its last
@@ -54,7 +54,7 @@
     SYSTEM_ERROR = "error"
 
 
-ORDINARY_CLOSES = frozenset((CloseReason.CLIENT_CLOSED, CloseReason.IDLE))
+NORMAL_CLOSE_REASONS = frozenset((CloseReason.CLIENT_CLOSED, CloseReason.IDLE))
 
 
 class JsonRpcConnection:
@@ -218,7 +218,7 @@
     def _log_close(self) -> None:
         """Ordinary ends, with no call open, are only counted."""
         self.counters.add(f"clients_closed.{self.close_reason}")
-        if self.open_calls or self.close_reason not in ORDINARY_CLOSES:
+        if self.open_calls or self.close_reason not in NORMAL_CLOSE_REASONS:
             requests = ",".join(call.request.query.id for call in self.open_calls.values() if call.request)
             self.core.event_log.write(
                 EventKind.CLIENT_CLOSED,
@@ -293,7 +293,7 @@
         held_bytes = sum(len(c.request.query.statement) for c in self.open_calls.values() if c.request)
         is_full = (
             len(self.open_calls) >= MAX_OPEN_CALLS
-            or held_bytes > self.core.ledger.max_statement_bytes // STATEMENT_SHARE
+            or held_bytes > self.core.ledger.max_statement_bytes // STATEMENT_BYTES_DIVISOR
         )
         self.open_calls[call.call_id] = call
         if is_full:  # no client that keeps to the protocol gets here
--- a/cypressledge/net/jsonrpc/request_ids.py
+++ b/cypressledge/net/jsonrpc/request_ids.py
@@ -4,20 +4,20 @@
 
 
 class UsedRequestIds:
-    """All ids up to `floor`, and those `above` it."""
+    """All ids up to `highest_contiguous`, and those `out_of_order` it."""
 
     def __init__(self) -> None:
-        self.floor = 0
-        self.above: set[int] = set()
+        self.highest_contiguous = 0
+        self.out_of_order: set[int] = set()
 
     def add(self, request_id: int) -> bool:
         """Use an id; False if it was used before."""
-        if request_id <= self.floor or request_id in self.above:
+        if request_id <= self.highest_contiguous or request_id in self.out_of_order:
             return False
-        self.above.add(request_id)
-        if len(self.above) > MAX_SKIPPED:  # the skipped ids below the others count as used from now on
-            self.floor = min(self.above) - 1
-        while self.floor + 1 in self.above:
-            self.floor += 1
-            self.above.remove(self.floor)
+        self.out_of_order.add(request_id)
+        if len(self.out_of_order) > MAX_SKIPPED:  # the skipped ids below the others count as used from now on
+            self.highest_contiguous = min(self.out_of_order) - 1
+        while self.highest_contiguous + 1 in self.out_of_order:
+            self.highest_contiguous += 1
+            self.out_of_order.remove(self.highest_contiguous)
         return True
--- a/cypressledge/net/line_protocol/connection.py
+++ b/cypressledge/net/line_protocol/connection.py
@@ -153,7 +153,7 @@
         """Nothing is wanted of the attempt any more."""
         if pending.ended:
             return
-        self._settle(pending, CANCELLED_ID_QUARANTINE)
+        self._remove_pending(pending, CANCELLED_ID_QUARANTINE)
         if pending.sent:
             self.write_command((b"shut " if pending.pages else b"never_mind ") + pending.query_id)
 
@@ -186,12 +186,12 @@
             return False
         attempt, now = pending.attempt, monotonic_us()
         if not attempt.may_be_sent(now) or self.endpoint.id not in self.core.engines.ready_endpoints:
-            self._settle(pending)
+            self._remove_pending(pending)
             self.core.counters.add("attempts.not_sent")
             self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
             return False
         if not self.core.engines.is_current(self.endpoint) or self._may_be_closed_by_engine():
-            self._settle(pending)
+            self._remove_pending(pending)
             self.transport.reassign(attempt, Outcome.NOT_SENT)
             return False
         if now - pending.encoded_at > MAX_ENCODING_AGE:  # it names more time than the client has left
@@ -213,7 +213,7 @@
 
     # How attempts and the connection end
 
-    def _settle(self, pending: PendingAttempt, quarantine: int = ANSWERED_ID_QUARANTINE) -> None:
+    def _remove_pending(self, pending: PendingAttempt, quarantine: int = ANSWERED_ID_QUARANTINE) -> None:
         """The one place where an attempt ends here: its id is in quarantine for so many µs if it was sent."""
         pending.ended = True
         query_id = pending.query_id
@@ -235,7 +235,7 @@
         quarantine: int = ANSWERED_ID_QUARANTINE,
     ) -> None:
         """End an attempt here, and report how."""
-        self._settle(pending, quarantine)
+        self._remove_pending(pending, quarantine)
         self.core.ledger.attempt_ended(pending.attempt, outcome, rows)
 
     def close(self, reason: str, outcome: Outcome = Outcome.RESET) -> None:
@@ -250,7 +250,7 @@
             if pending.sent or outcome is not Outcome.RESET:
                 self.end(pending, outcome)
             else:
-                self._settle(pending)
+                self._remove_pending(pending)
                 self.transport.reassign(pending.attempt, Outcome.NOT_SENT)
         if self.writer is not None:
             self.writer.close()
@@ -320,7 +320,7 @@
         self.unsent.clear()
         waiting = list(self.pending.values())
         for pending in waiting:
-            self._settle(pending)
+            self._remove_pending(pending)
         self.transport.handle_connect_timeout(self, [pending.attempt for pending in waiting])
 
     def _read(self) -> None:
--- a/cypressledge/net/line_protocol/transport.py
+++ b/cypressledge/net/line_protocol/transport.py
@@ -50,11 +50,13 @@
             key=lambda c: (prefer_connected and c.writer is None, len(c.pending), -c.last_used),
             default=None,
         )
-        wants_new = connection is None or (
+        needs_new_connection = connection is None or (
             len(connection.pending) >= PREFERRED_ATTEMPTS and not prefer_connected
         )
-        if wants_new and (
-            self.connection_count() < self.max_connections or connection is None and self._close_idlest()
+        if needs_new_connection and (
+            self.connection_count() < self.max_connections
+            or connection is None
+            and self._close_longest_idle()
         ):
             connection = EngineConnection(self, endpoint)
             self.connections.setdefault(endpoint.id, []).append(connection)
@@ -64,7 +66,7 @@
         else:
             connection.assign(attempt, query_id)
 
-    def _close_idlest(self) -> bool:
+    def _close_longest_idle(self) -> bool:
         """Close the connection that has been idle for longest; False if none is.
 
         Guards against new engines getting none because idle connections to others use up the limit."""
--- a/cypressledge/net/listener.py
+++ b/cypressledge/net/listener.py
@@ -9,7 +9,7 @@
 
 from cypressledge.broker.metrics import Counters
 from cypressledge.clock import monotonic_us
-from cypressledge.net.connection_registry import EXAMINED, ConnectionRegistry
+from cypressledge.net.connection_registry import MAX_EXAMINED, ConnectionRegistry
 from cypressledge.net.socket_io import (
     Address,
     close_socket,
@@ -18,9 +18,9 @@
     has_unread_bytes,
 )
 
-CLOSING_TIME = 0.2  # seconds for accepting the connections that wait when a listener closes
+QUEUE_DRAIN_TIMEOUT = 0.2  # seconds for accepting the connections that wait when a listener closes
 ACCEPT_PAUSE = 0.05  # seconds until the next try where descriptors or memory are exhausted
-EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+RESOURCE_EXHAUSTION_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Listener:
@@ -67,8 +67,8 @@
 
     def _handle_accept_error(self, err: OSError) -> None:
         self.counters.add(f"{self.name}.accept_error.{err.errno}")
-        if err.errno in EXHAUSTED:  # none can be accepted until some are free, so free one at once
-            self._evict_idle()
+        if err.errno in RESOURCE_EXHAUSTION_ERRORS:
+            self._evict_idle()  # nothing can be accepted until a descriptor is free: free one at once
             sleep(ACCEPT_PAUSE)
 
     def _is_full(self) -> bool:
@@ -78,7 +78,7 @@
     def _evict_idle(self) -> bool:
         """Close the connection with the least eviction priority; False if none is evictable."""
         now = monotonic_us()
-        for _ in range(EXAMINED):
+        for _ in range(MAX_EXAMINED):
             candidate = self.connections.eviction_candidate(now)
             if candidate is None:
                 continue
@@ -98,7 +98,7 @@
         """Accept no further connection. An inherited socket stays open in the process that listens on it:
         what waits in its queue is accepted by the next broker."""
         self.accepting.clear()
-        with Timeout(CLOSING_TIME, False):
+        with Timeout(QUEUE_DRAIN_TIMEOUT, False):
             # Guards against resetting connections that the kernel has accepted for us.
             while not self.inherited and has_unread_bytes(self.sock):
                 sleep(0)
--- a/cypressledge/net/socket_io.py
+++ b/cypressledge/net/socket_io.py
@@ -14,7 +14,7 @@
 LINGER_TIMEOUT = 2.0  # seconds for which a peer is still read after our side was shut down
 FIRST_MESSAGE_TIMEOUT = 2.0  # seconds from connecting to a client's first complete message, and to its answer
 LISTEN_BACKLOG = 512  # connections that the kernel holds until they are accepted
-DISCARDED = bytearray(256 << 10)  # receives the bytes that nobody reads, of all connections
+DISCARD_BUFFER = bytearray(256 << 10)  # receives the bytes that nobody reads, of all connections
 
 Address = tuple[str, int]  # a numeric host and a port
 
@@ -128,7 +128,7 @@
         while True:
             received = None
             with Timeout(read_timeout(), False):
-                received = sock.recv_into(DISCARDED)
+                received = sock.recv_into(DISCARD_BUFFER)
             if received == 0:
                 return
             sleep(0)
--- a/tests/net/jsonrpc/test_request_ids.py
+++ b/tests/net/jsonrpc/test_request_ids.py
@@ -11,4 +11,4 @@
         for number in range(2, 50_000, 2):
             assert used.add(number)
             assert not used.add(number)
-        assert len(used.above) <= MAX_SKIPPED
+        assert len(used.out_of_order) <= MAX_SKIPPED
--- a/tests/net/test_connection_registry.py
+++ b/tests/net/test_connection_registry.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cypressledge.net.connection_registry import (
-    EXAMINED,
+    MAX_EXAMINED,
     NOT_EVICTABLE,
     RANK_IDLE,
     RANK_SILENT,
@@ -31,8 +31,8 @@
                 return self.priority
 
         registry = ConnectionRegistry()
-        busy = [Member(number, NOT_EVICTABLE, True) for number in range(EXAMINED)]
-        idle = [Member(number, (2, number), True) for number in range(EXAMINED, 5_000)]
+        busy = [Member(number, NOT_EVICTABLE, True) for number in range(MAX_EXAMINED)]
+        idle = [Member(number, (2, number), True) for number in range(MAX_EXAMINED, 5_000)]
         for connection in busy + idle:
             registry.add(connection)
         assert registry.eviction_candidate(0) is None  # all busy: the next finds others
@@ -40,7 +40,7 @@
         silent = Member(5_000, (1, 0), False)
         registry.add(silent)
         assert registry.eviction_candidate(0) is silent
-        assert len(examined) < 4 * EXAMINED
+        assert len(examined) < 4 * MAX_EXAMINED
 
 
 class StubConnection:
