--- a/cypressledge/net/__init__.py
+++ b/cypressledge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols: frontends for clients, transports to engines, discovery, and the operators' addresses."""
+"""Network protocols: frontends for clients, transports to engines, discovery, and operators' addresses."""
--- a/cypressledge/net/admin_api.py
+++ b/cypressledge/net/admin_api.py
@@ -1,4 +1,4 @@
-"""The administration API: tenants, engines and counters, as JSON over HTTP on a listener of its own."""
+"""The administration API: tenants, engines and counters, as JSON over HTTP on a separate listener."""
 
 import hmac
 import json
@@ -14,11 +14,11 @@
 MAX_BODY_SIZE = 64 << 10  # bytes
 STATE_NAMES = {EngineState.READY: "ready", EngineState.DRAINING: "draining", EngineState.REMOVED: "gone"}
 
-Answer = tuple[int, object]  # status, and the value that is sent as JSON; None is an empty body
+Answer = tuple[int, object]  # HTTP status, and the value to send as JSON; None sends an empty body
 
 
 class AdminRequestError(Exception):
-    """What the caller did wrong, as an HTTP status and a text."""
+    """An invalid request to the administration API, with the HTTP status and the text to answer."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -26,7 +26,9 @@
 
 
 class AdminApi:
-    """Answers `/v1/tenants`, `/v1/tenants/NAME`, `/v1/engines`, `/v1/counters` to callers with the token."""
+    """HTTP server for `/v1/tenants`, `/v1/tenants/NAME`, `/v1/engines` and `/v1/counters`.
+
+    Callers authenticate with a bearer token."""
 
     def __init__(self, core: BrokerCore, address: Address, tenants: Tenants) -> None:
         self.core, self.token, self.tenants = core, "", tenants
@@ -90,7 +92,9 @@
         return 200, self.tenants.by_name[name].describe()
 
     def _put_tenant(self, name: Any, fields: dict) -> dict:
-        """Raises `TenantError`, also where the name is no text."""
+        """Create or change a tenant and return its description.
+
+        Raises `TenantError`, also if the name is not a string."""
         tenant = self.tenants.update(name, fields)
         log(f"admin: tenant {name} set")
         return tenant.describe()
--- a/cypressledge/net/dns_discovery.py
+++ b/cypressledge/net/dns_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of engines: changes of the list, polled from SRV records over UDP."""
+"""Engine discovery: polls SRV records over UDP and publishes changed engine lists."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, TypeVar
@@ -20,26 +20,28 @@
 from cypressledge.net.socket_io import Address
 
 SERVICE_NAME = "_app._tcp.cluster.lan"
-POLL_INTERVAL = 0.4  # seconds: what an answer holds counts as known to us, so it must not wait for long
-MIN_POLL_PAUSE = 0.05  # seconds between two polls, however long the first one took
-QUERY_TIMEOUTS = (0.1, 0.1, 0.15)  # seconds for a good answer, to a poll's first query and each repetition
-AFTER_INVALID_TIMEOUT = 0.02  # seconds in which a good answer may follow a bad one, before the repetition
-UNREACHABLE_POLLS = 3  # polls in a row without a good answer, from which the server counts as unreachable
+# Seconds between the starts of two polls. The broker is expected to know what the server answers, so a change
+# must not wait for long.
+POLL_INTERVAL = 0.4
+MIN_POLL_PAUSE = 0.05  # seconds; minimum pause between two polls, however long the first one took
+QUERY_TIMEOUTS = (0.1, 0.1, 0.15)  # seconds to wait for a valid answer to each query of a poll
+AFTER_INVALID_TIMEOUT = 0.02  # seconds to wait for a valid answer after an invalid one, before the repeat
+UNREACHABLE_POLLS = 3  # consecutive polls without a valid answer after which the server is unreachable
 MAX_DATAGRAM_SIZE = 65535  # bytes
 Answer = TypeVar("Answer")
 
 
 class InvalidRecordError(Exception):
-    """Records or events that cannot be read."""
+    """DNS records that are invalid or incomplete, or no valid answer at all."""
 
 
 class NameServerPoller:
-    """Polls a name server at intervals; one that is unreachable or answers nonsense changes nothing."""
+    """Polls a name server at intervals; the last list stays if it is unreachable or answers are invalid."""
 
     def __init__(self, core: BrokerCore, server: Address | None, naming: EngineNaming, name: str) -> None:
-        """`name`: of the poller, in log lines and counters."""
+        """`name` identifies the poller in log lines and counters."""
         self.core, self.server, self.naming, self.name = core, server, naming, name
-        self.failed_polls = 0  # in a row
+        self.failed_polls = 0  # consecutive
         self.server_changed = Event()
 
     def run(self) -> None:
@@ -53,34 +55,34 @@
             try:
                 self.poll()
                 self._handle_success()
-            except Exception as err:  # whatever a datagram holds, the next one may be good
+            except Exception as err:  # whatever a datagram contains, the next one may be valid
                 self._handle_failure(err)
             elapsed = (monotonic_us() - began) / 1e6
             self.server_changed.wait(max(POLL_INTERVAL - elapsed, MIN_POLL_PAUSE))
 
     def set_server(self, server: Address | None) -> None:
-        """Poll another server from now on, the first time at once."""
+        """Poll another server from now on, starting immediately; None stops polling."""
         if server != self.server:
-            log(f"{self.name}: now polling {'%s:%d' % server if server else 'nobody'}")
+            log(f"{self.name}: now polling {'%s:%d' % server if server else 'no server'}")
             self.server, self.failed_polls = server, 0
             self.server_changed.set()
 
     def poll(self) -> None:
-        """Query once, and hand what is new to the core. Raises where there is no good answer."""
+        """Query once and publish a changed list to the core. Raises if there is no valid answer."""
         raise NotImplementedError
 
     def exchange(self, query: dns.message.Message, read: Callable[[bytes], Answer]) -> Answer:
-        """What `read` returns for the first good answer; it raises on a bad one.
+        """Send the query and return the result of `read` for the first valid answer; `read` raises otherwise.
 
-        Guards against answers that are lost, corrupt, old or under another id: the query is repeated well
-        within the poll, and a good answer counts also behind a bad one or after its repetition was sent."""
+        Answers may be lost, corrupt, outdated or have another id, so the query is repeated well within the
+        poll interval. A valid answer is accepted after an invalid one, and after the repeat was sent."""
         wire, server = query.to_wire(), self.server
         error: Exception = InvalidRecordError("no answer")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.connect(server)
             for timeout in QUERY_TIMEOUTS:
                 if self.server != server:
-                    break  # it has changed meanwhile: the next poll queries the new one
+                    break  # the server was replaced meanwhile; the next poll queries the new one
                 sock.send(wire)
                 until = monotonic_us() + int(timeout * 1e6)
                 while (raw := _receive_datagram(sock, until)) is not None and self.server == server:
@@ -106,35 +108,35 @@
 
 
 def _receive_datagram(sock: socket.socket, until: int) -> bytes | None:
-    """The next datagram, whatever it holds; None if none is received by then (µs, monotonic)."""
+    """Return the next datagram; None if none is received before `until` (µs, monotonic)."""
     with Timeout(max(until - monotonic_us(), 1000) / 1e6, False):
         return sock.recv(MAX_DATAGRAM_SIZE)
     return None
 
 
 class DirectoryPoller(NameServerPoller):
-    """Polls the platform's directory: complete lists with a serial."""
+    """Polls the platform's directory, which answers with complete lists and a serial number."""
 
     def __init__(self, core: BrokerCore, server: Address | None, naming: EngineNaming, serial: int) -> None:
         super().__init__(core, server, naming, "directory")
         self.serial = serial
-        self.last_answer = b""  # without its id
+        self.last_answer = b""  # without its message id
         self.query_name = dns.name.from_text(SERVICE_NAME)
 
     def poll(self) -> None:
-        """Query once. Raises where there is no good answer."""
+        """Query the directory once. Raises if there is no valid answer."""
         query = dns.message.make_query(self.query_name, dns.rdatatype.SRV)
         query.flags = dns.flags.Flag(0)
         self.exchange(query, lambda raw: self.read_answer(query, raw))
 
     def read_answer(self, query: dns.message.Message, raw: bytes) -> None:
-        """Publish the list of an answer, if it is new. Raises where it is no good answer."""
+        """Publish the list of an answer if it is new. Raises if the answer is invalid."""
         if raw[2:] == self.last_answer:
             return
         answer = parse_answer(query, raw)
         serial = next((rr[0].serial for rr in answer.authority if rr.rdtype == dns.rdatatype.SOA), None)
         if serial is None:
-            raise InvalidRecordError("no serial")
+            raise InvalidRecordError("answer has no SOA record, so the list has no serial")
         if serial < self.serial:
             self.core.counters.add("directory_outdated")
             raise InvalidRecordError(f"list {serial} is older than {self.serial}")
@@ -142,14 +144,14 @@
         self.last_answer = raw[2:]
 
     def update(self, serial: int, engines: Iterable[DiscoveredEngine]) -> None:
-        """Publish a complete list, if its serial is higher than the last one's."""
+        """Publish a complete list if its serial is higher than that of the last list."""
         if serial > self.serial:
             self.serial = serial
             self.naming.publish(self.core, EngineListKind.FULL, engines)
 
 
 def parse_answer(query: dns.message.Message, raw: bytes) -> dns.message.Message:
-    """The answer. Raises `InvalidRecordError` if it does not answer this query or is truncated."""
+    """Parse a datagram. Raises `InvalidRecordError` if it does not answer this query or is truncated."""
     answer = dns.message.from_wire(raw)
     if not query.is_response(answer) or answer.rcode() != dns.rcode.NOERROR:
         raise InvalidRecordError(f"no answer to the query: {dns.rcode.to_text(answer.rcode())}")
@@ -159,12 +161,12 @@
 
 
 def read_attributes(record: Any) -> dict[str, str]:
-    """A TXT record's name=value strings."""
+    """Return the `name=value` strings of a TXT record as a dict."""
     return dict(s.decode().split("=", 1) for s in record.strings if b"=" in s)
 
 
 def read_engines(answer: dns.message.Message, name: dns.name.Name) -> list[DiscoveredEngine]:
-    """The engines of an answer's SRV, A and TXT records. Raises `InvalidRecordError`."""
+    """Return the engines in an answer's SRV, A and TXT records. Raises `InvalidRecordError`."""
     services: list[Any] = []
     addresses: dict[dns.name.Name, str] = {}
     attributes: dict[dns.name.Name, dict[str, str]] = {}
@@ -180,7 +182,7 @@
 
 def _engine(srv: Any, addresses: dict[dns.name.Name, str], info: dict[str, str]) -> DiscoveredEngine:
     if srv.target not in addresses:
-        raise InvalidRecordError(f"no address for {srv.target}")
+        raise InvalidRecordError(f"no A record for the SRV target {srv.target}")
     labels = [label.decode() for label in srv.target.labels]
     return DiscoveredEngine(
         name=labels[0],
--- a/cypressledge/net/dns_sd.py
+++ b/cypressledge/net/dns_sd.py
@@ -1,4 +1,4 @@
-"""DNS-SD (RFC 6763): discovers ClickHouse engines by PTR, SRV and TXT records."""
+"""DNS-SD (RFC 6763): discovers ClickHouse engines through PTR, SRV and TXT records."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -20,14 +20,14 @@
 from cypressledge.net.engine_naming import EngineNaming
 from cypressledge.net.socket_io import Address
 
-UDP_PAYLOAD_SIZE = 8192  # bytes of an answer that we accept (EDNS)
+UDP_PAYLOAD_SIZE = 8192  # bytes; maximum size of an answer, announced by EDNS
 STATES = {"ready": EngineState.READY, "draining": EngineState.DRAINING}
 
 Records = dict[tuple[dns.name.Name, dns.rdatatype.RdataType], list]
 
 
 class DnsSdPoller(NameServerPoller):
-    """Browses one service type."""
+    """Polls a name server for all engines of one DNS-SD service type."""
 
     def __init__(
         self, core: BrokerCore, server: Address | None, service_type: str, naming: EngineNaming
@@ -37,12 +37,12 @@
         self.browse(server, service_type)
 
     def browse(self, server: Address | None, service_type: str) -> None:
-        """Browse for this service type at this server from now on."""
+        """Set the service type and the server to poll from now on."""
         self.service_type = dns.name.from_text(service_type)
         self.set_server(server)
 
     def poll(self) -> None:
-        """Browse once. Raises where there is no good answer."""
+        """Query all records once, and publish a changed list. Raises if there is no valid answer."""
         engines = sorted(self._browse(), key=lambda engine: engine.name)
         if engines != self.last_engines:
             self.last_engines = engines
@@ -65,7 +65,7 @@
         host = self._record(srv.target, dns.rdatatype.A, records).address
         state = STATES.get(info.get("state", "ready"))
         if state is None:
-            raise InvalidRecordError(f"state of {instance}")
+            raise InvalidRecordError(f"unknown state in the TXT record of {instance}")
         return DiscoveredEngine(
             name=info.get("id") or instance.labels[0].decode(),
             host=host,
@@ -78,7 +78,7 @@
         )
 
     def _record(self, name: dns.name.Name, record_type: dns.rdatatype.RdataType, records: Records) -> Any:
-        """From the additional section, where the server put it there, else by a query of its own."""
+        """Return a record from `records`; if the server did not send it along, query for it."""
         if (name, record_type) not in records:
             records.update(_by_name_and_type(self._query(name, record_type).answer))
         if not records.get((name, record_type)):
--- a/cypressledge/net/engine_naming.py
+++ b/cypressledge/net/engine_naming.py
@@ -1,4 +1,4 @@
-"""Turns lists of discovered engines into what the engine registry and the decisions take."""
+"""Converts lists of discovered engines for the engine registry and the decisions."""
 
 from collections.abc import Iterable
 
@@ -10,13 +10,13 @@
 from cypressledge.clock import monotonic_us, wall_offset_us
 from cypressledge.decisions.contract import EngineListEntry, EngineListKind
 
-# A start time may err by 1/4 of the slow-start window; an engine that passes for older by more would be sent
-# more than its share while it is still cold.
+# An engine may be taken for older than it is by 1/4 of the slow-start window; with a larger error a cold
+# engine gets more than its share.
 START_TIME_TOLERANCE_DIVISOR = 4
 
 
 class EngineNaming:
-    """Turns lists into the decisions' entries, by the settings' numbers for kinds and zones."""
+    """Converts discovered engines to entries for the decisions; the settings number the kinds and zones."""
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], wire: str) -> None:
         self.wire = wire
@@ -29,14 +29,14 @@
         self.zones = {name: index for index, name in enumerate(zones)}
 
     def rename(self, core: BrokerCore, kinds: tuple[str, ...], zones: tuple[str, ...]) -> None:
-        """The settings' names have changed. Guards against the last list being read by the former numbers."""
+        """Apply changed names of kinds and zones, and publish the last list anew with their new numbers."""
         before = self.kinds, self.zones
         self._set_names(kinds, zones)
         if self.published is not None and (self.kinds, self.zones) != before:
             self.publish(core, *self.published)
 
     def publish(self, core: BrokerCore, kind: EngineListKind, engines: Iterable[DiscoveredEngine]) -> None:
-        """Hand a complete list to the core."""
+        """Publish a complete engine list to the core."""
         listed = list(engines)
         self.published = kind, listed
         start_times = {engine.name: engine.started_at_ms for engine in listed}
@@ -46,7 +46,7 @@
         core.engines.update_list(self.wire, kind, list(map(self._listed_engine, listed)))
 
     def _listed_engine(self, engine: DiscoveredEngine) -> ListedEngine:
-        """An engine as the decisions know it, and where it listens."""
+        """Return an engine's entry for the decisions, with its endpoint."""
         number = stable_hash(engine.name)
         entry = EngineListEntry(
             number,
--- a/cypressledge/net/http_server.py
+++ b/cypressledge/net/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the servers that speak it: one exchange at a time on each connection, parsed by httptools."""
+"""HTTP/1.1 server, parsed by httptools: one exchange at a time on each connection."""
 
 import json
 from collections import deque
@@ -29,18 +29,20 @@
 )
 from cypressledge.net.socket_writer import SocketWriter
 
-READ_SIZE = 16 << 10  # bytes read at once; the parser takes them all
-MAX_HEAD_SIZE = 64 << 10  # bytes of the target and all header fields
-MAX_PIPELINED = 4  # requests that wait on one connection
-REQUEST_BODIES = ByteBudget(8 << 20)  # bytes of requests not handled yet, until the configuration is known
-SEND_QUEUE_LIMIT = 8 << 20  # bytes
-SEND_TIMEOUT = 60.0  # seconds that one send may take
-IDLE_TIMEOUT = 30.0  # seconds
+READ_SIZE = 16 << 10  # bytes per read; the parser consumes all of them
+MAX_HEAD_SIZE = 64 << 10  # bytes; request target and all header fields together
+MAX_PIPELINED = 4  # requests queued on one connection
+# Bytes of bodies whose requests are not handled yet, of all connections; default until the configuration is
+# known.
+REQUEST_BODIES = ByteBudget(8 << 20)
+SEND_QUEUE_LIMIT = 8 << 20  # bytes per connection
+SEND_TIMEOUT = 60.0  # seconds; maximum duration of one send
+IDLE_TIMEOUT = 30.0  # seconds; maximum idle time between requests
 REQUEST_TIMEOUT = 5.0  # seconds from the first byte of a request to its last
 
 
 class RequestLimitError(Exception):
-    """A request over a limit."""
+    """A request that exceeds a limit, with the HTTP status to answer."""
 
     def __init__(self, status: HTTPStatus) -> None:
         super().__init__(str(status.value))
@@ -49,20 +51,20 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One complete request."""
+    """One HTTP request, filled in as it is parsed."""
 
     method: str = ""
     path: str = ""
     params: dict[str, str] = field(default_factory=dict)
-    headers: dict[str, str] = field(default_factory=dict)  # names in lower case
+    headers: dict[str, str] = field(default_factory=dict)  # by lower-case name
     body: bytes = b""
     version: str = "1.1"
     keep_alive: bool = True
-    has_length: bool = False  # by Content-Length or Transfer-Encoding
+    has_length: bool = False  # it has a Content-Length or Transfer-Encoding header
 
 
 class HttpServer:
-    """Listens, and hands each complete request to `handle(request, exchange)`, which must not block."""
+    """HTTP server that passes each complete request to `handle(request, exchange)`, which must not block."""
 
     def __init__(
         self,
@@ -72,7 +74,7 @@
         max_body_size: int,
         handle: Callable[[HttpRequest, "HttpExchange"], None],
     ) -> None:
-        """`name`: of the server, in counters. `max_body_size`: bytes."""
+        """`name` identifies the server in counters; `max_body_size` is in bytes."""
         self.handle, self.max_body_size, self.counters, self.name = handle, max_body_size, counters, name
         self.connections: ConnectionRegistry[HttpConnection] = ConnectionRegistry()
         self.listener = Listener(
@@ -80,21 +82,21 @@
         )
 
     def flush(self, seconds: float) -> None:
-        """Send what was answered, and wait for the clients to close their connections."""
+        """Send all queued answers, and wait up to `seconds` for clients to close their connections."""
         flush_connections(self.connections, seconds)
 
 
 class HttpConnection:
-    """One client's connection: requests wait here for their turn. httptools calls the `on_` methods."""
+    """One client's connection and its queue of pipelined requests. httptools calls the `on_` methods."""
 
     def __init__(self, server: HttpServer, sock: socket.socket) -> None:
         self.server, self.sock = server, sock
         self.waiting: deque[HttpRequest] = deque()
         self.current: HttpExchange | None = None
         self.closing = False
-        self.held_bytes = 0  # of `REQUEST_BODIES`
+        self.held_bytes = 0  # reserved from `REQUEST_BODIES`
         self.connected_at = self.last_active_at = monotonic_us()
-        self.request_began_at = 0  # of a request that is not complete yet; 0: there is none
+        self.request_began_at = 0  # µs; first byte of an incomplete request, 0 if there is none
         self.has_requested = False
         self.writer = SocketWriter(sock, SEND_QUEUE_LIMIT, SEND_TIMEOUT, lambda reason: close_socket(sock))
         self.parser = httptools.HttpRequestParser(self)
@@ -102,7 +104,7 @@
         server.connections.add(self)
 
     def run(self) -> None:
-        """Read until the client closes; the exchange that is open then is given up."""
+        """Read requests until the client closes the connection; an open exchange is then abandoned."""
         buffer = ReceiveBuffer(READ_SIZE, initial_size=READ_SIZE)
         try:
             while not self.closing and receive(buffer, self.sock, self._read_timeout):
@@ -110,7 +112,7 @@
                 self.parser.feed_data(buffer.take_all())
                 self._handle_next()
         except httptools.HttpParserCallbackError as err:
-            # The parser wraps what its callbacks raise: unwrapped, a size limit keeps its own status.
+            # The parser wraps exceptions of its callbacks; unwrap a limit error to answer with its status.
             cause = err.__context__
             status = cause.status if isinstance(cause, RequestLimitError) else HTTPStatus.BAD_REQUEST
             self._reject_unreadable(status)
@@ -126,7 +128,9 @@
             self._close()
 
     def _read_timeout(self) -> float:
-        """Seconds until the client must have sent more: none occupies a connection with nothing or half."""
+        """Return the seconds within which the client must send more bytes.
+
+        A client must not occupy a connection with no request or an incomplete one."""
         if self.request_began_at:
             return remaining_seconds(self.request_began_at, REQUEST_TIMEOUT)
         if self.current is not None:
@@ -140,18 +144,18 @@
         self.server.connections.mark_active(self)
 
     def eviction_priority(self, now: int) -> EvictionPriority:
-        """See `ClientConnection`: busy is one with an exchange open, or an answer on its way out."""
+        """See `ClientConnection`; busy while an exchange is open or an answer is being sent."""
         is_busy = bool(self.current or self.request_began_at or self.writer.sending)
         return eviction_priority(now, self.connected_at, self.last_active_at, self.has_requested, is_busy)
 
     def close_idle(self) -> None:
-        """Make room for another client: shut down our side, and read nothing more."""
+        """Close the connection for another client: shut down the broker's side, and read nothing more."""
         self.server.connections.mark_closing(self)
         self.closing = True
         self.writer.close(lambda: shutdown_write(self.sock))
 
     def _reject_unreadable(self, status: HTTPStatus) -> None:
-        """End the connection; an exchange that is open keeps the form of its own answer."""
+        """Answer with an error and close the connection; no error is sent into the answer of an open exchange."""
         self.server.counters.add(f"{self.server.name}.bad_http")
         if self.current is None:
             self.closing = True
@@ -174,7 +178,7 @@
         self.writer.flushed.wait(SEND_TIMEOUT)
         close_socket(self.sock)
 
-    # Called by httptools
+    # Callbacks of the httptools parser
 
     def _start_request(self) -> None:
         self.request, self.url = HttpRequest(), b""
@@ -182,17 +186,17 @@
         self.body_size = self.head_size = 0
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Handle the beginning of a request."""
         self.request_began_at = monotonic_us()
         self._start_request()
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target. Raises `RequestLimitError`."""
+        """Append a part of the request target. Raises `RequestLimitError`."""
         self.url += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field. Raises `RequestLimitError`."""
+        """Store one header field. Raises `RequestLimitError`."""
         self._count_head(len(name) + len(value))
         self.request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
@@ -202,7 +206,7 @@
             raise RequestLimitError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """The head is complete. Raises `RequestLimitError`, `ValueError`."""
+        """Check the declared length and answer `Expect`. Raises `RequestLimitError`, `ValueError`."""
         headers = self.request.headers
         self.request.has_length = "content-length" in headers or "transfer-encoding" in headers
         if int(headers.get("content-length") or 0) > self.server.max_body_size:
@@ -211,7 +215,7 @@
             self.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body. Raises `RequestLimitError`."""
+        """Append a part of the body. Raises `RequestLimitError`."""
         self.body_size += len(body)
         if self.body_size > self.server.max_body_size:
             raise RequestLimitError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
@@ -221,7 +225,7 @@
         self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """The request is complete. Raises `RequestLimitError`."""
+        """Queue the complete request. Raises `RequestLimitError`."""
         self.request_began_at, self.has_requested = 0, True
         request, target = self.request, urlsplit(self.url.decode("latin-1"))
         request.method, request.version = self.parser.get_method().decode(), self.parser.get_http_version()
@@ -232,7 +236,7 @@
         if len(self.waiting) > MAX_PIPELINED:
             raise RequestLimitError(HTTPStatus.TOO_MANY_REQUESTS)
 
-    # One exchange after the other
+    # Sequence of exchanges
 
     def _handle_next(self) -> None:
         if self.current is None and self.waiting and not self.closing:
@@ -241,7 +245,7 @@
             self.server.handle(self.current.request, self.current)
 
     def finish_exchange(self, keep_alive: bool) -> None:
-        """The current exchange is answered, completely or not."""
+        """End the current exchange, answered completely or not, and handle the next request or close."""
         self.current = None
         self._mark_active()
         if keep_alive:
@@ -253,7 +257,7 @@
 
 
 class HttpExchange:
-    """One request's answer: complete by `answer`, or in chunks from `begin` to `finish` or `abort`."""
+    """The answer to one request: complete by `answer`, or in chunks from `begin` to `finish` or `abort`."""
 
     def __init__(self, connection: HttpConnection, request: HttpRequest) -> None:
         self.connection, self.request = connection, request
@@ -262,40 +266,40 @@
         self.supports_chunks = request.version != "1.0"
 
     def answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """The complete answer."""
+        """Send a complete answer."""
         if not self.is_finished and not self.has_begun:
             self._write_head(status, headers | {"Content-Length": str(len(body))})
             self.connection.writer.write(body)
             self._finish(self.request.keep_alive)
 
     def json(self, status: int, value: object) -> None:
-        """A complete answer in JSON; None is an empty body."""
+        """Send a complete answer as JSON; None sends an empty body."""
         body = json.dumps(value).encode() + b"\n" if value is not None else b""
         self.answer(status, {"Content-Type": "application/json"}, body)
 
     def begin(self, headers: dict[str, str]) -> None:
-        """The head of an answer in chunks; not for HTTP/1.0, where a broken one could not be recognised."""
+        """Send the head of a chunked answer; not for HTTP/1.0, where a truncated one is not recognisable."""
         self.has_begun = True
         self._write_head(200, headers | {"Transfer-Encoding": "chunked"})
 
     def chunk(self, data: bytes) -> None:
-        """The next bytes."""
+        """Send the next bytes of a chunked answer."""
         if data and not self.is_finished:
             self.connection.writer.write(b"%x\r\n" % len(data), data, b"\r\n")
 
     def finish(self) -> None:
-        """All chunks have been written."""
+        """End a chunked answer, after all its chunks have been written."""
         if not self.is_finished:
             self.connection.writer.write(b"0\r\n\r\n")
             self._finish(self.request.keep_alive)
 
     def abort(self) -> None:
-        """Leave the answer recognisably incomplete: no last chunk, and the connection is closed."""
+        """Close the connection without the last chunk, so that the client recognises a truncated answer."""
         if not self.is_finished:
             self._finish(False)
 
     def handle_disconnect(self) -> None:
-        """The client has closed its connection."""
+        """Abandon the exchange after the client has closed its connection."""
         if not self.is_finished:
             self.is_finished = True
             if self.on_disconnect is not None:
--- a/cypressledge/net/listener.py
+++ b/cypressledge/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, a bounded number at once."""
+"""Listener that accepts a bounded number of concurrent client connections."""
 
 import errno
 from collections.abc import Callable
@@ -18,16 +18,16 @@
     has_unread_bytes,
 )
 
-QUEUE_DRAIN_TIMEOUT = 0.2  # seconds for accepting the connections that wait when a listener closes
-ACCEPT_PAUSE = 0.05  # seconds until the next try where descriptors or memory are exhausted
+QUEUE_DRAIN_TIMEOUT = 0.2  # seconds; time to accept the connections queued when a listener closes
+ACCEPT_PAUSE = 0.05  # seconds until the next attempt when descriptors or memory are exhausted
 RESOURCE_EXHAUSTION_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Listener:
-    """Accepts connections on one address and serves each in a greenlet, `max_connections` at once."""
+    """Accepts connections on one address and serves each in a greenlet, at most `max_connections` at once."""
 
-    max_connections = 16  # until the configuration is known
-    max_closing = 8  # beyond those, for a moment, while evicted ones are closed by their clients
+    max_connections = 16  # default until the configuration is known
+    max_closing = 8  # evicted connections not closed by their clients yet, allowed beyond `max_connections`
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         connections: ConnectionRegistry,
         inherited: int | None = None,
     ) -> None:
-        """`inherited`: descriptor of a socket that the platform listens on, used in place of a new one."""
+        """`inherited`: descriptor of a listening socket of the platform, used instead of a new socket."""
         self.counters, self.name, self.serve, self.connections = counters, name, serve, connections
         self.pool = Pool()
         self.inherited = inherited is not None
@@ -47,7 +47,7 @@
         counters.gauge(f"{name}.connections", lambda: len(self.pool))
 
     def run(self) -> None:
-        """Accept until `stop`."""
+        """Accept connections until `stop` is called."""
         self.accepting.set()
         while True:
             try:
@@ -72,11 +72,11 @@
             sleep(ACCEPT_PAUSE)
 
     def _is_full(self) -> bool:
-        """Whether no further connection fits; of those that are closing, not too many count as closed."""
+        """Return whether the limit is reached; up to `max_closing` closing connections do not count."""
         return len(self.pool) - min(len(self.connections.closing), self.max_closing) >= self.max_connections
 
     def _evict_idle(self) -> bool:
-        """Close the connection with the least eviction priority; False if none is evictable."""
+        """Close the connection with the lowest eviction priority; return False if none is evictable."""
         now = monotonic_us()
         for _ in range(MAX_EXAMINED):
             candidate = self.connections.eviction_candidate(now)
@@ -85,21 +85,23 @@
             if not has_unread_bytes(candidate.sock):
                 self.counters.add(f"{self.name}.evicted")
                 candidate.close_idle()
-                if self._is_full():  # too many clients that do not close theirs
+                if self._is_full():  # too many clients have not closed their evicted connections
                     close_socket(candidate.sock)
                     sleep(0)
                 return True
-            # Guards against losing a request that has been received and is not read yet.
+            # A received request that is not read yet must not be lost: the connection counts as active.
             candidate.last_active_at = now
             self.connections.mark_active(candidate)
         return False
 
     def stop(self) -> None:
-        """Accept no further connection. An inherited socket stays open in the process that listens on it:
-        what waits in its queue is accepted by the next broker."""
+        """Accept no further connection.
+
+        An inherited socket stays open in the process that listens on it, and the next broker accepts the
+        connections in its queue."""
         self.accepting.clear()
         with Timeout(QUEUE_DRAIN_TIMEOUT, False):
-            # Guards against resetting connections that the kernel has accepted for us.
+            # Closing the socket would reset connections that the kernel has already accepted.
             while not self.inherited and has_unread_bytes(self.sock):
                 sleep(0)
         self.sock.close()
--- a/cypressledge/net/maintenance_file.py
+++ b/cypressledge/net/maintenance_file.py
@@ -1,4 +1,4 @@
-"""Engines in maintenance, in a file under $TMPDIR that both processes of an upgrade read and write."""
+"""File under $TMPDIR with the engines in maintenance, shared by both processes of an upgrade."""
 
 import fcntl
 import os
@@ -18,17 +18,16 @@
 from cypressledge.net.management import Answer
 
 LOCK_ATTEMPTS = 100
-LOCK_PAUSE = 0.005  # seconds between two attempts
+LOCK_PAUSE = 0.005  # seconds between two attempts to lock the file
 
 
 class MaintenanceFile:
-    """Keeps the core's maintenance state and the file equal.
+    """Synchronises the core's maintenance state with the file, so that maintenance outlives the process.
 
-    Guards against maintenance that ends with the process: the file is written completely, by rename, on each
-    change, and read at the start and whenever it has changed since."""
+    Each change replaces the complete file by a rename. It is read at startup and whenever it has changed."""
 
     def __init__(self, core: BrokerCore, name: str, directory: str | None = None) -> None:
-        """`name`: of the broker, part of the file's."""
+        """`name` is the broker's name, which becomes a part of the file name."""
         self.core = core
         safe_name = "".join(ch if ch.isalnum() or ch in "-_." else "_" for ch in name)
         folder = Path(directory or tempfile.gettempdir())
@@ -37,7 +36,7 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Take what the file holds, if another process has changed it."""
+        """Apply the file's contents if another process has changed it."""
         try:
             stamp = self._stamp()
             if stamp == self.last_stamp:
@@ -52,13 +51,13 @@
             self.core.engines.set_maintenance(stored)
 
     def handle_call(self, request: HttpRequest, enter: bool) -> Answer:
-        """`POST /maintenance/enter` or `exit` with an engine's id as the body."""
+        """Handle `POST /maintenance/enter` or `/maintenance/exit`; the body is an engine's id."""
         with self._exclusive():
             return self._change(request, enter)
 
     @contextmanager
     def _exclusive(self) -> Iterator[None]:
-        """Guards against two processes of an upgrade, each reading the file before the other has written."""
+        """Hold the file's lock, so that neither process of an upgrade overwrites the other's change."""
         file = self._lock()
         try:
             yield
@@ -67,8 +66,9 @@
                 file.close()
 
     def _lock(self) -> IO[str] | None:
-        """The lock's file; None where the folder cannot be written, or the other process holds the lock for
-        too long: one that is stopped must not stop this one, too."""
+        """Return the locked lock file; None if it cannot be opened or locked in time.
+
+        A suspended process that holds the lock must not block this one."""
         try:
             file = open(self.path.with_suffix(".lock"), "w")
         except OSError:
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -1,8 +1,8 @@
-"""The operators' address: HTTP/1.1, one call a connection, answered from the socket greenlets.
+"""The management address for operators: HTTP/1.1, one call per connection, answered in the socket greenlets.
 
-Guards against a busy broker keeping operators waiting: nothing here goes through the core's inbox, so many
-queued requests or a stalled engine never delay an answer. Slow and silent callers are the `HttpServer`'s,
-each on a greenlet of its own, with the limits it keeps for every HTTP client."""
+No call goes through the core's inbox, so a busy broker, many queued requests or a stalled engine never delay
+an answer. Slow and silent callers are handled by `HttpServer`, each in its own greenlet, with the limits that
+apply to every HTTP client."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,35 +16,35 @@
 
 METRIC_PREFIX = "svc"
 REPLY_METRICS = ("success", "overload", "error", "dispatches")
-MAX_BODY_SIZE = 256  # bytes: an engine's id
-DESCRIPTORS_PER_CALLER = 32
-MIN_CALLERS, MAX_CALLERS = 4, 64  # connections at once: until the configuration is known, and in any case
+MAX_BODY_SIZE = 256  # bytes; a body is an engine's id
+DESCRIPTORS_PER_CALLER = 32  # file descriptors allowed to the process, for each concurrent caller
+MIN_CALLERS, MAX_CALLERS = 4, 64  # concurrent connections; the minimum until the configuration is known
 
 Answer = tuple[int, bytes]  # status and body
 Call = Callable[[HttpRequest], Answer]
 
 
 class ManagementServer:
-    """Answers `GET /status`; further calls are added by path."""
+    """HTTP server that answers `GET /status` and further calls registered by path."""
 
     def __init__(self, address: Address, counters: Counters, is_accepting: Callable[[], bool]) -> None:
-        """`is_accepting`: whether this process accepts clients."""
+        """`is_accepting` returns whether this process accepts clients."""
         self.counters, self.is_accepting = counters, is_accepting
         self.calls: dict[str, tuple[str, Call]] = {"/status": ("GET", self._status)}
         self.server = HttpServer(address, counters, "management", MAX_BODY_SIZE, self._handle)
         self.server.listener.max_connections = MIN_CALLERS
 
     def add(self, path: str, method: str, call: Call) -> None:
-        """Register a call."""
+        """Register a handler for a path and its only method."""
         self.calls[path] = (method, call)
 
     def apply_limits(self, limits: Limits) -> None:
-        """Take what the deployment allows."""
+        """Derive the number of concurrent callers from the deployment's limits."""
         callers = max(limits.max_sockets // DESCRIPTORS_PER_CALLER, MIN_CALLERS)
         self.server.listener.max_connections = min(MAX_CALLERS, callers)
 
     def _handle(self, request: HttpRequest, exchange: HttpExchange) -> None:
-        request.keep_alive = False  # one call a connection
+        request.keep_alive = False  # one call per connection
         status, body = self._route(request)
         self.counters.add(f"management.{status}")
         exchange.answer(status, {"Content-Type": "text/plain"}, body)
@@ -63,7 +63,7 @@
 
 
 def metrics(core: BrokerCore, classes: tuple[str, ...]) -> bytes:
-    """`GET /status/metrics`: statsd lines, counters since the start of this process and current gauges."""
+    """Return the answer to `GET /status/metrics`: statsd lines of counters since startup and of gauges."""
     counts = core.counters.counts
     lines = [
         f"{METRIC_PREFIX}.replies.{class_name}.{name}:{counts[f'replies.{class_name}.{name}']}|c"
@@ -85,14 +85,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineCounts:
-    """Numbers of engines."""
+    """The numbers of listed and avoided engines."""
 
-    listed: int  # by any list, and not removed
-    avoided: int  # of those, the ones in maintenance, draining or ejected
+    listed: int  # engines in any list that are not removed
+    avoided: int  # listed engines that are in maintenance, draining or ejected
 
 
 def count_engines(core: BrokerCore) -> EngineCounts:
-    """How many engines the lists name, and how many of these the broker avoids."""
+    """Count the listed engines, and those of them that the broker avoids."""
     known = core.loop.manager.engines
     listed = [
         core.engines.maintenance.effective_entry(engine.endpoint.name, engine.entry)
--- a/cypressledge/net/receive_buffer.py
+++ b/cypressledge/net/receive_buffer.py
@@ -1,25 +1,25 @@
-"""The receive buffer of a connection: it grows as needed and is compacted in place."""
+"""Receive buffer of a connection, which grows as needed and is compacted in place."""
 
 from gevent import socket
 
 INITIAL_SIZE = 4096  # bytes
-MIN_READ_SIZE = 2048  # bytes of free space before a read
-SHRINK_THRESHOLD = 65536  # bytes; a buffer that grew past this is replaced by a small one once it is empty
-DEFAULT_GROWTH_LIMIT = 8 << 20  # bytes, until the configuration is known
+MIN_READ_SIZE = 2048  # bytes; minimum free space before a read
+SHRINK_THRESHOLD = 65536  # bytes; a larger buffer is replaced by one of the initial size once it is empty
+DEFAULT_GROWTH_LIMIT = 8 << 20  # bytes; default until the configuration is known
 
 
 class BufferLimitError(Exception):
-    """A connection, or all together, would hold more unread bytes than they may."""
+    """One connection, or all connections together, would exceed the limit of unread bytes."""
 
 
 class ByteBudget:
-    """Bytes that all connections together may hold. Guards against many peers, each within its own limit."""
+    """Limit on the bytes that all connections hold together, in addition to the limit of each connection."""
 
     def __init__(self, limit: int) -> None:
         self.limit, self.used = limit, 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve `size` bytes; False, with nothing reserved, if they exceed the limit."""
+        """Reserve `size` bytes; return False, with nothing reserved, if they exceed the limit."""
         if self.used + size > self.limit:
             return False
         self.used += size
@@ -30,11 +30,11 @@
         self.used -= size
 
 
-BUFFER_GROWTH = ByteBudget(DEFAULT_GROWTH_LIMIT)  # of all buffers, the bytes beyond their initial sizes
+BUFFER_GROWTH = ByteBudget(DEFAULT_GROWTH_LIMIT)  # bytes of all buffers beyond their initial sizes
 
 
 class ReceiveBuffer:
-    """Unread bytes lie between `start` and `end` of one bytearray."""
+    """Buffer in one bytearray, whose unread bytes lie between `start` and `end`."""
 
     __slots__ = ("data", "start", "end", "limit", "initial_size", "was_filled")
 
@@ -42,7 +42,7 @@
         self.data = bytearray(initial_size)
         self.start = self.end = 0
         self.limit, self.initial_size = limit, initial_size
-        self.was_filled = False  # the last read used all free space: the peer may have more to send
+        self.was_filled = False  # the last read used all free space; the peer may have sent more
 
     def __del__(self) -> None:
         BUFFER_GROWTH.release(len(self.data) - self.initial_size)
@@ -51,9 +51,9 @@
         return self.end - self.start
 
     def receive(self, sock: socket.socket) -> int:
-        """Read once from the socket; the number of bytes, 0 at the end of the stream.
+        """Read once from the socket; return the number of bytes, 0 at the end of the stream.
 
-        Nothing here yields to other greenlets once bytes are read: a timeout raised there would lose them.
+        Does not yield to other greenlets once bytes are read: a timeout raised there would lose them.
         Raises `BufferLimitError` and `OSError`."""
         self._make_space()
         with memoryview(self.data) as view, view[self.end :] as free:
@@ -78,9 +78,9 @@
             self.data.extend(bytes(growth))
 
     def peek_until(self, delimiter: bytes, limit: int) -> bytes | None:
-        """The bytes before the delimiter, left in the buffer; None while it has not been received.
+        """Return the bytes before the delimiter without removing them; None until it has been received.
 
-        Raises `BufferLimitError` if it is not within the first `limit` bytes."""
+        Raises `BufferLimitError` if the delimiter is not within the first `limit` bytes."""
         at = self.data.find(delimiter, self.start, self.end)
         if at < 0 or at - self.start > limit:
             if len(self) > limit:
@@ -89,7 +89,7 @@
         return bytes(self.data[self.start : at])
 
     def take(self, size: int) -> bytes | None:
-        """Remove and return `size` bytes; None while fewer have been received."""
+        """Remove and return `size` bytes; None until that many have been received."""
         if len(self) < size:
             return None
         taken = bytes(self.data[self.start : self.start + size])
--- a/cypressledge/net/socket_io.py
+++ b/cypressledge/net/socket_io.py
@@ -1,4 +1,4 @@
-"""Socket operations that all connections share: connect, read with a deadline, close without losing bytes."""
+"""Shared socket operations: connect, read with a deadline, close without losing bytes."""
 
 import contextlib
 import select
@@ -11,27 +11,27 @@
 from cypressledge.net.receive_buffer import ReceiveBuffer
 from cypressledge.net.socket_writer import SocketWriter
 
-LINGER_TIMEOUT = 2.0  # seconds for which a peer is still read after our side was shut down
+LINGER_TIMEOUT = 2.0  # seconds for which a peer is still read after the local side was shut down
 FIRST_MESSAGE_TIMEOUT = 2.0  # seconds from connecting to a client's first complete message, and to its answer
-LISTEN_BACKLOG = 512  # connections that the kernel holds until they are accepted
-DISCARD_BUFFER = bytearray(256 << 10)  # receives the bytes that nobody reads, of all connections
+LISTEN_BACKLOG = 512  # connections that the kernel queues until they are accepted
+DISCARD_BUFFER = bytearray(256 << 10)  # receives discarded bytes of all connections
 
 Address = tuple[str, int]  # a numeric host and a port
 
 
 class IdleTimeoutError(Exception):
-    """Nothing was received for too long."""
+    """No bytes, or no complete message, were received in time."""
 
 
 class ClosableConnection(Protocol):
-    """A connection as `flush_connections` sees it."""
+    """Interface of a connection that `flush_connections` can flush."""
 
     sock: socket.socket
     writer: SocketWriter
 
 
 def create_listening_socket(address: Address) -> socket.socket:
-    """A new socket, bound and listening. Raises `OSError`."""
+    """Return a new bound and listening socket. Raises `OSError`."""
     sock = socket.socket(_family(address), socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
@@ -40,9 +40,9 @@
 
 
 def connect(address: Address) -> socket.socket:
-    """A connection to a numeric address. Unlike `create_connection`, no thread resolves it first.
+    """Connect to a numeric address; unlike `create_connection`, this starts no resolver thread.
 
-    Raises `OSError`, and whatever timeout the caller runs it under."""
+    Raises `OSError`, and the timeout that the caller has set, if any."""
     sock = socket.socket(_family(address), socket.SOCK_STREAM)
     try:
         sock.connect(address)
@@ -58,24 +58,27 @@
 
 
 def disable_send_delay(sock: socket.socket) -> None:
-    """Send small messages at once. A peer that has closed already is left to the reader to find."""
+    """Set TCP_NODELAY, to send small messages at once.
+
+    Errors are ignored: a peer that has already closed is detected by the next read."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Whether received bytes, or the end of the stream, can be read."""
+    """Return whether received bytes, or the end of the stream, can be read."""
     return _poll(sock, select.POLLIN)
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the peer has shut down its side, with or without unread bytes before that."""
+    """Return whether the peer has shut down its side, with or without unread bytes before that."""
     return _poll(sock, select.POLLRDHUP)
 
 
 def _poll(sock: socket.socket, events: int) -> bool:
-    """Guards against polling a socket that was closed a moment ago, while its greenlet has not ended yet: its
-    end can be read."""
+    """Return whether any of the events is pending.
+
+    True for a closed socket, whose greenlet may not have ended yet: the end of its stream can be read."""
     if (descriptor := sock.fileno()) < 0:
         return True
     poll = select.poll()
@@ -84,7 +87,7 @@
 
 
 def remaining_seconds(since: int, seconds: float) -> float:
-    """What remains of `seconds` from `since` (µs, monotonic). Raises `IdleTimeoutError` once nothing does."""
+    """Return what is left of `seconds` since `since` (µs, monotonic); raises `IdleTimeoutError` if nothing is."""
     remaining = seconds - (monotonic_us() - since) / 1e6
     if remaining <= 0:
         raise IdleTimeoutError
@@ -92,12 +95,15 @@
 
 
 def receive(buffer: ReceiveBuffer, sock: socket.socket, read_timeout: Callable[[], float]) -> int:
-    """Read once into the buffer; 0 at the end of the stream. `read_timeout`: seconds to wait for bytes, asked
-    again when they have passed; it raises once waiting is over.
+    """Read once into the buffer; return the number of bytes, 0 at the end of the stream.
+
+    `read_timeout` returns the seconds to wait for bytes. It is called again after each timeout, and raises
+    to end the wait.
 
-    Guards against a peer that always has more starving the others: they run before the next read, when all
-    bytes of the last one have been processed. Nobody else runs between a read and its processing: whoever
-    made room then took the connection for an idle one, and closed it over the request in its buffer."""
+    After a read that filled the buffer, other greenlets run first, so that a peer that always has more to
+    send does not starve the others. They run before the next read, when the last bytes have been processed,
+    not between a read and its processing: an eviction at that point would take the connection for an idle
+    one and close it despite the request in its buffer."""
     if buffer.was_filled:
         sleep(0)
     while True:
@@ -106,10 +112,10 @@
 
 
 def flush_connections(connections: Iterable[ClosableConnection], seconds: float) -> None:
-    """Send what is queued on all connections, and wait for the clients to close theirs.
+    """Send what is queued on all connections, and wait up to `seconds` for clients to close them.
 
-    Guards against the last answers being lost with the process: a socket that is closed with bytes unread is
-    reset. So only our side is shut down, and the connections' greenlets read what the clients still send."""
+    Closing a socket with unread bytes resets it, which could lose the last answers. Therefore only the local
+    side is shut down, and the connections' greenlets read what the clients still send."""
     with Timeout(seconds, False):
         for connection in list(connections):
             connection.writer.flushed.wait()
@@ -120,10 +126,10 @@
 
 
 def discard_until_closed(sock: socket.socket, read_timeout: Callable[[], float]) -> None:
-    """Read and discard until the peer closes or `read_timeout` (as in `receive`) raises.
+    """Read and discard bytes until the peer closes or `read_timeout` (as in `receive`) raises.
 
-    Guards against the reset that closing with bytes unread would send: it may overtake our last bytes. A peer
-    that sends 60 MB is read to the end, into one piece of memory for all, and delays nobody."""
+    Closing with unread bytes would send a reset, which may overtake the last bytes sent to the peer. Even
+    60 MB are read to the end, into a buffer shared by all connections, without delaying other greenlets."""
     try:
         while True:
             received = None
@@ -137,7 +143,7 @@
 
 
 def shutdown_write(sock: socket.socket) -> None:
-    """Shut down our side; the peer is still read."""
+    """Shut down the sending side; bytes of the peer can still be read."""
     try:
         sock.shutdown(socket.SHUT_WR)
     except OSError:
@@ -145,7 +151,7 @@
 
 
 def close_socket(sock: socket.socket) -> None:
-    """Close both sides, waking a greenlet that reads."""
+    """Shut down both directions, which wakes a greenlet that is reading, and close the socket."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
--- a/cypressledge/net/socket_writer.py
+++ b/cypressledge/net/socket_writer.py
@@ -1,4 +1,4 @@
-"""The send queue of a connection: a peer that does not read blocks nobody else."""
+"""Send queue of a connection, so that a peer that does not read blocks no other connection."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,18 +8,18 @@
 
 from cypressledge.net.receive_buffer import ByteBudget
 
-QUEUED_BYTES = ByteBudget(8 << 20)  # bytes queued in the process, until the configuration is known
-LOW_WATER = 256 << 10  # queued bytes below which a streamed answer continues
-SEND_SIZE = 65536  # bytes that one send takes from the queue, at least, where there are as many
+QUEUED_BYTES = ByteBudget(8 << 20)  # bytes in the whole process; default until the configuration is known
+LOW_WATER = 256 << 10  # queued bytes up to which a streamed answer continues
+SEND_SIZE = 65536  # bytes; one send takes at least this many from the queue, if there are as many
 
 ShouldSend = Callable[[], bool]
 
 
 class SocketWriter:
-    """Sends queued bytes from a greenlet that runs while there are any; `write` never blocks.
+    """Sends queued bytes in a greenlet that runs while there are any; `write` never blocks.
 
-    Guards against a peer that stops reading: beyond `queue_limit` queued bytes, or `send_timeout` seconds in
-    one send, the connection is given up through `on_failure`, called with the reason.
+    If the peer stops reading, the connection fails: beyond `queue_limit` queued bytes, or after
+    `send_timeout` seconds in one send, the queue is dropped and `on_failure` is called with the reason.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self.on_drained: Callable[[], None] | None = None
 
     def write(self, *parts: bytes, should_send: ShouldSend | None = None) -> None:
-        """Queue bytes. With `should_send`, they are dropped if it returns False when their turn comes."""
+        """Queue bytes; they are dropped if `should_send`, called just before the send, returns False."""
         raw = b"".join(parts)
         if self.closed or not self._reserve(len(raw)):
             return
@@ -45,7 +45,7 @@
         self.queued_bytes += len(raw)
         self.flushed.clear()
         ACTIVE_WRITERS.add(self)
-        if not self.sending:  # most connections are idle: a greenlet for each would cost memory
+        if not self.sending:  # no permanent greenlet: most connections are idle, and each would cost memory
             self.sending = True
             spawn(self._run)
         if self.queued_bytes > LOW_WATER:
@@ -54,10 +54,10 @@
             self._fail("peer does not read")
 
     def _reserve(self, size: int) -> bool:
-        """Reserve bytes of the process's budget; False if this connection was given up for them.
+        """Reserve bytes of the process-wide budget; return False if this connection had to fail instead.
 
-        Guards against peers that do not read costing those that do their answers: the connection with most
-        queued is given up, whichever writes when the budget is exhausted."""
+        When the budget is exhausted, the connection with the most queued bytes fails, whichever writes: peers
+        that do not read must not cost others their answers."""
         while not QUEUED_BYTES.reserve(size):
             largest = max(ACTIVE_WRITERS, key=lambda writer: writer.queued_bytes, default=self)
             if largest.queued_bytes <= self.queued_bytes + size:
@@ -68,7 +68,7 @@
         return True
 
     def close(self, on_drained: Callable[[], None] | None = None) -> None:
-        """Queue nothing more. What is queued is still sent, and then `on_drained` is called."""
+        """Accept no further writes. Bytes already queued are still sent, then `on_drained` is called."""
         self.closed, self.on_drained = True, on_drained
         if on_drained is not None and not self.sending:
             on_drained()
@@ -112,4 +112,4 @@
             self.below_low_water.set()
 
 
-ACTIVE_WRITERS: set[SocketWriter] = set()  # of the process, those with queued bytes
+ACTIVE_WRITERS: set[SocketWriter] = set()  # all writers of the process with queued bytes
