--- a/cypressledge/net/clickhouse/__init__.py
+++ b/cypressledge/net/clickhouse/__init__.py
@@ -1,1 +1,1 @@
-"""The ClickHouse HTTP interface: the frontend that clients speak to, and the transport to engines."""
+"""The ClickHouse HTTP interface: the frontend for clients and the transport to engines."""
--- a/cypressledge/net/clickhouse/authentication.py
+++ b/cypressledge/net/clickhouse/authentication.py
@@ -1,4 +1,4 @@
-"""Finds the tenant that a request names by headers, basic authentication or parameters."""
+"""Authentication of the tenant that a request names by headers, basic authentication or parameters."""
 
 import base64
 import binascii
@@ -7,11 +7,11 @@
 from cypressledge.net.http_server import HttpRequest
 from cypressledge.tenants import Tenant, Tenants
 
-MAX_NAME_IN_ERROR = 64  # characters of a name in an error
+MAX_NAME_IN_ERROR = 64  # characters; longer names are cut off in error messages
 
 
 def authenticate(request: HttpRequest, tenants: Tenants) -> Tenant:
-    """The tenant; only one of the ways may be used. Raises `ClickHouseError`."""
+    """Return the tenant; a request may use only one of the methods. Raises `ClickHouseError`."""
     headers, params = request.headers, request.params
     credentials = []
     if "x-clickhouse-user" in headers or "x-clickhouse-key" in headers:
--- a/cypressledge/net/clickhouse/engine_exchange.py
+++ b/cypressledge/net/clickhouse/engine_exchange.py
@@ -1,4 +1,4 @@
-"""One attempt at one engine: the request, the response, and how the attempt ends."""
+"""Runs one attempt at one engine: sends the request, reads the response and reports the outcome."""
 
 import contextlib
 from typing import TYPE_CHECKING
@@ -18,14 +18,14 @@
     from cypressledge.net.clickhouse.transport import ClickHouseTransport
 
 READ_SIZE = 64 << 10  # bytes
-MAX_KILL_RESPONSE_SIZE = 4096  # bytes of the answer to a kill that are read
-BACKPRESSURE_POLL_INTERVAL = 0.001  # seconds between looks whether the core has taken the rows
-MIN_REMAINING = 1000  # µs: the least time that an engine is given
-PRIORITIES = {0: 4, 1: 3, 2: 2, 3: 1}  # the decisions' priority as ClickHouse's: 1 is the highest
+MAX_KILL_RESPONSE_SIZE = 4096  # bytes that are read of the response to KILL QUERY
+BACKPRESSURE_POLL_INTERVAL = 0.001  # seconds between checks whether the core has consumed the rows
+MIN_REMAINING = 1000  # µs; minimum execution time that an engine is given
+PRIORITIES = {0: 4, 1: 3, 2: 2, 3: 1}  # ClickHouse's priority (1 is the highest) by the decisions' priority
 
 
 class EngineExchange:
-    """One attempt on one connection, in a greenlet of its own."""
+    """One attempt on one connection, run in its own greenlet."""
 
     def __init__(self, transport: "ClickHouseTransport", attempt: Attempt) -> None:
         self.transport, self.attempt, self.core = transport, attempt, transport.core
@@ -34,10 +34,10 @@
         self.response = EngineResponse(transport.core, attempt)
 
     def run(self) -> None:
-        """Send, read and report the outcome, exactly once unless cancelled."""
+        """Send the statement, read the response, and report the outcome exactly once unless cancelled."""
         try:
             result = self._exchange()
-        except (Exception, Timeout) as err:  # whatever an engine sends, its attempt has an end
+        except (Exception, Timeout) as err:  # whatever an engine sends, the attempt must end
             self.core.counters.add("clickhouse.connection_errors")
             text = f"engine connection broke: {type(err).__name__}"
             result = EngineResult(self._broken_outcome(), EngineFault(text, ErrorCode.NETWORK_ERROR))
@@ -51,13 +51,13 @@
             self.core.ledger.attempt_ended(self.attempt, result.outcome, rows, result.fault)
 
     def _broken_outcome(self) -> Outcome:
-        """The outcome where the connection could not be made, or broke."""
+        """Return the outcome after the connection could not be established or was lost."""
         if self.sent:
             return Outcome.RESET
         return Outcome.CONNECT_FAILED if self.sock is None else Outcome.NOT_SENT
 
     def cancel(self) -> None:
-        """Give it up: the engine sees the connection close; a write is killed by its id as well."""
+        """Cancel the attempt by closing its connection; a running write is also killed by its query id."""
         if self.cancelled:
             return
         self.cancelled = True
@@ -90,7 +90,7 @@
         self.sock = self.transport.take_idle(endpoint) or self.transport.connect(endpoint)
         may_send = attempt.may_be_sent(monotonic_us())
         if self.cancelled or not may_send or not self.core.engines.is_current(endpoint):
-            return EngineResult(Outcome.NOT_SENT)  # a drain, a cancel or the client's close came before it
+            return EngineResult(Outcome.NOT_SENT)  # drained, cancelled or abandoned before the send
         self.sent = True
         with Timeout(max((attempt.deadline - monotonic_us()) / 1e6, MIN_REMAINING / 1e6)):
             self.sock.sendall(self._encode_request(self._settings(), attempt.query.statement))
@@ -98,7 +98,7 @@
         buffer = ReceiveBuffer(READ_SIZE, initial_size=READ_SIZE)
         while not response.is_complete and not self.cancelled:
             if not buffer.receive(self.sock):
-                raise ConnectionResetError("closed before the end of the answer")
+                raise ConnectionResetError("engine closed the connection before the end of its response")
             if buffer.was_filled:
                 sleep(0)
             response.parser.feed_data(buffer.take_all())
@@ -106,7 +106,7 @@
         return response.result()
 
     def _wait_for_consumer(self) -> None:
-        """Read no faster than the core and the client take the rows."""
+        """Wait for the core and the client to consume rows, so that the engine is read no faster."""
         while self.attempt.unread_bytes > READ_SIZE and not self.cancelled:
             sleep(BACKPRESSURE_POLL_INTERVAL)
         while (
--- a/cypressledge/net/clickhouse/engine_response.py
+++ b/cypressledge/net/clickhouse/engine_response.py
@@ -1,4 +1,4 @@
-"""An engine's HTTP response: status, exception, progress and rows, as httptools parses them."""
+"""An engine's HTTP response, parsed by httptools: status, exception, progress and rows."""
 
 import json
 from dataclasses import dataclass
@@ -9,40 +9,40 @@
 from cypressledge.broker.requests import DEADLINE_FAULT, Attempt, EngineFault
 from cypressledge.decisions.contract import Outcome, ProgressKind
 
-MAX_RESULT_SIZE = 8 << 20  # bytes of a result that has to be buffered_parts completely
-MAX_ERROR_SIZE = 16 << 10  # bytes of an error's text that are kept
-NEVER_EXECUTED_CODES = frozenset((0, 202, 439))  # with HTTP 503: rejected before anything ran
-FINAL_STATUSES = frozenset((400, 404, 413, 501))  # the statement itself is at fault: no engine can run it
+MAX_RESULT_SIZE = 8 << 20  # bytes; maximum size of a result that is buffered, not streamed
+MAX_ERROR_SIZE = 16 << 10  # bytes; longer error texts are cut off
+NEVER_EXECUTED_CODES = frozenset((0, 202, 439))  # exception codes; with HTTP 503, nothing was executed
+FINAL_STATUSES = frozenset((400, 404, 413, 501))  # HTTP; the statement is invalid, so no engine can run it
 
 
 @dataclass(frozen=True, slots=True)
 class EngineResult:
-    """How an attempt has ended at its engine."""
+    """The outcome of an attempt at its engine."""
 
     outcome: Outcome
-    fault: EngineFault | None = None  # None where there is nothing to tell the client
+    fault: EngineFault | None = None  # None if there is no error text for the client
 
 
 class EngineResponse:
-    """One response. httptools calls the `on_` methods; what they raise ends the exchange."""
+    """One response. httptools calls the `on_` methods; an exception in them ends the exchange."""
 
     def __init__(self, core: BrokerCore, attempt: Attempt) -> None:
         self.core, self.attempt = core, attempt
-        self.status = 0  # of HTTP; 0: not received yet
+        self.status = 0  # HTTP status; 0 until it is received
         self.exception_code = 0
-        self.exception_tag = b""  # what introduces an exception in the middle of the rows
-        self.buffered_parts: list[bytes] = []  # rows that are not streamed, or the text of an error
+        self.exception_tag = b""  # marks the beginning of an exception in the middle of the rows
+        self.buffered_parts: list[bytes] = []  # rows that are not streamed, or an error text
         self.buffered_size = 0
-        self.unscanned = b""  # the last bytes, which may be the beginning of a tag
+        self.unscanned = b""  # the last bytes received, which may be the beginning of a tag
         self.is_complete = False
         self.parser = httptools.HttpResponseParser(self)
 
     def allows_reuse(self) -> bool:
-        """Whether the connection may be used for a further exchange."""
+        """Return whether the connection may be used for a further exchange."""
         return self.is_complete and self.parser.should_keep_alive()
 
     def result(self) -> EngineResult:
-        """How the attempt has ended, of a complete response."""
+        """Return the outcome of the attempt after a complete response."""
         if self.status == 200 and not self.exception_code:
             return EngineResult(Outcome.OK)
         text = (
@@ -58,10 +58,10 @@
             fault = EngineFault(text, self.exception_code, self.status, final=True)
         return EngineResult(Outcome.ERROR, fault)
 
-    # Called by httptools
+    # Callbacks of the httptools parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field; progress comes as headers while the query runs. Raises `ValueError`."""
+        """Handle one header field; progress arrives in headers while the query runs. Raises `ValueError`."""
         name = name.lower()
         if name == b"x-clickhouse-exception-code":
             self.exception_code = int(value)
@@ -78,11 +78,11 @@
             self.core.ledger.attempt_progressed(self.attempt, ProgressKind.PROGRESS, fraction)
 
     def on_headers_complete(self) -> None:
-        """The status is known."""
+        """Store the HTTP status."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Rows, or the text of an error. Raises `ValueError`."""
+        """Handle a part of the body: rows, or the text of an error. Raises `ValueError`."""
         if self.status != 200 or self.exception_code:
             if self.buffered_size < MAX_ERROR_SIZE:
                 self.buffered_parts.append(body[: MAX_ERROR_SIZE - self.buffered_size])
@@ -93,11 +93,12 @@
             self._handle_rows(body)
 
     def _scan_for_exception(self, body: bytes) -> None:
-        """Guards against an exception in the middle of a stream passing for rows, also where its tag is
-        split."""
+        """Pass rows on, but raise `ValueError` on an exception in the middle of the stream.
+
+        The last bytes are kept back until the next part, as the exception's tag may be split."""
         body = self.unscanned + body
         if self.exception_tag in body:
-            raise ValueError("exception in the stream")
+            raise ValueError("engine sent an exception in the middle of the rows")
         keep = len(self.exception_tag) - 1
         self.unscanned = body[-keep:]
         self._handle_rows(body[:-keep])
@@ -110,11 +111,11 @@
             return
         self.buffered_size += len(rows)
         if self.buffered_size > MAX_RESULT_SIZE:
-            raise ValueError("result too long to be buffered_parts whole")
+            raise ValueError(f"result that cannot be streamed exceeds {MAX_RESULT_SIZE} bytes")
         self.buffered_parts.append(rows)
 
     def on_message_complete(self) -> None:
-        """The response is complete, as far as HTTP can tell."""
+        """Mark the response as complete at the HTTP level, and pass on the last rows."""
         if self.unscanned:
             self._handle_rows(self.unscanned)
         self.is_complete = True
--- a/cypressledge/net/clickhouse/errors.py
+++ b/cypressledge/net/clickhouse/errors.py
@@ -1,4 +1,4 @@
-"""Errors in ClickHouse's terms: its codes, their names, and the HTTP statuses that its server gives them."""
+"""ClickHouse error codes and their names, with the HTTP statuses that a ClickHouse server answers with."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class ErrorCode(IntEnum):
-    """ClickHouse's own error codes, as far as the broker uses them."""
+    """The ClickHouse error codes that the broker uses."""
 
     BAD_ARGUMENTS = 36
     NOT_IMPLEMENTED = 48
@@ -40,7 +40,9 @@
 
 
 class ClickHouseError(Exception):
-    """A request that is answered by an error. `status`: of HTTP, where not the code's usual one."""
+    """A request that is answered with an error.
+
+    `status`: HTTP status; 0 stands for the code's status in `HTTP_STATUSES`."""
 
     def __init__(self, code: ErrorCode, text: str, status: int = 0) -> None:
         super().__init__(text)
@@ -50,8 +52,9 @@
 def answer_error(
     exchange: HttpExchange, code: int, status: int, text: str, headers: dict[str, str] | None = None
 ) -> None:
-    """A complete answer that is an exception, in ClickHouse's form. An engine's own text is passed on as it
-    is. `code`: ours, or any that an engine has answered."""
+    """Answer with an exception in ClickHouse's format; an error text from an engine is passed on unchanged.
+
+    `code`: an `ErrorCode`, or any code that an engine has answered."""
     name = ErrorCode(code).name if code in KNOWN_CODES else "UNKNOWN_EXCEPTION"
     line = text if text.startswith("Code: ") else f"Code: {int(code)}. DB::Exception: {text}. ({name})"
     all_headers = {
--- a/cypressledge/net/clickhouse/frontend.py
+++ b/cypressledge/net/clickhouse/frontend.py
@@ -1,4 +1,4 @@
-"""Takes queries over the ClickHouse HTTP interface into the core."""
+"""Frontend that accepts queries over the ClickHouse HTTP interface and submits them to the core."""
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.net.clickhouse.authentication import authenticate
@@ -15,7 +15,7 @@
 
 
 class ClickHouseFrontend:
-    """The HTTP server, and the queries that are open on it."""
+    """The HTTP server and its open queries."""
 
     def __init__(
         self, core: BrokerCore, address: Address, classes: tuple[str, ...], tenants: Tenants
--- a/cypressledge/net/clickhouse/query_parser.py
+++ b/cypressledge/net/clickhouse/query_parser.py
@@ -1,4 +1,4 @@
-"""Reads a query from an HTTP request, and rejects what this interface does not support."""
+"""Parses a query from an HTTP request, and rejects what this interface does not support."""
 
 import math
 import re
@@ -14,8 +14,8 @@
 from cypressledge.sql import table_group
 
 QUERY_ID = re.compile(r"[!-~]{1,128}\Z", re.A)
-MAX_NUMBER = 1e9  # of any numeric parameter
-MAX_NAME_IN_ERROR = 64  # characters of a name in an error
+MAX_NUMBER = 1e9  # maximum value of any numeric parameter
+MAX_NAME_IN_ERROR = 64  # characters; longer names are cut off in error messages
 UNSUPPORTED_PARAMETERS = (
     "session_id",
     "compress",
@@ -44,14 +44,14 @@
 
 
 class QueryParser:
-    """Turns an HTTP request into a `Query`."""
+    """Converts an HTTP request to a `Query`."""
 
     def __init__(self, core: BrokerCore, classes: tuple[str, ...]) -> None:
         self.core, self.class_names = core, classes
         self.classes = {name: index for index, name in enumerate(classes)}
 
     def parse(self, request: HttpRequest, tenant: str) -> Query:
-        """The query of a request. Raises `ClickHouseError`."""
+        """Return the query of a request. Raises `ClickHouseError`."""
         _check_supported(request)
         now = monotonic_us()
         statement = _statement(request)
@@ -62,7 +62,7 @@
         class_settings = self.core.settings.classes[class_index]
         query_id, key = _query_id_and_key(request)
         if class_settings.idempotency is Idempotency.WITH_KEY and not key:
-            key = query_id  # engines must recognise our own repeats, also where the client gives no token
+            key = query_id  # engines must recognise the broker's retries, even if the client sends no token
         seconds = _number(request, "max_execution_time")
         longest = class_settings.deadline
         return Query(
@@ -80,7 +80,7 @@
         )
 
     def _class_index(self, request: HttpRequest, text: str) -> int:
-        """The class named by `workload`; without it, loads are recognised by their statement."""
+        """Return the class named by `workload`; without that parameter, loads are recognised by statement."""
         name = request.params.get("workload")
         if name is None:
             loads = [index for index, spec in enumerate(self.core.settings.classes) if spec.is_load]
@@ -100,7 +100,7 @@
 
 
 def _check_supported(request: HttpRequest) -> None:
-    """Reject what this interface does not do, rather than ignore it silently."""
+    """Reject unsupported parameters and headers, rather than ignore them. Raises `ClickHouseError`."""
     params, headers = request.params, request.headers
     database = params.get("database") or headers.get("x-clickhouse-database", "")
     for name, value in (params | {"database": database}).items():
@@ -126,7 +126,7 @@
 
 
 def _statement(request: HttpRequest) -> bytes:
-    """The `query` parameter and the body behind it are one statement, as in ClickHouse."""
+    """Return the statement: the `query` parameter followed by the body, as in ClickHouse."""
     query = request.params.get("query", "").encode()
     statement = query + b"\n" + request.body if query and request.body else query or request.body
     if not statement.strip():
--- a/cypressledge/net/clickhouse/reply.py
+++ b/cypressledge/net/clickhouse/reply.py
@@ -1,4 +1,4 @@
-"""One query's answer over HTTP: what the core answers to."""
+"""The answer to one query over HTTP, to which the core passes rows and errors."""
 
 import math
 from typing import TYPE_CHECKING
@@ -15,11 +15,11 @@
     "Content-Type": "text/tab-separated-values; charset=UTF-8",
     "X-ClickHouse-Format": "TabSeparated",
 }
-MAX_DRAIN_WAIT = 1.0  # seconds
+MAX_DRAIN_WAIT = 1.0  # seconds; one wait for the client to read
 
 
 class ClickHouseReply:
-    """The core's `ReplyHandler` for one request over HTTP."""
+    """`ReplyHandler` of the core for one request over HTTP."""
 
     def __init__(
         self, frontend: "ClickHouseFrontend", query: Query, tenant: Tenant, exchange: HttpExchange
@@ -30,7 +30,7 @@
         self.request: Request | None = None
 
     def open(self) -> None:
-        """Count the query as open from here to its answer."""
+        """Count the query as open until it is answered or its client disconnects."""
         self.frontend.open_queries.add(self.query.id)
         self.tenant.open_requests += 1
         self.exchange.on_disconnect = self._handle_disconnect
@@ -40,7 +40,7 @@
         self.tenant.open_requests -= 1
 
     def _handle_disconnect(self) -> None:
-        """Guards against work for a client that has closed its connection, also halfway through rows."""
+        """Withdraw the request of a client that has closed its connection, also in the middle of the rows."""
         self.frontend.counters.add("clickhouse.client_disconnected")
         self._close()
         if self.request is not None:
@@ -50,7 +50,7 @@
         return {"X-ClickHouse-Query-Id": self.query.id}
 
     def send_rows(self, rows: bytes) -> None:
-        """Send the next rows of an answer in chunks."""
+        """Send the next rows of a chunked answer."""
         if self.exchange.is_finished:
             return
         if not self.exchange.has_begun:
@@ -58,13 +58,13 @@
         self.exchange.chunk(rows)
 
     def wait_until_drained(self) -> bool:
-        """Wait for the client to read, a second at most; whether it did."""
+        """Wait at most `MAX_DRAIN_WAIT` for the client to read; return whether it has."""
         return self.exchange.is_finished or self.exchange.connection.writer.below_low_water.wait(
             MAX_DRAIN_WAIT
         )
 
     def complete(self, rows: bytes) -> None:
-        """Answer with all rows, or those behind the ones of `send_rows`."""
+        """Answer with all rows, or with the rest after `send_rows`, and end the answer."""
         if not self.exchange.is_finished:
             self._close()
             if self.supports_streaming:
@@ -74,7 +74,7 @@
                 self.exchange.answer(200, self._id_header() | ROWS_HEADERS, rows)
 
     def reject(self, retry_after: int) -> None:
-        """Answer that trying again is harmless after so many µs."""
+        """Answer that the query was not executed and may safely be repeated after `retry_after` µs."""
         if not self.exchange.is_finished:
             self._close()
             headers = self._id_header() | {"Retry-After": str(max(math.ceil(retry_after / 1e6), 1))}
@@ -82,7 +82,7 @@
             answer_error(self.exchange, code, 503, "Too many simultaneous queries", headers)
 
     def fail(self, fault: EngineFault) -> None:
-        """Answer that it may have run; an answer that has begun is left recognisably incomplete."""
+        """Answer that the query may have been executed; a partial answer is left visibly incomplete."""
         if self.exchange.is_finished:
             return
         self._close()
--- a/cypressledge/net/clickhouse/transport.py
+++ b/cypressledge/net/clickhouse/transport.py
@@ -1,4 +1,4 @@
-"""Connections to engines that speak the ClickHouse HTTP interface: one exchange at a time on each."""
+"""Transport to engines with the ClickHouse HTTP interface: one exchange at a time on each connection."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleConnection:
-    """A connection that waits for its next exchange."""
+    """A connection kept for a later exchange."""
 
     sock: socket.socket
-    since: int  # µs, monotonic
+    since: int  # µs, monotonic; end of its last exchange
 
 
 class ClickHouseTransport:
-    """Runs attempts, each in a greenlet, and keeps idle connections for the next ones."""
+    """Runs each attempt in a greenlet, and keeps idle connections for later attempts."""
 
     def __init__(self, core: BrokerCore, limits: Limits) -> None:
         self.core, self.limits = core, limits
@@ -33,11 +33,11 @@
         core.counters.gauge("clickhouse.engine_connections", lambda: self.connection_count)
 
     def set_login(self, user: str, key: str) -> None:
-        """How the broker authenticates itself at the engines."""
+        """Set the user and key with which the broker authenticates at engines; no user sends neither."""
         self.login_headers = f"X-ClickHouse-User: {user}\r\nX-ClickHouse-Key: {key}\r\n" if user else ""
 
     def send(self, attempt: Attempt) -> None:
-        """Run the attempt in a greenlet of its own."""
+        """Run the attempt in its own greenlet."""
         if self.connection_count >= self.limits.max_engine_connections(shared=True):
             self.core.counters.add("attempts.not_sent")
             self.core.ledger.attempt_ended(attempt, Outcome.NOT_SENT)
@@ -46,16 +46,16 @@
         spawn(exchange.run)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give the attempt up. Closing ends a read at the engine; a write is killed by its id."""
+        """Cancel the attempt: closing the connection ends a read at the engine; a write is killed by id."""
         exchange = attempt.transport_state
         if isinstance(exchange, EngineExchange):
             exchange.cancel()
 
     def update_resources(self, attempt: Attempt) -> None:
-        """Nothing: ClickHouse cannot change the priority of a running query."""
+        """Do nothing: ClickHouse cannot change the priority of a running query."""
 
     def take_idle(self, endpoint: Endpoint) -> socket.socket | None:
-        """An idle connection that the engine has not closed meanwhile."""
+        """Return an idle connection that the engine has not closed meanwhile; None if there is none."""
         idle = self.idle.get(endpoint, ())
         while idle:
             sock = idle.pop().sock
@@ -65,7 +65,7 @@
         return None
 
     def connect(self, endpoint: Endpoint) -> socket.socket:
-        """A new connection. Raises `OSError` and `gevent.Timeout`."""
+        """Open a new connection. Raises `OSError` and `gevent.Timeout`."""
         self.connection_count += 1
         try:
             with Timeout(self.limits.connect_timeout_s):
@@ -77,16 +77,16 @@
         return sock
 
     def keep_idle(self, endpoint: Endpoint, sock: socket.socket) -> None:
-        """Keep a connection for the next exchange."""
+        """Keep an idle connection for a later exchange."""
         self.idle.setdefault(endpoint, deque()).append(IdleConnection(sock, monotonic_us()))
 
     def close(self, sock: socket.socket) -> None:
-        """Close a connection for good."""
+        """Close a connection, which is then no longer counted."""
         self.connection_count -= 1
         close_socket(sock)
 
     def maintain(self) -> None:
-        """Close connections that are idle for long, or whose engine takes no new work."""
+        """Close connections that have been idle for too long, or whose engine accepts no new work."""
         oldest = monotonic_us() - int(self.limits.idle_timeout_s * 1e6)
         for endpoint, idle in list(self.idle.items()):
             while idle and (idle[0].since < oldest or not self.core.engines.is_current(endpoint)):
--- a/cypressledge/net/http_server.py
+++ b/cypressledge/net/http_server.py
@@ -155,7 +155,7 @@
         self.writer.close(lambda: shutdown_write(self.sock))
 
     def _reject_unreadable(self, status: HTTPStatus) -> None:
-        """Answer with an error and close the connection; no error is sent into the answer of an open exchange."""
+        """Answer with an error and close the connection; an open exchange gets no error into its answer."""
         self.server.counters.add(f"{self.server.name}.bad_http")
         if self.current is None:
             self.closing = True
--- a/cypressledge/net/jsonrpc/__init__.py
+++ b/cypressledge/net/jsonrpc/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's client protocol: JSON-RPC 2.0 over TCP, each message behind a `Content-Length` header."""
+"""The platform's client protocol: JSON-RPC 2.0 over TCP, each message after a `Content-Length` header."""
--- a/cypressledge/net/jsonrpc/connection.py
+++ b/cypressledge/net/jsonrpc/connection.py
@@ -1,4 +1,4 @@
-"""One client's JSON-RPC connection: reads calls, writes answers, and ends in one way."""
+"""One client's JSON-RPC connection: reads calls, writes answers and closes in an orderly way."""
 
 import errno
 import json
@@ -32,19 +32,19 @@
 if TYPE_CHECKING:
     from cypressledge.net.jsonrpc.frontend import JsonRpcFrontend
 
-MAX_OPEN_CALLS = 32  # on one connection
-STATEMENT_BYTES_DIVISOR = 4  # one connection may hold 1/4 of the bytes of statements that all may hold
+MAX_OPEN_CALLS = 32  # per connection
+STATEMENT_BYTES_DIVISOR = 4  # one connection may use 1/4 of the limit on all clients' statement bytes
 SEND_QUEUE_LIMIT = 4 << 20  # bytes of answers that a client may leave unread
-SEND_TIMEOUT = 30.0  # seconds that one send may take
+SEND_TIMEOUT = 30.0  # seconds; maximum duration of one send
 MESSAGE_TIMEOUT = 2.0  # seconds from the first byte of a message to its last
-DRAIN_CHECK_INTERVAL = 0.05  # seconds between looks at a draining connection that cannot be closed yet
-IDLE_TIMEOUT = 10.0  # seconds with no open call until a client is closed; usual ones close after 4
-MAX_ERRORS = 16  # messages of one connection that are answered by an error
+DRAIN_CHECK_INTERVAL = 0.05  # seconds between checks of a draining connection that cannot be closed yet
+IDLE_TIMEOUT = 10.0  # seconds without an open call until a connection is closed; most clients close after 4
+MAX_ERRORS = 16  # error answers per connection, after which it is closed
 MAX_REQUEST_ID = 1 << 53
 
 
 class CloseReason(StrEnum):
-    """Why a client's connection has ended; else the name of the system's error."""
+    """Why a client's connection was closed; for system errors, the `errno` name is used where it is known."""
 
     CLIENT_CLOSED = "by-client"
     IDLE = "idle"
@@ -58,7 +58,7 @@
 
 
 class JsonRpcConnection:
-    """Reads one client's calls and sends their answers."""
+    """Reads the calls of one client and sends their answers."""
 
     def __init__(self, frontend: "JsonRpcFrontend", sock: socket.socket) -> None:
         self.frontend, self.sock, self.core = frontend, sock, frontend.core
@@ -67,18 +67,18 @@
         self.open_calls: dict[int, PendingCall] = {}
         self.writer = SocketWriter(sock, SEND_QUEUE_LIMIT, SEND_TIMEOUT, self._handle_send_failure)
         self.connected_at = self.last_active_at = monotonic_us()
-        self.message_began_at = 0  # of a message that is not complete yet; 0: there is none
+        self.message_began_at = 0  # µs; first byte of an incomplete message, 0 if there is none
         self.error_count = 0
         self.has_requested = self.has_answered = False
-        self.draining = frontend.draining  # closes once no answer is owed
+        self.draining = frontend.draining  # to be closed once all calls are answered
         self.ignores_input = False
         self.processing = False  # received bytes are being processed
-        self.shutdown_at = 0  # when our side was shut down; 0: it was not
+        self.shutdown_at = 0  # µs; when the broker's side was shut down, 0 if it was not
         self.close_reason = str(CloseReason.CLIENT_CLOSED)
         frontend.connections.add(self)
 
     def run(self) -> None:
-        """Read until the client closes, framing is lost, or nothing is received for too long."""
+        """Read until the client closes, the framing is invalid, or nothing is received for too long."""
         buffer = ReceiveBuffer(MAX_BODY_SIZE + MAX_HEADER_SIZE)
         try:
             while self._receive(buffer):
@@ -91,14 +91,14 @@
             self._close()
 
     def _receive(self, buffer: ReceiveBuffer) -> bool:
-        """Read once and process what is complete; False once there is nothing more to read."""
+        """Read once and process complete messages; return False once there is nothing more to read."""
         try:
             if not receive(buffer, self.sock, self._read_timeout):
                 return False
             self._process(buffer)
             return True
         except IdleTimeoutError:
-            # Guards against closing on a request that is received at this moment: it is answered first.
+            # Drain, not close: a request that is being received at this moment is answered first.
             if not self.shutdown_at:
                 self.counters.add("clients.idle")
                 self.close_reason = CloseReason.IDLE
@@ -107,10 +107,10 @@
             return False
 
     def _handle_framing_error(self, err: Exception) -> None:
-        """Ignore further input; calls that are open are still answered, and then our side is shut down.
+        """Ignore further input, answer the open calls, and then shut down the broker's side.
 
-        Guards against answers lost with a connection that cannot go on: only its framing, or the client's
-        patience, is lost. A client that closes meanwhile is noticed."""
+        Only the input is unusable: invalid framing, or a message not complete in time, must not cost the
+        answers to open calls. Input is discarded meanwhile, so that a close by the client is detected."""
         self.counters.add("clients.framing_errors")
         self.close_reason = CloseReason.FRAMING_ERROR
         self.send_error(None, ErrorCode.INVALID_REQUEST, f"bad framing: {err}")
@@ -134,7 +134,7 @@
         any_complete = False
         while (frame := take_frame(buffer)) is not None:
             any_complete = True
-            if self.writer.closed:  # received after our side was shut down: no answer can reach the client
+            if self.writer.closed:  # received after the shutdown of the broker's side: cannot be answered
                 self.counters.add("clients.received_after_shutdown")
                 continue
             self._process_message(frame)
@@ -148,10 +148,10 @@
             self.message_began_at = self.last_active_at
 
     def _read_timeout(self) -> float:
-        """Seconds until the client must have sent more.
+        """Return the seconds within which the client must send more bytes.
 
-        Guards against clients that send nothing, never complete a message, or withdraw all they asked: each
-        is owed an answer or a close within 3 s. A client that has been answered may stay idle."""
+        A client that sends nothing, never completes a message, or withdraws all its calls must get an answer
+        or a close within 3 s. A client that has been answered may stay idle."""
         if self.shutdown_at:
             return remaining_seconds(self.shutdown_at, LINGER_TIMEOUT)
         if self.message_began_at:
@@ -173,22 +173,22 @@
         self.last_active_at = monotonic_us()
         self.frontend.connections.mark_active(self)
 
-    # How a connection ends
+    # Closing of the connection
 
     def eviction_priority(self, now: int) -> EvictionPriority:
-        """See `ClientConnection`: busy is one with an open call, or an answer on its way out."""
+        """See `ClientConnection`; a connection is busy while a call is open or an answer is being sent."""
         is_busy = bool(self.open_calls or self.message_began_at or self.writer.sending)
         return eviction_priority(now, self.connected_at, self.last_active_at, self.has_requested, is_busy)
 
     def drain(self) -> None:
-        """Close the connection once no answer is owed on it: the client's next call meets the next process.
+        """Close the connection once its calls are answered; the next call reaches another process.
 
-        Guards against rejecting what is received on connections kept open past a stop: after the last answer
-        our side is shut down, and the client, seeing the end, repeats its call on a new connection. What has
-        been received before is not left unread: it is answered first."""
+        After the last answer the broker's side is shut down; a client that reads the end of the stream
+        repeats its call on a new connection, so that no call has to be rejected after a stop. Bytes received
+        before the shutdown are read and answered first."""
         self.draining = True
         now = monotonic_us()
-        # Its first request may be on its way.
+        # The first request of a new connection may not have arrived yet.
         is_new = not self.has_requested and now - self.connected_at < FIRST_MESSAGE_TIMEOUT * 1e6
         has_input = is_new or self.message_began_at or self.processing or has_unread_bytes(self.sock)
         if (self.ignores_input or not has_input) and not self.open_calls and not self.shutdown_at:
@@ -197,7 +197,7 @@
             self.writer.close(lambda: shutdown_write(self.sock))
 
     def close_idle(self) -> None:
-        """Make room for another client: answer what has been requested, and read nothing more."""
+        """Close the connection for another client, after what has been requested is answered."""
         self.close_reason = CloseReason.EVICTED
         self.frontend.connections.mark_closing(self)
         self.drain()
@@ -216,7 +216,7 @@
         close_socket(self.sock)
 
     def _log_close(self) -> None:
-        """Ordinary ends, with no call open, are only counted."""
+        """Count the close; log it as an event unless it is a normal one without open calls."""
         self.counters.add(f"clients_closed.{self.close_reason}")
         if self.open_calls or self.close_reason not in NORMAL_CLOSE_REASONS:
             requests = ",".join(call.request.query.id for call in self.open_calls.values() if call.request)
@@ -227,10 +227,10 @@
                 requests=requests or "-",
             )
 
-    # Answers
+    # Sending of answers
 
     def send(self, message: dict) -> None:
-        """Queue one message."""
+        """Queue one message to the client."""
         self.has_answered = True
         self._mark_active()
         body = json.dumps(message, separators=(",", ":")).encode()
@@ -239,13 +239,13 @@
             self.drain()
 
     def send_error(self, call_id: int | None, code: ErrorCode, text: str, data: dict | None = None) -> None:
-        """Queue an error; `call_id` is None where the message's own is unknown or not its own."""
+        """Queue an error; `call_id` is None if the message's id is unknown or belongs to another call."""
         error: dict[str, object] = {"code": code, "message": text}
         if data is not None:
             error["data"] = data
         self.send({"jsonrpc": "2.0", "id": call_id, "error": error})
 
-    # Calls
+    # Handling of calls
 
     def _process_message(self, frame: bytes) -> None:
         call_id = None
@@ -262,7 +262,7 @@
             self.send_error(call_id, err.code, str(err))
 
     def _method_and_id(self, message: object) -> tuple[str, Any]:
-        """The method, and the id: once it is known to be new; of `withdraw`, whatever it is."""
+        """Return the method and the id, which must be a new one unless the method is `withdraw`."""
         if not isinstance(message, dict) or message.get("jsonrpc") != "2.0":
             raise JsonRpcError(ErrorCode.INVALID_REQUEST, "not a JSON-RPC 2.0 request")
         method, call_id = message.get("method"), message.get("id")
@@ -273,7 +273,7 @@
         if type(call_id) is not int or not 1 <= call_id <= MAX_REQUEST_ID:
             raise JsonRpcError(ErrorCode.INVALID_REQUEST, "id is not a number from 1")
         if not self.used_ids.add(call_id):
-            # Under the id itself an error would be a second answer to the open call.
+            # An error with this id would be a second answer to the call that used it first.
             raise JsonRpcError(ErrorCode.INVALID_REQUEST, f"id {call_id} was used before")
         return method, call_id
 
@@ -289,21 +289,21 @@
             self._submit(query, PendingCall(self, call_id))
 
     def _submit(self, query: Query, call: PendingCall) -> None:
-        # Guards against one client's statements using up what all may hold: the others would be rejected.
+        # One client's statements must not use up the limit for all clients: the others would be rejected.
         held_bytes = sum(len(c.request.query.statement) for c in self.open_calls.values() if c.request)
         is_full = (
             len(self.open_calls) >= MAX_OPEN_CALLS
             or held_bytes > self.core.ledger.max_statement_bytes // STATEMENT_BYTES_DIVISOR
         )
         self.open_calls[call.call_id] = call
-        if is_full:  # no client that keeps to the protocol gets here
+        if is_full:  # a client that follows the protocol does not get here
             self.error_count += 1
             self.core.ledger.reject_at_admission(query, call, "connection_full")
         else:
             call.request = self.core.ledger.submit(query, call)
 
     def _withdraw(self, call_id: object, params: object) -> None:
-        """The call is named by its id or its query's, whichever the client gives. It is not answered."""
+        """Cancel a call, named by its own id or by its query's id. A withdrawal is not answered."""
         self.counters.add("withdraws")
         names = [call_id, *(params.values() if isinstance(params, dict) else ())]
         for call in list(self.open_calls.values()):
--- a/cypressledge/net/jsonrpc/framing.py
+++ b/cypressledge/net/jsonrpc/framing.py
@@ -1,4 +1,4 @@
-"""Messages behind a `Content-Length` header, as in the Language Server Protocol."""
+"""Framing by a `Content-Length` header before each message, as in the Language Server Protocol."""
 
 from cypressledge.net.jsonrpc.errors import FramingError
 from cypressledge.net.receive_buffer import ReceiveBuffer
@@ -8,9 +8,9 @@
 
 
 def take_frame(buffer: ReceiveBuffer) -> bytes | None:
-    """Remove one message from the buffer; None while it is incomplete.
+    """Remove one message from the buffer and return its body; None until it is complete.
 
-    Raises `FramingError`, and `BufferLimitError` where a header does not end."""
+    Raises `FramingError`, and `BufferLimitError` if the header does not end within its limit."""
     header = buffer.peek_until(b"\r\n\r\n", MAX_HEADER_SIZE)
     if header is None:
         return None
--- a/cypressledge/net/jsonrpc/frontend.py
+++ b/cypressledge/net/jsonrpc/frontend.py
@@ -1,4 +1,4 @@
-"""Listens for JSON-RPC clients."""
+"""Frontend that listens for JSON-RPC clients."""
 
 from gevent import sleep
 
@@ -12,11 +12,11 @@
 from cypressledge.net.socket_io import Address
 from cypressledge.tenants import Tenants
 
-FLUSH_INTERVAL = 0.01  # seconds between two looks at what is still open while the process ends
+FLUSH_INTERVAL = 0.01  # seconds between checks of the open connections during a shutdown
 
 
 class JsonRpcFrontend:
-    """The listener, and what its connections share."""
+    """The listener for JSON-RPC clients, and the state that its connections share."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         counters: Counters,
         inherited: int | None = None,
     ) -> None:
-        """`inherited`: descriptor of a socket that the platform listens on."""
+        """`inherited`: descriptor of a listening socket of the platform, used instead of a new socket."""
         self.core, self.counters = core, counters
         self.query_parser = QueryParser(core, classes, tenants)
         self.connections: ConnectionRegistry[JsonRpcConnection] = ConnectionRegistry()
@@ -42,21 +42,21 @@
         )
 
     def stop(self) -> None:
-        """Accept no further connection."""
+        """Accept no further connections."""
         self.listener.stop()
 
     def drain(self) -> None:
-        """Another process serves the clients: close each connection as soon as no answer is owed on it."""
+        """Close each connection once its calls are answered, as another process serves the clients now."""
         self.draining = True
         for connection in list(self.connections):
             connection.drain()
 
     def flush(self, seconds: float) -> None:
-        """Send all answers, and wait for the clients to close their connections.
+        """Send all answers, and wait up to `seconds` for clients to close their connections.
 
-        Guards against the last answers being lost with the process, whose sockets are reset where bytes are
-        unread: what has been received is read and answered; in the second half of the time, further messages
-        of those that are not done are ignored."""
+        When the process exits, the kernel resets sockets with unread bytes, which could lose the last
+        answers. So received messages are read and answered; in the second half of the time, further
+        messages on connections that are still open are ignored."""
         until = monotonic_us() + int(seconds * 1e6)
         while len(self.listener.pool) and (now := monotonic_us()) < until:
             for connection in list(self.connections):
--- a/cypressledge/net/jsonrpc/pending_call.py
+++ b/cypressledge/net/jsonrpc/pending_call.py
@@ -1,4 +1,4 @@
-"""One open call of a connection: what the core answers to."""
+"""An open call of a JSON-RPC connection, to which the core passes the answer."""
 
 import base64
 from typing import TYPE_CHECKING
@@ -11,7 +11,7 @@
 
 
 class PendingCall:
-    """A call that is not answered yet; the core's `ReplyHandler` for its request."""
+    """A call that is not answered yet; `ReplyHandler` of the core for its request."""
 
     supports_streaming = False
 
@@ -20,13 +20,13 @@
         self.request: Request | None = None
 
     def cancel(self) -> None:
-        """The client waits no longer."""
+        """Drop the call, whose client no longer waits for an answer, and withdraw its request."""
         self.connection.open_calls.pop(self.call_id, None)
         if self.request is not None:
             self.connection.core.ledger.client_disconnected(self.request)
 
     def complete(self, rows: bytes) -> None:
-        """Answer with all rows."""
+        """Answer with all rows of the result."""
         if self._close():
             content = base64.b64encode(rows).decode()
             message = {"jsonrpc": "2.0", "id": self.call_id, "result": {"content": content}}
@@ -34,23 +34,23 @@
 
     def send_rows(self, rows: bytes) -> None:
         """Never called, as `supports_streaming` is False."""
-        raise NotImplementedError("JSON-RPC answers are complete")
+        raise NotImplementedError("JSON-RPC answers cannot be streamed")
 
     def wait_until_drained(self) -> bool:
-        """Never waits: the rows are held until all are there."""
+        """Return True without waiting: rows are collected until the result is complete."""
         return True
 
     def reject(self, retry_after: int) -> None:
-        """Answer that trying again is harmless after so many µs."""
-        if self._close():  # a call withdrawn a moment ago is owed no answer either
+        """Answer that the query was not executed and may safely be repeated after `retry_after` µs."""
+        if self._close():  # a call that has been withdrawn meanwhile gets no answer
             data = {"after": retry_after // 1000}
             self.connection.send_error(self.call_id, ErrorCode.REJECTED, "refused: try again", data)
 
     def fail(self, fault: EngineFault) -> None:
-        """Answer that it may have run."""
+        """Answer with an error: the query may have been executed."""
         if self._close():
             self.connection.send_error(self.call_id, ErrorCode.FAILED, fault.text)
 
     def _close(self) -> bool:
-        """Close the call; False if it was closed before, and is owed no answer."""
+        """Close the call; return False if it was closed before and must not be answered."""
         return self.connection.open_calls.pop(self.call_id, None) is not None
--- a/cypressledge/net/jsonrpc/query_parser.py
+++ b/cypressledge/net/jsonrpc/query_parser.py
@@ -1,4 +1,4 @@
-"""Reads a query from the parameters of a call, and rejects what no engine could use."""
+"""Parses a query from the parameters of a call, and rejects what no engine could execute."""
 
 import base64
 import binascii
@@ -13,7 +13,7 @@
 from cypressledge.sql import table_group
 from cypressledge.tenants import Tenants
 
-MAX_WAIT_DIVISOR = 2  # a `wait` beyond the class's deadline divided by this is no client's
+MAX_WAIT_DIVISOR = 2  # a `wait` above this multiple of the class's deadline is rejected
 MAX_COST_MS = 1e8
 MAX_MEMORY_MB = 1e6
 QUERY_ID = re.compile(r"[0-9a-f]{16}\Z", re.A)
@@ -21,16 +21,17 @@
 
 
 class QueryParser:
-    """Turns the parameters of a call into a `Query`."""
+    """Converts the parameters of a call to a `Query`."""
 
     def __init__(self, core: BrokerCore, classes: tuple[str, ...], tenants: Tenants) -> None:
         self.core, self.tenants = core, tenants
-        self.classes = {name: index for index, name in enumerate(classes)}  # methods are named like classes
+        self.classes = {name: index for index, name in enumerate(classes)}  # named like methods
 
     def parse(self, method: str, params: object) -> Query:
-        """The query, if an engine can use all of it. Raises `JsonRpcError`.
+        """Return the query of a call. Raises `JsonRpcError`.
 
-        Guards against what engines cannot read: they close a connection on it, with the work of others."""
+        Values that engines cannot read must be rejected here: an engine closes the connection on which it
+        receives one, together with the attempts of other requests."""
         now = monotonic_us()
         if not isinstance(params, dict):
             raise _invalid("params is no object")
@@ -78,7 +79,7 @@
 
 def _number(params: dict, name: str, maximum: float, default: float | None = None) -> float:
     value: Any = params.get(name, default)
-    if type(value) not in (int, float) or not 0 <= value <= maximum:  # NaN is in no range
+    if type(value) not in (int, float) or not 0 <= value <= maximum:  # NaN fails the comparison
         raise _invalid(f"{name} is no figure in range")
     return value
 
@@ -97,7 +98,7 @@
 
 
 def _statement(content: Any) -> tuple[bytes, str]:
-    """The statement as bytes and as text."""
+    """Return the decoded statement as bytes and as text. Raises `JsonRpcError`."""
     try:
         statement = base64.b64decode(content, validate=True)
         text = statement.decode()
--- a/cypressledge/net/socket_io.py
+++ b/cypressledge/net/socket_io.py
@@ -87,7 +87,7 @@
 
 
 def remaining_seconds(since: int, seconds: float) -> float:
-    """Return what is left of `seconds` since `since` (µs, monotonic); raises `IdleTimeoutError` if nothing is."""
+    """Return `seconds` minus the time since `since` (µs, monotonic). Raises `IdleTimeoutError` at 0."""
     remaining = seconds - (monotonic_us() - since) / 1e6
     if remaining <= 0:
         raise IdleTimeoutError
