--- a/cypressledge/net/line_protocol/__init__.py
+++ b/cypressledge/net/line_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The engines' line protocol: many attempts share one connection, results are sent in pages."""
+"""The engines' line protocol: many attempts share one connection, and results arrive in pages."""
--- a/cypressledge/net/line_protocol/answers.py
+++ b/cypressledge/net/line_protocol/answers.py
@@ -1,4 +1,4 @@
-"""What an engine's messages mean for the attempts on their connection."""
+"""Handling of an engine's messages: progress, pages of results and errors of the attempts."""
 
 from typing import TYPE_CHECKING
 
@@ -41,8 +41,8 @@
     elif word == b"chunk":
         _handle_page(connection, pending, parse_count(fields, b"pos", 1, len(pending.pages) - 1), body)
     elif pending.pages or pending.has_run or word == b"500":
-        # Guards against "nothing ran" behind a report of progress; and against the other pages, requested
-        # together: their answers still come, and must not meet a repeat of the id here.
+        # After progress or pages the attempt must not be reported as never executed. All pages are requested
+        # together, so more of them still arrive; their id must not be reused on this connection meanwhile.
         quarantine = CANCELLED_ID_QUARANTINE if pending.pages else ANSWERED_ID_QUARANTINE
         connection.end(pending, Outcome.ERROR, quarantine=quarantine)
     else:
@@ -62,7 +62,7 @@
     connection: "EngineConnection", pending: PendingAttempt, fields: Fields, body: bytes
 ) -> None:
     page_count = parse_count(fields, b"count", 1, MAX_PAGES)
-    if pending.pages:  # a second copy of an answer that was good
+    if pending.pages:  # a duplicate of an answer that was handled
         connection.core.counters.add("duplicate_answers")
         return
     pending.pages, pending.missing_pages = [None] * page_count, page_count
--- a/cypressledge/net/line_protocol/connection.py
+++ b/cypressledge/net/line_protocol/connection.py
@@ -1,4 +1,4 @@
-"""One connection to one engine: commands out, messages in, and the attempts between them."""
+"""One connection to one engine: sends commands, reads messages and tracks the attempts."""
 
 import errno
 from collections import deque
@@ -39,19 +39,19 @@
     from cypressledge.net.line_protocol.transport import LineProtocolTransport
 
 MESSAGE_TIMEOUT = 1.0  # seconds from the first byte of a message to its last
-READ_TIMEOUT = 60.0  # seconds; waiting longer for a message is resumed, so the value does not matter
-SEND_QUEUE_LIMIT = 4 << 20  # bytes
-SEND_TIMEOUT = 10.0  # seconds that one send may take
-MAX_ENCODING_AGE = 50_000  # µs from encoding a command to sending it; then it is encoded anew
-LATE_CONNECT_WINDOW = 2.0  # seconds beyond its timeout in which a connection may still come up
-LOST_ANSWER_INTERVALS = 1.7  # progress intervals without a message, from which an answer may be lost
+READ_TIMEOUT = 60.0  # seconds; the wait for a message is resumed after it, so the value does not matter
+SEND_QUEUE_LIMIT = 4 << 20  # bytes per connection
+SEND_TIMEOUT = 10.0  # seconds; maximum duration of one send
+MAX_ENCODING_AGE = 50_000  # µs; an older command is encoded anew before it is sent, with the time then left
+LATE_CONNECT_WINDOW = 2.0  # seconds after the connect timeout in which a connection may still be established
+LOST_ANSWER_INTERVALS = 1.7  # progress intervals without a message after which an answer may be lost
 ALIVE_INTERVALS = 0.8  # progress intervals within which the engine must have sent on another connection
 # Errors of `connect` that say nothing about the engine.
 LOCAL_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
 
 class CloseReason(StrEnum):
-    """Why a connection has ended; or what its writer says."""
+    """Why a connection was closed; a send failure is described by the text of the `SocketWriter`."""
 
     ANSWER_LOST = "answer lost"
     CLOSED_BY_ENGINE = "closed by engine"
@@ -67,32 +67,32 @@
 
 
 class EngineConnection:
-    """One connection to one engine."""
+    """One connection to one engine, with the attempts that are assigned to it."""
 
     def __init__(self, transport: "LineProtocolTransport", endpoint: Endpoint) -> None:
         self.transport, self.endpoint, self.core = transport, endpoint, transport.core
         self.pending: dict[bytes, PendingAttempt] = {}  # by query id
-        self.unsent: list[PendingAttempt] = []  # they wait for the connection to come up
-        self.quarantine: dict[bytes, int] = {}  # by query id: µs at which it may be sent here again
+        self.unsent: list[PendingAttempt] = []  # waiting for the connection to be established
+        self.quarantine: dict[bytes, int] = {}  # by query id: µs from which it may be sent here again
         self.quarantine_order: deque[bytes] = deque()
         self.last_used = monotonic_us()
         self.last_received_at = 0  # µs; 0: never
-        self.silent_since = 0  # µs since which a message is owed; 0: none is
-        self.message_began_at = 0  # µs, of a message that is not complete yet; 0: there is none
-        self.sock: socket.socket | None = None  # once the connection is up, as is the writer
+        self.silent_since = 0  # µs; since when a message is expected, 0 if none is
+        self.message_began_at = 0  # µs; first byte of an incomplete message, 0 if there is none
+        self.sock: socket.socket | None = None  # set, like the writer, once the connection is established
         self.writer: SocketWriter | None = None
         self.closed = False
-        self.is_late = False  # not up in time
-        self.may_be_closed = False  # bytes or the end have been received and not been read yet
+        self.is_late = False  # not established in time
+        self.may_be_closed = False  # bytes, or the end of the stream, have been received but not read yet
         self.greenlet = spawn(self._run)
 
-    # What the transport asks
+    # Checks for the transport
 
     def accepts(self, query_id: bytes, endpoint: Endpoint) -> bool:
-        """Whether one more attempt fits, and the id is not in quarantine.
+        """Return whether one more attempt can be assigned: there is room, and its id is not in quarantine.
 
-        Guards against a late answer being taken for that of a repeat: an id cancelled here may still be
-        answered, and an answered one a second time, so a repeat uses another connection."""
+        An id cancelled on this connection may still be answered, and an answered one a second time. A retry
+        uses another connection, so that a late answer is not taken for the answer to the retry."""
         now = monotonic_us()
         while self.quarantine_order and self.quarantine[self.quarantine_order[0]] < now:
             del self.quarantine[self.quarantine_order.popleft()]
@@ -106,23 +106,23 @@
         )
 
     def has_unread_bytes(self) -> bool:
-        """Guards against closing over what the engine sends at this moment: that would be a reset."""
+        """Return whether bytes of the engine are unread; closing the socket with unread bytes resets it."""
         return self.sock is not None and has_unread_bytes(self.sock)
 
     def is_silent(self) -> bool:
-        """Whether a message is overdue.
+        """Return whether a message is overdue.
 
-        Guards against a machine that vanished: its connections stay open without a message, also when it is
-        back. An engine that was sent something would have reported progress by now; new work uses a new
-        connection, which proves within the connect timeout whether anybody is there."""
+        The connections of a machine that disappeared stay open without a message, also after it is back. An
+        engine that was sent a query would have reported progress by now. New work uses a new connection,
+        which shows within the connect timeout whether the engine is reachable."""
         return 0 < self.silent_since < monotonic_us() - self.transport.silence_limit
 
     def has_lost_answer(self, engine_last_received_at: int) -> bool:
-        """Whether an answer is lost, where this is when the engine last sent bytes on any connection.
+        """Return whether an answer is lost, if the engine last sent bytes on any connection at this time.
 
-        Guards against answers that never come: an engine that runs a query reports progress each interval.
-        Only a connection that is silent while its engine sends on another one has lost something; an
-        engine that is silent altogether is for the decisions to judge."""
+        An engine that runs a query reports progress in each interval. A connection that is silent while its
+        engine sends on another one has lost a message; whether an engine that is silent on all connections
+        has failed is left to the decisions."""
         interval, now = self.transport.limits.progress_interval_us, monotonic_us()
         return (
             bool(self.pending)
@@ -131,10 +131,10 @@
             and engine_last_received_at > now - int(interval * ALIVE_INTERVALS)
         )
 
-    # Commands
+    # Commands to the engine
 
     def assign(self, attempt: Attempt, query_id: bytes) -> None:
-        """Take the attempt; it is sent once the connection is up."""
+        """Accept the attempt, and send it once the connection is established."""
         pending = attempt.transport_state = PendingAttempt(attempt, self, query_id)
         self.pending[query_id] = pending
         self.last_used = monotonic_us()
@@ -144,13 +144,13 @@
             self._write_query(pending)
 
     def update_priority(self, pending: PendingAttempt) -> None:
-        """Send a new priority, behind the query itself."""
+        """Send the attempt's new priority, after the query itself."""
         if self.writer is not None and not pending.pages:
             line = b"hurry %s %d\r\n" % (pending.query_id, pending.attempt.request.priority)
             self.writer.write(line, should_send=lambda: pending.sent and not pending.ended)
 
     def cancel(self, pending: PendingAttempt) -> None:
-        """Nothing is wanted of the attempt any more."""
+        """Cancel the attempt; if it was sent, its engine is notified."""
         if pending.ended:
             return
         self._remove_pending(pending, CANCELLED_ID_QUARANTINE)
@@ -158,7 +158,7 @@
             self.write_command((b"shut " if pending.pages else b"never_mind ") + pending.query_id)
 
     def write_command(self, command: bytes) -> None:
-        """Send one command, or several with line ends between them."""
+        """Send one command, or several separated by line ends."""
         if self.writer is not None:
             self.writer.write(command, b"\r\n")
 
@@ -177,11 +177,11 @@
         self.writer.write(head, query.statement, b"\r\n", should_send=lambda: self._may_send(pending))
 
     def _may_send(self, pending: PendingAttempt) -> bool:
-        """Whether the command may still be sent, asked as its turn comes; if not, the attempt has ended.
+        """Return whether a query may still be sent; called just before the send.
 
-        Guards against sends that a drain, a cancel, the client's leaving, the connection's end or a full
-        socket overtook: what has not been sent yet and should not be any more never is, and the decisions are
-        told that it never ran."""
+        Meanwhile the engine may have been drained, the attempt cancelled, the client disconnected, or the
+        connection closed or blocked by a full socket. Then the query is not sent: the attempt ends as never
+        executed, is reassigned, or is encoded anew."""
         if pending.ended:
             return False
         attempt, now = pending.attempt, monotonic_us()
@@ -194,7 +194,7 @@
             self._remove_pending(pending)
             self.transport.reassign(attempt, Outcome.NOT_SENT)
             return False
-        if now - pending.encoded_at > MAX_ENCODING_AGE:  # it names more time than the client has left
+        if now - pending.encoded_at > MAX_ENCODING_AGE:  # it states more time than the client has left
             self._write_query(pending)
             return False
         pending.sent = True
@@ -203,18 +203,21 @@
         return True
 
     def _may_be_closed_by_engine(self) -> bool:
-        """Guards against sending on a connection that the engine has closed: its end has been received but
-        not read yet. On one that was idle any byte may be that; nothing is sent before it is read."""
+        """Return whether the engine may have closed the connection; its end may be received but not read yet.
+
+        On an idle connection any unread bytes may mean a close, so nothing is sent before they are read."""
         was_idle = not any(pending.sent for pending in self.pending.values())
         if not self.may_be_closed and (has_unread_bytes if was_idle else peer_has_closed)(self.sock):
             self.core.counters.add("engine_close.before_send")
             self.may_be_closed = True
         return self.may_be_closed
 
-    # How attempts and the connection end
+    # End of attempts and of the connection
 
     def _remove_pending(self, pending: PendingAttempt, quarantine: int = ANSWERED_ID_QUARANTINE) -> None:
-        """The one place where an attempt ends here: its id is in quarantine for so many µs if it was sent."""
+        """Remove an attempt from the connection; if it was sent, its id is in quarantine for that many µs.
+
+        All attempts of a connection end here."""
         pending.ended = True
         query_id = pending.query_id
         if self.pending.get(query_id) is pending:
@@ -225,7 +228,7 @@
                 self.quarantine[query_id] = monotonic_us() + quarantine
         self.last_used = monotonic_us()
         if not self.pending and not self.is_silent():
-            self.silent_since = 0  # no message is owed for what was cancelled early
+            self.silent_since = 0  # no message is expected after an early cancellation
 
     def end(
         self,
@@ -234,13 +237,14 @@
         rows: bytes = b"",
         quarantine: int = ANSWERED_ID_QUARANTINE,
     ) -> None:
-        """End an attempt here, and report how."""
+        """Remove an attempt from the connection, and report its outcome to the ledger."""
         self._remove_pending(pending, quarantine)
         self.core.ledger.attempt_ended(pending.attempt, outcome, rows)
 
     def close(self, reason: str, outcome: Outcome = Outcome.RESET) -> None:
-        """Close the connection; attempts that were sent end with `outcome`. `reason` may have a detail behind
-        a colon."""
+        """Close the connection; attempts that were sent end with `outcome`.
+
+        `reason` may have a detail after a colon."""
         if self.closed:
             return
         self.closed = True
@@ -272,7 +276,7 @@
             detail=repr(detail.strip()),
         )
 
-    # The connection's greenlet
+    # Greenlet of the connection
 
     def _run(self) -> None:
         if not self._connect():
@@ -287,7 +291,7 @@
         self._read()
 
     def _connect(self) -> bool:
-        """Whether the connection is up, and still wanted."""
+        """Connect to the engine; return whether the connection is established and not closed meanwhile."""
         timeout = self.transport.limits.connect_timeout_s
         overdue = spawn_later(timeout, self._handle_connect_overdue)
         try:
@@ -312,7 +316,7 @@
         return not self.closed
 
     def _handle_connect_overdue(self) -> None:
-        """The connect timeout has passed: the attempts that wait have ended, also if it comes up late."""
+        """Remove the waiting attempts after the connect timeout, although the connection may come up late."""
         if self.closed or self.sock is not None:
             return
         self.is_late = True
@@ -324,7 +328,7 @@
         self.transport.handle_connect_timeout(self, [pending.attempt for pending in waiting])
 
     def _read(self) -> None:
-        # It never grows: guards against clients that use up what all buffers may hold costing answers.
+        # The buffer never grows: clients that exhaust the budget of all buffers must not cost answers.
         buffer_size = MAX_LINE_SIZE + MAX_PAGE_SIZE
         buffer = ReceiveBuffer(buffer_size, initial_size=buffer_size + MIN_READ_SIZE)
         reason = str(CloseReason.CLOSED_BY_ENGINE)
@@ -345,7 +349,7 @@
         self.close(reason)
 
     def _read_timeout(self) -> float:
-        """Guards against answers that stop early: the rest of one that has begun must follow soon."""
+        """Return the seconds to wait for bytes; the rest of a message that has begun must follow soon."""
         if self.message_began_at:
             return remaining_seconds(self.message_began_at, MESSAGE_TIMEOUT)
         return READ_TIMEOUT
--- a/cypressledge/net/line_protocol/messages.py
+++ b/cypressledge/net/line_protocol/messages.py
@@ -1,5 +1,4 @@
-"""Messages of engines: a line of four words, `ID WORD FIELDS SIZE`, then SIZE bytes of body and a line
-end."""
+"""Parsing of engines' messages: a line `ID WORD FIELDS SIZE`, then SIZE bytes of body and a line end."""
 
 from cypressledge.decisions.contract import ProgressKind
 from cypressledge.net.receive_buffer import ReceiveBuffer
@@ -7,8 +6,8 @@
 MAX_LINE_SIZE = 1024  # bytes
 MAX_PAGE_SIZE = 6000  # bytes
 MAX_RESULT_SIZE = 48_000  # bytes
-MAX_PAGES = 64  # of one result: pages hold complete rows, so they are seldom less than half full
-COLUMN_COUNT = 3  # of each row
+MAX_PAGES = 64  # per result; pages hold complete rows, so they are seldom less than half full
+COLUMN_COUNT = 3  # columns of each row
 MAX_PROGRESS_VALUE = 1e9
 STATUS_WORDS = frozenset((b"200", b"503", b"500", b"504", b"status", b"chunk"))
 PROGRESS_KINDS = {
@@ -21,13 +20,13 @@
 
 
 class MalformedMessageError(Exception):
-    """An engine's message cannot be read."""
+    """A message of an engine that does not follow the line protocol."""
 
 
 def take_message(buffer: ReceiveBuffer) -> tuple[bytes, bytes, bytes, bytes] | None:
-    """Remove one message from the buffer: id, status word, fields and body; None while it is incomplete.
+    """Remove one message from the buffer: id, status word, fields and body; None until it is complete.
 
-    Raises `MalformedMessageError`, and `BufferLimitError` where a line does not end."""
+    Raises `MalformedMessageError`, and `BufferLimitError` if a line does not end within its limit."""
     line = buffer.peek_until(b"\r\n", MAX_LINE_SIZE)
     if line is None:
         return None
@@ -45,7 +44,7 @@
 
 
 def parse_fields(fields: bytes) -> Fields:
-    """`name=value,…` as a mapping; `-` stands for none. Raises `MalformedMessageError`."""
+    """Return `name=value,…` as a dict; `-` stands for no fields. Raises `MalformedMessageError`."""
     if fields == b"-":
         return {}
     pairs = [field.split(b"=", 1) for field in fields.split(b",")]
@@ -55,7 +54,7 @@
 
 
 def parse_count(fields: Fields, name: bytes, minimum: int, maximum: int) -> int:
-    """A field's whole number within these bounds. Raises `MalformedMessageError`."""
+    """Return a field's integer, which must be within the bounds. Raises `MalformedMessageError`."""
     value = fields.get(name, b"")
     if not value.isdigit() or not minimum <= int(value) <= maximum:
         raise MalformedMessageError(name)
@@ -63,20 +62,20 @@
 
 
 def parse_progress_value(fields: Fields) -> float:
-    """The value of a progress message. Raises `MalformedMessageError`.
+    """Return the value of a progress message. Raises `MalformedMessageError`.
 
-    Guards against values that are noise: the decisions calculate with them."""
+    Invalid values are rejected, because the decisions calculate with them."""
     try:
         value = float(fields.get(b"reading", b""))
     except ValueError:
         raise MalformedMessageError(b"reading") from None
-    if not 0 <= value <= MAX_PROGRESS_VALUE:  # NaN is in no range
+    if not 0 <= value <= MAX_PROGRESS_VALUE:  # NaN fails the comparison
         raise MalformedMessageError(b"reading")
     return value
 
 
 def has_complete_rows(body: bytes) -> bool:
-    """Whether a page is text in complete rows. Guards against corrupt pages being passed on."""
+    """Return whether a page is text in complete rows; corrupt pages must not be passed on."""
     if not body:
         return True
     rows = body.split(b"\n")
--- a/cypressledge/net/line_protocol/transport.py
+++ b/cypressledge/net/line_protocol/transport.py
@@ -1,4 +1,4 @@
-"""The pool of connections to engines that speak the line protocol: which attempt uses which connection."""
+"""Pool of connections to engines with the line protocol, which assigns attempts to connections."""
 
 from cypressledge.broker.core import BrokerCore
 from cypressledge.broker.requests import Attempt
@@ -8,42 +8,42 @@
 from cypressledge.net.line_protocol.connection import CloseReason, EngineConnection
 from cypressledge.net.line_protocol.pending_attempt import PendingAttempt
 
-PREFERRED_ATTEMPTS = 8  # on one connection before another is opened; more only once descriptors run out
-MAX_CONNECTIONS_TRIED = 3  # connections that an attempt may be assigned to before it is sent
+PREFERRED_ATTEMPTS = 8  # per connection before another is opened; exceeded only when no more may be opened
+MAX_CONNECTIONS_TRIED = 3  # connections to which an attempt may be assigned before it is sent
 ALIVE_WINDOW = 1_500_000  # µs after an engine's message in which a slow connect is not the engine's fault
-UNREACHABLE_TIMEOUTS = 2  # connects in a row that time out, from which their engine counts as unreachable
-IDLE_TIME_SHARE = 0.8  # of the site's idle time: we close first, so that no send crosses the engine's close
-SILENT_INTERVALS = 2.5  # progress intervals without a message, from which a connection is not trusted
-MIN_SILENCE = 2_500_000  # µs; for sites whose engines report no progress, or very frequently
+UNREACHABLE_TIMEOUTS = 2  # consecutive connect timeouts after which an engine counts as unreachable
+IDLE_TIME_SHARE = 0.8  # of the site's idle time; the broker closes first, so that no send crosses a close
+SILENT_INTERVALS = 2.5  # progress intervals without a message after which a connection counts as silent
+MIN_SILENCE = 2_500_000  # µs; lower limit, for engines that report no progress, or very frequently
 
 
 class LineProtocolTransport:
-    """Connections to every engine, and the attempts on them."""
+    """The connections to all engines with the line protocol, and the attempts on them."""
 
     def __init__(self, core: BrokerCore, limits: Limits) -> None:
         self.core, self.limits = core, limits
-        self.max_connections = 0  # to all engines together, until the configuration is known
+        self.max_connections = 0  # to all engines together; set once the configuration is known
         self.connections: dict[int, list[EngineConnection]] = {}  # by engine
-        self.connect_timeouts: dict[int, int] = {}  # by engine: in a row, with no connection up between
+        self.connect_timeouts: dict[int, int] = {}  # by engine: consecutive connect timeouts
         core.counters.gauge("engine_connections", self.connection_count)
 
     @property
     def silence_limit(self) -> int:
-        """µs without a message from which a connection is not trusted."""
+        """µs without a message after which a connection counts as silent and gets no new attempts."""
         return max(int(self.limits.progress_interval_us * SILENT_INTERVALS), MIN_SILENCE)
 
     def connection_count(self) -> int:
-        """Open connections to all engines."""
+        """Return the number of connections to all engines."""
         return sum(map(len, self.connections.values()))
 
     def send(self, attempt: Attempt) -> None:
-        """Assign the attempt to the least used connection; to a new one where that has its share already.
+        """Assign the attempt to the connection with the fewest, or to a new one beyond `PREFERRED_ATTEMPTS`.
 
-        Guards against one corrupt answer, which ends its connection, costing all work at its engine, and
-        against opening many: of new connections some are reset with what is on them."""
+        A corrupt answer closes its connection, so it must not affect all work at the engine. On the other
+        hand, few connections are opened, as some new connections are reset together with their attempts."""
         query_id, endpoint = attempt.query.id.encode(), attempt.endpoint
         usable = [c for c in self.connections.get(endpoint.id, ()) if c.accepts(query_id, endpoint)]
-        # One that may not come up would use the time that is left of a reassigned attempt.
+        # A connection that may not be established would use up the remaining time of a reassigned attempt.
         prefer_connected = attempt.connections_tried > 0
         connection = min(
             usable,
@@ -67,9 +67,9 @@
             connection.assign(attempt, query_id)
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle for longest; False if none is.
+        """Close the longest idle connection; return False if none is idle.
 
-        Guards against new engines getting none because idle connections to others use up the limit."""
+        Idle connections must not use up the limit, so that new engines get no connection."""
         connections = [c for some in self.connections.values() for c in some]
         idle = [c for c in connections if not c.pending and not c.has_unread_bytes()]
         if idle:
@@ -77,10 +77,9 @@
         return bool(idle)
 
     def reassign(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Assign an attempt that was never sent to another connection, a few times; then it ends with
-        `outcome`.
+        """Assign an attempt that was never sent to another connection; the last try ends with `outcome`.
 
-        Guards against connections that are reset when new: nothing has run, so no attempt is used up."""
+        New connections may be reset. Nothing has been executed, so this does not count as an attempt."""
         attempt.connections_tried += 1
         attempt.transport_state = None
         endpoint = self.core.engines.ready_endpoints.get(attempt.endpoint.id)
@@ -92,12 +91,12 @@
             self.core.ledger.attempt_ended(attempt, outcome)
 
     def handle_connect_timeout(self, connection: EngineConnection, attempts: list[Attempt]) -> None:
-        """A connection is not up in time, and these attempts waited for it.
+        """Reassign or end the attempts that waited for a connection that was not established in time.
 
-        Guards against calling an engine faulty, and cold, over a path that is slow now and then: one that
-        sends on another connection gets the attempts there, and a single timeout proves nothing about the
-        process (one that has ended refuses). The connection may still come up, one to each engine: somebody
-        is there then."""
+        An engine must not count as failed, and as cold afterwards, because the network path is slow at times:
+        if it sends on another connection, the attempts are reassigned; a single timeout says nothing about
+        the process, since a host whose process has ended refuses connections. One late connection per engine
+        may still be established, which then shows that the engine is reachable."""
         engine, connections = connection.endpoint.id, self.connections.get(connection.endpoint.id, [])
         for other in [c for c in connections if c.is_late and c is not connection]:
             other.close(CloseReason.CONNECT_TIMEOUT)
@@ -113,7 +112,7 @@
                 self.core.ledger.attempt_ended(attempt, outcome)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give the attempt up at its engine."""
+        """Cancel the attempt at its engine."""
         pending = attempt.transport_state
         if isinstance(pending, PendingAttempt):
             pending.connection.cancel(pending)
@@ -125,7 +124,7 @@
             pending.connection.update_priority(pending)
 
     def discard(self, connection: EngineConnection) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection from the pool."""
         connections = self.connections.get(connection.endpoint.id, [])
         if connection in connections:
             connections.remove(connection)
@@ -133,8 +132,7 @@
             self.connections.pop(connection.endpoint.id, None)
 
     def maintain(self) -> None:
-        """Close connections that are idle for long, whose engine takes no new work, or that lost an
-        answer."""
+        """Close connections that lost an answer, are idle too long, or whose engine accepts no new work."""
         now, idle_limit = monotonic_us(), int(self.limits.idle_timeout_s * IDLE_TIME_SHARE * 1e6)
         ready = self.core.engines.ready_endpoints
         self.connect_timeouts = {engine: n for engine, n in self.connect_timeouts.items() if engine in ready}
