--- a/cypressledge/cli/__init__.py
+++ b/cypressledge/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line (click): `cypressledge fleet …`, `zone …`, `control …`, `lab …`. Not imported by `run`."""
+"""Command line (click): `cypressledge fleet …`, `zone …`, `control …`, `lab …`. Not imported by `run`."""
 
 import click
 
@@ -10,7 +10,7 @@
 
 @click.group()
 def cli() -> None:
-    """A query broker: the operators' and the laboratory's commands."""
+    """A query broker: commands for operators and for experiments."""
 
 
 for _group in (control, fleet, lab, zone):
--- a/cypressledge/cli/broker_client.py
+++ b/cypressledge/cli/broker_client.py
@@ -1,4 +1,4 @@
-"""Calls of a broker's management address over HTTP, and the option that names it."""
+"""HTTP client for a broker's management address, and the command line option for that address."""
 
 import http.client
 
@@ -13,12 +13,14 @@
     type=ManagementAddress(),
     envvar="ROUTER_MANAGEMENT",
     required=True,
-    help="A broker's management address.",
+    help="Management address of a broker.",
 )
 
 
 def call_broker(at: tuple[str, int], method: str, path: str, body: str = "") -> str:
-    """Return a broker's answer. Raises `ClickException` with one plain line where there is none."""
+    """Call the management address and return the text of the answer.
+
+    Raises `ClickException` with one line of text if there is no answer or its status is not 200."""
     host, port = at
     connection = http.client.HTTPConnection(host, port, timeout=ANSWER_TIMEOUT_S)
     try:
--- a/cypressledge/cli/fleet.py
+++ b/cypressledge/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`cypressledge fleet …`: what brokers do together, as one of them sees it."""
+"""`cypressledge fleet …`: the state of the fleet as one broker knows it, and commands to that broker."""
 
 import json
 import time
@@ -8,7 +8,7 @@
 from cypressledge.cli.broker_client import broker_address_option, call_broker
 from cypressledge.cli_support import add_hidden_alias, as_json, show
 
-TURN_POLL_INTERVAL_S = 0.1  # between two questions whether it is this broker's turn
+TURN_POLL_INTERVAL_S = 0.1  # seconds between requests for the restart turn
 CLASS_COLUMNS = ("success", "overload", "error", "dispatches")
 
 
@@ -16,7 +16,7 @@
 @broker_address_option
 @click.pass_context
 def fleet(ctx: click.Context, at: tuple[str, int]) -> None:
-    """What brokers do together, as one of them sees it."""
+    """State of the fleet as one broker knows it, and commands to that broker."""
     ctx.obj = at
 
 
@@ -24,7 +24,7 @@
 @as_json
 @click.pass_obj
 def peers(at: tuple[str, int], as_json: bool) -> None:
-    """Which brokers are alive, suspect or gone; which vote."""
+    """Show which brokers are alive, suspect or gone, and which are voters."""
     show(json.loads(call_broker(at, "GET", "/fleet/peers")), as_json)
 
 
@@ -32,7 +32,7 @@
 @as_json
 @click.pass_obj
 def leases(at: tuple[str, int], as_json: bool) -> None:
-    """Who holds what, and the candidates after the holder."""
+    """Show the holder of each lease and the next candidates."""
     show(json.loads(call_broker(at, "GET", "/fleet/leases")), as_json)
 
 
@@ -40,7 +40,7 @@
 @as_json
 @click.pass_obj
 def tasks(at: tuple[str, int], as_json: bool) -> None:
-    """The tasks of this broker, and what they have taken."""
+    """Show the tasks of this broker and the resources they have used."""
     show(json.loads(call_broker(at, "GET", "/fleet/tasks")), as_json)
 
 
@@ -48,7 +48,7 @@
 @as_json
 @click.pass_obj
 def summary(at: tuple[str, int], as_json: bool) -> None:
-    """The whole fleet's figures, as last summed up."""
+    """Show the latest summary of the fleet's figures."""
     answer = json.loads(call_broker(at, "GET", "/fleet/summary"))
     if answer is None:
         raise click.ClickException("no summary yet")
@@ -70,7 +70,7 @@
 @click.argument("lease")
 @click.pass_obj
 def release(at: tuple[str, int], lease: str) -> None:
-    """Make this broker release a lease; the next candidate acquires it."""
+    """Make this broker release a lease, so that the next candidate acquires it."""
     click.echo(call_broker(at, "POST", "/fleet/give-back", lease).strip())
 
 
@@ -78,12 +78,12 @@
 
 
 @fleet.command("restart-turn")
-@click.option("--lease", default="restart", show_default=True, help="The lease that turns are taken under.")
+@click.option("--lease", default="restart", show_default=True, help="Lease that grants the turns.")
 @click.option("--wait", "wait_s", default=60.0, show_default=True, help="Seconds to wait for the turn.")
-@click.option("--over", is_flag=True, help="Give the turn, or the wish for one, back.")
+@click.option("--over", is_flag=True, help="Return the turn, or cancel the request for one.")
 @click.pass_obj
 def restart_turn(at: tuple[str, int], lease: str, wait_s: float, over: bool) -> None:
-    """Wait until this broker may be restarted; exit 0 when it is its turn, 1 when it was in vain."""
+    """Wait until this broker may be restarted; exit 0 when it has the turn, 1 if there was none in time."""
     if over:
         call_broker(at, "POST", "/fleet/turn/over", lease)
         click.echo("over")
--- a/cypressledge/cli/zone.py
+++ b/cypressledge/cli/zone.py
@@ -1,4 +1,4 @@
-"""`cypressledge zone …`: how zones stand, and leaving and returning to them by hand."""
+"""`cypressledge zone …`: the state of the zones, and operators' commands to leave and return to them."""
 
 import json
 
@@ -12,7 +12,7 @@
 @broker_address_option
 @click.pass_context
 def zone(ctx: click.Context, at: tuple[str, int]) -> None:
-    """Zones: how they stand, and leaving and returning by hand."""
+    """State of the zones, and commands to leave and return to them."""
     ctx.obj = at
 
 
@@ -20,7 +20,7 @@
 @as_json
 @click.pass_obj
 def status(at: tuple[str, int], as_json: bool) -> None:
-    """Each zone's stage and share, the plan they come from, and why."""
+    """Show each zone's stage and share, with the plan and the reason behind them."""
     answer = json.loads(call_broker(at, "GET", "/zone/status"))
     if as_json:
         click.echo(json.dumps(answer, indent=2))
@@ -37,13 +37,15 @@
 
 
 def _add_operator_command(name: str, help_text: str) -> None:
-    """Add a command that forwards an operator's command to the planner."""
+    """Add a click command that sends an operator's command to the planner through a broker."""
 
     @zone.command(name, help=help_text)
     @click.argument("zone_name", metavar="ZONE")
-    @click.option("--for", "span_s", default=600.0, show_default=True, help="Seconds; then it ends.")
-    @click.option("--reason", required=True, help="Why: it stands in the plan and the logs.")
-    @click.option("--dry-run", is_flag=True, help="Only say what would come of it; asks the planner alone.")
+    @click.option(
+        "--for", "span_s", default=600.0, show_default=True, help="Seconds until the command expires."
+    )
+    @click.option("--reason", required=True, help="Reason, shown in the plan and the logs.")
+    @click.option("--dry-run", is_flag=True, help="Only show the expected effect; works at the planner only.")
     @click.pass_obj
     def command(at: tuple[str, int], zone_name: str, span_s: float, reason: str, dry_run: bool) -> None:
         """Send the command to a broker, which forwards it; print its answer."""
@@ -51,9 +53,10 @@
         click.echo(call_broker(at, "POST", "/zone/dry-run" if dry_run else "/zone/wish", body).strip())
 
 
-_add_operator_command("leave", "Leave a zone, as far as the others bear its load.")
+_add_operator_command("leave", "Leave a zone, as far as the other zones have capacity for its load.")
 _add_operator_command(
-    "practice", "Leave a zone to see that the others bear it; given up if they can't, or if one fails."
+    "practice",
+    "Leave a zone to test that the others can take its load; aborted if they can't, or if one fails.",
 )
-_add_operator_command("return", "Return to a zone, at the pace that its engines bear.")
-_add_operator_command("hold", "Keep a zone as it is, whatever is found.")
+_add_operator_command("return", "Return to a zone, at the pace that its engines can take.")
+_add_operator_command("hold", "Keep a zone as it is, whatever failures are detected.")
