--- a/cypressledge/net/jsonrpc/query_parser.py
+++ b/cypressledge/net/jsonrpc/query_parser.py
@@ -13,7 +13,7 @@
 from cypressledge.sql import table_group
 from cypressledge.tenants import Tenants
 
-MAX_WAIT_DIVISOR = 2  # a `wait` above this multiple of the class's deadline is rejected
+MAX_WAIT_MULTIPLE = 2  # a `wait` above this multiple of the class's deadline is rejected
 MAX_COST_MS = 1e8
 MAX_MEMORY_MB = 1e6
 QUERY_ID = re.compile(r"[0-9a-f]{16}\Z", re.A)
@@ -37,7 +37,7 @@
             raise _invalid("params is no object")
         class_index = self.classes[method]
         class_settings = self.core.settings.classes[class_index]
-        wait_ms = _number(params, "wait", class_settings.deadline / 1000 * MAX_WAIT_DIVISOR)
+        wait_ms = _number(params, "wait", class_settings.deadline / 1000 * MAX_WAIT_MULTIPLE)
         if wait_ms < 1:
             raise _invalid("wait is no figure in range")
         query_id, tenant = self._query_id(params), self._tenant(params)
