--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -193,7 +193,7 @@
 )
 @click.option("--keep", default="", help="Keep each run's files in this folder.")
 def capacity(**options: Any) -> None:
-    """Run control processes and real and simulated brokers on loopback through a day of changes and faults."""
+    """Run control processes, real and simulated brokers on loopback for a day of changes and faults."""
     from cypressledge.lab.capacity.run import CapacityOptions, run
 
     sys.exit(run(CapacityOptions(**options), click.echo, live=_shows_progress(sys.stderr)))
