--- a/tests/net/clickhouse/clickhouse_test_case.py
+++ b/tests/net/clickhouse/clickhouse_test_case.py
@@ -1,4 +1,4 @@
-"""A broker with the ClickHouse interface, DNS-SD and the administration API, and one client of each."""
+"""Test case with a broker that serves ClickHouse HTTP, DNS-SD discovery and the administration API."""
 
 import hashlib
 import http.client
@@ -17,10 +17,10 @@
 
 
 class ClickHouseTestCase(BrokerTestCase):
-    """A broker with the hosted service; its engines are found by DNS-SD."""
+    """Starts a broker with a service file, whose engines are discovered by DNS-SD, and queries it."""
 
     def start_service(self, *engines, lines=()):
-        """Start the broker with these ClickHouse engines, and `lines` on the line protocol."""
+        """Start the broker with these ClickHouse engines, and with `lines`, engines of the line protocol."""
         self.port, self.admin = free_port(), free_port()
         broker = self.broker(
             *lines,
@@ -55,28 +55,28 @@
     def query(
         self, body=b"SELECT a, b, c FROM sales_17.orders", method="POST", path="/", login=LOGIN, **params
     ):
-        """One query: status, headers and body of its answer."""
+        """Send one query; return the status, headers and body of its answer."""
         with closing(http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT)) as conn:
             conn.request(method, f"{path}?{urlencode(params)}", body if method == "POST" else None, login)
             answer = conn.getresponse()
             return answer.status, answer.headers, answer.read()
 
     def start_query(self, target):
-        """Send a query, and return its connection with the answer unread."""
+        """Send a query and return its connection, with the answer unread."""
         conn = http.client.HTTPConnection("127.0.0.1", self.port, timeout=WAIT)
         self.addCleanup(conn.close)
         conn.request("POST", target, b"SELECT a FROM sales_1.t", LOGIN)
         return conn
 
     def query_error(self, *args, **more):
-        """One query that ends in an error: its status and exception code."""
+        """Send a query that is answered with an error; return its status and exception code."""
         status, headers, body = self.query(*args, **more)
         code = headers["X-ClickHouse-Exception-Code"]
         assert body.startswith(b"Code: %s. DB::Exception: " % code.encode()), body
         return status, int(code)
 
     def call_admin_api(self, method, path, value=None, token=TOKEN):
-        """One call of the administration API: status and value of its answer."""
+        """Call the administration API once; return the status and the JSON value of its answer."""
         with closing(http.client.HTTPConnection("127.0.0.1", self.admin, timeout=WAIT)) as conn:
             conn.request(
                 method,
@@ -89,11 +89,11 @@
             return answer.status, json.loads(body) if body else None
 
     def counter(self, name):
-        """What the broker has counted under a name."""
+        """Return the value of one of the broker's counters."""
         return self.call_admin_api("GET", "/v1/counters")[1].get(name, 0)
 
     def send_raw(self, *parts):
-        """Send bytes as they are, and read until the broker closes the connection."""
+        """Send raw bytes, and read until the broker closes the connection."""
         with closing(socket.create_connection(("127.0.0.1", self.port), WAIT)) as sock:
             for part in parts:
                 sock.sendall(part)
--- a/tests/net/clickhouse/test_clickhouse_authentication.py
+++ b/tests/net/clickhouse/test_clickhouse_authentication.py
@@ -1,4 +1,4 @@
-"""ClickHouse interface: how a request names and proves its tenant."""
+"""ClickHouse interface: authentication of a request's tenant."""
 
 import base64
 
@@ -7,7 +7,7 @@
 
 
 class Authentication(ClickHouseTestCase):
-    def test_a_tenant_authenticates_by_headers_basic_or_parameters(self):
+    def test_headers_basic_authentication_and_parameters_authenticate_a_tenant(self):
         self.start_service(self.engine(kind=FakeClickHouseEngine))
         basic = {"Authorization": "Basic " + base64.b64encode(f"sales:{KEY}".encode()).decode()}
         assert self.query(login=basic)[0] == 200
--- a/tests/net/clickhouse/test_clickhouse_engine_errors.py
+++ b/tests/net/clickhouse/test_clickhouse_engine_errors.py
@@ -1,4 +1,4 @@
-"""ClickHouse engines that reject, fail or never answer: what clients get, and what is retried."""
+"""ClickHouse engines that reject, fail or never answer: answers to clients, and retries."""
 
 import threading
 import time
@@ -10,7 +10,7 @@
 
 
 class EngineErrors(ClickHouseTestCase):
-    def test_a_rejection_is_503_with_retry_after(self):
+    def test_a_rejection_is_answered_with_503_and_retry_after(self):
         self.start_service(
             self.engine(
                 answer_exception(503, 202, b"Code: 202. DB::Exception: full"), kind=FakeClickHouseEngine
@@ -36,8 +36,8 @@
         assert self.query()[0] in (500, 503)
         assert len(engine.asked) == 3
 
-    def test_an_engine_without_progress_notifications_has_lost_no_response(self):
-        """Only engines on the line protocol report at each progress interval what they run."""
+    def test_a_slow_clickhouse_query_without_progress_is_not_taken_for_lost(self):
+        """Only line protocol engines report progress at each interval, so that silence means a loss."""
 
         def play(engine, send, params, statement):
             if b"slow" in statement:
@@ -67,4 +67,4 @@
         began = time.monotonic()
         status, _ = self.query_error(workload="report", max_execution_time="0.5")
         assert status in (408, 503)
-        assert time.monotonic() - began < 5.0  # of the class's 25 s
+        assert time.monotonic() - began < 5.0  # well before the class's deadline of 25 s
--- a/tests/net/clickhouse/test_clickhouse_loads.py
+++ b/tests/net/clickhouse/test_clickhouse_loads.py
@@ -1,4 +1,4 @@
-"""ClickHouse interface: loads, deduplicated by their keys and killed by their ids."""
+"""ClickHouse interface: loads, which are deduplicated by key and killed by query id."""
 
 import threading
 
--- a/tests/net/clickhouse/test_clickhouse_rejections.py
+++ b/tests/net/clickhouse/test_clickhouse_rejections.py
@@ -29,8 +29,8 @@
             with self.subTest(more or body):
                 assert self.query_error(body, **more) == expected
 
-    def test_requests_that_are_too_large_or_no_http_are_rejected(self):
-        """The parser wraps what its callbacks raise: every limit came out as 400 before."""
+    def test_requests_that_are_too_large_or_not_http_are_rejected(self):
+        """The parser wraps exceptions of its callbacks; unless unwrapped, each limit becomes a 400."""
         self.start_service(self.engine(kind=FakeClickHouseEngine))
         for status, *parts in (
             (413, b"POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
--- a/tests/net/clickhouse/test_clickhouse_requests.py
+++ b/tests/net/clickhouse/test_clickhouse_requests.py
@@ -1,4 +1,4 @@
-"""ClickHouse interface: requests in each form of HTTP, and how they reach engines."""
+"""ClickHouse interface: requests in several forms of HTTP, and what engines receive of them."""
 
 from tests.fakes.fake_clickhouse_engine import FakeClickHouseEngine, stream_rows
 from tests.fakes.fake_engines import ROW, page_rows
@@ -30,11 +30,11 @@
         self.query(data, query="INSERT INTO sales_2.orders FORMAT TSV", max_execution_time="900")
         params, statement, _ = engine.asked[-1]
         assert statement == b"INSERT INTO sales_2.orders FORMAT TSV\n" + data
-        assert params["workload"] == "order-load"  # and never beyond the class's own deadline:
+        assert params["workload"] == "order-load"  # and at most the class's own deadline:
         assert float(params["max_execution_time"]) <= 20.0
         assert params["insert_deduplication_token"]
 
-    def test_ping_answers_whether_the_broker_serves(self):
+    def test_ping_reports_whether_the_broker_is_serving(self):
         broker = self.start_service()
         wait_until(lambda: "cannot listen" not in broker.log_text() and self.ping_status())
         assert self.ping_status() == 503
@@ -48,7 +48,7 @@
         except OSError:
             return None
 
-    def test_chunked_pipelined_and_http_1_0_requests(self):
+    def test_chunked_pipelined_and_http_1_0_requests_are_answered(self):
         engine = self.engine(stream_rows(ROW, page_rows(1)), kind=FakeClickHouseEngine)
         self.start_service(engine)
         login = b"".join(f"{name}: {value}\r\n".encode() for name, value in LOGIN.items())
@@ -56,7 +56,7 @@
         received = self.send_raw(
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n%s\r\n6\r\nSELECT\r\n" % login,
             b"2\r\n 1\r\n0\r\n\r\nGET /ping HTTP/1.1\r\n%s\r\n" % final_headers,
-        )  # and one pipelined
+        )  # the second request is pipelined
         assert engine.asked[0][1] == b"SELECT 1"
         assert received.count(b"HTTP/1.1 200 OK") == 2
         assert received.endswith(b"Ok.\n"), received
--- a/tests/net/clickhouse/test_clickhouse_service.py
+++ b/tests/net/clickhouse/test_clickhouse_service.py
@@ -1,4 +1,4 @@
-"""The hosted service: its file, its reload and its graceful shutdown."""
+"""The hosted service: its configuration file, reload and graceful shutdown."""
 
 import threading
 
@@ -19,7 +19,7 @@
         with pytest.raises(ConnectionRefusedError):
             self.query()
 
-    def test_an_invalid_service_file_is_one_log_line(self):
+    def test_an_invalid_service_file_is_reported_in_one_log_line(self):
         for text, reason in (
             ("x", "TOML"),
             ("[admin]", "clickhouse"),
--- a/tests/net/clickhouse/test_clickhouse_streaming.py
+++ b/tests/net/clickhouse/test_clickhouse_streaming.py
@@ -1,4 +1,4 @@
-"""ClickHouse interface: answers in chunks, while engine or client break off or are slow."""
+"""ClickHouse interface: streamed answers when the engine or the client disconnects or is slow."""
 
 import http.client
 
@@ -15,14 +15,14 @@
 
 
 class StreamedAnswers(ClickHouseTestCase):
-    def test_a_client_that_disconnects_mid_stream_releases_everything(self):
+    def test_a_client_that_disconnects_in_mid_stream_ends_the_engine_s_work(self):
         engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
         self.start_service(engine)
         conn = self.start_query("/?workload=report")
         assert conn.getresponse().read(len(ROW)) == ROW
         close_connection(conn.sock)
         conn.close()
-        assert engine.closed.wait(WAIT), "the engine's work goes on"
+        assert engine.closed.wait(WAIT), "the engine's connection is still open"
         wait_until(lambda: self.counter("open_requests") == 0, "an empty ledger")
         wait_until(lambda: self.counter("clickhouse.engine_connections") == 0, "closed connections")
         assert (self.counter("client_disconnects"), len(engine.asked)) == (1, 1)
@@ -63,6 +63,6 @@
         self.start_service(engine)
         self.start_query("/?workload=report&max_execution_time=4")
         wait_until(lambda: engine.sent, "the first rows")
-        assert self.call_admin_api("GET", "/v1/engines")[0] == 200  # nobody else is stalled
+        assert self.call_admin_api("GET", "/v1/engines")[0] == 200  # other callers are not blocked
         wait_until(lambda: self.counter("open_requests") == 0, "the deadline")
         assert engine.sent < 40 << 20
--- a/tests/net/clickhouse/test_clickhouse_with_jsonrpc.py
+++ b/tests/net/clickhouse/test_clickhouse_with_jsonrpc.py
@@ -1,4 +1,4 @@
-"""ClickHouse interface and JSON-RPC at one broker: one ledger, one retry budget."""
+"""ClickHouse interface and JSON-RPC at one broker share one ledger and one retry budget."""
 
 import threading
 
@@ -35,18 +35,18 @@
         self.check_counters(self.call_admin_api("GET", "/v1/counters")[1])
         assert line_engine.wants
         assert any(engine.asked for engine in http_engines)
-        client.ask(tenant="sales")  # a tenant with a key can't be named where no key is required
-        answer = client.get()  # and no second answer came before it
+        client.ask(tenant="sales")  # a tenant with a key is not accepted where no key is checked
+        answer = client.get()  # the next message, so no request had a second answer
         assert (answer["id"], answer["error"]["code"]) == (QUERIES + 1, -32602)
 
     def query_over_http(self, client_number, statuses):
-        """One client's part of the queries over HTTP; adds the status of each answer."""
+        """Send one client's share of the queries over HTTP; append the status of each answer."""
         for number in range(QUERIES // HTTP_CLIENTS):
             statuses.append(self.query(query_id=f"h{client_number}-{number}", max_execution_time="2.5")[0])
 
     @staticmethod
     def query_over_jsonrpc(client):
-        """The queries over JSON-RPC, each tenth a load: their answers."""
+        """Send the queries over JSON-RPC, every tenth a load; return their answers."""
         answers = []
         for first in range(0, QUERIES, BATCH):
             for number in range(first, first + BATCH):
@@ -59,7 +59,7 @@
 
     @staticmethod
     def check_answers(answers, statuses):
-        """Each query has one answer, and over each protocol some are served."""
+        """Check that each query has one answer, and that some succeed over each protocol."""
         assert sorted(answer["id"] for answer in answers) == list(range(1, QUERIES + 1))
         assert len(statuses) == QUERIES
         served = [result_rows(answer) for answer in answers if "result" in answer]
@@ -70,7 +70,7 @@
 
     @staticmethod
     def check_counters(counters):
-        """The ledger counts the queries of both protocols together, and so does the retry budget."""
+        """Check that the ledger and the retry budget count the queries of both protocols together."""
 
         def total(name):
             return sum(count for key, count in counters.items() if key.startswith(name + "."))
--- a/tests/net/jsonrpc/test_jsonrpc_framing.py
+++ b/tests/net/jsonrpc/test_jsonrpc_framing.py
@@ -1,4 +1,4 @@
-"""The real broker on sockets: framing and errors of JSON-RPC."""
+"""Framing and errors of JSON-RPC, over the sockets of a broker process."""
 
 import json
 
@@ -16,7 +16,7 @@
         self.shared_client.raw(body)
         return self.shared_client.get()
 
-    def test_errors_of_the_standard_keep_the_connection(self):
+    def test_json_rpc_errors_keep_the_connection_open(self):
         good = {"id": "00000000000000aa", "wait": 1000, "tenant": "sahel", "content": ""}
 
         def call(number, method="lookup", **change):
@@ -47,7 +47,7 @@
         self.shared_client.ask()
         assert result_rows(self.shared_client.get()) == ROW
 
-    def test_bad_framing_closes_the_connection(self):
+    def test_invalid_framing_closes_the_connection(self):
         for head in (
             b"Content-Length: x\r\n\r\n",
             b"Nothing: 1\r\n\r\n",
--- a/tests/net/jsonrpc/test_jsonrpc_invalid_clients.py
+++ b/tests/net/jsonrpc/test_jsonrpc_invalid_clients.py
@@ -1,4 +1,4 @@
-"""JSON-RPC clients that send nothing, too much, or what no engine can use."""
+"""JSON-RPC clients that send nothing, too much, or values that engines cannot read."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 
 class InvalidClients(BrokerTestCase):
-    """Each gets a rejection, an error or a close within 3 s, and a regular client is served throughout."""
+    """Each invalid client gets an error or a close within 3 s, and a regular client is still served."""
 
     def setUp(self):
         self.served_engine = self.engine()
@@ -26,7 +26,7 @@
         assert result_rows(self.regular_client.get()) == ROW
 
     def answers_until_closed(self, client):
-        """The answers that a client receives until its connection is closed."""
+        """Return the answers that a client receives before its connection is closed."""
         client.sock.settimeout(WAIT)
         began, answers = time.monotonic(), []
         while (answer := client.get()) is not None:
--- a/tests/net/jsonrpc/test_request_ids.py
+++ b/tests/net/jsonrpc/test_request_ids.py
@@ -1,4 +1,4 @@
-"""The numbers of a JSON-RPC connection: each is used once."""
+"""The ids of a JSON-RPC connection, each of which may be used once."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class RequestIds(unittest.TestCase):
-    def test_skipped_numbers_are_not_all_remembered(self):
+    def test_the_number_of_remembered_ids_is_bounded(self):
         used = UsedRequestIds()
         for number in range(2, 50_000, 2):
             assert used.add(number)
--- a/tests/net/line_protocol/test_invalid_engine_answers.py
+++ b/tests/net/line_protocol/test_invalid_engine_answers.py
@@ -1,4 +1,4 @@
-"""Engines on the line protocol that answer what cannot be read, twice, or never."""
+"""Engines on the line protocol whose answers are malformed, duplicated or missing."""
 
 import threading
 
@@ -9,10 +9,10 @@
 
 
 class InvalidAnswers(BrokerTestCase):
-    """A malformed answer is never passed on; its attempt may have run, and is retried as its class allows."""
+    """Malformed answers are never passed on; the attempt may have run, and its class may allow a retry."""
 
     def query_answered_with(self, raw, **more):
-        """Answer the first attempt with these bytes and retries well: the client's answer and the engine."""
+        """Answer the first attempt with these bytes; return the client's final answer and the engine."""
 
         def play(engine, say, name, fields, statement):
             if len(engine.wants) > 1:
@@ -44,7 +44,7 @@
             b"ID status note=done 0\r\n\r\n",
             b"ID chunk pos=1 6\r\na\tb\tc\n\r\n",
             b"ID 200 count=2 6\r\na\tb\tc\n\r\nID chunk pos=2 0\r\n\r\n",
-            b"ID 200 count=1 60\r\na\tb",  # and no more: cut short
+            b"ID 200 count=1 60\r\na\tb",  # the rest of the message is missing
         ):
             with self.subTest(raw[:50]):
                 answer, engine = self.query_answered_with(raw)
@@ -75,7 +75,7 @@
         assert len(engine.wants) == 4
 
     def test_an_attempt_whose_response_is_lost_is_retried(self):
-        """Its connection is silent while the engine sends progress notifications on another one."""
+        """The attempt's connection is silent while the engine sends progress notifications on another one."""
         say_on = {}
 
         def play(engine, say, name, fields, statement):
@@ -84,8 +84,8 @@
                 answer_at_once(engine, say, name, fields, statement)
 
         def alone_on_its_connection():
-            # The attempt beyond the first connection's share of eight: the two connections may come up, and
-            # their threads append, in either order.
+            # The ninth attempt, as a connection takes eight. The two connections may be established, and
+            # their threads may append, in either order.
             wants = engine.wants[:9]
             alone = [want for want in wants if sum(other[0] is want[0] for other in wants) == 1]
             return alone[0] if len(wants) == 9 and alone and alone[0][0] in say_on else None
--- a/tests/net/line_protocol/test_line_protocol_messages.py
+++ b/tests/net/line_protocol/test_line_protocol_messages.py
@@ -1,4 +1,4 @@
-"""Messages of engines on the line protocol: what is read, and what is malformed."""
+"""Parsing of engines' messages on the line protocol, valid and malformed."""
 
 import socket
 
@@ -22,7 +22,7 @@
 
 
 def received(data):
-    """A buffer that holds these bytes."""
+    """Return a buffer that contains these bytes."""
     buffer = ReceiveBuffer(1 << 20)
     receiver, sender = socket.socketpair()
     with receiver, sender:
@@ -56,12 +56,12 @@
         b"00aa 200 count=1 2\r\nrow\n\r\n",
     ],
 )
-def test_a_message_of_another_form_is_malformed(data):
+def test_a_message_of_another_format_is_malformed(data):
     with pytest.raises(MalformedMessageError):
         take_message(received(data))
 
 
-def test_a_page_may_have_the_size_of_the_limit():
+def test_a_page_of_the_maximum_size_is_accepted():
     body = b"x" * MAX_PAGE_SIZE
     message = take_message(received(b"00aa 200 count=1 %d\r\n%s\r\n" % (len(body), body)))
     assert message == (b"00aa", b"200", b"count=1", body)
@@ -89,7 +89,7 @@
         parse_count({}, b"count", 1, 64)
 
 
-def test_a_progress_value_is_a_number_that_can_be_calculated_with():
+def test_a_progress_value_is_a_number_within_its_bounds():
     assert parse_progress_value({b"reading": b"0"}) == 0.0
     assert parse_progress_value({b"reading": b"1e9"}) == MAX_PROGRESS_VALUE
     for fields in ({b"reading": b"nan"}, {b"reading": b"-1"}, {b"reading": b"1.1e9"}, {b"reading": b"x"}, {}):
@@ -105,7 +105,7 @@
         assert not has_complete_rows(body)
 
 
-def test_progress_notifications_by_their_words():
+def test_progress_kinds_by_the_words_of_the_protocol():
     assert PROGRESS_KINDS == {
         b"done": ProgressKind.PROGRESS,
         b"spills": ProgressKind.SPILLING,
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -44,7 +44,7 @@
                 assert answer[0] == status
                 assert answer[1]["error"]
 
-    def test_a_tenant_s_limit_of_open_requests(self):
+    def test_requests_beyond_a_tenant_s_limit_are_rejected(self):
         engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
         self.start_service(engine)
         self.call_admin_api("PATCH", "/v1/tenants/sales", {"most_open": 1})
--- a/tests/net/test_connection_registry.py
+++ b/tests/net/test_connection_registry.py
@@ -1,4 +1,4 @@
-"""The client connections of a listener, and which is closed first."""
+"""Registry of a listener's client connections, and the order of evictions."""
 
 import unittest
 
@@ -18,8 +18,8 @@
 
 
 class EvictionCandidate(unittest.TestCase):
-    def test_a_search_examines_as_many_however_many_clients_there_are(self):
-        """Regression: each new client had all connections examined, and thousands of them took a core."""
+    def test_the_number_of_examined_connections_does_not_grow_with_the_clients(self):
+        """Regression: each new client caused a search of all connections; thousands used a full core."""
         examined = []
 
         class Member:
@@ -35,7 +35,7 @@
         idle = [Member(number, (2, number), True) for number in range(MAX_EXAMINED, 5_000)]
         for connection in busy + idle:
             registry.add(connection)
-        assert registry.eviction_candidate(0) is None  # all busy: the next finds others
+        assert registry.eviction_candidate(0) is None  # all of these are busy; the next examines others
         assert registry.eviction_candidate(0) is idle[0]
         silent = Member(5_000, (1, 0), False)
         registry.add(silent)
@@ -44,7 +44,7 @@
 
 
 class StubConnection:
-    """A connection whose eviction priority is given."""
+    """A connection with a given eviction priority."""
 
     def __init__(self, priority=NOT_EVICTABLE, has_requested=True):
         self.priority, self.has_requested = priority, has_requested
@@ -60,7 +60,7 @@
     return registry
 
 
-def test_the_least_eviction_priority_is_closed_first():
+def test_the_lowest_eviction_priority_is_closed_first():
     idle, silent, unused = (
         StubConnection((RANK_IDLE, 1)),
         StubConnection((RANK_SILENT, 9), has_requested=False),
@@ -73,7 +73,7 @@
     assert registry.eviction_candidate(NOW) is None
 
 
-def test_a_closing_connection_is_counted_apart_until_it_is_closed():
+def test_a_closing_connection_is_counted_separately_until_it_is_closed():
     closing, other = StubConnection(), StubConnection()
     registry = registry_of(closing, other)
     registry.mark_closing(closing)
@@ -85,7 +85,7 @@
 
 
 def test_connections_are_in_order_of_their_last_activity():
-    """The first request puts a connection behind all that have not requested yet."""
+    """After its first request, a connection is listed after all those without a request."""
     first, second, third = (StubConnection(has_requested=False) for _ in range(3))
     registry = registry_of(first, second, third)
     registry.mark_active(first)
@@ -108,6 +108,6 @@
     ],
 )
 def test_eviction_priority_by_age_and_activity(connected_for, inactive_for, has_requested, is_busy, expected):
-    """Times in µs: silent after 300 ms, idle after 100 ms, not used again after 4.5 s."""
+    """Times in µs: silent after 300 ms, idle after 100 ms, no longer reused after 4.5 s."""
     priority = eviction_priority(NOW, NOW - connected_for, NOW - inactive_for, has_requested, is_busy)
     assert priority == expected
--- a/tests/net/test_dns_discovery.py
+++ b/tests/net/test_dns_discovery.py
@@ -1,4 +1,4 @@
-"""The directory of engines, asked over DNS."""
+"""Discovery of engines by polling the directory over DNS."""
 
 from tests.fakes.broker_process import BrokerTestCase
 from tests.fakes.fake_engines import ROW
@@ -6,8 +6,8 @@
 
 
 class DnsDiscovery(BrokerTestCase):
-    def test_a_valid_answer_counts_after_invalid_ones(self):
-        """The invalid ones: a failure, a truncated one, one under another id, an older list."""
+    def test_a_valid_answer_is_accepted_after_invalid_ones(self):
+        """The invalid answers are a failure, a truncated one, one with another id, and an older list."""
         first, second = self.engine(), self.engine(name="s-2")
         broker = self.broker(first)
         broker.dns.sends_invalid_answers = True
--- a/tests/net/test_dns_sd.py
+++ b/tests/net/test_dns_sd.py
@@ -1,4 +1,4 @@
-"""Engines discovered by DNS-SD."""
+"""Discovery of ClickHouse engines by DNS-SD."""
 
 from tests.fakes.fake_clickhouse_engine import FakeClickHouseEngine
 from tests.fakes.support import wait_until
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""A listener at its limit: which client is closed for the next one."""
+"""A listener at its connection limit: evictions, rejections and stops."""
 
 import socket
 from types import SimpleNamespace
@@ -18,7 +18,7 @@
 
 
 class Evictions(BrokerTestCase):
-    def test_silent_clients_keep_no_other_out(self):
+    def test_silent_clients_do_not_exclude_others(self):
         broker = self.broker(
             self.engine(), change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}}
         )
@@ -33,11 +33,11 @@
             except OSError:
                 return None
 
-        wait_until(answered, "a place among the silent clients")
+        wait_until(answered, "an answer despite the silent clients")
         assert silent_clients
 
     def test_an_eviction_frees_a_place_at_once_and_drops_no_request_or_answer(self):
-        """Regression: an evicted client was counted until its greenlet ended, and unread bytes were lost."""
+        """Regression: an evicted client counted until its greenlet ended, and unread bytes were lost."""
         frontend = SimpleNamespace(
             core=None, counters=Counters(), connections=ConnectionRegistry(), draining=False
         )
@@ -64,7 +64,7 @@
 
 
 class RunningListener:
-    """A listener whose clients stay connected until they close."""
+    """A listener whose clients stay connected until they close their connection."""
 
     def __init__(self, inherited=None):
         self.counters, self.connections = Counters(), ConnectionRegistry()
@@ -109,7 +109,7 @@
     running.wait_for("accepted", 3)
 
 
-def test_so_many_closing_connections_do_not_count(running):
+def test_up_to_max_closing_connections_do_not_count(running):
     running.listener.max_connections = running.listener.max_closing = 1
     running.connections.closing |= {object(), object()}
     clients = [running.connect() for _ in range(3)]
@@ -136,4 +136,4 @@
         gevent.spawn(one.listener.run)
         one.listener.stop()
         assert one.count("accepted") == 0
-        inherited.accept()[0].close()  # its client waits in the queue
+        inherited.accept()[0].close()  # the client is still in the accept queue
--- a/tests/net/test_maintenance_file.py
+++ b/tests/net/test_maintenance_file.py
@@ -1,4 +1,4 @@
-"""Engines in maintenance, in the file that the processes of an upgrade share."""
+"""The file of engines in maintenance that both processes of an upgrade share."""
 
 import json
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 
 
 class EngineRegistryStub:
-    """What the file uses of the engine registry."""
+    """Stub with the part of the engine registry that the file uses."""
 
     def __init__(self):
         self.maintenance = Maintenance()
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def open_file(tmp_path):
-    """Opens the file as one more process does; `directory` in place of the folder they share."""
+    """Opens the file as another process would; `directory` replaces the shared folder."""
 
     def open_one(name="n1", directory=tmp_path):
         core = SimpleNamespace(engines=EngineRegistryStub(), counters=Counters())
@@ -43,7 +43,7 @@
     return file.handle_call(HttpRequest(method="POST", body=engine), enter)
 
 
-def test_the_file_s_name_is_the_broker_s_with_safe_characters(open_file, tmp_path):
+def test_the_file_name_contains_the_broker_s_name_with_safe_characters(open_file, tmp_path):
     assert open_file("n1").path == tmp_path / "cypressledge-n1-maintenance.json"
     assert open_file("a/b c.1-x").path == tmp_path / "cypressledge-a_b_c.1-x-maintenance.json"
 
@@ -78,7 +78,7 @@
     assert call(open_file(), engine, True) == answer
 
 
-def test_what_one_process_writes_another_reads(open_file):
+def test_processes_read_each_other_s_changes(open_file):
     first, second = open_file(), open_file()
     call(first, b"s-1", True)
     second.refresh()
@@ -97,7 +97,7 @@
     assert second.core.engines.updates == 1
 
 
-def test_a_file_that_cannot_be_written_is_counted_and_the_engine_is_out_all_the_same(open_file, tmp_path):
+def test_a_write_failure_is_counted_and_the_engine_is_taken_out_nevertheless(open_file, tmp_path):
     file = open_file(directory=tmp_path / "missing")
     assert call(file, b"s-1", True) == (200, b"s-1 out\n")
     assert file.core.counters.show() == {"maintenance.save_failures": 1}
--- a/tests/net/test_receive_buffer.py
+++ b/tests/net/test_receive_buffer.py
@@ -1,4 +1,4 @@
-"""The receive buffer of a connection, and the budget that all buffers share."""
+"""The receive buffer of a connection, and the growth budget that all buffers share."""
 
 import socket
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def budget(monkeypatch):
-    """The growth budget of this test's buffers alone."""
+    """A separate growth budget for the buffers of this test."""
     own_budget = ByteBudget(LIMIT)
     monkeypatch.setattr(receive_buffer, "BUFFER_GROWTH", own_budget)
     return own_budget
@@ -26,9 +26,9 @@
 
 @pytest.fixture
 def sockets():
-    """Two connected sockets: what is sent on the second is received on the first."""
+    """Two connected sockets: the first receives what is sent on the second."""
     receiver, sender = socket.socketpair()
-    receiver.settimeout(5.0)  # a read that would block for ever fails its test
+    receiver.settimeout(5.0)  # a read that would block forever fails its test
     with receiver, sender:
         yield receiver, sender
 
@@ -68,7 +68,7 @@
     assert ReceiveBuffer(LIMIT).receive(receiver) == 0
 
 
-def test_a_read_that_uses_all_free_space_says_so(budget, sockets):
+def test_a_read_that_uses_all_free_space_sets_was_filled(budget, sockets):
     receiver, sender = sockets
     buffer = ReceiveBuffer(LIMIT)
     sender.sendall(bytes(INITIAL_SIZE))
@@ -88,7 +88,7 @@
     assert len(buffer) == 10
 
 
-def test_a_line_may_have_the_length_of_its_limit(budget, sockets):
+def test_a_line_of_the_maximum_length_is_accepted(budget, sockets):
     buffer = ReceiveBuffer(LIMIT)
     receive_all(buffer, sockets, b"12345678\r\n")
     assert buffer.peek_until(b"\r\n", 8) == b"12345678"
@@ -130,7 +130,7 @@
         buffer.receive(sockets[0])
 
 
-def test_space_of_bytes_already_taken_is_used_before_the_buffer_grows(budget, sockets):
+def test_space_of_consumed_bytes_is_reused_before_the_buffer_grows(budget, sockets):
     budget.limit = 0
     buffer = ReceiveBuffer(LIMIT)
     receive_all(buffer, sockets, bytes(INITIAL_SIZE - 3) + b"abc")
--- a/tests/net/test_socket_writer.py
+++ b/tests/net/test_socket_writer.py
@@ -1,4 +1,4 @@
-"""The send queue of a connection."""
+"""The send queue of a connection, with slow peers and process-wide limits."""
 
 import unittest
 from unittest.mock import patch
@@ -11,10 +11,10 @@
 
 
 class SlowReaders(unittest.TestCase):
-    """Peers that do not read."""
+    """Several peers that do not read exhaust the budget of queued bytes."""
 
-    def test_the_peer_with_most_queued_is_given_up_not_the_next_writer(self):
-        """Regression: a client that read all its answers was given up because others did not read theirs."""
+    def test_the_connection_with_the_most_queued_bytes_fails_not_the_next_writer(self):
+        """Regression: a client that read all its answers was disconnected because others did not."""
         self.enterContext(patch.object(QUEUED_BYTES, "limit", 3 << 19))
         pairs = [gevent.socket.socketpair() for _ in range(3)]
         failed = []
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def failures():
-    """Why connections were given up."""
+    """The reasons with which connections failed."""
     return []
 
 
@@ -71,7 +71,7 @@
     assert (writer.queued_bytes, failures) == (0, [])
 
 
-def test_bytes_that_need_not_be_sent_any_more_are_dropped(sockets, failures):
+def test_bytes_are_dropped_if_should_send_returns_false(sockets, failures):
     ours, theirs = sockets
     writer = SocketWriter(ours, 1 << 20, 30.0, failures.append)
     writer.write(b"dropped", should_send=lambda: False)
@@ -79,7 +79,7 @@
     assert received(theirs, 4) == b"sent"
 
 
-def test_a_peer_that_leaves_more_than_the_limit_queued_is_given_up(sockets, failures):
+def test_a_connection_fails_beyond_the_limit_of_queued_bytes(sockets, failures):
     ours, _ = sockets
     used = QUEUED_BYTES.used
     writer = SocketWriter(ours, 10, 30.0, failures.append)
@@ -90,7 +90,7 @@
     assert (writer.closed, writer.queued_bytes, QUEUED_BYTES.used) == (True, 0, used)
 
 
-def test_a_send_that_takes_too_long_gives_the_peer_up(sockets, failures):
+def test_a_connection_fails_if_a_send_takes_too_long(sockets, failures):
     ours, _ = sockets
     writer = SocketWriter(ours, len(LARGE), 0.05, failures.append)
     writer.write(LARGE)
@@ -109,7 +109,7 @@
     writer.below_low_water.wait()
 
 
-def test_what_is_queued_at_the_close_is_sent_and_nothing_after_it(sockets, failures):
+def test_bytes_queued_before_a_close_are_sent_and_later_writes_are_dropped(sockets, failures):
     ours, theirs = sockets
     writer = SocketWriter(ours, 1 << 20, 30.0, failures.append)
     drained = []
