--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -43,7 +43,7 @@
         self.links = links
         self.started_at = links.now()
         self.follower = PlanFollower(broker, topology.region_of)
-        self.follower.plan_heard_at = self.started_at
+        self.follower.plan_received_at = self.started_at
         self.observer = ZoneObserver(core, links.now)
         self.admission = ZoneAdmission(topology, self.follower, links.now)
         self.view = FleetView(core, topology)
@@ -109,7 +109,7 @@
     def status(self) -> ZonesAnswer:
         """How the zones stand here, for operators."""
         plan = self.follower.plan
-        heard_s = (self.links.now() - self.follower.plan_heard_at) / 1e6
+        heard_s = (self.links.now() - self.follower.plan_received_at) / 1e6
         return ZonesAnswer(
             planner=self.planner_name,
             token=plan.token if plan else 0,
@@ -130,7 +130,7 @@
     def _accept(self, plan: FailoverPlan, sender: str, now: int) -> None:
         """Take a plan over, and let the core see its lists anew where that closes or opens engines."""
         shares_before = self._shares()
-        had_left_alone = bool(self.follower.locally_evacuated)
+        had_local_evacuations = bool(self.follower.locally_evacuated)
         if not self.follower.accept(plan, now):
             return
         self.planner_name = sender
@@ -141,7 +141,7 @@
                 BrokerEvent.PLAN_ACCEPTED, token=plan.token, number=plan.number, planner=sender, shares=shares
             )
             self.core.engines.refresh()
-        elif had_left_alone:
+        elif had_local_evacuations:
             self.core.engines.refresh()
 
     def _shares(self) -> dict[str, int]:
--- a/cypressledge/fleet/zones/failover_plan.py
+++ b/cypressledge/fleet/zones/failover_plan.py
@@ -83,7 +83,7 @@
     bad_since: int | None = None
     override: str = OperatorOverride.NONE
     override_until: int = 0
-    kept_reason: str = ""  # why it was not left, as last logged
+    blocked_reason: str = ""  # why it was not left, as last logged
     share_grew_at: int = 0
 
     @property
--- a/cypressledge/fleet/zones/failover_planner.py
+++ b/cypressledge/fleet/zones/failover_planner.py
@@ -73,7 +73,7 @@
         zone = self.zones[name]
         zone.override = OperatorOverride.PRACTICE if practice else OperatorOverride.OUT
         zone.override_until = until
-        zone.kept_reason = ""
+        zone.blocked_reason = ""
         zone.reason = reason
 
     def hold(self, name: str, now: int, until: int, reason: str) -> None:
--- a/cypressledge/fleet/zones/health.py
+++ b/cypressledge/fleet/zones/health.py
@@ -16,12 +16,12 @@
 MIN_ENGINES_TRIED = 0.5  # part of a zone's engines that have to be tried for a verdict on it
 LOST_FRACTION = 0.8  # part of the engines tried, from which on a zone is lost, or slow
 DEGRADED_FRACTION = 0.3  # part of the engines tried, from which on a zone is failing in part
-VOUCH_ANSWER_AGE_MS = 400  # ms since an answer, up to which a broker vouches for an engine
-VOUCH_REPORT_AGE = 700_000  # µs that this holds: observations come each half second at least
+MAX_RECENT_ANSWER_AGE_MS = 400  # ms since an answer, up to which a broker vouches for an engine
+MAX_RECENT_REPORT_AGE = 700_000  # µs that this holds: observations come each half second at least
 REPORTS_PER_STEP = 8  # brokers' observations looked at in one step
-DOWN_FAILURES = 2  # failures in a row, over all brokers, nobody vouching, that make an engine down
-ISOLATED_ANSWERS = 0.2  # answers for each failure, up to which a broker may be isolated itself
-SLOW_ANSWERS = 0.5  # part of an engine's answers that is late, above which it is slow
+MIN_DOWN_FAILURES = 2  # failures in a row, over all brokers, nobody vouching, that make an engine down
+MAX_ISOLATED_ANSWER_RATIO = 0.2  # answers for each failure, up to which a broker may be isolated itself
+SLOW_LATE_FRACTION = 0.5  # part of an engine's answers that is late, above which it is slow
 
 
 class Verdict(Enum):
@@ -70,24 +70,24 @@
     answers: float = 0.0
     late: float = 0.0
     failures: int = 0
-    vouched: bool = False
+    recently_answered: bool = False
 
     @property
     def is_down(self) -> bool:
         """It fails for whoever tries, and nobody has had an answer since."""
-        return self.failures >= DOWN_FAILURES and not self.vouched
+        return self.failures >= MIN_DOWN_FAILURES and not self.recently_answered
 
     @property
     def is_slow(self) -> bool:
         """It answers, but mostly late."""
-        return not self.is_down and self.late > SLOW_ANSWERS * self.answers > 0
+        return not self.is_down and self.late > SLOW_LATE_FRACTION * self.answers > 0
 
 
 @dataclass(slots=True)
 class PathTotals:
     """What brokers of one zone observed of another: answers just had, and failures."""
 
-    vouched: int = 0
+    recently_answered: int = 0
     failures: int = 0
 
 
@@ -157,10 +157,10 @@
     found = {}
     zone_count = len(set(engine_zones.values()))
     for broker, tried in suspects.items():
-        refuted = [e for e in tried if _failures(e) and answered[e.engine] - {broker}]
-        zones = {engine_zones[e.engine] for e in refuted}
-        if len(refuted) >= max(2, len(tried) / 2) and (len(zones) > 1 or zone_count == 1):
-            found[broker] = f"all fails from {broker} at {len(refuted)} engines that answer others"
+        contradicted = [e for e in tried if _failures(e) and answered[e.engine] - {broker}]
+        zones = {engine_zones[e.engine] for e in contradicted}
+        if len(contradicted) >= max(2, len(tried) / 2) and (len(zones) > 1 or zone_count == 1):
+            found[broker] = f"all fails from {broker} at {len(contradicted)} engines that answer others"
     return found
 
 
@@ -172,15 +172,15 @@
     for report in reports:
         tried = [engine for engine in report.observed.engines if engine.engine in engine_zones]
         failures = sum(map(_failures, tried))
-        if failures >= MIN_ATTEMPTS and sum(map(_answers, tried)) <= ISOLATED_ANSWERS * failures:
+        if failures >= MIN_ATTEMPTS and sum(map(_answers, tried)) <= MAX_ISOLATED_ANSWER_RATIO * failures:
             suspects[report.broker] = tried
     return suspects
 
 
-def vouches_for(report: BrokerObservations, engine: EngineObservation) -> bool:
+def has_recent_answer(report: BrokerObservations, engine: EngineObservation) -> bool:
     """Whether a broker has just had an answer of an engine, and no failure since."""
-    answered_lately = 0 <= engine.last_answer_age_ms < VOUCH_ANSWER_AGE_MS
-    return engine.consecutive_failures == 0 and answered_lately and report.age < VOUCH_REPORT_AGE
+    answered_lately = 0 <= engine.last_answer_age_ms < MAX_RECENT_ANSWER_AGE_MS
+    return engine.consecutive_failures == 0 and answered_lately and report.age < MAX_RECENT_REPORT_AGE
 
 
 def _answers(engine: EngineObservation) -> int:
@@ -206,14 +206,14 @@
             continue
         zone_totals, answers = totals[zone], _answers(engine)
         zone_totals.attempts += answers + _failures(engine)
-        vouched = vouches_for(report, engine)
+        recently_answered = has_recent_answer(report, engine)
         engine_totals = zone_totals.engines[engine.engine]
         engine_totals.answers += weight * answers
         engine_totals.late += weight * engine.late
         engine_totals.failures += engine.consecutive_failures
-        engine_totals.vouched |= vouched
+        engine_totals.recently_answered |= recently_answered
         path = zone_totals.paths[report.zone]
-        path.vouched += vouched
+        path.recently_answered += recently_answered
         path.failures += engine.consecutive_failures
         if engine.consecutive_failures:
             zone_totals.failing_brokers.add(report.broker)
@@ -250,6 +250,14 @@
 
 def _cut_off_zones(paths: dict[str, PathTotals]) -> str:
     """The zones whose brokers see only failures where those of other zones get answers."""
-    dark = [zone for zone, path in paths.items() if path.failures >= DOWN_FAILURES and not path.vouched]
-    light = [zone for zone, path in paths.items() if path.vouched and path.failures <= path.vouched]
-    return " ".join(sorted(dark)) if dark and light else ""
+    failing = [
+        zone
+        for zone, path in paths.items()
+        if path.failures >= MIN_DOWN_FAILURES and not path.recently_answered
+    ]
+    answering = [
+        zone
+        for zone, path in paths.items()
+        if path.recently_answered and path.failures <= path.recently_answered
+    ]
+    return " ".join(sorted(failing)) if failing and answering else ""
--- a/cypressledge/fleet/zones/observer.py
+++ b/cypressledge/fleet/zones/observer.py
@@ -20,11 +20,12 @@
         self.core = core
         self.now = now
         self.observations = AttemptObservations()
-        self.heard_at: dict[Attempt, int] = {}  # when an engine last reported progress of an open attempt
+        # when an engine last reported progress of an open attempt
+        self.progress_reported_at: dict[Attempt, int] = {}
 
     def attempt_ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
         """An attempt has ended, after `latency` µs."""
-        silent = self.heard_at.pop(attempt, None) is None
+        silent = self.progress_reported_at.pop(attempt, None) is None
         query = attempt.request.query
         ended = EndedAttempt(
             attempt=attempt,
@@ -39,7 +40,7 @@
 
     def attempt_progressed(self, attempt: Attempt) -> None:
         """An engine has reported progress of an attempt."""
-        self.heard_at[attempt] = self.now()
+        self.progress_reported_at[attempt] = self.now()
 
     def snapshot(self, now: int) -> list[EngineObservation]:
         """Look at the attempts that are open now, and sum up the last windows."""
@@ -54,8 +55,8 @@
                 if not attempt.is_open:
                     continue
                 silence = core_now - attempt.sent_at
-                if attempt in self.heard_at:
-                    silence = min(silence, now - self.heard_at[attempt])
+                if attempt in self.progress_reported_at:
+                    silence = min(silence, now - self.progress_reported_at[attempt])
                 expected = self._expected_time(request.query)
                 found.append(OpenAttempt(attempt, attempt.endpoint.id, silence, expected))
         return found
--- a/cypressledge/fleet/zones/plan_follower.py
+++ b/cypressledge/fleet/zones/plan_follower.py
@@ -25,7 +25,7 @@
         self.planner_timeout = planner_timeout
         self.plan: FailoverPlan | None = None
         self.statuses: dict[str, ZoneStatus] = {}  # of zones and regions
-        self.plan_heard_at = 0
+        self.plan_received_at = 0
         self.planner_back_at = 0  # when the last time without a planner ended
         self.locally_evacuated: set[str] = set()  # zones left on evidence of this broker's own
         self.rejected_plans = 0
@@ -40,7 +40,7 @@
         if self.planner_is_missing(now):
             self.planner_back_at = now
         self.plan = plan
-        self.plan_heard_at = now
+        self.plan_received_at = now
         self.statuses = {status.name: status for status in (*plan.zones, *plan.regions)}
         # Guards against a return all at once: the planner hears what was left before its plan on it counts.
         if now - self.planner_back_at >= REJOIN_DELAY:
@@ -59,7 +59,7 @@
 
     def planner_is_missing(self, now: int) -> bool:
         """Whether no plan has come for so long that strong evidence of this broker's own counts."""
-        return now - self.plan_heard_at >= self.planner_timeout
+        return now - self.plan_received_at >= self.planner_timeout
 
     def observe(self, now: int, own_findings: dict[str, ZoneFinding]) -> bool:
         """Without a planner, leave zones that are lost as far as this broker sees, while another is healthy;
--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -22,8 +22,9 @@
 from cypressledge.fleet.zones.recovery_ramp import usable_fraction
 
 REPEAT_INTERVAL = 1_000_000  # µs between sendings of an unchanged plan,
-FIRST_REPEATS = {1: 100_000, 2: 200_000}  # but after the first and the second: a datagram may get lost
-MIN_ADOPTERS = 2  # brokers that have to have left a zone by themselves for the planner to adopt that
+# but after the first and the second: a datagram may get lost
+INITIAL_REPEAT_INTERVALS = {1: 100_000, 2: 200_000}
+MIN_EVACUATED_BROKERS = 2  # brokers that have to have left a zone by themselves for the planner to adopt that
 
 
 class NotPlanningError(AttributeError):
@@ -121,9 +122,9 @@
         regions = FailoverPlanner(self.topology.regions, self.pace, now, self._log_region_event)
         known = self.follower.plan
         if known is not None:
-            heard_at = self.follower.plan_heard_at
-            zones.resume(known.number, known.zones, bool(known.shed), heard_at)
-            regions.resume(0, known.regions, False, heard_at)
+            received_at = self.follower.plan_received_at
+            zones.resume(known.number, known.zones, bool(known.shed), received_at)
+            regions.resume(0, known.regions, False, received_at)
         self.term = PlannerTerm(grant, zones, regions)
         self.sent_at = 0
         self.links.log_event(BrokerEvent.PLANNER_STARTED, token=grant.token, number=zones.number)
@@ -132,11 +133,13 @@
         """Take on what most brokers left by themselves, so that they do not come back all at once."""
         fresh = [report for report in reports if report.age < MAX_AGE]
         for name, zone in planner.zones.items():
-            alone = sum(name in report.observed.locally_evacuated_zones for report in fresh)
-            others = any(z.share == FULL_SHARE for z in planner.zones.values() if z is not zone)
-            enough = alone >= max(MIN_ADOPTERS, len(fresh) / 2)
-            if zone.stage is ZoneStage.SERVING and others and enough:
-                planner.adopt(name, now, f"{alone} of {len(fresh)} brokers left it without a planner")
+            evacuated_brokers = sum(name in report.observed.locally_evacuated_zones for report in fresh)
+            another_serves = any(z.share == FULL_SHARE for z in planner.zones.values() if z is not zone)
+            enough = evacuated_brokers >= max(MIN_EVACUATED_BROKERS, len(fresh) / 2)
+            if zone.stage is ZoneStage.SERVING and another_serves and enough:
+                planner.adopt(
+                    name, now, f"{evacuated_brokers} of {len(fresh)} brokers left it without a planner"
+                )
 
     def _plan(self, term: PlannerTerm, grant: HeldLease, now: int) -> None:
         """Step both planners, and send the plan where it is due."""
@@ -149,7 +152,7 @@
             changed |= term.regions.step(now, self.region_health.zones, region_loads, over)
         if changed:
             self.times_sent = 0
-        interval = FIRST_REPEATS.get(self.times_sent, REPEAT_INTERVAL)
+        interval = INITIAL_REPEAT_INTERVALS.get(self.times_sent, REPEAT_INTERVAL)
         if changed or now - self.sent_at >= interval:
             self._send_plan(term, grant, loads, now)
 
@@ -176,9 +179,9 @@
     ) -> Mapping[str, int]:
         counts = self.view.tenant_counts(now)
         over = over_quota(counts, self.topology.quotas)
-        return shed_permille_by_tenant(counts, over, self._excess(term, counts, loads, now))
+        return shed_permille_by_tenant(counts, over, self._excess_fraction(term, counts, loads, now))
 
-    def _excess(
+    def _excess_fraction(
         self, term: PlannerTerm, counts: Mapping[str, int], loads: Mapping[str, ZoneLoad], now: int
     ) -> float:
         """The part of all work that comes, shed or not, which the zones can't bear while one is away: 0 to 1.
@@ -191,10 +194,10 @@
         work_per_answer = self.view.work_per_answer(now)
         if all(zone.stage in serving for zone in states) or work_per_answer is None:
             return 0.0
-        arriving = sum(counts.values()) / COUNT_SECONDS * work_per_answer
+        offered_load = sum(counts.values()) / COUNT_SECONDS * work_per_answer
         usable = sum(load.cores * self._usable_fraction(term, zone, now) for zone, load in loads.items())
-        bearable = usable * self.pace.max_utilization
-        return max(0.0, 1 - bearable / arriving) if arriving else 0.0
+        usable_capacity = usable * self.pace.max_utilization
+        return max(0.0, 1 - usable_capacity / offered_load) if offered_load else 0.0
 
     def _usable_fraction(self, term: PlannerTerm, zone_name: str, now: int) -> float:
         """The part of a zone's cores that may be reckoned with: no more than its region's."""
--- a/cypressledge/fleet/zones/planning_input.py
+++ b/cypressledge/fleet/zones/planning_input.py
@@ -6,7 +6,7 @@
 from cypressledge.fleet.zones.failover_plan import FULL_SHARE, SHARE_STEPS, ZoneLoad
 from cypressledge.fleet.zones.health import Verdict, ZoneFinding
 
-MIN_USE = 0.4  # part of all cores that a return reckons with at the least: work may grow meanwhile
+MIN_UTILIZATION = 0.4  # part of all cores that a return reckons with at the least: work may grow meanwhile
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,11 +38,11 @@
         )
         return another_healthy and load.used < idle_utilization * load.cores
 
-    def use(self) -> float:
+    def utilization(self) -> float:
         """The part of all cores that the work takes."""
         used = sum(load.used for load in self.loads.values())
         cores = sum(load.cores for load in self.loads.values())
-        return min(1.0, max(MIN_USE, used / cores)) if cores else 1.0
+        return min(1.0, max(MIN_UTILIZATION, used / cores)) if cores else 1.0
 
     def share_to_keep(self, zone: str, others: list[str], max_utilization: float, over_quota: float) -> int:
         """What of a zone that still serves has to stay, permille in steps, for the others to bear the rest
@@ -55,8 +55,8 @@
         )
         if own <= 0:
             return 0
-        stays = max(0.0, 1 - spare / own)
-        if not stays:
+        remainder = max(0.0, 1 - spare / own)
+        if not remainder:
             return 0
-        steps = -(-int(stays * FULL_SHARE) * SHARE_STEPS // FULL_SHARE)  # rounded up
+        steps = -(-int(remainder * FULL_SHARE) * SHARE_STEPS // FULL_SHARE)  # rounded up
         return steps * FULL_SHARE // SHARE_STEPS
--- a/cypressledge/fleet/zones/recovery_ramp.py
+++ b/cypressledge/fleet/zones/recovery_ramp.py
@@ -19,12 +19,12 @@
     return min(1.0, pace.cold_capacity + (1 - pace.cold_capacity) * age / pace.warm_up_time)
 
 
-def recovery_share(age: int, pace: FailoverPace, use: float = 1.0) -> int:
+def recovery_share(age: int, pace: FailoverPace, utilization: float = 1.0) -> int:
     """The share of a zone that came back `age` µs ago, permille: under what its engines can do by then, in
-    steps, full once that is all of the work there is. `use`: the part of all cores that the fleet's work
-    takes; a full share is no more than that of the zone."""
+    steps, full once that is all of the work there is. `utilization`: the part of all cores that the fleet's
+    work takes; a full share is no more than that of the zone."""
     part = (
-        min(1.0, pace.safety_margin * warm_fraction(age, pace) / use)
+        min(1.0, pace.safety_margin * warm_fraction(age, pace) / utilization)
         if age < pace.warm_up_time * FULL_AFTER
         else 1.0
     )
--- a/cypressledge/fleet/zones/stage_machines.py
+++ b/cypressledge/fleet/zones/stage_machines.py
@@ -29,33 +29,33 @@
 
 
 class ZoneStageMachines:
-    """The state machines of all zones, by name. `use`: the part of all cores that the work takes, as of the
-    last step; `sheds_load`: the others can't bear what has been left, requests are shed."""
+    """The state machines of all zones, by name. `utilization`: the part of all cores that the work takes, as
+    of the last step; `sheds_load`: the others can't bear what has been left, requests are shed."""
 
     def __init__(self, zones: Iterable[str], pace: FailoverPace, now: int, log_event: LogZoneEvent) -> None:
         self.pace = pace
         self.log_event = log_event
         self.zones = {name: ZoneState(name, since=now) for name in zones}
-        self.use = 1.0
+        self.utilization = 1.0
         self.sheds_load = False
 
     def trial(self, log_event: LogZoneEvent) -> "ZoneStageMachines":
         """A copy that can be stepped to see what would come of it."""
         trial = ZoneStageMachines((), self.pace, 0, log_event)
         trial.zones = deepcopy(self.zones)
-        trial.use = self.use
+        trial.utilization = self.utilization
         trial.sheds_load = self.sheds_load
         return trial
 
-    def step(self, given: PlanningInput) -> None:
+    def step(self, inputs: PlanningInput) -> None:
         """Let time and findings work on all zones."""
-        self.use = given.use()
+        self.utilization = inputs.utilization()
         for zone in self.zones.values():
-            self._record_finding(zone, given)
+            self._record_finding(zone, inputs)
         for zone in self.zones.values():
-            self._step_override(zone, given.now)
+            self._step_override(zone, inputs.now)
             if zone.override != OperatorOverride.HOLD:
-                self._STAGE_STEPS[zone.stage](self, zone, given)
+                self._STAGE_STEPS[zone.stage](self, zone, inputs)
         if all(zone.stage is ZoneStage.SERVING for zone in self.zones.values()):
             self.sheds_load = False
 
@@ -73,14 +73,14 @@
         zone.bad_since = None
         self._enter(zone, ZoneStage.OUT, now, reason)
 
-    def _record_finding(self, zone: ZoneState, given: PlanningInput) -> None:
+    def _record_finding(self, zone: ZoneState, inputs: PlanningInput) -> None:
         """Keep since when a zone has been bad. Insufficient data leaves it as it was."""
-        finding = given.findings.get(zone.name)
+        finding = inputs.findings.get(zone.name)
         verdict = finding.verdict if finding else Verdict.INSUFFICIENT_DATA
         if verdict is Verdict.LOST or (
-            verdict is Verdict.SLOW and given.is_slow_while_idle(zone.name, self.pace.idle_utilization)
+            verdict is Verdict.SLOW and inputs.is_slow_while_idle(zone.name, self.pace.idle_utilization)
         ):
-            zone.bad_since = given.now if zone.bad_since is None else zone.bad_since
+            zone.bad_since = inputs.now if zone.bad_since is None else zone.bad_since
         elif verdict is not Verdict.INSUFFICIENT_DATA:
             zone.bad_since = None
 
@@ -113,7 +113,7 @@
         self.log_event(ZoneEvent(f"zone_{stage.value}"), zone.name, reason)
 
     def _begin_ramp(self, zone: ZoneState, now: int) -> None:
-        zone.share = max(zone.share, recovery_share(0, self.pace, self.use))
+        zone.share = max(zone.share, recovery_share(0, self.pace, self.utilization))
         zone.share_grew_at = now
 
     def _is_confirmed_bad(self, zone: ZoneState, now: int) -> bool:
@@ -121,67 +121,67 @@
 
     # One step of each stage
 
-    def _step_serving(self, zone: ZoneState, given: PlanningInput) -> None:
+    def _step_serving(self, zone: ZoneState, inputs: PlanningInput) -> None:
         zone.share = FULL_SHARE
-        if given.now - zone.since > self.pace.forget_failed_returns_after:
+        if inputs.now - zone.since > self.pace.forget_failed_returns_after:
             zone.failed_returns = 0
         if zone.is_kept_out:
-            self._leave(zone, given, zone.reason)
+            self._leave(zone, inputs, zone.reason)
         elif zone.bad_since is not None:
-            self._enter(zone, ZoneStage.SUSPECT, given.now, given.findings[zone.name].reason)
+            self._enter(zone, ZoneStage.SUSPECT, inputs.now, inputs.findings[zone.name].reason)
 
-    def _step_suspect(self, zone: ZoneState, given: PlanningInput) -> None:
-        finding = given.findings.get(zone.name)
+    def _step_suspect(self, zone: ZoneState, inputs: PlanningInput) -> None:
+        finding = inputs.findings.get(zone.name)
         if zone.is_kept_out:
-            self._leave(zone, given, zone.reason)
+            self._leave(zone, inputs, zone.reason)
         elif zone.bad_since is None:
-            self._enter(zone, ZoneStage.SERVING, given.now, "the failures have ended")
-        elif self._is_confirmed_bad(zone, given.now) and finding is not None:
-            self._leave(zone, given, finding.reason)
-
-    def _step_leaving(self, zone: ZoneState, given: PlanningInput) -> None:
-        self._leave_rest_if_lost(zone, given)
-        if given.now - zone.since >= self.pace.drain_time:
-            self._enter(zone, ZoneStage.OUT, given.now, zone.reason)
-
-    def _step_out(self, zone: ZoneState, given: PlanningInput) -> None:
-        self._leave_rest_if_lost(zone, given)
-        time_out = given.now - zone.since
+            self._enter(zone, ZoneStage.SERVING, inputs.now, "the failures have ended")
+        elif self._is_confirmed_bad(zone, inputs.now) and finding is not None:
+            self._leave(zone, inputs, finding.reason)
+
+    def _step_leaving(self, zone: ZoneState, inputs: PlanningInput) -> None:
+        self._leave_rest_if_lost(zone, inputs)
+        if inputs.now - zone.since >= self.pace.drain_time:
+            self._enter(zone, ZoneStage.OUT, inputs.now, zone.reason)
+
+    def _step_out(self, zone: ZoneState, inputs: PlanningInput) -> None:
+        self._leave_rest_if_lost(zone, inputs)
+        time_out = inputs.now - zone.since
         waited = time_out >= min(self.pace.min_time_out << zone.failed_returns, self.pace.max_time_out)
         if zone.is_kept_out or not waited:
             return
         reason = f"out for {time_out / SECOND:.0f} s, flaps {zone.failed_returns}"
-        self._enter(zone, ZoneStage.RETURNING, given.now, reason)
+        self._enter(zone, ZoneStage.RETURNING, inputs.now, reason)
         zone.bad_since = None
-        self._begin_ramp(zone, given.now)
+        self._begin_ramp(zone, inputs.now)
 
-    def _step_returning(self, zone: ZoneState, given: PlanningInput) -> None:
-        if zone.is_kept_out or self._is_confirmed_bad(zone, given.now):
-            self._end_return(zone, given)
+    def _step_returning(self, zone: ZoneState, inputs: PlanningInput) -> None:
+        if zone.is_kept_out or self._is_confirmed_bad(zone, inputs.now):
+            self._end_return(zone, inputs)
             return
-        self._grow_share(zone, given)
+        self._grow_share(zone, inputs)
         if zone.share >= FULL_SHARE:
-            self._enter(zone, ZoneStage.SERVING, given.now, "back whole")
+            self._enter(zone, ZoneStage.SERVING, inputs.now, "back whole")
 
-    def _end_return(self, zone: ZoneState, given: PlanningInput) -> None:
+    def _end_return(self, zone: ZoneState, inputs: PlanningInput) -> None:
         """Out again: by hand, or because it failed again."""
         failed = not zone.is_kept_out
         zone.failed_returns = min(zone.failed_returns + failed, MAX_DOUBLINGS)
         zone.share = 0
-        finding = given.findings.get(zone.name)
+        finding = inputs.findings.get(zone.name)
         failed_again = f"it failed again: {finding.reason if finding else zone.reason}"
         by_hand = zone.override != OperatorOverride.NONE
-        self._enter(zone, ZoneStage.OUT, given.now, zone.reason if by_hand else failed_again)
+        self._enter(zone, ZoneStage.OUT, inputs.now, zone.reason if by_hand else failed_again)
 
-    def _grow_share(self, zone: ZoneState, given: PlanningInput) -> None:
+    def _grow_share(self, zone: ZoneState, inputs: PlanningInput) -> None:
         """One step up at most. Strain halts the return where it is; after it, it goes on a step at a time."""
-        waited = given.now - zone.share_grew_at >= self.pace.share_step_interval
-        if zone.bad_since is not None or given.is_strained(zone.name) or not waited:
+        waited = inputs.now - zone.share_grew_at >= self.pace.share_step_interval
+        if zone.bad_since is not None or inputs.is_strained(zone.name) or not waited:
             return
-        target = recovery_share(given.now - zone.since, self.pace, self.use)
+        target = recovery_share(inputs.now - zone.since, self.pace, self.utilization)
         if target > zone.share:
             zone.share = min(target, zone.share + -(-FULL_SHARE // SHARE_STEPS))
-            zone.share_grew_at = given.now
+            zone.share_grew_at = inputs.now
 
     _STAGE_STEPS: ClassVar[dict[ZoneStage, StageStep]] = {
         ZoneStage.SERVING: _step_serving,
@@ -193,29 +193,29 @@
 
     # Leaving
 
-    def _leave(self, zone: ZoneState, given: PlanningInput, reason: str) -> None:
+    def _leave(self, zone: ZoneState, inputs: PlanningInput, reason: str) -> None:
         """Leave a zone, in part where the others can't bear all of a zone that still serves."""
         others = self._serving_others(zone)
         if not others:
-            self._keep(zone, "no other zone serves whole: the last ones are not left")
+            self._block_evacuation(zone, "no other zone serves whole: the last ones are not left")
             return
-        remainder = given.share_to_keep(zone.name, others, self.pace.max_utilization, 0.0)
+        remainder = inputs.share_to_keep(zone.name, others, self.pace.max_utilization, 0.0)
         if zone.override == OperatorOverride.PRACTICE and remainder:
             self._end_practice(zone, "the others can't bear its load")
             return
         self.sheds_load |= remainder > 0
         share = 0
-        if remainder and not given.is_lost(zone.name):
-            share = given.share_to_keep(zone.name, others, self.pace.max_utilization, given.over_quota)
+        if remainder and not inputs.is_lost(zone.name):
+            share = inputs.share_to_keep(zone.name, others, self.pace.max_utilization, inputs.over_quota)
         if share >= FULL_SHARE:
-            self._keep(zone, "the other zones can't bear any of its load")
+            self._block_evacuation(zone, "the other zones can't bear any of its load")
             return
         zone.share = share
-        zone.kept_reason = ""
+        zone.blocked_reason = ""
         limits = f"{100 - share // 10}% of it: the others can't bear more; " if share else ""
-        if remainder and given.over_quota > 0:
-            limits += f"what is over its tenants' shares ({given.over_quota:.0%}) is refused first; "
-        self._enter(zone, ZoneStage.LEAVING, given.now, limits + reason)
+        if remainder and inputs.over_quota > 0:
+            limits += f"what is over its tenants' shares ({inputs.over_quota:.0%}) is refused first; "
+        self._enter(zone, ZoneStage.LEAVING, inputs.now, limits + reason)
 
     def _serving_others(self, zone: ZoneState) -> list[str]:
         """The other zones that can take its load on."""
@@ -228,15 +228,15 @@
             and not other.is_kept_out
         ]
 
-    def _leave_rest_if_lost(self, zone: ZoneState, given: PlanningInput) -> None:
+    def _leave_rest_if_lost(self, zone: ZoneState, inputs: PlanningInput) -> None:
         """Leave the rest of a zone that was left in part and is lost now."""
-        if zone.share and given.is_lost(zone.name) and self._is_confirmed_bad(zone, given.now):
+        if zone.share and inputs.is_lost(zone.name) and self._is_confirmed_bad(zone, inputs.now):
             zone.share = 0
-            zone.reason = given.findings[zone.name].reason
+            zone.reason = inputs.findings[zone.name].reason
             self.log_event(ZoneEvent.FULLY_EVACUATED, zone.name, zone.reason)
 
-    def _keep(self, zone: ZoneState, reason: str) -> None:
+    def _block_evacuation(self, zone: ZoneState, reason: str) -> None:
         """A zone is not left after all; logged once."""
-        if zone.kept_reason != reason:
-            zone.kept_reason = reason
+        if zone.blocked_reason != reason:
+            zone.blocked_reason = reason
             self.log_event(ZoneEvent.EVACUATION_BLOCKED, zone.name, reason)
--- a/tests/recordings/zone_decisions_scenarios.py
+++ b/tests/recordings/zone_decisions_scenarios.py
@@ -117,7 +117,7 @@
             changed,
             planner.number,
             planner.sheds_load,
-            planner.machines.use,
+            planner.machines.utilization,
             planner.statuses(now),
             [usable_fraction(z, now, planner.machines.pace) for z in planner.zones.values()],
         )
--- a/tests/zones/test_failover_planner.py
+++ b/tests/zones/test_failover_planner.py
@@ -52,27 +52,27 @@
 
 
 def test_a_lost_zone_is_left_within_the_second_and_returned_to_at_its_pace():
-    play = PlannerRun().run(600_000, a=Verdict.LOST)
-    assert play.stage() is ZoneStage.LEAVING
-    assert play.share() == 0
-    play.run(3 * S, a=Verdict.LOST)
-    assert play.stage() is ZoneStage.OUT
-    play.run(4 * S, a=Verdict.INSUFFICIENT_DATA)
-    assert play.stage() is ZoneStage.RETURNING
-    began, shares = play.planner.zones["a"].since, []
-    while play.stage() is ZoneStage.RETURNING:
-        play.run(100_000)
-        shares.append((play.now - began, play.share()))
-        can = PACE.cold_capacity + (1 - PACE.cold_capacity) * (play.now - began) / PACE.warm_up_time
+    planner_run = PlannerRun().run(600_000, a=Verdict.LOST)
+    assert planner_run.stage() is ZoneStage.LEAVING
+    assert planner_run.share() == 0
+    planner_run.run(3 * S, a=Verdict.LOST)
+    assert planner_run.stage() is ZoneStage.OUT
+    planner_run.run(4 * S, a=Verdict.INSUFFICIENT_DATA)
+    assert planner_run.stage() is ZoneStage.RETURNING
+    began, shares = planner_run.planner.zones["a"].since, []
+    while planner_run.stage() is ZoneStage.RETURNING:
+        planner_run.run(100_000)
+        shares.append((planner_run.now - began, planner_run.share()))
+        can = PACE.cold_capacity + (1 - PACE.cold_capacity) * (planner_run.now - began) / PACE.warm_up_time
         work = (
-            play.share() / FULL_SHARE * play.planner.machines.use
+            planner_run.share() / FULL_SHARE * planner_run.planner.machines.utilization
         )  # of its cores, while the fleet's work stays as it is
-        assert play.now - began >= 1.25 * PACE.warm_up_time or work <= PACE.safety_margin * can + 1e-9
+        assert planner_run.now - began >= 1.25 * PACE.warm_up_time or work <= PACE.safety_margin * can + 1e-9
     assert shares[0][1] > 0
     assert shares[-1][1] == FULL_SHARE
     assert shares[-1][0] <= 1.5 * PACE.warm_up_time
     assert all(b - a <= FULL_SHARE / 16 + 1 for (_, a), (_, b) in itertools.pairwise(shares))
-    assert [e for e, z in play.events] == [
+    assert [e for e, z in planner_run.events] == [
         "zone_suspect",
         "zone_leaving",
         "zone_out",
@@ -82,9 +82,9 @@
 
 
 def test_a_short_failure_is_not_a_loss():
-    play = PlannerRun().run(300_000, a=Verdict.LOST).run(S)
-    assert play.stage() is ZoneStage.SERVING
-    assert play.share() == FULL_SHARE
+    planner_run = PlannerRun().run(300_000, a=Verdict.LOST).run(S)
+    assert planner_run.stage() is ZoneStage.SERVING
+    assert planner_run.share() == FULL_SHARE
 
 
 def test_a_busy_zone_that_is_late_is_not_left_and_one_that_is_slow_for_no_work_is():
@@ -102,48 +102,48 @@
 
 
 def test_a_zone_that_falls_again_stays_out_twice_as_long_each_time():
-    play, outs = PlannerRun(), []
+    planner_run, outs = PlannerRun(), []
     for _ in range(5):
-        play.run(S, a=Verdict.LOST)
-        began = play.now
-        while play.stage() is not ZoneStage.RETURNING:
-            play.run(100_000, a=Verdict.LOST)
-        outs.append(play.now - began)
-        play.run(3 * S)
-        assert play.share() > 0
+        planner_run.run(S, a=Verdict.LOST)
+        began = planner_run.now
+        while planner_run.stage() is not ZoneStage.RETURNING:
+            planner_run.run(100_000, a=Verdict.LOST)
+        outs.append(planner_run.now - began)
+        planner_run.run(3 * S)
+        assert planner_run.share() > 0
     assert all(b > 1.4 * a for a, b in itertools.pairwise(outs)), outs
 
 
 def test_strain_halts_a_return_without_a_jump_after_it():
-    play = PlannerRun().run(S, a=Verdict.LOST).run(8 * S, a=Verdict.INSUFFICIENT_DATA)
-    while play.share() < 400:
-        play.run(100_000)
-    halted = play.share()
-    play.run(10 * S, a=Verdict.DEGRADED)
-    assert play.share() == halted
-    assert play.stage() is ZoneStage.RETURNING
-    play.run(500_000)
-    assert play.share() <= halted + FULL_SHARE / 16 + 1
+    planner_run = PlannerRun().run(S, a=Verdict.LOST).run(8 * S, a=Verdict.INSUFFICIENT_DATA)
+    while planner_run.share() < 400:
+        planner_run.run(100_000)
+    halted = planner_run.share()
+    planner_run.run(10 * S, a=Verdict.DEGRADED)
+    assert planner_run.share() == halted
+    assert planner_run.stage() is ZoneStage.RETURNING
+    planner_run.run(500_000)
+    assert planner_run.share() <= halted + FULL_SHARE / 16 + 1
 
 
 def test_the_last_serving_zone_is_never_left():
-    play = PlannerRun().run(S, a=Verdict.LOST).run(2 * S, a=Verdict.LOST, b=Verdict.LOST)
-    assert [play.share(z) for z in ZONES] == [0, 0, FULL_SHARE]
-    play.run(5 * S, a=Verdict.LOST, b=Verdict.LOST, c=Verdict.LOST)
-    assert play.share("c") == FULL_SHARE
-    assert ("zone_kept", "c") in play.events
+    planner_run = PlannerRun().run(S, a=Verdict.LOST).run(2 * S, a=Verdict.LOST, b=Verdict.LOST)
+    assert [planner_run.share(z) for z in ZONES] == [0, 0, FULL_SHARE]
+    planner_run.run(5 * S, a=Verdict.LOST, b=Verdict.LOST, c=Verdict.LOST)
+    assert planner_run.share("c") == FULL_SHARE
+    assert ("zone_kept", "c") in planner_run.events
     both = PlannerRun(zones=("a", "b")).run(3 * S, a=Verdict.LOST, b=Verdict.LOST)
     assert [both.share(z) for z in "ab"] == [FULL_SHARE, FULL_SHARE]
 
 
 def test_a_leave_by_hand_is_partial_where_the_others_cannot_bear_it():
     heavy = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(22.0, 32.0), "c": ZoneLoad(24.0, 32.0)}
-    play = PlannerRun(loads=heavy)
-    play.planner.leave("a", play.now, play.now + 30 * S, "by hand: a mistake")
-    play.run(S)
-    moved = (1 - play.share() / FULL_SHARE) * 20
+    planner_run = PlannerRun(loads=heavy)
+    planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "by hand: a mistake")
+    planner_run.run(S)
+    moved = (1 - planner_run.share() / FULL_SHARE) * 20
     spare = 2 * 0.9 * 32 - 22 - 24
-    assert 0 < play.share() < FULL_SHARE
+    assert 0 < planner_run.share() < FULL_SHARE
     assert moved <= spare
     full = PlannerRun(loads={z: ZoneLoad(30.0, 32.0) for z in ZONES})
     full.planner.leave("a", full.now, full.now + 30 * S, "by hand: a mistake")
@@ -153,13 +153,13 @@
 
 
 def test_an_operator_override_expires():
-    play = PlannerRun()
-    play.planner.leave("a", play.now, play.now + 20 * S, "practice")
-    play.run(19 * S)
-    assert play.stage() is ZoneStage.OUT
-    assert play.share() == 0
-    play.run(2 * S)
-    assert play.stage() is ZoneStage.RETURNING
+    planner_run = PlannerRun()
+    planner_run.planner.leave("a", planner_run.now, planner_run.now + 20 * S, "practice")
+    planner_run.run(19 * S)
+    assert planner_run.stage() is ZoneStage.OUT
+    assert planner_run.share() == 0
+    planner_run.run(2 * S)
+    assert planner_run.stage() is ZoneStage.RETURNING
     held = PlannerRun()
     held.planner.hold("a", held.now, held.now + 10 * S, "leave it to me")
     held.run(9 * S, a=Verdict.LOST)
@@ -169,39 +169,39 @@
 
 
 def test_a_successor_resumes_without_a_jump_of_shares():
-    play = PlannerRun().run(S, a=Verdict.LOST).run(8 * S, a=Verdict.INSUFFICIENT_DATA)
-    while play.share() < 500:
-        play.run(100_000)
-    stood = play.planner.statuses(play.now)
-    heir = PlannerRun()
-    heir.now = play.now + 700 * S  # its clock has nothing to do with the other's
-    heir.planner.resume(play.planner.number, stood, False, heir.now)
-    assert heir.stage() is ZoneStage.RETURNING
-    assert heir.share() == play.share()
-    assert heir.planner.statuses(heir.now) == stood
-    assert heir.planner.number == play.planner.number
-    heir.run(500_000)
-    assert play.share() <= heir.share() <= play.share() + FULL_SHARE / 16 + 1
+    planner_run = PlannerRun().run(S, a=Verdict.LOST).run(8 * S, a=Verdict.INSUFFICIENT_DATA)
+    while planner_run.share() < 500:
+        planner_run.run(100_000)
+    statuses_before = planner_run.planner.statuses(planner_run.now)
+    successor = PlannerRun()
+    successor.now = planner_run.now + 700 * S  # its clock has nothing to do with the other's
+    successor.planner.resume(planner_run.planner.number, statuses_before, False, successor.now)
+    assert successor.stage() is ZoneStage.RETURNING
+    assert successor.share() == planner_run.share()
+    assert successor.planner.statuses(successor.now) == statuses_before
+    assert successor.planner.number == planner_run.planner.number
+    successor.run(500_000)
+    assert planner_run.share() <= successor.share() <= planner_run.share() + FULL_SHARE / 16 + 1
 
 
 def test_an_override_of_a_later_version_is_passed_on_and_expires():
     status = ZoneStatus("a", "serving", FULL_SHARE, 5 * S, 1, "canary", 2 * S, "by hand: a trial")
-    play = PlannerRun()
-    play.planner.resume(7, [status], False, play.now)
-    assert play.planner.statuses(play.now) == [
+    planner_run = PlannerRun()
+    planner_run.planner.resume(7, [status], False, planner_run.now)
+    assert planner_run.planner.statuses(planner_run.now) == [
         status,
         ZoneStatus("b", "serving", FULL_SHARE, 0, 0, "", 0, ""),
         ZoneStatus("c", "serving", FULL_SHARE, 0, 0, "", 0, ""),
     ]
-    play.run(S)
-    assert play.planner.number == 7
-    assert play.planner.statuses(play.now)[0] == ZoneStatus(
+    planner_run.run(S)
+    assert planner_run.planner.number == 7
+    assert planner_run.planner.statuses(planner_run.now)[0] == ZoneStatus(
         "a", "serving", FULL_SHARE, 6 * S, 1, "canary", S, "by hand: a trial"
     )
-    play.run(S)
-    assert play.events == [("zone_hand_over", "a")]
-    assert play.planner.number == 8
-    assert play.planner.statuses(play.now)[0].operator_override == ""
+    planner_run.run(S)
+    assert planner_run.events == [("zone_hand_over", "a")]
+    assert planner_run.planner.number == 8
+    assert planner_run.planner.statuses(planner_run.now)[0].operator_override == ""
 
 
 @pytest.mark.parametrize(
@@ -209,81 +209,81 @@
 )
 def test_an_override_of_a_later_version_keeps_no_zone_in_its_stage(override, reason):
     status = ZoneStatus("a", "returning", 500, 5 * S, 0, override, 60 * S, "by hand: a trial")
-    play = PlannerRun()
-    play.planner.resume(7, [status], False, play.now)
-    play.run(S, a=Verdict.LOST)
-    out = play.planner.statuses(play.now)[0]
+    planner_run = PlannerRun()
+    planner_run.planner.resume(7, [status], False, planner_run.now)
+    planner_run.run(S, a=Verdict.LOST)
+    out = planner_run.planner.statuses(planner_run.now)[0]
     assert (out.stage, out.share, out.flaps, out.operator_override) == ("out", 0, 1, override)
     assert out.reason == reason
 
 
 def test_a_practice_ends_where_the_others_cannot_bear_it_or_another_zone_fails():
     heavy = {z: ZoneLoad(24.0, 32.0) for z in ZONES}
-    play = PlannerRun(loads=heavy)
-    play.planner.leave("a", play.now, play.now + 30 * S, "practice", practice=True)
-    play.run(S)
-    assert play.share() == FULL_SHARE
-    assert ("zone_practice_over", "a") in play.events
-    play = PlannerRun()
-    play.planner.leave("a", play.now, play.now + 60 * S, "practice", practice=True)
-    play.run(5 * S)
-    assert play.stage() is ZoneStage.OUT
-    assert play.share() == 0
-    play.run(S, b=Verdict.LOST)
-    assert play.stage() is ZoneStage.RETURNING
-    assert play.share() > 0
-    assert ("zone_practice_over", "a") in play.events
-    assert play.planner.zones["a"].failed_returns == 0
+    planner_run = PlannerRun(loads=heavy)
+    planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "practice", practice=True)
+    planner_run.run(S)
+    assert planner_run.share() == FULL_SHARE
+    assert ("zone_practice_over", "a") in planner_run.events
+    planner_run = PlannerRun()
+    planner_run.planner.leave("a", planner_run.now, planner_run.now + 60 * S, "practice", practice=True)
+    planner_run.run(5 * S)
+    assert planner_run.stage() is ZoneStage.OUT
+    assert planner_run.share() == 0
+    planner_run.run(S, b=Verdict.LOST)
+    assert planner_run.stage() is ZoneStage.RETURNING
+    assert planner_run.share() > 0
+    assert ("zone_practice_over", "a") in planner_run.events
+    assert planner_run.planner.zones["a"].failed_returns == 0
 
 
 def test_requests_over_quota_are_shed_before_a_part_of_a_zone_stays():
     loads = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(20.0, 32.0), "c": ZoneLoad(20.0, 32.0)}
-    play = PlannerRun(loads=loads)
-    play.planner.leave("a", play.now, play.now + 30 * S, "works")
-    play.planner.step(play.now, {}, loads, over_quota=0.1)  # 54 of 57.6 cores: all of it can go
-    assert play.share() == 0
-    assert play.planner.sheds_load
-    play = PlannerRun(loads=loads)
-    play.planner.leave("a", play.now, play.now + 30 * S, "works")
-    play.planner.step(play.now, {}, loads)
-    assert 0 < play.share() < FULL_SHARE
-    assert play.planner.sheds_load
-    play.run(60 * S)
-    assert play.stage() is ZoneStage.SERVING
-    assert not play.planner.sheds_load
+    planner_run = PlannerRun(loads=loads)
+    planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "works")
+    planner_run.planner.step(planner_run.now, {}, loads, over_quota=0.1)  # 54 of 57.6 cores: all of it can go
+    assert planner_run.share() == 0
+    assert planner_run.planner.sheds_load
+    planner_run = PlannerRun(loads=loads)
+    planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "works")
+    planner_run.planner.step(planner_run.now, {}, loads)
+    assert 0 < planner_run.share() < FULL_SHARE
+    assert planner_run.planner.sheds_load
+    planner_run.run(60 * S)
+    assert planner_run.stage() is ZoneStage.SERVING
+    assert not planner_run.planner.sheds_load
 
 
 def test_a_zone_left_in_part_and_lost_then_is_left_completely():
     heavy = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(22.0, 32.0), "c": ZoneLoad(24.0, 32.0)}
-    play = PlannerRun(loads=heavy)
-    play.planner.leave("a", play.now, play.now + 30 * S, "works")
-    play.run(S)
-    assert 0 < play.share() < FULL_SHARE
-    play.run(S, a=Verdict.LOST)
-    assert play.share() == 0
-    assert ("zone_left_whole", "a") in play.events
+    planner_run = PlannerRun(loads=heavy)
+    planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "works")
+    planner_run.run(S)
+    assert 0 < planner_run.share() < FULL_SHARE
+    planner_run.run(S, a=Verdict.LOST)
+    assert planner_run.share() == 0
+    assert ("zone_left_whole", "a") in planner_run.events
 
 
 def test_the_usable_fraction_is_what_work_can_be_given_to():
-    play = PlannerRun().run(S, a=Verdict.LOST)
-    zone = play.planner.zones["a"]
-    assert usable_fraction(zone, play.now, PACE) == 0
-    assert usable_fraction(play.planner.zones["b"], play.now, PACE) == 1
-    play.run(8 * S, a=Verdict.INSUFFICIENT_DATA)
+    planner_run = PlannerRun().run(S, a=Verdict.LOST)
+    zone = planner_run.planner.zones["a"]
+    assert usable_fraction(zone, planner_run.now, PACE) == 0
+    assert usable_fraction(planner_run.planner.zones["b"], planner_run.now, PACE) == 1
+    planner_run.run(8 * S, a=Verdict.INSUFFICIENT_DATA)
     assert zone.stage is ZoneStage.RETURNING
-    assert PACE.cold_capacity <= usable_fraction(zone, play.now, PACE) < 1
+    assert PACE.cold_capacity <= usable_fraction(zone, planner_run.now, PACE) < 1
 
 
 def test_commands_between_two_steps_make_a_new_plan():
-    play = PlannerRun().run(S, a=Verdict.LOST)
-    number = play.planner.number
-    play.planner.bring_back("a", play.now, "by hand")
-    assert play.planner.step(play.now, {}, IDLE)
-    assert play.planner.number == number + 1
-    assert not play.planner.step(play.now, {}, IDLE)
-    play.planner.adopt("b", play.now, "3 of 5 brokers left it without a planner")
-    assert play.planner.step(play.now, {}, IDLE)
-    assert play.share("b") == 0
+    planner_run = PlannerRun().run(S, a=Verdict.LOST)
+    number = planner_run.planner.number
+    planner_run.planner.bring_back("a", planner_run.now, "by hand")
+    assert planner_run.planner.step(planner_run.now, {}, IDLE)
+    assert planner_run.planner.number == number + 1
+    assert not planner_run.planner.step(planner_run.now, {}, IDLE)
+    planner_run.planner.adopt("b", planner_run.now, "3 of 5 brokers left it without a planner")
+    assert planner_run.planner.step(planner_run.now, {}, IDLE)
+    assert planner_run.share("b") == 0
 
 
 def test_the_recovery_ramp_stays_under_what_cold_engines_can_do():
@@ -294,8 +294,11 @@
 
 
 def test_the_recovery_ramp_reckons_with_the_work_there_is():
-    for use in (0.4, 0.55, 0.8, 1.0):
+    for utilization in (0.4, 0.55, 0.8, 1.0):
         for age in range(0, PACE.warm_up_time, 100_000):
             can = PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time
-            assert recovery_share(age, PACE, use) / FULL_SHARE * use <= PACE.safety_margin * can + 1e-9
+            assert (
+                recovery_share(age, PACE, utilization) / FULL_SHARE * utilization
+                <= PACE.safety_margin * can + 1e-9
+            )
     assert recovery_share(0, PACE, 0.4) > recovery_share(0, PACE, 1.0) > 0
--- a/tests/zones/test_plan_follower.py
+++ b/tests/zones/test_plan_follower.py
@@ -80,11 +80,11 @@
 
 
 def test_without_its_guard_an_older_plan_is_accepted():
-    class Careless(PlanFollower):
+    class UnguardedFollower(PlanFollower):
         def is_older(self, plan, known):
             return False
 
-    follower = Careless("n1")
+    follower = UnguardedFollower("n1")
     follower.accept(FailoverPlan(5, 1, 3, [status(0)]), 0)
     assert follower.accept(FailoverPlan(4, 9, 9, [status(FULL_SHARE)]), 1)
     assert follower.share("a") == FULL_SHARE
--- a/tests/zones/test_planner_duty.py
+++ b/tests/zones/test_planner_duty.py
@@ -37,7 +37,7 @@
         pass
 
 
-class Planner:
+class IsolationScenario:
     """A broker that plans; two others report, one of which is isolated."""
 
     def __init__(self):
@@ -60,14 +60,14 @@
 
 
 def test_a_complete_act_logs_the_isolated_broker_and_sends_the_plan():
-    planner = Planner()
+    planner = IsolationScenario()
     assert set(planner.act()) == {None}
     assert [event for event, _ in planner.events] == ["planner_started", "broker_isolated"]
     assert {peer for peer, _ in planner.sent} == {"n1", "n2"}
 
 
 def test_an_act_whose_lease_is_lost_between_two_steps_fails_and_sends_no_plan():
-    planner = Planner()
+    planner = IsolationScenario()
     act = planner.act()
     next(act)
     planner.zones.step_down_from("zones")
--- a/tests/zones/test_zone_health.py
+++ b/tests/zones/test_zone_health.py
@@ -122,7 +122,7 @@
         patch.setattr(health, "isolated_brokers", lambda views, engines: (yield) or {})
         assert verdict(blind) is Verdict.LOST
     with monkeypatch.context() as patch:
-        patch.setattr(health, "vouches_for", lambda view, seen: False)
+        patch.setattr(health, "has_recent_answer", lambda view, seen: False)
         assert verdict(cut) is Verdict.LOST
     with monkeypatch.context() as patch:
         patch.setattr(health, "MIN_ENGINES_TRIED", 0.0)
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -38,24 +38,24 @@
     return done.returncode, done.stdout.decode()
 
 
-def busy(bed):
+def wait_for_traffic(bed):
     """Wait until all brokers have answers from all engines: there is something to lose."""
     assert until(lambda: bed.load.counts["kept"] > 150, WAIT)
     assert until(lambda: all(len(e.received) >= 10 for e in bed.engines), WAIT)
 
 
-def lose(bed, zone, how):
+def fail_zone(bed, zone, how):
     for engine in bed.engines_in(zone):
         engine.fail(how)
     return time.monotonic()
 
 
-def repair(bed, zone):
+def repair_zone(bed, zone):
     for engine in bed.engines_in(zone):
         engine.repair()
 
 
-def left(bed, zone, among=None):
+def wait_until_evacuated(bed, zone, among=None):
     return until(lambda: all(s == 0 for s in bed.shares(zone, among)), WAIT, 0.05)
 
 
@@ -65,9 +65,9 @@
 
 @pytest.mark.parametrize("how", ["silent", "reset"])
 def test_a_zone_that_fails_is_left_by_all_at_once_and_come_back_to_whole(bed, how):
-    busy(bed)
-    lost = lose(bed, A, how)
-    assert left(bed, A), log(bed)
+    wait_for_traffic(bed)
+    lost = fail_zone(bed, A, how)
+    assert wait_until_evacuated(bed, A), log(bed)
     took = time.monotonic() - lost
     sleep(2.2)  # what was on its way, and the drains' grace, is over
     quiet = time.monotonic()
@@ -75,7 +75,7 @@
     assert bed.last_received(A) < quiet, "something was sent into a zone that is out"
     assert took < 3, took
     kept = bed.load.counts["kept"]
-    repair(bed, A)
+    repair_zone(bed, A)
     assert until(lambda: all(s == 1 for s in bed.shares(A)), WAIT, 0.1), log(bed)
     assert bed.load.counts["kept"] > kept
     assert sum(e.falls for e in bed.engines) == 0
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("how", ["cut", "blind"])
 def test_a_cut_path_and_a_broker_that_is_broken_itself_move_nobody(bed, how):
-    busy(bed)
+    wait_for_traffic(bed)
     for engine in bed.engines:
         if how == "blind":
             engine.block({"n1"}, "reset")
@@ -106,10 +106,10 @@
 
 @pytest.mark.parametrize("bed", [{"brokers": 7, "warm_s": 12.0}], indirect=True)
 def test_planner_and_two_more_killed_in_the_return_nothing_jumps(bed):
-    busy(bed)
-    lose(bed, A, "silent")
-    assert left(bed, A), log(bed)
-    repair(bed, A)
+    wait_for_traffic(bed)
+    fail_zone(bed, A, "silent")
+    assert wait_until_evacuated(bed, A), log(bed)
+    repair_zone(bed, A)
     assert until(lambda: all(0.2 < (s or 0) < 1 for s in bed.shares(A)), WAIT), log(bed)
     first = bed.planner()
     dead = [first, *[n for n in ("n5", "n6", "n4") if n != first][:2]]
@@ -134,16 +134,16 @@
 
 @pytest.mark.parametrize("bed", [{"regions": REGIONS}], indirect=True)
 def test_two_zones_of_three_two_seconds_apart_and_half_of_the_brokers_restarted(bed):
-    busy(bed)
-    lose(bed, A, "silent")
-    assert left(bed, A), log(bed)
+    wait_for_traffic(bed)
+    fail_zone(bed, A, "silent")
+    assert wait_until_evacuated(bed, A), log(bed)
     planner = bed.planner()
     new = [n for n in bed.names if n != planner][:2]
     for name in new:
         bed[name].kill()
         bed[name].start()
-    lose(bed, B, "reset")
-    assert left(bed, B, [n for n in bed.names if n not in new]), log(bed)
+    fail_zone(bed, B, "reset")
+    assert wait_until_evacuated(bed, B, [n for n in bed.names if n not in new]), log(bed)
     assert until(lambda: all(bed.shares(z, new) == [0, 0] for z in (A, B)), WAIT), log(bed)
     assert set(bed.shares(C)) == {1}
     assert until(lambda: bed.events("region_leaving"), WAIT), log(bed)
@@ -166,17 +166,17 @@
 
 @pytest.mark.parametrize("bed", [{"proxied": True}], indirect=True)
 def test_without_the_exchange_brokers_leave_alone_and_do_not_return_alone(bed):
-    busy(bed)
+    wait_for_traffic(bed)
     for pair in bed.proxies.paths:
         bed.proxies.paths[pair] = LinkConditions(cut=True)
     sleep(0.5)
-    lose(bed, A, "reset")
+    fail_zone(bed, A, "reset")
     assert until(lambda: all(s == 0 for s in bed.shares(A)), WAIT), log(bed)
     alone = [e for e in bed.events("zones_locally_evacuated") if A in e["zones"]]
     assert {e["broker"] for e in alone} >= set(bed.names) - {bed.planner()} - {
         e["broker"] for e in bed.events("plan_accepted") if e["shares"][A] == 0
     }
-    repair(bed, A)
+    repair_zone(bed, A)
     sleep(3)
     assert set(bed.shares(A)) == {0}
     kept = bed.load.counts["kept"]
@@ -193,7 +193,7 @@
 
 @pytest.mark.parametrize("bed", [{"rate": 0.8}], indirect=True)
 def test_by_hand_a_zone_the_others_cannot_do_without_is_left_in_part_and_practice_is_given_up(bed):
-    busy(bed)
+    wait_for_traffic(bed)
     assert until(lambda: bed.planner(), WAIT)
     sleep(2)  # the planner has two seconds of loads
     planner = bed.planner()
@@ -222,15 +222,15 @@
 
 @pytest.mark.parametrize("bed", [{"warm_s": 10.0}], indirect=True)
 def test_a_zone_that_falls_again_on_its_way_back_stays_out_for_longer(bed):
-    busy(bed)
-    lose(bed, A, "silent")
-    assert left(bed, A), log(bed)
-    repair(bed, A)
+    wait_for_traffic(bed)
+    fail_zone(bed, A, "silent")
+    assert wait_until_evacuated(bed, A), log(bed)
+    repair_zone(bed, A)
     assert until(lambda: all((s or 0) > 0.3 for s in bed.shares(A)), WAIT), log(bed)
-    lose(bed, A, "reset")
-    assert left(bed, A), log(bed)
+    fail_zone(bed, A, "reset")
+    assert wait_until_evacuated(bed, A), log(bed)
     assert until(lambda: bed.zone_row("n0", A).get("flaps") == 1, WAIT)
-    repair(bed, A)
+    repair_zone(bed, A)
     assert until(lambda: all(s == 1 for s in bed.shares(A)), 2 * WAIT, 0.1), log(bed)
     gone = [logged_at(e) for e in bed.events("zone_leaving", "zone_out") if e["zone"] == A]
     back = [logged_at(e) for e in bed.events("zone_returning") if e["zone"] == A]
