--- a/cypressledge/fleet/zones/admission.py
+++ b/cypressledge/fleet/zones/admission.py
@@ -1,5 +1,4 @@
-"""Where the failover plan takes effect at one broker: which engines are closed, and which requests are
-shed."""
+"""Application of the failover plan at one broker: which engines are closed and which requests are shed."""
 
 from collections.abc import Callable
 
@@ -11,8 +10,11 @@
 
 
 class ZoneAdmission:
-    """What the core asks about engines and requests. `awaiting_plan`: this broker has just started and knows
-    no plan; until then it leaves all engines open."""
+    """Admission checks that the broker core calls for engines and requests.
+
+    `awaiting_plan`: this broker has just started and has not received a plan yet; all engines stay open
+    meanwhile.
+    """
 
     def __init__(self, topology: SiteTopology, follower: PlanFollower, now: Callable[[], int]) -> None:
         self.topology = topology
@@ -23,14 +25,17 @@
         self.shed_requests = 0
 
     def is_closed(self, entry: c.EngineListEntry) -> bool:
-        """Whether the plan closes an engine to this broker."""
+        """Return whether the plan closes an engine to this broker."""
         if self.awaiting_plan or not self.topology.zones:
             return False
         return not self.follower.is_open(entry.engine, self.topology.zone_of(entry))
 
     def admits(self, query: Query) -> bool:
-        """Whether a request is admitted: what is over its tenant's quota is not, while the zones that serve
-        can't bear all."""
+        """Return whether a request is admitted. Counts it as an arrival, and as shed if it is rejected.
+
+        The plan sheds part of the tenants' requests, those over quota first, while the serving zones lack
+        the capacity for all of them.
+        """
         self.arrivals.add(self.now(), query.tenant)
         part = self._shed_permille(query.tenant)
         if part and is_shed(query.id, part):
@@ -39,7 +44,7 @@
         return True
 
     def _shed_permille(self, tenant: str) -> int:
-        """Permille of a tenant's requests that the plan sheds; none by a plan whose planner is missing."""
+        """Return the permille of a tenant's requests to shed; 0 while the plan or its planner is missing."""
         plan = self.follower.plan
         if plan is None or self.follower.planner_is_missing(self.now()):
             return 0
--- a/cypressledge/fleet/zones/environment.py
+++ b/cypressledge/fleet/zones/environment.py
@@ -1,4 +1,4 @@
-"""What zone failover needs of its broker's core, and of the fleet."""
+"""Interfaces of the broker core and the fleet that zone failover depends on."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,13 +19,13 @@
 
 
 class ZoneEngines(Protocol):
-    """The part of the engine registry that zone failover uses. `engine_lists`: by source, as it gave them."""
+    """The part of the engine registry that zone failover uses. `engine_lists`: by source, unmodified."""
 
     engine_lists: dict[str, list[ListedEngine]]
     is_closed: Callable[[c.EngineListEntry], bool] | None
 
     def refresh(self) -> None:
-        """What is closed has changed: have the decision module see the lists anew."""
+        """Pass the engine lists to the decision module again, after the set of closed engines has changed."""
 
 
 class ZoneLoop(Protocol):
@@ -34,7 +34,7 @@
     manager: WorkloadManager
 
     def now(self) -> int:
-        """The core's time, µs: another clock than that of leases."""
+        """Return the core's time, µs. This is not the clock that leases use."""
 
 
 class ZoneCore(Protocol):
@@ -42,33 +42,36 @@
 
     @property
     def settings(self) -> c.Settings:
-        """The site's settings."""
+        """The current settings of the site."""
 
     @property
     def ledger(self) -> ZoneLedger:
-        """The requests."""
+        """The ledger of open requests."""
 
     @property
     def engines(self) -> ZoneEngines:
-        """The engines."""
+        """The registry of engines."""
 
     @property
     def loop(self) -> ZoneLoop:
-        """The loop that owns the decisions."""
+        """The event loop that runs the decision module."""
 
 
 class LogEvent(Protocol):
-    """Counts and logs an event with its fields."""
+    """A callable that counts and logs an event with its fields."""
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Log one event."""
+        """Count and log one event."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLinks:
-    """How one broker reaches the fleet. `now`: µs of the clock that leases use; `send`: queues a message for
-    a peer; `living_peers`: all others that can be counted on; `likely_planners`: the first in line for the
-    planner's lease."""
+    """Callables that connect one broker's zone failover to the fleet.
+
+    `now`: µs of the clock that leases use; `send`: queues a message for a peer; `living_peers`: the names of
+    all other brokers that are considered available; `likely_planners`: the first candidates for the
+    planner's lease.
+    """
 
     now: Callable[[], int]
     send: Callable[[str, AnyItem], None]
--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -1,7 +1,7 @@
-"""One broker's part in zone failover: observes its engines, follows the plan, and plans under the lease.
+"""Zone failover at one broker: observes engines, follows the plan, and plans while it holds the lease.
 
-Has no sockets of its own: messages go through the fleet's transport. Engines are closed where the core takes
-its lists in, the one place that every list passes. Callers pass the time (µs of the clock that leases use).
+Opens no sockets: messages go through the fleet's transport. Engines are closed where the core receives engine
+lists, because every list passes there. Callers pass the time (µs of the clock that leases use).
 """
 
 from collections.abc import Generator
@@ -21,18 +21,18 @@
 from cypressledge.fleet.zones.planner_duty import PlannerDuty
 from cypressledge.fleet.zones.topology import SiteTopology
 
-TICK_INTERVAL = 200_000  # µs between ticks, and between reports that tell of failures
-IDLE_REPORT_INTERVAL = 500_000  # µs between reports that only say that all is well
-CANDIDATE_REPORT_INTERVAL = 1_000_000  # µs between reports to those that may follow the planner
-MAX_START_WAIT = 1_500_000  # µs that a broker that starts waits for a plan before it goes without
-START_PEERS = 5  # peers that it asks
-PLANNER_STEP_S = 0.1  # seconds between steps of the planner
+TICK_INTERVAL = 200_000  # µs between ticks, and between reports that contain failures or late answers
+IDLE_REPORT_INTERVAL = 500_000  # µs between reports without failures or late answers
+CANDIDATE_REPORT_INTERVAL = 1_000_000  # µs between reports to the next candidates for the planner's lease
+MAX_START_WAIT = 1_500_000  # µs that a starting broker waits for a plan before it continues without one
+START_PEERS = 5  # number of peers that a starting broker asks for the plan
+PLANNER_STEP_S = 0.1  # s between steps of the planner
 
 ZoneMessage = EngineObservations | FailoverPlan | PlanRequest | ZoneCommand
 
 
 class ZoneFailover:
-    """All parts of zone failover at one broker."""
+    """Zone failover at one broker: observer, plan follower, and the planner while it holds the lease."""
 
     def __init__(
         self, broker: str, core: ZoneCore, topology: SiteTopology, pace: FailoverPace, links: FleetLinks
@@ -48,7 +48,7 @@
         self.admission = ZoneAdmission(topology, self.follower, links.now)
         self.view = FleetView(core, topology)
         self.duty = PlannerDuty(self.view, pace, self.follower, links, self._publish)
-        self.planner_name = ""  # whose plan was taken last
+        self.planner_name = ""  # sender of the plan accepted last
         self.next_tick = 0
         self.reported_at = 0
         self.reported_to_candidates_at = 0
@@ -57,7 +57,7 @@
         core.ledger.admission_filter = self.admission.admits
 
     def receive(self, sender: str, message: ZoneMessage) -> None:
-        """Take a peer's message about zones in."""
+        """Handle a peer's message about zones."""
         now = self.links.now()
         if isinstance(message, EngineObservations):
             self.view.record(sender, message, now)
@@ -69,7 +69,10 @@
             self.links.send(sender, self.follower.plan)
 
     def tick(self, now: int) -> int:
-        """Observe, report to the planner, and act alone where there is none; the moment of the next tick."""
+        """Observe, report to the planner, and evacuate lost zones locally if the planner is missing.
+
+        Return the time of the next tick (µs).
+        """
         if now < self.next_tick:
             return self.next_tick
         self.next_tick = now + TICK_INTERVAL
@@ -83,15 +86,18 @@
         return self.next_tick
 
     def act(self, grant: HeldLease) -> Generator[None, None, None]:
-        """One step of the planner, under its lease."""
+        """Run one step of the planner under its lease, as a generator that yields between short parts."""
         return self.duty.act(grant)
 
     def step_down_from(self, lease: str) -> None:
-        """A lease is lost; if it is the planner's, this broker plans no more."""
+        """Stop planning if the lost lease is the planner's."""
         self.duty.step_down_from(lease)
 
     def command(self, zone: str, action: str, duration: int, reason: str) -> str:
-        """Take an operator's command, for `duration` µs; the planner that it went to, or nothing."""
+        """Apply an operator's command, valid for `duration` µs, or forward it to the planner.
+
+        Return the planner's name, or an empty string if no planner is known.
+        """
         command = ZoneCommand(zone, action, duration, reason)
         if self.duty.term is not None:
             self._apply(command, self.links.now())
@@ -101,13 +107,16 @@
         return self.planner_name
 
     def dry_run(self, zone: str, action: str, duration: int, reason: str) -> list[str] | None:
-        """What a command would lead to now; None where this broker is not the planner."""
+        """Return the events that a command would cause now, one line per event.
+
+        None if this broker is not the planner.
+        """
         return operator_commands.dry_run(
             self.duty, ZoneCommand(zone, action, duration, reason), self.links.now()
         )
 
     def status(self) -> ZonesAnswer:
-        """How the zones stand here, for operators."""
+        """Return the state of the zones as this broker sees it, for operators."""
         plan = self.follower.plan
         heard_s = (self.links.now() - self.follower.plan_received_at) / 1e6
         return ZonesAnswer(
@@ -128,7 +137,7 @@
         self._accept(plan, self.broker, now)
 
     def _accept(self, plan: FailoverPlan, sender: str, now: int) -> None:
-        """Take a plan over, and let the core see its lists anew where that closes or opens engines."""
+        """Follow a plan unless it is outdated, and refresh the engine lists if it opens or closes engines."""
         shares_before = self._shares()
         had_local_evacuations = bool(self.follower.locally_evacuated)
         if not self.follower.accept(plan, now):
@@ -148,7 +157,7 @@
         return {zone: self.follower.share(zone) for zone in self.topology.zones}
 
     def _report(self, observed: EngineObservations, now: int) -> None:
-        """Send this broker's observations to the planner, and now and then to those that may follow it."""
+        """Send this broker's observations to the planner, and less often to its possible successors."""
         shows_faults = any(engine.consecutive_failures or engine.late for engine in observed.engines)
         if now - self.reported_at < (TICK_INTERVAL if shows_faults else IDLE_REPORT_INTERVAL):
             return
--- a/cypressledge/fleet/zones/failover_plan.py
+++ b/cypressledge/fleet/zones/failover_plan.py
@@ -1,8 +1,8 @@
-"""What planner, brokers and operators share of the failover plan: stages, shares, pace. No I/O.
+"""Definitions of the failover plan for planner, brokers and operator calls: stages, shares, pace. No I/O.
 
-A share says which part of the brokers an engine of a zone is open to: it is open to a broker when a stable
-hash of both is below the share. So the fleet's sum follows the share without further messages, and each
-broker meets few engines.
+A zone's share is the fraction of brokers that each of its engines is open to: an engine is open to a broker
+if a stable hash of both is below the share. So the fleet's total traffic follows the share without further
+messages, and each broker sends to few engines.
 """
 
 from dataclasses import dataclass
@@ -10,13 +10,13 @@
 from hashlib import blake2b
 
 PERMILLE = 1_000
-FULL_SHARE = PERMILLE  # a zone's share is in permille
-SHARE_STEPS = 16  # steps that a zone's share grows in while it recovers
+FULL_SHARE = PERMILLE  # permille; the share of a zone that is open to all brokers
+SHARE_STEPS = 16  # number of equal steps in which a recovering zone's share grows
 SECOND = 1_000_000  # µs
 
 
 class ZoneStage(Enum):
-    """Where a zone is between serving and out; the values are in plans."""
+    """The stage of a zone between serving and out; plans contain the values."""
 
     SERVING = "serving"
     SUSPECT = "suspect"
@@ -26,7 +26,7 @@
 
 
 class OperatorOverride(StrEnum):
-    """What operators want of a zone for a time; the values are in plans."""
+    """A temporary state of a zone that an operator requested; plans contain the values."""
 
     NONE = ""
     OUT = "out"
@@ -36,15 +36,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverPace:
-    """How fast zones are left and returned to, and how far. Times in µs.
-
-    `confirmation_time`: how long a zone has to be bad before it is left; `drain_time`: what is on its way has
-    to end in; `min_time_out`: the least time out, doubled by each failed return up to `max_time_out`;
-    `forget_failed_returns_after`: of serving; `share_step_interval`: the least time between two steps of a
-    share; `cold_capacity`: what a cold engine can do, part of what it can when warm; `warm_up_time`: how long
-    it takes to be warm; `safety_margin`: of what it can do, what a return asks of it; `max_utilization`: how
-    much of their cores the other zones may be asked for when a zone that still serves is left;
-    `idle_utilization`: of its cores that a zone may be using for its lateness not to be its load's.
+    """Times (µs) and fractions (0 to 1) that control how zones are evacuated and how they recover.
+
+    - `confirmation_time`: how long a zone must be bad before it is evacuated
+    - `drain_time`: time for requests in flight to end before an evacuated zone counts as out
+    - `min_time_out`: minimum time out, doubled by each failed return up to `max_time_out`
+    - `forget_failed_returns_after`: time of serving after which failed returns no longer count
+    - `share_step_interval`: minimum time between two steps of a share
+    - `cold_capacity`: capacity of a cold engine, as a fraction of its warm capacity
+    - `warm_up_time`: time until an engine reaches its warm capacity
+    - `safety_margin`: fraction of an engine's current capacity that a return uses
+    - `max_utilization`: fraction of the other zones' cores that may be in use when a zone that still serves
+      is evacuated
+    - `idle_utilization`: fraction of its cores below which a slow zone's lateness is not caused by its load
     """
 
     confirmation_time: int = 300_000
@@ -62,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneLoad:
-    """A zone's work and what it can do, in cores."""
+    """A zone's load and its capacity, both in cores."""
 
     used: float
     cores: float
@@ -70,9 +74,12 @@
 
 @dataclass(slots=True)
 class ZoneState:
-    """One zone as the planner has it. Moments in µs; `since`: when it came to its stage; `bad_since`:
-    from when on the finding on it has been bad; `failed_returns` double the time out; `override`: an
-    `OperatorOverride`, or a later version's, which only expires."""
+    """The planner's state of one zone. Times in µs.
+
+    `since`: when it entered its stage; `bad_since`: since when its findings have been bad, None if they are
+    not; `failed_returns`: each doubles the time out; `override`: an `OperatorOverride`, or one of a later
+    version, which has no effect here and only expires.
+    """
 
     name: str
     stage: ZoneStage = ZoneStage.SERVING
@@ -83,21 +90,21 @@
     bad_since: int | None = None
     override: str = OperatorOverride.NONE
     override_until: int = 0
-    blocked_reason: str = ""  # why it was not left, as last logged
+    blocked_reason: str = ""  # why it was not evacuated, as last logged
     share_grew_at: int = 0
 
     @property
     def is_kept_out(self) -> bool:
-        """Whether an operator wants the zone to be empty."""
+        """Whether an operator's override keeps the zone evacuated."""
         return self.override in (OperatorOverride.OUT, OperatorOverride.PRACTICE)
 
 
 def share_threshold(engine: int, broker: str) -> int:
-    """The share above which an engine is open to a broker, permille: 0 to 999, the same at all brokers."""
+    """Return the share above which an engine is open to a broker, permille: 0 to 999, the same everywhere."""
     digest = blake2b(f"{engine:x}\0{broker}".encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") * FULL_SHARE >> 32
 
 
 def is_engine_open(engine: int, broker: str, share: int) -> bool:
-    """Whether a broker may send to an engine of a zone with this share."""
+    """Return whether a broker may send to an engine of a zone with this share."""
     return share_threshold(engine, broker) < share
--- a/cypressledge/fleet/zones/failover_planner.py
+++ b/cypressledge/fleet/zones/failover_planner.py
@@ -1,7 +1,7 @@
-"""The failover plan as its planner keeps it: its number, what changes it, and handing it over. No I/O.
+"""The planner's copy of the failover plan: its number, its changes, and resuming another planner's. No I/O.
 
-The planner runs under a lease and is stepped by its holder; all brokers follow the newest plan. What moves
-zones from stage to stage is `stage_machines.py`'s. Callers pass the time (µs).
+The holder of the planner's lease steps the planner; all brokers follow the newest plan. The transitions of
+zones between stages are in `stage_machines.py`. Callers pass the time (µs).
 """
 
 from collections.abc import Mapping, Sequence
@@ -18,30 +18,30 @@
 from cypressledge.fleet.zones.planning_input import PlanningInput
 from cypressledge.fleet.zones.stage_machines import LogZoneEvent, ZoneStageMachines
 
-MAX_REASON = 160  # characters of a reason in a plan: it has to fit into a datagram
+MAX_REASON = 160  # characters of a reason in a plan; a plan must fit into a datagram
 
 
 class FailoverPlanner:
-    """The plan for zones, or for regions in their place."""
+    """The planner for a set of zones, or for a set of regions treated as zones."""
 
     def __init__(self, zones: Sequence[str], pace: FailoverPace, now: int, log_event: LogZoneEvent) -> None:
         self.machines = ZoneStageMachines(zones, pace, now, log_event)
-        self.number = 0  # of the plan: grows with each change
+        self.number = 0  # number of the plan; increases with each change
         self._last_key = self._key()
 
     @property
     def zones(self) -> Mapping[str, ZoneState]:
-        """The zones by name, as they stand."""
+        """The current states of the zones, by name."""
         return self.machines.zones
 
     @property
     def sheds_load(self) -> bool:
-        """Whether the others can't bear what has been left, so that requests are shed."""
+        """Whether requests are shed because the serving zones lack capacity for the evacuated ones' load."""
         return self.machines.sheds_load
 
     def resume(self, number: int, statuses: list[ZoneStatus], sheds: bool, now: int) -> None:
-        """Go on from another planner's plan, with its shares and ages: guards against a jump of shares when
-        the planner changes."""
+        """Continue another planner's plan, with its shares and ages, so that shares don't jump when the
+        planner changes."""
         self.number = max(self.number, number)
         self.machines.sheds_load = sheds
         for status in statuses:
@@ -58,18 +58,18 @@
         self._last_key = self._key()
 
     def trial(self, log_event: LogZoneEvent) -> "FailoverPlanner":
-        """A copy that can be stepped to see what would come of it; its events go to `log_event`."""
+        """Return a copy for a dry run, whose steps don't affect the plan; its events go to `log_event`."""
         trial = FailoverPlanner((), self.machines.pace, 0, log_event)
         trial.machines = self.machines.trial(log_event)
         trial.number = self.number
         trial._last_key = self._last_key
         return trial
 
-    # Commands: of operators, and of brokers that acted without a planner
+    # Commands of operators, and adoption of evacuations that brokers made without a planner
 
     def leave(self, name: str, now: int, until: int, reason: str, practice: bool = False) -> None:
-        """Leave a zone by hand, up to a time. A practice ends where the others can't bear all of the zone's
-        load, and as soon as anything else fails."""
+        """Evacuate a zone by an operator's command, until the time `until`. A practice ends if the others
+        lack the capacity for all of the zone's load, and as soon as another zone fails."""
         zone = self.zones[name]
         zone.override = OperatorOverride.PRACTICE if practice else OperatorOverride.OUT
         zone.override_until = until
@@ -77,23 +77,21 @@
         zone.reason = reason
 
     def hold(self, name: str, now: int, until: int, reason: str) -> None:
-        """Keep a zone as it is by hand, up to a time."""
+        """Keep a zone's stage and share by an operator's command, until the time `until`."""
         zone = self.zones[name]
         zone.override = OperatorOverride.HOLD
         zone.override_until = until
         zone.reason = reason
 
     def bring_back(self, name: str, now: int, reason: str) -> None:
-        """Return to a zone by hand: no override any more, and no waiting."""
+        """Begin a zone's return by an operator's command: ends its override and skips the waiting time."""
         self.machines.bring_back(self.zones[name], now, reason)
 
     def adopt(self, name: str, now: int, reason: str) -> None:
-        """Take on that brokers left a zone while there was no planner: it is out, and returns like any
-        other."""
+        """Adopt the evacuation of a zone that brokers left while the planner was missing: the zone is out
+        and returns like any other."""
         self.machines.adopt(self.zones[name], now, reason)
 
-    # The step
-
     def step(
         self,
         now: int,
@@ -101,7 +99,10 @@
         loads: Mapping[str, ZoneLoad],
         over_quota: float = 0.0,
     ) -> bool:
-        """Let time and findings work; whether the plan has changed, also by commands since the last step."""
+        """Advance all zones by the time and the findings.
+
+        Return whether the plan has changed, also by commands since the last step.
+        """
         self.machines.step(PlanningInput(now, findings, loads, over_quota))
         before, self._last_key = self._last_key, self._key()
         changed = self._last_key != before
@@ -109,7 +110,7 @@
         return changed
 
     def statuses(self, now: int) -> list[ZoneStatus]:
-        """How all zones stand, for the plan."""
+        """Return the statuses of all zones for the plan message."""
         return [self._status(zone, now) for zone in self.zones.values()]
 
     @staticmethod
@@ -127,5 +128,5 @@
         )
 
     def _key(self) -> tuple:
-        """What a change of makes a new plan."""
+        """Return the values whose change makes a new plan."""
         return (self.sheds_load, *((zone.stage, zone.share, zone.override) for zone in self.zones.values()))
--- a/cypressledge/fleet/zones/fleet_view.py
+++ b/cypressledge/fleet/zones/fleet_view.py
@@ -1,4 +1,4 @@
-"""What one broker knows of all brokers' observations and of the lists: the input of health and planner."""
+"""One broker's collection of all brokers' observations and engine lists: the input of health and planner."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -13,20 +13,20 @@
 from cypressledge.fleet.zones.observations import WINDOW, WINDOW_COUNT
 from cypressledge.fleet.zones.topology import SiteTopology
 
-RELEASE_SPAN = 10 * SECOND  # µs after its start that an engine's failures are taken for a release's
-OBSERVED_SPAN = WINDOW * WINDOW_COUNT  # µs that observations cover
+RELEASE_SPAN = 10 * SECOND  # µs after an engine's start in which its failures are attributed to a release
+OBSERVED_SPAN = WINDOW * WINDOW_COUNT  # µs; time span that observations cover
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedObservations:
-    """A broker's newest observations, and when they came (µs)."""
+    """A broker's newest observations, and when they arrived (µs)."""
 
     received_at: int
     observed: EngineObservations
 
 
 class AssessmentInput(NamedTuple):
-    """What `health.assess` is given: zones, or regions in place of zones."""
+    """The arguments of `health.assess`, for zones or for regions treated as zones."""
 
     reports: list[BrokerObservations]
     engine_zones: dict[int, str]
@@ -34,7 +34,7 @@
 
 
 class FleetView:
-    """All brokers' newest observations, this broker's own too."""
+    """The newest observations of all brokers, including this one."""
 
     def __init__(self, core: ZoneCore, topology: SiteTopology) -> None:
         self.core = core
@@ -42,22 +42,22 @@
         self.received: dict[str, ReceivedObservations] = {}
 
     def record(self, broker: str, observed: EngineObservations, now: int) -> None:
-        """Take a broker's newest observations."""
+        """Store a broker's newest observations, received at `now` (µs)."""
         self.received[broker] = ReceivedObservations(now, observed)
 
     def report(self, broker: str, observed: EngineObservations, age: int = 0) -> BrokerObservations:
-        """Observations with the zone of the broker that made them."""
+        """Return a broker's observations with its zone and their age (µs)."""
         return BrokerObservations(broker, self.topology.broker_zones.get(broker, ""), age, observed)
 
     def reports(self, now: int) -> list[BrokerObservations]:
-        """All brokers' observations with their ages."""
+        """Return all brokers' observations with their ages."""
         return [
             self.report(broker, received.observed, now - received.received_at)
             for broker, received in self.received.items()
         ]
 
     def zone_input(self, reports: list[BrokerObservations]) -> AssessmentInput:
-        """What is to be assessed zone by zone."""
+        """Return the input for an assessment by zone."""
         engine_zones = {}
         for entry in self._entries():
             zone = self.topology.zone_of(entry) if self.topology.zones else ""
@@ -66,7 +66,7 @@
         return AssessmentInput(reports, engine_zones, self._changing())
 
     def region_input(self, reports: list[BrokerObservations]) -> AssessmentInput:
-        """The same region by region, of the zones that are in one."""
+        """Return the input for an assessment by region; zones without a region are left out."""
         region_of = self.topology.region_of
         reports = [
             BrokerObservations(r.broker, region_of.get(r.zone, r.zone), r.age, r.observed) for r in reports
@@ -79,14 +79,14 @@
         return AssessmentInput(reports, engine_regions, self._changing())
 
     def tenant_counts(self, now: int) -> Mapping[str, int]:
-        """Requests at all brokers by tenant, in the time that observations cover."""
+        """Return the requests at all brokers by tenant, in the time span that observations cover."""
         total: Counter[str] = Counter()
         for observed in self._fresh(now):
             total.update(observed.requests_by_tenant)
         return total
 
     def work_per_answer(self, now: int) -> float | None:
-        """Seconds of processor time of an answer on average; None where there was no answer."""
+        """Return the mean processor time per answer, s; None if there were no answers."""
         fresh = self._fresh(now)
         answers = sum(engine.succeeded + engine.late for observed in fresh for engine in observed.engines)
         if not answers:
@@ -94,7 +94,7 @@
         return sum(engine.cpu_time for observed in fresh for engine in observed.engines) / answers / 1e6
 
     def zone_loads(self, now: int) -> Mapping[str, ZoneLoad]:
-        """Work and cores by zone, as the observations and the lists say."""
+        """Return load and cores by zone, from the observations and the engine lists."""
         used = dict.fromkeys(self.topology.zones, 0.0)
         cores = dict.fromkeys(self.topology.zones, 0.0)
         kind_cores = self.core.settings.kind_cores
@@ -110,7 +110,7 @@
         return {zone: ZoneLoad(used[zone], cores[zone]) for zone in self.topology.zones}
 
     def region_loads(self, zone_loads: Mapping[str, ZoneLoad]) -> Mapping[str, ZoneLoad]:
-        """Work and cores by region: the sums of its zones'."""
+        """Return load and cores by region, as sums over its zones."""
         total: dict[str, ZoneLoad] = {}
         for zone, load in zone_loads.items():
             region = self.topology.region_of.get(zone)
@@ -123,11 +123,11 @@
         return [r.observed for r in self.received.values() if now - r.received_at < MAX_AGE]
 
     def _entries(self) -> list[c.EngineListEntry]:
-        """The engines that the lists name."""
+        """Return the entries of all engine lists."""
         return [engine.entry for listed in self.core.engines.engine_lists.values() for engine in listed]
 
     def _changing(self) -> frozenset[int]:
-        """Engines that are draining or have just started."""
+        """Return the engines that are not ready, such as draining ones, or have just started."""
         core_now = self.core.loop.now()
         return frozenset(
             entry.engine
--- a/cypressledge/fleet/zones/health.py
+++ b/cypressledge/fleet/zones/health.py
@@ -1,7 +1,7 @@
-"""Tells from all brokers' observations what is wrong with each zone, if anything is. No I/O.
+"""Assessment of each zone from all brokers' observations. No I/O.
 
-A zone is lost only where most engines tried there fail and nobody gets answers from them: a broker that is
-broken itself, a cut path and a rolling release are told apart from it.
+A zone is lost only if most of its tried engines fail and no broker gets answers from them. The failures of an
+isolated broker, of a cut network path and of a rolling release are distinguished from a loss.
 """
 
 from collections import Counter, defaultdict
@@ -11,21 +11,22 @@
 
 from cypressledge.fleet.messages import EngineObservation, EngineObservations
 
-MAX_AGE = 3_000_000  # µs after which a broker's observations have no weight
-MIN_ATTEMPTS = 4  # attempts in a zone below which there is no verdict on it
-MIN_ENGINES_TRIED = 0.5  # part of a zone's engines that have to be tried for a verdict on it
-LOST_FRACTION = 0.8  # part of the engines tried, from which on a zone is lost, or slow
-DEGRADED_FRACTION = 0.3  # part of the engines tried, from which on a zone is failing in part
-MAX_RECENT_ANSWER_AGE_MS = 400  # ms since an answer, up to which a broker vouches for an engine
-MAX_RECENT_REPORT_AGE = 700_000  # µs that this holds: observations come each half second at least
-REPORTS_PER_STEP = 8  # brokers' observations looked at in one step
-MIN_DOWN_FAILURES = 2  # failures in a row, over all brokers, nobody vouching, that make an engine down
-MAX_ISOLATED_ANSWER_RATIO = 0.2  # answers for each failure, up to which a broker may be isolated itself
-SLOW_LATE_FRACTION = 0.5  # part of an engine's answers that is late, above which it is slow
+MAX_AGE = 3_000_000  # µs; older observations are ignored, newer ones weigh less with their age
+MIN_ATTEMPTS = 4  # attempts in a zone that a verdict on it requires
+MIN_ENGINES_TRIED = 0.5  # fraction of a zone's engines that must be tried for a verdict on it
+LOST_FRACTION = 0.8  # fraction of the tried engines that must be down for a lost zone, or slow for a slow one
+DEGRADED_FRACTION = 0.3  # fraction of the tried engines that must be down or slow for a degraded zone
+MAX_RECENT_ANSWER_AGE_MS = 400  # ms since an answer up to which it counts as recent
+# µs; age up to which a report's answers count as recent; reports arrive at least every 500 ms
+MAX_RECENT_REPORT_AGE = 700_000
+REPORTS_PER_STEP = 8  # brokers' reports processed in one step
+MIN_DOWN_FAILURES = 2  # consecutive failures, summed over all brokers, of an engine that is down
+MAX_ISOLATED_ANSWER_RATIO = 0.2  # answers per failure up to which a broker may be isolated
+SLOW_LATE_FRACTION = 0.5  # fraction of late answers above which an engine is slow
 
 
 class Verdict(Enum):
-    """What is wrong with a zone; the values are shown to operators."""
+    """The state of a zone as assessed from observations; the values are shown to operators."""
 
     HEALTHY = "fine"
     LOST = "lost"
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneFinding:
-    """A zone's verdict. `bad_fraction`: of the engines tried; `reason`: one line for the log."""
+    """A zone's verdict. `bad_fraction`: of its tried engines, those down; `reason`: one line for the log."""
 
     verdict: Verdict
     bad_fraction: float
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokerObservations:
-    """One broker's observations, the zone that it stands in, and their age (µs)."""
+    """One broker's observations, the broker's own zone, and the age of the observations (µs)."""
 
     broker: str
     zone: str
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetHealth:
-    """The findings on all zones; and why brokers that are isolated themselves were not counted."""
+    """The findings on all zones, and the isolated brokers, which are not counted, each with the reason."""
 
     zones: dict[str, ZoneFinding]
     isolated: dict[str, str]
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True)
 class EngineTotals:
-    """What all brokers together observed of one engine; older observations weigh less."""
+    """Sums of all brokers' observations of one engine; answers weigh less with the age of their report."""
 
     answers: float = 0.0
     late: float = 0.0
@@ -74,18 +75,18 @@
 
     @property
     def is_down(self) -> bool:
-        """It fails for whoever tries, and nobody has had an answer since."""
+        """Whether attempts fail and no broker has had a recent answer."""
         return self.failures >= MIN_DOWN_FAILURES and not self.recently_answered
 
     @property
     def is_slow(self) -> bool:
-        """It answers, but mostly late."""
+        """Whether it answers, but most of its answers are late."""
         return not self.is_down and self.late > SLOW_LATE_FRACTION * self.answers > 0
 
 
 @dataclass(slots=True)
 class PathTotals:
-    """What brokers of one zone observed of another: answers just had, and failures."""
+    """Recent answers and consecutive failures at the engines of a zone, summed over one zone's brokers."""
 
     recently_answered: int = 0
     failures: int = 0
@@ -93,20 +94,23 @@
 
 @dataclass(slots=True)
 class ZoneTotals:
-    """What all brokers together observed of one zone. `paths`: by the brokers' own zone."""
+    """Sums of all brokers' observations of one zone. `paths`: by the brokers' own zone."""
 
     zone: str
     engines: dict[int, EngineTotals] = field(default_factory=lambda: defaultdict(EngineTotals))
     paths: dict[str, PathTotals] = field(default_factory=lambda: defaultdict(PathTotals))
-    failing_brokers: set[str] = field(default_factory=set)  # to whom something failed
+    failing_brokers: set[str] = field(default_factory=set)  # brokers with failures in this zone
     attempts: int = 0
 
 
 def assess(
     reports: list[BrokerObservations], engine_zones: dict[int, str], changing: frozenset[int] = frozenset()
 ) -> FleetHealth:
-    """Assess all zones at once. `engine_zones`: each engine's zone; `changing`: engines that the lists show
-    as draining or just started, whose failures are a release's."""
+    """Return the assessment of all zones, in one call.
+
+    `engine_zones`: each engine's zone; `changing`: engines that the lists show as draining or just started,
+    whose failures are attributed to a release.
+    """
     steps = assess_in_steps(reports, engine_zones, changing)
     while True:
         try:
@@ -118,7 +122,10 @@
 def assess_in_steps(
     reports: list[BrokerObservations], engine_zones: dict[int, str], changing: frozenset[int] = frozenset()
 ) -> Generator[None, None, FleetHealth]:
-    """The same in short steps: of hundreds of brokers it takes milliseconds, and requests wait for a step."""
+    """Run `assess` as a generator of short steps.
+
+    With hundreds of brokers it takes milliseconds, and requests wait while a step runs.
+    """
     fresh = [report for report in reports if report.age < MAX_AGE]
     zones = sorted(set(engine_zones.values()))
     yield None
@@ -141,13 +148,16 @@
 def isolated_brokers(
     reports: list[BrokerObservations], engine_zones: dict[int, str]
 ) -> Generator[None, None, dict[str, str]]:
-    """Brokers to whom all fails that others get answers from, in more than one zone or in the only one, and
-    why. What these failures have in common is the broker itself."""
+    """Find the brokers whose attempts fail at engines that answer other brokers, each with the reason.
+
+    The failures must be in more than one zone, unless there is only one. The broker itself is then their
+    common cause. Yields between short steps.
+    """
     suspects = _suspected_of_isolation(reports, engine_zones)
     yield None
     if not suspects:
         return {}
-    answered: dict[int, set[str]] = defaultdict(set)  # by engine: the brokers that it answers
+    answered: dict[int, set[str]] = defaultdict(set)  # by engine, the brokers that got answers from it
     for start in range(0, len(reports), REPORTS_PER_STEP):
         for report in reports[start : start + REPORTS_PER_STEP]:
             for engine in report.observed.engines:
@@ -167,7 +177,7 @@
 def _suspected_of_isolation(
     reports: list[BrokerObservations], engine_zones: dict[int, str]
 ) -> dict[str, list[EngineObservation]]:
-    """Brokers to whom nearly all fails, with what they observed."""
+    """Return the brokers for which nearly all attempts fail, with their observations."""
     suspects = {}
     for report in reports:
         tried = [engine for engine in report.observed.engines if engine.engine in engine_zones]
@@ -178,7 +188,7 @@
 
 
 def has_recent_answer(report: BrokerObservations, engine: EngineObservation) -> bool:
-    """Whether a broker has just had an answer of an engine, and no failure since."""
+    """Return whether a broker has had a recent answer from an engine, and no failure since."""
     answered_lately = 0 <= engine.last_answer_age_ms < MAX_RECENT_ANSWER_AGE_MS
     return engine.consecutive_failures == 0 and answered_lately and report.age < MAX_RECENT_REPORT_AGE
 
@@ -192,7 +202,7 @@
 
 
 def _shows_faults(report: BrokerObservations) -> bool:
-    """Whether anything that a broker observed has failed or was late."""
+    """Return whether a broker observed any failure or late answer."""
     return any(e.consecutive_failures or e.late or _failures(e) for e in report.observed.engines)
 
 
@@ -220,7 +230,7 @@
 
 
 def _finding(totals: ZoneTotals, listed: int, brokers: int, changing: frozenset[int]) -> ZoneFinding:
-    """The verdict on one zone, that has `listed` engines and was observed by `brokers`."""
+    """Return the finding on a zone with `listed` engines, observed by a number of `brokers`."""
     tried = len(totals.engines)
     if totals.attempts < MIN_ATTEMPTS or tried < MIN_ENGINES_TRIED * listed:
         reason = (
@@ -249,7 +259,7 @@
 
 
 def _cut_off_zones(paths: dict[str, PathTotals]) -> str:
-    """The zones whose brokers see only failures where those of other zones get answers."""
+    """Return the zones whose brokers see only failures while brokers of other zones get answers."""
     failing = [
         zone
         for zone, path in paths.items()
--- a/cypressledge/fleet/zones/load_shedding.py
+++ b/cypressledge/fleet/zones/load_shedding.py
@@ -1,9 +1,8 @@
-"""Which requests are shed while the serving zones can't bear all: first what is over a tenant's quota. No
-I/O.
+"""Selection of the requests to shed while the serving zones lack the capacity for all of them. No I/O.
 
-Quotas are the site's (`QuotaRps`: requests a second of a tenant, over all brokers). Only the planner sees all
-brokers' counts, so it works out which part of each tenant's requests goes; each broker sheds that part of
-what it gets.
+Requests over their tenant's quota are shed first. Quotas are part of the site's settings (`QuotaRps`:
+requests per second of a tenant over all brokers). Only the planner receives all brokers' counts, so it
+computes the part of each tenant's requests to shed; each broker sheds that part of its own requests.
 """
 
 from collections import Counter, deque
@@ -12,15 +11,15 @@
 
 from cypressledge.fleet.zones.failover_plan import PERMILLE
 
-WINDOW = 250_000  # µs of one window of counts
-WINDOW_COUNT = 8  # windows that counts cover: 2 s
+WINDOW = 250_000  # µs; length of one window of counts
+WINDOW_COUNT = 8  # number of windows that counts cover: 2 s
 COUNT_SECONDS = WINDOW * WINDOW_COUNT / 1e6
-MAX_TENANTS = 32  # tenants that are reported, those with most requests: it has to fit into a datagram
-MIN_EXCESS = 20  # permille under which nothing is shed: counts of two seconds scatter
+MAX_TENANTS = 32  # tenants reported, those with most requests; a report must fit into a datagram
+MIN_EXCESS = 20  # permille under which nothing is shed, because counts over 2 s fluctuate
 
 
 class TenantArrivals:
-    """How many requests each tenant has sent in the last two seconds."""
+    """Counts of each tenant's requests at this broker in the last two seconds."""
 
     def __init__(self) -> None:
         self.windows: deque[tuple[int, Counter[str]]] = deque(maxlen=WINDOW_COUNT)
@@ -33,7 +32,7 @@
         self.windows[-1][1][tenant] += 1
 
     def counts(self, now: int) -> Mapping[str, int]:
-        """Requests by tenant, of the `MAX_TENANTS` that sent most."""
+        """Return the number of requests by tenant, for the `MAX_TENANTS` tenants with most requests."""
         oldest = now // WINDOW - WINDOW_COUNT
         total: Counter[str] = Counter()
         for number, counts in self.windows:
@@ -43,8 +42,11 @@
 
 
 def over_quota(counts: Mapping[str, int], quotas: Mapping[str, float]) -> Mapping[str, int]:
-    """By tenant: the part of its requests that is over its quota, permille; tenants within theirs are left
-    out. `counts`: of all brokers together, in `COUNT_SECONDS`; `quotas`: requests a second."""
+    """Return by tenant the part of its requests that is over its quota, permille.
+
+    Tenants within their quota are left out. `counts`: requests at all brokers within `COUNT_SECONDS`;
+    `quotas`: requests per second.
+    """
     parts = {
         tenant: round(PERMILLE * (1 - quotas[tenant] * COUNT_SECONDS / count))
         for tenant, count in counts.items()
@@ -54,7 +56,7 @@
 
 
 def over_quota_fraction(counts: Mapping[str, int], over: Mapping[str, int]) -> float:
-    """The part of all requests that is over its tenant's quota, 0 to 1."""
+    """Return the fraction of all requests that is over its tenant's quota, 0 to 1."""
     requests_over = sum(counts[tenant] * part for tenant, part in over.items())
     return requests_over / max(1, sum(counts.values())) / PERMILLE
 
@@ -62,8 +64,11 @@
 def shed_permille_by_tenant(
     counts: Mapping[str, int], over: Mapping[str, int], excess: float
 ) -> Mapping[str, int]:
-    """By tenant: the part of its requests that is shed, permille, so that `excess` of all (0 to 1) goes: of
-    what is over quota first, beyond that of all tenants alike."""
+    """Return by tenant the part of its requests to shed, permille.
+
+    Together they make up `excess`, a fraction of all requests (0 to 1). Requests over quota are shed first,
+    then the same part of all tenants' remaining requests.
+    """
     if excess * PERMILLE < MIN_EXCESS:
         return {}
     all_over = over_quota_fraction(counts, over)
@@ -77,7 +82,9 @@
 
 
 def is_shed(request_id: str, part: int) -> bool:
-    """Whether a request is one of the `part` permille of its tenant's that are shed. Goes by its id, so that
-    a retry of it, at any broker, is treated alike."""
+    """Return whether a request is among the `part` permille of its tenant's requests that are shed.
+
+    Depends on the request's id only, so that a retry at any broker gets the same result.
+    """
     digest = blake2b(request_id.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") * PERMILLE >> 32 < part
--- a/cypressledge/fleet/zones/observations.py
+++ b/cypressledge/fleet/zones/observations.py
@@ -1,7 +1,7 @@
-"""What one broker's own attempts show of each engine, in short windows. No I/O; callers pass the time (µs).
+"""Results of one broker's attempts by engine, in short windows. No I/O; callers pass the time (µs).
 
-Passive observation only: how attempts ended, how late, and which have been silent for long. No health checks,
-and no look into answers.
+Observation is passive: how attempts ended, how late, and which have been silent for long. It sends no health
+checks and does not inspect answers.
 """
 
 from collections import deque
@@ -11,12 +11,13 @@
 from cypressledge.decisions.contract import Outcome
 from cypressledge.fleet.messages import EngineObservation
 
-WINDOW = 250_000  # µs of one window of counts
-WINDOW_COUNT = 8  # windows that a snapshot covers: 2 s
-MAX_ENGINES = 64  # engines that a snapshot names, those tried most: it has to fit into a datagram
-LATE_MULTIPLE = 4.0  # times the expected run time after which an answer counts as late
-SILENCE_MULTIPLE = 3.0  # times the expected run time that an attempt may be silent for,
-MIN_SILENCE = 300_000  # and µs that it may be silent for in any case
+WINDOW = 250_000  # µs; length of one window of counts
+WINDOW_COUNT = 8  # number of windows that a snapshot covers: 2 s
+MAX_ENGINES = 64  # engines in a snapshot, those with most attempts; it must fit into a datagram
+LATE_MULTIPLE = 4.0  # multiple of the expected run time after which an answer counts as late
+SILENCE_MULTIPLE = 3.0  # multiple of the expected run time that an attempt may be silent for
+# µs that an attempt may be silent for in any case; also added to the time after which an answer is late
+MIN_SILENCE = 300_000
 
 CONNECT_FAILED_OUTCOMES = frozenset((Outcome.CONNECT_FAILED,))
 FAILED_OUTCOMES = frozenset((Outcome.RESET, Outcome.ERROR))
@@ -25,18 +26,18 @@
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """How attempts at one engine ended in one window. `cpu_time`: µs of engine processor time of those
-    that succeeded."""
+    """Numbers of attempts at one engine in one window, by result. `cpu_time`: engine processor time of
+    the successful ones, µs."""
 
     succeeded: int = 0
-    late: int = 0  # succeeded, but well after the expected run time
+    late: int = 0  # succeeded, but long after the expected run time
     connect_failed: int = 0
     failed: int = 0
     timed_out: int = 0
     cpu_time: int = 0
 
     def add(self, other: "AttemptCounts") -> None:
-        """Add another window's counts."""
+        """Add another window's counts to these."""
         self.succeeded += other.succeeded
         self.late += other.late
         self.connect_failed += other.connect_failed
@@ -46,21 +47,21 @@
 
     @property
     def total(self) -> int:
-        """All attempts counted."""
+        """The number of attempts in all results."""
         return self.succeeded + self.late + self.connect_failed + self.failed + self.timed_out
 
 
 @dataclass(slots=True)
 class RecentResults:
-    """The latest results at one engine. `last_answer_at`: µs; None where no answer is known."""
+    """The latest results at one engine. `last_answer_at`: µs; None if no answer is known."""
 
     consecutive_failures: int = 0
     last_answer_at: int | None = None
 
 
 class OpenAttempt(NamedTuple):
-    """An attempt that has not ended. `silence`: µs since the engine was last heard of it; `expected`: µs that
-    it should take."""
+    """An attempt that has not ended. `silence`: µs since it was sent or its engine last reported progress of
+    it; `expected`: expected run time, µs."""
 
     attempt: object
     engine: int
@@ -70,8 +71,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedAttempt:
-    """An attempt that has ended. `latency`: µs since it was sent; `expected`: µs that it should have taken;
-    `cpu_time`: µs of engine processor time, where it succeeded; `silent`: its engine reported no progress."""
+    """An attempt that has ended. `latency`: µs since it was sent; `expected`: expected run time, µs;
+    `cpu_time`: engine processor time, µs, if it succeeded; `silent`: its engine reported no progress."""
 
     attempt: object
     engine: int
@@ -83,14 +84,14 @@
 
     @property
     def was_given_up_silent(self) -> bool:
-        """Whether it was cancelled after a longer silence than its run time explains."""
+        """Whether it was cancelled without any progress, long after its expected run time."""
         overdue = self.latency > SILENCE_MULTIPLE * self.expected
         return self.outcome is Outcome.CANCELLED and self.silent and overdue
 
 
 @dataclass(slots=True)
 class AttemptObservations:
-    """One broker's counts, by window and engine."""
+    """The results of one broker's attempts, by window and engine."""
 
     windows: deque[tuple[int, dict[int, AttemptCounts]]] = field(
         default_factory=lambda: deque(maxlen=WINDOW_COUNT)
@@ -101,8 +102,9 @@
     def record_end(self, now: int, ended: EndedAttempt) -> None:
         """Count an attempt that has ended.
 
-        A rejected attempt and one that was never sent say nothing of the engine. Nor does a cancelled one,
-        unless it had been silent for longer than it should have taken.
+        A rejected attempt and one that was never sent are not counted, because they give no information
+        about the engine. The same holds for a cancelled one, unless it was silent long past its expected run
+        time.
         """
         outcome = ended.outcome
         if ended.attempt in self.counted_silent:
@@ -119,7 +121,7 @@
             self._record_failure(now, ended.engine).timed_out += 1
 
     def record_open(self, now: int, open_attempts: list[OpenAttempt]) -> None:
-        """Count each open attempt that has been silent for too long, once."""
+        """Count each open attempt that has been silent for too long as timed out, once."""
         self.counted_silent &= {attempt for attempt, *_ in open_attempts}
         for attempt, engine, silence, expected in open_attempts:
             if attempt in self.counted_silent:
@@ -129,7 +131,7 @@
                 self._record_failure(now, engine).timed_out += 1
 
     def snapshot(self, now: int) -> list[EngineObservation]:
-        """The sums of the last windows, of at most `MAX_ENGINES` engines."""
+        """Return the sums over the last windows, for at most `MAX_ENGINES` engines."""
         oldest = now // WINDOW - WINDOW_COUNT
         sums: dict[int, AttemptCounts] = {}
         for number, engines in self.windows:
--- a/cypressledge/fleet/zones/observer.py
+++ b/cypressledge/fleet/zones/observer.py
@@ -1,4 +1,4 @@
-"""Observes the attempts of one broker's core for zone failover: the core's `AttemptObserver`."""
+"""The `AttemptObserver` of the broker core that collects observations for zone failover."""
 
 from collections.abc import Callable
 
@@ -8,13 +8,14 @@
 from cypressledge.fleet.zones.environment import ZoneCore
 from cypressledge.fleet.zones.observations import AttemptObservations, EndedAttempt, OpenAttempt
 
-# The most that a slow class lengthens what is expected: guards against calling a crowd a loss.
+# Largest factor by which a slow class extends the expected run time. The extension keeps overloaded engines
+# from being taken for lost ones.
 MAX_SLOWDOWN = 4.0
 
 
 class ZoneObserver:
-    """What this broker's attempts show of the engines. Two clocks: the core's for attempts, and `now`, of
-    the fleet, for observations (both µs)."""
+    """Observer of this broker's attempts. It uses two clocks: the core's for attempts, and the fleet's
+    (`now`) for observations (both µs)."""
 
     def __init__(self, core: ZoneCore, now: Callable[[], int]) -> None:
         self.core = core
@@ -24,7 +25,7 @@
         self.progress_reported_at: dict[Attempt, int] = {}
 
     def attempt_ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
-        """An attempt has ended, after `latency` µs."""
+        """Record that an attempt has ended, after `latency` µs."""
         silent = self.progress_reported_at.pop(attempt, None) is None
         query = attempt.request.query
         ended = EndedAttempt(
@@ -39,11 +40,11 @@
         self.observations.record_end(self.now(), ended)
 
     def attempt_progressed(self, attempt: Attempt) -> None:
-        """An engine has reported progress of an attempt."""
+        """Record that an engine has reported progress of an attempt."""
         self.progress_reported_at[attempt] = self.now()
 
     def snapshot(self, now: int) -> list[EngineObservation]:
-        """Look at the attempts that are open now, and sum up the last windows."""
+        """Record the attempts that are open now, and return the sums over the last windows."""
         self.observations.record_open(now, self._open_attempts(now))
         return self.observations.snapshot(now)
 
@@ -62,7 +63,11 @@
         return found
 
     def _expected_time(self, query: Query) -> int:
-        """µs that a query should take as engines answer its class now: if all are crowded, none is lost."""
+        """Return the expected run time of a query, µs.
+
+        It is scaled by the current latency ratio of the query's class: if all engines are overloaded, none
+        is taken for lost.
+        """
         run_time = query.cost / max(1, self.core.settings.classes[query.class_index].threads)
         slowdown = self.core.loop.manager.latency_ratios[query.class_index]
         return int(run_time * min(max(slowdown, 1.0), MAX_SLOWDOWN))
--- a/cypressledge/fleet/zones/operator_api.py
+++ b/cypressledge/fleet/zones/operator_api.py
@@ -1,6 +1,6 @@
-"""The operators' calls of zone failover, at a broker's management address: `/zone/...`.
+"""Operators' calls of zone failover, at a broker's management address: `/zone/...`.
 
-The keys of the answers and the texts of errors are what operators' scripts read: they stay.
+Operators' scripts depend on the keys of the answers and the texts of errors: don't change them.
 """
 
 import msgspec
@@ -17,14 +17,14 @@
 
 
 class ZoneOperatorApi:
-    """Answers operators' calls about zones."""
+    """Handlers of operators' calls about zones."""
 
     def __init__(self, zones: ZoneFailover, log: FilteringBoundLogger) -> None:
         self.zones = zones
         self.log = log
 
     def register(self, management: ManagementServer) -> None:
-        """Add the calls to the management address."""
+        """Register the calls at the management server."""
         management.add("/zone/status", "GET", self._status)
         management.add("/zone/wish", "POST", self._command)
         management.add("/zone/dry-run", "POST", self._dry_run)
@@ -60,7 +60,7 @@
         return 409, f"ask the planner, {planner}\n".encode() if planner else b"there is no planner\n"
 
     def _read_command(self, request: HttpRequest) -> ZoneCommandRequest | Answer:
-        """The command of a call, or the answer that there is none."""
+        """Return the command in a request's body, or an error answer if it or its zone is invalid."""
         try:
             command = msgspec.json.decode(request.body, type=ZoneCommandRequest)
         except msgspec.MsgspecError as err:
--- a/cypressledge/fleet/zones/operator_commands.py
+++ b/cypressledge/fleet/zones/operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators can ask of zone failover at a broker: commands for the planner, dry runs, and the status."""
+"""Operators' calls of zone failover at a broker: commands for the planner, dry runs, and the status."""
 
 from cypressledge.fleet.messages import ZoneCommand
 from cypressledge.fleet.operator_answers import ZoneRow
@@ -7,12 +7,12 @@
 from cypressledge.fleet.zones.failover_planner import FailoverPlanner
 from cypressledge.fleet.zones.planner_duty import PlannerDuty
 
-MAX_DRY_RUN = 120_000_000  # µs that a dry run looks ahead
-DRY_RUN_STEP = 100_000  # µs between its steps
+MAX_DRY_RUN = 120_000_000  # µs; longest time that a dry run simulates
+DRY_RUN_STEP = 100_000  # µs between the steps of a dry run
 
 
 def apply_command(planner: FailoverPlanner, command: ZoneCommand, now: int) -> None:
-    """Give a planner an operator's command; of a zone that it does not know it is dropped."""
+    """Apply an operator's command to a planner; a command for an unknown zone is ignored."""
     if command.zone not in planner.zones:
         return
     until = now + command.duration
@@ -27,7 +27,10 @@
 
 
 def dry_run(duty: PlannerDuty, command: ZoneCommand, now: int) -> list[str] | None:
-    """What a command would lead to now, step by step; None where this broker is not the planner."""
+    """Return the events that a command would cause now, one line per event.
+
+    None if this broker is not the planner.
+    """
     term = duty.term
     if term is None:
         return None
@@ -35,7 +38,7 @@
     elapsed = 0
 
     def add_line(event: ZoneEvent, zone: str, reason: str) -> None:
-        """Add what a step of the trial does, as a line of the answer."""
+        """Add an event of the trial as a line of the answer."""
         lines.append(f"after {elapsed / 1e6:g} s: {event} {zone}: {reason}")
 
     planner = term.planner_of(command.zone)
@@ -51,7 +54,7 @@
 
 
 def zone_rows(duty: PlannerDuty) -> list[ZoneRow]:
-    """How each zone and region stands here."""
+    """Return the state of each zone and region at this broker."""
     rows = []
     follower, topology = duty.follower, duty.topology
     for name in (*topology.zones, *topology.regions):
--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -1,5 +1,5 @@
-"""The planner's work at the broker that holds its lease: assess the fleet, step the planners, publish the
-plan."""
+"""The tasks of the broker that holds the planner's lease: it assesses the fleet, steps the planners, and
+publishes the plan."""
 
 from collections.abc import Callable, Generator, Mapping
 from dataclasses import dataclass
@@ -21,14 +21,17 @@
 from cypressledge.fleet.zones.plan_follower import PlanFollower
 from cypressledge.fleet.zones.recovery_ramp import usable_fraction
 
-REPEAT_INTERVAL = 1_000_000  # µs between sendings of an unchanged plan,
-# but after the first and the second: a datagram may get lost
+REPEAT_INTERVAL = 1_000_000  # µs between transmissions of an unchanged plan
+# µs to the next transmission after the first and the second one; shorter, because a datagram may get lost
 INITIAL_REPEAT_INTERVALS = {1: 100_000, 2: 200_000}
-MIN_EVACUATED_BROKERS = 2  # brokers that have to have left a zone by themselves for the planner to adopt that
+MIN_EVACUATED_BROKERS = 2  # local evacuations of a zone that the planner requires to adopt them
 
 
 class NotPlanningError(AttributeError):
-    """The lease was lost while the planner acted. An `AttributeError`: so it was before it had a name."""
+    """The planner's lease was lost during a step.
+
+    It is an `AttributeError` because callers got one before this class existed.
+    """
 
 
 @dataclass(slots=True)
@@ -41,29 +44,29 @@
 
     @property
     def number(self) -> int:
-        """Of the plan."""
+        """The number of the plan."""
         return self.zones.number + self.regions.number
 
     @property
     def sheds_load(self) -> bool:
-        """Whether the others can't bear what has been left."""
+        """Whether requests are shed because the serving zones or regions lack capacity."""
         return self.zones.sheds_load or self.regions.sheds_load
 
     def planner_of(self, name: str) -> FailoverPlanner:
-        """The planner of a zone, or of a region."""
+        """Return the planner of the zone or region with this name."""
         return self.regions if name in self.regions.zones else self.zones
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """Loads by zone, and the part of all requests that is over its tenant's quota, 0 to 1."""
+    """Loads by zone, and the fraction of all requests that is over its tenant's quota, 0 to 1."""
 
     zones: Mapping[str, ZoneLoad]
     over_quota: float
 
 
 class PlannerDuty:
-    """What the holder of the planner's lease does. `publish(plan, now)` takes a plan over at this broker."""
+    """The work of the holder of the planner's lease. `publish(plan, now)` applies a plan at this broker."""
 
     def __init__(
         self,
@@ -83,12 +86,14 @@
         self.zone_health = FleetHealth({}, {})
         self.region_health = FleetHealth({}, {})
         self.logged_isolated: dict[str, str] = {}
-        self.sent_at = 0  # µs when the plan was last sent,
-        self.times_sent = 0  # and how often since it last changed
+        self.sent_at = 0  # µs; when the plan was last sent
+        self.times_sent = 0  # transmissions of the plan since it last changed
 
     def act(self, grant: HeldLease) -> Generator[None, None, None]:
-        """One step of the planner, in short steps of processor time. Raises `NotPlanningError` where the
-        lease was lost between two of them."""
+        """Run one step of the planner, yielding between short parts.
+
+        Raises `NotPlanningError` if the lease was lost between two parts.
+        """
         now = self.links.now()
         if self.term is None or self.term.grant.token != grant.token:
             self._begin_term(grant, now)
@@ -100,24 +105,24 @@
         now = self.links.now()
         self._log_isolated()
         term = self.term
-        if term is None:  # guards against planning on after stepping down between two steps
+        if term is None:  # stepped down between two parts: stop planning
             raise NotPlanningError
         self._adopt(term.zones, reports, now)
         self._plan(term, grant, now)
 
     def step_down_from(self, lease: str) -> None:
-        """A lease is lost; if it is the planner's, this broker plans no more."""
+        """Stop planning if the lost lease is the planner's."""
         if self.term is not None and self.term.grant.lease == lease:
             self.term = None
 
     def fleet_load(self, now: int) -> FleetLoad:
-        """The load of all zones, as this broker knows it."""
+        """Return the load of all zones, from the reports that this broker has."""
         counts = self.view.tenant_counts(now)
         over = over_quota(counts, self.topology.quotas)
         return FleetLoad(self.view.zone_loads(now), over_quota_fraction(counts, over))
 
     def _begin_term(self, grant: HeldLease, now: int) -> None:
-        """Begin to plan, from where the newest plan stands."""
+        """Start planning, from the newest plan that this broker knows."""
         zones = FailoverPlanner(list(self.topology.zones), self.pace, now, self._log_zone_event)
         regions = FailoverPlanner(self.topology.regions, self.pace, now, self._log_region_event)
         known = self.follower.plan
@@ -130,7 +135,10 @@
         self.links.log_event(BrokerEvent.PLANNER_STARTED, token=grant.token, number=zones.number)
 
     def _adopt(self, planner: FailoverPlanner, reports: list[BrokerObservations], now: int) -> None:
-        """Take on what most brokers left by themselves, so that they do not come back all at once."""
+        """Adopt a zone's local evacuations if at least half of the brokers made them.
+
+        Otherwise all these brokers would return to the zone at once.
+        """
         fresh = [report for report in reports if report.age < MAX_AGE]
         for name, zone in planner.zones.items():
             evacuated_brokers = sum(name in report.observed.locally_evacuated_zones for report in fresh)
@@ -142,10 +150,10 @@
                 )
 
     def _plan(self, term: PlannerTerm, grant: HeldLease, now: int) -> None:
-        """Step both planners, and send the plan where it is due."""
+        """Step both planners, and send the plan if it changed or a retransmission is due."""
         load = self.fleet_load(now)
         loads = load.zones
-        over = 0.0 if term.sheds_load else load.over_quota  # what is shed already is not in the loads
+        over = 0.0 if term.sheds_load else load.over_quota  # the loads don't contain what is already shed
         changed = term.zones.step(now, self.zone_health.zones, loads, over)
         if self.topology.region_of:
             region_loads = self.view.region_loads(loads)
@@ -184,10 +192,10 @@
     def _excess_fraction(
         self, term: PlannerTerm, counts: Mapping[str, int], loads: Mapping[str, ZoneLoad], now: int
     ) -> float:
-        """The part of all work that comes, shed or not, which the zones can't bear while one is away: 0 to 1.
+        """Return the fraction of the offered load that exceeds the zones' capacity while one is out, 0 to 1.
 
-        Guards against a decision module that sees few engines, lets ever more onto each, and answers nearly
-        all late.
+        The offered load includes requests that are shed. Without shedding, the decision modules would put
+        more and more requests onto the few remaining engines, and nearly all answers would be late.
         """
         serving = (ZoneStage.SERVING, ZoneStage.SUSPECT)
         states = (*term.zones.zones.values(), *term.regions.zones.values())
@@ -200,14 +208,14 @@
         return max(0.0, 1 - usable_capacity / offered_load) if offered_load else 0.0
 
     def _usable_fraction(self, term: PlannerTerm, zone_name: str, now: int) -> float:
-        """The part of a zone's cores that may be reckoned with: no more than its region's."""
+        """Return the usable fraction of a zone's cores; at most that of its region."""
         zone = term.zones.zones[zone_name]
         region = term.regions.zones.get(self.topology.region_of.get(zone_name, ""))
         states = [state for state in (zone, region) if state is not None]
         return min(usable_fraction(state, now, self.pace) for state in states)
 
     def _log_isolated(self) -> None:
-        """Log brokers that are isolated themselves, once each time."""
+        """Log each isolated broker once, when it becomes isolated."""
         for broker, reason in self.zone_health.isolated.items():
             if broker not in self.logged_isolated:
                 self.links.log_event(BrokerEvent.PEER_ISOLATED, peer=broker, why=reason)
--- a/cypressledge/fleet/zones/recovery_ramp.py
+++ b/cypressledge/fleet/zones/recovery_ramp.py
@@ -1,6 +1,6 @@
-"""How much a zone may be asked for while its engines, started cold, warm up. No I/O.
+"""The load that a zone may receive while its engines, started cold, warm up. No I/O.
 
-Float expressions here decide shares: they stay as they are written.
+Shares depend on the exact results of the float expressions here: don't rearrange them.
 """
 
 from cypressledge.fleet.zones.failover_plan import (
@@ -11,18 +11,21 @@
     ZoneState,
 )
 
-FULL_AFTER = 1.25  # times the warm-up after which the share is full: measured warm-ups scatter
+FULL_AFTER = 1.25  # multiple of the warm-up time after which the share is full, because warm-up times vary
 
 
 def warm_fraction(age: int, pace: FailoverPace) -> float:
-    """What an engine can do that came back cold `age` µs ago, part of what it can when warm."""
+    """Return the capacity of an engine that started cold `age` µs ago, as a fraction of its warm capacity."""
     return min(1.0, pace.cold_capacity + (1 - pace.cold_capacity) * age / pace.warm_up_time)
 
 
 def recovery_share(age: int, pace: FailoverPace, utilization: float = 1.0) -> int:
-    """The share of a zone that came back `age` µs ago, permille: under what its engines can do by then, in
-    steps, full once that is all of the work there is. `utilization`: the part of all cores that the fleet's
-    work takes; a full share is no more than that of the zone."""
+    """Return the share of a zone whose return began `age` µs ago, permille, in whole steps.
+
+    The zone's load stays below the present capacity of its engines; the share is full once that capacity
+    suffices for all of the zone's load. `utilization`: the fraction of all cores that the fleet's load takes;
+    a full share takes at most that fraction of the zone's cores.
+    """
     part = (
         min(1.0, pace.safety_margin * warm_fraction(age, pace) / utilization)
         if age < pace.warm_up_time * FULL_AFTER
@@ -32,7 +35,7 @@
 
 
 def usable_fraction(zone: ZoneState, now: int, pace: FailoverPace) -> float:
-    """The part of a zone's cores that work can be given to: of one that returns, what is warm."""
+    """Return the fraction of a zone's cores that can take load; while it returns, its present capacity."""
     if zone.stage in (ZoneStage.SERVING, ZoneStage.SUSPECT):
         return 1.0
     if zone.stage is ZoneStage.RETURNING:
--- a/cypressledge/fleet/zones/stage_machines.py
+++ b/cypressledge/fleet/zones/stage_machines.py
@@ -1,7 +1,7 @@
-"""What moves a zone from one stage to the next: findings, time, and what operators want. No I/O.
+"""Transitions of zones between stages, by findings, time and operators' overrides. No I/O.
 
-One state machine a zone; the machines look at each other, since a zone is left only as far as the others can
-bear its load. Callers pass the time (µs).
+Each zone has a state machine. It depends on the other zones' states, because a zone is evacuated only as far
+as the others have the capacity for its load. Callers pass the time (µs).
 """
 
 from collections.abc import Callable, Iterable
@@ -22,15 +22,18 @@
 from cypressledge.fleet.zones.planning_input import PlanningInput
 from cypressledge.fleet.zones.recovery_ramp import recovery_share
 
-MAX_DOUBLINGS = 16  # failed returns that are counted: guards against a shift without bounds
+MAX_DOUBLINGS = 16  # largest number of failed returns counted; bounds the shift that doubles the time out
 
-LogZoneEvent = Callable[[ZoneEvent, str, str], None]  # gets the event, the zone and why
+LogZoneEvent = Callable[[ZoneEvent, str, str], None]  # arguments: the event, the zone and the reason
 StageStep = Callable[["ZoneStageMachines", ZoneState, PlanningInput], None]
 
 
 class ZoneStageMachines:
-    """The state machines of all zones, by name. `utilization`: the part of all cores that the work takes, as
-    of the last step; `sheds_load`: the others can't bear what has been left, requests are shed."""
+    """The state machines of all zones, by name.
+
+    `utilization`: the fraction of all cores in use, as of the last step; `sheds_load`: requests are shed
+    because the serving zones lack the capacity for the evacuated ones' load.
+    """
 
     def __init__(self, zones: Iterable[str], pace: FailoverPace, now: int, log_event: LogZoneEvent) -> None:
         self.pace = pace
@@ -40,7 +43,7 @@
         self.sheds_load = False
 
     def trial(self, log_event: LogZoneEvent) -> "ZoneStageMachines":
-        """A copy that can be stepped to see what would come of it."""
+        """Return a copy for a dry run, whose steps don't affect these zones."""
         trial = ZoneStageMachines((), self.pace, 0, log_event)
         trial.zones = deepcopy(self.zones)
         trial.utilization = self.utilization
@@ -48,7 +51,7 @@
         return trial
 
     def step(self, inputs: PlanningInput) -> None:
-        """Let time and findings work on all zones."""
+        """Advance all zones by the time and the findings."""
         self.utilization = inputs.utilization()
         for zone in self.zones.values():
             self._record_finding(zone, inputs)
@@ -60,7 +63,7 @@
             self.sheds_load = False
 
     def bring_back(self, zone: ZoneState, now: int, reason: str) -> None:
-        """Return to a zone by hand: no override any more, and no waiting."""
+        """Begin a zone's return by an operator's command: ends its override and skips the waiting time."""
         zone.override = OperatorOverride.NONE
         if zone.stage in (ZoneStage.OUT, ZoneStage.LEAVING):
             self._enter(zone, ZoneStage.RETURNING, now, reason)
@@ -68,13 +71,13 @@
             self._begin_ramp(zone, now)
 
     def adopt(self, zone: ZoneState, now: int, reason: str) -> None:
-        """Take on that brokers left a zone while there was no planner."""
+        """Adopt the evacuation of a zone that brokers left while the planner was missing."""
         zone.share = 0
         zone.bad_since = None
         self._enter(zone, ZoneStage.OUT, now, reason)
 
     def _record_finding(self, zone: ZoneState, inputs: PlanningInput) -> None:
-        """Keep since when a zone has been bad. Insufficient data leaves it as it was."""
+        """Record since when a zone has been bad. Insufficient data changes nothing."""
         finding = inputs.findings.get(zone.name)
         verdict = finding.verdict if finding else Verdict.INSUFFICIENT_DATA
         if verdict is Verdict.LOST or (
@@ -85,7 +88,7 @@
             zone.bad_since = None
 
     def _step_override(self, zone: ZoneState, now: int) -> None:
-        """End what is by hand once its time has passed, and a practice once another zone fails."""
+        """End an override once its time has passed, and a practice once another zone fails."""
         if zone.override != OperatorOverride.NONE and now >= zone.override_until:
             self.log_event(ZoneEvent.OVERRIDE_EXPIRED, zone.name, f"the time for {zone.override} has passed")
             zone.override = OperatorOverride.NONE
@@ -95,7 +98,7 @@
                 self.bring_back(zone, now, f"practice over: {failing} fails")
 
     def _another_failing(self, practising: ZoneState) -> str:
-        """Another zone that fails, if one does."""
+        """Return the name of another zone that fails, or an empty string."""
         failing = (ZoneStage.SUSPECT, ZoneStage.LEAVING, ZoneStage.OUT)
         for zone in self.zones.values():
             if zone is not practising and (zone.bad_since is not None or zone.stage in failing):
@@ -119,7 +122,7 @@
     def _is_confirmed_bad(self, zone: ZoneState, now: int) -> bool:
         return zone.bad_since is not None and now - zone.bad_since >= self.pace.confirmation_time
 
-    # One step of each stage
+    # One method per stage, called in each step while a zone is in that stage
 
     def _step_serving(self, zone: ZoneState, inputs: PlanningInput) -> None:
         zone.share = FULL_SHARE
@@ -164,7 +167,7 @@
             self._enter(zone, ZoneStage.SERVING, inputs.now, "back whole")
 
     def _end_return(self, zone: ZoneState, inputs: PlanningInput) -> None:
-        """Out again: by hand, or because it failed again."""
+        """Take a returning zone out again, by an operator's override or because it failed again."""
         failed = not zone.is_kept_out
         zone.failed_returns = min(zone.failed_returns + failed, MAX_DOUBLINGS)
         zone.share = 0
@@ -174,7 +177,10 @@
         self._enter(zone, ZoneStage.OUT, inputs.now, zone.reason if by_hand else failed_again)
 
     def _grow_share(self, zone: ZoneState, inputs: PlanningInput) -> None:
-        """One step up at most. Strain halts the return where it is; after it, it goes on a step at a time."""
+        """Grow a returning zone's share by at most one step.
+
+        Partial failures pause the growth; it continues from the same share, one step at a time.
+        """
         waited = inputs.now - zone.share_grew_at >= self.pace.share_step_interval
         if zone.bad_since is not None or inputs.is_strained(zone.name) or not waited:
             return
@@ -191,10 +197,10 @@
         ZoneStage.RETURNING: _step_returning,
     }
 
-    # Leaving
+    # Evacuation of zones
 
     def _leave(self, zone: ZoneState, inputs: PlanningInput, reason: str) -> None:
-        """Leave a zone, in part where the others can't bear all of a zone that still serves."""
+        """Evacuate a zone; only in part if it still serves and the others lack capacity for its load."""
         others = self._serving_others(zone)
         if not others:
             self._block_evacuation(zone, "no other zone serves whole: the last ones are not left")
@@ -218,7 +224,7 @@
         self._enter(zone, ZoneStage.LEAVING, inputs.now, limits + reason)
 
     def _serving_others(self, zone: ZoneState) -> list[str]:
-        """The other zones that can take its load on."""
+        """Return the other zones that can take a zone's load."""
         return [
             other.name
             for other in self.zones.values()
@@ -229,14 +235,14 @@
         ]
 
     def _leave_rest_if_lost(self, zone: ZoneState, inputs: PlanningInput) -> None:
-        """Leave the rest of a zone that was left in part and is lost now."""
+        """Evacuate the rest of a partly evacuated zone that is lost now."""
         if zone.share and inputs.is_lost(zone.name) and self._is_confirmed_bad(zone, inputs.now):
             zone.share = 0
             zone.reason = inputs.findings[zone.name].reason
             self.log_event(ZoneEvent.FULLY_EVACUATED, zone.name, zone.reason)
 
     def _block_evacuation(self, zone: ZoneState, reason: str) -> None:
-        """A zone is not left after all; logged once."""
+        """Log once that a zone is not evacuated, with the reason."""
         if zone.blocked_reason != reason:
             zone.blocked_reason = reason
             self.log_event(ZoneEvent.EVACUATION_BLOCKED, zone.name, reason)
--- a/cypressledge/fleet/zones/topology.py
+++ b/cypressledge/fleet/zones/topology.py
@@ -1,4 +1,4 @@
-"""Where engines and brokers of a site stand: zones, regions, and tenants' quotas."""
+"""The topology of a site: zones of engines and brokers, regions of zones, and tenants' quotas."""
 
 from dataclasses import dataclass
 
@@ -7,8 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteTopology:
-    """The zones of engines by their numbers in the lists, the zone of each broker, the region of each zone
-    that is in one, and each tenant's quota (requests a second over all brokers)."""
+    """Zones, regions and quotas of a site.
+
+    `zones`: names of the zones, indexed by the zone numbers in engine lists; `broker_zones`: the zone of each
+    broker; `region_of`: the region of each zone that is in one; `quotas`: each tenant's quota, requests per
+    second over all brokers.
+    """
 
     zones: tuple[str, ...]
     broker_zones: dict[str, str]
@@ -16,10 +20,10 @@
     quotas: dict[str, float]
 
     def zone_of(self, entry: c.EngineListEntry) -> str:
-        """An engine's zone by name."""
+        """Return the name of an engine's zone."""
         return self.zones[min(entry.zone, len(self.zones) - 1)]
 
     @property
     def regions(self) -> list[str]:
-        """All regions, in order."""
+        """The names of all regions, sorted."""
         return sorted(set(self.region_of.values()))
