--- a/tests/zones/test_failover_planner.py
+++ b/tests/zones/test_failover_planner.py
@@ -51,7 +51,7 @@
         return self.planner.zones[zone].share
 
 
-def test_a_lost_zone_is_left_within_the_second_and_returned_to_at_its_pace():
+def test_a_lost_zone_is_evacuated_within_one_second_and_recovers_in_paced_steps():
     planner_run = PlannerRun().run(600_000, a=Verdict.LOST)
     assert planner_run.stage() is ZoneStage.LEAVING
     assert planner_run.share() == 0
@@ -59,15 +59,20 @@
     assert planner_run.stage() is ZoneStage.OUT
     planner_run.run(4 * S, a=Verdict.INSUFFICIENT_DATA)
     assert planner_run.stage() is ZoneStage.RETURNING
-    began, shares = planner_run.planner.zones["a"].since, []
+    began_at, shares = planner_run.planner.zones["a"].since, []
     while planner_run.stage() is ZoneStage.RETURNING:
         planner_run.run(100_000)
-        shares.append((planner_run.now - began, planner_run.share()))
-        can = PACE.cold_capacity + (1 - PACE.cold_capacity) * (planner_run.now - began) / PACE.warm_up_time
+        shares.append((planner_run.now - began_at, planner_run.share()))
+        capacity = (
+            PACE.cold_capacity + (1 - PACE.cold_capacity) * (planner_run.now - began_at) / PACE.warm_up_time
+        )
         work = (
             planner_run.share() / FULL_SHARE * planner_run.planner.machines.utilization
         )  # of its cores, while the fleet's work stays as it is
-        assert planner_run.now - began >= 1.25 * PACE.warm_up_time or work <= PACE.safety_margin * can + 1e-9
+        assert (
+            planner_run.now - began_at >= 1.25 * PACE.warm_up_time
+            or work <= PACE.safety_margin * capacity + 1e-9
+        )
     assert shares[0][1] > 0
     assert shares[-1][1] == FULL_SHARE
     assert shares[-1][0] <= 1.5 * PACE.warm_up_time
@@ -87,7 +92,7 @@
     assert planner_run.share() == FULL_SHARE
 
 
-def test_a_busy_zone_that_is_late_is_not_left_and_one_that_is_slow_for_no_work_is():
+def test_a_slow_zone_is_evacuated_only_if_it_is_idle_and_another_zone_is_healthy():
     busy = {z: ZoneLoad(20.0, 32.0) for z in ZONES}
     assert PlannerRun(loads=busy).run(5 * S, a=Verdict.SLOW).stage() is ZoneStage.SERVING
     assert PlannerRun().run(5 * S, **dict.fromkeys(ZONES, Verdict.SLOW)).stage() is ZoneStage.SERVING
@@ -97,24 +102,24 @@
 @pytest.mark.parametrize(
     "verdict", [Verdict.PATH_CUT, Verdict.DEGRADED, Verdict.RELEASE, Verdict.INSUFFICIENT_DATA]
 )
-def test_verdicts_that_are_not_the_zones_fault_move_nothing(verdict):
+def test_verdicts_other_than_lost_or_slow_evacuate_nothing(verdict):
     assert PlannerRun().run(20 * S, a=verdict).stage() is ZoneStage.SERVING
 
 
-def test_a_zone_that_falls_again_stays_out_twice_as_long_each_time():
-    planner_run, outs = PlannerRun(), []
+def test_the_time_out_doubles_with_each_failed_return():
+    planner_run, times_out = PlannerRun(), []
     for _ in range(5):
         planner_run.run(S, a=Verdict.LOST)
-        began = planner_run.now
+        began_at = planner_run.now
         while planner_run.stage() is not ZoneStage.RETURNING:
             planner_run.run(100_000, a=Verdict.LOST)
-        outs.append(planner_run.now - began)
+        times_out.append(planner_run.now - began_at)
         planner_run.run(3 * S)
         assert planner_run.share() > 0
-    assert all(b > 1.4 * a for a, b in itertools.pairwise(outs)), outs
+    assert all(b > 1.4 * a for a, b in itertools.pairwise(times_out)), times_out
 
 
-def test_strain_halts_a_return_without_a_jump_after_it():
+def test_a_partial_failure_pauses_a_return_and_the_share_does_not_jump_afterwards():
     planner_run = PlannerRun().run(S, a=Verdict.LOST).run(8 * S, a=Verdict.INSUFFICIENT_DATA)
     while planner_run.share() < 400:
         planner_run.run(100_000)
@@ -126,7 +131,7 @@
     assert planner_run.share() <= halted + FULL_SHARE / 16 + 1
 
 
-def test_the_last_serving_zone_is_never_left():
+def test_the_last_serving_zone_is_never_evacuated():
     planner_run = PlannerRun().run(S, a=Verdict.LOST).run(2 * S, a=Verdict.LOST, b=Verdict.LOST)
     assert [planner_run.share(z) for z in ZONES] == [0, 0, FULL_SHARE]
     planner_run.run(5 * S, a=Verdict.LOST, b=Verdict.LOST, c=Verdict.LOST)
@@ -136,7 +141,7 @@
     assert [both.share(z) for z in "ab"] == [FULL_SHARE, FULL_SHARE]
 
 
-def test_a_leave_by_hand_is_partial_where_the_others_cannot_bear_it():
+def test_an_operators_evacuation_is_partial_if_the_others_lack_capacity():
     heavy = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(22.0, 32.0), "c": ZoneLoad(24.0, 32.0)}
     planner_run = PlannerRun(loads=heavy)
     planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "by hand: a mistake")
@@ -207,7 +212,7 @@
 @pytest.mark.parametrize(
     ("override", "reason"), [("canary", "by hand: a trial"), ("", "it failed again: as drawn")]
 )
-def test_an_override_of_a_later_version_keeps_no_zone_in_its_stage(override, reason):
+def test_an_override_of_a_later_version_does_not_hold_a_zone_in_its_stage(override, reason):
     status = ZoneStatus("a", "returning", 500, 5 * S, 0, override, 60 * S, "by hand: a trial")
     planner_run = PlannerRun()
     planner_run.planner.resume(7, [status], False, planner_run.now)
@@ -217,7 +222,7 @@
     assert out.reason == reason
 
 
-def test_a_practice_ends_where_the_others_cannot_bear_it_or_another_zone_fails():
+def test_a_practice_ends_if_the_others_lack_capacity_or_another_zone_fails():
     heavy = {z: ZoneLoad(24.0, 32.0) for z in ZONES}
     planner_run = PlannerRun(loads=heavy)
     planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "practice", practice=True)
@@ -236,7 +241,7 @@
     assert planner_run.planner.zones["a"].failed_returns == 0
 
 
-def test_requests_over_quota_are_shed_before_a_part_of_a_zone_stays():
+def test_shedding_requests_over_quota_takes_precedence_over_a_partial_evacuation():
     loads = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(20.0, 32.0), "c": ZoneLoad(20.0, 32.0)}
     planner_run = PlannerRun(loads=loads)
     planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "works")
@@ -253,7 +258,7 @@
     assert not planner_run.planner.sheds_load
 
 
-def test_a_zone_left_in_part_and_lost_then_is_left_completely():
+def test_a_partly_evacuated_zone_that_is_then_lost_is_evacuated_fully():
     heavy = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(22.0, 32.0), "c": ZoneLoad(24.0, 32.0)}
     planner_run = PlannerRun(loads=heavy)
     planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "works")
@@ -264,7 +269,7 @@
     assert ("zone_left_whole", "a") in planner_run.events
 
 
-def test_the_usable_fraction_is_what_work_can_be_given_to():
+def test_the_usable_fraction_depends_on_the_stage_and_the_warm_up():
     planner_run = PlannerRun().run(S, a=Verdict.LOST)
     zone = planner_run.planner.zones["a"]
     assert usable_fraction(zone, planner_run.now, PACE) == 0
@@ -286,19 +291,19 @@
     assert planner_run.share("b") == 0
 
 
-def test_the_recovery_ramp_stays_under_what_cold_engines_can_do():
+def test_the_recovery_ramp_stays_below_the_capacity_of_cold_engines():
     for age in range(0, round(1.25 * PACE.warm_up_time), 100_000):
-        can = min(1.0, PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time)
-        assert 0 < recovery_share(age, PACE) / FULL_SHARE <= PACE.safety_margin * can
+        capacity = min(1.0, PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time)
+        assert 0 < recovery_share(age, PACE) / FULL_SHARE <= PACE.safety_margin * capacity
     assert recovery_share(round(1.25 * PACE.warm_up_time), PACE) == FULL_SHARE
 
 
-def test_the_recovery_ramp_reckons_with_the_work_there_is():
+def test_the_recovery_ramp_is_scaled_by_the_utilization():
     for utilization in (0.4, 0.55, 0.8, 1.0):
         for age in range(0, PACE.warm_up_time, 100_000):
-            can = PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time
+            capacity = PACE.cold_capacity + (1 - PACE.cold_capacity) * age / PACE.warm_up_time
             assert (
                 recovery_share(age, PACE, utilization) / FULL_SHARE * utilization
-                <= PACE.safety_margin * can + 1e-9
+                <= PACE.safety_margin * capacity + 1e-9
             )
     assert recovery_share(0, PACE, 0.4) > recovery_share(0, PACE, 1.0) > 0
--- a/tests/zones/test_load_shedding.py
+++ b/tests/zones/test_load_shedding.py
@@ -14,7 +14,7 @@
 S = 1_000_000
 
 
-def test_quotas_are_of_the_whole_fleets_requests():
+def test_quotas_apply_to_the_requests_of_the_whole_fleet():
     arrivals = TenantArrivals()
     for number in range(200):
         arrivals.add(number * S // 100, "big")
@@ -34,13 +34,13 @@
     assert arrivals.counts(9 * S) == {}
 
 
-def test_requests_over_quota_are_shed_first_and_all_tenants_alike_beyond_that():
+def test_requests_over_quota_are_shed_first_and_then_the_same_part_of_all_tenants():
     counts, over = {"big": 200, "small": 100}, {"big": 300}  # 60 of 300 are over
     assert shed_permille_by_tenant(counts, over, 0.01) == {} == shed_permille_by_tenant(counts, over, 0.0)
     assert shed_permille_by_tenant(counts, over, 0.1) == {"big": 150}
     assert shed_permille_by_tenant(counts, over, 0.2) == {"big": 300}
     parts = shed_permille_by_tenant(counts, over, 0.6)
     assert parts == {"big": 650, "small": 500}
-    gone = sum(counts[t] * part for t, part in parts.items()) / 1000
-    assert gone == pytest.approx(0.6 * 300)
+    shed_requests = sum(counts[t] * part for t, part in parts.items()) / 1000
+    assert shed_requests == pytest.approx(0.6 * 300)
     assert shed_permille_by_tenant(counts, over, 1.0) == {"big": 1000, "small": 1000}
--- a/tests/zones/test_plan_follower.py
+++ b/tests/zones/test_plan_follower.py
@@ -31,7 +31,7 @@
     assert follower.rejected_plans == 3
 
 
-def test_without_a_planner_a_broker_leaves_on_strong_evidence_and_does_not_return():
+def test_without_a_planner_a_broker_evacuates_a_lost_zone_and_does_not_return():
     follower = PlanFollower("n1")
     lost = {"a": ZoneFinding(Verdict.LOST, 1.0, ""), "b": ZoneFinding(Verdict.HEALTHY, 0.0, "")}
     all_lost = {z: ZoneFinding(Verdict.LOST, 1.0, "") for z in "ab"}
@@ -52,7 +52,7 @@
     assert not follower.locally_evacuated
 
 
-def test_a_locally_evacuated_zone_that_the_planner_keeps_is_rejoined_after_a_delay():
+def test_a_local_evacuation_that_the_planner_does_not_adopt_ends_after_a_delay():
     follower = PlanFollower("n1")
     follower.observe(
         4 * S, {"a": ZoneFinding(Verdict.LOST, 1.0, ""), "b": ZoneFinding(Verdict.HEALTHY, 0.0, "")}
@@ -63,7 +63,7 @@
 
 
 @given(st.integers(1, FULL_SHARE - 1))
-def test_the_number_of_open_brokers_follows_the_share_and_only_grows(share):
+def test_the_number_of_brokers_open_to_an_engine_follows_the_share_monotonically(share):
     brokers = [f"n{i}" for i in range(200)]
     for engine in (3, 77):
         opened = {b for b in brokers if is_engine_open(engine, b, share)}
@@ -79,7 +79,7 @@
     assert [follower.share(z) for z in "abc"] == [500, 250, FULL_SHARE]
 
 
-def test_without_its_guard_an_older_plan_is_accepted():
+def test_without_the_check_for_older_plans_an_older_plan_is_accepted():
     class UnguardedFollower(PlanFollower):
         def is_older(self, plan, known):
             return False
--- a/tests/zones/test_planner_duty.py
+++ b/tests/zones/test_planner_duty.py
@@ -59,14 +59,14 @@
         return self.zones.act(HeldLease("zones", "zones", 1, 7, 200 * S))
 
 
-def test_a_complete_act_logs_the_isolated_broker_and_sends_the_plan():
+def test_a_complete_step_logs_the_isolated_broker_and_sends_the_plan():
     planner = IsolationScenario()
     assert set(planner.act()) == {None}
     assert [event for event, _ in planner.events] == ["planner_started", "broker_isolated"]
     assert {peer for peer, _ in planner.sent} == {"n1", "n2"}
 
 
-def test_an_act_whose_lease_is_lost_between_two_steps_fails_and_sends_no_plan():
+def test_a_step_whose_lease_is_lost_midway_fails_and_sends_no_plan():
     planner = IsolationScenario()
     act = planner.act()
     next(act)
--- a/tests/zones/test_zone_observations.py
+++ b/tests/zones/test_zone_observations.py
@@ -7,7 +7,7 @@
 S = 1_000_000
 
 
-def test_each_silent_attempt_is_counted_once_and_forgotten_in_time():
+def test_each_silent_attempt_is_counted_once_and_leaves_the_windows():
     observations = AttemptObservations()
     for now in range(0, 2 * S, S // 4):
         observations.record_open(now, [("x", 1, now, 100_000), ("y", 2, 10_000, 100_000)])
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -64,40 +64,40 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "reset"])
-def test_a_zone_that_fails_is_left_by_all_at_once_and_come_back_to_whole(bed, how):
+def test_all_brokers_evacuate_a_failed_zone_and_return_to_it_in_steps(bed, how):
     wait_for_traffic(bed)
     lost = fail_zone(bed, A, how)
     assert wait_until_evacuated(bed, A), log(bed)
     took = time.monotonic() - lost
     sleep(2.2)  # what was on its way, and the drains' grace, is over
-    quiet = time.monotonic()
+    quiet_since = time.monotonic()
     sleep(1.0)
-    assert bed.last_received(A) < quiet, "something was sent into a zone that is out"
+    assert bed.last_received(A) < quiet_since, "something was sent into a zone that is out"
     assert took < 3, took
     kept = bed.load.counts["kept"]
     repair_zone(bed, A)
     assert until(lambda: all(s == 1 for s in bed.shares(A)), WAIT, 0.1), log(bed)
     assert bed.load.counts["kept"] > kept
     assert sum(e.falls for e in bed.engines) == 0
-    grew = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == "n0"]
-    ups = [b - a for a, b in pairwise(grew) if b > a]
-    assert len(ups) > 4, grew
-    assert max(ups[1:]) <= 63, grew
+    plan_shares = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == "n0"]
+    increases = [b - a for a, b in pairwise(plan_shares) if b > a]
+    assert len(increases) > 4, plan_shares
+    assert max(increases[1:]) <= 63, plan_shares
     departures = bed.events("zone_leaving")
     assert {departure["zone"] for departure in departures} == {A}, departures
 
 
 @pytest.mark.parametrize("how", ["cut", "blind"])
-def test_a_cut_path_and_a_broker_that_is_broken_itself_move_nobody(bed, how):
+def test_a_cut_path_or_an_isolated_broker_evacuates_no_zone(bed, how):
     wait_for_traffic(bed)
     for engine in bed.engines:
         if how == "blind":
             engine.block({"n1"}, "reset")
         elif engine.zone == A:
             engine.block({"n1", "n4"}, "silent")  # those in the next zone
-    tries = len(bed.engines[0].received)
+    received_before = len(bed.engines[0].received)
     sleep(5)
-    assert len(bed.engines[0].received) > tries
+    assert len(bed.engines[0].received) > received_before
     assert not bed.events("zone_leaving", "zones_locally_evacuated"), log(bed)
     assert set(bed.shares(A)) == {1}
     if how == "blind":
@@ -105,24 +105,24 @@
 
 
 @pytest.mark.parametrize("bed", [{"brokers": 7, "warm_s": 12.0}], indirect=True)
-def test_planner_and_two_more_killed_in_the_return_nothing_jumps(bed):
+def test_shares_do_not_jump_when_the_planner_and_two_brokers_are_killed_during_a_return(bed):
     wait_for_traffic(bed)
     fail_zone(bed, A, "silent")
     assert wait_until_evacuated(bed, A), log(bed)
     repair_zone(bed, A)
     assert until(lambda: all(0.2 < (s or 0) < 1 for s in bed.shares(A)), WAIT), log(bed)
     first = bed.planner()
-    dead = [first, *[n for n in ("n5", "n6", "n4") if n != first][:2]]
+    killed = [first, *[n for n in ("n5", "n6", "n4") if n != first][:2]]
     before = max(bed.shares(A))
-    for name in dead:
+    for name in killed:
         bed[name].kill()
-    alive = [n for n in bed.names if n not in dead]
+    alive = [n for n in bed.names if n not in killed]
     assert until(lambda: bed.planner(but=first), WAIT), log(bed)
     assert min(s for s in bed.shares(A, alive)) >= before - 1e-9, "the successor took the share back"
     assert until(lambda: all(s == 1 for s in bed.shares(A, alive)), WAIT, 0.1), log(bed)
     for name in alive:
-        grew = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
-        assert all(b - a <= 63 for a, b in pairwise(grew[2:])), grew
+        plan_shares = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
+        assert all(b - a <= 63 for a, b in pairwise(plan_shares[2:])), plan_shares
     tokens = [e["token"] for e in bed.events("planner_started")]
     assert len(tokens) >= 2
     assert tokens == sorted(set(tokens))
@@ -133,47 +133,48 @@
 
 
 @pytest.mark.parametrize("bed", [{"regions": REGIONS}], indirect=True)
-def test_two_zones_of_three_two_seconds_apart_and_half_of_the_brokers_restarted(bed):
+def test_two_of_three_zones_are_lost_while_two_brokers_restart(bed):
     wait_for_traffic(bed)
     fail_zone(bed, A, "silent")
     assert wait_until_evacuated(bed, A), log(bed)
     planner = bed.planner()
-    new = [n for n in bed.names if n != planner][:2]
-    for name in new:
+    restarted = [n for n in bed.names if n != planner][:2]
+    for name in restarted:
         bed[name].kill()
         bed[name].start()
     fail_zone(bed, B, "reset")
-    assert wait_until_evacuated(bed, B, [n for n in bed.names if n not in new]), log(bed)
-    assert until(lambda: all(bed.shares(z, new) == [0, 0] for z in (A, B)), WAIT), log(bed)
+    assert wait_until_evacuated(bed, B, [n for n in bed.names if n not in restarted]), log(bed)
+    assert until(lambda: all(bed.shares(z, restarted) == [0, 0] for z in (A, B)), WAIT), log(bed)
     assert set(bed.shares(C)) == {1}
     assert until(lambda: bed.events("region_leaving"), WAIT), log(bed)
     assert {e["region"] for e in bed.events("region_leaving")} == {"north"}
     assert bed.zone_row(bed.names[0], "south")["share"] == 1
     sleep(1.0)  # trials of the old processes are over
-    quiet, kept = time.monotonic(), bed.load.counts["kept"] + bed.load.counts["late"]
+    quiet_since, kept = time.monotonic(), bed.load.counts["kept"] + bed.load.counts["late"]
     assert until(lambda: bed.load.counts["kept"] + bed.load.counts["late"] > kept + 50, WAIT)
-    assert max(bed.last_received(A), bed.last_received(B)) < quiet
-    for name in new:  # before it had the plan a new process sent nothing: it knew none of the zones as out
+    assert max(bed.last_received(A), bed.last_received(B)) < quiet_since
+    # before it had the plan a new process sent nothing: it knew none of the zones as out
+    for name in restarted:
         started = [e for e in bed[name].events() if e["event"] == "fleet_joined"][-1]
-        got = next(
+        first_plan = next(
             e
             for e in bed[name].events()
             if e["event"] == "plan_accepted" and logged_at(e) >= logged_at(started)
         )
-        assert got["shares"][A] == 0
-        assert logged_at(got) - logged_at(started) < 1.5
+        assert first_plan["shares"][A] == 0
+        assert logged_at(first_plan) - logged_at(started) < 1.5
 
 
 @pytest.mark.parametrize("bed", [{"proxied": True}], indirect=True)
-def test_without_the_exchange_brokers_leave_alone_and_do_not_return_alone(bed):
+def test_brokers_without_a_fleet_network_evacuate_locally_and_return_only_by_a_plan(bed):
     wait_for_traffic(bed)
     for pair in bed.proxies.paths:
         bed.proxies.paths[pair] = LinkConditions(cut=True)
     sleep(0.5)
     fail_zone(bed, A, "reset")
     assert until(lambda: all(s == 0 for s in bed.shares(A)), WAIT), log(bed)
-    alone = [e for e in bed.events("zones_locally_evacuated") if A in e["zones"]]
-    assert {e["broker"] for e in alone} >= set(bed.names) - {bed.planner()} - {
+    local_evacuations = [e for e in bed.events("zones_locally_evacuated") if A in e["zones"]]
+    assert {e["broker"] for e in local_evacuations} >= set(bed.names) - {bed.planner()} - {
         e["broker"] for e in bed.events("plan_accepted") if e["shares"][A] == 0
     }
     repair_zone(bed, A)
@@ -185,14 +186,14 @@
     assert until(lambda: all(s == 1 for s in bed.shares(A)), 2 * WAIT, 0.1), log(bed)
     assert sum(e.falls for e in bed.engines) == 0
     for name in bed.names:  # not all at once, though the planner itself never had the zone out
-        grew = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
-        ups = [b - a for a, b in zip([0, *grew], grew, strict=False) if b > a]
-        assert len(ups) > 4, grew
-        assert max(ups) <= 563, grew
+        plan_shares = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
+        increases = [b - a for a, b in zip([0, *plan_shares], plan_shares, strict=False) if b > a]
+        assert len(increases) > 4, plan_shares
+        assert max(increases) <= 563, plan_shares
 
 
 @pytest.mark.parametrize("bed", [{"rate": 0.8}], indirect=True)
-def test_by_hand_a_zone_the_others_cannot_do_without_is_left_in_part_and_practice_is_given_up(bed):
+def test_operators_evacuate_a_needed_zone_only_in_part_and_a_practice_of_it_ends(bed):
     wait_for_traffic(bed)
     assert until(lambda: bed.planner(), WAIT)
     sleep(2)  # the planner has two seconds of loads
@@ -221,7 +222,7 @@
 
 
 @pytest.mark.parametrize("bed", [{"warm_s": 10.0}], indirect=True)
-def test_a_zone_that_falls_again_on_its_way_back_stays_out_for_longer(bed):
+def test_a_zone_that_fails_during_its_return_stays_out_longer(bed):
     wait_for_traffic(bed)
     fail_zone(bed, A, "silent")
     assert wait_until_evacuated(bed, A), log(bed)
@@ -232,8 +233,8 @@
     assert until(lambda: bed.zone_row("n0", A).get("flaps") == 1, WAIT)
     repair_zone(bed, A)
     assert until(lambda: all(s == 1 for s in bed.shares(A)), 2 * WAIT, 0.1), log(bed)
-    gone = [logged_at(e) for e in bed.events("zone_leaving", "zone_out") if e["zone"] == A]
-    back = [logged_at(e) for e in bed.events("zone_returning") if e["zone"] == A]
-    assert back[1] - gone[-1] > 1.6 * (back[0] - gone[1])
+    evacuated_at = [logged_at(e) for e in bed.events("zone_leaving", "zone_out") if e["zone"] == A]
+    returned_at = [logged_at(e) for e in bed.events("zone_returning") if e["zone"] == A]
+    assert returned_at[1] - evacuated_at[-1] > 1.6 * (returned_at[0] - evacuated_at[1])
     bed["n0"].signal(signal.SIGTERM)
     assert until(lambda: not bed["n0"].running(), WAIT)
--- a/tests/zones/test_zone_simulation.py
+++ b/tests/zones/test_zone_simulation.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("kind", LOSSES)
-def test_a_lost_zone_is_left_by_all_and_come_back_to_without_a_fall(kind):
+def test_all_brokers_evacuate_a_lost_zone_and_return_without_overloading_engines(kind):
     off, on = (play(Scenario(5, kind, **SMALL), failover) for failover in (False, True))
     print(off.kept, on.kept, on.departed_after_s, on.last_send, on.recovered_after_s)
     assert off.last_send > 5  # each broker goes on trying it for as long as it is gone
@@ -27,11 +27,11 @@
 
 
 @pytest.mark.parametrize("kind", ["cut", "blind", "release"])
-def test_on_days_that_are_no_zones_fault_nothing_is_left(kind):
+def test_faults_that_are_not_a_lost_zone_evacuate_nothing(kind):
     assert play(Scenario(3, kind, **SMALL), failover=True).false_departures == 0
 
 
-def test_a_cold_engine_falls_when_it_is_pushed_and_the_model_sees_it():
+def test_the_model_of_a_cold_engine_fails_under_a_load_that_a_warm_one_serves():
     engine = ModelEngine(1, 0, started_at=EPOCH)
     for number in range(60):
         assert engine.receive(EPOCH + number * 10_000, (0, number, 0)) or engine.fallen
@@ -45,8 +45,8 @@
     assert not warm.fallen
 
 
-def test_the_plot_is_drawn(tmp_path):
+def test_the_plot_of_a_comparison_is_written_as_png(tmp_path):
     pytest.importorskip("matplotlib")
-    done = play_both(Scenario(1, "reset", 6, 6, 2, 0.4))
-    draw(done, str(tmp_path / "zones.png"))
+    comparison = play_both(Scenario(1, "reset", 6, 6, 2, 0.4))
+    draw(comparison, str(tmp_path / "zones.png"))
     assert (tmp_path / "zones.png").read_bytes()[:4] == b"\x89PNG"
