--- a/tests/zones/test_failover_planner.py
+++ b/tests/zones/test_failover_planner.py
@@ -1,4 +1,4 @@
-"""The planner's state machines: leaving, recovery, overrides, and handing over."""
+"""The planner's state machines: evacuation, recovery, overrides, and a successor that resumes the plan."""
 
 import itertools
 
@@ -22,7 +22,7 @@
 
 
 class PlannerRun:
-    """A planner, its clock, and what it events."""
+    """A planner with a virtual clock; records the events that it logs."""
 
     def __init__(self, zones=ZONES, pace=PACE, loads=None):
         self.now, self.events = 100 * S, []
@@ -37,7 +37,7 @@
             self.planner.step(
                 self.now,
                 {
-                    z: ZoneFinding(findings.get(z, Verdict.HEALTHY), 1.0, "as drawn")
+                    z: ZoneFinding(findings.get(z, Verdict.HEALTHY), 1.0, "a test finding")
                     for z in self.planner.zones
                 },
                 self.loads,
@@ -66,9 +66,8 @@
         capacity = (
             PACE.cold_capacity + (1 - PACE.cold_capacity) * (planner_run.now - began_at) / PACE.warm_up_time
         )
-        work = (
-            planner_run.share() / FULL_SHARE * planner_run.planner.machines.utilization
-        )  # of its cores, while the fleet's work stays as it is
+        # fraction of the zone's cores in use, if the fleet's load stays constant
+        work = planner_run.share() / FULL_SHARE * planner_run.planner.machines.utilization
         assert (
             planner_run.now - began_at >= 1.25 * PACE.warm_up_time
             or work <= PACE.safety_margin * capacity + 1e-9
@@ -179,7 +178,7 @@
         planner_run.run(100_000)
     statuses_before = planner_run.planner.statuses(planner_run.now)
     successor = PlannerRun()
-    successor.now = planner_run.now + 700 * S  # its clock has nothing to do with the other's
+    successor.now = planner_run.now + 700 * S  # the clocks of two brokers are unrelated
     successor.planner.resume(planner_run.planner.number, statuses_before, False, successor.now)
     assert successor.stage() is ZoneStage.RETURNING
     assert successor.share() == planner_run.share()
@@ -210,7 +209,7 @@
 
 
 @pytest.mark.parametrize(
-    ("override", "reason"), [("canary", "by hand: a trial"), ("", "it failed again: as drawn")]
+    ("override", "reason"), [("canary", "by hand: a trial"), ("", "it failed again: a test finding")]
 )
 def test_an_override_of_a_later_version_does_not_hold_a_zone_in_its_stage(override, reason):
     status = ZoneStatus("a", "returning", 500, 5 * S, 0, override, 60 * S, "by hand: a trial")
@@ -245,7 +244,8 @@
     loads = {"a": ZoneLoad(20.0, 32.0), "b": ZoneLoad(20.0, 32.0), "c": ZoneLoad(20.0, 32.0)}
     planner_run = PlannerRun(loads=loads)
     planner_run.planner.leave("a", planner_run.now, planner_run.now + 30 * S, "works")
-    planner_run.planner.step(planner_run.now, {}, loads, over_quota=0.1)  # 54 of 57.6 cores: all of it can go
+    # 54 cores in use of 57.6 usable: the zone can be evacuated fully
+    planner_run.planner.step(planner_run.now, {}, loads, over_quota=0.1)
     assert planner_run.share() == 0
     assert planner_run.planner.sheds_load
     planner_run = PlannerRun(loads=loads)
--- a/tests/zones/test_load_shedding.py
+++ b/tests/zones/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Which part of each tenant's requests is shed while the zones can't bear all."""
+"""The part of each tenant's requests that is shed while the zones lack capacity."""
 
 import pytest
 
@@ -23,7 +23,7 @@
     counts = arrivals.counts(2 * S - 1)
     assert counts == {"big": 200, "small": 20}
     over = over_quota(counts, {"big": 60.0, "small": 50.0})
-    assert over == {"big": 400}  # 100 a second, 60 are its share
+    assert over == {"big": 400}  # 100 per second with a quota of 60
     assert over_quota_fraction(counts, over) == pytest.approx(80 / 220)
     assert over_quota(counts, {}) == {}
     assert over_quota_fraction({}, {}) == 0.0
@@ -35,7 +35,7 @@
 
 
 def test_requests_over_quota_are_shed_first_and_then_the_same_part_of_all_tenants():
-    counts, over = {"big": 200, "small": 100}, {"big": 300}  # 60 of 300 are over
+    counts, over = {"big": 200, "small": 100}, {"big": 300}  # 60 of 300 are over quota
     assert shed_permille_by_tenant(counts, over, 0.01) == {} == shed_permille_by_tenant(counts, over, 0.0)
     assert shed_permille_by_tenant(counts, over, 0.1) == {"big": 150}
     assert shed_permille_by_tenant(counts, over, 0.2) == {"big": 300}
--- a/tests/zones/test_plan_follower.py
+++ b/tests/zones/test_plan_follower.py
@@ -1,4 +1,4 @@
-"""Which plan a broker follows, which engines that opens, and what it does without a planner."""
+"""The plan that a broker follows, the engines that it opens, and local evacuations without a planner."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -44,7 +44,7 @@
     follower.observe(5 * S, {z: ZoneFinding(Verdict.HEALTHY, 0.0, "") for z in "ab"})
     assert follower.share("a") == 0
     follower.accept(FailoverPlan(1, 1, 1, [status(FULL_SHARE)]), 6 * S)
-    assert follower.share("a") == 0  # the planner has not heard of it yet
+    assert follower.share("a") == 0  # the planner has not received the report on the evacuation yet
     follower.accept(FailoverPlan(1, 1, 2, [status(FULL_SHARE)]), 7 * S)
     assert follower.share("a") == 0
     follower.accept(FailoverPlan(1, 1, 3, [status(125)]), 7 * S + 1)
--- a/tests/zones/test_planner_duty.py
+++ b/tests/zones/test_planner_duty.py
@@ -1,4 +1,4 @@
-"""The planner's work at the holder of its lease, where the lease is lost between two steps of an act."""
+"""A step of the planner at the holder of its lease, with and without the loss of the lease midway."""
 
 from types import SimpleNamespace
 
@@ -16,11 +16,11 @@
 
 S = 1_000_000
 ZONES = ("a", "b")
-ENGINES = (1, 2, 3, 4)  # one half in each zone
+ENGINES = (1, 2, 3, 4)  # two in each zone
 
 
 class Core:
-    """A core with engines, without requests."""
+    """A fake broker core with engines and without requests."""
 
     def __init__(self):
         self.settings = SimpleNamespace(classes=[], kind_cores=(8,))
@@ -38,7 +38,7 @@
 
 
 class IsolationScenario:
-    """A broker that plans; two others report, one of which is isolated."""
+    """A broker that plans, with reports of two others, one of which is isolated."""
 
     def __init__(self):
         self.events, self.sent = [], []
@@ -73,7 +73,7 @@
     planner.zones.step_down_from("zones")
     with pytest.raises(NotPlanningError):
         list(act)
-    # What the fleet's health shows is known by then, and told.
+    # The assessment is complete by then, so the isolated broker is logged.
     assert [event for event, _ in planner.events] == ["planner_started", "broker_isolated"]
     assert planner.sent == []
     assert planner.zones.dry_run("a", "leave", S, "works") is None
--- a/tests/zones/test_zone_health.py
+++ b/tests/zones/test_zone_health.py
@@ -1,4 +1,4 @@
-"""Verdicts on zones from all brokers' observations, and the guards against wrong ones."""
+"""Verdicts on zones from all brokers' observations, and the checks that prevent wrong verdicts."""
 
 from cypressledge.fleet.messages import EngineObservation, EngineObservations
 from cypressledge.fleet.zones import health
@@ -45,7 +45,7 @@
 
 
 def test_a_cut_path_is_not_a_lost_zone():
-    # Brokers in zone b alone can't reach zone a.
+    # Only brokers in zone b can't reach zone a.
     broker_reports = reports(
         observed((), ENGINES_OF["a"]),
         observed(ENGINES_OF["a"], ENGINES_OF["b"]),
@@ -81,7 +81,7 @@
 
 
 def test_answers_from_before_the_loss_do_not_hide_it():
-    # Two seconds of good answers stand in the windows; the rows of failures since then tell.
+    # The windows still contain two seconds of good answers; consecutive failures since then show the loss.
     seen = EngineObservations(
         [EngineObservation(e, 20, 0, 0, 0, 2, 0, 2, 600) for e in ENGINES_OF["a"]]
         + [EngineObservation(e, 20, 0, 0, 0, 0, 0, 0, 50) for e in ENGINES_OF["b"] + ENGINES_OF["c"]]
--- a/tests/zones/test_zone_observations.py
+++ b/tests/zones/test_zone_observations.py
@@ -1,4 +1,4 @@
-"""What attempts show of engines, in windows of time."""
+"""Counts of attempts by engine and result, in time windows."""
 
 from cypressledge.decisions.contract import Outcome
 from cypressledge.fleet.messages import EngineObservation
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -1,4 +1,4 @@
-"""Zones as a fleet, with several processes of the program: left once, by all, and come back to slowly."""
+"""Zone failover in a fleet of broker processes: all evacuate a lost zone once and return to it in steps."""
 
 import json
 import signal
@@ -39,7 +39,7 @@
 
 
 def wait_for_traffic(bed):
-    """Wait until all brokers have answers from all engines: there is something to lose."""
+    """Wait until clients have had answers and all engines have received queries."""
     assert until(lambda: bed.load.counts["kept"] > 150, WAIT)
     assert until(lambda: all(len(e.received) >= 10 for e in bed.engines), WAIT)
 
@@ -69,7 +69,7 @@
     lost = fail_zone(bed, A, how)
     assert wait_until_evacuated(bed, A), log(bed)
     took = time.monotonic() - lost
-    sleep(2.2)  # what was on its way, and the drains' grace, is over
+    sleep(2.2)  # requests in flight and the grace time of drains are over by then
     quiet_since = time.monotonic()
     sleep(1.0)
     assert bed.last_received(A) < quiet_since, "something was sent into a zone that is out"
@@ -94,7 +94,7 @@
         if how == "blind":
             engine.block({"n1"}, "reset")
         elif engine.zone == A:
-            engine.block({"n1", "n4"}, "silent")  # those in the next zone
+            engine.block({"n1", "n4"}, "silent")  # the brokers of zone B
     received_before = len(bed.engines[0].received)
     sleep(5)
     assert len(bed.engines[0].received) > received_before
@@ -118,7 +118,7 @@
         bed[name].kill()
     alive = [n for n in bed.names if n not in killed]
     assert until(lambda: bed.planner(but=first), WAIT), log(bed)
-    assert min(s for s in bed.shares(A, alive)) >= before - 1e-9, "the successor took the share back"
+    assert min(s for s in bed.shares(A, alive)) >= before - 1e-9, "the successor lowered the share"
     assert until(lambda: all(s == 1 for s in bed.shares(A, alive)), WAIT, 0.1), log(bed)
     for name in alive:
         plan_shares = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
@@ -149,11 +149,11 @@
     assert until(lambda: bed.events("region_leaving"), WAIT), log(bed)
     assert {e["region"] for e in bed.events("region_leaving")} == {"north"}
     assert bed.zone_row(bed.names[0], "south")["share"] == 1
-    sleep(1.0)  # trials of the old processes are over
+    sleep(1.0)  # attempts of the killed processes are over
     quiet_since, kept = time.monotonic(), bed.load.counts["kept"] + bed.load.counts["late"]
     assert until(lambda: bed.load.counts["kept"] + bed.load.counts["late"] > kept + 50, WAIT)
     assert max(bed.last_received(A), bed.last_received(B)) < quiet_since
-    # before it had the plan a new process sent nothing: it knew none of the zones as out
+    # A restarted process sends nothing before it receives the plan: until then it knows no zone as out.
     for name in restarted:
         started = [e for e in bed[name].events() if e["event"] == "fleet_joined"][-1]
         first_plan = next(
@@ -181,11 +181,12 @@
     sleep(3)
     assert set(bed.shares(A)) == {0}
     kept = bed.load.counts["kept"]
-    assert until(lambda: bed.load.counts["kept"] > kept + 50, WAIT)  # cut off, it keeps serving
+    # brokers without a fleet network keep serving
+    assert until(lambda: bed.load.counts["kept"] > kept + 50, WAIT)
     bed.proxies.heal()
     assert until(lambda: all(s == 1 for s in bed.shares(A)), 2 * WAIT, 0.1), log(bed)
     assert sum(e.falls for e in bed.engines) == 0
-    for name in bed.names:  # not all at once, though the planner itself never had the zone out
+    for name in bed.names:  # in steps, although the zone was never out in the planner's own plan
         plan_shares = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
         increases = [b - a for a, b in zip([0, *plan_shares], plan_shares, strict=False) if b > a]
         assert len(increases) > 4, plan_shares
@@ -196,7 +197,7 @@
 def test_operators_evacuate_a_needed_zone_only_in_part_and_a_practice_of_it_ends(bed):
     wait_for_traffic(bed)
     assert until(lambda: bed.planner(), WAIT)
-    sleep(2)  # the planner has two seconds of loads
+    sleep(2)  # observations cover 2 s: the planner then has full loads
     planner = bed.planner()
     other = next(n for n in bed.names if n != planner)
     code, words = cli(bed, other, "leave", A, "--reason", "a mistake", "--dry-run")
--- a/tests/zones/test_zone_simulation.py
+++ b/tests/zones/test_zone_simulation.py
@@ -1,4 +1,7 @@
-"""The model at size, small: the program's own decision modules in virtual time, off and on."""
+"""The simulation of zones with few brokers and engines, without and with failover.
+
+It runs the program's own decision modules in virtual time.
+"""
 
 import pytest
 
@@ -15,7 +18,7 @@
 def test_all_brokers_evacuate_a_lost_zone_and_return_without_overloading_engines(kind):
     off, on = (play(Scenario(5, kind, **SMALL), failover) for failover in (False, True))
     print(off.kept, on.kept, on.departed_after_s, on.last_send, on.recovered_after_s)
-    assert off.last_send > 5  # each broker goes on trying it for as long as it is gone
+    assert off.last_send > 5  # without failover, each broker keeps sending to the lost zone
     assert on.last_send < {"silent": 2.0, "reset": 2.0, "slow": 3.5, "planner": 5.0}[kind]
     assert on.kept >= off.kept - 0.3
     assert on.fallen == 0
