--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -179,7 +179,7 @@
 
     def _act_without_planner(self, observed: EngineObservations, now: int) -> None:
         own = assess(*self.view.zone_input([self.view.report(self.broker, observed)]))
-        if not self.follower.observe(now, own.zones):
+        if not self.follower.evacuate_lost_zones(now, own.zones):
             return
         left = sorted(self.follower.locally_evacuated)
         self.links.log_event(
--- a/cypressledge/fleet/zones/failover_planner.py
+++ b/cypressledge/fleet/zones/failover_planner.py
@@ -57,13 +57,13 @@
             zone.override_until = now + status.override_remaining
         self._last_key = self._key()
 
-    def trial(self, log_event: LogZoneEvent) -> "FailoverPlanner":
+    def dry_run_copy(self, log_event: LogZoneEvent) -> "FailoverPlanner":
         """Return a copy for a dry run, whose steps don't affect the plan; its events go to `log_event`."""
-        trial = FailoverPlanner((), self.machines.pace, 0, log_event)
-        trial.machines = self.machines.trial(log_event)
-        trial.number = self.number
-        trial._last_key = self._last_key
-        return trial
+        dry_run_copy = FailoverPlanner((), self.machines.pace, 0, log_event)
+        dry_run_copy.machines = self.machines.dry_run_copy(log_event)
+        dry_run_copy.number = self.number
+        dry_run_copy._last_key = self._last_key
+        return dry_run_copy
 
     # Commands of operators, and adoption of evacuations that brokers made without a planner
 
--- a/cypressledge/fleet/zones/operator_commands.py
+++ b/cypressledge/fleet/zones/operator_commands.py
@@ -38,18 +38,18 @@
     elapsed = 0
 
     def add_line(event: ZoneEvent, zone: str, reason: str) -> None:
-        """Add an event of the trial as a line of the answer."""
+        """Add an event of the dry run as a line of the answer."""
         lines.append(f"after {elapsed / 1e6:g} s: {event} {zone}: {reason}")
 
     planner = term.planner_of(command.zone)
-    trial = planner.trial(add_line)
-    apply_command(trial, command, now)
+    dry_run_copy = planner.dry_run_copy(add_line)
+    apply_command(dry_run_copy, command, now)
     load = duty.fleet_load(now)
     loads, findings = load.zones, duty.zone_health.zones
     if planner is term.regions:
         loads, findings = duty.view.region_loads(loads), duty.region_health.zones
     for elapsed in range(0, min(command.duration, MAX_DRY_RUN) + 1, DRY_RUN_STEP):
-        trial.step(now + elapsed, findings, loads, load.over_quota)
+        dry_run_copy.step(now + elapsed, findings, loads, load.over_quota)
     return lines or ["nothing would change"]
 
 
--- a/cypressledge/fleet/zones/plan_follower.py
+++ b/cypressledge/fleet/zones/plan_follower.py
@@ -25,7 +25,7 @@
         self.plan: FailoverPlan | None = None
         self.statuses: dict[str, ZoneStatus] = {}  # by name, of zones and regions
         self.plan_received_at = 0
-        self.planner_back_at = 0  # µs; when a plan arrived after the planner had been missing
+        self.planner_resumed_at = 0  # µs; when a plan arrived after the planner had been missing
         self.locally_evacuated: set[str] = set()  # zones evacuated by this broker's own observations
         self.rejected_plans = 0
 
@@ -39,13 +39,13 @@
             self.rejected_plans += 1
             return False
         if self.planner_is_missing(now):
-            self.planner_back_at = now
+            self.planner_resumed_at = now
         self.plan = plan
         self.plan_received_at = now
         self.statuses = {status.name: status for status in (*plan.zones, *plan.regions)}
         # Keep local evacuations until the planner has received the reports on them, so that the brokers don't
         # all return to the zone at once.
-        if now - self.planner_back_at >= REJOIN_DELAY:
+        if now - self.planner_resumed_at >= REJOIN_DELAY:
             self.locally_evacuated = set()
         else:
             self.locally_evacuated &= {name for name, s in self.statuses.items() if s.share == FULL_SHARE}
@@ -63,8 +63,8 @@
         """Return whether no plan has arrived for so long that this broker acts on its own observations."""
         return now - self.plan_received_at >= self.planner_timeout
 
-    def observe(self, now: int, own_findings: dict[str, ZoneFinding]) -> bool:
-        """Without a planner, evacuate the zones that this broker finds lost, if it finds another one healthy.
+    def evacuate_lost_zones(self, now: int, own_findings: dict[str, ZoneFinding]) -> bool:
+        """Without a planner, evacuate zones that this broker finds lost, if it finds another one healthy.
 
         Return whether it evacuated any.
         """
--- a/cypressledge/fleet/zones/stage_machines.py
+++ b/cypressledge/fleet/zones/stage_machines.py
@@ -42,13 +42,13 @@
         self.utilization = 1.0
         self.sheds_load = False
 
-    def trial(self, log_event: LogZoneEvent) -> "ZoneStageMachines":
+    def dry_run_copy(self, log_event: LogZoneEvent) -> "ZoneStageMachines":
         """Return a copy for a dry run, whose steps don't affect these zones."""
-        trial = ZoneStageMachines((), self.pace, 0, log_event)
-        trial.zones = deepcopy(self.zones)
-        trial.utilization = self.utilization
-        trial.sheds_load = self.sheds_load
-        return trial
+        dry_run_copy = ZoneStageMachines((), self.pace, 0, log_event)
+        dry_run_copy.zones = deepcopy(self.zones)
+        dry_run_copy.utilization = self.utilization
+        dry_run_copy.sheds_load = self.sheds_load
+        return dry_run_copy
 
     def step(self, inputs: PlanningInput) -> None:
         """Advance all zones by the time and the findings."""
--- a/tests/recordings/zone_decisions_scenarios.py
+++ b/tests/recordings/zone_decisions_scenarios.py
@@ -167,7 +167,7 @@
             for z in ZONES
         }
         out.add(
-            follower.observe(now, own),
+            follower.evacuate_lost_zones(now, own),
             sorted(follower.locally_evacuated),
             [follower.share(z) for z in ZONES],
             [follower.is_open(e, z) for e, z in ENGINES.items()],
--- a/tests/zones/test_plan_follower.py
+++ b/tests/zones/test_plan_follower.py
@@ -35,13 +35,13 @@
     follower = PlanFollower("n1")
     lost = {"a": ZoneFinding(Verdict.LOST, 1.0, ""), "b": ZoneFinding(Verdict.HEALTHY, 0.0, "")}
     all_lost = {z: ZoneFinding(Verdict.LOST, 1.0, "") for z in "ab"}
-    assert not follower.observe(S, lost)
+    assert not follower.evacuate_lost_zones(S, lost)
     assert follower.share("a") == FULL_SHARE
-    assert not follower.observe(4 * S, all_lost)
+    assert not follower.evacuate_lost_zones(4 * S, all_lost)
     assert follower.share("a") == FULL_SHARE
-    assert follower.observe(4 * S, lost)
+    assert follower.evacuate_lost_zones(4 * S, lost)
     assert follower.share("a") == 0
-    follower.observe(5 * S, {z: ZoneFinding(Verdict.HEALTHY, 0.0, "") for z in "ab"})
+    follower.evacuate_lost_zones(5 * S, {z: ZoneFinding(Verdict.HEALTHY, 0.0, "") for z in "ab"})
     assert follower.share("a") == 0
     follower.accept(FailoverPlan(1, 1, 1, [status(FULL_SHARE)]), 6 * S)
     assert follower.share("a") == 0  # the planner has not received the report on the evacuation yet
@@ -54,7 +54,7 @@
 
 def test_a_local_evacuation_that_the_planner_does_not_adopt_ends_after_a_delay():
     follower = PlanFollower("n1")
-    follower.observe(
+    follower.evacuate_lost_zones(
         4 * S, {"a": ZoneFinding(Verdict.LOST, 1.0, ""), "b": ZoneFinding(Verdict.HEALTHY, 0.0, "")}
     )
     for number in range(5):
