--- a/tests/zones/test_plan_follower.py
+++ b/tests/zones/test_plan_follower.py
@@ -1,4 +1,4 @@
-"""Which plan a broker follows, which engines that opens, and what it does without a planner."""
+"""The plan that a broker follows, the engines that it opens, and local evacuations without a planner."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -31,20 +31,20 @@
     assert follower.rejected_plans == 3
 
 
-def test_without_a_planner_a_broker_leaves_on_strong_evidence_and_does_not_return():
+def test_without_a_planner_a_broker_evacuates_a_lost_zone_and_does_not_return():
     follower = PlanFollower("n1")
     lost = {"a": ZoneFinding(Verdict.LOST, 1.0, ""), "b": ZoneFinding(Verdict.HEALTHY, 0.0, "")}
     all_lost = {z: ZoneFinding(Verdict.LOST, 1.0, "") for z in "ab"}
-    assert not follower.observe(S, lost)
+    assert not follower.evacuate_lost_zones(S, lost)
     assert follower.share("a") == FULL_SHARE
-    assert not follower.observe(4 * S, all_lost)
+    assert not follower.evacuate_lost_zones(4 * S, all_lost)
     assert follower.share("a") == FULL_SHARE
-    assert follower.observe(4 * S, lost)
+    assert follower.evacuate_lost_zones(4 * S, lost)
     assert follower.share("a") == 0
-    follower.observe(5 * S, {z: ZoneFinding(Verdict.HEALTHY, 0.0, "") for z in "ab"})
+    follower.evacuate_lost_zones(5 * S, {z: ZoneFinding(Verdict.HEALTHY, 0.0, "") for z in "ab"})
     assert follower.share("a") == 0
     follower.accept(FailoverPlan(1, 1, 1, [status(FULL_SHARE)]), 6 * S)
-    assert follower.share("a") == 0  # the planner has not heard of it yet
+    assert follower.share("a") == 0  # the planner has not received the report on the evacuation yet
     follower.accept(FailoverPlan(1, 1, 2, [status(FULL_SHARE)]), 7 * S)
     assert follower.share("a") == 0
     follower.accept(FailoverPlan(1, 1, 3, [status(125)]), 7 * S + 1)
@@ -52,9 +52,9 @@
     assert not follower.locally_evacuated
 
 
-def test_a_locally_evacuated_zone_that_the_planner_keeps_is_rejoined_after_a_delay():
+def test_a_local_evacuation_that_the_planner_does_not_adopt_ends_after_a_delay():
     follower = PlanFollower("n1")
-    follower.observe(
+    follower.evacuate_lost_zones(
         4 * S, {"a": ZoneFinding(Verdict.LOST, 1.0, ""), "b": ZoneFinding(Verdict.HEALTHY, 0.0, "")}
     )
     for number in range(5):
@@ -63,7 +63,7 @@
 
 
 @given(st.integers(1, FULL_SHARE - 1))
-def test_the_number_of_open_brokers_follows_the_share_and_only_grows(share):
+def test_the_number_of_brokers_open_to_an_engine_follows_the_share_monotonically(share):
     brokers = [f"n{i}" for i in range(200)]
     for engine in (3, 77):
         opened = {b for b in brokers if is_engine_open(engine, b, share)}
@@ -79,12 +79,12 @@
     assert [follower.share(z) for z in "abc"] == [500, 250, FULL_SHARE]
 
 
-def test_without_its_guard_an_older_plan_is_accepted():
-    class Careless(PlanFollower):
+def test_without_the_check_for_older_plans_an_older_plan_is_accepted():
+    class UnguardedFollower(PlanFollower):
         def is_older(self, plan, known):
             return False
 
-    follower = Careless("n1")
+    follower = UnguardedFollower("n1")
     follower.accept(FailoverPlan(5, 1, 3, [status(0)]), 0)
     assert follower.accept(FailoverPlan(4, 9, 9, [status(FULL_SHARE)]), 1)
     assert follower.share("a") == FULL_SHARE
