--- a/cypressledge/__init__.py
+++ b/cypressledge/__init__.py
@@ -1,1 +1,1 @@
-"""cypressledge: a query broker; its decisions are in decisions/, the sockets round them in net."""
+"""cypressledge: a query broker. Its decisions are in `decisions`, its network protocols in `net`."""
--- a/cypressledge/__main__.py
+++ b/cypressledge/__main__.py
@@ -1,18 +1,18 @@
-"""The program: `python -m cypressledge`. It handles signals from its first line on, then imports the rest.
+"""The program, run by `python -m cypressledge`. It installs signal handlers before it imports the broker.
 
-Guards against a signal that comes before the broker listens, with as much to import as there is: SIGHUP, by
-default, ends a process, and a planned restart that meets the start is no crash.
+The imports take time, and a signal may arrive before the broker listens. The default action of SIGHUP ends
+the process, so that a planned restart during the start would look like a crash.
 """
 
 import signal
 import sys
 
-COMMANDS = ("fleet", "zone", "control", "lab")  # first words that are the command line's
+COMMANDS = ("fleet", "zone", "control", "lab")  # first arguments that select the operators' command line
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
 def main() -> int:
-    """Run one broker, or the operators' command line."""
+    """Run a broker or the operators' command line, and return the exit status."""
     if sys.argv[1:2] and sys.argv[1] in COMMANDS:
         from cypressledge.cli import cli
 
--- a/cypressledge/broker/__init__.py
+++ b/cypressledge/broker/__init__.py
@@ -1,1 +1,3 @@
-"""One broker's core: requests, attempts, engines and the loop that owns the decisions. Knows no wire."""
+"""The core of a broker: requests, attempts, engines and the event loop that runs the decision module.
+
+It is independent of any wire protocol."""
--- a/cypressledge/broker/attempt_dispatcher.py
+++ b/cypressledge/broker/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""Starts, changes and calls off attempts at engines, as the decision module's actions say."""
+"""Starts, updates and cancels attempts at engines by the actions of the decision module."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class AttemptDispatcher:
-    """Hands attempts to the transport of their engine's wire. Runs on the event loop alone."""
+    """Passes attempts to the transport for their engine's wire protocol. Runs only on the event loop."""
 
     def __init__(
         self,
@@ -25,8 +25,8 @@
         report_ended: Callable[[Attempt, c.Outcome], None],
     ) -> None:
         self.settings = settings
-        self.transports: dict[str, EngineTransport] = {}  # by wire
-        self._requests = requests  # the ledger's, by number
+        self.transports: dict[str, EngineTransport] = {}  # by the name of the wire protocol
+        self._requests = requests  # the ledger's open requests, by number
         self._loop = loop
         self._engines = engines
         self._counters = counters
@@ -41,7 +41,7 @@
         )
 
     def cancel(self, attempt: Attempt, outcome: c.Outcome) -> None:
-        """Call an attempt off at its engine; its outcome reaches the module with the next batch."""
+        """Cancel an open attempt at its engine; the module receives the outcome in its next batch."""
         if attempt.is_open:
             self.transports[attempt.endpoint.wire].cancel(attempt)
             self._report_ended(attempt, outcome)
@@ -73,7 +73,7 @@
         self.transports[endpoint.wire].send(attempt)
 
     def _may_send(self, attempt: Attempt, now: int) -> bool:
-        """Whether an attempt at a ready engine is still of use, and allowed."""
+        """Return whether an attempt at a ready engine is still needed and within the limits."""
         return (
             attempt.is_awaited
             and attempt.request.streaming_attempt is None
--- a/cypressledge/broker/core.py
+++ b/cypressledge/broker/core.py
@@ -1,7 +1,7 @@
-"""The broker's core: the event loop, the engines and the ledger, put together.
+"""The core of a broker: the event loop, the engine registry and the request ledger, connected to each other.
 
-The core knows no wire: frontends submit queries to the ledger and are handed the answers; transports carry
-attempts to engines.
+The core is independent of any wire protocol: frontends submit queries to the ledger and receive the answers;
+transports send attempts to engines.
 """
 
 from cypressledge.broker.engine_registry import EngineRegistry
@@ -14,7 +14,7 @@
 
 
 class BrokerCore:
-    """What frontends, transports and discovery share of one broker."""
+    """The parts of one broker that its frontends, transports and engine discovery share."""
 
     __slots__ = ("settings", "counters", "event_log", "loop", "engines", "ledger")
 
@@ -27,11 +27,11 @@
         self.ledger = RequestLedger(settings, self.loop, self.engines, counters, self.event_log)
 
     def add_transport(self, wire: str, transport: EngineTransport) -> None:
-        """Have attempts at engines of this wire carried by this transport."""
+        """Use this transport for attempts at engines that speak the given wire protocol."""
         self.ledger.attempts.transports[wire] = transport
 
     def reconfigure(self, settings: Settings) -> None:
-        """Take new site settings; their classes are the same."""
+        """Apply new site settings, which must have the same classes as the current ones."""
         self.settings = settings
         self.ledger.attempts.settings = settings
         self.loop.reconfigure(settings)
--- a/cypressledge/broker/discovered_engine.py
+++ b/cypressledge/broker/discovered_engine.py
@@ -1,4 +1,4 @@
-"""An engine as whoever lists it describes it: the configuration, a name server or the control plane."""
+"""An engine as its source describes it: the configuration, a name server or the control plane."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredEngine:
-    """One engine of a list."""
+    """One entry of an engine list."""
 
     name: str
     host: str
@@ -16,4 +16,4 @@
     kind: str = ""
     zone: str = ""
     cell: int = 0
-    started_at_ms: int = 0  # Unix time at which its process started, as listed; 0 is long ago
+    started_at_ms: int = 0  # ms, Unix time; start of the engine's process as listed; 0: long ago
--- a/cypressledge/broker/event_log.py
+++ b/cypressledge/broker/event_log.py
@@ -1,7 +1,8 @@
-"""What happens to requests, attempts, connections and engines, as log lines of the form `event key=value …`.
+"""Events of requests, attempts, connections and engines, as log lines of the form `event key=value …`.
 
-`at` is the monotonic clock, in seconds since the program's start: lines can be told apart in time whatever is
-done to the wall clock. Each kind of event has a bounded rate, so that a fault does not flood the log.
+`at` is the time in seconds since the start of the program on the monotonic clock, so that the intervals
+between lines are correct even if the wall clock is stepped. The rate of each kind of event is limited, so
+that a fault does not flood the log.
 """
 
 from enum import StrEnum
@@ -9,12 +10,12 @@
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.clock import monotonic_us
 
-SECOND_US = 1_000_000  # µs
-MAX_LINES_PER_SECOND = 10  # of one kind of event; the next line states how many were left out
+SECOND_US = 1_000_000  # µs in one second
+MAX_LINES_PER_SECOND = 10  # lines of one kind of event; the next line states how many were suppressed
 
 
 class EventKind(StrEnum):
-    """The events, by the first word of their lines."""
+    """The kinds of events; the value is the first word of the log line."""
 
     ATTEMPT_ENDED = "attempt-ended"
     ATTEMPT_CANCELLED = "attempt-cancelled"
@@ -28,7 +29,7 @@
 
 
 class _RateLimit:
-    """Lines of one kind in the running second."""
+    """The number of lines of one kind that were written in the current second."""
 
     __slots__ = ("since", "lines", "suppressed")
 
@@ -36,7 +37,7 @@
         self.since = self.lines = self.suppressed = 0
 
     def admits(self, now: int) -> bool:
-        """Whether one more line fits."""
+        """Count one more line, and return whether it is within the limit. `now`: µs."""
         if now - self.since >= SECOND_US:
             self.since, self.lines = now, 0
         self.lines += 1
@@ -55,9 +56,9 @@
         self._rates = {kind: _RateLimit() for kind in EventKind}
 
     def write(self, kind: EventKind, **fields: object) -> None:
-        """Write one event; a field's value must hold no blanks.
+        """Write one event; the values of its fields must not contain blanks.
 
-        A field named like a keyword of Python has an underscore behind it, which is not written."""
+        A field whose name is a Python keyword is passed with a trailing underscore, which is not written."""
         now = monotonic_us()
         rate = self._rates[kind]
         if not rate.admits(now):
--- a/cypressledge/broker/event_loop.py
+++ b/cypressledge/broker/event_loop.py
@@ -1,7 +1,7 @@
-"""The event loop: the one greenlet that owns the decision module.
+"""The event loop: the only greenlet that calls the decision module.
 
-Socket code reaches the module only through `post`, which returns at once. The loop hands the module its
-events in batches, at most one for each interval of the timer resolution, and carries out its actions.
+Socket code reaches the module only through `post`, which returns immediately. The loop passes events to the
+module in batches, at most one in each interval of the timer resolution, and executes the module's actions.
 """
 
 import traceback
@@ -18,72 +18,74 @@
 from cypressledge.decisions import contract as c
 from cypressledge.decisions.manager import WorkloadManager
 
-MAX_IDLE_WAIT_US = 1_000_000  # the loop looks at its clock so often even if nothing happens
+MAX_IDLE_WAIT_US = 1_000_000  # µs; longest wait without a posted callback or a due timer
 US_PER_SECOND = 1e6
 
 ActionHandler = Callable[..., None]
 
 
 class EventLoop:
-    """Runs the decision module: collects its events, calls it, and dispatches its actions."""
+    """Runs the decision module: collects events, passes them to the module, and dispatches its actions."""
 
     def __init__(self, settings: c.Settings, seed: int, counters: Counters) -> None:
         self.settings = settings
         self.manager = WorkloadManager(settings, seed)
         self.timers = TimerQueue()
-        self.pending_events: list[c.Event] = []  # for the module's next batch
-        self.decided_at = 0  # µs of the module's last batch; its time never goes back
+        self.pending_events: list[c.Event] = []  # events of the module's next batch
+        self.decided_at = 0  # µs; time of the module's last batch, which never decreases
         self._counters = counters
         self._inbox: deque[tuple[Callable[..., object], tuple]] = deque()
         self._woken = Event()
         self._action_handlers: dict[type, ActionHandler] = {
             c.StartTimer: self._start_timer,
-            c.Subscribe: lambda action: None,  # the directory is polled in any case
+            c.Subscribe: lambda action: None,  # no effect: the directory is always polled
         }
 
     # Called by socket code
 
     def post(self, callback: Callable[..., object], *args: object) -> None:
-        """Have the loop call `callback(*args)` before the module's next batch."""
+        """Schedule `callback(*args)` on the loop, to be called before the module's next batch."""
         self._inbox.append((callback, args))
         self._woken.set()
 
     def now(self) -> int:
-        """The module's time, µs of the monotonic clock."""
+        """Return the current time as the module uses it, in µs of the monotonic clock."""
         return monotonic_us()
 
     def wake(self) -> None:
-        """Have the loop look at its clock now."""
+        """Wake the loop so that it checks its timers now."""
         self._woken.set()
 
     def is_idle(self) -> bool:
-        """Whether nothing that was posted waits for the loop."""
+        """Return whether the loop has no posted callbacks to call."""
         return not self._inbox
 
     def reconfigure(self, settings: c.Settings) -> None:
-        """Take new site settings; their classes are the same.
+        """Apply new site settings, which must have the same classes as the current ones.
 
-        Guards against a request that was read under one configuration being handled under the other: queries
-        are read by the new one from here on, and the module takes it in the same turn of the inbox."""
+        Queries are read with the new settings from now on, and the module gets the settings in inbox order. A
+        request is therefore never read under one configuration and handled under the other."""
         self.settings = settings
         self.post(self._reconfigure_module, settings)
 
-    # Called at assembly
+    # Called while the broker is assembled
 
     def register_actions(self, handlers: Mapping[type, ActionHandler]) -> None:
-        """Have actions of these types carried out by these functions."""
+        """Register the functions that execute actions of these types."""
         self._action_handlers.update(handlers)
 
-    # The owner of the module
+    # The loop itself
 
     def run(self) -> None:
-        """Hand the module what came in, one batch each interval, and carry out its actions. Never returns."""
+        """Pass events to the module, one batch in each interval, and execute its actions. Never returns."""
         while True:
             self._wait()
             self.run_once(monotonic_us())
 
     def run_once(self, now: int) -> None:
-        """One turn: what was posted, the timers that are due, and the module's batch. `now`: µs."""
+        """Run one iteration: posted callbacks, due timers, then the module's batch.
+
+        `now`: µs of the monotonic clock."""
         while self._inbox:
             callback, args = self._inbox.popleft()
             self._call_and_log_errors(callback, *args)
@@ -92,7 +94,7 @@
         self._decide(now)
 
     def _wait(self) -> None:
-        """Wait for a message or a timer, and out the interval that began with the last batch."""
+        """Wait for a posted callback or a due timer, then for the end of the interval of the last batch."""
         self._woken.clear()
         if not self._inbox:
             next_due = self.timers.next_due()
@@ -104,7 +106,7 @@
         sleep(min(max(pause, 0), resolution) / US_PER_SECOND)
 
     def _decide(self, now: int) -> None:
-        """Hand the module its events. `now` may have been read before the last batch was decided."""
+        """Pass the pending events to the module. `now` may be older than the time of the last batch."""
         self.decided_at = now = max(now, self.decided_at)
         if self.pending_events:
             events, self.pending_events = self.pending_events, []
@@ -112,7 +114,9 @@
                 self._call_and_log_errors(self._action_handlers[type(action)], action)
 
     def _call_and_log_errors(self, callback: Callable, *args: object) -> Any:
-        """Guards against one odd event stopping all service: the ledger answers what was lost by it."""
+        """Call a function; a release build logs and counts an exception instead of raising it.
+
+        A single faulty event must not stop the broker. The ledger still answers the affected requests."""
         try:
             return callback(*args)
         except Exception:
@@ -121,7 +125,7 @@
             return None
 
     def _reconfigure_module(self, settings: c.Settings) -> None:
-        self._decide(monotonic_us())  # what has come before belongs to the settings before
+        self._decide(monotonic_us())  # earlier events are handled under the previous settings
         self.manager.configure(settings)
 
     def _start_timer(self, action: c.StartTimer) -> None:
--- a/cypressledge/broker/maintenance.py
+++ b/cypressledge/broker/maintenance.py
@@ -1,8 +1,8 @@
-"""Engines that operators hold out of service, and how list entries look under that. Free of I/O.
+"""Engines that operators have taken out of service, and the effect on their list entries. Performs no I/O.
 
-An engine out of service counts as draining whatever its list says, until it is put back; two calls out
-need one back. Operators restart an engine while it is out, so one put back counts as started at its return:
-it is under the module's slow start.
+An engine out of service is treated as draining, even if it is listed as ready, until it is put back. One call
+puts an engine back even if it was taken out twice. Operators restart engines while they are out of service,
+so an engine counts as started at the time at which it is put back, and the module applies slow start to it.
 """
 
 import json
@@ -11,12 +11,12 @@
 from cypressledge.decisions.contract import EngineListEntry, EngineState
 
 MAX_ID_LENGTH = 128  # characters
-STATUS_BAD_REQUEST = 400  # of HTTP
-STATUS_NOT_FOUND = 404
+STATUS_BAD_REQUEST = 400  # HTTP status
+STATUS_NOT_FOUND = 404  # HTTP status
 
 
 class MaintenanceError(Exception):
-    """A call that is rejected; `status` is the HTTP status that answers it."""
+    """A rejected maintenance call; `status` is the HTTP status of the response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -25,13 +25,13 @@
 
 @dataclass(slots=True)
 class Maintenance:
-    """Engines out of service, by name; and those put back, with when (µs of the monotonic clock)."""
+    """The engines out of service, and the times (µs of the monotonic clock) when engines were put back."""
 
     out_of_service: set[str] = field(default_factory=set)
     returned_at: dict[str, int] = field(default_factory=dict)
 
     def take_out(self, name: str, is_listed: bool) -> bool:
-        """Take an engine out, and answer whether that changed anything. Raises `MaintenanceError`."""
+        """Take an engine out of service, and return whether it was in service. Raises `MaintenanceError`."""
         self._check(name, is_listed)
         changed = name not in self.out_of_service
         self.out_of_service.add(name)
@@ -39,7 +39,9 @@
         return changed
 
     def put_back(self, name: str, is_listed: bool, now: int) -> bool:
-        """Put an engine back, and answer whether that changed anything. Raises `MaintenanceError`."""
+        """Put an engine back in service, and return whether it was out of service.
+
+        `now`: µs of the monotonic clock. Raises `MaintenanceError`."""
         self._check(name, is_listed)
         if name not in self.out_of_service:
             return False
@@ -54,7 +56,7 @@
             raise MaintenanceError(STATUS_NOT_FOUND, f"no engine {name}")
 
     def effective_entry(self, name: str, entry: EngineListEntry) -> EngineListEntry:
-        """How the module is to see an engine that a list names."""
+        """Return a list entry as the module gets it: draining if out of service, just started if put back."""
         if name in self.out_of_service:
             is_ready = entry.state is EngineState.READY
             return replace(entry, state=EngineState.DRAINING) if is_ready else entry
@@ -62,15 +64,15 @@
         return replace(entry, started_at=returned_at) if returned_at > entry.started_at else entry
 
     def to_json(self) -> bytes:
-        """As the maintenance file keeps it."""
+        """Return the content of the maintenance file."""
         return json.dumps({"out": sorted(self.out_of_service), "back": self.returned_at}).encode()
 
     @classmethod
     def from_json(cls, raw: bytes, now: int) -> "Maintenance":
-        """From the maintenance file; what can't be read is empty. `now`: µs of the monotonic clock.
+        """Read the content of the maintenance file; invalid content yields an empty state.
 
-        A return that is still to come was kept before the machine booted, or on another clock, and counts as
-        just now."""
+        `now`: µs of the monotonic clock. A return time in the future was saved before the last boot of the
+        machine or on another clock, and is replaced by `now`."""
         try:
             kept = json.loads(raw)
             returned_at = {str(name): min(int(at), now) for name, at in kept["back"].items()}
--- a/cypressledge/broker/periodic_tasks.py
+++ b/cypressledge/broker/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""Periodic tasks of a broker: connections, the maintenance file, the wall clock, counters in the log."""
+"""Periodic tasks of a broker: checks of connections, maintenance file and wall clock; logging of counters."""
 
 import traceback
 from collections.abc import Callable, Sequence
@@ -11,28 +11,28 @@
 from cypressledge.broker.metrics import Counters, log
 from cypressledge.clock import ClockStepDetector
 
-MAINTENANCE_INTERVAL_S = 0.5  # between looks at the engines' connections
+MAINTENANCE_INTERVAL_S = 0.5  # seconds between two runs of the periodic tasks
 US_PER_MS = 1_000
 
 
 class WallClockWatch:
-    """Logs each step of the wall clock: nothing here depends on it, other programs' time stamps do."""
+    """Logs each step of the wall clock, which affects time stamps of other programs, but not the broker."""
 
     def __init__(self, core: BrokerCore) -> None:
         self._core = core
         self._detector = ClockStepDetector()
 
     def check(self) -> None:
-        """Log and count a step since the last check."""
+        """Log and count a clock step that happened since the last check."""
         if step := self._detector.check():
             self._core.counters.add("clock.steps")
             self._core.event_log.write(EventKind.CLOCK_STEPPED, by_ms=step // US_PER_MS)
 
 
 def run_maintenance(tasks: Sequence[Callable[[], None]], counters: Counters) -> NoReturn:
-    """Call each task in turn, every interval.
+    """Call each task once in every interval.
 
-    Guards against one odd connection ending the process: the next turn may succeed."""
+    A release build logs and counts an exception and continues, because the next run may succeed."""
     while True:
         gevent.sleep(MAINTENANCE_INTERVAL_S)
         for task in tasks:
@@ -44,7 +44,7 @@
 
 
 def log_counters(counters: Counters, interval_s: Callable[[], float]) -> NoReturn:
-    """Write all counters on one log line, every so often, for counting over a fleet from its logs."""
+    """Write all counters as one log line every `interval_s()` seconds, for fleet totals from the logs."""
     while True:
         gevent.sleep(interval_s())
         counters.print(f"every {interval_s():g}s")
--- a/cypressledge/broker/request_ledger.py
+++ b/cypressledge/broker/request_ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of open requests: exactly one final answer each, and no more attempts than the site allows.
+"""The ledger of open requests, which gives each request exactly one final answer.
 
-Frontends submit queries and transports report on attempts, from any greenlet; both only leave a message for
-the event loop. The methods behind these messages, and those that carry out the decision module's actions, run
-on the loop alone.
+Frontends submit queries and transports report on attempts from any greenlet; both only post a callback to the
+event loop. These callbacks, and the methods that execute the actions of the decision module, run only on the
+loop. The number of attempts of a request never exceeds the limit of the site.
 """
 
 import itertools
@@ -27,14 +27,14 @@
 from cypressledge.clock import monotonic_us
 from cypressledge.decisions import contract as c
 
-DEADLINE_GRACE_US = 10_000  # after a client's deadline the ledger answers what the module did not
-ORDERING_KEY_BYTES = 8  # of the hash that stands for a client's key at the module
-DEFAULT_MAX_OPEN_REQUESTS = 1_000  # until the configuration's limits are known
-DEFAULT_MAX_STATEMENT_BYTES = 4 << 20
+DEADLINE_GRACE_US = 10_000  # µs after a client's deadline at which the ledger answers instead of the module
+ORDERING_KEY_BYTES = 8  # bytes; size of the hash that replaces a client's key in the module
+DEFAULT_MAX_OPEN_REQUESTS = 1_000  # requests; limit until the configuration's limits are applied
+DEFAULT_MAX_STATEMENT_BYTES = 4 << 20  # bytes; limit until the configuration's limits are applied
 
 
 class RequestLedger:
-    """Open requests, their attempts, and the answers that they are owed."""
+    """The open requests with their attempts, and the limits on them."""
 
     def __init__(
         self,
@@ -44,16 +44,17 @@
         counters: Counters,
         event_log: EventLog,
     ) -> None:
-        self.requests: dict[int, Request] = {}  # by number, until answered and without an open attempt
-        self.statement_bytes = 0  # of the statements of all unanswered requests
-        # Limits of the configuration. A query beyond them is rejected unseen: memory would be in danger.
-        self.max_retry_after = 0  # µs, the Retry-After of rejections
+        self.requests: dict[int, Request] = {}  # by number; removed once concluded without open attempts
+        self.statement_bytes = 0  # bytes; statements of all unanswered requests
+        # Limits of the configuration. A query beyond them is rejected before the module sees it, because it
+        # could exhaust the memory.
+        self.max_retry_after = 0  # µs; the Retry-After of rejections
         self.max_open_requests = DEFAULT_MAX_OPEN_REQUESTS
         self.max_statement_bytes = DEFAULT_MAX_STATEMENT_BYTES
         self.is_accepting = True
         self.is_stopping = False
-        self.shutdown_deadline = 0  # µs of the monotonic clock by which all is answered, while stopping
-        # Set where brokers act together: who observes attempts, and which queries are admitted.
+        self.shutdown_deadline = 0  # µs of the monotonic clock; while stopping, requests are answered by then
+        # Set only in a broker fleet: the observer of attempts, and a function that admits or rejects a query.
         self.observer: AttemptObserver | None = None
         self.admission_filter: Callable[[Query], bool] | None = None
         self._loop = loop
@@ -76,7 +77,10 @@
     # Called by frontends
 
     def submit(self, query: Query, reply: ReplyHandler) -> Request | None:
-        """Take a query; None, and a rejection at once, if there is no capacity or the broker is stopping."""
+        """Accept a query and return its request, or reject the query immediately and return None.
+
+        A query is rejected if the broker has no capacity or accepts no more requests, or by the admission
+        filter."""
         if (
             not self.is_accepting
             or len(self.requests) >= self.max_open_requests
@@ -87,7 +91,7 @@
         if self.admission_filter is not None and not self.admission_filter(query):
             self.reject_at_admission(query, reply, "over_quota")
             return None
-        if self.is_stopping:  # work that would not end in time is rejected, so that the client asks elsewhere
+        if self.is_stopping:  # work that cannot end in time is rejected, so the client can ask another broker
             query.deadline = min(query.deadline, self.shutdown_deadline)
         request = Request(next(self._numbers), query, reply)
         self.requests[request.number] = request
@@ -98,25 +102,26 @@
         return request
 
     def reject_at_admission(self, query: Query, reply: ReplyHandler, reason: str) -> None:
-        """Reject a query that the module never hears of, at a frontend's limits or the ledger's."""
+        """Reject a query that exceeds the limits of a frontend or of the ledger; the module never sees it."""
         self._counters.add(f"rejected.{reason}")
         self._counters.reply(query.class_name, "overload")
         self._log.rejected_at_admission(query, reason)
         reply.reject(self.max_retry_after)
 
     def is_open(self, query_id: str) -> bool:
-        """Whether a request of this id is open, or an attempt of it.
+        """Return whether a request with this query id, or one of its attempts, is open.
 
-        Engines know queries by their ids: a second one of the same id would get the first one's answer."""
+        Engines identify queries by their ids: a second query with the same id would get the answer to the
+        first."""
         return query_id in self._query_ids
 
     def client_disconnected(self, request: Request) -> None:
-        """The client stopped waiting: no answer is owed any more."""
+        """Report that the client has disconnected or withdrawn the request, which then needs no answer."""
         request.client_disconnected = True
         self._loop.post(self._handle_client_disconnected, request)
 
     def is_serving(self) -> bool:
-        """Whether the broker can serve and goes on doing so: it knows of a ready engine."""
+        """Return whether the broker is not stopping and has at least one ready engine."""
         return not self.is_stopping and bool(self._engines.ready_endpoints)
 
     # Called by transports
@@ -124,30 +129,30 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: c.Outcome, rows: bytes = b"", fault: EngineFault | None = None
     ) -> None:
-        """Report how an attempt ended."""
+        """Report the end of an attempt: its outcome, and its last rows or the engine's error."""
         self._loop.post(self._handle_attempt_ended, attempt, outcome, rows, fault)
 
     def attempt_progressed(self, attempt: Attempt, kind: c.ProgressKind, value: float) -> None:
-        """Report progress of an attempt that has been sent."""
+        """Report that an engine has notified the progress of an attempt."""
         self._loop.post(self._handle_progress, attempt, kind, value)
 
     def rows_received(self, attempt: Attempt, rows: bytes) -> None:
-        """Hand on the next rows of a streamed answer."""
+        """Pass on the next rows of a streamed answer."""
         attempt.unread_bytes += len(rows)
         self._loop.post(self._handle_rows, attempt, rows)
 
     # Called by the process
 
     def start_shutdown(self, deadline: int) -> None:
-        """The process ends. All that is open is answered by then (µs of the monotonic clock)."""
+        """Start the shutdown; all open requests are answered by `deadline`, in µs of the monotonic clock."""
         self.is_stopping, self.shutdown_deadline = True, deadline
         self._loop.post(self._loop.timers.schedule, deadline, self._handle_shutdown_deadline, None)
 
-    # Messages, on the event loop
+    # Callbacks of posted reports, on the event loop
 
     def _handle_submitted(self, request: Request) -> None:
         if request.is_concluded or request.client_disconnected:
-            return  # withdrawn at once: not worth the module's time
+            return  # already withdrawn: the module need not see it
         query = request.query
         self._loop.timers.schedule(query.deadline + DEADLINE_GRACE_US, self._check_deadline, request.number)
         key = stable_hash(query.key, ORDERING_KEY_BYTES) if query.key else 0
@@ -186,7 +191,7 @@
         attempt.unread_bytes -= len(rows)
         if not attempt.is_open or request.is_concluded:
             return
-        if request.streaming_attempt is None:  # from here on the answer belongs to this attempt alone
+        if request.streaming_attempt is None:  # from here on, only this attempt can complete the answer
             request.streaming_attempt = attempt
             for other in request.attempts:
                 if other is not attempt:
@@ -200,7 +205,7 @@
         if not attempt.is_open:
             return
         request = attempt.request
-        attempt.is_open, attempt.transport_state = False, None  # its pages go with the transport's state
+        attempt.is_open, attempt.transport_state = False, None  # the transport's state holds result pages
         request.open_attempts -= 1
         attempt.outcome = outcome
         self._counters.add(f"attempt.{outcome.name.lower()}")
@@ -219,13 +224,15 @@
         self._forget(request)
 
     def _handle_shutdown_deadline(self, _: None) -> None:
-        """Guards against requests that the end of the process, by a signal nobody can heed, finds open."""
+        """Have the module end all open requests, so that none is unanswered when SIGKILL ends the process."""
         self._loop.pending_events.append(c.ShutdownStarted())
 
     # Timers, on the event loop
 
     def _check_deadline(self, number: int) -> None:
-        """Guards against a request that the module forgot: it is owed an answer all the same."""
+        """Fail a request that the module has not ended by its deadline.
+
+        Unless its rows are being streamed, the module has lost track of it, which violates an invariant."""
         request = self.requests.get(number)
         if request is None or request.is_concluded:
             return
@@ -233,7 +240,7 @@
         self._answer_failed(request, c.Reason.DEADLINE, DEADLINE_FAULT)
         self._loop.pending_events.append(c.ClientDisconnected(request.number))
 
-    # Actions of the module
+    # Actions of the decision module, on the event loop
 
     def _reject_request(self, action: c.RejectRequest) -> None:
         request = self.requests.get(action.request)
@@ -241,7 +248,7 @@
             return
         if request.streaming_attempt is None:
             self._answer_rejected(request, action.reason)
-        else:  # rows went out: a rejection, which tells that nothing ran, would be wrong
+        else:  # rows were sent, so a rejection, which states that nothing was executed, would be wrong
             self._answer_failed(request, action.reason, DEADLINE_FAULT)
 
     def _fail_request(self, action: c.FailRequest) -> None:
@@ -249,14 +256,15 @@
         if request is not None and not request.is_concluded:
             self._answer_failed(request, action.reason, request.last_fault or DEADLINE_FAULT)
 
-    # Answers
+    # Final answers, on the event loop
 
     def _answer_from_attempt(
         self, attempt: Attempt, outcome: c.Outcome, rows: bytes, fault: EngineFault | None
     ) -> None:
-        """The final answer, if an attempt's end decides it.
+        """Send the final answer if the end of this attempt determines it.
 
-        Guards against two attempts in one answer: once rows went out, only their own attempt counts."""
+        Once rows have been sent, only the attempt that they came from can end the answer. Otherwise an answer
+        could contain rows of two attempts."""
         request = attempt.request
         if request.is_concluded or request.streaming_attempt not in (None, attempt):
             return
@@ -266,7 +274,7 @@
             self._fail(request, fault or EngineFault(f"engine: {outcome.name.lower()}"))
 
     def _answer_rejected(self, request: Request, reason: c.Reason) -> None:
-        """Reject a request that the module has given up, and of which nothing ran."""
+        """Reject a request that the module has given up and that no engine has executed."""
         self._counters.add(f"{EventKind.REJECTED}.{reason}")
         self._log.rejected_or_failed(EventKind.REJECTED, request, reason)
         if self._claim_answer(request, "rejected", "overload"):
@@ -274,7 +282,7 @@
             self._conclude(request)
 
     def _answer_failed(self, request: Request, reason: c.Reason, fault: EngineFault) -> None:
-        """Fail a request that the module, or its deadline, has given up."""
+        """Fail a request that the module has given up or whose deadline has passed."""
         self._counters.add(f"{EventKind.FAILED}.{reason}")
         self._log.rejected_or_failed(EventKind.FAILED, request, reason)
         self._fail(request, fault)
@@ -290,9 +298,9 @@
             self._conclude(request)
 
     def _claim_answer(self, request: Request, counter: str, metric: str) -> bool:
-        """Count the one final answer of a request, and answer whether it is the first.
+        """Count the final answer of a request, and return whether it is the first one.
 
-        `metric`: the answer's name at the operators' address."""
+        `metric`: the kind of answer in the metrics of the management address."""
         if not self._counters.invariant(not request.is_concluded, "second_answer"):
             return False
         class_name = request.query.class_name
@@ -300,21 +308,22 @@
         self._counters.reply(class_name, metric)
         return True
 
-    # The end of attempts and requests
+    # The end of requests
 
     def _conclude(self, request: Request) -> None:
-        """No answer is owed any more."""
+        """Mark a request as concluded: it has been answered or needs no answer."""
         request.is_concluded = True
         self.statement_bytes -= len(request.query.statement)
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        """Drop a concluded request whose attempts have all ended.
+        """Remove a concluded request whose attempts have all ended.
 
-        Guards against keeping its bytes, and its client's connection, for whoever still knows the request."""
+        Its statement, its attempts and the client's connection are released, because timers and other objects
+        may refer to the request for longer."""
         if request.is_concluded and not request.open_attempts:
             self.requests.pop(request.number, None)
             self._query_ids.discard(request.query.id)
             request.query.statement = b""
-            request.reply = None  # type: ignore[assignment]  # nothing answers a request that is forgotten
+            request.reply = None  # type: ignore[assignment]  # never used after the request has been removed
             request.attempts = []
--- a/cypressledge/broker/request_log.py
+++ b/cypressledge/broker/request_log.py
@@ -1,4 +1,4 @@
-"""Events of requests and their attempts, for the event log."""
+"""Writes the events of requests and their attempts to the event log."""
 
 from cypressledge.broker.event_log import EventKind, EventLog
 from cypressledge.broker.requests import Attempt, Query, Request
@@ -6,7 +6,7 @@
 from cypressledge.decisions import contract as c
 
 US_PER_MS = 1_000
-STILL_OPEN = "out"  # in place of an outcome, where the attempt before a retry has not ended
+STILL_OPEN = "out"  # logged instead of an outcome if the attempt before a retry has not ended
 
 
 class RequestLog:
@@ -18,11 +18,11 @@
         self._event_log = event_log
 
     def rejected_at_admission(self, query: Query, reason: str) -> None:
-        """A query was rejected before it reached the decision module."""
+        """Log that a query was rejected before it reached the decision module."""
         self._event_log.write(EventKind.REJECTED, request=query.id, class_=query.class_name, reason=reason)
 
     def rejected_or_failed(self, kind: EventKind, request: Request, reason: c.Reason) -> None:
-        """A request ends rejected or failed (`kind`), without an engine's answer."""
+        """Log that a request was rejected or failed, depending on `kind`, without an answer of an engine."""
         query = request.query
         self._event_log.write(
             kind,
@@ -34,7 +34,7 @@
         )
 
     def attempt_ended(self, attempt: Attempt, outcome: c.Outcome) -> None:
-        """An attempt ended with an outcome that is no answer."""
+        """Log that an attempt ended without success."""
         self._event_log.write(
             EventKind.ATTEMPT_ENDED,
             request=attempt.query.id,
@@ -45,7 +45,7 @@
         )
 
     def attempt_cancelled(self, attempt: Attempt, reason: c.Reason) -> None:
-        """The module called off an attempt that was open."""
+        """Log that the module cancelled an open attempt."""
         self._event_log.write(
             EventKind.ATTEMPT_CANCELLED,
             request=attempt.query.id,
@@ -55,7 +55,7 @@
         )
 
     def retry_started(self, attempt: Attempt) -> str:
-        """A further attempt starts; answers with what the one before it ended by."""
+        """Log that a retry starts, and return the outcome of the attempt before it."""
         attempts = attempt.request.attempts
         first, previous = attempts[0], attempts[attempt.number - 1]
         outcome = previous.outcome.name.lower() if previous.outcome is not None else STILL_OPEN
--- a/cypressledge/broker/requests.py
+++ b/cypressledge/broker/requests.py
@@ -1,6 +1,6 @@
-"""Requests, their attempts, and what frontends and transports offer for them.
+"""Requests and their attempts, and the interfaces of frontends and transports.
 
-No protocol is known here, and no clock is read. All times are µs of the monotonic clock.
+The module is independent of any wire protocol and reads no clock. All times are in µs of the monotonic clock.
 """
 
 import re
@@ -9,35 +9,35 @@
 
 from cypressledge.decisions import contract as c
 
-CLIENT_KEY = re.compile(r"[!-+\--~]{1,128}\Z", re.A)  # no commas or blanks: it may stand in a list
-MAX_SEND_DELAY = 500_000  # µs from its decision in which an attempt is sent, or never: the module's margin
+CLIENT_KEY = re.compile(r"[!-+\--~]{1,128}\Z", re.A)  # no commas or blanks, so that it can be part of a list
+MAX_SEND_DELAY = 500_000  # µs; maximum time from decision to send, which the module adds to its margins
 
 
 @dataclass(slots=True)
 class Query:
-    """What a client asks, whatever protocol it came by."""
+    """A client's query, independent of the protocol by which it was received."""
 
     id: str
     class_index: int
     class_name: str
     tenant: str
     statement: bytes
-    deadline: int  # when the client stops waiting
-    key: str = ""  # by which engines drop duplicates, and by which ordered classes run in turn
-    cost: int = 0  # estimated µs of work; 0: not known
-    memory_mb: float = 0.0  # estimated need; 0: not known
+    deadline: int  # time at which the client stops waiting
+    key: str = ""  # idempotency key for engines, and ordering key in ordered classes
+    cost: int = 0  # µs; estimated work; 0: unknown
+    memory_mb: float = 0.0  # MB; estimated memory; 0: unknown
     table_group: int = 0
     is_client_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class EngineFault:
-    """Why an engine's answer is no result, as the client is told it."""
+    """An engine's error as it is reported to the client."""
 
     text: str
-    code: int = 0  # in ClickHouse's numbers; 0: none
-    status: int = 500  # of HTTP
-    final: bool = False  # the statement itself is at fault, no engine helps
+    code: int = 0  # ClickHouse error code; 0: none
+    status: int = 500  # HTTP status
+    final: bool = False  # the statement itself is invalid, so that it fails at every engine
 
 
 DEADLINE_FAULT = EngineFault("not answered in time", 159, 408)
@@ -45,118 +45,119 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where an engine listens, and which transport speaks to it.
+    """The address of an engine process, and the wire protocol that it speaks.
 
-    A process that starts anew under its id is another endpoint: connections to the old one are dead."""
+    A restarted process with the same id is another endpoint: connections to the old one are unusable."""
 
     id: int
     name: str
     address: tuple[str, int]
-    wire: str  # the name of the transport
-    started_at_ms: int = 0  # Unix time as its list gives it; 0: long ago
+    wire: str  # name of the wire protocol, which selects the transport
+    started_at_ms: int = 0  # ms, Unix time; start of the process as listed; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEngine:
-    """One engine of a list: what the decisions are told of it, and where it listens."""
+    """One entry of an engine list: the entry for the decision module, and the engine's endpoint."""
 
     entry: c.EngineListEntry
     endpoint: Endpoint
 
 
 class ReplyHandler(Protocol):
-    """What a frontend offers for one request; none of the methods but `wait_until_drained` may block.
+    """Sends the answer to one request; implemented by frontends. Only `wait_until_drained` may block.
 
-    One of `complete`, `reject` and `fail` is called, once."""
+    Exactly one of `complete`, `reject` and `fail` is called, once."""
 
     supports_streaming: bool
 
     def complete(self, rows: bytes) -> None:
-        """Answer with these rows, or end the answer with them if some were sent before."""
+        """Answer with these rows, or complete the answer with them if rows were sent before."""
 
     def send_rows(self, rows: bytes) -> None:
-        """Send the next rows of an answer that isn't complete; only where streaming is supported."""
+        """Send the next rows of an incomplete answer; called only if streaming is supported."""
 
     def wait_until_drained(self) -> bool:
-        """Wait, a second at most, until the client has read what was sent; whether it has.
+        """Wait up to one second until the client has read the rows sent so far; return whether it has.
 
-        Called by a transport's greenlet, so that engines are read no faster than clients read."""
+        Called on a transport's greenlet, so that engines are not read faster than clients read."""
 
     def reject(self, retry_after: int) -> None:
-        """Answer that trying again is harmless, best after so many µs."""
+        """Answer that the query was not executed and may be retried, preferably after `retry_after` µs."""
 
     def fail(self, fault: EngineFault) -> None:
-        """Answer that it may have run; an answer that has begun is left visibly broken."""
+        """Answer that the query failed and may have been executed; a partial answer is visibly truncated."""
 
 
 class EngineTransport(Protocol):
-    """What carries attempts to engines over one protocol; none of the methods may block."""
+    """Sends attempts to engines over one wire protocol; none of the methods may block."""
 
     def send(self, attempt: "Attempt") -> None:
-        """Carry the attempt to its engine, and report on it to the ledger."""
+        """Send the attempt to its engine, and report its progress and its end to the ledger."""
 
     def cancel(self, attempt: "Attempt") -> None:
-        """Call the attempt off at its engine; nothing is reported of it any more."""
+        """Cancel the attempt at its engine, and report nothing further about it."""
 
     def update_resources(self, attempt: "Attempt") -> None:
-        """Pass on the request's changed priority, if the protocol can."""
+        """Send the request's changed priority to the engine, if the protocol supports it."""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One entry of the ledger: a query, its attempts and its one final answer."""
+    """One entry of the ledger: a query, its attempts and the handler of its final answer."""
 
     number: int
     query: Query
     reply: ReplyHandler
     attempts: list["Attempt"] = field(default_factory=list)
-    grant_mb: float = 0.0  # memory for further attempts; 0: the engine's choice
+    grant_mb: float = 0.0  # MB; memory granted to further attempts; 0: chosen by the engine
     priority: int = 1
     open_attempts: int = 0
-    is_concluded: bool = False  # no answer is owed any more
+    is_concluded: bool = False  # the request has been answered, or needs no answer
     client_disconnected: bool = False
-    streaming_attempt: "Attempt | None" = None  # whose rows have begun to go out: the answer is its alone
+    streaming_attempt: "Attempt | None" = None  # rows of this attempt were sent: only it completes the answer
     last_fault: EngineFault | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request to one engine."""
+    """One attempt to execute a request at one engine."""
 
     request: Request
-    number: int  # among the request's attempts, from 0
+    number: int  # position among the request's attempts, from 0
     endpoint: Endpoint
-    sent_at: int  # when the transport was handed it
-    deadline: int  # its own time-out, or the client's deadline
-    decided_at: int  # the module's time of the decision, on which windows and budgets were judged
-    is_open: bool = True  # its end hasn't been reported
+    sent_at: int  # time at which the attempt was passed to the transport
+    deadline: int  # the attempt's own time-out or the client's deadline, whichever is earlier
+    decided_at: int  # time of the module's decision, for which it checked time windows and budgets
+    is_open: bool = True  # the end of the attempt has not been reported
     outcome: c.Outcome | None = None
-    transport_state: object = None  # what the transport keeps of it
-    connections_tried: int = 0  # on which it was put in vain
-    unread_bytes: int = 0  # of rows on their way to the event loop
+    transport_state: object = None  # data of the transport about this attempt
+    connections_tried: int = 0  # connections that failed before the attempt was sent on them
+    unread_bytes: int = 0  # bytes of rows that are posted to the event loop and not handled yet
 
     @property
     def is_awaited(self) -> bool:
-        """Whether anybody still waits for it."""
+        """Whether the attempt is open and a client still waits for the answer."""
         return self.is_open and not (self.request.is_concluded or self.request.client_disconnected)
 
     def may_be_sent(self, now: int) -> bool:
-        """Whether it is still wanted, and as fresh as the module took it to be when it judged its limits.
+        """Return whether the attempt is still awaited and its decision is not too old at `now`.
 
-        Guards against connections that come up late, and processes that stood still meanwhile."""
+        The module checked its limits for the time of the decision. A connection that is established late or a
+        suspended process could delay the send beyond the time for which that check is valid."""
         return self.is_awaited and now - self.decided_at <= MAX_SEND_DELAY
 
     @property
     def query(self) -> Query:
-        """The query it carries."""
+        """The query of the attempt's request."""
         return self.request.query
 
 
 class AttemptObserver(Protocol):
-    """Observes how attempts go; none of the methods may block."""
+    """Receives the progress and the outcomes of attempts; none of the methods may block."""
 
     def attempt_progressed(self, attempt: Attempt) -> None:
-        """The engine has reported progress."""
+        """Handle a progress notification that an engine has sent for the attempt."""
 
     def attempt_ended(self, attempt: Attempt, outcome: c.Outcome, latency: int) -> None:
-        """An attempt has ended, so many µs after it was sent."""
+        """Handle the end of an attempt; `latency` is the time in µs since the attempt was sent."""
--- a/cypressledge/broker/timers.py
+++ b/cypressledge/broker/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the event loop: callbacks by the time at which they are due."""
+"""Timers of the event loop: callbacks that are called at a given time."""
 
 import itertools
 from collections.abc import Callable, Iterator
@@ -8,10 +8,10 @@
 
 
 class TimerQueue:
-    """Callbacks with one argument each, in the order of their due times; equal times in order of scheduling.
+    """Callbacks with one argument each, ordered by due time; timers with equal times in order of scheduling.
 
-    A timer can't be cancelled. Its argument therefore names what it is about by number: timers outlive most
-    requests, and must not keep what has been answered in memory.
+    A timer cannot be cancelled, and most timers outlive the request that they belong to. Their arguments are
+    therefore numbers instead of references, so that they do not keep answered requests in memory.
     """
 
     __slots__ = ("_entries", "_sequence")
@@ -21,19 +21,19 @@
         self._sequence = itertools.count()
 
     def __len__(self) -> int:
-        """Timers that have not run out yet."""
+        """Number of timers that have not expired yet."""
         return len(self._entries)
 
     def schedule(self, due_at: int, callback: TimerCallback, argument: object) -> None:
-        """Have `callback(argument)` called at `due_at`, in µs of the monotonic clock."""
+        """Schedule the call `callback(argument)` at `due_at`, in µs of the monotonic clock."""
         heappush(self._entries, (due_at, next(self._sequence), callback, argument))
 
     def next_due(self) -> int | None:
-        """When the first timer is due, in µs of the monotonic clock; None if there is none."""
+        """Return the due time of the first timer, in µs of the monotonic clock; None without timers."""
         return self._entries[0][0] if self._entries else None
 
     def pop_due(self, now: int) -> Iterator[tuple[TimerCallback, object]]:
-        """Take out the timers due at `now`, one by one; those scheduled meanwhile count as well."""
+        """Remove and yield the timers due at `now`, including those scheduled during the iteration."""
         entries = self._entries
         while entries and entries[0][0] <= now:
             _, _, callback, argument = heappop(entries)
--- a/cypressledge/broker_process/__init__.py
+++ b/cypressledge/broker_process/__init__.py
@@ -1,1 +1,1 @@
-"""A broker as a process: its parts put together, started, reconfigured and stopped."""
+"""The broker process: assembles, starts, reconfigures and stops the parts of a broker."""
--- a/cypressledge/broker_process/assembly.py
+++ b/cypressledge/broker_process/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one broker together, as its configuration names them."""
+"""Creates and connects the parts of one broker according to its configuration."""
 
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
@@ -20,12 +20,12 @@
     from cypressledge.service import HostedService
     from cypressledge.service_config import ServiceConfig
 
-LINE_PROTOCOL = "lines"  # the wire of engines that the platform's directory lists
+LINE_PROTOCOL = "lines"  # wire protocol of the engines that the platform's directory lists
 
 
 @dataclass(slots=True)
 class BrokerComponents:
-    """The parts of one broker, for what starts, reconfigures and stops them."""
+    """The parts of one broker, for the code that starts, reconfigures and stops them."""
 
     counters: Counters
     core: BrokerCore
@@ -39,25 +39,26 @@
     service: "HostedService | None" = None
 
     def is_taking_clients(self) -> bool:
-        """Whether this process accepts clients, and will go on doing so."""
+        """Return whether this process accepts clients and is not stopping."""
         return self.frontend.listener.accepting.is_set() and not self.core.ledger.is_stopping
 
     def frontends(self) -> "list[JsonRpcFrontend | HostedService]":
-        """All that clients connect to."""
+        """Return all frontends that clients connect to."""
         return [self.frontend] if self.service is None else [self.frontend, self.service]
 
 
 def decision_settings(config: Config, service: "ServiceConfig | None") -> Settings:
-    """The decision module's settings.
+    """Return the settings of the decision module.
 
-    Guards against ClickHouse engines being taken for ones that lose answers: they report no progress of a
-    query whose rows are on their way, or of which they don't know the share done."""
+    With the hosted service, no progress notifications are expected. ClickHouse engines send none for a query
+    whose rows are being transferred or whose completed share is unknown, and the module would conclude that
+    the engine had lost the answer."""
     progress_interval = config.settings.progress_interval if service is None else 0
     return replace(config.settings, progress_interval=progress_interval, max_send_delay=MAX_SEND_DELAY)
 
 
 def assemble_components(config: Config, service: "ServiceConfig | None") -> BrokerComponents:
-    """The parts of a broker, listening but not started."""
+    """Return the parts of a broker; their sockets are listening, but their loops are not started."""
     counters = Counters()
     core = BrokerCore(decision_settings(config, service), config.seed, counters)
     transport = LineProtocolTransport(core, config.limits)
@@ -78,14 +79,14 @@
 
 
 def _hosted_service(settings: "ServiceConfig", parts: BrokerComponents, config: Config) -> "HostedService":
-    """The hosted service. Imported here alone: a broker without it does not load its protocols."""
+    """Return the hosted service. Imported only here, so that other brokers do not load its protocols."""
     from cypressledge.service import HostedService
 
     return HostedService(settings, parts.core, config, parts.tenants)
 
 
 def _add_management(parts: BrokerComponents, config: Config, address: tuple[str, int]) -> None:
-    """The operators' address and its calls. Imported here alone: a broker without it loads no HTTP."""
+    """Add the management server and its calls, imported only here so that other brokers do not load HTTP."""
     from cypressledge.net.maintenance_file import MaintenanceFile
     from cypressledge.net.management import ManagementServer, metrics
 
--- a/cypressledge/broker_process/process.py
+++ b/cypressledge/broker_process/process.py
@@ -1,7 +1,8 @@
-"""One real broker as a process: reads its configuration, starts the parts, handles signals, and shuts down.
+"""The broker process: reads its configuration, starts the parts, handles signals, and shuts down.
 
-ROUTER_CONFIG names the configuration. `--service FILE` adds the hosted service's frontend, `--fleet FILE`
-what brokers do together, `--control FILE` the control plane that it takes settings and engines from.
+The environment variable ROUTER_CONFIG names the configuration file. `--service FILE` adds the frontend of the
+hosted service, `--fleet FILE` the coordination with other brokers (membership, leases, zone failover), and
+`--control FILE` the control plane, which provides settings and engine lists.
 """
 
 import argparse
@@ -28,13 +29,13 @@
     from cypressledge.fleet.broker_integration import FleetIntegration
     from cypressledge.service_config import ServiceConfig
 
-ACCEPT_AFTER_STOP_S = 0.72  # a stopping broker goes on taking requests; what came later might meet SIGKILL
-FLUSH_S = 0.5  # for the last answers to leave
-MAX_COUNTED_DEADLINE_US = 3_000_000  # of the longest deadline, this much counts towards the time for a stop
-KILL_MARGIN_US = 700_000  # beyond that deadline, after which SIGKILL may come
-EXIT_MARGIN_S = 0.1  # before SIGKILL the process has ended
-GIVE_UP_MARGIN_US = 400_000  # before SIGKILL, from when on whatever is open is given up, and answered so
-SHUTDOWN_POLL_S = 0.02  # between looks whether all requests have been answered
+ACCEPT_AFTER_STOP_S = 0.72  # seconds of accepting requests after SIGTERM; later ones could meet SIGKILL
+FLUSH_S = 0.5  # seconds; longest time for sending the last answers
+MAX_COUNTED_DEADLINE_US = 3_000_000  # µs; upper limit of the longest class deadline in the shutdown timeout
+KILL_MARGIN_US = 700_000  # µs after that deadline at which SIGKILL may be sent
+EXIT_MARGIN_S = 0.1  # seconds before SIGKILL by which the process has ended
+GIVE_UP_MARGIN_US = 400_000  # µs before SIGKILL at which open requests are given up and answered
+SHUTDOWN_POLL_S = 0.02  # seconds between checks whether all requests have been answered
 US_PER_SECOND = 1e6
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2
@@ -42,7 +43,7 @@
 
 
 class BrokerProcess:
-    """One broker, from its start to its exit."""
+    """One broker from the start of its process to its exit."""
 
     def __init__(
         self, read: ConfigReader, fleet_file: str | None = None, control_file: str | None = None
@@ -66,7 +67,7 @@
         return self.configuration.config
 
     def _main_loops(self, config: Config) -> list[Callable[[], None]]:
-        """The functions that run for as long as the process does, each on a greenlet of its own."""
+        """Return the functions that run until the process exits, each on its own greenlet."""
         parts = self.parts
         loops = [parts.core.loop.run, parts.frontend.listener.run, self._maintain]
         if config.metrics_interval_s:
@@ -79,7 +80,7 @@
         return loops
 
     def _join_fleet(self, file: str) -> "FleetIntegration":
-        """What brokers do together. Imported here alone: `run` without it must not load it."""
+        """Join the fleet of brokers. Imported only here, so that a single broker does not load it."""
         from cypressledge.fleet.broker_integration import FleetIntegration
 
         fleet = FleetIntegration(file, self.config, self.core, self.counters)
@@ -89,7 +90,7 @@
         return fleet
 
     def _follow_control_plane(self, file: str) -> "BrokerIntegration":
-        """The control plane. Imported here alone: `run` without it must not load it."""
+        """Subscribe to the control plane. Imported only here, so that other brokers do not load it."""
         from cypressledge.controlplane.broker_integration import follow
 
         control = follow(file, self)
@@ -97,16 +98,16 @@
         return control
 
     def reload(self) -> None:
-        """Take the configuration file as it is now (SIGHUP)."""
+        """Read the configuration file again and apply it; called on SIGHUP."""
         if self.configuration.reload():
             if self.fleet is not None:
                 self.fleet.reload()
             log("reload: the new configuration is in force")
 
     def run(self, early_signals: list[int]) -> None:
-        """Serve until told to stop; then answer all that was taken.
+        """Serve until a signal stops the process, then answer all accepted requests.
 
-        `early_signals`: signals that came before."""
+        `early_signals`: signals received before the handlers were installed, which are handled first."""
         host, port = self.config.listen
         ready = len(self.core.engines.ready_endpoints)
         log(f"{self.config.name}: listening on {host}:{port}, {ready} engines ready")
@@ -132,7 +133,7 @@
     # Shutdown
 
     def _shutdown(self) -> None:
-        """Go on serving for a moment while reporting unhealthy; then answer whatever is open, and flush."""
+        """Serve for a short time while reporting unhealthy, then answer the open requests, and flush."""
         log("stopping: no longer healthy, still serving")
         self.core.ledger.start_shutdown(monotonic_us() + self._shutdown_timeout_us())
         if self.fleet is not None:
@@ -140,7 +141,7 @@
         if self.control is not None:
             self.control.stop()
         frontend = self.parts.frontend
-        if frontend.listener.inherited:  # the socket's queue and the clients are the next process's
+        if frontend.listener.inherited:  # the next process accepts the queued and all new connections
             frontend.stop()
             frontend.drain()
         gevent.sleep(ACCEPT_AFTER_STOP_S)
@@ -155,13 +156,15 @@
             each.flush(flush_s)
 
     def _shutdown_timeout_us(self) -> int:
-        """µs that a stopping broker has for its answers. By the deployment's rule SIGKILL comes no earlier
-        than the longest deadline, of which 3 s count, and 0.7 s after SIGTERM."""
+        """Return the time in µs after which a stopping broker gives up its open requests.
+
+        The deployment sends SIGKILL no earlier than the longest deadline, or 3 s if it is longer, plus 0.7 s
+        after SIGTERM."""
         longest = max(k.deadline for k in self.core.settings.classes)
         return min(longest, MAX_COUNTED_DEADLINE_US) + KILL_MARGIN_US - GIVE_UP_MARGIN_US
 
     def _flush_timeout_s(self) -> float:
-        """Seconds for the last answers to leave, so that the process ends before SIGKILL comes."""
+        """Return the time in seconds for sending the last answers; the process must exit before SIGKILL."""
         kill_at = self.core.ledger.shutdown_deadline + GIVE_UP_MARGIN_US
         left = (kill_at - monotonic_us()) / US_PER_SECOND - EXIT_MARGIN_S
         return max(min(FLUSH_S, left), 0.0)
@@ -179,28 +182,28 @@
         run_maintenance(tasks, self.counters)
 
     def _exit_on_failure(self, greenlet: gevent.Greenlet) -> None:
-        """A loop that ended by an exception can't be done without: end, so that the platform starts anew."""
+        """Exit after an exception in one of the main loops, so that the platform restarts the broker."""
         log(f"a part of the broker failed: {greenlet.exception!r}")
         os._exit(EXIT_PART_FAILED)
 
 
 def _read_service(file: str, environment: Mapping[str, str]) -> "ServiceConfig":
-    """The hosted service's settings. Imported here alone, at the start: a broker without it loads less."""
+    """Return the settings of the hosted service. Imported only here, so that other brokers do not load it."""
     from cypressledge.service_config import read_service
 
     return read_service(file, environment)
 
 
 def assemble(args: list[str], environment: Mapping[str, str]) -> BrokerProcess:
-    """The broker that arguments and environment describe. Raises `ConfigError`."""
+    """Return the broker that the arguments and the environment describe. Raises `ConfigError`."""
     parser = argparse.ArgumentParser(prog="cypressledge", description="a query broker")
-    parser.add_argument("--service", metavar="FILE", help="settings of the hosted service's front")
-    parser.add_argument("--fleet", metavar="FILE", help="what brokers do together (deploy/fleet.yaml)")
+    parser.add_argument("--service", metavar="FILE", help="settings of the hosted service")
+    parser.add_argument("--fleet", metavar="FILE", help="settings of the broker fleet (deploy/fleet.yaml)")
     parser.add_argument("--control", metavar="FILE", help="the control plane to follow (deploy/control.yaml)")
     arguments = parser.parse_args(args)
 
     def read(sections: Mapping[str, object]) -> ConfigurationFiles:
-        """Both files, the broker's first: its faults are reported before the service's."""
+        """Read both files, the broker's first, so that its errors are reported before the service's."""
         config = read_config(environment, sections)
         return ConfigurationFiles(
             config, _read_service(arguments.service, environment) if arguments.service else None
@@ -213,15 +216,17 @@
 
 
 def main(early_signals: list[int]) -> int:
-    """Run one broker; a bad configuration is one plain line. `early_signals`: signals that came before."""
+    """Run one broker, and return the exit status; an invalid configuration is reported in one log line.
+
+    `early_signals`: signals received before this call."""
     if signal.SIGTERM in early_signals or signal.SIGINT in early_signals:
-        return EXIT_OK  # nobody has met this process yet
+        return EXIT_OK  # no client has connected yet
     try:
         broker = assemble(sys.argv[1:], os.environ)
     except ConfigError as err:
         log(f"cypressledge: {err}")
         return EXIT_BAD_CONFIGURATION
     gc.collect()
-    gc.freeze()  # what is there at the start is never garbage: no collection looks at it again
+    gc.freeze()  # excludes the objects of the start from collections, as they are never garbage
     broker.run(early_signals)
     return EXIT_OK
--- a/cypressledge/broker_process/reconfiguration.py
+++ b/cypressledge/broker_process/reconfiguration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and what changes it while the broker runs."""
+"""The configuration in force, and its replacement while the broker runs."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -15,40 +15,40 @@
 if TYPE_CHECKING:
     from cypressledge.service_config import ServiceConfig
 
-MAX_OPEN_REQUESTS = 4_000  # at once, where memory allows as many
-BYTES_PER_OPEN_REQUEST = 10_000  # of memory, its statement aside
-MEMORY_SHARE_OF_STATEMENTS = 8  # one part in so many of the spare memory
-MEMORY_SHARE_OF_BUFFERS = 4
-DESCRIPTORS_PER_CLOSING_CLIENT = 32
+MAX_OPEN_REQUESTS = 4_000  # requests; fewer if the spare memory does not suffice
+BYTES_PER_OPEN_REQUEST = 10_000  # bytes of memory, without the statement
+MEMORY_SHARE_OF_STATEMENTS = 8  # divisor: statements may use 1/8 of the spare memory
+MEMORY_SHARE_OF_BUFFERS = 4  # divisor: buffers may use 1/4 of the spare memory
+DESCRIPTORS_PER_CLOSING_CLIENT = 32  # divisor: 1/32 of the descriptors are for evicted clients that close
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationFiles:
-    """What the broker's file and, where there is one, the hosted service's say at one moment."""
+    """The contents of the broker's file and of the hosted service's file, read at the same time."""
 
     broker: Config
     service: "ServiceConfig | None"
 
 
-# Reads the files; the argument's sections of the settings stand in place of the broker's file's.
+# Reads the files; the given sections replace those of the same name in the settings of the broker's file.
 ConfigReader = Callable[[Mapping[str, object]], ConfigurationFiles]
 
 
 class Reconfiguration:
-    """Keeps the configuration in force, and applies a new one to all parts at once, or not at all."""
+    """Holds the configuration in force, and applies a new one either to all parts or to none."""
 
     def __init__(self, read: ConfigReader, config: Config, parts: BrokerComponents) -> None:
         self.config = config
-        self.sections: dict = {}  # of the settings, in place of the file's
-        self.has_external_engine_list = False  # the list is neither the file's nor the directory's
+        self.sections: dict = {}  # sections of the settings that replace those of the file
+        self.has_external_engine_list = False  # engines come neither from the file nor from the directory
         self._read = read
         self._parts = parts
 
     def reload(self) -> bool:
-        """Take the configuration as its file is now, and answer whether it is in force.
+        """Read the configuration file again and apply it, and return whether it is in force.
 
-        Guards against a bad file, or one that names what only a restart can change: the old configuration
-        stays in force as a whole. The listener, the ledger, connections and the serial live on."""
+        If the file is invalid or contains changes that need a restart, the whole old configuration stays in
+        force. The listener, the ledger, all connections and the serial of the engine list are kept."""
         try:
             self._apply(self.sections)
         except ConfigError as err:
@@ -57,23 +57,23 @@
         return True
 
     def apply_sections(self, sections: dict) -> None:
-        """Take sections of the settings, by name, in place of the file's from now on.
+        """Replace sections of the file's settings, by name, from now on.
 
-        Raises `ConfigError` where what is in force stays."""
+        Raises `ConfigError` if the old configuration stays in force."""
         self._apply(sections)
         log(f"control: new settings are in force: {' '.join(sorted(sections))}")
 
     def apply_engine_list(self, engines: list[DiscoveredEngine]) -> None:
-        """Take a complete list, from now on in place of the file's and the directory's.
+        """Apply a complete engine list that replaces those of the file and the directory from now on.
 
-        The directory is polled no more."""
+        The directory is no longer polled."""
         if not self.has_external_engine_list:
             self.has_external_engine_list = True
             self._parts.directory.set_server(None)
         self._parts.engine_naming.publish(self._parts.core, EngineListKind.FULL, engines)
 
     def apply_limits(self, config: Config) -> None:
-        """Give each part its limits; at the start and at each reload."""
+        """Set the limits of each part; called at the start and on each reload."""
         parts, limits = self._parts, config.limits
         is_shared = parts.service is not None
         ledger = parts.core.ledger
@@ -93,7 +93,7 @@
             parts.management.apply_limits(limits)
 
     def _apply(self, sections: dict) -> None:
-        """Raises `ConfigError` where the old configuration stays in force."""
+        """Read the files and apply them; raises `ConfigError` if the old configuration stays in force."""
         parts = self._parts
         try:
             files = self._read(sections)
@@ -114,7 +114,7 @@
         parts.counters.add("reloads")
 
     def _check_applicable(self, files: ConfigurationFiles) -> None:
-        """Raise `ConfigError` for what can't be taken without a restart."""
+        """Raise `ConfigError` for a change that cannot be applied without a restart."""
         config = files.broker
         if config.classes != self.config.classes:
             raise ConfigError("other classes need a restart")
--- a/cypressledge/cli_support.py
+++ b/cypressledge/cli_support.py
@@ -1,4 +1,4 @@
-"""What the groups of the operators' command line share: addresses, and tables or JSON."""
+"""Helpers of the operators' command line: address parameters, tables or JSON output, and command aliases."""
 
 import json
 
@@ -9,25 +9,25 @@
 
 
 class ManagementAddress(click.ParamType):
-    """HOST:PORT, checked as the configuration's are."""
+    """A command line parameter of the form HOST:PORT, validated like addresses in the configuration."""
 
     name = "HOST:PORT"
 
     def convert(
         self, value: str, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[str, int]:
-        """The address as a pair."""
+        """Return the address as a pair of host and port."""
         try:
             return parse_address(value)
         except ConfigError as err:
             self.fail(str(err), param, ctx)
 
 
-as_json = click.option("--json", "as_json", is_flag=True, help="JSON in place of a table.")
+as_json = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of a table.")
 
 
 def show(rows: list[dict[str, object]], as_json: bool) -> None:
-    """Print rows as a table, or as JSON."""
+    """Print rows as a table, or as JSON if `as_json` is set."""
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
@@ -42,7 +42,7 @@
 
 
 def add_hidden_alias(group: click.Group, name: str, command: click.Command) -> None:
-    """Accept a command under its former name, too, without a line in the help."""
+    """Add a former name of a command as an alias that is not listed in the help."""
     alias = click.Command(
         name, callback=command.callback, params=command.params, help=command.help, hidden=True
     )
--- a/cypressledge/config.py
+++ b/cypressledge/config.py
@@ -1,4 +1,4 @@
-"""A broker's configuration file, read at the start and again at SIGHUP."""
+"""The configuration file of a broker, which is read at the start and on each reload."""
 
 import json
 import resource
@@ -10,10 +10,10 @@
 from cypressledge.decisions import contract as c
 from cypressledge.settings import SettingsError, parse_settings
 
-DEFAULT_MEMORY_MB = 192  # where the configuration names no limit
-RESERVED_SOCKETS = 16  # descriptors that are no client's and no engine's
-BASE_MEMORY_MB = 28  # what a broker takes on a calm day, with room to work
-MIN_SPARE_MEMORY_MB = 4  # also where the limit is below what a broker takes
+DEFAULT_MEMORY_MB = 192  # MB; memory limit if the configuration contains none
+RESERVED_SOCKETS = 16  # descriptors that are not available to clients or engines
+BASE_MEMORY_MB = 28  # MB; memory of a broker under light load, including working space
+MIN_SPARE_MEMORY_MB = 4  # MB; spare memory even if the limit is lower than the base memory
 MAX_PORT = 65_535
 ANY_ADDRESS = "0.0.0.0"
 HEXADECIMAL = 16
@@ -26,11 +26,11 @@
 
 
 class ConfigError(Exception):
-    """The configuration can't be used."""
+    """The configuration is invalid or cannot be applied."""
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """HOST:PORT as a pair. Raises `ConfigError`."""
+    """Return an address HOST:PORT as a pair of host and port. Raises `ConfigError`."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not port.isdigit() or int(port) > MAX_PORT:
         raise ConfigError(f"no HOST:PORT: {text!r}")
@@ -39,39 +39,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment allows this process and its connections."""
+    """Limits that the deployment sets for this process and its connections."""
 
     max_sockets: int  # descriptors of the process
-    memory_mb: int
-    max_streams: int  # attempts on one connection to an engine
+    memory_mb: int  # MB; memory limit of the process
+    max_streams: int  # concurrent attempts on one connection to an engine
     connect_timeout_s: float
-    idle_timeout_s: float  # after which an engine closes a connection that rests
-    max_retry_after: int  # µs that a rejection asks the client to wait
-    progress_interval_us: int  # between an engine's notifications of an attempt; 0: there are none
+    idle_timeout_s: float  # seconds after which an engine closes an idle connection
+    max_retry_after: int  # µs that a client is asked to wait after a rejection
+    progress_interval_us: int  # µs between progress notifications of an attempt; 0: engines send none
 
     def max_clients(self, shared: bool) -> int:
-        """JSON-RPC clients connected at once; fewer where the service's frontends share the descriptors."""
+        """Return the maximum number of JSON-RPC client connections.
+
+        `shared`: the hosted service's frontends use a part of the descriptors."""
         return (self.max_sockets - RESERVED_SOCKETS) * (2 if shared else 3) // 5
 
     def max_engine_connections(self, shared: bool) -> int:
-        """Connections to the engines of one wire."""
+        """Return the maximum number of connections to the engines of one wire protocol."""
         return self.max_sockets // (5 if shared else 4)
 
     @property
     def spare_memory(self) -> int:
-        """Bytes of memory beyond what the program itself takes."""
+        """The memory in bytes that is available beyond the program's own needs."""
         return max(self.memory_mb - BASE_MEMORY_MB, MIN_SPARE_MEMORY_MB) << 20
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the file says, checked, in the broker's terms."""
+    """The validated contents of the configuration file, converted to the broker's types."""
 
     name: str
     listen: tuple[str, int]
-    inherited_socket_fd: int | None  # the clients' socket, where the platform holds it and hands it on
+    inherited_socket_fd: int | None  # listening socket for clients, if the platform passes it to each process
     management: tuple[str, int] | None
-    metrics_interval_s: float  # seconds between log lines of all counters; 0 is never
+    metrics_interval_s: float  # seconds between log lines of all counters; 0: never
     dns_server: tuple[str, int] | None
     seed: int
     limits: Limits
@@ -80,13 +82,13 @@
     kinds: tuple[str, ...]
     zones: tuple[str, ...]
     tenants: frozenset[str]
-    quotas: dict[str, float]  # requests a second of a tenant within its share, over all brokers
+    quotas: dict[str, float]  # requests per second within a tenant's quota, over all brokers
     serial: int
     engines: tuple[DiscoveredEngine, ...]
 
 
 def read_config(environment: Mapping[str, str], sections: Mapping[str, object] | None = None) -> Config:
-    """The configuration that the environment names; `sections` of its settings in place of the file's.
+    """Return the configuration that the environment names; `sections` replace those of the file's settings.
 
     Raises `ConfigError`."""
     path = environment.get("ROUTER_CONFIG")
@@ -106,7 +108,7 @@
 
 
 def _config(raw: dict, environment: Mapping[str, str]) -> Config:
-    """The file's values; the environment's stand above them."""
+    """Return the configuration from the file's values; values of the environment take precedence."""
     settings, seed = raw["settings"], raw["seed"]
     limits = _limits(raw["limits"], settings)
     known = raw["known"]
@@ -134,7 +136,9 @@
 
 
 def _configured_engines(known: Mapping[str, Any]) -> list[DiscoveredEngine]:
-    """The engines of the file: its first event holds all of them, later ones the changes."""
+    """Return the engines in the file, by applying its events in order.
+
+    A complete event replaces all engines; the others contain changes."""
     engines: dict[str, DiscoveredEngine] = {}
     for event in known.get("batch", ()):
         topology = event["topology"]
@@ -159,7 +163,7 @@
 
 
 def _parse_seconds(text: str | None) -> float:
-    """A period in seconds; none, or nonsense, is off."""
+    """Return a period in seconds; 0 (off) if it is missing or not a number."""
     try:
         return max(float(text or 0), 0.0)
     except ValueError:
@@ -167,7 +171,7 @@
 
 
 def _parse_descriptor(text: str | None) -> int | None:
-    """The number of an inherited socket; None where there is none."""
+    """Return the descriptor of the inherited socket, or None if it is not set. Raises `ConfigError`."""
     if not text:
         return None
     if not text.isdigit():
@@ -176,7 +180,9 @@
 
 
 def _parse_management(text: object) -> tuple[str, int] | None:
-    """The operators' address; a bare port is on every address, nothing is none."""
+    """Return the management address, or None if it is not set; a port alone means all local addresses.
+
+    Raises `ConfigError`."""
     if text is None or text == "":
         return None
     if isinstance(text, int) or (isinstance(text, str) and text.isdigit()):
@@ -185,10 +191,12 @@
 
 
 def _limits(raw: Mapping[str, Any], settings: Mapping[str, Any]) -> Limits:
-    """What the deployment allows; none of its figures may be 0 but the last two."""
+    """Return the limits of the deployment; all of them but the last two must be greater than 0.
+
+    Raises `ValueError`."""
     site = settings["Limits"]
     limits = Limits(
-        # Guards against a process that is allowed fewer descriptors than its file says.
+        # The process may be allowed fewer descriptors than its file states.
         max_sockets=min(int(raw["sockets"]), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         memory_mb=int(raw.get("memory_mb", DEFAULT_MEMORY_MB)),
         max_streams=int(site["StreamsPerConn"]),
--- a/cypressledge/service.py
+++ b/cypressledge/service.py
@@ -1,6 +1,7 @@
-"""The hosted service beside the platform's frontend: ClickHouse HTTP, DNS-SD and the administration API.
+"""The hosted service: a ClickHouse HTTP frontend, DNS-SD discovery and the administration API.
 
-Off unless `--service FILE` names its settings; nothing else loads this module and the parts it needs.
+It runs in addition to the platform's frontend if `--service FILE` names its settings. Otherwise this module
+and its dependencies are not loaded.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -18,11 +19,11 @@
 from cypressledge.tenants import Tenants
 
 WIRE = "clickhouse"
-MAX_ADMIN_CONNECTIONS = 16
-MAX_CLIENT_CONNECTIONS = 128  # over HTTP, where the descriptors allow as many
-DESCRIPTORS_PER_ADMIN = 32
-DESCRIPTORS_PER_CLIENT = 10
-MEMORY_SHARE_OF_BODIES = 8  # one part in so many of the spare memory
+MAX_ADMIN_CONNECTIONS = 16  # connections; fewer if there are not enough descriptors
+MAX_CLIENT_CONNECTIONS = 128  # HTTP connections; fewer if there are not enough descriptors
+DESCRIPTORS_PER_ADMIN = 32  # divisor: 1/32 of the descriptors may be admin connections
+DESCRIPTORS_PER_CLIENT = 10  # divisor: 1/10 of the descriptors may be client connections
+MEMORY_SHARE_OF_BODIES = 8  # divisor: request bodies may use 1/8 of the spare memory
 
 
 def _tenant_names(tenants: Iterable[Mapping[str, Any]]) -> set[str]:
@@ -30,7 +31,7 @@
 
 
 class HostedService:
-    """The parts of the hosted service round one core."""
+    """The parts of the hosted service that use one broker core."""
 
     def __init__(self, settings: ServiceConfig, core: BrokerCore, config: Config, tenants: Tenants) -> None:
         self._settings = settings
@@ -49,11 +50,11 @@
         self._apply(settings)
 
     def main_loops(self) -> list[Callable[[], None]]:
-        """The functions that run for as long as the process does, each on a greenlet of its own."""
+        """Return the functions that run until the process exits, each on its own greenlet."""
         return [self._discovery.run, *(server.listener.run for server in self._servers)]
 
     def _apply(self, settings: ServiceConfig) -> None:
-        """Tenants that the file no longer names are gone; those that the API has added stay."""
+        """Apply the settings. Tenants deleted from the file are removed, those added by the API are kept."""
         for name in _tenant_names(self._settings.tenants) - _tenant_names(settings.tenants):
             self._tenants.remove(name)
         for given in settings.tenants:
@@ -64,7 +65,7 @@
             self._admin.token = settings.admin_token
 
     def apply_limits(self, limits: Limits) -> None:
-        """Take what the deployment allows."""
+        """Apply the limits of the deployment to connections and request bodies."""
         self.transport.limits = limits
         clients = limits.max_sockets // DESCRIPTORS_PER_CLIENT
         self._frontend.server.listener.max_connections = min(MAX_CLIENT_CONNECTIONS, clients)
@@ -74,23 +75,23 @@
         REQUEST_BODIES.limit = limits.spare_memory // MEMORY_SHARE_OF_BODIES
 
     def check_applicable(self, settings: ServiceConfig) -> None:
-        """Raise `ConfigError` for what can't be taken without a restart."""
+        """Raise `ConfigError` for a change that cannot be applied without a restart."""
         old = self._settings
         if (settings.listen, settings.admin_listen) != (old.listen, old.admin_listen):
             raise ConfigError("other addresses to listen on need a restart")
 
     def reload(self, settings: ServiceConfig, config: Config) -> None:
-        """Take what its file says now."""
+        """Apply the service's new settings and the broker's new configuration."""
         self._apply(settings)
         self._engine_naming.rename(self._core, config.kinds, config.zones)
         self._discovery.browse(settings.dns_server, settings.dns_service)
 
     def stop(self) -> None:
-        """Accept nobody any more."""
+        """Stop accepting connections."""
         for server in self._servers:
             server.listener.stop()
 
     def flush(self, seconds: float) -> None:
-        """Let the last answers go out."""
+        """Wait up to `seconds` for each server to send its last answers."""
         for server in self._servers:
             server.flush(seconds)
--- a/cypressledge/service_config.py
+++ b/cypressledge/service_config.py
@@ -1,4 +1,4 @@
-"""The hosted service's settings: the file that `--service FILE` names (`deploy/clickhouse.toml` is one)."""
+"""Settings of the hosted service, in the file that `--service FILE` names (see `deploy/clickhouse.toml`)."""
 
 import os
 import tomllib
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """The contents of the service's file, completely checked."""
+    """The validated contents of the service's file."""
 
     listen: tuple[str, int]
     dns_server: tuple[str, int] | None
@@ -23,11 +23,11 @@
     admin_token: str
     engine_user: str
     engine_key: str
-    tenants: tuple[Mapping[str, Any], ...]  # as `Tenants.update` takes them
+    tenants: tuple[Mapping[str, Any], ...]  # fields of each tenant, as for `Tenants.update`
 
 
 def read_service(path: str, environment: Mapping[str, str] = os.environ) -> ServiceConfig:
-    """The settings of the file; secrets come from the environment variables that it names.
+    """Return the settings of the file; secrets are read from the environment variables that it names.
 
     Raises `ConfigError`."""
     try:
@@ -68,7 +68,7 @@
 
 
 def _checked_tenants(listed: Iterable[dict]) -> tuple[Mapping[str, Any], ...]:
-    """The tenants as given. Raises `TenantError` for one that could not be taken."""
+    """Return the tenants as given. Raises `TenantError` for an invalid one."""
     scratch, checked = Tenants(), tuple(listed)
     for given in checked:
         scratch.update(given.get("name", ""), given)
--- a/cypressledge/settings.py
+++ b/cypressledge/settings.py
@@ -1,4 +1,4 @@
-"""An instance's JSON settings in the contract's names, for the simulator's adapter and the broker."""
+"""Converts an instance's JSON settings to `contract.Settings`, for the simulator adapter and the broker."""
 
 import json
 from collections.abc import Iterable, Mapping, Sequence
@@ -16,16 +16,18 @@
     "zone": c.DeduplicationScope.ZONE,
     "cell": c.DeduplicationScope.CELL,
 }
-ON_REQUEST = "on_request"  # the registry mode in which an engine list comes only to who subscribes
+ON_REQUEST = "on_request"  # registry mode in which only subscribers receive engine lists
 _Item = TypeVar("_Item")
 
 
 class SettingsError(Exception):
-    """Settings that can't be read."""
+    """The settings are not valid JSON, or lack a key, or have the wrong structure."""
 
 
 def parse_settings_json(text: bytes) -> c.Settings:
-    """Settings as JSON text, in the contract's names; unknown keys are skipped. Raises `SettingsError`."""
+    """Return the settings from JSON text; unknown keys are ignored.
+
+    Raises `SettingsError`, and `ValueError` for values out of range."""
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as err:
@@ -34,7 +36,9 @@
 
 
 def parse_settings(raw: Mapping[str, Any]) -> c.Settings:
-    """The same from JSON that has been read. Raises `SettingsError`, and `ValueError` out of range."""
+    """Return the settings from parsed JSON; unknown keys are ignored.
+
+    Raises `SettingsError`, and `ValueError` for values out of range."""
     try:
         return _settings(raw, raw["Limits"], raw["Rules"], raw.get("FamilyInfo", {}))
     except KeyError as err:
@@ -46,7 +50,7 @@
 def _settings(
     raw: Mapping[str, Any], limits: Mapping[str, Any], rules: Mapping[str, Any], family: Mapping[str, Any]
 ) -> c.Settings:
-    """All settings; `family` is what the engines' family can do."""
+    """Return all settings; `family` contains the capabilities of the engine family."""
     return c.Settings(
         classes=tuple(_class_settings(k, i, family) for i, k in enumerate(raw["Classes"])),
         kind_cores=tuple(family.get("CoresByKind") or [1] * len(raw["Skus"])),
@@ -75,7 +79,7 @@
 
 
 def _class_settings(raw: Mapping[str, Any], index: int, family: Mapping[str, Any]) -> c.ClassSettings:
-    """One class; the family lists some of its settings by the class's index."""
+    """Return the settings of one class; `family` contains some of them in lists by class index."""
     return c.ClassSettings(
         latency_objective=raw["Objective"],
         deadline=raw["Deadline"],
@@ -95,10 +99,10 @@
 
 
 def _item(items: Sequence[_Item], index: int, default: _Item) -> _Item:
-    """One of a list that may be shorter than the classes."""
+    """Return an item of a list that may have fewer items than there are classes, or else `default`."""
     return items[index] if index < len(items) else default
 
 
 def _indices(listed: Iterable[Any] | None) -> frozenset[int] | None:
-    """Kinds or zones by index, as list entries spell them; absent sets no bound."""
+    """Return a set of kind or zone indices; None, for a missing list, means no restriction."""
     return None if listed is None else frozenset(int(i) for i in listed)
--- a/cypressledge/simhost.py
+++ b/cypressledge/simhost.py
@@ -1,4 +1,4 @@
-"""The former name of `cypressledge.simulator_adapter`, kept for one release."""
+"""Former name of `cypressledge.simulator_adapter`, which stays available for one release."""
 
 import sys
 
--- a/cypressledge/simulator_adapter.py
+++ b/cypressledge/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Runs the decisions under the simulator: events on standard input, actions on standard output.
+"""Runs the decision module in the simulator: events on standard input, actions on standard output.
 
-Run with `python -m cypressledge.simulator_adapter`. It hosts one WorkloadManager for each instance, and makes
-no decision itself. The wire format is that of `cypressledge.simulator_wire`.
+Run with `python -m cypressledge.simulator_adapter`. It hosts one WorkloadManager per instance, and makes no
+decisions itself. The wire format is defined in `cypressledge.simulator_wire`.
 """
 
 import sys
@@ -15,8 +15,8 @@
 from cypressledge.settings import SettingsError, parse_settings_json
 from cypressledge.simulator_wire import EventCode, WireError
 
-EXIT_BAD_INPUT = 2  # exit status after input that is not in the wire format
-_BATCH_NUMBER_OFFSET = wire.FRAME_HEAD.size - 2 * wire.LENGTH.size  # in a frame without its length
+EXIT_BAD_INPUT = 2  # exit status if the input is not in the wire format
+_BATCH_NUMBER_OFFSET = wire.FRAME_HEAD.size - 2 * wire.LENGTH.size  # bytes, in a frame without its length
 
 Decoder = Callable[[bytes, int], contract.Event | None]
 
@@ -31,27 +31,29 @@
 
 
 class Batch:
-    """One frame of events while it is read, with the events of each instance and the reply so far."""
+    """One frame of events while it is processed, with the decoded events by instance and the reply so far."""
 
     __slots__ = ("frame", "now", "tail", "events", "reply")
 
     def __init__(self, frame: bytes, now: int, tail: int) -> None:
         self.frame = frame
         self.now = now
-        self.tail = tail  # offset of the content of variable size
+        self.tail = tail  # offset of the variable-size content after the records
         self.events: dict[int, list[contract.Event]] = {}
         self.reply = wire.Reply()
 
 
 class SimulatorAdapter:
-    """The instances of one process, and the numbered catalogues of engines that they share."""
+    """The instances of one process, and the numbered engine catalogues that they share."""
 
     def __init__(self) -> None:
         self.managers: dict[int, WorkloadManager] = {}
         self._catalogues: dict[int, tuple[contract.EngineListEntry, ...]] = {}
 
     def handle_batch(self, frame: bytes) -> bytes:
-        """The frame that answers one frame of events; raises `WireError` for a malformed one."""
+        """Process one frame of events, and return the frame that answers it.
+
+        Raises `WireError` for a malformed frame."""
         _, now, count, number = wire.FRAME_HEAD.unpack_from(frame)
         tail = wire.FRAME_HEAD.size + wire.EVENT_BYTES * count
         if tail > len(frame):
@@ -64,7 +66,7 @@
         return batch.reply.encode(number)
 
     def _run(self, batch: Batch, instance: int, events: list[contract.Event]) -> None:
-        """Hand an instance its events; an exception of its decisions becomes a record, which ends its run."""
+        """Pass an instance its events; an exception is answered by a crash record, which ends its run."""
         try:
             manager = self.managers.get(instance)
             actions = manager.handle(batch.now, events) if manager is not None else ()
@@ -76,7 +78,7 @@
             batch.reply.add(instance, action)
 
     def _read_record(self, batch: Batch, offset: int) -> None:
-        """Decode one record; those that concern no decision are checked and skipped."""
+        """Decode one record; records that are irrelevant to the decisions are validated and skipped."""
         frame = batch.frame
         code = frame[offset]
         decode = _DECODERS.get(code)
@@ -91,7 +93,7 @@
             batch.events.setdefault(wire.INSTANCE.unpack_from(frame, offset)[0], []).append(event)
 
     def _read_control_record(self, batch: Batch, offset: int, code: int) -> None:
-        """Handle a record that is no event of the decisions."""
+        """Handle a record that is no event of the decision module; raises `WireError` for an unknown one."""
         frame = batch.frame
         if code == EventCode.CATALOG:
             number, tail_offset, count = wire.CATALOG.unpack_from(frame, offset)
@@ -111,7 +113,7 @@
             raise WireError(f"unknown event code {code}")
 
     def _start(self, batch: Batch, offset: int) -> None:
-        """Start an instance with no state; invalid settings are reported as its crash."""
+        """Start an instance without state; settings with values out of range are reported as its crash."""
         instance, seed, tail_offset, size = wire.START.unpack_from(batch.frame, offset)
         batch.events[instance] = []
         try:
@@ -124,12 +126,12 @@
 
 
 def _read_frame(source: BinaryIO, head: bytes) -> bytes:
-    """The rest of a frame after its length; raises `WireError` where the input ends before it is complete."""
+    """Return the rest of a frame after its length; raises `WireError` if the input ends before its end."""
     if len(head) < wire.LENGTH.size:
-        raise WireError("frame is cut short")
+        raise WireError(f"frame is cut short: {len(head)} of {wire.LENGTH.size} bytes of its length")
     size = wire.LENGTH.unpack(head)[0]
     if size < wire.FRAME_HEAD.size:
-        raise WireError(f"frame length {size} is under a header's")
+        raise WireError(f"frame length {size} is less than the header size {wire.FRAME_HEAD.size}")
     rest = source.read(size - wire.LENGTH.size)
     if len(rest) < size - wire.LENGTH.size:
         raise WireError(f"frame is cut short: {len(rest) + wire.LENGTH.size} of {size} bytes")
@@ -137,7 +139,7 @@
 
 
 def main() -> int:
-    """Answer frames until the input ends; the exit status of the process."""
+    """Answer frames until the input ends, and return the exit status of the process."""
     adapter, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
     number = 0
     try:
--- a/cypressledge/simulator_wire.py
+++ b/cypressledge/simulator_wire.py
@@ -1,9 +1,9 @@
 """The simulator's wire format: encoding and decoding of the records of events and actions.
 
-A frame is a header, records of fixed size, and a tail with their content of variable size. Every record but a
-catalogue's begins with its code and the number of the instance that it concerns. All numbers are
-little-endian, times are in µs. The structs below skip a record's code with `x` when they read, and write it
-as their first field. Records are named as in the simulator's specification.
+A frame consists of a header, records of fixed size, and a tail with the variable-size content of the records.
+Every record except a catalogue begins with its code and the number of its instance. All numbers are
+little-endian, times are in µs. The structs for decoding skip the code of a record with `x`, those for
+encoding write it as their first field. Records are named as in the specification of the simulator.
 """
 
 import struct
@@ -16,10 +16,10 @@
 
 FRAME_HEAD = struct.Struct("<IQII")  # length in bytes, clock in µs, number of records, number of the batch
 REPLY_HEAD = struct.Struct("<III")  # length in bytes, number of records, number of the batch
-EVENT_BYTES = 48  # size of a record of the input
-ACTION_BYTES = 24  # size of a record of the output
-LENGTH = struct.Struct("<I")  # of a frame, its own bytes included
-INSTANCE = struct.Struct("<xI")
+EVENT_BYTES = 48  # bytes; size of an input record
+ACTION_BYTES = 24  # bytes; size of an output record
+LENGTH = struct.Struct("<I")  # length of a frame in bytes, including the length field
+INSTANCE = struct.Struct("<xI")  # number of a record's instance
 
 # Layouts of the events.
 CATALOG = struct.Struct("<xHII")
@@ -33,20 +33,20 @@
 ALARM = struct.Struct("<xIQ")
 PONG = struct.Struct("<xI6sBIB4f")
 PEER_MESSAGE = struct.Struct("<II")  # offset and length in the tail
-PEER_MESSAGE_OFFSET = 9  # of these in their record
+PEER_MESSAGE_OFFSET = 9  # bytes; position of these two fields in a record
 
-REQUEST_HAS_COST = 1  # bits of a request's flags
-REQUEST_IS_RETRY = 2
-BILL_WORK_SHIFT = 12  # a bill has milliseconds of work in the bits from this one up
-BILL_MEMORY_MASK = 4095  # and memory in the bits below it
-BILL_MEMORY_MB = 4.0  # unit of that memory
+REQUEST_HAS_COST = 1  # flag of a request: its cost is known
+REQUEST_IS_RETRY = 2  # flag of a request: the client has sent it before
+BILL_WORK_SHIFT = 12  # bits; a bill contains the work in ms in the bits from this one upwards
+BILL_MEMORY_MASK = 4095  # bit mask of a bill's memory
+BILL_MEMORY_MB = 4.0  # MB; unit of a bill's memory
 US_PER_MS = 1_000
 MAX_U32 = 0xFFFFFFFF
-ENGINE_BYTES = 6  # of an engine's id: four of the address, two of the port
+ENGINE_BYTES = 6  # bytes; size of an engine id: four bytes of the address, two of the port
 
 
 class EventCode(IntEnum):
-    """Records of the input, by their first byte."""
+    """Codes of input records, which are the first byte of a record."""
 
     START = 0
     DIRECTORY_UPDATE = 1
@@ -63,7 +63,7 @@
 
 
 class ActionCode(IntEnum):
-    """Records of the output, by their first byte."""
+    """Codes of output records, which are the first byte of a record."""
 
     LOG = 66
     SET_RESOURCES = 67
@@ -88,7 +88,7 @@
 
 
 def lookup(table: Mapping[int, _Value], number: int, code_kind: str) -> _Value:
-    """The value of a code; raises `WireError` for an unknown one."""
+    """Return the value of a code; raises `WireError` for an unknown code."""
     try:
         return table[number]
     except KeyError:
@@ -96,14 +96,16 @@
 
 
 def tail_slice(frame: bytes, tail: int, offset: int, size: int) -> bytes:
-    """`size` bytes of a frame's tail, which begins at `tail`; raises `WireError` beyond the frame's end."""
+    """Return `size` bytes at `offset` of a frame's tail, which begins at `tail`.
+
+    Raises `WireError` if they extend beyond the end of the frame."""
     if tail + offset + size > len(frame):
         raise WireError(f"tail offset {offset} with length {size} lies outside the frame")
     return frame[tail + offset : tail + offset + size]
 
 
 def engine_number(raw: bytes) -> int:
-    """The number of an engine from the six bytes of its id."""
+    """Return the number of an engine, from the six bytes of its id."""
     return int.from_bytes(raw, "big")
 
 
@@ -111,7 +113,7 @@
 
 
 def decode_entries(raw: bytes) -> tuple[contract.EngineListEntry, ...]:
-    """The entries of a catalogue."""
+    """Decode the engine list entries of a catalogue."""
     return tuple(
         contract.EngineListEntry(
             engine=engine_number(engine),
@@ -126,7 +128,7 @@
 
 
 def decode_answer(frame: bytes, offset: int) -> contract.AttemptEnded:
-    """The end of an attempt."""
+    """Decode the end of an attempt."""
     _, request, final, latency, attempt, engine, bill, outcome, count, *report = ANSWER.unpack_from(
         frame, offset
     )
@@ -144,7 +146,7 @@
 
 
 def decode_request(frame: bytes, offset: int) -> contract.RequestReceived:
-    """A request that arrived."""
+    """Decode a received request."""
     _, request, class_index, _, key, deadline, cost, memory_mb, group, flags = REQUEST.unpack_from(
         frame, offset
     )
@@ -161,12 +163,12 @@
 
 
 def decode_alarm(frame: bytes, offset: int) -> contract.TimerFired:
-    """A timer that ran out."""
+    """Decode the expiration of a timer."""
     return contract.TimerFired(ALARM.unpack_from(frame, offset)[1])
 
 
 def decode_hint(frame: bytes, offset: int) -> contract.AttemptProgress | None:
-    """A progress notification of an attempt in flight; None for kinds that the decisions do not use."""
+    """Decode a progress notification of an attempt; None for kinds that the decisions do not use."""
     _, request, attempt, engine, value, kind = HINT.unpack_from(frame, offset)
     if kind not in _PROGRESS_KINDS:
         return None
@@ -174,12 +176,12 @@
 
 
 def decode_client_disconnected(frame: bytes, offset: int) -> contract.ClientDisconnected:
-    """A client that disconnected."""
+    """Decode the disconnection of a client."""
     return contract.ClientDisconnected(CLIENT_DISCONNECTED.unpack_from(frame, offset)[1])
 
 
 def decode_pong(frame: bytes, offset: int) -> contract.HealthCheckEnded:
-    """The answer to a health check."""
+    """Decode the result of a health check."""
     _, engine, outcome, latency, count, *report = PONG.unpack_from(frame, offset)
     return contract.HealthCheckEnded(
         engine_number(engine), lookup(_OUTCOMES, outcome, "outcome"), latency, tuple(report[:count])
@@ -189,7 +191,7 @@
 def decode_directory_update(
     frame: bytes, offset: int, catalogues: Mapping[int, tuple[contract.EngineListEntry, ...]]
 ) -> contract.EngineListReceived:
-    """An update of the engine list, whose entries are those of an earlier catalogue."""
+    """Decode an update of the engine list; its entries are those of an earlier catalogue."""
     _, number, _, catalogue = DIRECTORY_UPDATE.unpack_from(frame, offset)
     kind = lookup(_LIST_KINDS, number, "list kind")
     if kind is contract.EngineListKind.FAILED:
@@ -212,7 +214,7 @@
 
 
 class Reply:
-    """The encoded actions of one batch: their records, and the tail with their texts."""
+    """The encoded actions of one batch: the records, and the tail with the texts of the records."""
 
     __slots__ = ("_records", "_texts")
 
@@ -221,17 +223,17 @@
         self._texts = bytearray()
 
     def encode(self, batch: int) -> bytes:
-        """The frame that answers the batch of this number."""
+        """Return the frame that answers the batch with this number."""
         size = REPLY_HEAD.size + ACTION_BYTES * len(self._records) + len(self._texts)
         head = REPLY_HEAD.pack(size, len(self._records), batch)
         return head + b"".join(self._records) + bytes(self._texts)
 
     def add_crash(self, instance: int, text: str) -> None:
-        """Add the failure of an instance's decisions."""
+        """Add the crash of an instance, with a description of the exception."""
         self._add_text(ActionCode.CRASH, instance, text)
 
     def add(self, instance: int, action: contract.Action) -> None:
-        """Add one action of an instance; raises TypeError for an unknown type of action."""
+        """Add one action of an instance; raises `TypeError` for an unknown type of action."""
         if isinstance(action, contract.StartAttempt):
             engine = action.engine.to_bytes(ENGINE_BYTES, "big")
             timeout = min(action.timeout, MAX_U32)
@@ -251,7 +253,7 @@
         elif isinstance(action, contract.Log):
             self._add_text(ActionCode.LOG, instance, action.text)
         else:
-            raise TypeError(f"no wire form for {type(action).__name__}")
+            raise TypeError(f"action type {type(action).__name__} has no encoding in the wire format")
 
     def _add_text(self, code: ActionCode, instance: int, text: str) -> None:
         raw = text.encode()
--- a/cypressledge/sql.py
+++ b/cypressledge/sql.py
@@ -1,4 +1,4 @@
-"""Finds the group of tables of a statement: the number in the name of the schema it reads or writes."""
+"""Finds the table group of a statement: the number in the name of the schema that it reads or writes."""
 
 import re
 
@@ -14,15 +14,15 @@
     ("where", "on", "group", "order", "having", "limit", "set", "select", "values", "union", "window")
 )
 _NUMBERED = re.compile(r".*?_(\d+)\Z", re.S)
-_MAX_SCANNED = 65_536  # characters: a long statement's rest is data, and reading it would stall the broker
-_GROUP_COUNT = 2**24  # groups go to the module as small numbers
+_MAX_SCANNED = 65_536  # characters; the rest of a long statement is data, whose scan would stall the broker
+_GROUP_COUNT = 2**24  # groups; larger numbers are reduced modulo this, as the module takes small numbers
 
 
 def table_group(statement: str, escapes: bool = False) -> int:
-    """The group of the first counted schema that stands where a table does, else of any; 0 if none.
+    """Return the group of the first numbered schema in a table position, or else in any position; 0 if none.
 
-    Guards against aliases (`o_2.amount`) and names inside strings and comments being read as schemas.
-    `escapes`: backslashes escape inside strings, as in ClickHouse's dialect.
+    Strings and comments are skipped. Table positions take precedence because aliases (`o_2.amount`) look like
+    numbered schemas. `escapes`: backslashes escape characters in strings, as in ClickHouse's dialect.
     """
     other, in_tables = 0, False
     for found in _TOKENS[escapes].finditer(statement, 0, _MAX_SCANNED):
--- a/cypressledge/tenants.py
+++ b/cypressledge/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants of the hosted service: who may ask, with which key, and how much at once."""
+"""The tenants of the hosted service, with their keys and their limits on open requests."""
 
 import hashlib
 import hmac
@@ -9,21 +9,21 @@
 TENANT_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z", re.A)
 KEY_DIGEST = re.compile(r"[0-9a-f]{64}", re.A)
 MIN_KEY_LENGTH = 12  # characters
-FIELDS = frozenset(("name", "key", "key_sha256", "most_open", "enabled"))  # of a tenant, as JSON or TOML
+FIELDS = frozenset(("name", "key", "key_sha256", "most_open", "enabled"))  # keys of a tenant in JSON and TOML
 
 
 class TenantError(ValueError):
-    """A tenant that can't be as asked."""
+    """A tenant definition or change is invalid."""
 
 
 def key_digest(key: str) -> str:
-    """Keys are kept as their SHA-256 only."""
+    """Return the SHA-256 digest of a key in hexadecimal; keys are stored only in this form."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 @dataclass(slots=True)
 class Tenant:
-    """One tenant. `max_open`: its open requests at this broker; 0 is no limit."""
+    """One tenant. `max_open`: limit of its open requests at this broker; 0: no limit."""
 
     name: str
     key_sha256: str
@@ -32,7 +32,7 @@
     open_requests: int = 0
 
     def describe(self) -> dict[str, object]:
-        """What the administration API answers with; never the key."""
+        """Return the tenant as the administration API shows it, without its key."""
         return {
             "name": self.name,
             "most_open": self.max_open,
@@ -42,18 +42,18 @@
 
 
 class Tenants:
-    """All tenants by name, besides those that the site's settings name: these have no key here."""
+    """All tenants: those with a key by name, and the names of the site's tenants, which have no key."""
 
     def __init__(self) -> None:
         self.site_tenants: frozenset[str] = frozenset()
         self.by_name: dict[str, Tenant] = {}
 
     def __contains__(self, name: str) -> bool:
-        """Whether a frontend that asks for no key may name it: never one that has a key."""
+        """Return whether a frontend without authentication accepts the tenant; only site tenants qualify."""
         return name in self.site_tenants
 
     def update(self, name: str, given: Mapping[str, object]) -> Tenant:
-        """Add a tenant, or change those of its fields that are given; raises `TenantError`."""
+        """Add a tenant, or change the given fields of an existing one; raises `TenantError`."""
         old = self.by_name.get(name)
         if not isinstance(name, str) or not TENANT_NAME.match(name):
             raise TenantError("name must be 1 to 64 letters, digits, '_', '.' or '-'")
@@ -72,19 +72,21 @@
         return tenant
 
     def authenticate(self, name: str, key: str) -> Tenant | None:
-        """The tenant, if the key is its own and it is enabled; takes as long for a wrong name."""
+        """Return the tenant if the key is correct and the tenant is enabled, else None.
+
+        The check takes the same time for an unknown name."""
         tenant = self.by_name.get(name)
         expected = tenant.key_sha256 if tenant is not None else key_digest("")
         key_matches = hmac.compare_digest(key_digest(key), expected)
         return tenant if tenant is not None and key_matches and tenant.enabled else None
 
     def remove(self, name: str) -> bool:
-        """Forget a tenant, and answer whether there was one; what it has open is still answered."""
+        """Remove a tenant, and return whether it existed; its open requests are still answered."""
         return self.by_name.pop(name, None) is not None
 
 
 def _read_key(given: Mapping[str, object], old: Tenant | None) -> str:
-    """The digest of a tenant's key, as given or as it was before."""
+    """Return the digest of a tenant's key: the given one, or else that of the existing tenant."""
     if "key" in given:
         key = given["key"]
         if not isinstance(key, str) or len(key) < MIN_KEY_LENGTH:
--- a/tests/broker/test_clock_steps.py
+++ b/tests/broker/test_clock_steps.py
@@ -1,7 +1,7 @@
-"""The machine's wall clock is stepped under a running broker, or the process stands still for a while: every
-span stays one of real time, and what was judged a while ago is judged again before it has effect.
+"""Steps of the wall clock and suspensions of the process: durations are measured in real time, and a decision
+that has become too old is checked again before it takes effect.
 
-The clock is stepped from outside the program, by a preloaded shim (wall_clock.py); the monotonic one runs on.
+A preloaded shim steps the clock from outside the program (wall_clock.py); the monotonic clock is unaffected.
 """
 
 import signal
@@ -15,13 +15,13 @@
 from tests.race_conditions.scenarios import site
 from tests.wall_clock import WallClock
 
-WINDOW_S = 2.0  # in which engines drop repeats of a keyed request, here
+WINDOW_S = 2.0  # seconds; deduplication window of engines in these tests
 CLOCK_STEPS_S = [-3600.0, -5.0, 5.0, 3600.0]
 
 
 @pytest.fixture
 def harness(tmp_path):
-    """Starts brokers whose wall clock is `harness.clock`, and ends all that the test started."""
+    """A harness that starts brokers under the wall clock `harness.clock`, and stops them after the test."""
     case = BrokerTestCase()
     case.clock = WallClock(tmp_path)
     case.addCleanup(case.clock.close)
@@ -30,24 +30,24 @@
 
 
 def start_broker(harness, *engines, change=None, env=None):
-    """A broker under the harness's clock."""
+    """Start a broker under the harness's clock."""
     return harness.broker(*engines, change=change, env=harness.clock.env | (env or {}))
 
 
 def drain(broker, engine, serial):
-    """The directory lists an engine as draining; the broker has that list."""
+    """List an engine as draining in the directory, and wait until the broker has the list."""
     broker.dns.engines = {engine.name: (engine.port, 1)}
     broker.publish_list(serial)
 
 
 def undrain(broker, engine, serial):
-    """The directory lists the engine as ready again; the broker has that list."""
+    """List the engine as ready again in the directory, and wait until the broker has the list."""
     broker.dns.engines = {engine.name: (engine.port, 0)}
     broker.publish_list(serial)
 
 
 def keyed_request_whose_engine_drains(harness):
-    """A request with a key has an attempt in flight, and no engine takes a retry within the window."""
+    """Send a request with a key, and drain its engine, so that no engine accepts a retry in the window."""
     engine = harness.engine(never_answer)
     broker = start_broker(harness, engine, change=site(keyed_class={"MemorySpan": round(WINDOW_S * 1e6)}))
     client = harness.client(broker)
@@ -60,8 +60,8 @@
 
 @pytest.mark.parametrize("step", CLOCK_STEPS_S)
 def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window(harness, step):
-    """The incident: after a step back the broker's time stood still, and the repeat that waited for an engine
-    left long after the window in which engines drop it."""
+    """Regression: after a step back the broker's time did not advance, and a retry that waited for an engine
+    was sent long after the window in which engines drop duplicates."""
     engine, broker, client, window_over = keyed_request_whose_engine_drains(harness)
     harness.clock.step(step)
     close_connection(engine.wants[0][0])
@@ -70,14 +70,14 @@
     engine.play = answer_at_once
     undrain(broker, engine, 3)
     answer = client.get()
-    assert len(engine.wants) == 1, "sent again after its window"
+    assert len(engine.wants) == 1, "retried after the deduplication window"
     assert "error" in answer
 
 
 @pytest.mark.parametrize("step", CLOCK_STEPS_S)
 def test_requests_received_after_a_step_are_served(harness, step):
-    """After a step back by more than a request's wait it was over as it came: its deadline was read off the
-    stepped clock, the broker's time stood still at the former one."""
+    """Regression: after a step back by more than a request's wait, its deadline had passed on arrival. It was
+    computed from the stepped clock, while the broker's time did not advance."""
     engine = harness.engine()
     broker = start_broker(harness, engine)
     client = harness.client(broker)
@@ -92,14 +92,14 @@
 
 @pytest.mark.parametrize("step", CLOCK_STEPS_S)
 def test_the_retry_budget_keeps_to_its_window(harness, step):
-    """Requests taken long ago, by real time, buy no further attempts; attempts made just now still count."""
+    """Requests from before the window, in real time, allow no retries, and recent retries still count."""
     window_s = 1.0
     engine = harness.engine()
     broker = start_broker(
         harness, engine, change=site(rules={"RatioSpan": round(window_s * 1e6), "MinExtra": 1.0})
     )
     client = harness.client(broker)
-    for _ in range(60):  # the tenth part of these would be six further attempts
+    for _ in range(60):  # one tenth of these would allow six retries
         client.ask("report", wait=20_000)
         assert "result" in client.get()
     all_taken = time.monotonic()
@@ -110,13 +110,13 @@
     for _ in range(4):
         client.ask("report", wait=20_000)
         assert "error" in client.get()
-    windows = 1 + (time.monotonic() - began) // window_s  # more than one on a slow machine alone
+    windows = 1 + (time.monotonic() - began) // window_s  # more than one only on a slow machine
     further = len(engine.wants) - 60 - 4
     assert further <= windows
 
 
 def test_a_step_between_retries_allows_no_more_attempts(harness):
-    """A step forward made the budget forget the attempts of a moment ago."""
+    """Regression: after a step forward, the retry budget did not count the most recent attempts."""
     engine = harness.engine(answer_with("500"))
     rules = {"RatioSpan": 5_000_000, "MinExtra": 2.0, "ResendRatio": 0.0}
     broker = start_broker(harness, engine, change=site(rules=rules))
@@ -132,8 +132,8 @@
 
 
 def test_a_clock_that_jumps_between_any_two_reads_changes_nothing(harness):
-    """An hour forth and back, from the program's start on: all is served, no connection is cut, nothing is
-    sent twice, and a drain is heard of in time."""
+    """The clock jumps an hour forward and back from the start of the program on: all requests are served, no
+    connection is closed, nothing is sent twice, and a drain takes effect in time."""
     harness.clock.alternate(3600.0)
     engine, other = harness.engine(name="s-1"), harness.engine(name="s-2")
     broker = start_broker(harness, engine, other, env={"ROUTER_FIGURES_S": "0.05"})
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("step", CLOCK_STEPS_S)
 def test_a_running_request_keeps_its_deadline(harness, step):
-    """The final answer comes when the client's time is over: not before, and not after the step."""
+    """The final answer is sent at the client's deadline in real time, neither earlier nor later."""
     engine = harness.engine(never_answer)
     broker = start_broker(harness, engine)
     client = harness.client(broker)
@@ -170,11 +170,11 @@
 
 @pytest.mark.parametrize("step", CLOCK_STEPS_S)
 def test_a_shutdown_has_its_full_grace_period_and_no_more(harness, step):
-    """What was taken is answered by its engine within the grace; what hangs is answered before the kill."""
+    """Accepted requests are answered by engines in the grace period, or by the broker if engines hang."""
     engine = harness.engine(never_answer)
     without_progress = site()
     without_progress["settings"]["FamilyInfo"]["TellsEvery"] = (
-        0  # else silence tells of a lost answer earlier
+        0  # otherwise an answer counts as lost earlier, for lack of progress
     )
     broker = start_broker(harness, engine, change=without_progress)
     client = harness.client(broker)
@@ -192,17 +192,18 @@
     assert "error" in answers[1]
     client.close()
     broker.process.wait(10.0)
-    assert 2.0 < time.monotonic() - began < 3.7  # SIGKILL comes no earlier than 3 s and 0.7 s after SIGTERM
+    assert 2.0 < time.monotonic() - began < 3.7  # SIGKILL is sent no earlier than 3.7 s after SIGTERM
 
 
 def answer_later(engine, say, name, fields, statement):
-    time.sleep(1.0)  # an engine's work, in real time
+    time.sleep(1.0)  # the engine's work, in real time
     answer_at_once(engine, say, name, fields, statement)
 
 
 @pytest.mark.parametrize("ahead", [-3600.0, 0.0, 3600.0])
 def test_an_engine_that_has_just_started_is_under_slow_start_whatever_the_clock_says(harness, ahead):
-    """With a clock an hour ahead it passed for warm, and was given all at once."""
+    """Regression: by a clock that was an hour ahead, the slow start of a new engine was over, and the engine
+    got all requests at once."""
     harness.clock.step(ahead)
     engine, started_engine = harness.engine(name="s-1"), harness.engine(name="s-2")
     broker = start_broker(harness, engine)
@@ -213,13 +214,13 @@
     client = harness.client(broker)
     began = time.monotonic()
     for _ in range(30):
-        client.ask("report", wait=20_000, cost=2_000.0)  # 60 s of work; cold, it may have 20 s of it in 2 s
-    wait_until(lambda: time.monotonic() - began > 1.0, "a second of the cold engine's window")
+        client.ask("report", wait=20_000, cost=2_000.0)  # 60 s of work; slow start allows 20 s of it in 2 s
+    wait_until(lambda: time.monotonic() - began > 1.0, "one second of the slow start")
     assert 1 <= len(started_engine.wants) <= 10
 
 
 def test_a_process_that_was_suspended_sends_no_retry_after_the_window(harness):
-    """A place comes free while the process is stopped, and the window ends meanwhile."""
+    """While the process is stopped, an engine becomes ready and the deduplication window ends."""
     engine, broker, client, window_over = keyed_request_whose_engine_drains(harness)
     close_connection(engine.wants[0][0])
     broker.wait_for_log("outcome=reset")
@@ -233,7 +234,7 @@
 
 
 def test_a_command_that_waited_to_be_sent_names_the_remaining_time(harness):
-    """The deadline was worded as the command was queued, and left with it half a second later."""
+    """Regression: the remaining time was computed when the command was queued, half a second too early."""
     engine = harness.engine()
     broker = harness.broker(
         engine, hooks={"leaves": "cypressledge.net.line_protocol.connection:EngineConnection._may_send!"}
@@ -242,7 +243,7 @@
     asked = time.monotonic()
     client.ask(wait=3_000)
     broker.wait_for_hook("leaves")
-    wait_until(lambda: time.monotonic() > asked + 0.4, "a while at the write")
+    wait_until(lambda: time.monotonic() > asked + 0.4, "a delay before the write")
     broker.release_hook("leaves")
     assert "result" in client.get()
     assert int(engine.wants[0][2]["w"]) <= 3_000 - 400 + 50
--- a/tests/broker/test_engine_lists.py
+++ b/tests/broker/test_engine_lists.py
@@ -1,4 +1,4 @@
-"""The real broker on sockets: engine lists of the directory."""
+"""Engine lists of the directory, tested with the real broker process on sockets."""
 
 from tests.fakes.broker_process import BrokerTestCase
 from tests.fakes.fake_engines import ROW
--- a/tests/broker/test_engine_start_times.py
+++ b/tests/broker/test_engine_start_times.py
@@ -1,16 +1,16 @@
-"""When engines count as started: ages by Unix times, under clocks of ours or theirs that are wrong."""
+"""Start times of engines, computed from Unix times when the clock of the broker or of an engine is wrong."""
 
 from cypressledge.broker.engine_start_times import MAX_UNLISTED, EngineStartTimes
 from cypressledge.clock import CLOCK_ORIGIN_US
 
 S = 1_000_000
 NOW = CLOCK_ORIGIN_US + 1_000 * S
-UNIX_NOW = 1_790_000_000 * S  # what a right wall clock says at NOW
+UNIX_NOW = 1_790_000_000 * S  # µs; time of a correct wall clock at NOW
 MAX_AGE_ERROR = 3 * S
 
 
 def computed_ages(true_ages_s, ahead_s=0):
-    """Engines' ages (seconds) as computed under a wall clock that is ahead, from the true ones."""
+    """Return the ages of engines in seconds, as computed with a wall clock that is ahead by `ahead_s`."""
     starts = EngineStartTimes(UNIX_NOW + ahead_s * S - NOW)
     listed_ms = {engine: (UNIX_NOW - age * S) // 1_000 for engine, age in true_ages_s.items()}
     starts.update(listed_ms, NOW, MAX_AGE_ERROR)
@@ -41,7 +41,7 @@
     assert (starts.started_at("s-1", listed_ms), starts.started_at("s-2", 0)) == (NOW, 0)
     starts.update(
         {"s-1": listed_ms - 1}, NOW + 60 * S, MAX_AGE_ERROR
-    )  # another process, by a clock that was set back
+    )  # a new process of the engine, started after its clock was set back
     assert starts.started_at("s-1", listed_ms - 1) == NOW + 60 * S - MAX_AGE_ERROR
 
 
--- a/tests/broker/test_event_log.py
+++ b/tests/broker/test_event_log.py
@@ -1,4 +1,4 @@
-"""Events in the log: retries, rejections, closed connections and engines' states, with id and reason."""
+"""Events in the log: retries, rejections, closed connections and engine states, with ids and reasons."""
 
 import re
 
@@ -10,13 +10,13 @@
 
 
 def fields(line):
-    """The fields of an event's line, by name."""
+    """Return the fields of an event's log line by name."""
     return dict(pair.split("=", 1) for pair in line.split()[1:] if "=" in pair)
 
 
 class Events(BrokerTestCase):
     def events(self, broker, kind, min_count=1):
-        """The fields of all events of a kind, once there are so many."""
+        """Wait for at least `min_count` events of a kind, and return the fields of each."""
 
         def found():
             lines = [fields(line) for line in broker.log_text().splitlines() if line.startswith(f"{kind} ")]
--- a/tests/broker/test_metrics.py
+++ b/tests/broker/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges, invariants and the log line that shows them."""
+"""Counters, gauges and invariants, and the log line of all counters."""
 
 import pytest
 
--- a/tests/broker/test_operators_address.py
+++ b/tests/broker/test_operators_address.py
@@ -1,4 +1,4 @@
-"""The operators' address: status, maintenance and metrics; and the inherited socket over an upgrade."""
+"""The management address (status, maintenance, metrics), and the inherited socket during an upgrade."""
 
 import os
 import signal
@@ -14,7 +14,7 @@
 
 
 def status(port):
-    """The HTTP status of the broker's status call; None where nothing answers."""
+    """Return the HTTP status of the broker's status call, or None without an answer."""
     try:
         return http_call(port, "GET /status HTTP/1.1\r\nHost: b")[0]
     except OSError:
@@ -22,15 +22,15 @@
 
 
 class OperatorsAddress(BrokerTestCase):
-    """The operators' address is served whatever else the broker does."""
+    """The management address is served independently of the broker's other work."""
 
     def broker_with_address(self, *engines, extra_env=None, **more):
-        """A broker that serves an operators' address, and its port."""
+        """Start a broker with a management address, and return the broker and the port."""
         port = free_port()
         shared = self.enterContext(tempfile.TemporaryDirectory())
         env = {"ROUTER_MANAGEMENT": f"127.0.0.1:{port}", "TMPDIR": shared}
         broker = self.broker(*engines, env=env | (extra_env or {}), **more)
-        wait_until(lambda: status(port) == 200, "the operators' address")
+        wait_until(lambda: status(port) == 200, "the management address")
         return broker, port
 
     def test_status_is_200_while_accepting_clients_and_503_while_stopping(self):
@@ -59,7 +59,7 @@
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(24)]
         self.addCleanup(lambda: [sock.close() for sock in silent])
         for sock in silent[:12]:
-            sock.sendall(b"GET /sta")  # an incomplete call, and nothing more
+            sock.sendall(b"GET /sta")  # an incomplete call
         began = time.monotonic()
         assert status(port) == 200
         assert time.monotonic() - began < 1.0
@@ -89,7 +89,7 @@
         new = start()
         old.process.send_signal(signal.SIGTERM)
         assert client.file.read(1) == b""  # the idle connection is closed
-        for number in range(1, 21):  # while the old process stops, each on a new connection
+        for number in range(1, 21):  # each on a new connection, while the old process stops
             client = self.client(new)
             client.ask(id=f"{number:016x}")
             assert result_rows(client.get()) == ROW
@@ -98,15 +98,15 @@
 
 
 def call(port, path, body):
-    """The HTTP status of one operator's call."""
+    """Make one maintenance call, and return its HTTP status."""
     return http_call(port, f"POST {path} HTTP/1.1\r\nHost: b", body.encode())[0]
 
 
 class MaintenanceCalls(OperatorsAddress):
-    """Engines in maintenance: drained at once, whatever the directory lists, over an upgrade too."""
+    """Engines in maintenance are drained at once, even if listed as ready, and also after an upgrade."""
 
     def attempts_of(self, queries, broker, engines):
-        """Have so many queries served: how many of their attempts each engine got."""
+        """Send queries and wait for their answers; return the number of attempts at each engine."""
         client = self.client(broker)
         before = [len(engine.wants) for engine in engines]
         for number in range(1, queries + 1):
@@ -123,7 +123,7 @@
         assert self.attempts_of(30, broker, (one, two)) == [0, 30]
         broker.publish_list(5)  # the directory still lists s-1 as ready
         assert self.attempts_of(20, broker, (one, two)) == [0, 20]
-        assert call(port, "/maintenance/exit", "s-1") == 200  # one call puts back what two took out
+        assert call(port, "/maintenance/exit", "s-1") == 200  # once, although it was taken out twice
         wait_until(lambda: self.attempts_of(10, broker, (one, two))[0] > 0, "work for s-1 again")
 
     def test_unknown_or_invalid_ids_are_answered_with_an_error(self):
@@ -146,7 +146,7 @@
 
 
 def metrics(port):
-    """The metrics, by name."""
+    """Return the broker's metrics by name."""
     http_status, body = http_call(port, "GET /status/metrics HTTP/1.1\r\nHost: b")
     assert http_status == 200
     return {
@@ -156,7 +156,7 @@
 
 
 class Metrics(OperatorsAddress):
-    """Counters and gauges of requests, attempts and engines."""
+    """Counters and gauges of requests, attempts and engines at the management address."""
 
     def test_counts_and_gauges(self):
         def answer_slow_on_release(engine, say, name, fields, statement):
--- a/tests/broker/test_process.py
+++ b/tests/broker/test_process.py
@@ -1,4 +1,4 @@
-"""The real broker as a process: start, signals, configuration and limits."""
+"""The real broker process: start, signals, configuration and limits."""
 
 import contextlib
 import re
@@ -15,7 +15,7 @@
 
 
 def answer_all_but_loads(engine, say, name, fields, statement):
-    """Answers at once, but never a load."""
+    """Answer every query immediately, except loads, which are never answered."""
     if fields["c"] != "order-load":
         answer_at_once(engine, say, name, fields, statement)
 
@@ -100,11 +100,11 @@
 
 class Limits(BrokerTestCase):
     def test_many_incomplete_frames_stay_within_memory(self):
-        """Each is within its own limit; together they would take three times the memory limit."""
+        """Each frame is within its own limit; together they would use three times the memory limit."""
         broker = self.broker(self.engine())
         part = b"Content-Length: 500000\r\n\r\n" + bytes(400_000)
         for _ in range(120):
-            with contextlib.suppress(OSError):  # closed: no memory for it
+            with contextlib.suppress(OSError):  # closed by the broker for lack of memory
                 self.client(broker).raw(b"", part)
         client = self.client(broker)
         client.ask()
@@ -120,12 +120,12 @@
         assert (answer["id"], answer["error"]["code"]) == (33, -32066)
 
     def test_clients_beyond_the_descriptors_are_rejected(self):
-        """Clients with an open request stay connected; idle ones are closed for others."""
+        """Clients with an open request stay connected; idle clients are closed to make room for others."""
         broker = self.broker(
             self.engine(answer_all_but_loads),
             change={"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 50}},
         )
-        wait_until(lambda: self.client_with_request(broker), "a place")
+        wait_until(lambda: self.client_with_request(broker), "a free connection")
         connected = [
             client
             for client in (self.client_with_request(broker, "order-load", once="ab" * 16) for _ in range(30))
@@ -133,12 +133,12 @@
         ]
         assert 15 <= len(connected) <= 20, len(connected)
         connected[0].close()
-        wait_until(lambda: self.client_with_request(broker), "a free place")
+        wait_until(lambda: self.client_with_request(broker), "the closed client's connection")
         for _ in range(5):
-            wait_until(lambda: self.client_with_request(broker), "the place of an idle client")
+            wait_until(lambda: self.client_with_request(broker), "the connection of an idle client")
 
     def client_with_request(self, broker, method="lookup", **more):
-        """A new client with an open request, or, for a lookup, with its answer; None if it was rejected."""
+        """Return a new client with an open request (a lookup is answered), or None if it was rejected."""
         client = self.client(broker)
         try:
             client.ask(method, wait=2900, **more)
--- a/tests/broker/test_reconfiguration.py
+++ b/tests/broker/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""A reload at SIGHUP: the configuration is read again while everything else goes on."""
+"""Reloads of the configuration on SIGHUP while the broker serves."""
 
 from cypressledge.lab.site import SETTINGS
 from tests.fakes.broker_process import BrokerTestCase
@@ -9,7 +9,7 @@
 
 
 class Reload(BrokerTestCase):
-    """The listener, connections, open requests and the serial of engine lists outlive a reload."""
+    """The listener, connections, open requests and the serial of the engine list are kept on a reload."""
 
     def test_a_new_directory_is_polled_at_once_and_open_requests_continue(self):
         engine, other = self.engine(answer_on_release), self.engine(name="s-2")
@@ -24,7 +24,7 @@
         moved.serial, moved.engines = 2, {"s-1": (engine.port, 1), "s-2": (other.port, 0)}
         broker.reload(dns=f"127.0.0.1:{moved.port}")
         wait_until(lambda: moved.asked > 1, "the new directory")
-        client.ask()  # on the connection from before, and only s-2 is ready now
+        client.ask()  # on the connection opened before the reload; only s-2 is ready now
         assert client.get()["id"] == 2
         engine.released = True
         assert result_rows(client.get()) == ROW
@@ -36,7 +36,7 @@
         broker.publish_list(7)
         moved = FakeNameServer()
         self.addCleanup(moved.close)
-        moved.serial = 3  # an older list, with no engine in it
+        moved.serial = 3  # an older list, without engines
         broker.reload(dns=f"127.0.0.1:{moved.port}")
         wait_until(lambda: moved.asked > 3, "the new directory")
         client = self.client(broker)
--- a/tests/broker/test_request_ledger.py
+++ b/tests/broker/test_request_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger alone, under actions that the decisions do not take today."""
+"""The request ledger without a decision module, also under actions that the module currently never takes."""
 
 import unittest
 import weakref
@@ -14,11 +14,11 @@
 from cypressledge.net.line_protocol.transport import MAX_CONNECTIONS_TRIED, LineProtocolTransport
 from cypressledge.settings import parse_settings
 
-AFTER_ALL_DEADLINES_US = 60_000_000  # µs, beyond the deadline of every request here
+AFTER_ALL_DEADLINES_US = 60_000_000  # µs; longer than the deadline of any request in these tests
 
 
 class Recorder:
-    """Stands in for a reply handler or a transport, and records its calls."""
+    """A fake reply handler or transport that records its calls."""
 
     supports_streaming = True
 
@@ -30,7 +30,7 @@
 
 
 class ScriptedDecisions:
-    """Records the events it gets, and returns the actions that a test has set."""
+    """A fake decision module that records its events and returns the actions set by a test."""
 
     def __init__(self):
         self.events, self.actions = [], []
@@ -67,7 +67,7 @@
             self.core.loop.run_once(monotonic_us())
 
     def decide(self, *actions):
-        """Have the decisions return these actions."""
+        """Execute these actions as if the decision module had returned them."""
         self.decisions.actions += actions
         self.core.loop.pending_events.append(c.TimerFired(0))
         self.settle()
@@ -77,7 +77,7 @@
         return self.request.attempts[-1]
 
     def test_rows_of_two_attempts_never_mix(self):
-        """After the first byte the answer is one attempt's: another's result must not be added to it."""
+        """Once rows of an attempt have been sent, the result of another attempt must not be added."""
         first, second = self.send(), self.send()
         self.ledger.rows_received(first, b"a\n")
         self.ledger.attempt_ended(second, c.Outcome.OK, b"b\n")
@@ -110,13 +110,13 @@
         assert counters.counts["broken.overdue"] == 1
 
     def test_the_statement_of_an_answered_request_is_released(self):
-        """Timers know a request until its deadline; 25 s of statements would not fit the memory limit."""
+        """Timers hold a request until its deadline; the statements of 25 s would exceed the memory limit."""
         self.ledger.attempt_ended(self.send(), c.Outcome.OK, b"a\n")
         self.settle()
         assert (self.request.query.statement, self.ledger.statement_bytes) == (b"", 0)
 
     def test_timers_hold_no_reference_to_answered_requests(self):
-        """Timers live until the deadline: on a long day, what they referred to was most of the memory."""
+        """Regression: timers exist until the deadline; in a long run, objects they held used most memory."""
         attempt = self.send()
         attempt.transport_state = Recorder()
         references = [weakref.ref(referent) for referent in (self.reply, attempt.transport_state)]
@@ -128,7 +128,7 @@
         timers = list(self.core.loop.timers.pop_due(monotonic_us() + AFTER_ALL_DEADLINES_US))
         assert len(timers) == 2
         for callback, argument in timers:
-            callback(argument)  # and the timers do no harm
+            callback(argument)  # must have no effect on an answered request
 
     def test_endpoints_of_removed_engines_are_forgotten(self):
         for number in range(50):
@@ -137,7 +137,7 @@
         assert list(self.core.engines.endpoints) == [49]
 
     def test_an_attempt_that_was_never_sent_is_reassigned_to_another_connection(self):
-        """A connection reset when new proves nothing about the engine, and uses up no attempt."""
+        """A reset of a new connection is no evidence about the engine, and does not count as an attempt."""
         transport = LineProtocolTransport(self.core, Limits(64, 64, 32, 0.25, 30.0, 0, 0))
         self.core.add_transport("lines", transport)
         transport.max_connections = 8
@@ -151,7 +151,7 @@
         assert self.decisions.events[-1].outcome == c.Outcome.NOT_SENT
 
     def test_a_withdrawn_call_gets_no_answer(self):
-        """The decisions may end a request in the same step in which its client withdraws it."""
+        """The decision module may end a request in the same loop iteration in which a client withdraws it."""
         client = Recorder()
         client.open_calls, client.core = {}, self.core
         call = client.open_calls[1] = PendingCall(client, 1)
--- a/tests/broker/test_serving.py
+++ b/tests/broker/test_serving.py
@@ -1,4 +1,4 @@
-"""The real broker on sockets: attempts, their outcomes, and answers."""
+"""Attempts, their outcomes, and answers, tested with the real broker process on sockets."""
 
 import signal
 import time
@@ -12,7 +12,7 @@
 
 
 def attempts_by_connection(engine):
-    """How many attempts the engine got on each of its connections, in order of their number."""
+    """Return the number of attempts on each connection of the engine, sorted in ascending order."""
     return sorted(Counter(connection for connection, *_ in engine.wants).values())
 
 
@@ -41,7 +41,7 @@
         assert [command[2] for command in engine.commands("turn")] == ["1", "2", "3"]
 
     def test_a_lost_page_is_an_error_and_retried(self):
-        """The other pages still arrive: on the same connection they would end the retry as well."""
+        """The remaining pages still arrive; on the retry's connection they would end the retry as well."""
 
         def lose_a_page_once(engine, say, name, fields, statement):
             if len(engine.wants) == 1:
@@ -69,7 +69,7 @@
         assert attempts_by_connection(engine) == [1, 2, 2]
 
     def test_attempts_spread_over_connections_while_there_are_descriptors(self):
-        """A connection that ends fails eight attempts at most."""
+        """A connection that ends makes at most eight attempts fail."""
         engine = self.engine(never_answer)
         client = self.client(self.broker(engine))
         for _ in range(12):
@@ -85,10 +85,10 @@
         began = time.monotonic()
         client.ask("report", wait=600)
         assert "error" in client.get()
-        assert time.monotonic() - began < 5.0  # of the class's 25 s
+        assert time.monotonic() - began < 5.0  # the class's own deadline is 25 s
         broker.process.send_signal(signal.SIGUSR1)
         wait_until(lambda: "counters (asked):" in broker.log_text(), "the counters")
-        assert "broken.overdue" not in broker.log_text()  # the decisions ended it, in time
+        assert "broken.overdue" not in broker.log_text()  # the decision module ended the request in time
 
     def test_a_rejection_names_when_to_retry(self):
         client = self.client(self.broker(self.engine(answer_with("503"))))
@@ -98,7 +98,7 @@
 
     def test_a_load_with_its_key_is_rejected_after_any_failure(self):
         for word, is_rejected in (("503", True), ("504", True), ("500", True)):
-            with self.subTest(word):  # all engines know a load's key: it may be rejected after 500 as well
+            with self.subTest(word):  # all engines know a load's key, so it may be rejected even after 500
                 client = self.client(self.broker(self.engine(answer_with(word))))
                 client.ask("order-load", once="ab" * 16, wait=1500)
                 assert (client.get()["error"]["code"] == -32066) == is_rejected
@@ -129,7 +129,7 @@
         wait_until(lambda: engine.commands("never_mind"), "the cancel")
 
     def test_a_retry_never_shares_a_connection_with_its_cancelled_attempt(self):
-        """A cancelled attempt may still be answered: its retry must not take that answer for its own."""
+        """A cancelled attempt may still be answered; the answer must not be taken for the retry's."""
 
         def answer_once_cancelled(engine, say, name, fields, statement):
             if len(engine.wants) == 1:
@@ -149,7 +149,7 @@
         assert engine.wants[0][0] is not engine.wants[1][0]
 
     def test_a_silent_connection_is_not_used_again(self):
-        """The connections of a machine that vanished stay open; after its return it does not know them."""
+        """Connections to an unreachable machine stay open, but the machine does not know them afterwards."""
 
         def answer_on_later_connections(engine, say, name, fields, statement):
             if engine.wants[-1][0] is not engine.wants[0][0]:
--- a/tests/broker/test_stable_hash.py
+++ b/tests/broker/test_stable_hash.py
@@ -1,4 +1,4 @@
-"""Numbers for names: all brokers of all versions have to compute the same ones."""
+"""Stable hashes of names: brokers of all versions must compute the same numbers."""
 
 import pytest
 
--- a/tests/broker/test_timers.py
+++ b/tests/broker/test_timers.py
@@ -1,4 +1,4 @@
-"""The timers of the event loop."""
+"""The timer queue of the event loop."""
 
 from cypressledge.broker.timers import TimerQueue
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
-"""Hypothesis runs the same examples every time; a run that SIGTERM ends still ends what its tests started;
-known failures are expected (known_red.py); each worker has ports of its own."""
+"""Configuration of the test run: Hypothesis uses the same examples in every run, SIGTERM ends the run after a
+cleanup of what tests started, known failures are expected (known_red.py), each worker has its own ports."""
 
 import os
 import signal
@@ -17,9 +17,9 @@
 
 
 def pytest_configure():
-    """Give each test worker a part of the ports.
+    """Assign a part of the port range to each test worker.
 
-    Guards against two workers that are both told that a port is free, before either of them listens there.
+    Otherwise two workers could both find the same port free before either of them listens on it.
     """
     worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
     worker_count = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
@@ -29,7 +29,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Tests in KNOWN-RED.txt are expected to fail, and must: one that passes fails the run."""
+    """Mark the tests in KNOWN-RED.txt as expected failures; one that passes makes the run fail."""
     causes = known_red()
     for item in items:
         if item.nodeid in causes:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is known and not fixed yet.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault that is not fixed yet.
 
-One line each: `TEST: cause (issue N)`, TEST as pytest names it. They run, are expected to fail, and are
-printed; one that passes fails the run, so that its line is removed with the fix.
+Each line has the form `TEST: cause (issue N)`, where TEST is the node id in pytest. These tests are run,
+expected to fail, and printed. One that passes makes the run fail, so that its line is removed with the fix.
 """
 
 from pathlib import Path
@@ -11,7 +11,9 @@
 
 
 def known_red() -> dict[str, str]:
-    """The cause of each known failure, by the test's name."""
+    """Return the cause of each known failure by test name.
+
+    Raises `ValueError` if the list has another form or too many lines."""
     lines = FILE.read_text().splitlines() if FILE.exists() else []
     entries = [line.split(": ", 1) for line in lines if line.strip()]
     if len(entries) > MAX_LINES or any(len(entry) != 2 for entry in entries):
--- a/tests/race_conditions/test_attempt_isolation.py
+++ b/tests/race_conditions/test_attempt_isolation.py
@@ -1,7 +1,7 @@
-"""A response belongs to the attempt that it was sent for, whatever else arrives on its connection.
+"""A response is assigned only to the attempt that it was sent for, even with other data on its connection.
 
-Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
-or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces an order of events on real connections: with a fake that controls when bytes arrive, or with
+a hook that stops the program at a certain point (tests/fakes/program_with_breakpoints.py).
 """
 
 from tests.fakes.broker_process import BrokerTestCase
@@ -11,11 +11,12 @@
 
 
 class AttemptIsolation(BrokerTestCase):
-    """The response of one attempt is never taken for another's."""
+    """The response to one attempt is never taken for the response to another."""
 
     def test_a_duplicate_response_is_not_taken_for_the_retry_s(self):
-        """Regression: a retry used the connection on which its request had been answered. A duplicate of the
-        503, milliseconds late, ended the running retry, and a class that is not idempotent was sent again."""
+        """Regression: a retry used the connection on which its first attempt had been answered. A duplicate
+        of the 503 arrived milliseconds later and ended the running retry, so that a request that is not
+        idempotent was sent again."""
 
         def play(engine, say, name, fields, statement):
             if len(engine.wants) == 1:
@@ -31,8 +32,8 @@
         assert engine.wants[0][0] is not engine.wants[1][0]
 
     def test_the_engine_closes_an_idle_connection_as_an_attempt_is_written(self):
-        """Regression: the request was written after the engine's FIN. The reset left it unknown whether it
-        was executed."""
+        """Regression: the request was written after the engine's FIN. After the reset it was unknown whether
+        the request had been executed."""
         engine = self.engine()
         before_write = "cypressledge.net.line_protocol.connection:EngineConnection._may_send#2!"
         broker = self.broker(engine, change=site(NOT_IDEMPOTENT), hooks={"write": before_write})
@@ -47,8 +48,8 @@
         assert len(engine.wants) == 2
 
     def test_a_restarted_engine_gets_nothing_on_its_former_connections(self):
-        """Regression: connections to a machine that vanished stay open, and its new process never reads
-        them."""
+        """Regression: connections to an unreachable machine stay open, and the new process of the engine
+        never reads from them."""
         engine = self.engine()
         broker = self.broker(engine)
         client = self.client(broker)
--- a/tests/race_conditions/test_client_connections.py
+++ b/tests/race_conditions/test_client_connections.py
@@ -1,7 +1,7 @@
-"""Client connections that are closed, or whose framing is lost, as a request arrives.
+"""Client connections that are closed, or have a framing error, at the time at which a request arrives.
 
-Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
-or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces an order of events on real connections: with a fake that controls when bytes arrive, or with
+a hook that stops the program at a certain point (tests/fakes/program_with_breakpoints.py).
 """
 
 from types import SimpleNamespace
@@ -14,11 +14,11 @@
 
 
 class IdleConnections(BrokerTestCase):
-    """Idle connections are closed to make room, but never with a request unread."""
+    """Idle connections are closed to make room for others, but never with an unread request."""
 
     def test_a_client_whose_request_is_read_but_not_parsed_is_not_evicted(self):
-        """Regression: a read that filled its buffer yields to other greenlets. The listener took the client
-        for an idle one, and closed it with the beginning of its request unread."""
+        """Regression: a read that fills its buffer yields to other greenlets. The listener then considered
+        the client idle, and closed the connection although the start of a request had been read."""
         engine = self.engine()
         broker = self.broker(
             engine,
@@ -37,7 +37,7 @@
         broker.wait_for_hook("pause")
         others = []
 
-        def evicted():  # once there are more clients than places
+        def evicted():  # happens once there are more clients than the limit
             others.append(self.client(broker))
             others[-1].send("status")
             return broker.count("clients.evicted")
@@ -48,7 +48,7 @@
         assert "result" in client.get()
 
     def test_a_request_that_arrives_as_its_idle_client_is_closed_is_answered(self):
-        """Regression: the request was read and dropped."""
+        """Regression: the request was read and then dropped without an answer."""
         engine = self.engine()
         broker = self.broker(
             engine, hooks={"idle": "cypressledge.net.jsonrpc.connection:JsonRpcConnection.drain!"}
@@ -57,7 +57,7 @@
         client.sock.settimeout(20)
         client.ask()
         client.get()
-        broker.wait_for_hook("idle")  # after ten seconds
+        broker.wait_for_hook("idle")  # reached after ten seconds
         client.ask()
         broker.release_hook("idle")
         assert result_rows(client.get()) == ROW
@@ -65,7 +65,7 @@
 
 
 class LostFraming(BrokerTestCase):
-    """After a framing error nothing more is read, but what was accepted is answered."""
+    """After a framing error nothing more is read, but accepted requests are answered."""
 
     def test_requests_accepted_before_a_framing_error_are_answered(self):
         engine = self.engine(answer_on_release)
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""A client that disconnects or withdraws while its request is on its way.
+"""Clients that disconnect or withdraw a request while the broker processes it.
 
-Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
-or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces an order of events on real connections: with a fake that controls when bytes arrive, or with
+a hook that stops the program at a certain point (tests/fakes/program_with_breakpoints.py).
 """
 
 import socket
@@ -17,7 +17,7 @@
 
     def test_no_attempt_starts_for_a_client_that_disconnected_while_the_connection_came_up(self):
         """Regression: attempts that are not idempotent are never cancelled, so one that waited for its
-        connection was sent all the same."""
+        connection was sent although the client had disconnected."""
         ways = {
             "close": lambda client: client.close(),
             "half-close": lambda client: client.sock.shutdown(socket.SHUT_WR),
@@ -46,7 +46,7 @@
                     broker.close()
 
     def test_a_burst_of_disconnects_frees_all_its_capacity(self):
-        """Each disconnect withdraws all requests of its connection, and none of them starts later."""
+        """Each disconnect withdraws all requests of the connection, and none of them is started later."""
         engine = self.engine(never_answer)
         broker = self.broker(engine, env=METRICS_OFTEN)
         clients = [self.client(broker) for _ in range(12)]
@@ -66,12 +66,12 @@
         assert "result" in last.get()
         assert broker.count("client_disconnects") == 300
         broker.wait_for_counter("replies.lookup.dispatches")
-        wait_until(lambda: len(engine.wants) >= sent + 1, "what was sent")  # some may still be read
+        wait_until(lambda: len(engine.wants) >= sent + 1, "all sent attempts")  # some may still be read
         assert len(engine.wants) == sent + 1
         assert broker.count("replies.report.dispatches") == sent
 
     def test_disconnect_between_the_first_failure_and_the_retry(self):
-        """The decisions process the disconnect before they look for capacity again."""
+        """The decision module handles the disconnect before it looks for capacity for the retry."""
         engine = self.engine(answer_with("503"))  # rejected: the retry waits for 250 ms
         broker = self.broker(engine, env=METRICS_OFTEN)
         client, other = self.client(broker), self.client(broker)
--- a/tests/race_conditions/test_configuration_races.py
+++ b/tests/race_conditions/test_configuration_races.py
@@ -1,7 +1,7 @@
-"""Reloads, and two processes of an upgrade, at the moment at which requests are accepted.
+"""Reloads, and the two processes of an upgrade, while requests are being accepted.
 
-Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
-or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces an order of events on real connections: with a fake that controls when bytes arrive, or with
+a hook that stops the program at a certain point (tests/fakes/program_with_breakpoints.py).
 """
 
 import json
@@ -21,8 +21,9 @@
     """Each request keeps the settings under which it was accepted."""
 
     def test_a_request_accepted_before_a_reload_keeps_its_class(self):
-        """Regression: both came in one turn of the event loop, and the decisions applied the new settings
-        first: an idempotent request was handled as one that is not, and the other way round."""
+        """Regression: request and reload were handled in one iteration of the event loop, and the decision
+        module applied the new settings first: an idempotent request was handled as not idempotent, or vice
+        versa."""
         engine = self.engine(
             lambda engine, *args: (answer_with("500") if len(engine.wants) == 1 else answer_at_once)(
                 engine, *args
@@ -31,7 +32,7 @@
         broker = self.broker(
             engine, env=METRICS_OFTEN, hooks={"wait": "cypressledge.broker.event_loop:EventLoop._wait#1"}
         )
-        broker.wait_for_hook("wait")  # the event loop has stopped
+        broker.wait_for_hook("wait")  # the event loop is stopped
         client = self.client(broker)
         client.ask()
         broker.wait_for_counter("accepted.lookup")
@@ -40,10 +41,10 @@
         assert result_rows(client.get()) == ROW
         client.ask()
         engine.wants.clear()
-        assert "error" in client.get()  # from here on it is not idempotent, and not retried
+        assert "error" in client.get()  # the class is not idempotent now, so that there is no retry
 
     def test_tenants_change_and_classes_stay_while_requests_are_in_flight(self):
-        """A request keeps its tenant; a file that changes the classes is rejected completely."""
+        """An open request keeps its tenant, and a file that changes the classes is rejected as a whole."""
         waiting = []
         engine = self.engine(lambda engine, say, name, *_: waiting.append((say, name)))
         old, new, swapped = (site()["settings"] for _ in range(3))
@@ -58,7 +59,7 @@
         assert "in force" in broker.reload(settings=new)[-1]
         assert "other classes need a restart" in broker.reload(settings=swapped)[-1]
         client.ask(tenant="ada")
-        assert client.get()["error"]["code"] == -32602  # removed, whatever the rejected file says
+        assert client.get()["error"]["code"] == -32602  # removed; the rejected file has no effect
         cy = client.ask(tenant="cy")
         wait_until(lambda: len(waiting) == 3, "the third")
         for say, name in waiting:
@@ -67,8 +68,8 @@
         assert [want[2]["c"] for want in engine.wants] == ["lookup", "report", "lookup"]
 
     def test_engine_kinds_in_another_order_select_the_same_engines(self):
-        """Regression: the engine list kept the former indices, and a class bound to one kind ran on the
-        other."""
+        """Regression: the engine list kept the previous kind indices, and a class restricted to one kind was
+        executed on the other."""
         small, big = self.engine(name="s-1"), self.engine(name="s-2")
         big.kind = "node-16c"
         before, after = site()["settings"], site()["settings"]
@@ -87,11 +88,11 @@
 
 
 class UpgradeRaces(BrokerTestCase):
-    """Two processes of an upgrade run at the same time."""
+    """The old and the new process of an upgrade run at the same time."""
 
     def test_engines_taken_out_at_both_processes_at_once_all_stay_out(self):
-        """Regression: each process read the file before the other had written it, and one engine was back in
-        service."""
+        """Regression: each process read the file before the other had written it, and one of the engines was
+        put back in service."""
         engines = [self.engine(name=f"s-{number}") for number in range(3)]
         shared = self.enterContext(tempfile.TemporaryDirectory())
         ports, brokers, calls = [], [], []
@@ -106,7 +107,7 @@
             )
 
         def take_out(number):
-            """Take an engine out of service through one of the processes, in a thread."""
+            """Take an engine out of service through one of the processes, on a new thread."""
             head = "POST /maintenance/enter HTTP/1.1\r\nHost: b"
             calls.append(
                 threading.Thread(target=http_call, args=(ports[number], head, f"s-{number}".encode()))
@@ -117,7 +118,7 @@
         brokers[0].wait_for_hook("save")
         take_out(1)
         save_reached = Path(brokers[1].dir.name) / "save.at"
-        calls[1].join(0.2)  # if it reaches its own save, it has read the file too early
+        calls[1].join(0.2)  # a call that reaches its own save has read the file too early
         read_stale_data = save_reached.exists()
         brokers[0].release_hook("save")
         calls[0].join(WAIT)
--- a/tests/race_conditions/test_engine_list_races.py
+++ b/tests/race_conditions/test_engine_list_races.py
@@ -1,7 +1,7 @@
 """Engine lists that change while attempts or polls are in flight.
 
-Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
-or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces an order of events on real connections: with a fake that controls when bytes arrive, or with
+a hook that stops the program at a certain point (tests/fakes/program_with_breakpoints.py).
 """
 
 import time
@@ -13,10 +13,10 @@
 
 
 class EngineListRaces(BrokerTestCase):
-    """A new engine list applies at once, also to attempts and polls in flight."""
+    """A new engine list takes effect at once, also for attempts and polls in flight."""
 
     def test_a_drain_listed_while_the_connection_comes_up_applies(self):
-        """Whether an engine accepts new work is checked as the attempt is written."""
+        """The engine's state is checked when the attempt is written, not only when it is decided."""
         draining, staying = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(draining, change=site(ConnectTimeout=5_000_000), hooks={"connect": CONNECT})
         client = self.client(broker)
@@ -29,7 +29,7 @@
         assert [len(draining.wants), len(staying.wants)] == [0, 1]
 
     def test_a_drain_listed_as_an_unreachable_directory_returns_applies(self):
-        """A poll without a response is repeated within the interval, on a socket of its own."""
+        """A poll without a response is repeated within the poll interval, on a new socket."""
         draining, staying = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(draining, staying)
         broker.dns.is_silent = True
@@ -46,12 +46,12 @@
         assert len(draining.wants) == sent
 
     def test_a_response_of_the_former_directory_in_flight_is_ignored(self):
-        """Regression: it was applied, and its higher serial made every list of the new directory look
-        outdated."""
+        """Regression: the response was applied, and because of its higher serial all lists of the new
+        directory counted as outdated."""
         one, two = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(one, two, hooks={"answer": "cypressledge.net.dns_discovery:_receive_datagram#8"})
         broker.dns.is_silent = True
-        broker.wait_for_hook("answer")  # the poll is sent, and its answer not read yet
+        broker.wait_for_hook("answer")  # the poll has been sent, and its answer is not read yet
         wait_until(lambda: broker.dns.asked >= 8, "the query")
         broker.dns.engines[one.name] = (one.port, 1)
         broker.dns.serial = 9
--- a/tests/race_conditions/test_graceful_shutdown.py
+++ b/tests/race_conditions/test_graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""A stop, a start or a second signal at the moment at which something else happens.
+"""Signals and process starts that coincide with other events.
 
-Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
-or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces an order of events on real connections: with a fake that controls when bytes arrive, or with
+a hook that stops the program at a certain point (tests/fakes/program_with_breakpoints.py).
 """
 
 import json
@@ -20,11 +20,11 @@
 
 
 class GracefulShutdown(BrokerTestCase):
-    """Accepted requests are answered; later ones are rejected, or their connections closed without a
+    """Accepted requests are answered; later ones are rejected, or their connections are closed without a
     reset."""
 
     def stop(self, broker):
-        """Send SIGTERM, and wait until the broker drains: it closes an idle client's connection."""
+        """Send SIGTERM, and wait until the broker drains, which closes the connection of an idle client."""
         idle = self.client(broker)
         idle.send("status")
         idle.get()
@@ -48,8 +48,8 @@
         assert broker.process.wait(10) == 0
 
     def test_all_requests_read_before_our_side_is_shut_are_answered(self):
-        """Regression: of two requests in one read the second was dropped as the first answer shut our
-        side."""
+        """Regression: of two requests in one read the second was dropped, because the first answer shut down
+        the broker's side of the connection."""
         engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(engine)
@@ -70,7 +70,7 @@
         assert broker.process.wait(10) == 0
 
     def test_a_stop_between_the_decision_and_the_write(self):
-        """A request accepted before SIGTERM is sent and answered."""
+        """A request accepted before SIGTERM is still sent to an engine and answered."""
         engine = self.engine()
         broker = self.broker(
             engine, hooks={"write": "cypressledge.net.line_protocol.connection:EngineConnection._may_send!"}
@@ -85,7 +85,7 @@
         assert broker.process.wait(WAIT) == 0
 
     def test_a_stop_while_a_page_of_a_result_is_fetched(self):
-        """A result whose pages are still being fetched is read to its end."""
+        """A result whose pages are being fetched is read completely."""
 
         class Paged(FakeLineEngine):
             released = False
@@ -111,7 +111,7 @@
         assert broker.process.wait(WAIT) == 0
 
     def test_requests_at_engines_that_hang_are_answered_before_sigkill(self):
-        """Regression: requests at engines that hang, with long deadlines, were still open at SIGKILL."""
+        """Regression: requests with long deadlines at engines that hang were still open at SIGKILL."""
         hanging, good = self.engine(never_answer, name="s-1"), self.engine(name="s-2")
         broker = self.broker(hanging, good, change=site({"report": "single_shot"}))
         client = self.client(broker)
@@ -128,11 +128,11 @@
         failed = [
             answer["id"] for answer in answers if "error" in answer and answer["error"]["code"] != -32066
         ]
-        assert len(failed) == len(hanging.wants)  # they may have been executed, so they fail
+        assert len(failed) == len(hanging.wants)  # may have been executed, so they fail and are not rejected
 
     def test_connections_in_the_accept_queue_are_answered(self):
-        """Regression: closing the listener resets connections in the accept queue, with requests written to
-        them."""
+        """Regression: closing the listener reset the connections in its accept queue, to which clients had
+        written requests."""
         engine = self.engine()
         broker = self.broker(engine, hooks={"stop": "cypressledge.net.listener:Listener.stop!"})
         broker.process.send_signal(signal.SIGTERM)
@@ -146,8 +146,8 @@
         assert engine.wants == []
 
     def test_a_signal_that_comes_before_the_broker_is_ready(self):
-        """Regression: SIGHUP and SIGTERM before the handlers were installed ended the process by default
-        action."""
+        """Regression: SIGHUP and SIGTERM ended the process by their default action before the handlers were
+        installed."""
         engine = self.engine()
         for number in (signal.SIGHUP, signal.SIGTERM):
             with self.subTest(number):
@@ -170,7 +170,7 @@
                 broker.close()
 
     def test_a_stop_that_comes_during_a_reload_and_a_second_one(self):
-        """Signals are handled one after the other, each by a greenlet of its own."""
+        """Signals are handled one after another, each on its own greenlet."""
         engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(
@@ -193,8 +193,8 @@
         assert broker.process.wait(WAIT) == 0
 
     def test_a_client_that_connects_during_a_handover_is_answered(self):
-        """Regression: the old process closed a connection that it had just accepted, before the first
-        request."""
+        """Regression: the old process closed a connection that it had just accepted, before its first request
+        arrived."""
         engine = self.engine()
         listening = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listening.close)
@@ -216,11 +216,12 @@
 
 
 class Restarts(BrokerTestCase):
-    """Many processes start at the same time."""
+    """Many broker processes start at the same time."""
 
     def test_thirty_started_together_are_ready_in_time(self):
-        """The directory is unreachable throughout. None takes over 30 s; nine in ten take less than 2 s of
-        processor time, that is 10 s at a fifth of a core (other tests may use this machine's)."""
+        """The directory is unreachable throughout. All brokers are ready within 30 s, and nine in ten use
+        less than 2 s of processor time, which is 10 s at a fifth of a core. Processor time is measured
+        because other tests may run on the machine."""
         engine = self.engine()
         count = min(30, 4 * os.cpu_count())
         began = time.monotonic()
@@ -242,7 +243,7 @@
 
     @staticmethod
     def known_list(engine):
-        """A change of the configuration: the engine list that the broker starts with."""
+        """Return a change of the configuration: an engine list with which the broker starts."""
         member = {
             "id": engine.name,
             "host_port": f"127.0.0.1:{engine.port}",
--- a/tests/race_conditions/test_late_connections.py
+++ b/tests/race_conditions/test_late_connections.py
@@ -1,7 +1,7 @@
-"""Connections to engines that come up late, or never.
+"""Connections to engines that are established late or never.
 
-Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
-or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces an order of events on real connections: with a fake that controls when bytes arrive, or with
+a hook that stops the program at a certain point (tests/fakes/program_with_breakpoints.py).
 """
 
 import socket
@@ -13,10 +13,10 @@
 
 
 class LateConnections(BrokerTestCase):
-    """While an engine responds elsewhere, a connection that is late or fails is no evidence against it."""
+    """A late or failed connection is no evidence against an engine that responds on other connections."""
 
     def test_attempts_that_wait_for_a_late_connection_use_one_that_responds(self):
-        """Regression: one late connection ejected its engine for a second, and put it under slow start."""
+        """Regression: one late connection ejected its engine for a second, and caused a slow start."""
         engine = self.engine(answer_on_release)
         engine.released = False
         broker = self.broker(engine, env=METRICS_OFTEN, hooks={"connect": CONNECT + "#2"})
@@ -35,7 +35,7 @@
         assert "attempt.connect_failed" not in broker.log_text()
 
     def test_a_connection_that_comes_up_late_is_used_for_the_next_attempts(self):
-        """Regression: it was closed at its time-out, and the next one was as likely to be late."""
+        """Regression: the connection was closed at its time-out; the next one was as likely to be late."""
         engine = self.engine()
         broker = self.broker(engine, env=METRICS_OFTEN, hooks={"connect": CONNECT + "#1"})
         client = self.client(broker)
@@ -52,21 +52,21 @@
         assert [len(engine.wants), len(engine.open)] == [2, 2]
 
     def test_one_late_connection_does_not_eject_its_engine(self):
-        """Regression: the engine was ejected until it responded, and under slow start for the whole
+        """Regression: the engine was ejected until it responded, and was then under slow start for the full
         window."""
         first, second = self.engine(name="s-1"), self.engine(name="s-2")
         broker = self.broker(first, second, env=METRICS_OFTEN, hooks={"connect": CONNECT + "#1"})
         client = self.client(broker)
         client.ask()
         broker.wait_for_hook("connect")
-        assert "result" in client.get()  # elsewhere
+        assert "result" in client.get()  # from the other engine
         assert len(first.wants) + len(second.wants) == 1
         broker.release_hook("connect")
         broker.wait_for_counter("engine_connects_late")
         assert "ejected" not in broker.log_text()
 
     def test_an_unreachable_engine_is_ejected(self):
-        """A listener whose accept queue is full acts as a machine that has vanished."""
+        """A listener with a full accept queue stands for an unreachable machine."""
         unreachable, healthy = self.engine(name="s-1"), self.engine(name="s-2")
         unreachable.close()
         full = socket.create_server(("127.0.0.1", unreachable.port), backlog=0)
--- a/tests/race_conditions/test_resource_exhaustion.py
+++ b/tests/race_conditions/test_resource_exhaustion.py
@@ -1,7 +1,7 @@
-"""Descriptors, buffers and memory that some clients use up, and others need.
+"""Some clients exhaust descriptors, buffers or memory that others need.
 
-Each test forces its order of events, on real connections: by a fake that decides when the next byte arrives,
-or by a hook at the point in question (tests/fakes/program_with_breakpoints.py).
+Each test forces an order of events on real connections: with a fake that controls when bytes arrive, or with
+a hook that stops the program at a certain point (tests/fakes/program_with_breakpoints.py).
 """
 
 import os
@@ -16,7 +16,7 @@
 
 
 def permanent_descriptors(pid):
-    """The descriptors that a process has open for a second, without those of a poll: they are free again."""
+    """Return the descriptors that a process has open throughout a second, without those used for polls."""
     listings = []
     for _ in range(20):
         listings.append(set(map(int, os.listdir(f"/proc/{pid}/fd"))))
@@ -25,19 +25,21 @@
 
 
 class DescriptorExhaustion(BrokerTestCase):
-    """Idle clients use up the descriptors: directory and engines still get theirs."""
+    """If idle clients exhaust the descriptors, the directory and the engines still get theirs."""
 
     def test_idle_clients_leave_descriptors_for_the_directory_and_new_engines(self):
         engine, new = self.engine(name="s-1"), self.engine(name="s-2")
-        broker = self.broker(engine, descriptors=64, env=METRICS_OFTEN)  # its file says 1024
+        broker = self.broker(engine, descriptors=64, env=METRICS_OFTEN)  # the configuration allows 1024
         broker.dns.is_silent = True  # discovery is down, and no engine has a connection yet
         idle = []
         for _ in range(80):
             idle.append(self.client(broker))
             idle[-1].send("status")
-        wait_until(lambda: broker.count("clients.rejected") + broker.count("clients.evicted"), "a full table")
+        wait_until(
+            lambda: broker.count("clients.rejected") + broker.count("clients.evicted"), "the connection limit"
+        )
 
-        def is_answered():  # a new client may be rejected while all others are new as well
+        def is_answered():  # a new client may be rejected while all other clients are new, too
             client = self.client(broker)
             try:
                 client.ask()
@@ -61,7 +63,7 @@
         assert broker.process.poll() is None
 
     def test_idle_connections_to_some_engines_leave_capacity_for_the_others(self):
-        """Regression: idle connections to engines that rejected everything used up the limit for
+        """Regression: idle connections to engines that rejected everything used up the connection limit for
         half a minute."""
         engines = [self.engine(answer_with("503"), name=f"s-{number}") for number in range(15)] + [
             self.engine(name="s-15")
@@ -74,7 +76,7 @@
             client.ask()
             return "result" in client.get()
 
-        wait_until(served, "an answer of the only engine that takes work")
+        wait_until(served, "an answer of the only engine that accepts requests")
 
     def test_accept_without_a_descriptor_neither_spins_nor_ends_the_process(self):
         engine = self.engine(answer_on_release)
@@ -91,19 +93,19 @@
         broker.wait_for_counter("clients.accept_error.24")
         ticks = cpu_ticks(pid)
         broker.wait_for_counter("clients.accept_error.24", broker.count("clients.accept_error.24") + 10)
-        assert cpu_ticks(pid) - ticks < 50  # half a second's work, in half a second at the least
+        assert cpu_ticks(pid) - ticks < 50  # half a second of processor time, over at least half a second
         engine.released = True
-        assert "result" in client.get()  # others are served
+        assert "result" in client.get()  # connected clients are served
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (1024, 1024))
         waiting.ask()
         assert "result" in waiting.get()
 
 
 class BufferExhaustion(BrokerTestCase):
-    """What one client sends, or does not read, takes no memory from the others."""
+    """The data that one client sends or does not read takes no memory from other clients."""
 
     def test_incomplete_messages_that_fill_all_buffers_cut_off_no_engine_s_response(self):
-        """Regression: engines' responses grew their buffers from the same budget, and were cut off."""
+        """Regression: buffers for engine responses used the same budget, so that responses were truncated."""
         engine = self.engine(lambda engine, say, name, *_: say(name, "200", "count=1", ROW * 450))
         broker = self.broker(engine, env=METRICS_OFTEN, change=limits(memory_mb=30))
         client = self.client(broker)
@@ -121,7 +123,7 @@
         assert len(engine.wants) == 1
 
     def test_one_client_s_statements_leave_capacity_for_the_others(self):
-        """Regression: thirty large statements of one connection used up the limit, and others were
+        """Regression: thirty large statements on one connection exhausted the limit, and other clients were
         rejected."""
         engine = self.engine(
             lambda engine, say, name, fields, statement: None
--- a/tests/race_conditions/test_retry_safety.py
+++ b/tests/race_conditions/test_retry_safety.py
@@ -1,7 +1,7 @@
-"""Retries are sent only where the class's idempotency allows them, whatever engines answer.
+"""Retries are sent only if the idempotency of the class allows them, whatever engines answer.
 
-Hypothesis draws sequences of engines' answers, the real program meets them on real connections, and the fake
-engines' record of attempts is checked.
+Hypothesis generates sequences of engine answers, the real broker receives them on real connections, and the
+attempts recorded by the fake engines are checked.
 """
 
 import contextlib
@@ -18,13 +18,13 @@
 from tests.fakes.support import close_connection, reset_connection, wait_until
 from tests.race_conditions.scenarios import site
 
-NEVER_EXECUTED = {"rejected", "timed_out"}  # answers that prove that the attempt has not run
+NEVER_EXECUTED = {"rejected", "timed_out"}  # answers that prove that the attempt was not executed
 IDEMPOTENCY = {"lookup": "free", "report": "single_shot", "order-load": "guarded"}
-SCRIPT = re.compile(rb"script ([a-z_,]+)")  # the answers to a query's attempts, named in its statement
+SCRIPT = re.compile(rb"script ([a-z_,]+)")  # part of a statement: the answers to the attempts of the query
 
 
 class ScriptedEngines:
-    """Answers each attempt as the query's script says, and records the attempts of each query."""
+    """Fake engines that answer each attempt according to the query's script, and record the attempts."""
 
     def __init__(self):
         self.lock, self.attempts = threading.Lock(), {}
@@ -54,7 +54,7 @@
 
     @staticmethod
     def rejected_while_running(conn, say, name, before):
-        """It runs, as its progress says, and is rejected then."""
+        """Report progress, which shows that the attempt is running, and then reject it."""
         say(name, "status", "note=done,reading=0.4")
         say(name, "503")
 
@@ -64,7 +64,7 @@
 
     @staticmethod
     def silent(conn, say, name, before):
-        """It runs, and is never answered."""
+        """Never answer; the attempt may be executed."""
 
     @staticmethod
     def reset(conn, say, name, before):
@@ -72,7 +72,7 @@
 
     @staticmethod
     def truncated(conn, say, name, before):
-        """The answer ends in its middle."""
+        """Close the connection in the middle of the answer."""
         conn.sendall(f"{name} 200 count=1 {len(ROW)}\r\n1\tbr".encode())
         close_connection(conn)
 
@@ -82,13 +82,13 @@
 
     @staticmethod
     def rejected_twice(conn, say, name, before):
-        """Rejected, with a second answer that may meet the next attempt under this id."""
+        """Reject the attempt twice; the second answer may arrive during the next attempt with this id."""
         say(name, "503")
         say(name, "503")
 
     @staticmethod
     def answered_elsewhere_first(conn, say, name, before):
-        """The former attempts' connections reject this id again before it is answered."""
+        """Reject this id again on the connections of earlier attempts, and then answer on this one."""
         for other in before:
             with contextlib.suppress(OSError):
                 other.sendall(f"{name} 503 - 0\r\n\r\n".encode())
@@ -117,7 +117,7 @@
 
 
 class RetrySafety(BrokerTestCase):
-    """No request is repeated unless its class allows it, and each has one final answer."""
+    """No request is retried unless its class allows it, and each request has exactly one final answer."""
 
     def test_retries_keep_to_their_class_s_idempotency_whatever_engines_answer(self):
         script = ScriptedEngines()
@@ -155,15 +155,15 @@
 
         check()
         client.send("status")
-        assert client.get()["result"] == {"healthy": True}  # no second answer came before it
-        wait_until(lambda: broker.process.poll() is None, "a living broker")
+        assert client.get()["result"] == {"healthy": True}  # no second answer was sent before it
+        wait_until(lambda: broker.process.poll() is None, "the broker process running")
 
 
 class InterruptedConnections(BrokerTestCase):
-    """Connections that end in the middle of a request or an answer."""
+    """Connections that end during a request or an answer."""
 
     def test_an_answer_that_is_truncated_at_any_byte_is_never_passed_on(self):
-        """Each byte in turn is the last one of the first attempt's answer."""
+        """The answer to the first attempt is truncated after each number of bytes in turn."""
         complete = f"ID 200 count=1 {len(ROW)}\r\n".encode() + ROW + b"\r\n"
         first_connections = {}
 
@@ -180,14 +180,14 @@
         change["settings"]["Rules"] |= {"MinExtra": 1_000, "ResendRatio": 1.0}
         broker = self.broker(*engines, change=change)
         client = self.client(broker)
-        complete_length = len(complete) + 14  # the id has sixteen digits
+        complete_length = len(complete) + 14  # an id of sixteen digits replaces the two characters ID
         for length in range(complete_length + 1):
             client.ask(statement=f"SELECT {length}".encode())
             assert result_rows(client.get()) == ROW
         assert len(first_connections) == complete_length + 1
 
     def test_a_reset_before_during_or_after_the_write_of_a_request(self):
-        """Before its first byte nothing can have run; during the write or after it, the query may have."""
+        """A query cannot have been executed before its first byte is written; afterwards it may have been."""
         for moment, never_executed in (("before", True), ("during", False), ("after", False)):
             for idempotency in ("free", "single_shot"):
                 with self.subTest(moment=moment, idempotency=idempotency):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock."""
+"""Detection of wall clock steps."""
 
 from cypressledge.clock import ClockStepDetector, monotonic_us
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages name only modules, tests, classes and members that are there."""
+"""The documentation names only modules, tests, classes, members and constants that exist."""
 
 import ast
 import re
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "cypressledge"
-PLANS = "docs/ROADMAP.md"  # may name what is still to be written
+PLANS = "docs/ROADMAP.md"  # not checked, as it may name planned modules
 PAGES = [
     "README.md",
     "CHANGELOG.md",
@@ -26,12 +26,12 @@
 
 
 def page_text(page: str) -> str:
-    """A page's text."""
+    """Return the text of a page."""
     return (ROOT / page).read_text()
 
 
 def named_files(text: str) -> set[str]:
-    """Files and folders of the package that a page names, relative to the package."""
+    """Return the files and folders of the package that a page names, relative to the package."""
     files = {name for name in FILE_NAME.findall(text) if not name.startswith("tests/")}
     folders = {name.rstrip("/") for name in FOLDER_NAME.findall(text)}
     modules = {dotted.strip(".").replace(".", "/") for dotted in MODULE_NAME.findall(text)}
@@ -44,7 +44,7 @@
 
 
 def class_members(source: str) -> dict[str, set[str]]:
-    """The classes of a module, each with its methods, its fields and the attributes set on `self`."""
+    """Return the classes of a module, each with its methods, its fields and the attributes set on `self`."""
     members: dict[str, set[str]] = {}
     for node in ast.walk(ast.parse(source)):
         if not isinstance(node, ast.ClassDef):
@@ -62,7 +62,7 @@
 
 @pytest.fixture(scope="module")
 def members_by_class() -> dict[str, set[str]]:
-    """Members of all classes of the package; of classes that share a name, all of them together."""
+    """Return the members of all classes of the package; classes with the same name are merged."""
     members: dict[str, set[str]] = {}
     for path in PACKAGE.rglob("*.py"):
         for name, found in class_members(path.read_text()).items():
@@ -88,7 +88,7 @@
 
 
 def missing_from_modules(row: str) -> list[str]:
-    """Constants that a table's row names and none of its modules holds."""
+    """Return the constants in a table row that none of the row's modules defines."""
     sources = "".join((PACKAGE / name).read_text() for name in named_files(row) if exists(name))
     return [
         name for name in CONSTANT_NAME.findall(row) if not re.search(rf"^{name}\b.*=", sources, re.MULTILINE)
@@ -98,7 +98,7 @@
 def test_constants_stand_in_the_module_that_a_row_names():
     section = page_text("docs/architecture.md").partition("## Where do I look")[2]
     rows = [row for row in section.splitlines() if CONSTANT_NAME.search(row)]
-    assert rows, "the section names no constant: is its form another than this test reads?"
+    assert rows, "the section names no constant: has its format changed?"
     missing = {row: missing_from_modules(row) for row in rows}
     assert {row: names for row, names in missing.items() if names} == {}
 
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("page", PAGES_OF_MODULES)
 def test_a_page_of_the_code_names_modules(page):
-    assert named_files(page_text(page)), "the page names no module: is its form another than this test reads?"
+    assert named_files(page_text(page)), "the page names no module: has its format changed?"
 
 
 def test_a_module_that_is_not_there_is_noticed():
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: its form, and what it does to a run."""
+"""The list of known failures: its format, and its effect on a test run."""
 
 import os
 import shutil
@@ -37,7 +37,7 @@
     for lines, exit_code, expected in (
         (listed, 0, "KNOWN-RED: known (issue 1)"),
         ("", 1, "1 failed"),
-        (listed + "tests/test_a.py::test_c: mended (issue 2)\n", 1, "XPASS(strict)"),
+        (listed + "tests/test_a.py::test_c: fixed (issue 2)\n", 1, "XPASS(strict)"),
     ):
         (tmp_path / "KNOWN-RED.txt").write_text(lines)
         command = [sys.executable, "-m", "pytest", "-q", "-rxX", "-p", "no:cacheprovider", "tests"]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: frames in, frames out, and what bad input gets."""
+"""The simulator adapter: frames of events, the frames that answer them, and invalid input."""
 
 import json
 import struct
@@ -165,7 +165,7 @@
         ),
         (frame([struct.pack("<BIQII", 0, 3, 42, 5, 4000)]), "tail offset"),
         (struct.pack("<IQII", 20, 1, 7, 1), "do not fit"),
-        (struct.pack("<I", 3), "under a header"),
+        (struct.pack("<I", 3), "frame length 3 is less than the header size"),
     ],
 )
 def test_invalid_input_gets_one_log_line(raw, reason):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Classes, names, tenants, limits and costs come from the settings alone."""
+"""Classes, names, tenants, limits and costs are taken only from the settings."""
 
 import ast
 import base64
@@ -30,7 +30,7 @@
 
 
 def names(site):
-    """The names of a site's classes, tenants, machines and rooms."""
+    """Return the names of a site and of its classes, tenants, zones and machine kinds."""
     return (
         {entry["name"] for section in ("class", "tenant") for entry in site[section]}
         | set(site["net"]["zones"])
@@ -40,7 +40,7 @@
 
 
 def literals(file):
-    """A file's string literals that are no docstrings."""
+    """Return the string literals of a file, without its docstrings."""
     tree = ast.parse(file.read_text())
     docstrings = {
         id(node.body[0].value)
@@ -55,7 +55,7 @@
 
 
 def test_no_name_of_a_site_is_in_the_program():
-    """The laboratory, which `run` does not import, has a plain site of its own."""
+    """The package `lab`, which a broker does not import, has its own example site and is not checked."""
     site_names = PLATFORM.union(*(names(tomllib.loads(path.read_text())) for path in SITES))
     assert len(site_names) > 20
     assert len(SITES) == 2
@@ -72,7 +72,7 @@
 
 
 def random_settings(rng):
-    """Settings of a random site: classes, tenants, limits and costs."""
+    """Return the settings of a random site: classes, tenants, limits and costs."""
 
     def random_name():
         letters = rng.choices("bcdfghklmnprstvz", k=rng.randint(3, 9))
@@ -106,7 +106,7 @@
 
 
 class RandomSites(BrokerTestCase):
-    """The program under random sites."""
+    """The real broker with the settings of random sites."""
 
     def test_random_sites_are_served_by_their_own_names(self):
         for seed in range(3):
--- a/tests/test_sql.py
+++ b/tests/test_sql.py
@@ -1,4 +1,4 @@
-"""Which table group a statement reads or writes."""
+"""The table group of a statement, and the time for scanning statements."""
 
 import unittest
 
@@ -23,7 +23,7 @@
                 assert table_group(statement) == group
 
     def test_statements_made_to_be_slow_to_scan_are_scanned_in_time(self):
-        """Regression: each of these stalled the broker, for seconds or for ever."""
+        """Regression: each of these statements stalled the broker for seconds, or without end."""
         values = "(1,'abc',2.5)," * 300_000
         assert table_group(f"INSERT INTO plain.t VALUES {values}") == 0
         assert table_group(f"INSERT INTO sales_3.t VALUES {values}") == 3
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -1,4 +1,4 @@
-"""What the decisions may import, and the style of the code."""
+"""Permitted imports, the size of modules, and the style of the code."""
 
 import ast
 import subprocess
@@ -26,7 +26,7 @@
 
 
 def imported_modules(path):
-    """The top-level names of what a module imports."""
+    """Yield the top-level names of the modules that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name.split(".")[0] for alias in node.names)
@@ -39,7 +39,7 @@
     assert set(imported_modules(path)) <= ALLOWED_IMPORTS
 
 
-LAYERS = {  # what each package must not import: imports point from net to broker to decisions
+LAYERS = {  # packages that each package must not import: imports go from net to broker to decisions
     "decisions": {"broker", "broker_process", "net", "fleet", "controlplane", "lab", "cli"},
     "broker": {"broker_process", "net", "fleet", "controlplane", "lab", "cli"},
     "net": {"broker_process", "fleet", "controlplane", "lab", "cli"},
@@ -49,7 +49,7 @@
 
 
 def imported_packages(path):
-    """The project's packages that a module imports."""
+    """Yield the packages of the project that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module.startswith("cypressledge."):
             yield node.module.split(".")[1]
@@ -74,7 +74,7 @@
 
 
 def sizes(path):
-    """Lines of the file, and of its longest class and function."""
+    """Return the number of lines of a file, of its longest class and of its longest function."""
     text = path.read_text()
     longest = {ast.ClassDef: 0, ast.FunctionDef: 0}
     for node in ast.walk(ast.parse(text)):
--- a/tests/wall_clock.py
+++ b/tests/wall_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock that only the program under test sees, and that the test steps (shims/wall_clock.c)."""
+"""A wall clock that tests can step, and that only the program under test reads (shims/wall_clock.c)."""
 
 import functools
 import struct
@@ -12,7 +12,7 @@
 
 @functools.cache
 def shim() -> Path:
-    """The library, built once in each test process by the system's C compiler."""
+    """Build the library with the system's C compiler, once per test process, and return its path."""
     folder = tempfile.TemporaryDirectory(prefix="wall-clock-")
     shim.folder = folder  # kept until the test process ends
     library = Path(folder.name) / "wall_clock.so"
@@ -23,7 +23,7 @@
 
 
 class WallClock:
-    """The clock; `env` is what the program's environment needs."""
+    """The stepped wall clock; `env` holds the environment variables that the program under test needs."""
 
     def __init__(self, folder: Path, ahead_s: float = 0.0) -> None:
         self.path = folder / "wall-clock"
@@ -34,12 +34,12 @@
         self.env = {"LD_PRELOAD": str(shim()), "WALL_CLOCK": str(self.path)}
 
     def step(self, seconds: float) -> None:
-        """Step the clock, forward or back."""
+        """Step the clock by a number of seconds, forward or back."""
         self.ahead_s += seconds
         self._write()
 
     def alternate(self, seconds: float) -> None:
-        """From now on, step the clock between any two reads: forward by so much, and back."""
+        """From now on, step the clock between any two reads, alternately forward by `seconds` and back."""
         self.alternate_s = seconds
         self._write()
 
