--- a/cypressledge/broker/event_loop.py
+++ b/cypressledge/broker/event_loop.py
@@ -114,7 +114,7 @@
                 self._call_and_log_errors(self._action_handlers[type(action)], action)
 
     def _call_and_log_errors(self, callback: Callable, *args: object) -> Any:
-        """Call a function, and log and count an exception instead of raising it.
+        """Call a function; a release build logs and counts an exception instead of raising it.
 
         A single faulty event must not stop the broker. The ledger still answers the affected requests."""
         try:
--- a/cypressledge/broker/periodic_tasks.py
+++ b/cypressledge/broker/periodic_tasks.py
@@ -32,7 +32,7 @@
 def run_maintenance(tasks: Sequence[Callable[[], None]], counters: Counters) -> NoReturn:
     """Call each task once in every interval.
 
-    An exception is logged and counted and does not end the process, because the next run may succeed."""
+    A release build logs and counts an exception and continues, because the next run may succeed."""
     while True:
         gevent.sleep(MAINTENANCE_INTERVAL_S)
         for task in tasks:
