--- a/cypressledge/fleet/broker_integration.py
+++ b/cypressledge/fleet/broker_integration.py
@@ -307,7 +307,7 @@
     def _check_fixed_settings(self, settings: FleetSettings) -> None:
         for key in FIXED_SETTINGS:
             if getattr(settings, key) != getattr(self.settings, key):
-                raise ConfigError(f"{self.path}: changing {key} requires a restart of all brokers")
+                raise ConfigError(f"{self.path}: another {key} needs a restart of all brokers")
 
 
 def _addresses(settings: FleetSettings) -> dict[str, tuple[str, int]]:
