--- a/tests/controlplane/test_storage_failures.py
+++ b/tests/controlplane/test_storage_failures.py
@@ -4,7 +4,7 @@
 import resource
 import shutil
 
-from cypressledge.controlplane.server_selection import Server, order
+from cypressledge.controlplane.server_selection import Server, order_servers
 from cypressledge.lab.processes import until
 from tests.controlplane.control_changes import ENGINE
 from tests.fakes.command_line import run
@@ -84,7 +84,7 @@
         control.start("--first", str(plane.seed_file), fault="disk-full:append:3" if name == "c1" else "")
     plane.leader()
     servers = [Server(name, "") for name in plane.controls]
-    name = next(n for n in map(str, range(100)) if order(n, "", "", servers)[0].name == "c1")
+    name = next(n for n in map(str, range(100)) if order_servers(n, "", "", servers)[0].name == "c1")
     broker = plane.broker(name)  # it follows the process whose disk will be full
     assert plane.broker_has_version(broker, 1), plane.log_text()
     assert broker.status()["server"] == "c1", plane.log_text()
