--- a/tests/broker/test_clock_steps.py
+++ b/tests/broker/test_clock_steps.py
@@ -206,7 +206,7 @@
     stage.clock.step(ahead)
     engine, fresh = stage.engine(name="s-1"), stage.engine(name="s-2")
     broker = broker_of(stage, engine)
-    broker.dns.born = round(time.time() * 1000)
+    broker.dns.engines_started_ms = round(time.time() * 1000)
     broker.dns.engines = {"s-2": (fresh.port, 0)}
     broker.publish_list(2)
     broker.wait_for_log("engine=s-2 from=unlisted to=ready")
--- a/tests/broker/test_operators_address.py
+++ b/tests/broker/test_operators_address.py
@@ -78,7 +78,7 @@
         def start():
             operators_port = free_port()
             env = {"ROUTER_SOCKET_FD": str(fd), "ROUTER_MANAGEMENT": f"127.0.0.1:{operators_port}"}
-            broker = self.broker(engine, env=env, keep=(fd,), port=port)
+            broker = self.broker(engine, env=env, inherited_fds=(fd,), port=port)
             wait_until(lambda: status(operators_port) == 200, "status 200")
             return broker
 
--- a/tests/controlplane/replica_scenes.py
+++ b/tests/controlplane/replica_scenes.py
@@ -119,7 +119,7 @@
     world.crash("a")
     world.lose_disk("b")
     world.crash("b")
-    world.disks["b"].kept = StoredLog()
+    world.disks["b"].stored = StoredLog()
     world.start("b")
     world.lease("c", 2)
     world.pass_time(SECOND, "bc")
@@ -171,13 +171,13 @@
     for name in "abc":
         world.crash(name)
     for name in "bc":
-        world.disks[name].kept = old[name]
+        world.disks[name].stored = old[name]
         world.start(name)
-    world.truth.clear()  # what was acknowledged is lost by now
+    world.known_versions.clear()  # what was acknowledged is lost by now
     world.lease("b", 2)
     world.run("bc")
     world.start("a")
-    world.truth.clear()
+    world.known_versions.clear()
     world.lease("b", 3)
     world.pass_time(SECOND, "ab")
     assert world.running["b"].role == "recovering"
--- a/tests/controlplane/test_broker_addresses.py
+++ b/tests/controlplane/test_broker_addresses.py
@@ -46,12 +46,12 @@
     cluster.wait_for(lambda: place("n2") == f"127.0.0.1:{ports['new']}", "the new address")
 
     def heard():
-        rows = brokers["n2"].show("/fleet/peers") or []
+        rows = brokers["n2"].fetch("/fleet/peers") or []
         return any(r["name"] == "n1" and r["state"] == "alive" and r["heard_s"] is not None for r in rows)
 
     # n2 hears n1 only if n1 sends to where n2 is now.
     cluster.wait_for(heard, f"n1, heard by the new n2\n{brokers['n1'].log_text()[-2000:]}")
-    assert brokers["n1"].show("/control/status")["version"] == cluster.wait_for_one_history()
+    assert brokers["n1"].fetch("/control/status")["version"] == cluster.wait_for_one_history()
 
 
 def test_a_broker_under_a_new_address_needs_no_file_change(plane):
@@ -74,7 +74,7 @@
         return all(f'"{place}"' in told for place in places.values())
 
     def sees(viewer, seen):
-        peers = {p["name"]: p["state"] for p in plane.brokers[viewer].show("/fleet/peers") or ()}
+        peers = {p["name"]: p["state"] for p in plane.brokers[viewer].fetch("/fleet/peers") or ()}
         return peers.get(seen) == "alive"
 
     assert until(registered, WAIT), plane.log_text()
--- a/tests/controlplane/test_replica.py
+++ b/tests/controlplane/test_replica.py
@@ -44,12 +44,12 @@
 
 def test_a_full_disk_costs_the_lead_and_nothing_else():
     world = started_world(Replica)
-    world.disks["b"].plan = ["full"]
+    world.disks["b"].planned_faults = ["full"]
     ticket = world.propose("a", "x")
     world.run("abc")
     assert ticket.state == "done"
     assert ("a", "voter_denied") in world.events
-    world.disks["a"].plan = ["full"]
+    world.disks["a"].planned_faults = ["full"]
     assert world.propose("a", "y").state == "unknown"
     assert world.running["a"].role == "standby"
     world.settle(5)
@@ -94,5 +94,5 @@
     assert not world.running["b"].is_eligible(world.now)
     world.pass_time(8 * SECOND, "ab")
     assert world.acknowledged == {"x": 2}
-    assert not world.disks["b"].kept.joining
+    assert not world.disks["b"].stored.joining
     world.settle(5)
--- a/tests/controlplane/test_replica_random_worlds.py
+++ b/tests/controlplane/test_replica_random_worlds.py
@@ -24,10 +24,10 @@
     def play(raw):
         world = walk(struct.unpack(f">{len(raw) // 2}H", raw[: len(raw) // 2 * 2]), names, losses=losses)
         seen["worlds"] += 1
-        seen["versions"] += len(world.truth)
+        seen["versions"] += len(world.known_versions)
         seen["joined"] += sum(event == "joined" for _, event in world.events)
         seen["acknowledged"] += len(world.acknowledged) - 1  # but for the last one, in peace
-        seen["epochs"] += len({epoch for epoch, *_ in world.truth.values()})
+        seen["epochs"] += len({epoch for epoch, *_ in world.known_versions.values()})
 
     play()
     print(seen)
--- a/tests/controlplane/test_subscriber_failures.py
+++ b/tests/controlplane/test_subscriber_failures.py
@@ -15,7 +15,7 @@
 from tests.fakes.control_cluster import engine
 from tests.fakes.control_processes import WAIT
 from tests.fakes.controlled_broker import ControlledBroker
-from tests.fakes.fake_control import LyingControlServer, RawConnection
+from tests.fakes.fake_control import InvalidDigestControlServer, RawConnection
 
 MB = 1 << 20
 
@@ -105,7 +105,7 @@
     bad = BadSubscribers(cluster.ports[leader.name])
     new = cluster.follow("new", only=(leader.name,))
     cluster.wait_for(lambda: new.version, "one that comes while snapshots are out to those")
-    changes = ChangesMeanwhile(0, time.monotonic() - new.dials[0], memory)
+    changes = ChangesMeanwhile(0, time.monotonic() - new.connect_times[0], memory)
     change_until_bad_ones_are_gone(cluster, leader, good, changes)
     took, more = time.monotonic() - bad.unread[0].began, changes.max_memory - memory
     print(
@@ -123,7 +123,7 @@
     bad.close()
 
 
-def broker_that_follows(server: LyingControlServer, folder) -> ControlledBroker:
+def broker_that_follows(server: InvalidDigestControlServer, folder) -> ControlledBroker:
     """A broker that has this server first, and two that do not exist."""
     addresses = [server.address, *(f"127.0.0.1:{free_port()}" for _ in range(2))]
     servers = [
@@ -144,7 +144,7 @@
 
 
 def test_a_change_whose_digest_differs_is_not_taken(tmp_path):
-    liar = LyingControlServer()
+    liar = InvalidDigestControlServer()
     broker = broker_that_follows(liar, tmp_path)
     broker.start()
     try:
@@ -169,7 +169,7 @@
     """The most snapshots of one server that were taken within a second."""
     moments = {}
     for subscriber in subscribers:
-        for update in subscriber.taken:
+        for update in subscriber.applied_updates:
             if update.is_snapshot:
                 moments.setdefault(update.server, []).append(update.at)
     return max(sum(m <= n < m + 1 for n in of_one) for of_one in moments.values() for m in of_one)
@@ -184,13 +184,13 @@
     counts = Counter(s.server() for s in subscribers)
     dead = cluster[max((name for name in counts if name != leader.name), key=counts.get)]
     lost = [s for s in subscribers if s.server() == dead.name]
-    dials = {s: len(s.dials) for s in lost}
+    dials = {s: len(s.connect_times) for s in lost}
     killed = time.monotonic()
     dead.kill()
     version = cluster.change({"engine/e1": engine(1)}, "r1")["version"]
     cluster.wait_for(lambda: all(s.version >= version for s in subscribers), "all in force again")
     took = time.monotonic() - killed
-    again = sorted(s.dials[dials[s]] - killed for s in lost)
+    again = sorted(s.connect_times[dials[s]] - killed for s in lost)
     limits, densest = PublisherLimits(), most_snapshots_a_second(subscribers)
     print(
         f"{dict(counts)}; {len(lost)} lost, dialled again {again[0]:.3f} to {again[-1]:.3f} s after; all in"
--- a/tests/fakes/broker_process.py
+++ b/tests/fakes/broker_process.py
@@ -18,7 +18,7 @@
 from tests.fakes.json_rpc_client import JsonRpcClient
 from tests.fakes.support import ROOT, wait_until
 
-OWN_VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN")  # of the environment, that the configuration stands for
+CONFIGURED_VARIABLES = ("ROUTER_NAME", "ROUTER_LISTEN")  # not inherited: the configuration sets both
 PROGRAM_WITH_BREAKPOINTS = "tests/fakes/program_with_breakpoints.py"
 
 
@@ -30,10 +30,10 @@
     optimise: bool = True  # without the interpreter's assertions, as in production
     service: Callable[["BrokerProcess"], str] | None = None  # gives the service file's text
     env: dict[str, str] | None = None
-    keep: tuple[int, ...] = ()  # descriptors that it inherits
+    inherited_fds: tuple[int, ...] = ()  # descriptors that it inherits
     port: int | None = None
     hooks: dict[str, str] | None = None  # see program_with_breakpoints.py
-    descriptors: int | None = None  # how many it may have open
+    max_open_fds: int | None = None  # how many it may have open
 
 
 def engine_member(engine) -> dict:
@@ -69,9 +69,9 @@
             cwd=ROOT,
             stderr=self.log,
             env=self._environment(),
-            pass_fds=self.options.keep,
+            pass_fds=self.options.inherited_fds,
         )
-        if limit := self.options.descriptors:  # before it has read how many there are
+        if limit := self.options.max_open_fds:  # before it has read how many there are
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (limit, limit))
 
     def _configuration(self, engines) -> dict:
@@ -100,7 +100,7 @@
         return command
 
     def _environment(self) -> dict[str, str]:
-        inherited = {name: value for name, value in os.environ.items() if name not in OWN_VARIABLES}
+        inherited = {name: value for name, value in os.environ.items() if name not in CONFIGURED_VARIABLES}
         environment = inherited | {"ROUTER_CONFIG": str(self.path)}
         if self.options.hooks:
             points = " ".join(f"{name}={point}" for name, point in self.options.hooks.items())
@@ -140,15 +140,15 @@
         """Wait until the log says so."""
         wait_until(lambda: text in self.log_text(), text)
 
-    def wait_for_counter(self, name, least=1):
+    def wait_for_counter(self, name, min_count=1):
         """Wait until the program has counted so many of a name (start it with ROUTER_FIGURES_S)."""
-        wait_until(lambda: self.count(name) >= least, f"{name}={least}")
+        wait_until(lambda: self.count(name) >= min_count, f"{name}={min_count}")
 
     def count(self, name):
         """What it has counted of a name, as its log tells."""
         lines = [line for line in self.log_text().splitlines() if "counters (" in line]
-        told = dict(pair.split("=") for pair in lines[-1].split(": ", 1)[1].split()) if lines else {}
-        return int(told.get(name, 0))
+        counters = dict(pair.split("=") for pair in lines[-1].split(": ", 1)[1].split()) if lines else {}
+        return int(counters.get(name, 0))
 
     def publish_list(self, serial):
         """Give the directory's list a number, and wait until the broker has it."""
@@ -172,11 +172,11 @@
 
     def reload(self, text=None, **change):
         """Replace the configuration file, send SIGHUP, and wait for what the broker says of it."""
-        said = self.log_text().count("reload:")
+        reload_count = self.log_text().count("reload:")
         self.config |= change
         self.path.write_text(json.dumps(self.config) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
-        wait_until(lambda: self.log_text().count("reload:") > said, "the reload")
+        wait_until(lambda: self.log_text().count("reload:") > reload_count, "the reload")
         return self.log_text().splitlines()
 
     def log_text(self):
--- a/tests/fakes/control_cluster.py
+++ b/tests/fakes/control_cluster.py
@@ -54,34 +54,34 @@
     def _control(self, name: str) -> ControlProcess:
         return ControlProcess(name, self.folder, self.folder / f"{name}.yaml", free_port(), optimised=True)
 
-    def settings(self, whose: str = "") -> dict:
+    def settings(self, reader: str = "") -> dict:
         """The settings file of one of them, or of everybody else."""
         rows = [
             {
                 "name": name,
                 "management": f"127.0.0.1:{control.management}",
-                "address": self._address(whose, name),
-                "fleet": self._fleet_address(whose, name),
+                "address": self._address(reader, name),
+                "fleet": self._fleet_address(reader, name),
                 "zone": f"z{name[1:]}",
             }
             for name, control in self.controls.items()
         ]
         return {"servers": rows, "term_s": LEASE_TERM, "ping_s": 0.2, "grace_s": 1.0} | self.more
 
-    def _address(self, whose: str, name: str) -> str:
-        if self.tcp_proxies is not None and whose and whose != name:
-            return self.tcp_proxies.address(whose, name)
+    def _address(self, reader: str, name: str) -> str:
+        if self.tcp_proxies is not None and reader and reader != name:
+            return self.tcp_proxies.address(reader, name)
         return f"127.0.0.1:{self.ports[name]}"
 
-    def _fleet_address(self, whose: str, name: str) -> str:
-        if self.udp_proxies is not None and whose and whose != name:
-            return self.udp_proxies.address(whose, name)
+    def _fleet_address(self, reader: str, name: str) -> str:
+        if self.udp_proxies is not None and reader and reader != name:
+            return self.udp_proxies.address(reader, name)
         return f"127.0.0.1:{self.fleet_ports[name]}"
 
     def __getitem__(self, name: str) -> ControlProcess:
         return self.controls[name]
 
-    def beside(self) -> list[ControlledBroker]:
+    def other_processes(self) -> list[ControlledBroker]:
         return self.brokers
 
     def others(self, *names: str) -> list[ControlProcess]:
@@ -92,17 +92,17 @@
         """Wait, within bounds, until a condition holds; what it gave. No process may fail meanwhile."""
 
         def checked():
-            dead = [c.name for c in self.controls.values() if c.process.poll() in FAILED_EXIT_CODES]
-            assert not dead, f"{dead} failed while waiting for {what}\n" + self.log_text()
+            failed = [c.name for c in self.controls.values() if c.process.poll() in FAILED_EXIT_CODES]
+            assert not failed, f"{failed} failed while waiting for {what}\n" + self.log_text()
             return condition()
 
         return super().wait_for(checked, what, timeout_s)
 
     # What operators do
 
-    def leader(self, *but: str) -> ControlProcess:
+    def leader(self, *excluded: str) -> ControlProcess:
         """Wait for a leader, another one than these."""
-        return self.controls[self.wait_for(lambda: self.find_leader(*but), "a leader")]
+        return self.controls[self.wait_for(lambda: self.find_leader(*excluded), "a leader")]
 
     def wait_for_settled_leader(self) -> ControlProcess:
         """The leader, once both others hold all that it has."""
@@ -153,16 +153,16 @@
     def wait_for_one_history(self, min_version: int = 1) -> int:
         """Wait until all hold the same one, up to a version at least; its last version."""
 
-        def same():
-            held = {self.position(control) for control in self.controls.values()}
-            version = next(iter(held)).version
-            return version if len(held) == 1 and version >= min_version else None
+        def common_version():
+            positions = {self.position(control) for control in self.controls.values()}
+            version = next(iter(positions)).version
+            return version if len(positions) == 1 and version >= min_version else None
 
-        version = self.wait_for(same, "one history everywhere")
+        version = self.wait_for(common_version, "one history everywhere")
         # What each still has in memory begins where it started: compare the part that all have.
-        kept = [{c[1]: c for c in self.changes(control)} for control in self.controls.values()]
-        shared = set.intersection(*map(set, kept))
-        assert all(kept[0][version] == history[version] for version in shared for history in kept)
+        histories = [{c[1]: c for c in self.changes(control)} for control in self.controls.values()]
+        shared = set.intersection(*map(set, histories))
+        assert all(histories[0][version] == history[version] for version in shared for history in histories)
         return version
 
     def version_of_key(self, key: str) -> int:
--- a/tests/fakes/control_plane.py
+++ b/tests/fakes/control_plane.py
@@ -57,7 +57,7 @@
             row["name"], self.folder, self.file, management, marker_file=self.folder / "once"
         )
 
-    def beside(self) -> list[ControlledBroker]:
+    def other_processes(self) -> list[ControlledBroker]:
         return list(self.brokers.values())
 
     def start(self, fault: str = "") -> str:
@@ -66,9 +66,9 @@
             control.start("--first", str(self.seed_file), fault=fault)
         return self.leader()
 
-    def leader(self, *but: str, timeout_s: float = WAIT) -> str:
+    def leader(self, *excluded: str, timeout_s: float = WAIT) -> str:
         """Wait for a leader, another one than these; its name."""
-        return self.wait_for(lambda: self.find_leader(*but), "a leader", timeout_s)
+        return self.wait_for(lambda: self.find_leader(*excluded), "a leader", timeout_s)
 
     def broker(self, name: str, *arguments, **more) -> ControlledBroker:
         """Start a broker that follows them."""
--- a/tests/fakes/control_processes.py
+++ b/tests/fakes/control_processes.py
@@ -75,13 +75,13 @@
         self.seed_file.write_text(yaml.safe_dump(seed))
         self.controls: dict[str, ControlProcess] = {}
 
-    def beside(self) -> Iterable[ProgramProcess]:
+    def other_processes(self) -> Iterable[ProgramProcess]:
         """The processes of the group that are no control processes."""
         return ()
 
-    def find_leader(self, *but: str) -> str | None:
+    def find_leader(self, *excluded: str) -> str | None:
         """The name of a control process that leads, another one than these; None where none does."""
-        others = (control for name, control in self.controls.items() if name not in but)
+        others = (control for name, control in self.controls.items() if name not in excluded)
         return next((c.name for c in others if c.status().get("role") == LEADER), None)
 
     def wait_for(self, condition: Callable, what: str, timeout_s: float = WAIT):
@@ -92,11 +92,11 @@
 
     def log_text(self) -> str:
         """The ends of all logs."""
-        processes = (*self.controls.values(), *self.beside())
+        processes = (*self.controls.values(), *self.other_processes())
         return "\n".join(f"--- {p.name}\n{p.log_text()[-LOG_TAIL:]}" for p in processes)
 
     def close(self) -> None:
         """End all processes and remove the folder."""
-        for process in (*self.controls.values(), *self.beside()):
+        for process in (*self.controls.values(), *self.other_processes()):
             process.kill()
         self._temporary.cleanup()
--- a/tests/fakes/controlled_broker.py
+++ b/tests/fakes/controlled_broker.py
@@ -15,7 +15,7 @@
 from tests.fakes.program_process import ProgramProcess
 
 WAIT = 20.0  # seconds that a test waits for an event at most
-LOOKUP_PAUSE_S = 0.02
+LOOKUP_INTERVAL_S = 0.02
 COUNTERS_LINE = "counters (asked)"  # how the log begins the counters that SIGUSR1 asks for
 
 
@@ -50,7 +50,7 @@
             options += ["--fleet", str(self.fleet_file)]
         self.start_program(*options, ROUTER_CONFIG=str(self.config_file), ROUTER_ZONE=self.zone)
 
-    def show(self, path: str) -> Any:
+    def fetch(self, path: str) -> Any:
         """What it answers on its management address; None where it doesn't."""
         try:
             return call_management(self.management, "GET", path)[1]
@@ -59,7 +59,7 @@
 
     def status(self) -> dict:
         """What it says of the control plane; empty where it doesn't answer."""
-        return self.show("/control/status") or {}
+        return self.fetch("/control/status") or {}
 
     def counter(self, name: str) -> int:
         """A counter, from the log that SIGUSR1 makes it write."""
@@ -74,9 +74,9 @@
 
     def serves(self, count: int = 5, timeout_s: float = WAIT) -> bool:
         """Whether so many lookups are answered with a result in time."""
-        client = Client([self.port], LOOKUP_PAUSE_S, 0)
-        asking = gevent.spawn(client.run)
+        client = Client([self.port], LOOKUP_INTERVAL_S, 0)
+        lookups = gevent.spawn(client.run)
         try:
             return bool(until(lambda: client.counts["served"] >= count, timeout_s))
         finally:
-            asking.kill()
+            lookups.kill()
--- a/tests/fakes/fake_clickhouse_engine.py
+++ b/tests/fakes/fake_clickhouse_engine.py
@@ -11,7 +11,7 @@
 
     def __init__(self, play=None):
         self.play = play or stream_rows(ROW)
-        self.asked, self.effects, self.closed = [], {}, threading.Event()
+        self.asked, self.inserts_by_token, self.closed = [], {}, threading.Event()
         super().__init__()
 
     def serve(self, conn, file):
@@ -26,7 +26,7 @@
             self.asked.append((params, statement, headers))
             if key := params.get("insert_deduplication_token"):
                 with self.lock:
-                    self.effects.setdefault(key, statement)
+                    self.inserts_by_token.setdefault(key, statement)
             self.play(self, conn.sendall, params, statement)
             if self.play is stall_after_first_rows:
                 file.read(1)  # until the broker closes
--- a/tests/fakes/fake_control.py
+++ b/tests/fakes/fake_control.py
@@ -31,11 +31,11 @@
 
 WAIT = 25.0  # seconds that a lying control process waits for a message at most
 SMALL_BUFFER_BYTES = 4096
-LYING_CLUSTER, EPOCH = "liar-1", 5  # of the control process that lies
+CLUSTER_ID, EPOCH = "liar-1", 5  # of the control process that lies
 
 
 @dataclass(frozen=True, slots=True)
-class TakenUpdate:
+class AppliedUpdate:
     """An update that a subscriber has put in force."""
 
     at: float  # monotonic s
@@ -51,8 +51,8 @@
     def __init__(
         self, name: str, settings: ControlSettings, zone: str = "", fleet_address: str = "", seed: int = 1
     ) -> None:
-        self.taken: list[TakenUpdate] = []
-        self.dials: list[float] = []
+        self.applied_updates: list[AppliedUpdate] = []
+        self.connect_times: list[float] = []
         super().__init__(
             BrokerIdentity(name, 1 + seed, zone, "", fleet_address),
             settings,
@@ -64,11 +64,11 @@
 
     def _keep(self, state, change) -> None:
         server = self.subscriber.selector.server.name
-        update = TakenUpdate(time.monotonic(), server, state.epoch, state.version, change is None)
-        self.taken.append(update)
+        update = AppliedUpdate(time.monotonic(), server, state.epoch, state.version, change is None)
+        self.applied_updates.append(update)
 
     def _connect(self, server) -> None:
-        self.dials.append(time.monotonic())
+        self.connect_times.append(time.monotonic())
         super()._connect(server)
 
     @property
@@ -78,17 +78,17 @@
 
     def server(self) -> str:
         """Whom it follows; empty where nobody."""
-        told = self.status()
-        return told.server if told.phase == "following" else ""
+        status = self.status()
+        return status.server if status.phase == "following" else ""
 
     def has_never_gone_back(self) -> bool:
         """Whether versions and epochs only went on, and the state is what its digest says."""
         return self.state.digest_matches() and all(
-            one.epoch <= other.epoch
-            and one.version < other.version
-            or one.epoch < other.epoch
-            and one.version == other.version
-            for one, other in pairwise(self.taken)
+            earlier.epoch <= later.epoch
+            and earlier.version < later.version
+            or earlier.epoch < later.epoch
+            and earlier.version == later.version
+            for earlier, later in pairwise(self.applied_updates)
         )
 
 
@@ -122,12 +122,12 @@
         self.sock.close()
 
 
-class LyingControlServer:
+class InvalidDigestControlServer:
     """A control process that sends a right snapshot, then a change whose digest is another's, and a right
     snapshot again when asked. `received`: what it was sent."""
 
     def __init__(self) -> None:
-        self.received, self.state = [], FleetState(LYING_CLUSTER)
+        self.received, self.state = [], FleetState(CLUSTER_ID)
         self.state.apply(self._draft("127.0.0.1:7001"))
         self.server = StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
@@ -147,14 +147,14 @@
         frames = FramedConnection(sock, TrafficCounters())
         try:
             self.received.append(frames.receive(WAIT))
-            frames.send(HelloAccepted("c1", 1, LYING_CLUSTER))
+            frames.send(HelloAccepted("c1", 1, CLUSTER_ID))
             frames.send(self._snapshot())
             self.received.append(frames.receive(WAIT))
-            right = self._draft("127.0.0.1:7002")
-            wrong = self._draft("127.0.0.1:7003")
-            self.state.apply(right)
+            change = self._draft("127.0.0.1:7002")
+            other_change = self._draft("127.0.0.1:7003")
+            self.state.apply(change)
             frames.send(
-                Deltas([Change(EPOCH, 2, wrong.ops, right.digest)])
+                Deltas([Change(EPOCH, 2, other_change.ops, change.digest)])
             )  # one's value, the other's digest
             self.received.append(frames.receive(WAIT))
             frames.send(self._snapshot())
--- a/tests/fakes/fake_name_server.py
+++ b/tests/fakes/fake_name_server.py
@@ -13,7 +13,7 @@
 
     def __init__(self):
         self.engines, self.serial, self.is_silent, self.asked = {}, 1, False, 0
-        self.born = 0  # ms: when the engines started
+        self.engines_started_ms = 0  # ms: when the engines started
         self.sends_invalid_answers = False  # send bad answers in front of the good one
         self.instances = {}
         self.directory_clients = []  # the address behind each query for the directory: one a poll
@@ -38,15 +38,15 @@
             self.directory_clients.append(peer)
         if self.is_silent:
             return
-        good = self._answer(query)
+        valid = self._answer(query)
         if self.sends_invalid_answers:
             serial, self.serial = self.serial, 0
-            old = self._answer(dns.message.from_wire(raw))
+            outdated = self._answer(dns.message.from_wire(raw))
             self.serial = serial
-            failure = good[:3] + bytes([good[3] | 2]) + good[4:]
-            for bad in (failure, good[:-9], bytes([good[0] ^ 1]) + good[1:], old):
-                self.sock.sendto(bad, peer)
-        self.sock.sendto(good, peer)
+            server_failure = valid[:3] + bytes([valid[3] | 2]) + valid[4:]
+            for invalid in (server_failure, valid[:-9], bytes([valid[0] ^ 1]) + valid[1:], outdated):
+                self.sock.sendto(invalid, peer)
+        self.sock.sendto(valid, peer)
 
     def polls_ended_after(self, query_count):
         """The number of queries of each poll that began after so many queries, and has ended."""
@@ -74,15 +74,18 @@
                     answer.answer,
                     name,
                     "SRV",
-                    *(f"{rank} 40 {port} {who}.room1.hosts." for who, (port, rank) in self.engines.items()),
+                    *(
+                        f"{priority} 40 {port} {engine_name}.room1.hosts."
+                        for engine_name, (port, priority) in self.engines.items()
+                    ),
                 )
-            for who in self.engines:
-                add(answer.additional, f"{who}.room1.hosts.", "A", "127.0.0.1")
+            for engine_name in self.engines:
+                add(answer.additional, f"{engine_name}.room1.hosts.", "A", "127.0.0.1")
                 add(
                     answer.additional,
-                    f"{who}.room1.hosts.",
+                    f"{engine_name}.room1.hosts.",
                     "TXT",
-                    f'"kind=node-8c" "cell=0" "started={self.born}"',
+                    f'"kind=node-8c" "cell=0" "started={self.engines_started_ms}"',
                 )
             add(answer.authority, "cluster.lan.", "SOA", f"ns. root. {self.serial} 1 1 1 1")
         elif name in self.instances:
--- a/tests/fakes/program_process.py
+++ b/tests/fakes/program_process.py
@@ -11,7 +11,7 @@
 from cypressledge.lab.processes import ROOT, ManagedProcess
 
 EXIT_TIMEOUT_S = 5.0
-OWN_VARIABLES = ("ROUTER_", "CYPRESSLEDGE_")  # beginnings of the program's environment variables
+VARIABLE_PREFIXES = ("ROUTER_", "CYPRESSLEDGE_")  # beginnings of the program's environment variables
 
 
 class ProgramProcess(ManagedProcess):
@@ -30,7 +30,7 @@
         inherited = {
             name: value
             for name, value in os.environ.items()
-            if not name.startswith(OWN_VARIABLES) and name != "PYTHONPATH"
+            if not name.startswith(VARIABLE_PREFIXES) and name != "PYTHONPATH"
         }
         options = ["-O"] if self.optimised else []
         with open(self.log_file, "a", encoding="utf-8") as log:
--- a/tests/fakes/program_with_breakpoints.py
+++ b/tests/fakes/program_with_breakpoints.py
@@ -12,35 +12,35 @@
 import time
 from pathlib import Path
 
-BOUND = 15.0  # seconds that a point holds at most
+MAX_HOLD_S = 15.0  # seconds that a point holds at most
 
 
-def hold(folder: Path, name: str, sleep) -> None:
+def wait_for_release(folder: Path, name: str, sleep) -> None:
     (folder / f"{name}.at").touch()
-    end = time.monotonic() + BOUND
+    end = time.monotonic() + MAX_HOLD_S
     while not (folder / f"{name}.go").exists() and time.monotonic() < end:
         sleep(0.002)
 
 
-def hook(folder: Path, name: str, point: str) -> None:
+def install_hook(folder: Path, name: str, point: str) -> None:
     import gevent
 
-    asleep = point.endswith("!")
+    blocks_process = point.endswith("!")
     path, _, nth = point.rstrip("!").partition("#")
-    module, _, inner = path.partition(":")
+    module, _, qualified_name = path.partition(":")
     owner = importlib.import_module(module)
-    *outer, last = inner.split(".")
+    *outer, function_name = qualified_name.split(".")
     for part in outer:
         owner = getattr(owner, part)
-    real, calls = getattr(owner, last), [0]
+    original, calls = getattr(owner, function_name), [0]
 
-    def held(*args, **more):
+    def call_with_hook(*args, **more):
         calls[0] += 1
         if calls[0] == int(nth or 1):
-            hold(folder, name, time.sleep if asleep else gevent.sleep)
-        return real(*args, **more)
+            wait_for_release(folder, name, time.sleep if blocks_process else gevent.sleep)
+        return original(*args, **more)
 
-    setattr(owner, last, held)
+    setattr(owner, function_name, call_with_hook)
 
 
 def main() -> int:
@@ -49,7 +49,7 @@
     from cypressledge import __main__ as program
 
     for name, point in points.items():
-        hook(folder, name, point)
+        install_hook(folder, name, point)
     return program.main()
 
 
--- a/tests/fakes/replica_random_walk.py
+++ b/tests/fakes/replica_random_walk.py
@@ -8,7 +8,7 @@
 NO_FAULT = ""
 
 
-class Lease:
+class ExclusiveLease:
     """The lease as it should be: one holder at a time, for two seconds, counted from before it asked."""
 
     def __init__(self, world):
@@ -26,7 +26,7 @@
     def lose_disk(self, name):
         """One at a time, and none before all have something: more is more than the method bears."""
         world = self.world
-        if all(d.kept.base and d.kept.commit and not d.kept.joining for d in world.disks.values()):
+        if all(d.stored.base and d.stored.commit and not d.stored.joining for d in world.disks.values()):
             end_connections(world, name)
             world.lose_disk(name)
 
@@ -41,26 +41,26 @@
 
     def __init__(self, names, kind, losses):
         self.world, self.losses = World(names, kind, quarantine=QUARANTINE), losses
-        self.lease = Lease(self.world)
+        self.lease = ExclusiveLease(self.world)
         self.token = self.proposals = 0
 
     def step(self, number):
         """One thing happens: the low bits say what, the others to whom and how much."""
-        what, amount = number % 64, number // 64
+        action, amount = number % 64, number // 64
         name = self.world.names[amount % len(self.world.names)]
-        if what < 46:
-            self._traffic(what, amount, name)
-        elif what < 54:
-            self._time_and_leases(what, amount, name)
+        if action < 46:
+            self._traffic(action, amount, name)
+        elif action < 54:
+            self._time_and_leases(action, amount, name)
         else:
-            self._failures(what, amount, name)
+            self._failures(action, amount, name)
 
-    def _traffic(self, what, amount, name):
+    def _traffic(self, action, amount, name):
         world = self.world
-        if what < 30:  # mostly in order
+        if action < 30:  # mostly in order
             for _ in range(min(amount // 16 % 6, len(world.network))):
                 world.deliver(min(amount // 8 % 4, len(world.network) - 1) if amount % 4 == 0 else 0)
-        elif what < 36:
+        elif action < 36:
             world.run(world.names if amount % 2 else name + world.names[amount // 2 % len(world.names)])
         else:
             self._propose(amount, name)
@@ -73,37 +73,37 @@
         request = f"r{self.proposals if amount % 4 else max(self.proposals - 2, 0)}"
         world.propose(leaders[amount % len(leaders)] if leaders else name, request)
 
-    def _time_and_leases(self, what, amount, name):
+    def _time_and_leases(self, action, amount, name):
         world = self.world
-        if what < 50:
+        if action < 50:
             world.now += 900_000 if self.losses else 300_000
             for other in list(world.running):
                 world.call(other, lambda other=other: world.running[other].tick(world.now))
         elif self.losses:
             self.lease.acquire(name)
             self.token = self.lease.token
-        elif what < 53:
+        elif action < 53:
             self.token += amount % 4 > 0  # sometimes one that another has or had
             world.lease(name, self.token, world.now + (amount % 7 + 1) * SECOND)
         else:
             world.lease(name, None)
 
-    def _failures(self, what, amount, name):
+    def _failures(self, action, amount, name):
         world = self.world
-        if what < 56 and world.network:
+        if action < 56 and world.network:
             world.network.pop(amount % len(world.network))
-        elif what < 58 and world.network:
+        elif action < 58 and world.network:
             world.deliver(amount % len(world.network), keep=True)
-        elif what == 58:
+        elif action == 58:
             world.crash(name)
-        elif what < 62 and name not in world.running:
+        elif action < 62 and name not in world.running:
             world.start(name)
-        elif what == 62:
+        elif action == 62:
             fault = ("before", "after", "full")[amount // 4 % 3]
-            world.disks[name].plan = [NO_FAULT] * (amount % 4) + [fault]
-        elif self.losses and what == 63 and amount % 2:
+            world.disks[name].planned_faults = [NO_FAULT] * (amount % 4) + [fault]
+        elif self.losses and action == 63 and amount % 2:
             self.lease.lose_disk(name)
-        elif what == 63:
+        elif action == 63:
             end_connections(world, name)
 
 
--- a/tests/fakes/replica_world.py
+++ b/tests/fakes/replica_world.py
@@ -28,33 +28,33 @@
     """
 
     def __init__(self):
-        self.kept, self.plan, self.max_changes = StoredLog(), [], 12
+        self.stored, self.planned_faults, self.max_changes = StoredLog(), [], 12
 
     @property
     def needs_compaction(self):
-        return len(self.kept.changes) > self.max_changes
+        return len(self.stored.changes) > self.max_changes
 
     def load(self):
-        return replace(self.kept, changes=list(self.kept.changes))
+        return replace(self.stored, changes=list(self.stored.changes))
 
     def _step(self, **fields):
-        plan = self.plan.pop(0) if self.plan else ""
-        if plan == "full":
+        fault = self.planned_faults.pop(0) if self.planned_faults else ""
+        if fault == "full":
             raise StorageError("full")
-        if plan == "before":
+        if fault == "before":
             raise SimulatedCrashError
-        self.kept = replace(self.kept, **fields)
-        if plan == "after":
+        self.stored = replace(self.stored, **fields)
+        if fault == "after":
             raise SimulatedCrashError
 
     def promise(self, epoch, instance_id):
         self._step(promised=(epoch, instance_id))
 
     def append(self, changes):
-        self._step(changes=self.kept.changes + changes)
+        self._step(changes=self.stored.changes + changes)
 
     def truncate(self, after_version):
-        self._step(changes=[c for c in self.kept.changes if c.version <= after_version])
+        self._step(changes=[c for c in self.stored.changes if c.version <= after_version])
 
     def commit(self, version):
         self._step(commit=version)
@@ -63,7 +63,7 @@
         self._step(base=snapshot, changes=[], commit=snapshot.version)
 
     def compact(self, snapshot):
-        self._step(base=snapshot, changes=[c for c in self.kept.changes if c.version > snapshot.version])
+        self._step(base=snapshot, changes=[c for c in self.stored.changes if c.version > snapshot.version])
 
     def joined(self):
         self._step(joining=False)
@@ -84,8 +84,8 @@
         self.now, self.instances = SECOND, 0
         self.disks = {n: MemoryDisk() for n in names}
         self.running, self.network, self.events = {}, [], []
-        self.truth, self.requests = {}, {}  # version -> (epoch, digest, request); request -> version
-        self.open, self.acknowledged = [], {}
+        self.known_versions, self.requests = {}, {}  # version -> (epoch, digest, request); request -> version
+        self.open_proposals, self.acknowledged = [], {}
         for name in names:
             self.start(name)
 
@@ -123,37 +123,37 @@
 
     def crash(self, name):
         self.running.pop(name, None)
-        self.disks[name].plan = []
+        self.disks[name].planned_faults = []
 
     def lose_disk(self, name):
         self.crash(name)
         self.disks[name] = MemoryDisk()
-        self.disks[name].kept = StoredLog(joining=True)
+        self.disks[name].stored = StoredLog(joining=True)
         self.start(name)
 
     def committed(self, changes, snapshot):
         if snapshot is not None:
-            self.check_same(snapshot.version, (snapshot.epoch, snapshot.digest, None))
+            self.check_version(snapshot.version, (snapshot.epoch, snapshot.digest, None))
         for change in changes or ():
-            self.check_same(change.version, (change.epoch, change.digest, change.request_id))
+            self.check_version(change.version, (change.epoch, change.digest, change.request_id))
 
-    def check_same(self, version, found):
-        known = self.truth.get(version)
+    def check_version(self, version, found):
+        known = self.known_versions.get(version)
         if known and (known[:2] != found[:2] or None not in (known[2], found[2]) and known[2] != found[2]):
             raise SafetyViolationError(f"version {version} is {known} and {found}")
         if not known or known[2] is None:
-            self.truth[version] = found
+            self.known_versions[version] = found
         if found[2] and self.requests.setdefault(found[2], version) != version:
             raise SafetyViolationError(f"{found[2]} is in force twice")
 
     def check_acknowledgements(self):
         """Tickets that became done."""
-        for name, request, ticket in self.open:
+        for name, request, ticket in self.open_proposals:
             if ticket.state == "done":
                 self.acknowledged[request] = ticket.version
                 if name in self.running and self.now >= self.running[name].lease_until:
                     raise SafetyViolationError(f"{name} acknowledged {request} without the lease")
-        self.open = [o for o in self.open if o[2].state == "open"]
+        self.open_proposals = [o for o in self.open_proposals if o[2].state == "open"]
 
     def lease(self, name, token, until=1 << 60):
         if name in self.running:
@@ -164,9 +164,9 @@
         def attempt():
             replica = self.running[name]
             base = replica.latest_state.version if replica.log.has_history else 0
-            placed = engine(request) if ops is None else ops
-            ticket = replica.propose(self.now, placed, base, request, "someone", "a test", 0)
-            self.open.append((name, request, ticket))
+            proposed_ops = engine(request) if ops is None else ops
+            ticket = replica.propose(self.now, proposed_ops, base, request, "someone", "a test", 0)
+            self.open_proposals.append((name, request, ticket))
             return ticket
 
         try:
@@ -179,28 +179,28 @@
         if to in self.running:
             self.call(to, lambda: self.running[to].receive(self.now, sender, message))
 
-    def run(self, among, drop=lambda m: False):
+    def run(self, connected, drop=lambda m: False):
         """Deliver all between these, in order, until there is no more; the rest is lost."""
         while self.network:
             sender, to, message = self.network[0]
-            if sender in among and to in among and not drop(message):
+            if sender in connected and to in connected and not drop(message):
                 self.deliver(0)
             else:
                 self.network.pop(0)
 
-    def pass_time(self, microseconds, among, drop=lambda m: False):
+    def pass_time(self, microseconds, connected, drop=lambda m: False):
         for _ in range(max(1, microseconds // 500_000)):
             self.now += min(microseconds, 500_000)
             for name in list(self.running):
-                if name in among:
+                if name in connected:
                     self.call(name, lambda name=name: self.running[name].tick(self.now))
-            self.run(among, drop)
+            self.run(connected, drop)
 
     def settle(self, token):
         """All run and hear each other: one history, with all that was acknowledged, and it goes on."""
         self.network.clear()
         for name in self.names:
-            self.disks[name].plan = []
+            self.disks[name].planned_faults = []
             if name not in self.running:
                 self.start(name)
             self.lease(name, None)
@@ -212,14 +212,14 @@
             if self.running[name].role == "primary":
                 break
             self.lease(name, None)
-        done = self.propose(name, "last")
+        ticket = self.propose(name, "last")
         self.pass_time(10 * SECOND, self.names)
-        self.check_one_history(done)
+        self.check_one_history(ticket)
 
-    def check_one_history(self, done):
+    def check_one_history(self, ticket):
         """All hold the same, with the change `done` and all that was acknowledged."""
         states = [replica.log.committed_state for replica in self.running.values()]
-        if not done or done.state != "done" or len({(s.epoch, s.version, s.digest) for s in states}) != 1:
+        if not ticket or ticket.state != "done" or len({(s.epoch, s.version, s.digest) for s in states}) != 1:
             raise SafetyViolationError(
                 f"no one history: {[r.status(self.now) for r in self.running.values()]}"
             )
--- a/tests/fakes/support.py
+++ b/tests/fakes/support.py
@@ -10,12 +10,12 @@
 WAIT = 15.0  # seconds that a test waits for an event at most
 
 
-def wait_until(holds, what="an event"):
+def wait_until(condition, what="an event"):
     """Wait, within bounds, until something holds; return it."""
     end = time.monotonic() + WAIT
     while time.monotonic() < end:
-        if got := holds():
-            return got
+        if result := condition():
+            return result
         time.sleep(0.01)
     raise AssertionError(f"waited in vain for {what}")
 
@@ -37,8 +37,8 @@
     """One HTTP call on a connection of its own: the status and the body."""
     with socket.create_connection(("127.0.0.1", port), timeout=timeout) as sock:
         sock.sendall(head.encode() + b"\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-        got = b""
+        response = b""
         while chunk := sock.recv(65536):
-            got += chunk
-    top, _, rest = got.partition(b"\r\n\r\n")
-    return int(top.split()[1]), rest
+            response += chunk
+    response_head, _, content = response.partition(b"\r\n\r\n")
+    return int(response_head.split()[1]), content
--- a/tests/net/clickhouse/test_clickhouse_loads.py
+++ b/tests/net/clickhouse/test_clickhouse_loads.py
@@ -31,7 +31,7 @@
         received = [params for engine in engines for params, *_ in engine.asked]
         assert {params["insert_deduplication_token"] for params in received} == {token}
         assert {params["query_id"] for params in received} == {"load-0", "load-1"}
-        assert len(set().union(*(engine.effects for engine in engines))) == 1
+        assert len(set().union(*(engine.inserts_by_token for engine in engines))) == 1
 
     def test_a_load_whose_client_disconnects_is_killed_by_its_id(self):
         engine = self.engine(stall_after_first_rows, kind=FakeClickHouseEngine)
--- a/tests/race_conditions/test_attempt_isolation.py
+++ b/tests/race_conditions/test_attempt_isolation.py
@@ -61,7 +61,7 @@
                 answer_at_once(engine, say, name, fields, statement)
 
         engine.play = answer_on_new_connections
-        broker.dns.born = 1_700_000_000_000
+        broker.dns.engines_started_ms = 1_700_000_000_000
         broker.publish_list(2)
         client.ask()
         assert "result" in client.get()
--- a/tests/race_conditions/test_graceful_shutdown.py
+++ b/tests/race_conditions/test_graceful_shutdown.py
@@ -202,7 +202,7 @@
         broker = self.broker(
             engine,
             env=METRICS_OFTEN | {"ROUTER_SOCKET_FD": str(listening.fileno())},
-            keep=(listening.fileno(),),
+            inherited_fds=(listening.fileno(),),
             port=listening.getsockname()[1],
         )
         client = self.client(broker)
--- a/tests/race_conditions/test_resource_exhaustion.py
+++ b/tests/race_conditions/test_resource_exhaustion.py
@@ -29,7 +29,7 @@
 
     def test_idle_clients_leave_descriptors_for_the_directory_and_new_engines(self):
         engine, new = self.engine(name="s-1"), self.engine(name="s-2")
-        broker = self.broker(engine, descriptors=64, env=METRICS_OFTEN)  # its file says 1024
+        broker = self.broker(engine, max_open_fds=64, env=METRICS_OFTEN)  # its file says 1024
         broker.dns.is_silent = True  # discovery is down, and no engine has a connection yet
         idle = []
         for _ in range(80):
--- a/tests/recordings/test_control_replica_recording.py
+++ b/tests/recordings/test_control_replica_recording.py
@@ -61,7 +61,7 @@
     digest = blake2b(digest_size=8)
     world = walk(numbers, names, recording_replica(digest), losses)
     assert isinstance(world, World)
-    digest.update(f"{sorted(world.truth.items())} {sorted(world.acknowledged.items())}".encode())
+    digest.update(f"{sorted(world.known_versions.items())} {sorted(world.acknowledged.items())}".encode())
     return digest.hexdigest()
 
 
