--- a/tests/fakes/broker_process.py
+++ b/tests/fakes/broker_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process, and a test case that starts what a test needs and ends it."""
+"""A broker as a process, and a test case that starts and stops brokers, engines and clients."""
 
 import json
 import os
@@ -24,20 +24,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessOptions:
-    """How a broker process is started."""
+    """Options of a broker process."""
 
-    change: dict | None = None  # of the configuration, by its keys
-    optimise: bool = True  # without the interpreter's assertions, as in production
-    service: Callable[["BrokerProcess"], str] | None = None  # gives the service file's text
-    env: dict[str, str] | None = None
-    inherited_fds: tuple[int, ...] = ()  # descriptors that it inherits
-    port: int | None = None
-    hooks: dict[str, str] | None = None  # see program_with_breakpoints.py
-    max_open_fds: int | None = None  # how many it may have open
+    change: dict | None = None  # top-level configuration keys to replace
+    optimise: bool = True  # run with -O, without assertions, as in production
+    service: Callable[["BrokerProcess"], str] | None = None  # returns the text of the service file
+    env: dict[str, str] | None = None  # environment variables to add
+    inherited_fds: tuple[int, ...] = ()  # file descriptors that the process inherits
+    port: int | None = None  # port to listen on; a free one by default
+    hooks: dict[str, str] | None = None  # name -> point to stop at; see program_with_breakpoints.py
+    max_open_fds: int | None = None  # limit of open file descriptors (RLIMIT_NOFILE)
 
 
 def engine_member(engine) -> dict:
-    """An engine as the directory lists it."""
+    """Return the entry of an engine in the engine list."""
     return {
         "id": engine.name,
         "host_port": f"127.0.0.1:{engine.port}",
@@ -51,7 +51,10 @@
 
 
 class BrokerProcess:
-    """The real program as a process; `options`: see `ProcessOptions`."""
+    """The program as a process, with a fake name server and its files in a temporary folder.
+
+    `options` are the fields of `ProcessOptions`.
+    """
 
     def __init__(self, engines=(), **options):
         self.options = ProcessOptions(**options)
@@ -71,7 +74,7 @@
             env=self._environment(),
             pass_fds=self.options.inherited_fds,
         )
-        if limit := self.options.max_open_fds:  # before it has read how many there are
+        if limit := self.options.max_open_fds:  # set at once, before the program reads the limit
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (limit, limit))
 
     def _configuration(self, engines) -> dict:
@@ -108,7 +111,10 @@
         return environment | (self.options.env or {})
 
     def healthy(self):
-        """Whether it serves."""
+        """Return whether the broker accepts connections and reports itself as healthy.
+
+        Raises `AssertionError` if its process has ended or the connection fails before the answer.
+        """
         if self.process.poll() is not None:
             raise AssertionError(self.log_text())
         try:
@@ -119,59 +125,68 @@
         try:
             answer = client.get()
         except OSError as err:
-            raise AssertionError(f"no answer of a broker that starts: {err}\n{self.log_text()}") from err
+            raise AssertionError(
+                f"no answer to `status` from the broker on port {self.port}: {err}\n{self.log_text()}"
+            ) from err
         client.close()
         return answer["result"]["healthy"]
 
     def wait_until_ready(self):
-        """Wait until it serves."""
+        """Wait until the broker is healthy, and return it."""
         wait_until(self.healthy, "a healthy broker")
         return self
 
     def wait_for_hook(self, name):
-        """Wait until the program stands at a hook."""
-        wait_until((Path(self.dir.name) / f"{name}.at").exists, f"the point {name}")
+        """Wait until the program has stopped at a hook."""
+        wait_until((Path(self.dir.name) / f"{name}.at").exists, f"the program to reach the hook {name}")
 
     def release_hook(self, name):
-        """Let it on."""
+        """Let the program continue from a hook."""
         (Path(self.dir.name) / f"{name}.go").touch()
 
     def wait_for_log(self, text):
-        """Wait until the log says so."""
-        wait_until(lambda: text in self.log_text(), text)
+        """Wait until the log contains a text."""
+        wait_until(lambda: text in self.log_text(), f"{text!r} in the log")
 
     def wait_for_counter(self, name, min_count=1):
-        """Wait until the program has counted so many of a name (start it with ROUTER_FIGURES_S)."""
+        """Wait until a counter has reached `min_count`.
+
+        The broker must run with ROUTER_FIGURES_S, which makes it log its counters periodically.
+        """
         wait_until(lambda: self.count(name) >= min_count, f"{name}={min_count}")
 
     def count(self, name):
-        """What it has counted of a name, as its log tells."""
+        """Return the value of a counter from the newest log line with counters; 0 if it is missing."""
         lines = [line for line in self.log_text().splitlines() if "counters (" in line]
         counters = dict(pair.split("=") for pair in lines[-1].split(": ", 1)[1].split()) if lines else {}
         return int(counters.get(name, 0))
 
     def publish_list(self, serial):
-        """Give the directory's list a number, and wait until the broker has it."""
+        """Set the serial number of the directory's list, and wait until the broker has read the list."""
         self.dns.serial = serial
         self.wait_for_list()
 
     def publish_outdated_list(self, serial):
-        """Give the directory's list a lower number, and wait until a poll has met it."""
+        """Set a lower serial number for the directory's list, and wait until a poll has received it."""
         self.dns.serial = serial
         query_count = len(self.dns.directory_clients)
-        wait_until(lambda: self.dns.polls_ended_after(query_count), "a poll that meets the outdated list")
+        wait_until(lambda: self.dns.polls_ended_after(query_count), "a poll that receives the outdated list")
 
     def wait_for_list(self):
-        """Wait until the broker has the directory's list as it is now.
+        """Wait until the broker has read the current engine list of the directory.
 
-        A poll that took one query has accepted its answer: without a good one it repeats the query.
-        Guards against slow machines, where two queries may belong to one poll that has no answer yet.
+        A poll without a valid answer repeats its query, so a poll of one query has accepted its answer.
+        Counting queries alone is not enough: on a slow machine, two queries may belong to one poll that has
+        no answer yet.
         """
         query_count = len(self.dns.directory_clients)
         wait_until(lambda: 1 in self.dns.polls_ended_after(query_count), "the new list")
 
     def reload(self, text=None, **change):
-        """Replace the configuration file, send SIGHUP, and wait for what the broker says of it."""
+        """Replace the configuration file, send SIGHUP, wait for the result in the log and return its lines.
+
+        The file contains `text`, or the present configuration with the keys in `change` replaced.
+        """
         reload_count = self.log_text().count("reload:")
         self.config |= change
         self.path.write_text(json.dumps(self.config) if text is None else text)
@@ -180,9 +195,11 @@
         return self.log_text().splitlines()
 
     def log_text(self):
+        """Return the log so far."""
         return Path(self.log.name).read_text()
 
     def close(self):
+        """Kill the process, stop the name server and remove the folder."""
         if self.process.poll() is None:
             self.process.kill()
             self.process.wait()
@@ -192,19 +209,22 @@
 
 
 class BrokerTestCase(unittest.TestCase):
-    """Starts what a test needs and ends it."""
+    """A test case that starts engines, brokers and clients, and stops them when a test ends."""
 
     def engine(self, *args, kind=FakeLineEngine, **more):
+        """Start a fake engine of the class `kind`."""
         engine = kind(*args, **more)
         self.addCleanup(engine.close)
         return engine
 
     def broker(self, *engines, **more):
+        """Start a broker, and wait until it is healthy if it has engines."""
         broker = BrokerProcess(engines, **more)
         self.addCleanup(broker.close)
         return broker.wait_until_ready() if engines else broker
 
     def client(self, broker):
+        """Connect a client to a broker."""
         client = JsonRpcClient(broker.port)
         self.addCleanup(client.close)
         return client
--- a/tests/fakes/command_line.py
+++ b/tests/fakes/command_line.py
@@ -1,4 +1,4 @@
-"""Runs commands of the program, while the test's own greenlets go on."""
+"""Commands of the program, run as processes while the greenlets of the test continue."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 
 def run(*args, timeout_s=60):
-    """A command of the program: its exit code, output and errors."""
+    """Run a command of the program, and return its exit code, standard output and standard error."""
     done = subprocess.run(
         [sys.executable, "-m", "cypressledge", *args],
         cwd=ROOT,
--- a/tests/fakes/control_cluster.py
+++ b/tests/fakes/control_cluster.py
@@ -1,4 +1,4 @@
-"""Three control processes that are called over HTTP, with proxies between them where a test cuts them off."""
+"""Three control processes that are called over HTTP, optionally with proxies that can be cut."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -15,19 +15,19 @@
 from tests.fakes.fake_control import SimulatedSubscriber
 from tests.fakes.tcp_proxies import TcpProxies
 
-LEASE_TERM = 1.0  # s
+LEASE_TERM = 1.0  # s; term of the leader's lease
 NAMES = ("c1", "c2", "c3")
 SEED = {"engines": {"e0": {"address": "127.0.0.1:7000"}}}
-FAILED_EXIT_CODES = (1, 3)
+FAILED_EXIT_CODES = (1, 3)  # of a control process that has failed
 
 
 def engine(number: int) -> dict:
-    """An engine at an address of its own."""
+    """Return the entry of an engine whose address is unique to its number."""
     return {"address": f"127.0.{number // 250}.{number % 250 + 1}:7001"}
 
 
 class CommittedPosition(NamedTuple):
-    """What a control process has committed."""
+    """The position up to which a control process has committed, and the cluster it belongs to."""
 
     version: int
     digest: str
@@ -35,7 +35,11 @@
 
 
 class ControlCluster(ControlProcessGroup):
-    """Three control processes that run. `proxied`: with proxies between them; `more`: for their settings."""
+    """Three running control processes.
+
+    `proxied` puts TCP and UDP proxies between them; `more` holds further keys of their settings; `fault` is
+    passed to each process (see `cypressledge.controlplane.faults`).
+    """
 
     def __init__(self, proxied: bool = False, fault: str = "", more: dict | None = None) -> None:
         super().__init__(SEED)
@@ -55,7 +59,10 @@
         return ControlProcess(name, self.folder, self.folder / f"{name}.yaml", free_port(), optimised=True)
 
     def settings(self, reader: str = "") -> dict:
-        """The settings file of one of them, or of everybody else."""
+        """Return the settings for one control process, or for brokers and subscribers (no `reader`).
+
+        Only the settings of a control process contain the addresses of proxies.
+        """
         rows = [
             {
                 "name": name,
@@ -85,11 +92,14 @@
         return self.brokers
 
     def others(self, *names: str) -> list[ControlProcess]:
-        """All but these."""
+        """Return all control processes except the named ones."""
         return [control for name, control in self.controls.items() if name not in names]
 
     def wait_for(self, condition: Callable, what: str, timeout_s: float = WAIT):
-        """Wait, within bounds, until a condition holds; what it gave. No process may fail meanwhile."""
+        """Wait at most `timeout_s` until the condition is true, and return its value.
+
+        Raises `AssertionError` if a control process fails in the meantime.
+        """
 
         def checked():
             failed = [c.name for c in self.controls.values() if c.process.poll() in FAILED_EXIT_CODES]
@@ -98,14 +108,12 @@
 
         return super().wait_for(checked, what, timeout_s)
 
-    # What operators do
-
     def leader(self, *excluded: str) -> ControlProcess:
-        """Wait for a leader, another one than these."""
+        """Wait for a leader that is not among the excluded ones, and return it."""
         return self.controls[self.wait_for(lambda: self.find_leader(*excluded), "a leader")]
 
     def wait_for_settled_leader(self) -> ControlProcess:
-        """The leader, once both others hold all that it has."""
+        """Wait until both other control processes have the leader's newest version, and return the leader."""
 
         def holds_everything():
             status = self.leader().status()
@@ -113,16 +121,16 @@
                 return None
             return status["name"]
 
-        return self[self.wait_for(holds_everything, "voters that hold everything")]
+        return self[self.wait_for(holds_everything, "voters that have the leader's newest version")]
 
     def post_change(self, control: ControlProcess, sets: dict, request: str = "", **more) -> tuple[int, dict]:
-        """One change, asked for once, at one of them."""
+        """Send a change to a control process once, without retries; return the status and the answer."""
         return control.call(
             "change", "POST", {"request": request, "who": "test", "ops": {"set": sets}} | more
         )
 
     def change(self, sets: dict, request: str, **more) -> dict:
-        """A change, repeated until it is done; what was answered."""
+        """Request a change at all control processes in turn until it is done, and return the answer."""
 
         def done():
             for control in self.controls.values():
@@ -134,24 +142,25 @@
 
         return self.wait_for(done, f"the change {request}")
 
-    # What they hold
-
     def changes(self, control: ControlProcess) -> list[tuple]:
-        """The history that one of them keeps."""
+        """Return the history of a control process as tuples (epoch, version, request, *keys)."""
         return [
             (c["epoch"], c["version"], c["request"], *c["set"], *c["removed"])
             for c in control.call("history?from=0")[1].get("changes", ())
         ]
 
     def position(self, control: ControlProcess) -> CommittedPosition:
-        """What one of them has committed."""
+        """Return the committed position of a control process."""
         status = control.status()
         return CommittedPosition(
             status.get("version", -1), status.get("digest", ""), status.get("lineage", "")
         )
 
     def wait_for_one_history(self, min_version: int = 1) -> int:
-        """Wait until all hold the same one, up to a version at least; its last version."""
+        """Wait until all control processes have committed the same version, and return it.
+
+        The version is at least `min_version`. Also checks that their histories are equal.
+        """
 
         def common_version():
             positions = {self.position(control) for control in self.controls.values()}
@@ -159,14 +168,14 @@
             return version if len(positions) == 1 and version >= min_version else None
 
         version = self.wait_for(common_version, "one history everywhere")
-        # What each still has in memory begins where it started: compare the part that all have.
+        # The history in memory begins at the version at which a process started: compare the common part.
         histories = [{c[1]: c for c in self.changes(control)} for control in self.controls.values()]
         shared = set.intersection(*map(set, histories))
         assert all(histories[0][version] == history[version] for version in shared for history in histories)
         return version
 
     def version_of_key(self, key: str) -> int:
-        """The version that set a key, the same everywhere; -1 where it is not set."""
+        """Return the version that set a key, which must be the same everywhere; -1 if it is not set."""
         versions = {
             control.call(f"state?prefix={key}")[1]["entries"].get(key, {}).get("version", -1)
             for control in self.controls.values()
@@ -175,16 +184,14 @@
         return versions.pop()
 
     def times_in_history(self, request: str) -> int:
-        """How often a request stands in the history, at whoever keeps the most of it."""
+        """Return how often a request occurs in a history: the maximum over the control processes."""
         return max(
             sum(change[2] == request for change in self.changes(control))
             for control in self.controls.values()
         )
 
-    # What is beside them
-
     def follow(self, name: str, zone: str = "", only: tuple[str, ...] = NAMES, **more) -> SimulatedSubscriber:
-        """A subscriber in this process."""
+        """Start a subscriber in this process, which connects to the control processes in `only`."""
         settings = self.settings()
         settings["servers"] = [row for row in settings["servers"] if row["name"] in only]
         self.subscribers.append(
@@ -193,25 +200,25 @@
         return self.subscribers[-1]
 
     def control_file(self) -> Path:
-        """A file with the settings for brokers."""
+        """Write the settings for brokers to a file, and return its path."""
         file = self.folder / "brokers-control.yaml"
         file.write_text(yaml.safe_dump(self.settings()))
         return file
 
     def cut(self, name: str) -> None:
-        """Nothing passes between one of them and the others any more."""
+        """Cut all connections and datagrams between one control process and the others."""
         for pair in self.udp_proxies.paths:
             if name in pair:
                 self.udp_proxies.paths[pair].cut = True
                 self.tcp_proxies.cut.add(pair)
 
     def heal(self) -> None:
-        """Everything passes."""
+        """Remove all cuts."""
         self.udp_proxies.heal()
         self.tcp_proxies.heal()
 
     def close(self) -> None:
-        """End all processes, subscribers and proxies."""
+        """Stop all subscribers, proxies and processes."""
         for subscriber in self.subscribers:
             subscriber.stop()
         if self.tcp_proxies is not None:
--- a/tests/fakes/control_plane.py
+++ b/tests/fakes/control_plane.py
@@ -1,4 +1,4 @@
-"""Control processes with one settings file, and brokers that follow them, operated through commands."""
+"""Control processes that share one settings file, and their brokers, operated through commands."""
 
 import json
 import socket
@@ -11,17 +11,20 @@
 from tests.fakes.control_processes import ControlProcess, ControlProcessGroup
 from tests.fakes.controlled_broker import ControlledBroker
 
-LEASE_TERM = 1.2  # s
-WAIT = 20.0  # seconds that a test waits for an event at most
+LEASE_TERM = 1.2  # s; term of the leader's lease
+WAIT = 20.0  # s; longest wait of a test for an event
 
 
 def local_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
-    """An address of the loopback that is free now."""
+    """Return a loopback address with a port that is free at the moment."""
     return f"127.0.0.1:{free_port(kind)}"
 
 
 class ControlPlane(ControlProcessGroup):
-    """So many control processes, of which `voters` vote; not started yet. `more`: for their settings."""
+    """A number of control processes, of which the first `voters` vote; `start` starts them.
+
+    `more` holds further keys of their settings.
+    """
 
     def __init__(self, count: int = 3, voters: int = 3, seed: dict | None = None, **more) -> None:
         super().__init__(seed or {"config": SETTINGS})
@@ -61,27 +64,30 @@
         return list(self.brokers.values())
 
     def start(self, fault: str = "") -> str:
-        """Start all of them; whoever comes to the fault first has it. The leader's name."""
+        """Start all control processes, and return the leader's name.
+
+        The fault happens only in the process that reaches it first.
+        """
         for control in self.controls.values():
             control.start("--first", str(self.seed_file), fault=fault)
         return self.leader()
 
     def leader(self, *excluded: str, timeout_s: float = WAIT) -> str:
-        """Wait for a leader, another one than these; its name."""
+        """Wait for a leader that is not among the excluded ones, and return its name."""
         return self.wait_for(lambda: self.find_leader(*excluded), "a leader", timeout_s)
 
     def broker(self, name: str, *arguments, **more) -> ControlledBroker:
-        """Start a broker that follows them."""
+        """Start a broker that subscribes to the control processes."""
         self.brokers[name] = ControlledBroker(name, self.folder, self.file, *arguments, **more)
         self.brokers[name].start()
         return self.brokers[name]
 
     def at_options(self) -> list[str]:
-        """The options of a command that name all control processes."""
+        """Return an option `--at` for each control process, for commands of `control`."""
         return [word for row in self.servers.values() for word in ("--at", row["management"])]
 
     def change(self, content: dict, *options: str) -> tuple[int, str]:
-        """`control change` of plain data; (exit code, output and errors)."""
+        """Run `control change` with the content as a file; return its exit code and all its output."""
         self._change_count += 1
         file = self.folder / f"change-{self._change_count}.yaml"
         file.write_text(yaml.safe_dump(content))
@@ -89,10 +95,10 @@
         return code, out + err
 
     def records(self, event: str) -> list[dict]:
-        """What the control processes have recorded of an event."""
+        """Return the entries of the record file about an event."""
         lines = self.record_file.read_text().splitlines() if self.record_file.exists() else []
         return [record for record in map(json.loads, lines) if record["event"] == event]
 
     def broker_has_version(self, broker: ControlledBroker, version: int) -> bool:
-        """Whether a broker has a version in force in time."""
+        """Wait until a broker has applied a version, and return whether it did in time."""
         return bool(until(lambda: broker.status().get("version", 0) >= version, WAIT, 0.05))
--- a/tests/fakes/control_processes.py
+++ b/tests/fakes/control_processes.py
@@ -1,4 +1,4 @@
-"""Control processes that tests start on the loopback, and groups of them with their files in one folder."""
+"""Control processes on the loopback interface, and groups of them that share a temporary folder."""
 
 import json
 import sqlite3
@@ -14,13 +14,16 @@
 from cypressledge.lab.processes import until
 from tests.fakes.program_process import ProgramProcess
 
-WAIT = 25.0  # seconds that a test waits for an event at most
-LEADER = "primary"  # a leader's role, as operators see it
-LOG_TAIL = 2_500  # characters of each log in a failed test's message
+WAIT = 25.0  # s; longest wait of a test for an event
+LEADER = "primary"  # role of the leader in its status
+LOG_TAIL = 2_500  # characters; end of each log that the message of a failed wait contains
 
 
 class ControlProcess(ProgramProcess):
-    """One control process. `marker_file`: of those processes that share it, one is struck by a fault."""
+    """One control process.
+
+    Among the processes that share a `marker_file`, a fault happens in only one.
+    """
 
     def __init__(
         self,
@@ -36,7 +39,7 @@
         self.store = folder / f"store-{name}"
 
     def start(self, *options: str, fault: str = "") -> None:
-        """Start it; `fault`: what happens to it (see `cypressledge.controlplane.faults`)."""
+        """Start the process; `fault` names a fault to inject (see `cypressledge.controlplane.faults`)."""
         environment = {FAULT_VARIABLE: fault} if fault else {}
         if fault and self.marker_file:
             environment[ONCE_VARIABLE] = str(self.marker_file)
@@ -44,7 +47,7 @@
         self.start_program(*command, "--store", str(self.store), *options, **environment)
 
     def call(self, path: str, method: str = "GET", body: object = None) -> tuple[int, dict]:
-        """What it answers on /control/…; (0, {}) where it doesn't."""
+        """Call /control/… and return the status and the body; (0, {}) if there is no answer."""
         if not self.running() or self.is_halted():
             return 0, {}
         raw = b"" if body is None else json.dumps(body).encode()
@@ -54,11 +57,11 @@
             return 0, {}
 
     def status(self) -> dict:
-        """Its status; empty where it doesn't answer."""
+        """Return the status that the process reports; empty if it doesn't answer."""
         return self.call("status")[1]
 
     def last_stored_position(self) -> tuple[int, int]:
-        """(epoch, version) of the newest change on its disk, while it doesn't run."""
+        """Return (epoch, version) of the newest change on disk; the process must not be running."""
         with sqlite3.connect(self.store / "history.sqlite") as db:
             body = db.execute("SELECT body FROM changes ORDER BY version DESC LIMIT 1").fetchone()[0]
         db.close()
@@ -66,7 +69,7 @@
 
 
 class ControlProcessGroup:
-    """Control processes by their names, and other processes beside them, in a temporary folder."""
+    """Control processes by name and further processes, with their files in a temporary folder."""
 
     def __init__(self, seed: dict) -> None:
         self._temporary = tempfile.TemporaryDirectory(prefix="cypressledge-control-")
@@ -76,27 +79,27 @@
         self.controls: dict[str, ControlProcess] = {}
 
     def other_processes(self) -> Iterable[ProgramProcess]:
-        """The processes of the group that are no control processes."""
+        """Return the processes of the group that are not control processes."""
         return ()
 
     def find_leader(self, *excluded: str) -> str | None:
-        """The name of a control process that leads, another one than these; None where none does."""
+        """Return the name of a leader that is not among the excluded ones; None if there is none."""
         others = (control for name, control in self.controls.items() if name not in excluded)
         return next((c.name for c in others if c.status().get("role") == LEADER), None)
 
     def wait_for(self, condition: Callable, what: str, timeout_s: float = WAIT):
-        """Wait, within bounds, until a condition holds; what it gave."""
+        """Wait at most `timeout_s` until the condition is true, and return its value."""
         found = until(condition, timeout_s)
-        assert found is not None, f"waited in vain for {what}\n" + self.log_text()
+        assert found is not None, f"timed out after {timeout_s} s waiting for {what}\n" + self.log_text()
         return found
 
     def log_text(self) -> str:
-        """The ends of all logs."""
+        """Return the ends of the logs of all processes."""
         processes = (*self.controls.values(), *self.other_processes())
         return "\n".join(f"--- {p.name}\n{p.log_text()[-LOG_TAIL:]}" for p in processes)
 
     def close(self) -> None:
-        """End all processes and remove the folder."""
+        """Kill all processes and remove the folder."""
         for process in (*self.controls.values(), *self.other_processes()):
             process.kill()
         self._temporary.cleanup()
--- a/tests/fakes/controlled_broker.py
+++ b/tests/fakes/controlled_broker.py
@@ -1,4 +1,4 @@
-"""A real broker as a process that follows control processes, with the fleet's part or without."""
+"""A broker process that subscribes to control processes, optionally as a member of a fleet."""
 
 import json
 import signal
@@ -14,16 +14,20 @@
 from cypressledge.lab.site import config, free_port
 from tests.fakes.program_process import ProgramProcess
 
-WAIT = 20.0  # seconds that a test waits for an event at most
-LOOKUP_INTERVAL_S = 0.02
-COUNTERS_LINE = "counters (asked)"  # how the log begins the counters that SIGUSR1 asks for
+WAIT = 20.0  # s; longest wait of a test for an event
+LOOKUP_INTERVAL_S = 0.02  # s; pause between two lookups of the client
+COUNTERS_LINE = "counters (asked)"  # prefix of the log line that SIGUSR1 requests
 
 
 class ControlledBroker(ProgramProcess):
-    """A broker. `control_file`: the settings of whom it follows; `fleet`: the content of its fleet file;
-    `members`: engines of its own file; `settings`: of its own file, in place of the laboratory's."""
+    """A broker process that subscribes to control processes.
 
-    zone = ""
+    `control_file` holds the settings of the control processes, `fleet` the content of its fleet file (None:
+    no fleet). `members` and `settings` are the engines and the settings of its own configuration file;
+    without `settings`, the file has those of `cypressledge.lab.site`.
+    """
+
+    zone = ""  # value of ROUTER_ZONE
 
     def __init__(
         self,
@@ -43,7 +47,7 @@
         )
 
     def start(self) -> None:
-        """Start it; its log goes on in the same file."""
+        """Start the broker; a restart appends to the same log file."""
         options = ["--control", str(self.control_file)]
         if self.fleet is not None:
             self.fleet_file.write_text(yaml.safe_dump(self.fleet))
@@ -51,18 +55,18 @@
         self.start_program(*options, ROUTER_CONFIG=str(self.config_file), ROUTER_ZONE=self.zone)
 
     def fetch(self, path: str) -> Any:
-        """What it answers on its management address; None where it doesn't."""
+        """Return the answer to a GET request at the management address; None if there is none."""
         try:
             return call_management(self.management, "GET", path)[1]
         except (OSError, ValueError, IndexError):
             return None
 
     def status(self) -> dict:
-        """What it says of the control plane; empty where it doesn't answer."""
+        """Return the broker's status of the control plane; empty if it doesn't answer."""
         return self.fetch("/control/status") or {}
 
     def counter(self, name: str) -> int:
-        """A counter, from the log that SIGUSR1 makes it write."""
+        """Return the value of a counter, which SIGUSR1 makes the broker log; 0 if it is missing."""
 
         def lines() -> list[str]:
             return [x for x in self.log_text().splitlines(True) if x.startswith(COUNTERS_LINE)]
@@ -73,7 +77,7 @@
         return int(dict(pair.split("=", 1) for pair in lines()[-1].split() if "=" in pair).get(name, 0))
 
     def serves(self, count: int = 5, timeout_s: float = WAIT) -> bool:
-        """Whether so many lookups are answered with a result in time."""
+        """Return whether `count` lookups succeed within `timeout_s`."""
         client = Client([self.port], LOOKUP_INTERVAL_S, 0)
         lookups = gevent.spawn(client.run)
         try:
--- a/tests/fakes/fake_clickhouse_engine.py
+++ b/tests/fakes/fake_clickhouse_engine.py
@@ -1,4 +1,7 @@
-"""Engines that answer as a test says, on the ClickHouse HTTP interface. From its public documentation."""
+"""Fake engines with the ClickHouse HTTP interface, whose answers a test defines.
+
+They follow the public documentation of the interface.
+"""
 
 import threading
 from urllib.parse import parse_qs, urlsplit
@@ -7,7 +10,12 @@
 
 
 class FakeClickHouseEngine(FakeServer):
-    """An engine on the ClickHouse HTTP interface. `play(engine, send, params, statement)` answers."""
+    """An engine with the ClickHouse HTTP interface.
+
+    `play(engine, send, params, statement)` answers each request. `asked` holds the requests as (params,
+    statement, headers), `inserts_by_token` the first statement for each deduplication token; `closed` is set
+    once the broker has closed a connection whose answer stalled.
+    """
 
     def __init__(self, play=None):
         self.play = play or stream_rows(ROW)
@@ -29,13 +37,13 @@
                     self.inserts_by_token.setdefault(key, statement)
             self.play(self, conn.sendall, params, statement)
             if self.play is stall_after_first_rows:
-                file.read(1)  # until the broker closes
+                file.read(1)  # returns once the broker closes the connection
                 self.closed.set()
                 return
 
 
 def stream_rows(*parts):
-    """An answer in chunks."""
+    """Return a response function that sends the parts as HTTP chunks."""
 
     def play(engine, send, params, statement):
         send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -45,6 +53,8 @@
 
 
 def answer_exception(status, code, text):
+    """Return a response function that sends an exception with an HTTP status and a ClickHouse code."""
+
     def play(engine, send, params, statement):
         send(
             b"HTTP/1.1 %d X\r\nX-ClickHouse-Exception-Code: %d\r\nContent-Length: %d\r\n\r\n%s"
@@ -55,11 +65,11 @@
 
 
 def stall_after_first_rows(engine, send, params, statement):
-    """The first rows, and then nothing."""
+    """Send the first rows, and then nothing more."""
     send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(ROW), ROW))
 
 
 def break_after_first_rows(engine, send, params, statement):
-    """The first rows, and then the connection ends."""
+    """Send the first rows, and then close the connection."""
     stall_after_first_rows(engine, send, params, statement)
     raise ConnectionResetError
--- a/tests/fakes/fake_control.py
+++ b/tests/fakes/fake_control.py
@@ -1,5 +1,8 @@
-"""Fakes that speak the control plane's messages in the test's own process: a broker's end without a broker, a
-connection that sends what a test wants, and a control process that lies."""
+"""Fakes of the control plane's protocol that run in the process of the test.
+
+A subscriber without a broker, a connection whose messages the test sends, and a control server that sends an
+invalid digest.
+"""
 
 import time
 from dataclasses import dataclass
@@ -29,16 +32,16 @@
 from cypressledge.controlplane.subscriber_client import SubscriberClient, SubscriberOptions
 from cypressledge.controlplane.traffic_counters import TrafficCounters
 
-WAIT = 25.0  # seconds that a lying control process waits for a message at most
-SMALL_BUFFER_BYTES = 4096
-CLUSTER_ID, EPOCH = "liar-1", 5  # of the control process that lies
+WAIT = 25.0  # s; longest wait of `InvalidDigestControlServer` for a message
+SMALL_BUFFER_BYTES = 4096  # receive buffer of a connection that fills up soon
+CLUSTER_ID, EPOCH = "liar-1", 5  # of the state of `InvalidDigestControlServer`
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedUpdate:
-    """An update that a subscriber has put in force."""
+    """An update that a subscriber has applied."""
 
-    at: float  # monotonic s
+    at: float  # s, monotonic clock
     server: str
     epoch: int
     version: int
@@ -46,7 +49,7 @@
 
 
 class SimulatedSubscriber(SubscriberClient):
-    """A broker's end without a broker; it keeps what it has taken."""
+    """A subscriber without a broker, which records the updates that it applies and when it connects."""
 
     def __init__(
         self, name: str, settings: ControlSettings, zone: str = "", fleet_address: str = "", seed: int = 1
@@ -73,16 +76,19 @@
 
     @property
     def version(self) -> int:
-        """The version that is in force."""
+        """The version of the applied state."""
         return self.state.version
 
     def server(self) -> str:
-        """Whom it follows; empty where nobody."""
+        """Return the name of the control process that it follows; empty if there is none."""
         status = self.status()
         return status.server if status.phase == "following" else ""
 
     def has_never_gone_back(self) -> bool:
-        """Whether versions and epochs only went on, and the state is what its digest says."""
+        """Return whether each update increased the version or the epoch, and the state matches its digest.
+
+        Neither may decrease in any update.
+        """
         return self.state.digest_matches() and all(
             earlier.epoch <= later.epoch
             and earlier.version < later.version
@@ -93,7 +99,7 @@
 
 
 class RawConnection:
-    """A socket to a control process, that sends and reads what the test wants."""
+    """A socket that is connected to a control process, on which the test sends and reads raw bytes."""
 
     def __init__(self, port: int, small_buffer: bool = False) -> None:
         self.sock = socket.socket()
@@ -104,12 +110,12 @@
         self.began, self.ended = time.monotonic(), 0.0
 
     def hello(self, name: str, **more) -> "RawConnection":
-        """Send Hello as a broker."""
+        """Send Hello as a broker, and return the connection."""
         self.sock.sendall(encode(Hello(FORMAT, "broker", name, 7, **more)))
         return self
 
     def read_slowly(self, max_bytes: int = 1, pause_s: float = 1.0) -> None:
-        """Read so many bytes each so many seconds until it ends."""
+        """Read up to `max_bytes` every `pause_s` seconds until the connection ends."""
         try:
             while self.sock.recv(max_bytes):
                 gevent.sleep(pause_s)
@@ -123,8 +129,12 @@
 
 
 class InvalidDigestControlServer:
-    """A control process that sends a right snapshot, then a change whose digest is another's, and a right
-    snapshot again when asked. `received`: what it was sent."""
+    """A control server that sends a change whose digest does not match.
+
+    It sends a valid snapshot, a change with the digest of another change, and a second valid snapshot. It
+    sends the second snapshot when the subscriber requests it. `received` holds the first four messages of the
+    subscriber.
+    """
 
     def __init__(self) -> None:
         self.received, self.state = [], FleetState(CLUSTER_ID)
@@ -134,7 +144,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, HOST:PORT."""
+        """The address on which the server listens, HOST:PORT."""
         return f"127.0.0.1:{self.server.server_port}"
 
     def _draft(self, address: str) -> Change:
@@ -155,7 +165,7 @@
             self.state.apply(change)
             frames.send(
                 Deltas([Change(EPOCH, 2, other_change.ops, change.digest)])
-            )  # one's value, the other's digest
+            )  # the value of one change with the digest of the other
             self.received.append(frames.receive(WAIT))
             frames.send(self._snapshot())
             self.received.append(frames.receive(WAIT))
--- a/tests/fakes/fake_engines.py
+++ b/tests/fakes/fake_engines.py
@@ -1,4 +1,7 @@
-"""Engines that answer as a test says, on the line protocol. From the public specifications."""
+"""Fake engines with the line protocol, whose answers a test defines.
+
+They follow the public specifications of the protocol.
+"""
 
 import socket
 import threading
@@ -9,7 +12,10 @@
 
 
 class FakeServer:
-    """A listener whose connections are each served by a thread."""
+    """A TCP server that serves each connection in a thread, with the method `serve` of its subclass.
+
+    `open` holds all accepted connections; `lock` protects what the threads share.
+    """
 
     def __init__(self):
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -36,16 +42,19 @@
             close_connection(conn)
 
     def close(self):
-        """The process dies: nothing listens, connections end."""
+        """Close the listener and all connections, as when the process of an engine is killed."""
         close_connection(self.sock)
         for conn in self.open:
             close_connection(conn)
 
 
 class FakeLineEngine(FakeServer):
-    """An engine on the line protocol. `play(engine, say, id, fields, statement)` answers a `want`; `wants`
-    are the queries as (connection, id, fields, statement), `commands_received` all other commands with
-    theirs."""
+    """An engine with the line protocol.
+
+    `play(engine, say, id, fields, statement)` answers each command `want`, which carries a query; `say` sends
+    a message. `wants` holds the queries as (connection, id, fields, statement), `commands_received` all other
+    commands as (connection, words).
+    """
 
     def __init__(self, play=None, name="s-1"):
         self.play, self.name = play or answer_at_once, name
@@ -70,30 +79,30 @@
             self.play(self, say, words[1], fields, statement)
 
     def commands(self, word):
-        """The commands of this word, each as its words."""
+        """Return the received commands that begin with a word, each split into its words."""
         return [w for _, w in self.commands_received if w[0] == word]
 
 
 def page_rows(n):
-    """The rows of a further page."""
+    """Return the rows of the page at position `n`."""
     return b"%d\tpage\t\xc3\xa9\n" % n
 
 
 def answer_at_once(engine, say, name, fields, statement):
-    """Answers with one row."""
+    """Answer with one row."""
     say(name, "200", "count=1", ROW)
 
 
 def answer_on_release(engine, say, name, fields, statement):
-    """Answers with one row once the test sets `engine.released`."""
+    """Answer with one row once the test sets `engine.released`."""
     wait_until(lambda: engine.released, "the release")
     answer_at_once(engine, say, name, fields, statement)
 
 
 def never_answer(engine, say, name, fields, statement):
-    """Takes the query and never answers."""
+    """Accept the query without ever answering."""
 
 
 def answer_with(word):
-    """Answers with a status word alone, as `503`."""
+    """Return a response function that sends only a status word, such as `503`."""
     return lambda engine, say, name, fields, statement: say(name, word)
--- a/tests/fakes/fake_name_server.py
+++ b/tests/fakes/fake_name_server.py
@@ -1,4 +1,4 @@
-"""A name server for the directory and for DNS-SD, whose lists a test sets."""
+"""A fake name server for the engine directory and for DNS-SD, whose lists a test sets."""
 
 import itertools
 import socket
@@ -9,14 +9,18 @@
 
 
 class FakeNameServer:
-    """Answers SRV queries for the directory and PTR/SRV/TXT/A queries for DNS-SD."""
+    """A UDP server that answers SRV queries for the engine directory and PTR/SRV/TXT/A queries for DNS-SD.
+
+    `engines` maps names to (port, SRV priority), `instances` the names of DNS-SD instances to (port, state).
+    `asked` counts all queries; with `is_silent` none is answered.
+    """
 
     def __init__(self):
         self.engines, self.serial, self.is_silent, self.asked = {}, 1, False, 0
-        self.engines_started_ms = 0  # ms: when the engines started
-        self.sends_invalid_answers = False  # send bad answers in front of the good one
+        self.engines_started_ms = 0  # ms since 1970; start time in the TXT records of the engines
+        self.sends_invalid_answers = False  # send invalid answers before the valid one
         self.instances = {}
-        self.directory_clients = []  # the address behind each query for the directory: one a poll
+        self.directory_clients = []  # client address of each directory query; each poll has its own
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.port = self.sock.getsockname()[1]
@@ -49,15 +53,18 @@
         self.sock.sendto(valid, peer)
 
     def polls_ended_after(self, query_count):
-        """The number of queries of each poll that began after so many queries, and has ended."""
+        """Return the number of queries of each ended poll that began after the first `query_count` queries.
+
+        Only directory queries count. The last poll is left out, since it may still be running.
+        """
         clients = list(self.directory_clients)
         polls = [list(queries) for _, queries in itertools.groupby(clients[query_count:])]
         if query_count and polls and polls[0][0] == clients[query_count - 1]:
-            del polls[0]  # it began before
-        return [len(queries) for queries in polls[:-1]]  # the last one may go on
+            del polls[0]  # this poll began earlier
+        return [len(queries) for queries in polls[:-1]]  # the last one may still be running
 
     def answer_last_query(self):
-        """Answer the last query now, as things stand."""
+        """Answer the last query (again) from the present lists."""
         raw, peer = self.last
         self.sock.sendto(self._answer(dns.message.from_wire(raw)), peer)
 
@@ -103,5 +110,5 @@
 
 
 def _is_directory_query(query):
-    """Whether it asks for the directory's list, not for DNS-SD."""
+    """Return whether a query is for the engine directory and not for DNS-SD."""
     return query.question[0].name.to_text().startswith("_app.")
--- a/tests/fakes/json_rpc_client.py
+++ b/tests/fakes/json_rpc_client.py
@@ -1,4 +1,4 @@
-"""A JSON-RPC client of the broker."""
+"""A JSON-RPC client for the broker's client interface."""
 
 import base64
 import json
@@ -8,8 +8,12 @@
 
 
 class JsonRpcClient:
-    """One connection. `raw` and `send` write any message, `ask` a query; `get` reads an answer, None at the
-    end."""
+    """A client with one connection.
+
+    `raw` sends bytes as the body of a message, with a valid header unless `head` is given; `send` sends any
+    request and `ask` a query, and both return its JSON-RPC id; `get` returns the next message, None when the
+    connection has ended.
+    """
 
     def __init__(self, port):
         self.sock = socket.create_connection(("127.0.0.1", port), WAIT)
@@ -58,5 +62,5 @@
 
 
 def result_rows(answer):
-    """The rows of a result."""
+    """Return the decoded rows of a result."""
     return base64.b64decode(answer["result"]["content"])
--- a/tests/fakes/program_with_breakpoints.py
+++ b/tests/fakes/program_with_breakpoints.py
@@ -1,9 +1,11 @@
-"""The real program with hooks: at a point in question it stops until the test says go, so that what comes
-"between two lines" comes there every time. Run in place of `-m cypressledge`.
+"""The program with hooks at which it stops until the test releases it. Run in place of `-m cypressledge`.
 
-HOOKS names the points, `module:Class.function[#n][!]` (n: only its n-th call; without: the first), HOOKS_DIR
-the folder of their files: NAME.at appears when the point is reached, NAME.go lets it on. With `!` the whole
-process stands still there, else the greenlet alone.
+A test uses a hook to make an event happen between two statements in every run.
+
+HOOKS lists the hooks as NAME=POINT, separated by spaces. A point is `module:Class.function[#n][!]`: the n-th
+call of the function (the first by default). HOOKS_DIR is the folder of their files: the program creates
+NAME.at when it reaches the point, and continues once the test creates NAME.go. With `!`, the whole process
+blocks; without, only the greenlet does.
 """
 
 import importlib
@@ -12,10 +14,11 @@
 import time
 from pathlib import Path
 
-MAX_HOLD_S = 15.0  # seconds that a point holds at most
+MAX_HOLD_S = 15.0  # s; after this time the program continues without a release
 
 
 def wait_for_release(folder: Path, name: str, sleep) -> None:
+    """Report that the point is reached, and wait until the test releases it or the time is over."""
     (folder / f"{name}.at").touch()
     end = time.monotonic() + MAX_HOLD_S
     while not (folder / f"{name}.go").exists() and time.monotonic() < end:
@@ -23,6 +26,7 @@
 
 
 def install_hook(folder: Path, name: str, point: str) -> None:
+    """Replace the function at a point by one that waits for the release in the call in question."""
     import gevent
 
     blocks_process = point.endswith("!")
--- a/tests/fakes/replica_random_walk.py
+++ b/tests/fakes/replica_random_walk.py
@@ -1,20 +1,21 @@
-"""Random walks through a world of replicas: each number is one thing that happens."""
+"""Random sequences of events in a simulated cluster of replicas; a number encodes each event."""
 
 from cypressledge.controlplane.replica import Replica
 from tests.fakes.replica_world import SECOND, World
 
-QUARANTINE = 3 * SECOND  # of a voter that starts without a disk
-LEASE_TERM = 2 * SECOND
-NO_FAULT = ""
+QUARANTINE = 3 * SECOND  # µs; of a voter that starts with an empty disk
+LEASE_TERM = 2 * SECOND  # µs
+NO_FAULT = ""  # a disk step that succeeds
 
 
 class ExclusiveLease:
-    """The lease as it should be: one holder at a time, for two seconds, counted from before it asked."""
+    """A correct lease: one holder at a time, for `LEASE_TERM` from the time of its request."""
 
     def __init__(self, world):
         self.world, self.holder, self.token, self.until = world, "", 0, 0
 
     def acquire(self, name):
+        """Grant or renew the lease for a running replica, unless another replica holds it."""
         world = self.world
         if name not in world.running or self.holder != name and world.now < self.until:
             return
@@ -24,7 +25,11 @@
         world.lease(name, self.token, self.until)
 
     def lose_disk(self, name):
-        """One at a time, and none before all have something: more is more than the method bears."""
+        """Lose the disk of a replica, unless a disk is still empty or its replica is joining.
+
+        The replication protocol tolerates only one lost disk at a time, and none before all replicas have a
+        snapshot and a committed version.
+        """
         world = self.world
         if all(d.stored.base and d.stored.commit and not d.stored.joining for d in world.disks.values()):
             end_connections(world, name)
@@ -32,12 +37,16 @@
 
 
 def end_connections(world, name):
-    """All that is on its way from or to a replica is lost."""
+    """Drop all messages in transit from or to a replica."""
     world.network[:] = [message for message in world.network if name not in message[:2]]
 
 
 class RandomWalk:
-    """What a number does to a world; with `losses` disks are lost too, and the lease is as it should be."""
+    """A random walk, which applies one event to a world for each number.
+
+    With `losses`, disks are lost too and the lease is an `ExclusiveLease`; without, replicas receive leases
+    whose terms may overlap.
+    """
 
     def __init__(self, names, kind, losses):
         self.world, self.losses = World(names, kind, quarantine=QUARANTINE), losses
@@ -45,7 +54,7 @@
         self.token = self.proposals = 0
 
     def step(self, number):
-        """One thing happens: the low bits say what, the others to whom and how much."""
+        """Apply one event: the low six bits select the kind, the others the replica and the parameters."""
         action, amount = number % 64, number // 64
         name = self.world.names[amount % len(self.world.names)]
         if action < 46:
@@ -56,8 +65,9 @@
             self._failures(action, amount, name)
 
     def _traffic(self, action, amount, name):
+        """Deliver messages, or propose a change."""
         world = self.world
-        if action < 30:  # mostly in order
+        if action < 30:  # deliver messages, mostly in order
             for _ in range(min(amount // 16 % 6, len(world.network))):
                 world.deliver(min(amount // 8 % 4, len(world.network) - 1) if amount % 4 == 0 else 0)
         elif action < 36:
@@ -66,14 +76,16 @@
             self._propose(amount, name)
 
     def _propose(self, amount, name):
+        """Propose a change to a leader, or to `name` if there is none."""
         world = self.world
         self.proposals += 1
         leaders = [voter for voter, replica in world.running.items() if replica.role == "primary"]
-        # Some are repeated.
+        # Some requests are repeated.
         request = f"r{self.proposals if amount % 4 else max(self.proposals - 2, 0)}"
         world.propose(leaders[amount % len(leaders)] if leaders else name, request)
 
     def _time_and_leases(self, action, amount, name):
+        """Advance the time, or grant or withdraw a lease."""
         world = self.world
         if action < 50:
             world.now += 900_000 if self.losses else 300_000
@@ -83,12 +95,13 @@
             self.lease.acquire(name)
             self.token = self.lease.token
         elif action < 53:
-            self.token += amount % 4 > 0  # sometimes one that another has or had
+            self.token += amount % 4 > 0  # sometimes the token of another holder
             world.lease(name, self.token, world.now + (amount % 7 + 1) * SECOND)
         else:
             world.lease(name, None)
 
     def _failures(self, action, amount, name):
+        """Lose or repeat messages, crash or start a replica, or inject a disk fault or a disk loss."""
         world = self.world
         if action < 56 and world.network:
             world.network.pop(amount % len(world.network))
@@ -108,7 +121,7 @@
 
 
 def walk(numbers, names, kind=Replica, losses=False):
-    """Each number is one thing that happens; then all is well again and one history must be there."""
+    """Apply the event of each number, repair all faults, check for one history, and return the world."""
     random_walk = RandomWalk(names, kind, losses)
     for number in numbers:
         random_walk.step(number)
--- a/tests/fakes/service_file.py
+++ b/tests/fakes/service_file.py
@@ -1,5 +1,7 @@
-"""The service file of a broker with the ClickHouse front, the administration API, one tenant and engines by
-DNS-SD, and the keys that it names."""
+"""The service file of a broker, and the keys and tokens that it refers to.
+
+The broker has the ClickHouse HTTP interface, the administration API, one tenant, and engines found by DNS-SD.
+"""
 
 import hashlib
 from collections.abc import Callable
@@ -7,11 +9,14 @@
 TENANT, KEY = "sales", "key-of-the-sales-office"
 TOKEN = "token-of-the-administrators"
 DNS_SD_TYPE = "_clickhouse-http._tcp.cluster.lan."
-ENVIRONMENT = {"ADMIN": TOKEN, "ENGINE": "secret"}  # what the file's `..._env` keys name
+ENVIRONMENT = {"ADMIN": TOKEN, "ENGINE": "secret"}  # variables named by the `..._env` keys of the file
 
 
 def service_file(clickhouse_port: int, admin_port: int) -> Callable[..., str]:
-    """The file's text, as `BrokerProcess` takes it (`service`), with the two ports that it listens on."""
+    """Return the option `service` of `BrokerProcess`: a function that returns the file's text for a broker.
+
+    The file contains the two ports on which the broker listens.
+    """
 
     def text(broker) -> str:
         return f"""
--- a/tests/fakes/support.py
+++ b/tests/fakes/support.py
@@ -1,4 +1,4 @@
-"""What tests share: bounded waits, closing and resetting sockets, one HTTP call."""
+"""Shared helpers of tests: waits with a time limit, closing and resetting sockets, HTTP calls."""
 
 import contextlib
 import socket
@@ -7,34 +7,34 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-WAIT = 15.0  # seconds that a test waits for an event at most
+WAIT = 15.0  # s; longest wait of a test for an event
 
 
 def wait_until(condition, what="an event"):
-    """Wait, within bounds, until something holds; return it."""
+    """Wait at most `WAIT` seconds until the condition is true, and return its value."""
     end = time.monotonic() + WAIT
     while time.monotonic() < end:
         if result := condition():
             return result
         time.sleep(0.01)
-    raise AssertionError(f"waited in vain for {what}")
+    raise AssertionError(f"timed out after {WAIT} s waiting for {what}")
 
 
 def close_connection(sock):
-    """Close both sides, whatever the peer does."""
+    """Shut down both directions of a connection and close it, whether or not the peer is still connected."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
 
 
 def reset_connection(sock):
-    """Close so that the peer meets a reset."""
+    """Close a connection with a TCP reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def http_call(port, head, body=b"", timeout=WAIT):
-    """One HTTP call on a connection of its own: the status and the body."""
+    """Send one HTTP request on a new connection, and return the status and the body of the response."""
     with socket.create_connection(("127.0.0.1", port), timeout=timeout) as sock:
         sock.sendall(head.encode() + b"\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         response = b""
--- a/tests/fakes/tcp_proxies.py
+++ b/tests/fakes/tcp_proxies.py
@@ -1,4 +1,4 @@
-"""TCP proxies between processes, whose directions can be cut. Loopback sockets only."""
+"""TCP proxies between processes on the loopback interface, each direction of which can be cut."""
 
 import contextlib
 from itertools import permutations
@@ -7,13 +7,16 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-CHUNK_BYTES = 65_536  # read at once
-CONNECT_TIMEOUT_S = 2.0  # to the target
+CHUNK_BYTES = 65_536  # largest read
+CONNECT_TIMEOUT_S = 2.0  # s; limit for the connection to the target
 
 
 class TcpProxies:
-    """A TCP proxy for each ordered pair. A cut one swallows what comes, as a cut line does; healed, it ends
-    what was open, so that nothing comes late (`cypressledge.lab.tcp_proxy` holds it back instead)."""
+    """A TCP proxy for each ordered pair of processes.
+
+    The proxy drops the data of a cut direction. `heal` closes all open connections, so that no data arrives
+    late (`cypressledge.lab.tcp_proxy` holds the data back instead).
+    """
 
     def __init__(self, ports: dict[str, int]) -> None:
         self.cut: set[tuple[str, str]] = set()
@@ -27,7 +30,7 @@
             self.servers[pair] = server
 
     def address(self, source: str, to: str) -> str:
-        """Where `source` has to connect for `to`."""
+        """Return the address at which `source` reaches `to` through the proxy."""
         return f"127.0.0.1:{self.servers[source, to].server_port}"
 
     def _connect(self, pair: tuple[str, str], port: int, sock: socket.socket) -> None:
@@ -52,7 +55,7 @@
             shut_down(sock)
 
     def heal(self) -> None:
-        """Forward everything again, on new connections."""
+        """Remove all cuts and close the open connections; new ones are forwarded again."""
         self.cut.clear()
         for sock in self.open:
             shut_down(sock)
@@ -66,6 +69,6 @@
 
 
 def shut_down(sock: socket.socket) -> None:
-    """End a connection, which may have ended."""
+    """Shut down a connection, which may already be closed."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
