--- a/tests/controlplane/test_broker_addresses.py
+++ b/tests/controlplane/test_broker_addresses.py
@@ -48,12 +48,12 @@
     cluster.wait_for(lambda: address("n2") == f"127.0.0.1:{ports['new']}", "the new address")
 
     def n2_receives_from_n1():
-        rows = brokers["n2"].show("/fleet/peers") or []
+        rows = brokers["n2"].fetch("/fleet/peers") or []
         return any(r["name"] == "n1" and r["state"] == "alive" and r["heard_s"] is not None for r in rows)
 
     # n2 receives messages of n1 only if n1 sends them to the new address of n2.
     cluster.wait_for(n2_receives_from_n1, f"n2 receives from n1\n{brokers['n1'].log_text()[-2000:]}")
-    assert brokers["n1"].show("/control/status")["version"] == cluster.wait_for_one_history()
+    assert brokers["n1"].fetch("/control/status")["version"] == cluster.wait_for_one_history()
 
 
 def test_peers_reach_a_broker_at_a_new_address_without_file_changes(plane):
@@ -76,7 +76,7 @@
         return all(f'"{address}"' in output for address in addresses.values())
 
     def sees(viewer, seen):
-        peers = {p["name"]: p["state"] for p in plane.brokers[viewer].show("/fleet/peers") or ()}
+        peers = {p["name"]: p["state"] for p in plane.brokers[viewer].fetch("/fleet/peers") or ()}
         return peers.get(seen) == "alive"
 
     assert until(registered, WAIT), plane.log_text()
--- a/tests/controlplane/test_replica_random_worlds.py
+++ b/tests/controlplane/test_replica_random_worlds.py
@@ -24,10 +24,10 @@
     def play(raw):
         world = walk(struct.unpack(f">{len(raw) // 2}H", raw[: len(raw) // 2 * 2]), names, losses=losses)
         totals["worlds"] += 1
-        totals["versions"] += len(world.truth)
+        totals["versions"] += len(world.known_versions)
         totals["joined"] += sum(event == "joined" for _, event in world.events)
         totals["acknowledged"] += len(world.acknowledged) - 1  # except the last one, made without faults
-        totals["epochs"] += len({epoch for epoch, *_ in world.truth.values()})
+        totals["epochs"] += len({epoch for epoch, *_ in world.known_versions.values()})
 
     play()
     print(totals)
