--- a/cypressledge/lab/lease_faults/lease_run.py
+++ b/cypressledge/lab/lease_faults/lease_run.py
@@ -95,7 +95,7 @@
         self.proxies = UdpProxies(self.ports, self.seed)
         self.in_act: dict[str, str] = {}  # by broker: a lease it is in the middle of an act under
         self.pending_takeovers: dict[str, _PendingTakeover] = {}  # by lease
-        self.is_calm = True  # no path is disturbed
+        self.are_paths_undisturbed = True  # no path is disturbed
         self.handlers: dict[str, Callable[[], None]] = {
             "kill": self._kill_holder,
             "stop in an act": self._stop_in_act,
@@ -129,7 +129,7 @@
         self.verdict = check(self.resource.writes, beliefs, over)
         return self.verdict
 
-    def insufficiency(self) -> str:
+    def inconclusive_reason(self) -> str:
         """Return why the run means nothing; empty where it does mean something."""
         if self.verdict.acts < 2 * self.options.seconds:
             return f"only {self.verdict.acts} acts"
@@ -203,7 +203,7 @@
         else:
             self.in_act.pop(write.holder, None)
         pending = self.pending_takeovers.get(write.lease)
-        if pending is not None and pending.former_holder != write.holder and self.is_calm:
+        if pending is not None and pending.former_holder != write.holder and self.are_paths_undisturbed:
             pending.times.append((write.at - pending.since) / 1e6)
             del self.pending_takeovers[write.lease]
 
@@ -301,7 +301,7 @@
         self._cut(lambda source, to: name in (source, to) and (source in voters or to in voters))
 
     def _cut(self, is_cut: Callable[[str, str], bool]) -> None:
-        self.is_calm = False
+        self.are_paths_undisturbed = False
         for pair in self.proxies.paths:
             if is_cut(*pair):
                 self.proxies.paths[pair] = LinkConditions(cut=True)
@@ -309,7 +309,7 @@
         self._heal()
 
     def _degrade_paths(self) -> None:
-        self.is_calm = False
+        self.are_paths_undisturbed = False
         for pair in self.proxies.paths:
             if self.random.random() < 0.6:
                 self.proxies.paths[pair] = LinkConditions(
@@ -323,4 +323,4 @@
     def _heal(self) -> None:
         self.proxies.heal()
         self.pending_takeovers.clear()
-        self.is_calm = True
+        self.are_paths_undisturbed = True
--- a/cypressledge/lab/lease_faults/run.py
+++ b/cypressledge/lab/lease_faults/run.py
@@ -7,7 +7,7 @@
 from cypressledge.lab.summary_statistics import quantile
 
 EXIT_BROKEN = 1
-EXIT_MEANINGLESS = 3
+EXIT_INCONCLUSIVE = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,14 +36,14 @@
 def run(options: LeaseFaultsOptions, echo: Callable[[str], None]) -> int:
     """Play the runs; return the exit code. 1: something happened that must not. 3: a run meant nothing."""
     runs: list[LeaseRun] = []
-    meaningless = 0
+    inconclusive = 0
     for seed in range(options.seed, options.seed + options.runs):
         lease_run = LeaseRun(seed, options.run_options(seed))
         lease_run.play()
         runs.append(lease_run)
         _print_run(lease_run, echo)
-        if why := lease_run.insufficiency():
-            meaningless += 1
+        if why := lease_run.inconclusive_reason():
+            inconclusive += 1
             echo(f"  this run means nothing: {why}")
     takeovers = [seconds for lease_run in runs for seconds in lease_run.takeovers]
     handovers = [seconds for lease_run in runs for seconds in lease_run.handovers]
@@ -52,7 +52,7 @@
     echo(_summary(runs))
     if any(lease_run.verdict.broken for lease_run in runs):
         return EXIT_BROKEN
-    return EXIT_MEANINGLESS if meaningless else 0
+    return EXIT_INCONCLUSIVE if inconclusive else 0
 
 
 def _print_run(lease_run: LeaseRun, echo: Callable[[str], None]) -> None:
--- a/cypressledge/lab/lease_model/guard_mutations.py
+++ b/cypressledge/lab/lease_model/guard_mutations.py
@@ -18,7 +18,7 @@
 VOTER_ADDED: VoterSets = {1: ("a", "b", "c"), 2: ("a", "b", "c", "d")}
 FAR_APART: VoterSets = {1: ("a", "b", "c"), 2: ("a", "b", "c", "d"), 3: ("b", "c", "d")}
 # p, a and b go by the first version; c, d and q have taken the third, and know that of each other.
-APART_BOUNDS: dict[str, Any] = {
+FAR_APART_BOUNDS: dict[str, Any] = {
     "versions": {"q": 3, "c": 3, "d": 3},
     "known_versions": dict.fromkeys("qcd", (1, 2, 3)),
     "observed_voters": {"q": ("c", "d"), "c": ("d",), "d": ("c",)},
@@ -41,7 +41,12 @@
         Bounds("renewal", ONE_SET, rounds=2, requesters=("p",), voter_restarts=1),
         Bounds("voter added", VOTER_ADDED, rounds=1, versions={"q": 2, "d": 2}, reloads={"a": 1}),
         Bounds(
-            "voters far apart", FAR_APART, rounds=1, reloads={"b": 1}, version_observations=3, **APART_BOUNDS
+            "voters far apart",
+            FAR_APART,
+            rounds=1,
+            reloads={"b": 1},
+            version_observations=3,
+            **FAR_APART_BOUNDS,
         ),
     )
 }
@@ -237,7 +242,7 @@
     Mutation(
         "version of the voter set settled",
         Implementation(electorate=UnsettledVersion),
-        Bounds("far apart, nobody reloads", FAR_APART, rounds=1, **APART_BOUNDS),
+        Bounds("far apart, nobody reloads", FAR_APART, rounds=1, **FAR_APART_BOUNDS),
     ),
     Mutation(
         "older versions are rejected",
@@ -246,9 +251,9 @@
             "an old version at a voter of the new",
             FAR_APART,
             rounds=1,
-            **APART_BOUNDS
+            **FAR_APART_BOUNDS
             | {
-                "versions": APART_BOUNDS["versions"] | {"b": 2},
+                "versions": FAR_APART_BOUNDS["versions"] | {"b": 2},
                 "observed_voters": {"q": ("b", "c", "d"), "c": ("b", "d"), "d": ("b", "c")},
             },
         ),
--- a/cypressledge/lab/lease_model/model_checker.py
+++ b/cypressledge/lab/lease_model/model_checker.py
@@ -15,7 +15,7 @@
 from cypressledge.lab.lease_model.steps import possible_steps
 from cypressledge.lab.lease_model.world import NOTHING_HELD, World
 
-Reached = dict[int, tuple[int | None, str]]  # by a state's hash: the state before, and the step from it
+Predecessors = dict[int, tuple[int | None, str]]  # by a state's hash: the state before, and the step from it
 
 
 @dataclass
@@ -36,38 +36,38 @@
     """Walk a world, nearest states first, until a failure or `max_states` states."""
     implementation = implementation or Implementation()
     first = World(bounds, implementation)
-    reached: Reached = {hash(first.key()): (None, "")}
+    predecessors: Predecessors = {hash(first.key()): (None, "")}
     queue = deque([first])
     result = WalkResult(1, 0)
     while queue:
         world = queue.popleft()
         before = hash(world.key())
         for step in possible_steps(world, bounds, implementation):
-            following = world.copy()
-            step.change(following)
+            successor = world.copy()
+            step.change(successor)
             result.steps += 1
-            fault = following.check()
-            key = hash(following.key())
-            if key in reached and not fault:
+            fault = successor.check()
+            key = hash(successor.key())
+            if key in predecessors and not fault:
                 continue
-            reached[key] = (before, step.text)
+            predecessors[key] = (before, step.text)
             result.states += 1
-            result.held_states += following.highest_held != NOTHING_HELD
+            result.held_states += successor.highest_held != NOTHING_HELD
             if fault:
                 result.fault = fault
-                result.trace = _trace(reached, key)
+                result.trace = _trace(predecessors, key)
                 return result
-            if len(reached) >= max_states:
+            if len(predecessors) >= max_states:
                 result.is_complete = False
                 return result
-            queue.append(following)
+            queue.append(successor)
     return result
 
 
-def _trace(reached: Reached, key: int | None) -> list[str]:
+def _trace(predecessors: Predecessors, key: int | None) -> list[str]:
     """Return the steps from the first state to this one."""
     steps = []
     while key is not None:
-        key, text = reached[key]
+        key, text = predecessors[key]
         steps.append(text)
     return steps[-2::-1]
--- a/cypressledge/lab/lease_model/steps.py
+++ b/cypressledge/lab/lease_model/steps.py
@@ -34,7 +34,7 @@
     if world.version_observations:
         yield from _observations(world)
     for message in world.sent:
-        text = f"{message.to} gets {_text(message.content)} from {message.source}"
+        text = f"{message.to} gets {_describe_message(message.content)} from {message.source}"
         yield Step(text, partial(_deliver, message=message))
 
 
@@ -60,7 +60,7 @@
                 yield Step(f"{observer} hears the oldest version that {voter} accepts", observe)
 
 
-def _text(message: LeaseMessage) -> str:
+def _describe_message(message: LeaseMessage) -> str:
     if isinstance(message, VoteRequest):
         return f"VoteRequest(round {message.round}, token {message.token})"
     if isinstance(message, VoteGranted):
--- a/cypressledge/lab/lease_model/world.py
+++ b/cypressledge/lab/lease_model/world.py
@@ -198,8 +198,8 @@
     other.started_at = voter.started_at
     other.base_token = voter.base_token
     other.leases = {
-        name: replace(standing, vote=standing.vote and replace(standing.vote))
-        for name, standing in voter.leases.items()
+        name: replace(lease_state, vote=lease_state.vote and replace(lease_state.vote))
+        for name, lease_state in voter.leases.items()
     }
     return other
 
@@ -245,11 +245,11 @@
 
 
 def _voter_key(voter: Voter, now: int) -> StateKey:
-    standing = voter.leases.get(LEASE)
-    if standing is None:
+    lease_state = voter.leases.get(LEASE)
+    if lease_state is None:
         inner: StateKey = (voter.base_token, (0, 0), ())
     else:
-        inner = (standing.highest_token, standing.released, _vote_key(standing.vote, now))
+        inner = (lease_state.highest_token, lease_state.released, _vote_key(lease_state.vote, now))
     age = min(now - voter.started_at, voter.electorate.max_term)
     return inner, voter.base_token, age, _electorate_key(voter.electorate, now)
 
--- a/cypressledge/lab/zone_processes/comparison.py
+++ b/cypressledge/lab/zone_processes/comparison.py
@@ -35,11 +35,11 @@
     seed: int
     failure: str
     zone: str
-    out_s: float
-    back_s: float
+    outage_s: float
+    observation_s: float
 
     @property
-    def loses_zone(self) -> bool:
+    def is_zone_loss(self) -> bool:
         """Whether a whole zone is lost."""
         return self.failure in FAILURES
 
@@ -51,7 +51,7 @@
     last_send: float = 0.0  # s after the zone was lost, of the last new send into it
     departed_after_s: float | None = None  # s after it, until all brokers had the plan that leaves it
     kept: float = 0.0  # percent of what was asked that was answered in time, from the loss on
-    fallen: int = 0  # engines
+    failed_engines: int = 0  # engines
     retries: int = 0
     budget_violations: int = 0
     recovered_after_s: float | None = None  # s after the zone came back, when its share was full
@@ -70,15 +70,15 @@
         before = Counter(load.counts)
         lost_at, lost_at_wall = time.monotonic(), time.time()
         _fail(schedule, testbed)
-        if schedule.loses_zone:
+        if schedule.is_zone_loss:
             result.last_send = max(0.0, testbed.last_received(zone) - lost_at)
         for engine in testbed.engines:
-            engine.repair(cold=schedule.loses_zone and engine.zone == zone)
+            engine.repair(cold=schedule.is_zone_loss and engine.zone == zone)
         back_at_wall = time.time()
-        gevent.sleep(schedule.back_s)
+        gevent.sleep(schedule.observation_s)
         asked = load.counts["asked"] - before["asked"]
         result.kept = 100 * (load.counts["kept"] - before["kept"]) / max(1, asked)
-        result.fallen = sum(engine.falls for engine in testbed.engines)
+        result.failed_engines = sum(engine.overload_failures for engine in testbed.engines)
         _check_retry_budget(result, testbed.engines)
         result.events = testbed.events(BrokerEvent.PLAN_ACCEPTED, "zone_leaving", BrokerEvent.ZONES_EVACUATED)
         _read_times(result, zone, lost_at_wall, back_at_wall)
@@ -91,8 +91,8 @@
 def _fail(schedule: Schedule, testbed: ZoneTestbed) -> None:
     """Let the zone fail for as long as the schedule says."""
     lost = testbed.engines_in(schedule.zone)
-    end = time.monotonic() + schedule.out_s
-    if schedule.loses_zone:
+    end = time.monotonic() + schedule.outage_s
+    if schedule.is_zone_loss:
         for engine in lost:
             engine.fail(schedule.failure)
     elif schedule.failure == "cut":  # the path from the next zone's brokers to this one's engines
@@ -106,7 +106,7 @@
     elif schedule.failure == "release":
         for engine in lost:
             engine.fail("reset")
-            gevent.sleep(schedule.out_s / len(lost))
+            gevent.sleep(schedule.outage_s / len(lost))
             engine.repair()
     gevent.sleep(max(0.0, end - time.monotonic()))
 
@@ -114,7 +114,7 @@
 def _false_departures(schedule: Schedule, events: list[dict]) -> int:
     """Return how often a zone was left for nothing."""
     departures = [event for event in events if event["event"] != BrokerEvent.PLAN_ACCEPTED]
-    if not schedule.loses_zone:
+    if not schedule.is_zone_loss:
         return len(departures)
     return sum(schedule.zone not in event.get("zone", event.get("zones", "")) for event in departures)
 
@@ -159,8 +159,8 @@
     back = "" if result.recovered_after_s is None else f", whole again after {result.recovered_after_s:.1f} s"
     return (
         f"seed {schedule.seed} {'on ' if failover else 'off'}: {schedule.zone} {schedule.failure} for "
-        f"{schedule.out_s:.1f} s: last send into it {result.last_send:.2f} s{left}, kept {result.kept:.1f}%, "
-        f"fallen over {result.fallen}, further attempts {result.retries}, "
+        f"{schedule.outage_s:.1f} s: last send into it {result.last_send:.2f} s{left}, "
+        f"kept {result.kept:.1f}%, fallen over {result.failed_engines}, further attempts {result.retries}, "
         f"false departures {result.false_departures}{back}"
     )
 
@@ -170,8 +170,8 @@
     rng = random.Random(seed)
     failure = failure or rng.choice(FAILURES)
     zone = rng.choice(ZONES)
-    out_s, back_s = rng.uniform(6, 9), rng.uniform(20, 22)
-    return Schedule(seed, failure, zone, out_s, back_s)
+    outage_s, observation_s = rng.uniform(6, 9), rng.uniform(20, 22)
+    return Schedule(seed, failure, zone, outage_s, observation_s)
 
 
 def run(seed: int, runs: int, kind: str, echo: Callable[[str], None]) -> int:
@@ -179,34 +179,35 @@
 
     1: the retry budget was exceeded, or a zone was left for nothing. 3: nothing was in fact lost.
     """
-    offs: list[PlayResult] = []
-    ons: list[PlayResult] = []
+    results_off: list[PlayResult] = []
+    results_on: list[PlayResult] = []
     for number in range(seed, seed + runs):
         schedule = draw_schedule(number, kind)
-        offs.append(play(schedule, False))
-        ons.append(play(schedule, True))
-        echo(describe(schedule, False, offs[-1]))
-        echo(describe(schedule, True, ons[-1]))
-    violations = sum(result.budget_violations for result in offs + ons)
-    false_departures = sum(result.false_departures for result in ons)
+        results_off.append(play(schedule, False))
+        results_on.append(play(schedule, True))
+        echo(describe(schedule, False, results_off[-1]))
+        echo(describe(schedule, True, results_on[-1]))
+    violations = sum(result.budget_violations for result in results_off + results_on)
+    false_departures = sum(result.false_departures for result in results_on)
     echo(
-        f"zones: seeds {runs}, last send into the lost zone off {_last_send(offs):.2f} s / "
-        f"on {_last_send(ons):.2f} s, worth kept off {_mean_kept(offs):.1f}% / on {_mean_kept(ons):.1f}%, "
-        f"engines fallen over off {_fallen(offs)} / on {_fallen(ons)}, "
+        f"zones: seeds {runs}, last send into the lost zone off {_last_send(results_off):.2f} s / "
+        f"on {_last_send(results_on):.2f} s, "
+        f"worth kept off {_mean_kept(results_off):.1f}% / on {_mean_kept(results_on):.1f}%, "
+        f"engines fallen over off {_failed_engines(results_off)} / on {_failed_engines(results_on)}, "
         f"ration broken {violations}, false departures {false_departures}"
     )
     if violations or false_departures:
         return 1
     was_to_lose = not kind or kind in FAILURES
-    return 3 if was_to_lose and not any(result.last_send for result in offs) else 0
+    return 3 if was_to_lose and not any(result.last_send for result in results_off) else 0
 
 
 def _last_send(results: list[PlayResult]) -> float:
     return max(result.last_send for result in results)
 
 
-def _fallen(results: list[PlayResult]) -> int:
-    return sum(result.fallen for result in results)
+def _failed_engines(results: list[PlayResult]) -> int:
+    return sum(result.failed_engines for result in results)
 
 
 def _mean_kept(results: list[PlayResult]) -> float:
--- a/cypressledge/lab/zone_processes/core_engine.py
+++ b/cypressledge/lab/zone_processes/core_engine.py
@@ -57,8 +57,8 @@
         self.cores = cores
         self.warm_s = warm_s
         self.started_at = time.monotonic() - 10 * warm_s  # warm
-        self.fallen = False
-        self.falls = 0
+        self.overload_failed = False
+        self.overload_failures = 0
         self.failure = ""  # silent, reset, slow, or none
         self.running: dict[tuple[str, str], RunningQuery] = {}  # by broker and attempt
         self.recent_work: deque[tuple[float, float]] = deque()  # when work came, and how much, s
@@ -101,7 +101,7 @@
         self.blocked.clear()
         if cold:
             self.failure = ""
-            self.fallen = False
+            self.overload_failed = False
             self.started_at = time.monotonic()
             self.recent_work.clear()
             self.running.clear()
@@ -136,7 +136,7 @@
     def _receive(self, broker: str, connection: socket.socket, name: str, statement: bytes) -> None:
         self.received.append(ReceivedQuery(time.monotonic(), broker, name))
         failure = self.blocked.get(broker) or self.failure
-        if failure == "reset" or self.fallen:
+        if failure == "reset" or self.overload_failed:
             connection.close()
         elif failure != "silent":
             found = WORK_COMMENT.search(statement)
@@ -175,8 +175,8 @@
         while self.recent_work and now - self.recent_work[0][0] > OVERLOAD_WINDOW_S:
             self.recent_work.popleft()
         is_cold = OVERLOAD_WINDOW_S < now - self.started_at < self.warm_s
-        bearable = OVERLOAD_MULTIPLE * self.capacity() * OVERLOAD_WINDOW_S
-        if is_cold and not self.failure and sum(work for _, work in self.recent_work) > bearable:
-            self.fallen = True
-            self.falls += 1
+        overload_threshold = OVERLOAD_MULTIPLE * self.capacity() * OVERLOAD_WINDOW_S
+        if is_cold and not self.failure and sum(work for _, work in self.recent_work) > overload_threshold:
+            self.overload_failed = True
+            self.overload_failures += 1
             self.running.clear()
--- a/cypressledge/lab/zone_processes/open_load.py
+++ b/cypressledge/lab/zone_processes/open_load.py
@@ -65,8 +65,8 @@
                 self.counts["broken"] += 1
                 gevent.sleep(RECONNECT_S)
 
-    def _send_query(self, connection: socket.socket, file: BinaryIO, came: float) -> None:
-        time_left = CLIENT_WAIT_S - (time.monotonic() - came)
+    def _send_query(self, connection: socket.socket, file: BinaryIO, arrived_at: float) -> None:
+        time_left = CLIENT_WAIT_S - (time.monotonic() - arrived_at)
         if time_left <= MIN_WAIT_S:
             return
         table = self.random.randrange(TABLES)
@@ -78,4 +78,4 @@
         connection.sendall(lookup_request(self.counts["sent"], query_id, wait_ms, cost, statement.decode()))
         if "result" in answer(file):
             objective = OBJECTIVE_S + OBJECTIVE_STRETCH * self.work_ms / 1000
-            self.counts["late" if time.monotonic() - came > objective else "kept"] += 1
+            self.counts["late" if time.monotonic() - arrived_at > objective else "kept"] += 1
--- a/cypressledge/lab/zone_processes/testbed.py
+++ b/cypressledge/lab/zone_processes/testbed.py
@@ -110,11 +110,11 @@
         """Return a zone's share, permille, at each broker that runs; None where it does not answer."""
         return [self.zone_row(n, zone).get("share") for n in among or self.names if self[n].running()]
 
-    def planner(self, but: str = "") -> str:
-        """Return the planner by all brokers that run; empty while they differ, or where it is `but`."""
+    def planner(self, excluded: str = "") -> str:
+        """Return the planner by all brokers that run; empty while they differ, or where it is `excluded`."""
         planners = {self.status(name).get("planner") for name in self.names if self[name].running()}
         name = planners.pop() if len(planners) == 1 else ""
-        return name if name and name != but and self[name].running() else ""
+        return name if name and name != excluded and self[name].running() else ""
 
     def events(self, *kinds: str) -> list[dict]:
         """Return the brokers' log events of these kinds, in order of time."""
--- a/cypressledge/lab/zone_simulation/broker.py
+++ b/cypressledge/lab/zone_simulation/broker.py
@@ -20,7 +20,7 @@
 from cypressledge.lab.zone_simulation.engine import SECOND, WORK
 
 CLIENT_WAIT = 3 * SECOND
-LIST = "model"  # the name of the one engine list
+ENGINE_LIST = "model"  # the name of the one engine list
 NO_REPLY = cast(ReplyHandler, None)  # answers are counted by the world
 
 
@@ -81,10 +81,10 @@
 
     def refresh(self) -> None:
         """Give the module the list anew, with the engines that are closed as draining."""
-        entries = tuple(self._seen_by_module(engine.entry) for engine in self.engine_lists[LIST])
+        entries = tuple(self._module_entry(engine.entry) for engine in self.engine_lists[ENGINE_LIST])
         self.events.append(c.EngineListReceived(c.EngineListKind.FULL, entries))
 
-    def _seen_by_module(self, entry: c.EngineListEntry) -> c.EngineListEntry:
+    def _module_entry(self, entry: c.EngineListEntry) -> c.EngineListEntry:
         if self.is_closed is None or not self.is_closed(entry):
             return entry
         return replace(entry, state=c.EngineState.DRAINING)
@@ -148,7 +148,7 @@
                 request_number, number, attempt.endpoint.id, outcome, request.is_concluded, latency
             )
         )
-        self._forget_if_done(request)
+        self._remove_if_finished(request)
 
     def drop_overdue(self, now: int) -> None:
         """End the requests whose clients have disconnected, past their deadlines."""
@@ -167,8 +167,8 @@
 
     def _close_request(self, request: Request) -> None:
         request.is_concluded = True
-        self._forget_if_done(request)
+        self._remove_if_finished(request)
 
-    def _forget_if_done(self, request: Request) -> None:
+    def _remove_if_finished(self, request: Request) -> None:
         if request.is_concluded and not any(attempt.is_open for attempt in request.attempts):
             self.requests.pop(request.number, None)
--- a/cypressledge/lab/zone_simulation/engine.py
+++ b/cypressledge/lab/zone_simulation/engine.py
@@ -8,7 +8,7 @@
 STEP = 10_000  # µs of one step of the model
 CORES = 8
 START_CAPACITY = 0.31
-WARM = 14 * SECOND
+WARM_UP_TIME = 14 * SECOND
 OVERLOAD_MULTIPLE = 2.0
 OVERLOAD_WINDOW = 2 * SECOND
 SLOW_CAPACITY = 0.1  # part of its cores that a slow engine has
@@ -34,7 +34,7 @@
     zone: int
     started_at: int = 0
     failure: str = ""
-    fallen: bool = False
+    overload_failed: bool = False
     running: dict[AttemptKey, float] = field(default_factory=dict)  # work left, µs
     received: deque[int] = field(default_factory=deque)  # when queries came
     recent_work: float = 0.0
@@ -43,12 +43,12 @@
         """Return the cores that it has at a moment."""
         warm = 1.0
         if self.started_at:
-            warm = min(1.0, START_CAPACITY + (1 - START_CAPACITY) * (now - self.started_at) / WARM)
+            warm = min(1.0, START_CAPACITY + (1 - START_CAPACITY) * (now - self.started_at) / WARM_UP_TIME)
         return CORES * warm * (SLOW_CAPACITY if self.failure == "slow" else 1.0)
 
     def receive(self, now: int, attempt: AttemptKey) -> bool:
         """Take an attempt; return whether its connection holds."""
-        if self.failure == "reset" or self.fallen:
+        if self.failure == "reset" or self.overload_failed:
             return False
         if self.failure != "silent":
             self.running[attempt] = WORK
@@ -81,9 +81,9 @@
         while self.received and now - self.received[0] > OVERLOAD_WINDOW:
             self.received.popleft()
             self.recent_work -= WORK
-        is_cold = self.started_at and now - self.started_at < WARM
+        is_cold = self.started_at and now - self.started_at < WARM_UP_TIME
         if not is_cold or self.failure:
             return
         if self.recent_work > OVERLOAD_MULTIPLE * self.capacity(now) * OVERLOAD_WINDOW:
-            self.fallen = True
+            self.overload_failed = True
             self.running.clear()
--- a/cypressledge/lab/zone_simulation/report.py
+++ b/cypressledge/lab/zone_simulation/report.py
@@ -34,39 +34,39 @@
     comparisons: list[Comparison]
 
     @property
-    def offs(self) -> list[PlayResult]:
+    def results_off(self) -> list[PlayResult]:
         """Return the plays without zone failover."""
         return [comparison.off for comparison in self.comparisons]
 
     @property
-    def ons(self) -> list[PlayResult]:
+    def results_on(self) -> list[PlayResult]:
         """Return the plays with zone failover."""
         return [comparison.on for comparison in self.comparisons]
 
     @property
-    def fallen(self) -> int:
+    def failed_engines(self) -> int:
         """Engines that fell over with failover on."""
-        return sum(result.fallen for result in self.ons)
+        return sum(result.failed_engines for result in self.results_on)
 
     @property
     def false_departures(self) -> int:
         """Zones left for nothing with failover on."""
-        return sum(result.false_departures for result in self.ons)
+        return sum(result.false_departures for result in self.results_on)
 
     def row(self) -> list[object]:
         """Return the row of the table."""
-        offs, ons = self.offs, self.ons
+        results_off, results_on = self.results_off, self.results_on
         return [
             self.kind,
             len(self.comparisons),
-            _largest(result.last_send for result in offs),
-            _largest(result.last_send for result in ons),
-            _largest(result.in_force_after_s for result in ons),
-            sum(result.kept for result in offs) / len(offs),
-            sum(result.kept for result in ons) / len(ons),
-            sum(result.fallen for result in offs),
-            self.fallen,
-            _largest(result.recovered_after_s for result in ons),
+            _largest(result.last_send for result in results_off),
+            _largest(result.last_send for result in results_on),
+            _largest(result.in_force_after_s for result in results_on),
+            sum(result.kept for result in results_off) / len(results_off),
+            sum(result.kept for result in results_on) / len(results_on),
+            sum(result.failed_engines for result in results_off),
+            self.failed_engines,
+            _largest(result.recovered_after_s for result in results_on),
             self.false_departures,
         ]
 
@@ -116,18 +116,18 @@
     reports = _play_all(options)
     rows = [report.row() for report in reports]
     echo(tabulate(rows, floatfmt=".2f", missingval="-", headers=HEADERS))
-    fallen = sum(report.fallen for report in reports)
+    failed_engines = sum(report.failed_engines for report in reports)
     false_departures = sum(report.false_departures for report in reports)
     last_seed = options.seed + options.runs - 1
     echo(
         f"{options.brokers} brokers, {options.engines} engines, {options.zones or '2 to 6'} zones, "
         f"load {options.load:g} of the cores, seeds {options.seed} to {last_seed}: "
-        f"engines fallen over on {fallen}, false departures {false_departures}"
+        f"engines fallen over on {failed_engines}, false departures {false_departures}"
     )
     if options.plot:
         draw(reports[0].comparisons[0], options.plot)
         echo(f"drawn: {options.plot}")
-    return 1 if fallen or false_departures else 0
+    return 1 if failed_engines or false_departures else 0
 
 
 def _play_all(options: SimulationOptions) -> list[KindReport]:
--- a/cypressledge/lab/zone_simulation/schedules.py
+++ b/cypressledge/lab/zone_simulation/schedules.py
@@ -10,7 +10,7 @@
 from cypressledge.lab.zone_simulation.world import PlayResult, World
 
 SCHEDULES = ("silent", "reset", "slow", "cut", "blind", "release", "planner")
-LOSSES = ("silent", "reset", "slow", "planner")  # those that lose a zone
+ZONE_LOSS_KINDS = ("silent", "reset", "slow", "planner")  # those that lose a zone
 BEFORE_S = 5  # as usual, before the fault
 AFTER_S = 24.0  # watched after it
 PLANNER_DEATH_S = 0.5  # after the loss
@@ -36,27 +36,27 @@
     world = World(scenario, failover)
     rng = random.Random(scenario.seed)
     zone = rng.randrange(scenario.zones)
-    out_s = rng.uniform(6, 9)
+    outage_s = rng.uniform(6, 9)
     world.run(BEFORE_S)
     before = Counter(world.counts)
-    _fault(world, kind, zone, out_s)
+    _play_fault(world, kind, zone, outage_s)
     world.blocked = set()
-    if kind in LOSSES:
-        world.bring_back()
+    if kind in ZONE_LOSS_KINDS:
+        world.restart_zone()
     if kind == "planner":
         world.run(AFTER_S / 4)
         world.kill_planner()
         world.run(AFTER_S * 3 / 4)
     else:
         world.run(AFTER_S)
-    return _sum_up(world, before, kind)
+    return _collect_result(world, before, kind)
 
 
-def _fault(world: World, kind: str, zone: int, out_s: float) -> None:
-    """Let the fault of a schedule last for `out_s`."""
+def _play_fault(world: World, kind: str, zone: int, outage_s: float) -> None:
+    """Let the fault of a schedule last for `outage_s`."""
     zones = len(world.zone_names)
-    if kind in LOSSES:
-        world.lose(zone, "silent" if kind == "planner" else kind)
+    if kind in ZONE_LOSS_KINDS:
+        world.fail_zone(zone, "silent" if kind == "planner" else kind)
     elif kind == "cut":  # the path from the next zone's brokers
         world.blocked = {
             (broker, zone) for broker in range(len(world.brokers)) if broker % zones == (zone + 1) % zones
@@ -64,13 +64,13 @@
     elif kind == "blind":  # one broker, to whom everything fails
         world.blocked = {(1, each) for each in range(zones)}
     if kind == "release":
-        _release(world, zone, out_s)
+        _release(world, zone, outage_s)
     elif kind == "planner":
         world.run(PLANNER_DEATH_S)
         world.kill_planner()
-        world.run(out_s - PLANNER_DEATH_S)
+        world.run(outage_s - PLANNER_DEATH_S)
     else:
-        world.run(out_s)
+        world.run(outage_s)
 
 
 def _release(world: World, zone: int, seconds: float) -> None:
@@ -83,11 +83,11 @@
         engine.started_at = world.now
 
 
-def _sum_up(world: World, before: Counter[str], kind: str) -> PlayResult:
+def _collect_result(world: World, before: Counter[str], kind: str) -> PlayResult:
     result = world.result
     asked = world.counts["asked"] - before["asked"]
     result.kept = 100 * (world.counts["kept"] - before["kept"]) / max(1, asked)
-    result.fallen = sum(engine.fallen for engine in world.engines)
+    result.failed_engines = sum(engine.overload_failed for engine in world.engines)
     result.false_departures = _false_departures(world, kind)
     result.recovered_after_s = _recovered_after(world)
     decided = next(iter(_times(world, "zone_leaving")), None)
@@ -100,9 +100,9 @@
 def _false_departures(world: World, kind: str) -> int:
     """Return how often a zone was left for nothing."""
     departures = [e for e in world.events if e.event in ("zone_leaving", BrokerEvent.ZONES_EVACUATED)]
-    if kind not in LOSSES:
+    if kind not in ZONE_LOSS_KINDS:
         return len(departures)
-    return sum(event.zones != [world.lost_name()] for event in departures)
+    return sum(event.zones != [world.lost_zone_name()] for event in departures)
 
 
 def _recovered_after(world: World) -> float | None:
@@ -116,4 +116,4 @@
 
 def _times(world: World, event: str) -> list[int]:
     """Return when an event of the lost zone was logged, virtual µs."""
-    return [e.at for e in world.events if e.event == event and e.zones == [world.lost_name()]]
+    return [e.at for e in world.events if e.event == event and e.zones == [world.lost_zone_name()]]
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -14,7 +14,7 @@
 from cypressledge.fleet.zones.failover import ZoneFailover, ZoneMessage
 from cypressledge.fleet.zones.failover_plan import FailoverPace
 from cypressledge.fleet.zones.topology import SiteTopology
-from cypressledge.lab.zone_simulation.broker import CLIENT_WAIT, LIST, ModelBroker
+from cypressledge.lab.zone_simulation.broker import CLIENT_WAIT, ENGINE_LIST, ModelBroker
 from cypressledge.lab.zone_simulation.engine import (
     CORES,
     OVERLOAD_MULTIPLE,
@@ -22,7 +22,7 @@
     SECOND,
     START_CAPACITY,
     STEP,
-    WARM,
+    WARM_UP_TIME,
     WORK,
     AttemptKey,
     ModelEngine,
@@ -98,7 +98,7 @@
     in_force_after_s: float | None = None  # s from the decision to leave, until all have its plan
     departed_after_s: float | None = None  # s from the loss
     recovered_after_s: float | None = None  # s from the return, until the share is full
-    fallen: int = 0  # engines
+    failed_engines: int = 0  # engines
     false_departures: int = 0
     curve: list[Sample] = field(default_factory=list)
 
@@ -117,7 +117,7 @@
         self.engines = [ModelEngine(i + 1, i % scenario.zones) for i in range(scenario.engines)]
         self.engine_by_number = {engine.number: engine for engine in self.engines}
         self.endpoints = {
-            engine.number: Endpoint(engine.number, f"e{engine.number}", ("", 0), LIST)
+            engine.number: Endpoint(engine.number, f"e{engine.number}", ("", 0), ENGINE_LIST)
             for engine in self.engines
         }
         self.brokers = [
@@ -152,7 +152,7 @@
             supports_cancel=True,
             max_attempts=3,
             slow_start_capacity=START_CAPACITY,
-            slow_start_window=WARM,
+            slow_start_window=WARM_UP_TIME,
             overload_multiple=OVERLOAD_MULTIPLE,
             overload_window=OVERLOAD_WINDOW,
             retry_budget_ratio=0.1,
@@ -163,7 +163,7 @@
     def _join(self, broker: ModelBroker) -> None:
         if self.failover:
             broker.zones = self._make_failover(broker)
-        broker.engine_lists[LIST] = [
+        broker.engine_lists[ENGINE_LIST] = [
             ListedEngine(
                 c.EngineListEntry(engine.number, c.EngineState.READY, 0, engine.zone, 0, 0),
                 self.endpoints[engine.number],
@@ -185,7 +185,7 @@
             log_event=partial(self._record_event, broker),
         )
         topology = SiteTopology(self.zone_names, broker_zones, {}, {})
-        pace = FailoverPace(cold_capacity=START_CAPACITY, warm_up_time=WARM)
+        pace = FailoverPace(cold_capacity=START_CAPACITY, warm_up_time=WARM_UP_TIME)
         failover = ZoneFailover(broker.name, broker, topology, pace, links)
         failover.admission.awaiting_plan = False  # starts are not modelled
         failover.planner_name = f"n{self.planner}"
@@ -201,10 +201,10 @@
         """Record a broker's log event, and when it took the plan that leaves the lost zone."""
         zones = fields["zones"] if "zones" in fields else [fields.get("zone", "")]
         self.events.append(LoggedEvent(self.now, event, zones))
-        if event == BrokerEvent.PLAN_ACCEPTED and fields["shares"].get(self.lost_name()) == 0:
+        if event == BrokerEvent.PLAN_ACCEPTED and fields["shares"].get(self.lost_zone_name()) == 0:
             self.plan_taken_at.setdefault(broker.number, self.now)
 
-    def lost_name(self) -> str:
+    def lost_zone_name(self) -> str:
         """Return the name of the lost zone; empty where none has been lost."""
         return self.zone_names[self.lost_zone] if self.lost_zone is not None else ""
 
@@ -238,14 +238,14 @@
 
     # What a schedule does
 
-    def lose(self, zone: int, failure: str) -> None:
+    def fail_zone(self, zone: int, failure: str) -> None:
         """Let all engines of a zone fail."""
         self.lost_zone = zone
         self.lost_at = self.now
         for engine in self.engines_in(zone):
             engine.fail(failure)
 
-    def bring_back(self) -> None:
+    def restart_zone(self) -> None:
         """Restart the lost zone's engines, cold."""
         self.back_at = self.now
         for engine in self.engines_in(self.lost_zone or 0):
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -78,7 +78,7 @@
     repair(bed, A)
     assert until(lambda: all(s == 1 for s in bed.shares(A)), WAIT, 0.1), log(bed)
     assert bed.load.counts["kept"] > kept
-    assert sum(e.falls for e in bed.engines) == 0
+    assert sum(e.overload_failures for e in bed.engines) == 0
     grew = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == "n0"]
     ups = [b - a for a, b in pairwise(grew) if b > a]
     assert len(ups) > 4, grew
@@ -117,7 +117,7 @@
     for name in dead:
         bed[name].kill()
     alive = [n for n in bed.names if n not in dead]
-    assert until(lambda: bed.planner(but=first), WAIT), log(bed)
+    assert until(lambda: bed.planner(excluded=first), WAIT), log(bed)
     assert min(s for s in bed.shares(A, alive)) >= before - 1e-9, "the successor took the share back"
     assert until(lambda: all(s == 1 for s in bed.shares(A, alive)), WAIT, 0.1), log(bed)
     for name in alive:
@@ -126,7 +126,7 @@
     tokens = [e["token"] for e in bed.events("planner_started")]
     assert len(tokens) >= 2
     assert tokens == sorted(set(tokens))
-    assert sum(e.falls for e in bed.engines) == 0
+    assert sum(e.overload_failures for e in bed.engines) == 0
 
 
 REGIONS = [{"name": "north", "zones": [A, B]}, {"name": "south", "zones": [C]}]
@@ -183,7 +183,7 @@
     assert until(lambda: bed.load.counts["kept"] > kept + 50, WAIT)  # cut off, it keeps serving
     bed.proxies.heal()
     assert until(lambda: all(s == 1 for s in bed.shares(A)), 2 * WAIT, 0.1), log(bed)
-    assert sum(e.falls for e in bed.engines) == 0
+    assert sum(e.overload_failures for e in bed.engines) == 0
     for name in bed.names:  # not all at once, though the planner itself never had the zone out
         grew = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
         ups = [b - a for a, b in zip([0, *grew], grew, strict=False) if b > a]
