--- a/cypressledge/lab/lease_model/guard_mutations.py
+++ b/cypressledge/lab/lease_model/guard_mutations.py
@@ -1,7 +1,7 @@
-"""The lease's guards taken out one at a time, and the small worlds that the model checker walks. No I/O.
+"""Mutations that each remove one guard of the lease, and the small worlds for the model checker. No I/O.
 
-A check that can't fail says nothing: for every guard that docs/leases.md names there is a mutation here
-without it, and a world in which the checker has to find two holders or a shrinking token.
+A check that can't fail proves nothing: for every guard that docs/leases.md names, a mutation here removes it,
+and in the mutation's world the checker must find two holders or a decreasing token.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 ONE_SET: VoterSets = {1: ("a", "b", "c")}
 VOTER_ADDED: VoterSets = {1: ("a", "b", "c"), 2: ("a", "b", "c", "d")}
 FAR_APART: VoterSets = {1: ("a", "b", "c"), 2: ("a", "b", "c", "d"), 3: ("b", "c", "d")}
-# p, a and b go by the first version; c, d and q have taken the third, and know that of each other.
+# p, a and b use the first version; c, d and q have adopted the third, and know that c and d have.
 FAR_APART_BOUNDS: dict[str, Any] = {
     "versions": {"q": 3, "c": 3, "d": 3},
     "known_versions": dict.fromkeys("qcd", (1, 2, 3)),
@@ -50,7 +50,7 @@
         ),
     )
 }
-# p holds, q takes over when p's lease has expired, and releases; p's renewal is still on its way.
+# p's lease expires, then q acquires and releases the lease; p's renewal is still in transit.
 LATE_RENEWAL = Bounds(
     "a late renewal",
     ONE_SET,
@@ -60,7 +60,7 @@
     releasers=("q",),
     clocks={"a": "fast", "b": "fast"},
 )
-# Beyond what every run of the tests walks (`lab model --deep`): longer terms, more rounds and restarts.
+# Explored only with `lab model --deep`, not in every test run: longer terms, more rounds and restarts.
 DEEP_WORLDS = {
     b.name: b
     for b in (
@@ -93,26 +93,26 @@
 
 
 class NoQuarantine(Voter):
-    """Votes as soon as it has started."""
+    """A voter that votes immediately after its start."""
 
     def voting_quarantine(self, now: int) -> int:
-        """Return 0: there is no quarantine."""
+        """Return 0, so that voting starts without a quarantine."""
         return 0
 
 
 class NoDriftMargin(LeaseAcquisition):
-    """Assumes that all clocks run at one rate."""
+    """An acquisition that assumes that all clocks run at the same rate."""
 
     def vote_duration(self) -> int:
-        """Return the whole term."""
+        """Return the full term, without a margin for clock drift."""
         return self.term
 
 
 class LateExpiration(LeaseAcquisition):
-    """Counts a vote's duration from the answer, not from the request."""
+    """An acquisition that counts a vote's duration from the answer instead of the request."""
 
     def record_vote(self, now: int, voter: str, grant: VoteGranted) -> bool:
-        """Count the vote as if the round had begun just now."""
+        """Record the vote as if the round had started at `now`."""
         if not self.answers_open_round(grant):
             return False
         self.vote_expirations[voter] = max(
@@ -122,85 +122,85 @@
 
 
 class AnyTokenAccepted(Voter):
-    """Grants under any token."""
+    """A voter that grants votes under any token."""
 
     def is_token_acceptable(self, state: VoterLeaseState, request: VoteRequest) -> bool:
-        """Return True in all cases."""
+        """Return True, however low the token is."""
         return True
 
 
 class TwoVotes(Voter):
-    """Votes for a second process while its vote is in force."""
+    """A voter that votes for a second process while its earlier vote is in force."""
 
     def is_free(self, now: int, vote: Vote | None, instance_id: int) -> bool:
-        """Return True in all cases."""
+        """Return True, even while another process has the vote."""
         return True
 
 
 class AnyRelease(Voter):
-    """Takes the release of an earlier round for one of the vote that is in force."""
+    """A voter that applies the release of an earlier round to the vote that is in force."""
 
     def covers(self, vote: Vote, release: ReleaseLease) -> bool:
-        """Compare the instance alone, whatever the round."""
+        """Return whether the instances match; the round is ignored."""
         return vote.instance_id == release.instance_id
 
 
 class LateRenewalCounted(LeaseAcquisition):
-    """Counts answers to a renewal that come after the lease has expired."""
+    """An acquisition that counts answers to a renewal that arrive after the lease has expired."""
 
     def is_late_renewal(self, now: int, round_: int) -> bool:
-        """Return False: no renewal is late."""
+        """Return False, so that no renewal counts as late."""
         return False
 
 
 class RoundsKeptOpen(LeaseAcquisition):
-    """Counts answers to rounds that were released."""
+    """An acquisition that counts answers to rounds that were released."""
 
     def discard_votes(self) -> None:
-        """Forget the votes, but not the rounds."""
+        """Discard the votes, but keep the rounds open."""
         self.vote_expirations.clear()
 
 
 class VotesKept(LeaseAcquisition):
-    """Goes on counting votes that it released."""
+    """An acquisition that still counts votes after it has released them."""
 
     def discard_votes(self) -> None:
-        """Forget nothing."""
+        """Keep all votes and rounds."""
 
 
 class HalfMajority(Electorate):
-    """Takes half of the voters for a majority."""
+    """An electorate that accepts half of the voters, rounded down, as a majority."""
 
     @property
     def majority(self) -> int:
-        """Return one too few."""
+        """Half of the voters, rounded down: one less than a majority."""
         return len(self.voters) // 2
 
 
 class UnsettledVersion(Electorate):
-    """Uses a voter set while an older one, several versions back, may still be in force."""
+    """An electorate that uses its voter set while one several versions older may still be in force."""
 
     def is_ready(self, now: int) -> bool:
-        """Return True in all cases."""
+        """Return True, without waiting until older versions are out of use."""
         return True
 
 
 class AnyVersionAccepted(Electorate):
-    """Answers requests under any voter set, and reports that it does not."""
+    """An electorate that accepts any voter set, although it reports that it rejects old ones."""
 
     def accepts(self, now: int, version: int) -> bool:
-        """Return True in all cases."""
+        """Return True, however old the version is."""
         return True
 
 
 @dataclass(frozen=True)
 class Mutation:
-    """The lease without one guard, and the world that shows it."""
+    """The lease without one guard, and the world in which its absence causes a fault."""
 
     guard: str
     implementation: Implementation
     world: Bounds
-    is_deep: bool = False  # found only in a world too large for every run of the tests
+    is_deep: bool = False  # its fault appears only in a world that is too large for every test run
 
 
 MUTATIONS = (
@@ -259,5 +259,5 @@
         ),
     ),
 )
-# A clock that stands still over a suspended machine (CLOCK_MONOTONIC) breaks the assumption itself.
+# A clock that stops while the machine is suspended (CLOCK_MONOTONIC) violates the bound on clock drift.
 SUSPENDED_CLOCK = Bounds("a requester's clock stands still", ONE_SET, rounds=1, clocks={"p": "stopped"})
--- a/cypressledge/lab/lease_model/model_checker.py
+++ b/cypressledge/lab/lease_model/model_checker.py
@@ -1,10 +1,10 @@
-"""Walks the lease through all interleavings of a small world, for two holders or a shrinking token. No I/O.
+"""Explores all interleavings of a small world, and looks for two lease holders or a decreasing token. No I/O.
 
-The network is the set of all messages ever sent: each may be delivered at any time, again, in any order, or
-never, so loss, delay, duplicates and reordering are all of its behaviours. Real time moves in ticks; each
-process's clock moves by its own rate. Voters and requesters may restart, and brokers reload the voter sets,
-at any moment, as often as the bounds say. Nothing else is bounded: states are kept with spans in place of
-moments, so a walk ends when no new state is left. The world runs the program's own `Voter`,
+The network is the set of all messages ever sent. Each may be delivered at any time, repeatedly, in any
+order, or never, which covers loss, delay, duplication and reordering. Real time advances in ticks; each
+process's clock advances at its own rate. Voters and requesters may restart, and brokers may reload the voter
+sets, at any moment, as often as the bounds allow. Nothing else is bounded: states hold durations instead of
+points in time, so that a walk ends when no new state is left. The world runs the production classes `Voter`,
 `LeaseAcquisition` and `Electorate`.
 """
 
@@ -15,25 +15,27 @@
 from cypressledge.lab.lease_model.steps import possible_steps
 from cypressledge.lab.lease_model.world import NOTHING_HELD, World
 
-Predecessors = dict[int, tuple[int | None, str]]  # by a state's hash: the state before, and the step from it
+Predecessors = dict[
+    int, tuple[int | None, str]
+]  # hash of a state -> hash of its predecessor, text of the step
 
 
 @dataclass
 class WalkResult:
-    """What a walk found: how many states and steps, and the trace of the first failure."""
+    """The result of a walk: numbers of states and steps, and the first fault with its trace."""
 
     states: int
     steps: int
     fault: str = ""
     trace: list[str] = field(default_factory=list)
-    is_complete: bool = True  # no state was left out
-    held_states: int = 0  # in which somebody has held the lease: a walk without any means nothing
+    is_complete: bool = True  # every reachable state was explored
+    held_states: int = 0  # states after the lease was first held; a walk that has none proves nothing
 
 
 def walk(
     bounds: Bounds, implementation: Implementation | None = None, max_states: int = 1_000_000
 ) -> WalkResult:
-    """Walk a world, nearest states first, until a failure or `max_states` states."""
+    """Explore a world breadth-first until the first fault, or until `max_states` states are known."""
     implementation = implementation or Implementation()
     first = World(bounds, implementation)
     predecessors: Predecessors = {hash(first.key()): (None, "")}
@@ -65,7 +67,7 @@
 
 
 def _trace(predecessors: Predecessors, key: int | None) -> list[str]:
-    """Return the steps from the first state to this one."""
+    """Return the texts of the steps from the initial state to the state `key`."""
     steps = []
     while key is not None:
         key, text = predecessors[key]
--- a/cypressledge/lab/lease_model/steps.py
+++ b/cypressledge/lab/lease_model/steps.py
@@ -1,4 +1,4 @@
-"""All that may happen next in a small world, each as a text and a change of the world. No I/O."""
+"""The steps that are possible in a state of a small world: each has a text and changes the world. No I/O."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -10,18 +10,18 @@
 from cypressledge.lab.lease_model.bounds import DRIFT_PPM, LEASE, TICK_US, Bounds, Implementation
 from cypressledge.lab.lease_model.world import LeaseMessage, SentMessage, World, copy_electorate
 
-NEXT_INSTANCE = 10  # what a requester that starts again adds to its instance id
+NEXT_INSTANCE = 10  # added to a requester's instance id at each restart
 
 
 class Step(NamedTuple):
-    """Something that may happen next: its text, and what it changes in a copy of the world."""
+    """A possible step: its text in traces, and the function that applies it to a copy of the world."""
 
     text: str
     change: Callable[[World], None]
 
 
 def possible_steps(world: World, bounds: Bounds, implementation: Implementation) -> Iterator[Step]:
-    """Yield all that may happen next."""
+    """Yield every step that is possible in this state."""
     yield Step("a tick passes", partial(_tick, bounds=bounds))
     yield from _requester_steps(world, bounds, implementation)
     if world.voter_restarts:
@@ -50,14 +50,14 @@
 
 
 def _observations(world: World) -> Iterator[Step]:
-    """Yield who may hear which versions a voter that reloads accepts."""
+    """Yield the steps in which a process receives the oldest version that a reloading voter accepts."""
     for voter in world.voters:
         if voter not in world.reloads:
             continue
         for observer in (*world.acquisitions, *world.voters):
             if observer != voter:
                 observe = partial(_observe_version, voter=voter, observer=observer)
-                yield Step(f"{observer} hears the oldest version that {voter} accepts", observe)
+                yield Step(f"{observer} receives the oldest version that {voter} accepts", observe)
 
 
 def _describe_message(message: LeaseMessage) -> str:
@@ -116,7 +116,7 @@
 
 
 def _reload(world: World, name: str, bounds: Bounds) -> None:
-    """Let a process adopt the next version of the voter set, unless it must not yet."""
+    """Let a process adopt the next version of the voter set, unless its electorate rejects it for now."""
     world.reloads = world.reloads | {name: world.reloads[name] - 1}
     electorate = world.mutable_electorate(name)
     version = electorate.version + 1
@@ -135,7 +135,7 @@
     source, to, content = message
     now = world.now[to]
     if to in world.acquisitions:
-        assert isinstance(content, VoteGranted)  # nothing else is sent to requesters
+        assert isinstance(content, VoteGranted)  # requesters receive no other messages
         world.mutable_acquisition(to).record_vote(now, source, content)
         return
     voter = world.mutable_voter(to)
@@ -144,5 +144,5 @@
         return
     assert isinstance(content, VoteRequest)
     answer = voter.vote(now, source, content)
-    if isinstance(answer, VoteGranted):  # rejections only tell of tokens, which `known_tokens` does here
+    if isinstance(answer, VoteGranted):  # rejections only carry tokens: `known_tokens` models that
         _send(world, to, source, answer)
--- a/cypressledge/lab/lease_model/world.py
+++ b/cypressledge/lab/lease_model/world.py
@@ -12,12 +12,12 @@
 
 LeaseMessage = VoteRequest | VoteGranted | ReleaseLease
 StateKey = tuple[object, ...]
-LONG_AGO_TERMS = 10  # before a world begins: nothing of then is still in force
-NOTHING_HELD = (0, 0)  # token and instance, while nobody has held the lease
+LONG_AGO_TERMS = 10  # terms before the start of a world; nothing from that time is still in force
+NOTHING_HELD = (0, 0)  # token and instance id before the lease was ever held
 
 
 class SentMessage(NamedTuple):
-    """A message on the network: who sent it, and to whom."""
+    """A message on the network, with the names of its sender and receiver."""
 
     source: str
     to: str
@@ -25,7 +25,7 @@
 
 
 class World:
-    """One state of a world, and what may still happen in it."""
+    """One state of a world, with the numbers of events that may still happen."""
 
     __slots__ = (
         "requester_restarts",
@@ -45,7 +45,7 @@
     def __init__(self, bounds: Bounds, implementation: Implementation) -> None:
         voters = sorted({voter for voter_set in bounds.voter_sets.values() for voter in voter_set})
         processes = (*voters, *bounds.requesters)
-        self.now: dict[str, int] = dict.fromkeys(processes, 0)  # by process: its own clock
+        self.now: dict[str, int] = dict.fromkeys(processes, 0)  # process -> reading of its clock
         self.voters: dict[str, Voter] = {
             name: implementation.voter(_electorate(bounds, implementation, name), -bounds.term, 0)
             for name in voters
@@ -60,7 +60,7 @@
             acquisition.observe_token(bounds.known_tokens[index] if bounds.known_tokens else index)
         for name in processes:
             self._observe_voters(bounds, name)
-        # Voters of one class are interchangeable; none is where versions are observed one by one.
+        # Voters of one class are interchangeable. With version observations, each voter has its own class.
         self.symmetry_classes = {
             name: name if bounds.version_observations else _symmetry_class(bounds, name) for name in voters
         }
@@ -72,7 +72,7 @@
         self.requester_restarts = bounds.requester_restarts
         self.reloads = dict(bounds.reloads)
         self.version_observations = bounds.version_observations
-        self.highest_held = NOTHING_HELD  # token and instance of the highest token that was ever held
+        self.highest_held = NOTHING_HELD  # the highest token ever held, and its holder's instance id
 
     def _observe_voters(self, bounds: Bounds, name: str) -> None:
         process = self.voters.get(name) or self.acquisitions[name]
@@ -83,7 +83,7 @@
     def copy(self) -> "World":
         """Return another world in the same state.
 
-        Processes are shared until a step changes one (`mutable_voter`, `mutable_acquisition`).
+        Both worlds share the processes until a step changes one (`mutable_voter`, `mutable_acquisition`).
         """
         other = object.__new__(World)
         for name in World.__slots__:
@@ -91,28 +91,28 @@
         return other
 
     def mutable_voter(self, name: str) -> Voter:
-        """Return a voter that may be changed: a copy that this world alone has."""
+        """Replace a voter by a copy that no other world shares, and return the copy."""
         self.voters = self.voters | {name: _copy_voter(self.voters[name])}
         return self.voters[name]
 
     def mutable_acquisition(self, name: str) -> LeaseAcquisition:
-        """Return a requester's acquisition that may be changed: a copy that this world alone has."""
+        """Replace a requester's acquisition by a copy that no other world shares, and return the copy."""
         self.acquisitions = self.acquisitions | {name: _copy_acquisition(self.acquisitions[name])}
         return self.acquisitions[name]
 
     def mutable_electorate(self, name: str) -> Electorate:
-        """Return a process's electorate that may be changed, copied with its process."""
+        """Replace a process by a copy that no other world shares, and return the copy's electorate."""
         return (
             self.mutable_acquisition(name) if name in self.acquisitions else self.mutable_voter(name)
         ).electorate
 
     def key(self) -> StateKey:
-        """Return the state with spans in place of moments.
+        """Return a key of the state that holds durations instead of points in time.
 
-        Where there is one voter set, voters with clocks of one rate are interchangeable: each stands with all
-        that concerns it, and they stand in order.
+        With a single voter set, voters whose clocks run at one rate are interchangeable: each voter's entry
+        holds everything that concerns it, and the entries are sorted.
         """
-        messages: dict[str, list[StateKey]] = {name: [] for name in self.voters}  # by voter
+        messages: dict[str, list[StateKey]] = {name: [] for name in self.voters}  # from and to each voter
         for source, to, message in self.sent:
             if source in messages:
                 messages[source].append((1, to, _message_key(message)))
@@ -144,7 +144,7 @@
         )
 
     def check(self) -> str:
-        """Return what is wrong with this state, empty for nothing, and remember the highest token held."""
+        """Return the fault of this state, or an empty string, and record the highest token held."""
         holders = [
             (name, acquisition)
             for name, acquisition in self.acquisitions.items()
@@ -171,16 +171,13 @@
 
 
 def _symmetry_class(bounds: Bounds, name: str) -> str:
-    """Return what tells a voter from others: those of the same class are interchangeable."""
+    """Return the properties that distinguish a voter; voters with the same class are interchangeable."""
     memberships = [name in voter_set for voter_set in bounds.voter_sets.values()]
     return repr((bounds.clocks.get(name), bounds.versions.get(name), bounds.reloads.get(name), memberships))
 
 
-# Copies
-
-
 def copy_electorate(electorate: Electorate) -> Electorate:
-    """Return an electorate in the same state."""
+    """Return a copy of an electorate in the same state."""
     return type(electorate)(
         electorate.name,
         electorate.max_term,
@@ -215,9 +212,6 @@
     return other
 
 
-# Keys of states
-
-
 def _message_key(message: LeaseMessage) -> StateKey:
     if isinstance(message, ReleaseLease):
         return "release", message.instance_id, message.round
@@ -236,7 +230,7 @@
 def _electorate_key(electorate: Electorate, now: int) -> StateKey:
     if len(electorate.voter_sets) == 1:
         return ()
-    longest = 2 * electorate.max_term  # older than that makes no difference
+    longest = 2 * electorate.max_term  # ages beyond this are equivalent
     observed = tuple(
         (name, tuple((version, min(now - at, longest)) for version, at in history))
         for name, history in sorted(electorate.oldest_accepted_by.items())
@@ -255,7 +249,10 @@
 
 
 def _vote_key(vote: Vote | None, now: int) -> StateKey:
-    """An ended vote still counts for its owner's token, so it stays in the key, with nothing left."""
+    """Return the key of a vote.
+
+    An expired vote still affects which tokens its process may use, so it stays in the key, with no time left.
+    """
     if vote is None:
         return ()
     return vote.instance_id, vote.round, vote.token, max(0, vote.expires_at - now)
