--- a/cypressledge/lab/lease_faults/__init__.py
+++ b/cypressledge/lab/lease_faults/__init__.py
@@ -1,1 +1,1 @@
-"""Leases under faults: brokers as processes, drawn faults in and between them, and what judges them."""
+"""Leases under faults: broker processes, random process and network faults, and checks of the results."""
--- a/cypressledge/lab/lease_faults/checks.py
+++ b/cypressledge/lab/lease_faults/checks.py
@@ -1,6 +1,6 @@
-"""Judges what a run left behind: whether two ever acted, or believed they might, at once. No I/O.
+"""Checks a run's records for two processes that acted under, or believed to hold, one lease at once. No I/O.
 
-Shares nothing with the lease's code: it knows only times, tokens and who acted.
+Independent of the lease's code: it uses only times, tokens and the names of the processes that acted.
 """
 
 from collections import defaultdict
@@ -17,9 +17,10 @@
 
 
 class BeliefRecord(msgspec.Struct, frozen=True):
-    """What a process recorded at `at`, µs: until when it believes that it holds a lease, 0 for not any more.
+    """A process's record of a lease that it believes to hold.
 
-    `run`: its instance id; `token`: 0 where it holds nothing.
+    `at`: when it was recorded, µs; `until`: the believed end of the lease, µs, or 0 if the process no longer
+    holds it; `run`: the process's instance id; `token`: 0 if it holds nothing.
     """
 
     lease: str
@@ -32,26 +33,26 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """The verdict on one run. Times in µs."""
+    """The result of checking one run. Times in µs."""
 
     acts: int = 0
-    overlaps: list[str] = field(default_factory=list)  # accepted writes of two holders that interleave
-    stale: int = 0  # accepted writes under a token lower than one accepted before
+    overlaps: list[str] = field(default_factory=list)  # accepted writes of two holders that overlap in time
+    stale: int = 0  # accepted writes with a token below an earlier accepted one
     rejected: int = 0
-    shrunk: list[str] = field(default_factory=list)  # a later holder under a token that is not higher
-    beliefs: list[str] = field(default_factory=list)  # two processes that hold one lease at once
+    shrunk: list[str] = field(default_factory=list)  # later holders whose token is not higher
+    beliefs: list[str] = field(default_factory=list)  # two believed holders of one lease at once
     grants: int = 0
     longest_gap: int = 0
 
     @property
     def broken(self) -> bool:
-        """Whether anything happened that must not."""
+        """Whether the run violated an invariant."""
         return bool(self.overlaps or self.stale or self.beliefs or self.shrunk)
 
 
 @dataclass(slots=True)
 class _Holding:
-    """The span in which one process held a lease under one token."""
+    """The period in which one process held a lease under one token."""
 
     token: int
     broker: str
@@ -60,10 +61,10 @@
 
 
 def check(writes: list[Write], beliefs: list[BeliefRecord], until: int) -> Verdict:
-    """Judge a run.
+    """Check a run.
 
-    `writes`: the resource's record; `beliefs`: the brokers' own, a record for each change; `until`: the run's
-    end, µs. All moments are on one clock.
+    `writes`: the calls that the resource recorded; `beliefs`: the brokers' own records, one for each change;
+    `until`: the end of the run, µs. All times are on one clock.
     """
     verdict = Verdict()
     for lease, own in _grouped(writes, attrgetter("lease")).items():
@@ -81,7 +82,7 @@
 
 
 def _check_acts(verdict: Verdict, lease: str, writes: list[Write]) -> None:
-    spans: dict[tuple[int, int], list[int]] = {}  # by token and run: the first and the last accepted write
+    spans: dict[tuple[int, int], list[int]] = {}  # by token and run: first and last accepted write, µs
     highest_token = 0
     for write in sorted(writes, key=attrgetter("at")):
         if not write.accepted:
@@ -104,7 +105,7 @@
 
 
 def _holdings(records: list[BeliefRecord], until: int) -> list[_Holding]:
-    """Return who held the lease when, in order of the beginnings; none lasts beyond the run's end."""
+    """Return the periods in which the lease was held, by start; each ends at the run's end at the latest."""
     by_holder: dict[tuple[int, int], _Holding] = {}  # by token and run
     for record in sorted(records, key=attrgetter("at")):
         if not record.until:
--- a/cypressledge/lab/lease_faults/lease_run.py
+++ b/cypressledge/lab/lease_faults/lease_run.py
@@ -1,9 +1,9 @@
-"""One run of brokers as processes under drawn faults; a protected resource records every act under a lease.
+"""One run of broker processes under random faults; a protected resource records every act under a lease.
 
-Between every two brokers are proxies. Faults are drawn from a seed: kills, stops in the middle of an act and
-elsewhere, SIGTERM, restarts of a majority of the voters, partitions one way and both, loss, duplicates,
-delays past a term; clocks run fast and slow within the bound and start anywhere, wall clocks step at
-restarts. Signals go to processes started here, by their ids.
+Proxies connect every two brokers. Faults are drawn from a seed: kills, SIGSTOP in the middle of an act or at
+other times, SIGTERM, restarts of a majority of the voters, partitions in one or both directions, loss,
+duplicates, and delays beyond a term. Clocks run fast or slow within the bound and start at random offsets;
+wall clocks step at restarts. Signals are sent only to processes started here, by process id.
 """
 
 import random
@@ -24,7 +24,7 @@
 from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
 
 DRIFT_PPM = 20_000
-FAULT_KINDS = (  # twice: drawn twice as often
+FAULT_KINDS = (  # a kind that is listed twice is drawn twice as often
     "kill",
     "kill",
     "stop in an act",
@@ -42,17 +42,18 @@
     {"name": "ledger-b"},
     {"name": "pool", "places": 2},
 )
-RECENT_ACT_US = 0.4e6  # a holder that acted so lately holds the lease still
-RECENT_WRITES = 400  # that are searched for each lease's last act
-LAST_WRITES = 12  # whose holders are drawn from
-SETTLE_TERMS = 1.6  # after a fault, so that the next kill finds a holder and times from a calm state
+RECENT_ACT_US = 0.4e6  # µs; a holder whose last act is more recent still holds the lease
+RECENT_WRITES = 400  # number of latest writes that are searched for each lease's last act
+LAST_WRITES = 12  # number of latest writes from whose holders one is drawn
+# terms; pause after a fault, so that the next kill finds a holder and its timing starts from a calm state.
+SETTLE_TERMS = 1.6
 ACT_POLL_S = 0.002
-STOPPED_CALL_S = 0.05  # that a call is held up for after its sender goes on
+STOPPED_CALL_S = 0.05  # s; how long a call stays held after its sender was resumed
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRunOptions:
-    """What a run is made of; `kept_folder`: where its files stay, if anywhere."""
+    """The parameters of a run; `kept_folder`: the folder that keeps its files, or empty to keep none."""
 
     brokers: int
     voters: int
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingTakeover:
-    """A lease whose holder was taken away at `since`, µs; the s until the next act go into `times`."""
+    """A lease whose holder was terminated at `since`, µs; `times` receives the seconds until the next act."""
 
     former_holder: str
     since: int
@@ -74,14 +75,14 @@
 
 @dataclass
 class LeaseRun:
-    """One run: its brokers, proxies and resource, and what was seen."""
+    """One run: its brokers, proxies and resource, and the results."""
 
     seed: int
     options: LeaseRunOptions
     fault_counts: Counter[str] = field(default_factory=Counter)
     verdict: Verdict = field(default_factory=Verdict)
     takeovers: list[float] = field(default_factory=list)  # s from a kill of a holder to the next act
-    handovers: list[float] = field(default_factory=list)  # and from SIGTERM
+    handovers: list[float] = field(default_factory=list)  # s from a SIGTERM to a holder to the next act
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
@@ -93,9 +94,9 @@
         self.resource.on_write = self._on_write
         self.ports = free_udp_ports(self.names)
         self.proxies = UdpProxies(self.ports, self.seed)
-        self.in_act: dict[str, str] = {}  # by broker: a lease it is in the middle of an act under
+        self.in_act: dict[str, str] = {}  # broker -> lease under which it is amid an act
         self.pending_takeovers: dict[str, _PendingTakeover] = {}  # by lease
-        self.are_paths_undisturbed = True  # no path is disturbed
+        self.are_paths_undisturbed = True  # no partition, loss or delay
         self.handlers: dict[str, Callable[[], None]] = {
             "kill": self._kill_holder,
             "stop in an act": self._stop_in_act,
@@ -109,7 +110,7 @@
         }
 
     def play(self) -> Verdict:
-        """Start, break, mend, end; then judge."""
+        """Start the brokers, play faults until the time is over, end everything, and return the verdict."""
         try:
             self._start()
             end = LeaseClock().now() + self.options.seconds * 1e6
@@ -119,18 +120,18 @@
                 self.play_fault()
                 gevent.sleep(SETTLE_TERMS * self.term_s)
         finally:
-            over = LeaseClock().now()
+            ended_at = LeaseClock().now()
             beliefs = self._recorded_beliefs()
             for broker in self.brokers.all.values():
                 broker.kill()
             self.proxies.close()
             self.resource.close()
             self.brokers.end()
-        self.verdict = check(self.resource.writes, beliefs, over)
+        self.verdict = check(self.resource.writes, beliefs, ended_at)
         return self.verdict
 
     def inconclusive_reason(self) -> str:
-        """Return why the run means nothing; empty where it does mean something."""
+        """Return why the run is inconclusive, or an empty string if it is conclusive."""
         if self.verdict.acts < 2 * self.options.seconds:
             return f"only {self.verdict.acts} acts"
         faults = sum(self.fault_counts.values())
@@ -138,8 +139,6 @@
             return f"only {faults} faults"
         return "" if self.verdict.grants > len(LEASES) + 1 else "no lease changed hands"
 
-    # Starting, and what brokers record
-
     def _start(self) -> None:
         for name in self.names:
             self.brokers.add(name, self._fleet_settings(name)).start()
@@ -150,7 +149,7 @@
         )
 
     def _fleet_settings(self, name: str) -> dict:
-        """Return a broker's fleet file: its peers are behind proxies."""
+        """Return the contents of a broker's fleet file, with the addresses of proxies for its peers."""
         tasks = [
             {
                 "kind": "call",
@@ -185,7 +184,7 @@
         return self.proxies.address(name, peer)
 
     def _recorded_beliefs(self) -> list[BeliefRecord]:
-        """Return what brokers recorded of the leases they held; a killed one's last line may be cut short."""
+        """Return the brokers' records of leases held, without a last line that a kill cut short."""
         records: list[BeliefRecord] = []
         for name in self.names:
             path = self.brokers.folder / f"{name}.held"
@@ -193,8 +192,6 @@
             records += [msgspec.json.decode(line, type=BeliefRecord) for line in lines if line.endswith("}")]
         return records
 
-    # What is seen while it runs
-
     def _on_write(self, write: Write) -> None:
         if not write.accepted:
             return
@@ -208,7 +205,7 @@
             del self.pending_takeovers[write.lease]
 
     def _await_takeover(self, name: str, times: list[float]) -> None:
-        """Note that a holder is about to go: time runs until another acts under what it held."""
+        """Start timing, for each lease that `name` holds, until another broker acts under it."""
         now = LeaseClock().now()
         recent = self.resource.writes[-RECENT_WRITES:]
         last: dict[str, Write] = {write.lease: write for write in recent if write.accepted}
@@ -216,16 +213,14 @@
             if write.holder == name and now - write.at < RECENT_ACT_US:
                 self.pending_takeovers[lease] = _PendingTakeover(name, now, times)
 
-    # Faults
-
     def play_fault(self) -> None:
-        """Draw one fault and play it from its beginning until it is mended."""
+        """Draw one fault and play it from its start until it is repaired."""
         kind = self.random.choice(self.options.fault_kinds)
         self.fault_counts[kind] += 1
         self.handlers[kind]()
 
     def _draw_holder(self) -> BrokerProcess:
-        """Return a broker that has just acted, if one has; else any that runs."""
+        """Draw a running broker that has acted recently, or any running broker if there is none."""
         recent = [write.holder for write in self.resource.writes[-LAST_WRITES:] if write.accepted]
         running = [name for name in recent or self.names if self._is_running(name)]
         return self.brokers.all[self.random.choice(running or list(filter(self._is_running, self.names)))]
@@ -242,7 +237,7 @@
         self._restart(broker)
 
     def _restart(self, broker: BrokerProcess) -> None:
-        """Start it again, its wall clock stepped."""
+        """Start a broker again, with its wall clock stepped by up to an hour."""
         broker.fleet["lab"]["wall_step_s"] = self.random.uniform(-3_600, 3_600)
         broker.start()
 
@@ -256,7 +251,7 @@
         self._pause(self._draw_holder())
 
     def _stop_in_act(self) -> None:
-        """Stop a holder between its check and its act: its call arrives only after it has gone on."""
+        """Stop a holder between its check and its act: the resource holds its call until it is resumed."""
         name = until(self._running_in_act, self.term_s, ACT_POLL_S)
         if name is None:
             return
@@ -280,7 +275,7 @@
         for name in chosen:
             self.brokers.all[name].kill()
         gevent.sleep(self.random.uniform(0, 0.3) * self.term_s)
-        for name in chosen:  # their wall clocks stay as they were: see the assumptions in docs/leases.md
+        for name in chosen:  # with unchanged wall clocks: see the assumptions in docs/leases.md
             self.brokers.all[name].start()
 
     def _partition(self) -> None:
@@ -292,7 +287,7 @@
         self._cut(lambda source, to: source in side and to not in side)
 
     def _draw_side(self) -> set[str]:
-        """Draw at most half of the brokers."""
+        """Draw one side of a partition: at least one broker, and at most half of them."""
         return set(self.random.sample(self.names, self.random.randint(1, self.options.brokers // 2)))
 
     def _cut_off_from_voters(self) -> None:
--- a/cypressledge/lab/lease_faults/protected_resource.py
+++ b/cypressledge/lab/lease_faults/protected_resource.py
@@ -1,4 +1,4 @@
-"""A fake of what is acted on under leases: an HTTP service that records every call and its token."""
+"""A fake of a resource that lease holders act on: an HTTP service that records every call and its token."""
 
 import json
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Gate:
-    """Where a holder's next call waits: `arrived` is set once it is there; it goes on when `opened` is."""
+    """Delays a holder's next call: it sets `arrived` on arrival, and continues once `opened` is set."""
 
     arrived: Event
     opened: Event
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """One call as it was received. `at`: µs on the machine's clock; `of`: steps of the act."""
+    """A received call. `at`: µs on the machine's clock; `step`, `of`: index and number of the act's steps."""
 
     at: int
     lease: str
@@ -35,12 +35,12 @@
 
 
 class ProtectedResource:
-    """Keeps the highest token of each lease and rejects lower ones, unless `fence` is off."""
+    """A service that keeps each lease's highest token, and rejects lower ones unless `fence` is false."""
 
     def __init__(self, fence: bool = True) -> None:
         self.fence = fence
         self.writes: list[Write] = []
-        self.highest: dict[str, tuple[int, int]] = {}  # by lease: token and run
+        self.highest: dict[str, tuple[int, int]] = {}  # lease -> token and instance id
         self.gates: dict[str, Gate] = {}
         self.on_write: Callable[[Write], None] = lambda write: None
         self.server = WSGIServer(("127.0.0.1", 0), self._serve, log=None, error_log=None)
@@ -48,11 +48,11 @@
 
     @property
     def address(self) -> str:
-        """The address it listens on, HOST:PORT."""
+        """The address that the service listens on, HOST:PORT."""
         return f"127.0.0.1:{self.server.server_port}"
 
     def gate(self, holder: str) -> Gate:
-        """Hold up the next call of a holder: sent, but not yet where it acts."""
+        """Return a gate that delays a holder's next call after it was sent and before it takes effect."""
         return self.gates.setdefault(holder, Gate(Event(), Event()))
 
     def _serve(self, environ: dict[str, Any], start_response: Callable[..., object]) -> list[bytes]:
@@ -84,7 +84,7 @@
         return [json.dumps({"token": self.highest[lease][0]}).encode()]
 
     def close(self) -> None:
-        """Let all held calls go on, and stop listening."""
+        """Release all held calls and stop the server."""
         for gate in self.gates.values():
             gate.opened.set()
         self.server.stop(timeout=0.1)
--- a/cypressledge/lab/lease_faults/run.py
+++ b/cypressledge/lab/lease_faults/run.py
@@ -1,4 +1,4 @@
-"""`lab leases`: plays runs of brokers under drawn faults, and checks that two holders never act at once."""
+"""The command `lab leases`: plays runs under random faults, and checks that two holders never act at once."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseFaultsOptions:
-    """The command's options; `only`: kinds of faults to draw from, with commas; all where it is empty."""
+    """The command's options; `only`: comma-separated kinds of faults to draw from, or empty for all."""
 
     brokers: int
     voters: int
@@ -34,7 +34,10 @@
 
 
 def run(options: LeaseFaultsOptions, echo: Callable[[str], None]) -> int:
-    """Play the runs; return the exit code. 1: something happened that must not. 3: a run meant nothing."""
+    """Play the runs and return the exit code.
+
+    1: an invariant was violated. 3: a run was inconclusive. 0: otherwise.
+    """
     runs: list[LeaseRun] = []
     inconclusive = 0
     for seed in range(options.seed, options.seed + options.runs):
@@ -44,7 +47,7 @@
         _print_run(lease_run, echo)
         if why := lease_run.inconclusive_reason():
             inconclusive += 1
-            echo(f"  this run means nothing: {why}")
+            echo(f"  this run is inconclusive: {why}")
     takeovers = [seconds for lease_run in runs for seconds in lease_run.takeovers]
     handovers = [seconds for lease_run in runs for seconds in lease_run.handovers]
     echo(_times("after a kill of a holder the next acts", takeovers, options.term))
