--- a/cypressledge/lab/zone_simulation/broker.py
+++ b/cypressledge/lab/zone_simulation/broker.py
@@ -1,4 +1,4 @@
-"""A modelled broker: the program's decision module, a small request ledger, and what zone failover needs."""
+"""A modelled broker: the production decision module, a small request ledger, and what zone failover uses."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -19,29 +19,29 @@
 from cypressledge.fleet.zones.failover import ZoneFailover
 from cypressledge.lab.zone_simulation.engine import SECOND, WORK
 
-CLIENT_WAIT = 3 * SECOND
+CLIENT_WAIT = 3 * SECOND  # µs; how long a client waits for an answer
 ENGINE_LIST = "model"  # the name of the one engine list
-NO_REPLY = cast(ReplyHandler, None)  # answers are counted by the world
+NO_REPLY = cast(ReplyHandler, None)  # the world counts answers instead
 
 
 class BrokerWorld(Protocol):
-    """What a broker needs of its world. `now`: virtual µs."""
+    """The part of the simulated world that a broker uses. `now`: virtual µs."""
 
     now: int
     endpoints: dict[int, Endpoint]
 
     def send(self, broker: "ModelBroker", attempt: Attempt) -> None:
-        """Send an attempt of a broker to its engine."""
+        """Send a broker's attempt to the attempt's engine."""
 
     def count_arrival(self) -> None:
-        """Count a client's request."""
+        """Count a request that a client has sent."""
 
     def count_answer(self, query: Query) -> None:
-        """Count a client's answer, by whether it came in time."""
+        """Count an answer to a client as in time or late."""
 
 
 class ModelBroker:
-    """One broker, with the parts of the core that zone failover uses."""
+    """A broker, with the parts of the broker core that zone failover uses."""
 
     def __init__(self, world: BrokerWorld, number: int, settings: c.Settings, seed: int) -> None:
         self.world = world
@@ -55,32 +55,32 @@
         self.is_closed: Callable[[c.EngineListEntry], bool] | None = None
         self.admission_filter: Callable[[Query], bool] | None = None
         self.events: list[c.Event] = []
-        self.timers: list[tuple[int, int]] = []  # when they fire, and their tokens
+        self.timers: list[tuple[int, int]] = []  # firing time and token of each
         self.last_request = 0
         self.zones: ZoneFailover | None = None
         self.alive = True
 
     @property
     def ledger(self) -> "ModelBroker":
-        """The part that keeps requests: this object stands for all of the core's parts."""
+        """The request ledger: this object replaces all parts of the core."""
         return self
 
     @property
     def engines(self) -> "ModelBroker":
-        """The part that keeps engine lists."""
+        """The holder of the engine lists."""
         return self
 
     @property
     def loop(self) -> "ModelBroker":
-        """The part that owns the decisions."""
+        """The event loop, which runs the decision module."""
         return self
 
     def now(self) -> int:
-        """Return the module's time, µs."""
+        """Return the decision module's time, virtual µs."""
         return self.world.now
 
     def refresh(self) -> None:
-        """Give the module the list anew, with the engines that are closed as draining."""
+        """Send the decision module the full engine list again, with closed engines listed as draining."""
         entries = tuple(self._module_entry(engine.entry) for engine in self.engine_lists[ENGINE_LIST])
         self.events.append(c.EngineListReceived(c.EngineListKind.FULL, entries))
 
@@ -90,7 +90,7 @@
         return replace(entry, state=c.EngineState.DRAINING)
 
     def receive_request(self) -> None:
-        """Take one request of a client, unless the admission filter rejects it."""
+        """Receive one request from a client, and drop it if the admission filter rejects it."""
         self.last_request += 1
         number = self.last_request
         deadline = self.world.now + CLIENT_WAIT
@@ -102,7 +102,7 @@
         self.events.append(c.RequestReceived(number, 0, deadline, 0, WORK))
 
     def step(self) -> None:
-        """Give the module all new events, and execute its actions."""
+        """Pass all new events to the decision module, and execute its actions."""
         now = self.world.now
         if self.zones is not None:
             self.zones.tick(now)
@@ -131,7 +131,7 @@
             self._close_request(self.requests[action.request])
 
     def end_attempt(self, request_number: int, number: int, outcome: c.Outcome) -> None:
-        """End an attempt, unless it has ended."""
+        """End an attempt with an outcome; do nothing if it has ended already."""
         request = self.requests.get(request_number)
         if request is None or not request.attempts[number].is_open:
             return
@@ -151,7 +151,7 @@
         self._remove_if_finished(request)
 
     def drop_overdue(self, now: int) -> None:
-        """End the requests whose clients have disconnected, past their deadlines."""
+        """End the open requests whose deadline and its grace period have passed, as if their clients left."""
         overdue = [
             request
             for request in self.requests.values()
--- a/cypressledge/lab/zone_simulation/report.py
+++ b/cypressledge/lab/zone_simulation/report.py
@@ -1,4 +1,4 @@
-"""Plays many schedules in processes, and reports: a table, a last line, and a plot where it is asked for."""
+"""Plays many schedules in parallel processes, prints a table and a summary line, and can draw a plot."""
 
 from collections.abc import Callable, Iterable
 from concurrent.futures import ProcessPoolExecutor
@@ -35,26 +35,26 @@
 
     @property
     def results_off(self) -> list[PlayResult]:
-        """Return the plays without zone failover."""
+        """The results without zone failover."""
         return [comparison.off for comparison in self.comparisons]
 
     @property
     def results_on(self) -> list[PlayResult]:
-        """Return the plays with zone failover."""
+        """The results with zone failover."""
         return [comparison.on for comparison in self.comparisons]
 
     @property
     def failed_engines(self) -> int:
-        """Engines that fell over with failover on."""
+        """The number of engines that failed under overload with failover on."""
         return sum(result.failed_engines for result in self.results_on)
 
     @property
     def false_departures(self) -> int:
-        """Zones left for nothing with failover on."""
+        """The number of departures from a healthy zone with failover on."""
         return sum(result.false_departures for result in self.results_on)
 
     def row(self) -> list[object]:
-        """Return the row of the table."""
+        """Return the values of the table row, in the order of `HEADERS`."""
         results_off, results_on = self.results_off, self.results_on
         return [
             self.kind,
@@ -72,7 +72,7 @@
 
 
 def _largest(values: Iterable[float | None]) -> float | None:
-    """Return the largest of the values that are known; None where none is."""
+    """Return the largest value that is not None, or None if there is no such value."""
     return max((value for value in values if value is not None), default=None)
 
 
@@ -80,9 +80,9 @@
 class SimulationOptions:
     """The command's options.
 
-    `zones`: 0 draws 2 to 6 by the seed; `kind`: kinds of fault with commas, all where none is named; `seed`:
-    the first; `runs`: seeds of each kind; `load`: as a part of all engines' cores; `workers`: processes to
-    play in; `plot`: the file that the first scenario is drawn into, or empty.
+    `zones`: 0 derives 2 to 6 from the seed; `kind`: comma-separated kinds of fault, or empty for all; `seed`:
+    the first seed; `runs`: number of seeds per kind; `load`: work as a fraction of all engines' cores;
+    `workers`: number of processes; `plot`: file for a plot of the first scenario, or empty.
     """
 
     brokers: int
@@ -96,11 +96,11 @@
     plot: str
 
     def kinds(self) -> tuple[str, ...]:
-        """Return the kinds of fault."""
+        """Return the kinds of fault that are played."""
         return tuple(kind.strip() for kind in self.kind.split(",")) if self.kind else SCHEDULES
 
     def scenarios(self) -> list[Scenario]:
-        """Return all scenarios, kind by kind."""
+        """Return all scenarios, ordered by kind and seed."""
         return [
             Scenario(seed, kind, self.brokers, self.engines, self.zones or 2 + seed % 5, self.load)
             for kind in self.kinds()
@@ -109,9 +109,9 @@
 
 
 def run(options: SimulationOptions, echo: Callable[[str], None]) -> int:
-    """Play all scenarios, print a table, and plot the first; return the exit code.
+    """Play all scenarios, print a table, and draw the first if a plot file is given; return the exit code.
 
-    1: an engine fell over with failover on, or a zone was left for nothing.
+    1: with failover on, an engine failed under overload or brokers left a healthy zone.
     """
     reports = _play_all(options)
     rows = [report.row() for report in reports]
--- a/cypressledge/lab/zone_simulation/scenario.py
+++ b/cypressledge/lab/zone_simulation/scenario.py
@@ -1,4 +1,4 @@
-"""One scenario of the model: its size, its load and the fault that happens in it."""
+"""A scenario of the simulation: its size, its load and its fault."""
 
 from dataclasses import dataclass
 
@@ -7,8 +7,8 @@
 class Scenario:
     """A scenario that can be played with zone failover off and on.
 
-    `kind`: of fault; `load`: the work, as a part of all engines' cores; `loss`: the part of the messages
-    between brokers that is lost.
+    `kind`: the kind of fault; `load`: work as a fraction of all engines' cores; `loss`: the fraction of the
+    messages between brokers that is lost.
     """
 
     seed: int
--- a/cypressledge/lab/zone_simulation/schedules.py
+++ b/cypressledge/lab/zone_simulation/schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of faults, played in the modelled world, and what came of them."""
+"""Schedules of faults, played in the simulated world, and their results."""
 
 import random
 from collections import Counter
@@ -10,15 +10,15 @@
 from cypressledge.lab.zone_simulation.world import PlayResult, World
 
 SCHEDULES = ("silent", "reset", "slow", "cut", "blind", "release", "planner")
-ZONE_LOSS_KINDS = ("silent", "reset", "slow", "planner")  # those that lose a zone
-BEFORE_S = 5  # as usual, before the fault
-AFTER_S = 24.0  # watched after it
-PLANNER_DEATH_S = 0.5  # after the loss
+ZONE_LOSS_KINDS = ("silent", "reset", "slow", "planner")  # schedules in which a whole zone fails
+BEFORE_S = 5  # s; normal operation before the fault
+AFTER_S = 24.0  # s; simulated time after the fault
+PLANNER_DEATH_S = 0.5  # s; from the loss of the zone to the kill of the planner
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One scenario with zone failover off and on."""
+    """The results of one scenario with zone failover off and on."""
 
     scenario: Scenario
     off: PlayResult
@@ -26,12 +26,12 @@
 
 
 def play_both(scenario: Scenario) -> Comparison:
-    """Play a scenario off and on."""
+    """Play a scenario with zone failover off and on, and return both results."""
     return Comparison(scenario, off=play(scenario, failover=False), on=play(scenario, failover=True))
 
 
 def play(scenario: Scenario, failover: bool) -> PlayResult:
-    """Play a scenario: 5 s as usual, a fault for some, then the return."""
+    """Play a scenario: 5 s of normal operation, a fault of 6 to 9 s, then the recovery."""
     kind = scenario.kind
     world = World(scenario, failover)
     rng = random.Random(scenario.seed)
@@ -53,15 +53,15 @@
 
 
 def _play_fault(world: World, kind: str, zone: int, outage_s: float) -> None:
-    """Let the fault of a schedule last for `outage_s`."""
+    """Start the fault of a schedule, and simulate `outage_s` seconds."""
     zones = len(world.zone_names)
     if kind in ZONE_LOSS_KINDS:
         world.fail_zone(zone, "silent" if kind == "planner" else kind)
-    elif kind == "cut":  # the path from the next zone's brokers
+    elif kind == "cut":  # the paths from the next zone's brokers to this zone's engines
         world.blocked = {
             (broker, zone) for broker in range(len(world.brokers)) if broker % zones == (zone + 1) % zones
         }
-    elif kind == "blind":  # one broker, to whom everything fails
+    elif kind == "blind":  # all paths from one broker
         world.blocked = {(1, each) for each in range(zones)}
     if kind == "release":
         _release(world, zone, outage_s)
@@ -74,7 +74,7 @@
 
 
 def _release(world: World, zone: int, seconds: float) -> None:
-    """One engine after the other is away for a moment, and back cold."""
+    """Restart the zone's engines one after the other; each is down for a while, and starts cold."""
     engines = world.engines_in(zone)
     for engine in engines:
         engine.fail("reset")
@@ -98,7 +98,7 @@
 
 
 def _false_departures(world: World, kind: str) -> int:
-    """Return how often a zone was left for nothing."""
+    """Return how often brokers left a healthy zone."""
     departures = [e for e in world.events if e.event in ("zone_leaving", BrokerEvent.ZONES_EVACUATED)]
     if kind not in ZONE_LOSS_KINDS:
         return len(departures)
@@ -106,7 +106,7 @@
 
 
 def _recovered_after(world: World) -> float | None:
-    """Return the seconds from the zone's return until its share was full; None where it never was."""
+    """Return the seconds from the restart of the zone until its share was full; None if it never was."""
     if world.back_at is None:
         return None
     times = (at for at in _times(world, "zone_serving") if at > world.back_at)
@@ -115,5 +115,5 @@
 
 
 def _times(world: World, event: str) -> list[int]:
-    """Return when an event of the lost zone was logged, virtual µs."""
+    """Return the times at which an event of the lost zone was logged, virtual µs."""
     return [e.at for e in world.events if e.event == event and e.zones == [world.lost_zone_name()]]
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -1,4 +1,4 @@
-"""The modelled world: so many brokers and engines, messages between them, and virtual time (µs)."""
+"""The simulated world: brokers, engines, the messages between them, and virtual time (µs)."""
 
 import random
 from collections import Counter, deque
@@ -29,13 +29,13 @@
 )
 from cypressledge.lab.zone_simulation.scenario import Scenario
 
-EPOCH = 1_000 * SECOND  # where virtual time begins: engines that started "at 0" are warm
-OBJECTIVE = 600_000  # µs: the latency objective of a lookup, besides
-OBJECTIVE_STRETCH = 1.5  # times its work
+EPOCH = 1_000 * SECOND  # µs; start of virtual time, not 0, since engines with `started_at` 0 are warm
+OBJECTIVE = 600_000  # µs; fixed part of a lookup's latency objective
+OBJECTIVE_STRETCH = 1.5  # multiple of a lookup's work that is added to its latency objective
 LOOKUP = c.ClassSettings(
     OBJECTIVE, CLIENT_WAIT, latency_objective_stretch=OBJECTIVE_STRETCH, late_priority_weight=0.1
 )
-SUCCESSION = 3 * SECOND  # from a planner's death until its successor acts
+SUCCESSION = 3 * SECOND  # µs; from the kill of the planner until its successor acts
 PLAN_INTERVAL = 100_000
 OVERDUE_CHECK_INTERVAL = 100_000
 SAMPLE_INTERVAL = 250_000
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, in transit to its broker."""
+    """The outcome of an attempt, in transit to the broker."""
 
     request: int
     number: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetMessage:
-    """A message from one broker to another."""
+    """A zone failover message from one broker to another."""
 
     sender: str
     message: ZoneMessage
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """Something that arrives at a broker, named by its number."""
+    """An item in transit to the broker with number `broker`."""
 
     broker: int
     item: AttemptResult | FleetMessage
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedEvent:
-    """A log event of a broker: when, which, and of which zones."""
+    """A log event of a broker: its time (virtual µs), name and zones."""
 
     at: int
     event: str
@@ -77,10 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The lost zone at one moment, s.
+    """The state of the lost zone at one time, s.
 
-    `share`: of the zone, mean of the brokers; `load`: over what it can do; `kept`: the part of all
-    requests so far that was answered in time.
+    `share`: the zone's share, mean over the brokers; `load`: used cores as a fraction of the capacity;
+    `kept`: the fraction of all requests so far that was answered in time.
     """
 
     at: float
@@ -91,20 +91,20 @@
 
 @dataclass(slots=True)
 class PlayResult:
-    """What came of one run."""
-
-    kept: float = 0.0  # percent of what was asked, answered in time
-    last_send: float = 0.0  # s after the loss
-    in_force_after_s: float | None = None  # s from the decision to leave, until all have its plan
-    departed_after_s: float | None = None  # s from the loss
-    recovered_after_s: float | None = None  # s from the return, until the share is full
-    failed_engines: int = 0  # engines
-    false_departures: int = 0
+    """The result of one run."""
+
+    kept: float = 0.0  # percentage of the requests that were answered in time
+    last_send: float = 0.0  # s from the loss of the zone to the last send into it
+    in_force_after_s: float | None = None  # s from the decision to leave until all brokers have the plan
+    departed_after_s: float | None = None  # s from the loss of the zone to the decision to leave it
+    recovered_after_s: float | None = None  # s from the restart of the zone until its share is full
+    failed_engines: int = 0  # number of engines that failed under overload
+    false_departures: int = 0  # number of departures from a healthy zone
     curve: list[Sample] = field(default_factory=list)
 
 
 class World:
-    """Brokers, engines, and what happens to them. `failover`: whether brokers have zone failover."""
+    """The brokers and engines of a run, and the faults. `failover`: whether brokers have zone failover."""
 
     def __init__(self, scenario: Scenario, failover: bool) -> None:
         seed, brokers = scenario.seed, scenario.brokers
@@ -124,15 +124,15 @@
             ModelBroker(self, i, self._settings(i, brokers), seed * 1_000 + i) for i in range(brokers)
         ]
         self.weights = [self.random.uniform(0.4, 2.0) for _ in self.brokers]
-        # Requests a second, of all brokers.
+        # Requests per second, over all brokers.
         self.rate = scenario.load * scenario.engines * CORES / (WORK / SECOND)
-        self.in_transit: list[Delivery] = []  # arrives with the next step
-        self.blocked: set[tuple[int, int]] = set()  # paths that fail: (broker, zone)
+        self.in_transit: list[Delivery] = []  # arrive in the next step
+        self.blocked: set[tuple[int, int]] = set()  # failed paths: (broker, zone)
         self.lost_zone: int | None = None
         self.lost_at: int | None = None
         self.back_at: int | None = None
         self.events: list[LoggedEvent] = []
-        self.plan_taken_at: dict[int, int] = {}  # by broker: the plan that leaves the lost zone
+        self.plan_taken_at: dict[int, int] = {}  # broker -> time of the plan that leaves the lost zone
         self.planner = 0
         self.planner_acts_from = 0
         self.token = 1
@@ -142,7 +142,7 @@
 
     @staticmethod
     def _settings(number: int, brokers: int) -> c.Settings:
-        """Return the site's settings for one broker's module."""
+        """Return the settings of one broker's decision module."""
         return c.Settings(
             classes=(LOOKUP,),
             kind_cores=(CORES,),
@@ -187,35 +187,33 @@
         topology = SiteTopology(self.zone_names, broker_zones, {}, {})
         pace = FailoverPace(cold_capacity=START_CAPACITY, warm_up_time=WARM_UP_TIME)
         failover = ZoneFailover(broker.name, broker, topology, pace, links)
-        failover.admission.awaiting_plan = False  # starts are not modelled
+        failover.admission.awaiting_plan = False  # broker starts are not modelled
         failover.planner_name = f"n{self.planner}"
         return failover
 
     def _send_message(self, sender: ModelBroker, peer: str, message: object) -> None:
-        """Put a message between brokers in transit, or lose it."""
+        """Put a message between brokers in transit, or drop it with the probability of loss."""
         if self.random.random() >= self.loss:
             item = FleetMessage(sender.name, cast(ZoneMessage, message))
             self.in_transit.append(Delivery(_number(peer), item))
 
     def _record_event(self, broker: ModelBroker, event: str, /, **fields: Any) -> None:
-        """Record a broker's log event, and when it took the plan that leaves the lost zone."""
+        """Record a broker's log event, and when the broker accepted the plan that leaves the lost zone."""
         zones = fields["zones"] if "zones" in fields else [fields.get("zone", "")]
         self.events.append(LoggedEvent(self.now, event, zones))
         if event == BrokerEvent.PLAN_ACCEPTED and fields["shares"].get(self.lost_zone_name()) == 0:
             self.plan_taken_at.setdefault(broker.number, self.now)
 
     def lost_zone_name(self) -> str:
-        """Return the name of the lost zone; empty where none has been lost."""
+        """Return the name of the lost zone, or an empty string if none is lost."""
         return self.zone_names[self.lost_zone] if self.lost_zone is not None else ""
 
     def engines_in(self, zone: int) -> list[ModelEngine]:
-        """Return a zone's engines."""
+        """Return the engines of a zone."""
         return [engine for engine in self.engines if engine.zone == zone]
 
-    # Called by brokers
-
     def send(self, broker: ModelBroker, attempt: Attempt) -> None:
-        """Send an attempt of a broker to its engine."""
+        """Send a broker's attempt to the attempt's engine; it is lost if the path is blocked."""
         engine = self.engine_by_number[attempt.endpoint.id]
         if self.lost_at is not None and engine.zone == self.lost_zone and self.back_at is None:
             self.result.last_send = (self.now - self.lost_at) / SECOND
@@ -227,19 +225,17 @@
             self.in_transit.append(Delivery(broker.number, result))
 
     def count_arrival(self) -> None:
-        """Count a client's request."""
+        """Count a request that a client has sent."""
         self.counts["asked"] += 1
 
     def count_answer(self, query: Query) -> None:
-        """Count a client's answer, by whether it came in time."""
+        """Count an answer to a client as in time or late."""
         arrived = query.deadline - CLIENT_WAIT
         in_time = self.now - arrived <= OBJECTIVE + OBJECTIVE_STRETCH * WORK
         self.counts["kept" if in_time else "late"] += 1
 
-    # What a schedule does
-
     def fail_zone(self, zone: int, failure: str) -> None:
-        """Let all engines of a zone fail."""
+        """Let all engines of a zone fail; `failure`: silent, reset or slow."""
         self.lost_zone = zone
         self.lost_at = self.now
         for engine in self.engines_in(zone):
@@ -256,16 +252,14 @@
             engine.running.clear()
 
     def kill_planner(self) -> None:
-        """Kill the planner; the next broker acts `SUCCESSION` later."""
+        """Kill the planner; the next broker acts as planner `SUCCESSION` later."""
         self.brokers[self.planner].alive = False
         self.planner += 1
         self.planner_acts_from = self.now + SUCCESSION
         self.token += 1
 
-    # Time
-
     def run(self, seconds: float) -> None:
-        """Let so many seconds pass."""
+        """Simulate `seconds` of virtual time."""
         for _ in range(round(seconds * SECOND / STEP)):
             self.now += STEP
             self._step()
@@ -301,7 +295,7 @@
         grant = HeldLease("zones", "zones", self.token, self.token, self.now + SECOND)
         planner = self.brokers[self.planner].zones
         if planner is not None:
-            deque(planner.act(grant), maxlen=0)  # all its steps at once
+            deque(planner.act(grant), maxlen=0)  # runs all steps of the planner at once
 
     def _arrivals(self) -> None:
         mean = self.rate * STEP / SECOND
@@ -324,5 +318,5 @@
 
 
 def _number(name: str) -> int:
-    """Return a broker's number, by its name."""
+    """Return the number of the broker with this name."""
     return int(name[1:])
