--- a/cypressledge/lab/zone_processes/__init__.py
+++ b/cypressledge/lab/zone_processes/__init__.py
@@ -1,4 +1,4 @@
-"""`lab zones`: loses a zone under several brokers as processes, with zone failover off and on, and compares.
+"""The command `lab zones`: fails a zone under several broker processes, with zone failover off and on.
 
-Loopback only; all processes are started here, and ended.
+The results are compared. All traffic is on loopback; all processes are started and ended here.
 """
--- a/cypressledge/lab/zone_processes/comparison.py
+++ b/cypressledge/lab/zone_processes/comparison.py
@@ -1,4 +1,4 @@
-"""Plays drawn schedules, each with zone failover off and on, and compares what came of them."""
+"""Plays random schedules, each with zone failover off and on, and compares the results."""
 
 import random
 import time
@@ -13,23 +13,23 @@
 from cypressledge.lab.zone_processes.core_engine import CoreEngine
 from cypressledge.lab.zone_processes.testbed import ZONES, ZoneTestbed, ZoneTestbedOptions, logged_at
 
-FAILURES = ("silent", "reset", "slow")  # how a whole zone fails
+FAILURES = ("silent", "reset", "slow")  # ways in which a whole zone fails
 BROKERS = 10
-RATE = 0.55  # of all engines' cores
-SETTLE_S = 4  # before the zone is lost
+RATE = 0.55  # load as a fraction of all engines' cores
+SETTLE_S = 4  # s; normal operation before the zone fails
 
-# The retry budget over all brokers: at most 3 a broker and a tenth of the queries, in any 5 s.
+# The retry budget over all brokers: at most 3 retries per broker plus a tenth of the queries, in any 5 s.
 BUDGET_WINDOW_S = 5
 BUDGET_FLOOR = 3
 BUDGET_RATIO = 0.1
-WINDOW_SLACK_S = 0.5  # queries up to that much before the window count as well: engines receive with a delay
+WINDOW_SLACK_S = 0.5  # s; queries this long before the window count too: engines receive with a delay
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """How a zone fails, for how long, and how long it is watched afterwards.
+    """A schedule: how a zone fails, for how long, and how long the fleet is observed afterwards.
 
-    `failure`: one of `FAILURES`, or cut, blind, release or none, which lose no whole zone.
+    `failure`: one of `FAILURES`, or cut, blind, release or none, in which no whole zone fails.
     """
 
     seed: int
@@ -40,27 +40,27 @@
 
     @property
     def is_zone_loss(self) -> bool:
-        """Whether a whole zone is lost."""
+        """Whether a whole zone fails."""
         return self.failure in FAILURES
 
 
 @dataclass(slots=True)
 class PlayResult:
-    """What came of one play of a schedule."""
+    """The result of playing a schedule once."""
 
-    last_send: float = 0.0  # s after the zone was lost, of the last new send into it
-    departed_after_s: float | None = None  # s after it, until all brokers had the plan that leaves it
-    kept: float = 0.0  # percent of what was asked that was answered in time, from the loss on
-    failed_engines: int = 0  # engines
+    last_send: float = 0.0  # s from the loss of the zone to the last new send into it
+    departed_after_s: float | None = None  # s from the loss until all brokers had the plan that leaves it
+    kept: float = 0.0  # percentage of the requests since the loss that were answered in time
+    failed_engines: int = 0  # number of overload failures of engines
     retries: int = 0
     budget_violations: int = 0
-    recovered_after_s: float | None = None  # s after the zone came back, when its share was full
+    recovered_after_s: float | None = None  # s from the repair until the share was full
     false_departures: int = 0
     events: list[dict] = field(default_factory=list)
 
 
 def play(schedule: Schedule, failover: bool) -> PlayResult:
-    """Play a schedule: start, lose the zone, bring it back, end."""
+    """Play a schedule: start a testbed, fail the zone, repair it, collect the result, end everything."""
     testbed = ZoneTestbed(ZoneTestbedOptions(BROKERS, failover, schedule.seed, RATE))
     result = PlayResult()
     zone = schedule.zone
@@ -89,7 +89,7 @@
 
 
 def _fail(schedule: Schedule, testbed: ZoneTestbed) -> None:
-    """Let the zone fail for as long as the schedule says."""
+    """Start the schedule's failure, and return when its outage is over."""
     lost = testbed.engines_in(schedule.zone)
     end = time.monotonic() + schedule.outage_s
     if schedule.is_zone_loss:
@@ -100,7 +100,7 @@
         cut_off = {name for number, name in enumerate(testbed.names) if number % len(ZONES) == next_zone}
         for engine in lost:
             engine.block(cut_off, "silent")
-    elif schedule.failure == "blind":  # one broker, to whom everything fails
+    elif schedule.failure == "blind":  # all paths from one broker
         for engine in testbed.engines:
             engine.block({testbed.names[1]}, "reset")
     elif schedule.failure == "release":
@@ -112,7 +112,7 @@
 
 
 def _false_departures(schedule: Schedule, events: list[dict]) -> int:
-    """Return how often a zone was left for nothing."""
+    """Return how often brokers left a healthy zone."""
     departures = [event for event in events if event["event"] != BrokerEvent.PLAN_ACCEPTED]
     if not schedule.is_zone_loss:
         return len(departures)
@@ -120,7 +120,7 @@
 
 
 def _read_times(result: PlayResult, zone: str, lost_at: float, back_at: float) -> None:
-    """Set when all had taken the plan that leaves the zone, and when its share was full again."""
+    """Set when all brokers had accepted the plan that leaves the zone, and when its share was full again."""
     left_at: dict[str, float] = {}
     for event in result.events:
         if event["event"] != BrokerEvent.PLAN_ACCEPTED:
@@ -135,7 +135,7 @@
 
 
 def _check_retry_budget(result: PlayResult, engines: list[CoreEngine]) -> None:
-    """Count attempts beyond each query's first, and those over the budget of all brokers together."""
+    """Count the retries (attempts after a query's first) and those beyond the budget of all brokers."""
     received = sorted(
         (query.received_at, query.broker, query.name) for engine in engines for query in engine.received
     )
@@ -154,7 +154,7 @@
 
 
 def describe(schedule: Schedule, failover: bool, result: PlayResult) -> str:
-    """Return one play in one line."""
+    """Return a line of text about one result."""
     left = "" if result.departed_after_s is None else f", left by all after {result.departed_after_s:.2f} s"
     back = "" if result.recovered_after_s is None else f", whole again after {result.recovered_after_s:.1f} s"
     return (
@@ -166,7 +166,7 @@
 
 
 def draw_schedule(seed: int, failure: str) -> Schedule:
-    """Return the schedule of a seed; `failure`: where it is not to be drawn."""
+    """Return the schedule of a seed; `failure`: the failure to use, or empty to draw one."""
     rng = random.Random(seed)
     failure = failure or rng.choice(FAILURES)
     zone = rng.choice(ZONES)
@@ -175,9 +175,10 @@
 
 
 def run(seed: int, runs: int, kind: str, echo: Callable[[str], None]) -> int:
-    """Play so many schedules, each with zone failover off and on; return the exit code.
+    """Play `runs` schedules, each with zone failover off and on; return the exit code.
 
-    1: the retry budget was exceeded, or a zone was left for nothing. 3: nothing was in fact lost.
+    1: the retry budget was exceeded, or brokers left a healthy zone. 3: a zone was meant to fail, but with
+    failover off no query was sent into it, so that nothing was lost.
     """
     results_off: list[PlayResult] = []
     results_on: list[PlayResult] = []
--- a/cypressledge/lab/zone_processes/core_engine.py
+++ b/cypressledge/lab/zone_processes/core_engine.py
@@ -1,4 +1,4 @@
-"""A fake engine with cores: queries share them, it starts cold, and it falls over when pushed while cold."""
+"""A fake engine with cores that its queries share, a cold start, and failure under overload while cold."""
 
 import contextlib
 import re
@@ -20,15 +20,15 @@
 WARM_S = RULES["WarmWithin"] / 1e6
 OVERLOAD_MULTIPLE = RULES["FallMultiple"]
 OVERLOAD_WINDOW_S = RULES["Fall"] / 1e6
-SLOW_CAPACITY = 0.1  # part of its cores that a slow engine has
-DEFAULT_WORK_S = 0.05  # of a statement that names none
-WORK_COMMENT = re.compile(rb"/\* (\d+) ms \*/")  # by which a statement tells how long it takes
-TICK_S = 0.01
+SLOW_CAPACITY = 0.1  # fraction of its capacity that a slow engine has
+DEFAULT_WORK_S = 0.05  # s; work of a statement without a work comment
+WORK_COMMENT = re.compile(rb"/\* (\d+) ms \*/")  # comment with the work of a statement, ms
+TICK_S = 0.01  # s; interval in which running queries are advanced
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedQuery:
-    """When a query came (monotonic clock, s), of which broker, and the attempt's name."""
+    """A received attempt: its time (monotonic clock, s), broker and name."""
 
     received_at: float
     broker: str
@@ -37,18 +37,18 @@
 
 @dataclass(slots=True)
 class RunningQuery:
-    """Work that is left, s of one core, and the connection that waits for the answer."""
+    """A query in execution: its remaining work (s of one core), and the connection that awaits the answer."""
 
     remaining_work: float
     connection: socket.socket
 
 
 class CoreEngine:
-    """An engine with cores that its queries share.
+    """A fake engine with cores that its queries share.
 
-    It starts at a part of what it can do and warms up; while it does, work that comes at more than
-    `OVERLOAD_MULTIPLE` times what it can do, for `OVERLOAD_WINDOW_S`, makes it fall over. Each broker has an
-    address of its own for it, so that paths can fail one by one.
+    It starts at a fraction of its capacity and warms up. While it warms up, it fails if it receives more work
+    than `OVERLOAD_MULTIPLE` times its capacity over `OVERLOAD_WINDOW_S`. Each broker has a separate address
+    for it, so that single paths can fail.
     """
 
     def __init__(self, name: str, zone: str, cores: int, brokers: list[str], warm_s: float = WARM_S) -> None:
@@ -56,15 +56,15 @@
         self.zone = zone
         self.cores = cores
         self.warm_s = warm_s
-        self.started_at = time.monotonic() - 10 * warm_s  # warm
+        self.started_at = time.monotonic() - 10 * warm_s  # long enough ago to be warm
         self.overload_failed = False
         self.overload_failures = 0
-        self.failure = ""  # silent, reset, slow, or none
-        self.running: dict[tuple[str, str], RunningQuery] = {}  # by broker and attempt
-        self.recent_work: deque[tuple[float, float]] = deque()  # when work came, and how much, s
+        self.failure = ""  # silent, reset or slow; empty: none
+        self.running: dict[tuple[str, str], RunningQuery] = {}  # by broker and attempt name
+        self.recent_work: deque[tuple[float, float]] = deque()  # arrival time and work, s
         self.received: list[ReceivedQuery] = []
-        self.connections: dict[socket.socket, str] = {}  # the broker of each
-        self.blocked: dict[str, str] = {}  # by broker: how the path to it fails
+        self.connections: dict[socket.socket, str] = {}  # connection -> broker
+        self.blocked: dict[str, str] = {}  # broker -> failure of the path from it
         self.servers = {
             broker: StreamServer(("127.0.0.1", 0), partial(self._serve, broker)) for broker in brokers
         }
@@ -73,17 +73,17 @@
         self.greenlet = gevent.spawn(self._run)
 
     def member(self, broker: str) -> dict:
-        """Return the engine as a directory lists it to a broker, at that broker's own address for it."""
+        """Return the engine's directory entry for a broker, with that broker's address for the engine."""
         return directory_member(self.name, self.servers[broker].server_port, self.zone)
 
     def capacity(self) -> float:
-        """Return the cores that it has at the moment."""
+        """Return the number of cores that are effective now."""
         age = time.monotonic() - self.started_at
         warm = min(1.0, START_CAPACITY + (1 - START_CAPACITY) * age / self.warm_s)
         return self.cores * warm * (SLOW_CAPACITY if self.failure == "slow" else 1.0)
 
     def fail(self, failure: str) -> None:
-        """Fall silent, reset all connections, or slow down tenfold, as `failure` says."""
+        """Start to fail; `failure`: silent (no answers), reset (connections are closed) or slow (tenfold)."""
         self.failure = failure
         if failure != "slow":
             self.running.clear()
@@ -91,13 +91,13 @@
             self._close_connections(set(self.servers))
 
     def block(self, brokers: set[str], failure: str) -> None:
-        """Let the paths to some brokers alone fail; `failure`: silent or reset."""
+        """Let only the paths from some brokers fail; `failure`: silent or reset."""
         self.blocked |= dict.fromkeys(brokers, failure)
         if failure == "reset":
             self._close_connections(brokers)
 
     def repair(self, cold: bool = True) -> None:
-        """Let all paths work again; `cold`: the engine was away, and starts."""
+        """Unblock all paths; `cold`: also restart the engine, cold and without failure."""
         self.blocked.clear()
         if cold:
             self.failure = ""
@@ -117,7 +117,7 @@
             connection.close()
 
     def _serve(self, broker: str, connection: socket.socket, _: object) -> None:
-        """Speak the line protocol on one connection, as far as the laboratory needs it; a greenlet."""
+        """Serve one connection, in a greenlet, with the part of the line protocol that the run uses."""
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.connections[connection] = broker
         file = connection.makefile("rb")
@@ -129,7 +129,7 @@
                 elif words[0] in ("stop", "drop", "cancel"):
                     self.running.pop((broker, words[1]), None)
         except (OSError, ValueError, IndexError):
-            pass  # the connection is broken, or closed here
+            pass  # the connection broke, or this engine closed it
         finally:
             self.connections.pop(connection, None)
 
@@ -145,7 +145,7 @@
             self.recent_work.append((time.monotonic(), work))
 
     def _run(self) -> None:
-        """Work on the running queries as time passes; a greenlet."""
+        """Advance the running queries with the clock, in a greenlet."""
         last = time.monotonic()
         while True:
             gevent.sleep(TICK_S)
@@ -168,7 +168,7 @@
 
     @staticmethod
     def _answer(name: str, connection: socket.socket) -> None:
-        with contextlib.suppress(OSError):  # the broker is gone
+        with contextlib.suppress(OSError):  # the broker has closed the connection
             connection.sendall(f"{name} 200 count=1 {len(ROW)}\r\n".encode() + ROW + b"\r\n")
 
     def _check_overload(self, now: float) -> None:
--- a/cypressledge/lab/zone_processes/open_load.py
+++ b/cypressledge/lab/zone_processes/open_load.py
@@ -1,4 +1,4 @@
-"""An open load of lookups: queries come at a rate, whatever becomes of those before."""
+"""An open load of lookups: queries arrive at a rate that does not depend on the answers to earlier ones."""
 
 import base64
 import random
@@ -13,34 +13,34 @@
 
 from cypressledge.lab.load import answer, lookup_request
 
-OBJECTIVE_S = 0.6  # the latency objective of a lookup, besides
-OBJECTIVE_STRETCH = 1.5  # times its work
-CLIENT_WAIT_S = 3.0
-MIN_WAIT_S = 0.01  # a query with less of its client's time left is not sent
+OBJECTIVE_S = 0.6  # s; fixed part of a lookup's latency objective
+OBJECTIVE_STRETCH = 1.5  # multiple of a lookup's work that is added to its latency objective
+CLIENT_WAIT_S = 3.0  # s; how long a client waits for an answer, from the arrival of the query
+MIN_WAIT_S = 0.01  # s; a query with less waiting time left is not sent
 CLIENTS = 96
 TABLES = 20
-RECONNECT_S = 0.02
+RECONNECT_S = 0.02  # s; delay before a client reconnects
 
 
 class OpenLoad:
-    """Clients on connections of their own, spread over brokers.
+    """Clients with one connection each, spread over the brokers.
 
-    `rate`: queries a second; `work_ms`: of a query; `counts`: asked, sent, kept (answered in time), late and
-    broken.
+    `rate`: queries per second; `work_ms`: work of a query; `counts`: asked, sent, kept (answered in time),
+    late and broken.
     """
 
     def __init__(self, ports: list[int], rate: float, work_ms: int, seed: int) -> None:
         self.ports = ports
-        self.rate = rate  # queries a second
+        self.rate = rate  # queries per second
         self.work_ms = work_ms
         self.random = random.Random(seed)
-        self.waiting: Queue[float] = Queue()  # when each query came, on the monotonic clock
+        self.waiting: Queue[float] = Queue()  # arrival times of queries (monotonic clock, s)
         self.counts: Counter[str] = Counter()
         self.greenlets = [gevent.spawn(self._client, number) for number in range(CLIENTS)]
         self.greenlets.append(gevent.spawn(self._arrivals))
 
     def end(self) -> None:
-        """End all clients."""
+        """Stop all clients and the arrival of queries."""
         gevent.killall(self.greenlets)
 
     def _arrivals(self) -> None:
@@ -54,7 +54,7 @@
     def _client(self, number: int) -> None:
         while True:
             port = self.ports[number % len(self.ports)]
-            number += 1  # a front layer sends clients of a broker that is down to the next one
+            number += 1  # like a load balancer, which redirects the clients of a broker that is down
             try:
                 with socket.create_connection(("127.0.0.1", port), 1.0) as connection:
                     connection.settimeout(CLIENT_WAIT_S + 0.5)
--- a/cypressledge/lab/zone_processes/testbed.py
+++ b/cypressledge/lab/zone_processes/testbed.py
@@ -1,4 +1,4 @@
-"""Brokers as processes, engines in three zones, and a load: what `lab zones` and tests play schedules on."""
+"""A testbed for `lab zones` and tests: broker processes, engines in three zones, and a load."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -13,19 +13,20 @@
 
 ZONES = ("room1", "room2", "room3")
 ENGINES_PER_ZONE = 3
-CORES = 4  # of an engine
-WORK_MS = 100  # of a lookup
-START_TIMEOUT_S = 30  # until brokers listen
-PLAN_TIMEOUT_S = 20  # until they have a plan
+CORES = 4  # cores per engine
+WORK_MS = 100  # ms; work of a lookup on one core
+START_TIMEOUT_S = 30  # s; within which all brokers must listen
+PLAN_TIMEOUT_S = 20  # s; within which all brokers must have a plan
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneTestbedOptions:
-    """What a testbed is made of.
+    """The parameters of a testbed.
 
-    `brokers`: how many; `failover`: whether they have zone failover; `rate`: the load, as a part of all
-    engines' cores; `proxied`: proxies between every two brokers, whose links can fail; `hold_s`: the least
-    time that a zone stays out; `warm_s`: in which engines warm up; `regions`: of the fleet file.
+    `brokers`: number of brokers; `failover`: whether they have zone failover; `rate`: the load, as a fraction
+    of all engines' cores; `proxied`: connect every two brokers through proxies, whose links can fail;
+    `hold_s`: the least time that a zone stays out of service, s; `warm_s`: the warm-up time of engines, s;
+    `regions`: the regions in the fleet file.
     """
 
     brokers: int
@@ -39,7 +40,7 @@
 
 
 class ZoneTestbed:
-    """Brokers, engines and a load."""
+    """The broker processes, fake engines and load of one run."""
 
     def __init__(self, options: ZoneTestbedOptions) -> None:
         self.options = options
@@ -59,15 +60,15 @@
 
     @property
     def load(self) -> OpenLoad:
-        """The load. Raises `RuntimeError` before it has begun."""
+        """The load. Raises `RuntimeError` before `start` has started it."""
         if self._load is None:
-            raise RuntimeError("not started")
+            raise RuntimeError("the testbed was not started: it has no load")
         return self._load
 
     def start(self) -> "ZoneTestbed":
-        """Start all brokers, then the load: once they have a plan, where there is to be one.
+        """Start all brokers and, with failover, wait until they have a plan; then start the load.
 
-        Raises `RuntimeError` where they do not start, or have no plan in time.
+        Raises `RuntimeError` if the brokers do not start, or have no plan, within the timeouts.
         """
         for slot, name in enumerate(self.names):
             self._add_broker(slot, name).start(self.options.failover)
@@ -76,7 +77,7 @@
         if not all("listening on" in b.words() and b.running() for b in brokers):
             raise RuntimeError("the brokers did not start: " + "".join(b.words()[-500:] for b in brokers))
         if self.options.failover and not until(self._all_follow_a_plan, PLAN_TIMEOUT_S):
-            raise RuntimeError("no planner")
+            raise RuntimeError(f"not all brokers had a failover plan within {PLAN_TIMEOUT_S} s")
         total_cores = sum(engine.cores for engine in self.engines)
         ports = [self[name].port for name in self.names]
         self._load = OpenLoad(
@@ -85,7 +86,7 @@
         return self
 
     def close(self) -> None:
-        """End the load, all processes, proxies and engines."""
+        """Stop the load, all processes, proxies and engines."""
         if self._load is not None:
             self._load.end()
         self.brokers.end()
@@ -95,34 +96,37 @@
             engine.close()
 
     def engines_in(self, zone: str) -> list[CoreEngine]:
-        """Return a zone's engines."""
+        """Return the engines of a zone."""
         return [engine for engine in self.engines if engine.zone == zone]
 
     def status(self, name: str) -> dict:
-        """Return a broker's status of the zones; empty where it does not answer."""
+        """Return a broker's status of the zones, or an empty dictionary if it does not answer."""
         return cast(dict, ask(self[name], "/zone/status") or {})
 
     def zone_row(self, name: str, zone: str) -> dict:
-        """Return one zone's row of a broker's status; empty where there is none."""
+        """Return one zone's row of a broker's status, or an empty dictionary if there is none."""
         return next((row for row in self.status(name).get("zones", ()) if row["zone"] == zone), {})
 
     def shares(self, zone: str, among: list[str] | None = None) -> list[float | None]:
-        """Return a zone's share, permille, at each broker that runs; None where it does not answer."""
+        """Return a zone's share, permille, at each running broker; None for a broker that does not answer."""
         return [self.zone_row(n, zone).get("share") for n in among or self.names if self[n].running()]
 
     def planner(self, excluded: str = "") -> str:
-        """Return the planner by all brokers that run; empty while they differ, or where it is `excluded`."""
+        """Return the planner's name if all running brokers agree on it.
+
+        Empty if they differ, or if the planner is `excluded` or does not run.
+        """
         planners = {self.status(name).get("planner") for name in self.names if self[name].running()}
         name = planners.pop() if len(planners) == 1 else ""
         return name if name and name != excluded and self[name].running() else ""
 
     def events(self, *kinds: str) -> list[dict]:
-        """Return the brokers' log events of these kinds, in order of time."""
+        """Return the brokers' log events of these kinds, sorted by time."""
         found = [e for broker in self.brokers.all.values() for e in broker.events() if e["event"] in kinds]
         return sorted(found, key=logged_at)
 
     def last_received(self, zone: str) -> float:
-        """Return when an engine of a zone last received a query, s of the monotonic clock; 0 for never."""
+        """Return when an engine of a zone last received a query (monotonic clock, s); 0 if none has."""
         return max((q.received_at for e in self.engines_in(zone) for q in e.received), default=0.0)
 
     def _all_follow_a_plan(self) -> bool:
@@ -155,12 +159,12 @@
         }
 
     def _address(self, name: str, peer: str) -> str:
-        """Return where a broker sends what is meant for a peer, HOST:PORT."""
+        """Return the address at which a broker reaches a peer, HOST:PORT; a proxy's if links are proxied."""
         if self.proxies is None or peer == name:
             return f"127.0.0.1:{self.ports[peer]}"
         return self.proxies.address(name, peer)
 
 
 def logged_at(event: dict) -> float:
-    """Return when an event was logged, s of the wall clock."""
+    """Return the time at which an event was logged (wall clock, s)."""
     return datetime.fromisoformat(event["timestamp"]).timestamp()
