--- a/cypressledge/lab/zone_simulation/schedules.py
+++ b/cypressledge/lab/zone_simulation/schedules.py
@@ -13,7 +13,7 @@
 ZONE_LOSS_KINDS = ("silent", "reset", "slow", "planner")  # schedules in which a whole zone fails
 BEFORE_S = 5  # s; normal operation before the fault
 AFTER_S = 24.0  # s; simulated time after the fault
-PLANNER_DEATH_S = 0.5  # s; from the loss of the zone to the kill of the planner
+PLANNER_KILL_DELAY_S = 0.5  # s; from the loss of the zone to the kill of the planner
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,9 +66,9 @@
     if kind == "release":
         _release(world, zone, outage_s)
     elif kind == "planner":
-        world.run(PLANNER_DEATH_S)
+        world.run(PLANNER_KILL_DELAY_S)
         world.kill_planner()
-        world.run(outage_s - PLANNER_DEATH_S)
+        world.run(outage_s - PLANNER_KILL_DELAY_S)
     else:
         world.run(outage_s)
 
