--- a/cypressledge/lab/lease_faults/run.py
+++ b/cypressledge/lab/lease_faults/run.py
@@ -1,4 +1,4 @@
-"""`lab leases`: plays runs of brokers under drawn faults, and checks that two holders never act at once."""
+"""The command `lab leases`: plays runs under random faults, and checks that two holders never act at once."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 from cypressledge.lab.summary_statistics import quantile
 
 EXIT_BROKEN = 1
-EXIT_MEANINGLESS = 3
+EXIT_INCONCLUSIVE = 3
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseFaultsOptions:
-    """The command's options; `only`: kinds of faults to draw from, with commas; all where it is empty."""
+    """The command's options; `only`: comma-separated kinds of faults to draw from, or empty for all."""
 
     brokers: int
     voters: int
@@ -34,17 +34,20 @@
 
 
 def run(options: LeaseFaultsOptions, echo: Callable[[str], None]) -> int:
-    """Play the runs; return the exit code. 1: something happened that must not. 3: a run meant nothing."""
+    """Play the runs and return the exit code.
+
+    1: an invariant was violated. 3: a run was inconclusive. 0: otherwise.
+    """
     runs: list[LeaseRun] = []
-    meaningless = 0
+    inconclusive = 0
     for seed in range(options.seed, options.seed + options.runs):
         lease_run = LeaseRun(seed, options.run_options(seed))
         lease_run.play()
         runs.append(lease_run)
         _print_run(lease_run, echo)
-        if why := lease_run.insufficiency():
-            meaningless += 1
-            echo(f"  this run means nothing: {why}")
+        if why := lease_run.inconclusive_reason():
+            inconclusive += 1
+            echo(f"  this run is inconclusive: {why}")
     takeovers = [seconds for lease_run in runs for seconds in lease_run.takeovers]
     handovers = [seconds for lease_run in runs for seconds in lease_run.handovers]
     echo(_times("after a kill of a holder the next acts", takeovers, options.term))
@@ -52,7 +55,7 @@
     echo(_summary(runs))
     if any(lease_run.verdict.broken for lease_run in runs):
         return EXIT_BROKEN
-    return EXIT_MEANINGLESS if meaningless else 0
+    return EXIT_INCONCLUSIVE if inconclusive else 0
 
 
 def _print_run(lease_run: LeaseRun, echo: Callable[[str], None]) -> None:
--- a/tests/zones/test_zone_processes.py
+++ b/tests/zones/test_zone_processes.py
@@ -78,7 +78,7 @@
     repair_zone(bed, A)
     assert until(lambda: all(s == 1 for s in bed.shares(A)), WAIT, 0.1), log(bed)
     assert bed.load.counts["kept"] > kept
-    assert sum(e.falls for e in bed.engines) == 0
+    assert sum(e.overload_failures for e in bed.engines) == 0
     plan_shares = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == "n0"]
     increases = [b - a for a, b in pairwise(plan_shares) if b > a]
     assert len(increases) > 4, plan_shares
@@ -117,7 +117,7 @@
     for name in killed:
         bed[name].kill()
     alive = [n for n in bed.names if n not in killed]
-    assert until(lambda: bed.planner(but=first), WAIT), log(bed)
+    assert until(lambda: bed.planner(excluded=first), WAIT), log(bed)
     assert min(s for s in bed.shares(A, alive)) >= before - 1e-9, "the successor lowered the share"
     assert until(lambda: all(s == 1 for s in bed.shares(A, alive)), WAIT, 0.1), log(bed)
     for name in alive:
@@ -126,7 +126,7 @@
     tokens = [e["token"] for e in bed.events("planner_started")]
     assert len(tokens) >= 2
     assert tokens == sorted(set(tokens))
-    assert sum(e.falls for e in bed.engines) == 0
+    assert sum(e.overload_failures for e in bed.engines) == 0
 
 
 REGIONS = [{"name": "north", "zones": [A, B]}, {"name": "south", "zones": [C]}]
@@ -185,7 +185,7 @@
     assert until(lambda: bed.load.counts["kept"] > kept + 50, WAIT)
     bed.proxies.heal()
     assert until(lambda: all(s == 1 for s in bed.shares(A)), 2 * WAIT, 0.1), log(bed)
-    assert sum(e.falls for e in bed.engines) == 0
+    assert sum(e.overload_failures for e in bed.engines) == 0
     for name in bed.names:  # in steps, although the zone was never out in the planner's own plan
         plan_shares = [e["shares"][A] for e in bed.events("plan_accepted") if e["broker"] == name]
         increases = [b - a for a, b in zip([0, *plan_shares], plan_shares, strict=False) if b > a]
