--- a/cypressledge/lab/capacity/capacity_run.py
+++ b/cypressledge/lab/capacity/capacity_run.py
@@ -17,8 +17,8 @@
 from cypressledge.lab.capacity.fleet import (
     CONTROL_TERM_S,
     CapacityFleet,
+    CapacityRunError,
     FleetSize,
-    ScaleError,
     engine_value,
     unused_address,
 )
@@ -60,14 +60,14 @@
     real_usage: Usage = field(default_factory=Usage)
 
     def play(self) -> "CapacityRun":
-        """Start, play the day, end, judge. Raises `ScaleError` where the run can't go on."""
+        """Start, play the day, end, judge. Raises `CapacityRunError` where the run can't go on."""
         self.machine.begin()
         self.commit = commit()
-        self.world = CapacityFleet(self.size, self.seed, self.folder)
+        self.fleet = CapacityFleet(self.size, self.seed, self.folder)
         self.greenlets = [gevent.spawn(self.machine.measure_lateness)]
         try:
             began = time.monotonic()
-            self.world.start()
+            self.fleet.start()
             self._await_first_change()
             self.start_s = time.monotonic() - began
             self.greenlets.append(gevent.spawn(self._watch))
@@ -76,9 +76,9 @@
             self._await_last_change()
         finally:
             gevent.killall(self.greenlets)
-            self.over = boottime_us()
+            self.end_us = boottime_us()
             self._count_lookups()
-            self.world.end()
+            self.fleet.end()
         self._judge()
         return self
 
@@ -89,24 +89,24 @@
 
     def _await_first_change(self) -> None:
         """Make a change and wait until every broker has it."""
-        self.operator = SimulatedOperator(self.world, self.seed)
-        self.faults = FaultInjector(self.world, random.Random(self.seed + 1))
+        self.operator = SimulatedOperator(self.fleet, self.seed)
+        self.faults = FaultInjector(self.fleet, random.Random(self.seed + 1))
         spare_engine = engine_value(unused_address(999), "za")
         first = self.operator.request_change({"set": {"engine/e999": spare_engine}}, None)
         if first.status is not ChangeStatus.ACKNOWLEDGED:
-            raise ScaleError(f"the first change was not taken: {first}")
-        names = list(self.world.brokers)
+            raise CapacityRunError(f"the first change was not taken: {first}")
+        names = list(self.fleet.brokers)
         timeout_s = 30 + len(names) / 5
         if not until(
             lambda: self._count_applied(names, first.version) == len(names), timeout_s, POLL_INTERVAL_S
         ):
-            raise ScaleError(
+            raise CapacityRunError(
                 f"{self._count_applied(names, first.version)} of {len(names)} brokers have the first change"
             )
 
     def _count_applied(self, names: list[str], version: int) -> int:
         """Count the brokers that have a version, or a newer one, in force."""
-        return sum(_last_version(self.world.record(name)) >= version for name in names)
+        return sum(_last_version(self.fleet.record(name)) >= version for name in names)
 
     # While it runs
 
@@ -117,7 +117,7 @@
             gevent.sleep(max(0.0, began + event.at - time.monotonic()))
             self._show_progress(f"{event.at:5.1f} s: {event.kind}")
             if excess := self.machine.excess():
-                raise ScaleError(f"too much for the machine: {excess}")
+                raise CapacityRunError(f"too much for the machine: {excess}")
             self.faults.play(event)
         gevent.sleep(max(0.0, began + day.seconds - time.monotonic()))
         gevent.joinall(changes, timeout=END_S)
@@ -129,28 +129,28 @@
     def _await_last_change(self) -> None:
         """Wait until all have what was acknowledged last; whoever has not by then has lost it."""
         newest = max((change.version for change in self.operator.acknowledged), default=0)
-        names = [name for name, broker in self.world.brokers.items() if broker.up]
+        names = [name for name, broker in self.fleet.brokers.items() if broker.up]
         until(lambda: self._count_applied(names, newest) == len(names), END_S, POLL_INTERVAL_S)
 
     def _watch(self) -> None:
         """Sample the processes again and again."""
         while True:
-            self.world.sample()
-            self.machine.sample(self.world.processes(), self.world.memory_mb())
+            self.fleet.sample()
+            self.machine.sample(self.fleet.processes(), self.fleet.memory_mb())
             self._sample_traffic()
             gevent.sleep(WATCH_INTERVAL_S)
 
     def _sample_traffic(self) -> None:
         """Take what control processes and real brokers report of their own traffic."""
-        for control in self.world.controls:
+        for control in self.fleet.controls:
             if control.responsive() and (status := control.status(STATUS_TIMEOUT_S)):
                 control.cost.add_total(_total_bytes(status))
-        for name, broker in self.world.real_brokers.all.items():
+        for name, broker in self.fleet.real_brokers.all.items():
             if broker.running() and (status := _broker_status(broker.management)):
-                self.world.real_costs[name].add_total(_total_bytes(status))
+                self.fleet.real_costs[name].add_total(_total_bytes(status))
 
     def _count_lookups(self) -> None:
-        clients = self.world.clients
+        clients = self.fleet.clients
         self.served = sum(client.counts["served"] for client in clients)
         self.unserved = sum(client.counts["rejected"] + client.counts["broken"] for client in clients)
 
@@ -163,19 +163,19 @@
     # Afterwards
 
     def _judge(self) -> None:
-        world, folder = self.world, self.folder
+        fleet, folder = self.fleet, self.folder
         brokers = checks.read_records(sorted(folder.glob("*.broker.jsonl")))
         controls = checks.read_records(sorted(folder.glob("*.control.jsonl")))
-        killed = {life: at for host in world.hosts for life, at in host.killed.items()}
+        killed = {broker_run: at for host in fleet.hosts for broker_run, at in host.killed.items()}
         observed = harness_observations(
-            self.operator, self.faults, brokers, controls, frozenset(world.brokers), self.over, killed
+            self.operator, self.faults, brokers, controls, frozenset(fleet.brokers), self.end_us, killed
         )
         write_observations(folder / "seen.json", observed)
         self.verdict = checks.check(brokers, controls, observed)
         self.simulated_usage = Usage.largest(
-            host.cost.usage(shared_by=count) for host in world.hosts if (count := world.hosted_by(host))
+            host.cost.usage(shared_by=count) for host in fleet.hosts if (count := fleet.hosted_by(host))
         )
-        self.real_usage = Usage.largest(cost.usage() for cost in world.real_costs.values())
+        self.real_usage = Usage.largest(cost.usage() for cost in fleet.real_costs.values())
         self.figures = run_figures(self)
         usage = Usage.largest((self.simulated_usage, self.real_usage))
         self.broken += [
--- a/cypressledge/lab/capacity/checks.py
+++ b/cypressledge/lab/capacity/checks.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class BrokerLife:
+class BrokerRun:
     """One run of one broker: its span, µs, and what it had in force, in order of time."""
 
     broker: str
@@ -112,7 +112,7 @@
     lost: list[str] = field(default_factory=list)
     reverted: list[str] = field(default_factory=list)
     wrong: list[str] = field(default_factory=list)
-    lives: int = 0
+    broker_runs: int = 0
 
     @property
     def broken(self) -> bool:
@@ -147,13 +147,13 @@
     verdict.wrong += observed.wrongs
     committed = _committed_digests(controls, verdict)
     _check_acknowledged(observed.acked, controls, committed, verdict)
-    lives = _lives(brokers, observed)
-    verdict.lives = len(lives)
-    for life in lives:
-        _check_order(life, verdict)
-        _check_digests(life, committed, verdict)
-        _check_in_force(life, observed, verdict)
-    _check_missing(lives, observed, verdict)
+    broker_runs = _broker_runs(brokers, observed)
+    verdict.broker_runs = len(broker_runs)
+    for broker_run in broker_runs:
+        _check_order(broker_run, verdict)
+        _check_digests(broker_run, committed, verdict)
+        _check_in_force(broker_run, observed, verdict)
+    _check_missing(broker_runs, observed, verdict)
     _check_leader_losses(controls, observed, verdict)
     return verdict
 
@@ -200,65 +200,69 @@
             )
 
 
-def _lives(records: list[dict], observed: HarnessObservations) -> list[BrokerLife]:
-    lives: dict[tuple[str, int], BrokerLife] = {}
+def _broker_runs(records: list[dict], observed: HarnessObservations) -> list[BrokerRun]:
+    broker_runs: dict[tuple[str, int], BrokerRun] = {}
     for record in sorted(records, key=lambda r: r["at"]):
         key = (record["broker"], record["run"])
-        if key not in lives:
+        if key not in broker_runs:
             end = observed.ends.get(key)
-            lives[key] = BrokerLife(
+            broker_runs[key] = BrokerRun(
                 *key, record["at"], observed.over if end is None else end, end is not None
             )
-        life = lives[key]
+        broker_run = broker_runs[key]
         if record["event"] == "in_force":
             applied = AppliedVersion(record["at"], record["epoch"], record["version"], record["digest"])
-            life.applied.append(applied)
-    return list(lives.values())
+            broker_run.applied.append(applied)
+    return list(broker_runs.values())
 
 
-def _check_order(life: BrokerLife, verdict: Verdict) -> None:
+def _check_order(broker_run: BrokerRun, verdict: Verdict) -> None:
     last = (0, 0)
-    for applied in life.applied:
+    for applied in broker_run.applied:
         position = (applied.epoch, applied.version)
         if applied.version < last[1] or applied.epoch < last[0]:
             verdict.reverted.append(
-                f"{life.broker} (run {life.run:x}) went from {last} to {position} at {applied.at}"
+                f"{broker_run.broker} (run {broker_run.run:x}) went from {last} to {position} at {applied.at}"
             )
         last = position
 
 
-def _check_digests(life: BrokerLife, committed: dict[int, str], verdict: Verdict) -> None:
-    for applied in life.applied:
+def _check_digests(broker_run: BrokerRun, committed: dict[int, str], verdict: Verdict) -> None:
+    for applied in broker_run.applied:
         if applied.version and committed.get(applied.version, "") != applied.digest:
             verdict.wrong.append(
-                f"{life.broker} had version {applied.version} as {applied.digest} at {applied.at}, "
+                f"{broker_run.broker} had version {applied.version} as {applied.digest} at {applied.at}, "
                 f"committed is {committed.get(applied.version, 'no such version')}"
             )
 
 
-def _check_in_force(life: BrokerLife, observed: HarnessObservations, verdict: Verdict) -> None:
+def _check_in_force(broker_run: BrokerRun, observed: HarnessObservations, verdict: Verdict) -> None:
     """How long each change took to this life of a broker. Of changes that are due from one moment (a start, a
     heal) the newest counts, once: it takes the others along."""
-    down = sorted((s for s in observed.down if s.who == life.broker), key=lambda s: s.begin)
-    moments, reached, top = [], [], 0
-    for applied in life.applied:
-        if applied.version > top:
-            moments.append(applied.at)
-            reached.append(applied.version)
-            top = applied.version
+    down = sorted((s for s in observed.down if s.who == broker_run.broker), key=lambda s: s.begin)
+    applied_times, applied_versions, highest = [], [], 0
+    for applied in broker_run.applied:
+        if applied.version > highest:
+            applied_times.append(applied.at)
+            applied_versions.append(applied.version)
+            highest = applied.version
     due: dict[int, AcknowledgedChange] = {}
     for change in observed.acked:
-        if change.at < life.end:
-            base = _due(max(change.at, life.begin), down)
-            if base not in due or due[base].version < change.version:
-                due[base] = change
-    for base, change in due.items():
-        index = bisect_right(reached, change.version - 1)
-        got = moments[index] if index < len(moments) and moments[index] <= life.end else None
-        _check_change(life, change, base, got, down, observed, verdict)
+        if change.at < broker_run.end:
+            due_at = _due_time(max(change.at, broker_run.begin), down)
+            if due_at not in due or due[due_at].version < change.version:
+                due[due_at] = change
+    for due_at, change in due.items():
+        index = bisect_right(applied_versions, change.version - 1)
+        applied_at = (
+            applied_times[index]
+            if index < len(applied_times) and applied_times[index] <= broker_run.end
+            else None
+        )
+        _check_change(broker_run, change, due_at, applied_at, down, observed, verdict)
 
 
-def _due(moment: int, down: list[Span]) -> int:
+def _due_time(moment: int, down: list[Span]) -> int:
     """Return when what came at a moment is due: at the end of the spans in which nothing could come."""
     for span in down:
         if span.begin <= moment < span.end:
@@ -267,48 +271,50 @@
 
 
 def _check_change(
-    life: BrokerLife,
+    broker_run: BrokerRun,
     change: AcknowledgedChange,
-    base: int,
-    got: int | None,
+    due_at: int,
+    applied_at: int | None,
     down: list[Span],
     observed: HarnessObservations,
     verdict: Verdict,
 ) -> None:
-    until = life.end if got is None else got
+    until = broker_run.end if applied_at is None else applied_at
     for span in down:  # cut off before it had it: due again from the heal on
-        if base < span.begin < until:
-            base = max(base, span.end)
-    if base > life.end:
+        if due_at < span.begin < until:
+            due_at = max(due_at, span.end)
+    if due_at > broker_run.end:
         return
-    if got is None and not life.ended:
+    if applied_at is None and not broker_run.ended:
         verdict.lost.append(
-            f"{life.broker} (run {life.run:x}) never had version {change.version}, due "
-            f"{(observed.over - base) / 1e6:.1f} s before the end"
+            f"{broker_run.broker} (run {broker_run.run:x}) never had version {change.version}, due "
+            f"{(observed.over - due_at) / 1e6:.1f} s before the end"
         )
-    if got is None and life.end - base < IN_FORCE_LIMIT_S * 1e6:
+    if applied_at is None and broker_run.end - due_at < IN_FORCE_LIMIT_S * 1e6:
         return  # it was killed before it could have it; or is lost, as said above
-    took = max(0, until - base) / 1e6
-    verdict.all_times.append(took)
-    kinds = {s.kind for s in observed.faults if s.begin <= until and base <= s.end}
+    delay_s = max(0, until - due_at) / 1e6
+    verdict.all_times.append(delay_s)
+    kinds = {s.kind for s in observed.faults if s.begin <= until and due_at <= s.end}
     for kind in kinds:
-        verdict.by_fault[kind].append(took)
+        verdict.by_fault[kind].append(delay_s)
     if not kinds:
-        verdict.undisturbed.append(took)
+        verdict.undisturbed.append(delay_s)
 
 
-def _check_missing(lives: list[BrokerLife], observed: HarnessObservations, verdict: Verdict) -> None:
-    there = {life.broker for life in lives if not life.ended}
-    for name in sorted(observed.expected - observed.removed - there):
+def _check_missing(broker_runs: list[BrokerRun], observed: HarnessObservations, verdict: Verdict) -> None:
+    present = {broker_run.broker for broker_run in broker_runs if not broker_run.ended}
+    for name in sorted(observed.expected - observed.removed - present):
         verdict.lost.append(f"{name} is to be there at the end, and wrote nothing")
 
 
 def _check_leader_losses(controls: list[dict], observed: HarnessObservations, verdict: Verdict) -> None:
     """From each loss to the first sign of another primary: its own record or what it acknowledged."""
-    signs = sorted((r["at"], r["who"]) for r in controls if r["event"] in ("primary", "acknowledged"))
+    leader_records = sorted(
+        (r["at"], r["who"]) for r in controls if r["event"] in ("primary", "acknowledged")
+    )
     for loss in observed.losses:
         after = next(
-            (at for at, who in signs if at > max(loss.at, loss.all_stopped_at) and who != loss.who),
+            (at for at, who in leader_records if at > max(loss.at, loss.all_stopped_at) and who != loss.who),
             observed.over,
         )
         verdict.leaderless.append(LeaderlessTime((after - loss.at) / 1e6, loss.kind))
@@ -334,7 +340,7 @@
         return found + ["something was broken"] * bool(observed.faults or observed.losses)
     if not observed.losses:
         found.append("no primary was lost")
-    if verdict.lives <= brokers:
+    if verdict.broker_runs <= brokers:
         found.append("no broker came back")
     kinds = {span.kind for span in observed.faults}
     if len(kinds) < min(3, max(1, int(seconds / 8))):
--- a/cypressledge/lab/capacity/event_records.py
+++ b/cypressledge/lab/capacity/event_records.py
@@ -28,7 +28,11 @@
 
     Guards against a former leader that records only later that it has stepped down.
     """
-    told = [r for r in records if r["event"] in ("primary", "stepped_down")]
-    newest = max((r["epoch"] for r in told if r["event"] == "primary"), default=-1)
-    last = [r for r in told if r["epoch"] == newest]
-    return "" if not last or any(r["event"] == "stepped_down" for r in last) else last[0]["who"]
+    leader_records = [r for r in records if r["event"] in ("primary", "stepped_down")]
+    newest_epoch = max((r["epoch"] for r in leader_records if r["event"] == "primary"), default=-1)
+    newest_records = [r for r in leader_records if r["epoch"] == newest_epoch]
+    return (
+        ""
+        if not newest_records or any(r["event"] == "stepped_down" for r in newest_records)
+        else newest_records[0]["who"]
+    )
--- a/cypressledge/lab/capacity/failure_requirements.py
+++ b/cypressledge/lab/capacity/failure_requirements.py
@@ -17,7 +17,7 @@
     MISSING_ENGINE_SHARE,
     MISSING_HISTORY,
     POLLS_PER_S,
-    REMAINING_PART,
+    REMAINING_SHARE,
     STATEMENTS_PER_S,
     TARGET_CLIENTS,
 )
@@ -28,12 +28,12 @@
 
 
 def _connect_cpu_after_zone_loss(measured: Measurements) -> float:
-    return TARGET_CLIENTS * (1 / REMAINING_PART - 1) * measured.at("connect_ms", 400) / 1000
+    return TARGET_CLIENTS * (1 / REMAINING_SHARE - 1) * measured.at("connect_ms", 400) / 1000
 
 
 def _module_cpu_pct_after_zone_loss(measured: Measurements) -> float:
-    module_ms = measured.at("module_ms", measured.engines * REMAINING_PART)
-    return module_ms * STATEMENTS_PER_S / REMAINING_PART / 10
+    module_ms = measured.at("module_ms", measured.engines * REMAINING_SHARE)
+    return module_ms * STATEMENTS_PER_S / REMAINING_SHARE / 10
 
 
 def _lists_for_rack_kb_s(measured: Measurements) -> float:
@@ -103,7 +103,7 @@
         kind="sockets",
         what="zone lost: clients that come anew to each other broker",
         unit="connections",
-        figure=Figure(lambda measured: TARGET_CLIENTS * (1 / REMAINING_PART - 1)),
+        figure=Figure(lambda measured: TARGET_CLIENTS * (1 / REMAINING_SHARE - 1)),
         carried_by="stands: the site's `sockets`",
     ),
     Requirement(
--- a/cypressledge/lab/capacity/fault_injector.py
+++ b/cypressledge/lab/capacity/fault_injector.py
@@ -16,11 +16,11 @@
 from cypressledge.lab.capacity.fleet import CapacityFleet
 
 SETTLE_S = 2.5  # after a fault is mended, until times count as quiet again
-KILLED_PART = 0.04  # of the brokers, at a time
+KILLED_SHARE = 0.04  # of the brokers, at a time
 LEADER_POLL_S = 0.1
 LEADER_POLLS = 100  # until a fault goes on without a leader
 MINORITY_REGION = "west"  # with a minority of the voters
-SILENT_PART = 0.6  # of the cuts; the others reset connections
+SILENT_CUT_SHARE = 0.6  # of the cuts; the others reset connections
 
 
 class Kill(NamedTuple):
@@ -34,7 +34,7 @@
 class FaultInjector:
     """Plays faults on a fleet, and records their spans, the leaders lost and the brokers killed."""
 
-    world: CapacityFleet
+    fleet: CapacityFleet
     random: random.Random
     down: list[Span] = field(default_factory=list)
     spans: list[Span] = field(default_factory=list)
@@ -62,13 +62,13 @@
 
     def leader(self) -> str:
         """Return the current leader by the control processes' records; empty where none has said so."""
-        records = [control.record for control in self.world.controls if control.record.exists()]
+        records = [control.record for control in self.fleet.controls if control.record.exists()]
         return current_leader(record for path in records for record in read_tail(path))
 
     def _await_leader(self) -> str:
         for _ in range(LEADER_POLLS):
             name = self.leader()
-            control = self.world.control_by_name.get(name)
+            control = self.fleet.control_by_name.get(name)
             if control is not None and control.responsive():
                 return name
             gevent.sleep(LEADER_POLL_S)
@@ -78,7 +78,7 @@
         self.losses.append(LeaderLoss(boottime_us(), who, kind))
 
     def _kill(self, names: list[str]) -> None:
-        self.world.down(names)
+        self.fleet.kill_brokers(names)
         at = boottime_us()
         self.kills += [Kill(name, at) for name in names]
 
@@ -87,74 +87,74 @@
     def _kill_leader(self, event: Event) -> None:
         if name := self._await_leader():
             self._record_leader_loss(name, event.kind)
-            self.world.control_by_name[name].kill()
+            self.fleet.control_by_name[name].kill()
             gevent.sleep(event.span)
-            self.world.control_by_name[name].start()
+            self.fleet.control_by_name[name].start()
 
     def _stop_leader(self, event: Event) -> None:
         if name := self._await_leader():
             self._record_leader_loss(name, event.kind)
-            self.world.control_by_name[name].signal(signal.SIGSTOP)
+            self.fleet.control_by_name[name].signal(signal.SIGSTOP)
             gevent.sleep(event.span)
-            self.world.control_by_name[name].signal(signal.SIGCONT)
+            self.fleet.control_by_name[name].signal(signal.SIGCONT)
 
     def _restart_all_controls(self, event: Event) -> None:
         began = boottime_us()
-        for control in self.world.controls:
+        for control in self.fleet.controls:
             control.kill()
         self.losses.append(LeaderLoss(began, "", event.kind, boottime_us()))
         gevent.sleep(event.span)
-        for control in self.world.controls:
+        for control in self.fleet.controls:
             control.start()
 
     def _some_brokers(self) -> list[str]:
         """Draw a few of the simulated brokers, and a real one."""
-        simulated = [name for name, broker in self.world.brokers.items() if broker.host]
-        real = [name for name, broker in self.world.brokers.items() if not broker.host]
-        some_simulated = self.random.sample(simulated, math.ceil(KILLED_PART * len(simulated)))
+        simulated = [name for name, broker in self.fleet.brokers.items() if broker.host]
+        real = [name for name, broker in self.fleet.brokers.items() if not broker.host]
+        some_simulated = self.random.sample(simulated, math.ceil(KILLED_SHARE * len(simulated)))
         return some_simulated + self.random.sample(real, min(1, len(real)))
 
     def _kill_brokers(self, event: Event) -> None:
         names = self._some_brokers()
         self._kill(names)
         gevent.sleep(event.span)
-        self.world.up(names)
+        self.fleet.start_brokers(names)
 
     def _replace_brokers(self, event: Event) -> None:
         names = self._some_brokers()
         self._kill(names)
         for name in names:
-            self.world.move(name)
+            self.fleet.assign_new_address(name)
         gevent.sleep(event.span)
-        self.world.up(names)
+        self.fleet.start_brokers(names)
 
     def _kill_zone(self, event: Event) -> None:
         """Of one, two or three zones: a majority of the voters is never in one."""
-        zone = sorted({control.zone for control in self.world.controls})[int(event.pick * 3) % 3]
-        controls = [control for control in self.world.controls if control.zone == zone]
+        zone = sorted({control.zone for control in self.fleet.controls})[int(event.pick * 3) % 3]
+        controls = [control for control in self.fleet.controls if control.zone == zone]
         leader = self._await_leader()
         if leader in {control.name for control in controls}:
             self._record_leader_loss(leader, event.kind)
         for control in controls:
             control.kill()
-        names = [name for name, broker in self.world.brokers.items() if broker.zone == zone]
+        names = [name for name, broker in self.fleet.brokers.items() if broker.zone == zone]
         self._kill(names)
         gevent.sleep(event.span)
         for control in controls:
             control.start()
-        self.world.up(names)
+        self.fleet.start_brokers(names)
 
     def _cut_regions(self, event: Event) -> None:
         """The region with a minority of the voters has none of what is new until the heal."""
         leader = self._await_leader()
         began = boottime_us()
-        if leader and self.world.control_by_name[leader].region == MINORITY_REGION:
+        if leader and self.fleet.control_by_name[leader].region == MINORITY_REGION:
             self._record_leader_loss(leader, event.kind)
-        self.world.cut("silent" if event.pick < SILENT_PART else "reset")
+        self.fleet.cut("silent" if event.pick < SILENT_CUT_SHARE else "reset")
         gevent.sleep(event.span)
-        self.world.heal()
+        self.fleet.heal()
         self.down += [
             Span(began, boottime_us(), event.kind, name)
-            for name, broker in self.world.brokers.items()
+            for name, broker in self.fleet.brokers.items()
             if broker.region == MINORITY_REGION
         ]
--- a/cypressledge/lab/capacity/fleet.py
+++ b/cypressledge/lab/capacity/fleet.py
@@ -47,7 +47,7 @@
 START_POLL_S = 0.1
 
 
-class ScaleError(Exception):
+class CapacityRunError(Exception):
     """The run can't go on; its text is one plain line."""
 
 
@@ -164,13 +164,13 @@
     # Starting
 
     def start(self) -> None:
-        """Start control processes, then brokers; return once all run. Raises `ScaleError`."""
+        """Start control processes, then brokers; return once all run. Raises `CapacityRunError`."""
         self.start_controls()
         self.start_simulated()
         self.start_real_brokers()
 
     def start_controls(self) -> None:
-        """Start the control processes, and wait until a leader has committed. Raises `ScaleError`."""
+        """Start the control processes, and wait until a leader has committed. Raises `CapacityRunError`."""
         for control in self.controls:
             self._write_settings(
                 control.settings, self._servers(control.region, control.name), control.record
@@ -182,14 +182,14 @@
             control.start(first)
         if not until(self._has_committed, CONTROL_START_TIMEOUT_S, START_POLL_S):
             logs = "".join(control.log.read_text()[-300:] for control in self.controls)
-            raise ScaleError(f"no primary: {logs}")
+            raise CapacityRunError(f"no primary: {logs}")
 
     def _has_committed(self) -> bool:
         """Whether any control process answers that a version is committed."""
         return any(control.status().get("commit") for control in self.controls if control.responsive())
 
     def start_simulated(self) -> None:
-        """Start the hosts and their brokers. Raises `ScaleError`."""
+        """Start the hosts and their brokers. Raises `CapacityRunError`."""
         count = self.size.brokers - self.size.real_brokers
         for number in range(math.ceil(count / BROKERS_PER_HOST)):
             self.hosts.append(SimulatedBrokerHost(number, self.folder))
@@ -197,29 +197,29 @@
             name = f"b{number:03}"
             host = self.hosts[number % len(self.hosts)]
             self.brokers[name] = PlacedBroker(name, ZONES[number % 3], new_fleet_address(), host)
-        self.up(list(self.brokers))
+        self.start_brokers(list(self.brokers))
         timeout_s = 20 + count / 5
         if not until(lambda: self._count_started() == count, timeout_s, START_POLL_S):
-            raise ScaleError("simulated brokers did not start")
+            raise CapacityRunError("simulated brokers did not start")
 
     def _count_started(self) -> int:
         """Count the simulated brokers that their hosts report as started."""
         return sum(len(host.started) for host in self.hosts)
 
     def start_real_brokers(self) -> None:
-        """Start brokers of the program, with fake engines and a small load. Raises `ScaleError`."""
+        """Start brokers of the program, with fake engines and a small load. Raises `CapacityRunError`."""
         names = [f"real{number}" for number in range(self.size.real_brokers)]
         for number, name in enumerate(names):
             self.brokers[name] = PlacedBroker(name, ZONES[number % 3], new_fleet_address(), None)
             self._add_real_broker(name)
             self.real_costs[name] = ProcessCost()
-        self.up(names)
+        self.start_brokers(names)
         brokers = self.real_brokers.all.values()
         self.clients = [Client([broker.port], LOOKUP_INTERVAL_S, 0) for broker in brokers]
         self.greenlets += [gevent.spawn(client.run) for client in self.clients]
         if not until(self._all_real_brokers_listen, REAL_START_TIMEOUT_S, START_POLL_S):
             logs = "".join(broker.words()[-500:] for broker in brokers)
-            raise ScaleError(f"real brokers did not start: {logs}")
+            raise CapacityRunError(f"real brokers did not start: {logs}")
 
     def _all_real_brokers_listen(self) -> bool:
         return all("listening on" in broker.words() for broker in self.real_brokers.all.values())
@@ -237,7 +237,7 @@
 
     # Brokers come and go
 
-    def up(self, names: list[str]) -> None:
+    def start_brokers(self, names: list[str]) -> None:
         """Start these brokers."""
         for name in names:
             placed = self.brokers[name]
@@ -269,7 +269,7 @@
             leases=[f"lease{number}" for number in range(MEMBERS_LEASES)],
         )
 
-    def down(self, names: list[str]) -> None:
+    def kill_brokers(self, names: list[str]) -> None:
         """Kill these brokers."""
         for name in names:
             placed = self.brokers[name]
@@ -279,7 +279,7 @@
             else:
                 placed.host.send(KillCommand(name))
 
-    def move(self, name: str) -> None:
+    def assign_new_address(self, name: str) -> None:
         """Give a broker that is down another address for when it comes back."""
         self.brokers[name].address = new_fleet_address()
 
--- a/cypressledge/lab/capacity/fleet_requirements.py
+++ b/cypressledge/lab/capacity/fleet_requirements.py
@@ -55,8 +55,8 @@
 
 OBSERVATIONS = Figure(partial(_observations_kb_s, rate=OBSERVATIONS_PER_S))
 OBSERVATIONS_FAILING = Figure(partial(_observations_kb_s, rate=OBSERVATIONS_PER_S_FAILING))
-PLANNER_WELL = Figure(partial(_planner_cpu_pct, rate=OBSERVATIONS_PER_S, run_curve="planner_well_ms"))
-PLANNER_ZONE_LOST = Figure(
+PLANNER_CPU_NORMAL = Figure(partial(_planner_cpu_pct, rate=OBSERVATIONS_PER_S, run_curve="planner_well_ms"))
+PLANNER_CPU_ZONE_LOST = Figure(
     partial(_planner_cpu_pct, rate=OBSERVATIONS_PER_S_FAILING, run_curve="planner_lost_ms")
 )
 
@@ -126,7 +126,7 @@
         kind="processor",
         what="ten acts/s and sights, all well",
         unit="% of a core",
-        figure=PLANNER_WELL,
+        figure=PLANNER_CPU_NORMAL,
         limit=PLANNER_CPU,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
@@ -135,7 +135,7 @@
         kind="processor",
         what="ten acts/s and sights, a zone lost",
         unit="% of a core",
-        figure=PLANNER_ZONE_LOST,
+        figure=PLANNER_CPU_ZONE_LOST,
         limit=PLANNER_CPU,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
@@ -216,7 +216,7 @@
         kind="processor",
         what="the planner's acts and sights there, a zone lost",
         unit="% of a core",
-        figure=PLANNER_ZONE_LOST,
+        figure=PLANNER_CPU_ZONE_LOST,
         limit=ONE_CORE,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
--- a/cypressledge/lab/capacity/observations.py
+++ b/cypressledge/lab/capacity/observations.py
@@ -9,7 +9,7 @@
 from cypressledge.lab.capacity.fault_injector import FaultInjector
 from cypressledge.lab.capacity.simulated_operator import SimulatedOperator
 
-BrokerRun = tuple[str, int]  # a broker's name and the number of its run
+BrokerRunKey = tuple[str, int]  # a broker's name and the number of its run
 FILE_KEYS = {"removed": "gone", "all_stopped_at": "gone"}  # of fields that have another name in the file
 
 
@@ -20,7 +20,7 @@
     controls: list[dict],
     names: frozenset[str],
     over: int,
-    killed: dict[BrokerRun, int],
+    killed: dict[BrokerRunKey, int],
 ) -> HarnessObservations:
     """Return what the harness did and observed.
 
@@ -32,18 +32,18 @@
         faults.down,
         faults.spans,
         faults.losses,
-        _ends_of_lives(faults, records, killed),
+        _broker_run_ends(faults, records, killed),
         over,
         operator.wrong_answers,
         expected=names,
     )
 
 
-def _ends_of_lives(
-    faults: FaultInjector, records: list[dict], killed: dict[BrokerRun, int]
-) -> dict[BrokerRun, int]:
+def _broker_run_ends(
+    faults: FaultInjector, records: list[dict], killed: dict[BrokerRunKey, int]
+) -> dict[BrokerRunKey, int]:
     """Return when lives ended. Of a real broker, a kill ends the life that began last before it."""
-    began: dict[BrokerRun, int] = {}
+    began: dict[BrokerRunKey, int] = {}
     for record in records:
         key = (record["broker"], record["run"])
         began[key] = min(began.get(key, record["at"]), record["at"])
@@ -78,7 +78,7 @@
 def write_observations(path: Path, observed: HarnessObservations) -> None:
     """Write the observations as JSON, so that a kept run can be judged again."""
     content = asdict(observed, dict_factory=_file_keys)
-    content["ends"] = [[*life, at] for life, at in observed.ends.items()]
+    content["ends"] = [[*broker_run, at] for broker_run, at in observed.ends.items()]
     path.write_text(json.dumps(content, default=sorted))
 
 
--- a/cypressledge/lab/capacity/page.py
+++ b/cypressledge/lab/capacity/page.py
@@ -21,10 +21,10 @@
 )
 from cypressledge.lab.capacity.requirements import RequirementResult
 from cypressledge.lab.capacity.run_tables import (
-    SCALE_FILE,
+    RUNS_FILE,
     Run,
     control_fits_table,
-    read_scale,
+    read_runs,
     run_limits_table,
     runs_table,
 )
@@ -68,7 +68,7 @@
 def read_results(paths: list[str]) -> PageInput:
     """Read curves and runs from files.
 
-    A file that holds a list holds runs; `SCALE_FILE` beside the first one is read, too.
+    A file that holds a list holds runs; `RUNS_FILE` beside the first one is read, too.
     Raises `ResultsError`.
     """
     curve_files: list[str] = []
@@ -80,13 +80,13 @@
             raise ResultsError(f"{path}: {err.strerror}") from None
         holds_runs = first_byte == b"[" or path.endswith(".jsonl")
         (run_files if holds_runs else curve_files).append(path)
-    beside = Path(paths[0]).parent / SCALE_FILE
+    beside = Path(paths[0]).parent / RUNS_FILE
     if beside.exists() and str(beside) not in map(str, map(Path, run_files)):
         run_files.append(str(beside))
     results = read(curve_files)
     if results.quick:
         raise ResultsError("the slopes were measured with --quick: no figures for a page")
-    return PageInput(results, [run for path in run_files for run in read_scale(path)])
+    return PageInput(results, [run for path in run_files for run in read_runs(path)])
 
 
 def tables(results: Results, runs: list[Run]) -> TableMakers:
@@ -136,18 +136,22 @@
 
     1: the page differs from its results. `folder`: where plots go, if anywhere. Raises `ResultsError`.
     """
-    given = read_results(paths)
-    makers = tables(given.results, given.runs)
+    page_input = read_results(paths)
+    makers = tables(page_input.results, page_input.runs)
     try:
-        before = Path(page).read_text(encoding="utf-8")
+        current_text = Path(page).read_text(encoding="utf-8")
     except OSError as err:
         raise ResultsError(f"{page}: {err.strerror}") from None
-    after = render(before, makers)
+    new_text = render(current_text, makers)
     if folder:
-        echo(f"{draw_plots(given.results, folder)} slopes drawn in {folder}")
+        echo(f"{draw_plots(page_input.results, folder)} slopes drawn in {folder}")
     if check:
-        echo(f"{page} is as the results say" if after == before else f"{page} differs from its results files")
-        return int(after != before)
-    Path(page).write_text(after, encoding="utf-8")
-    echo(f"{page}: {len(TABLE_MARK.findall(after))} tables written")
+        echo(
+            f"{page} is as the results say"
+            if new_text == current_text
+            else f"{page} differs from its results files"
+        )
+        return int(new_text != current_text)
+    Path(page).write_text(new_text, encoding="utf-8")
+    echo(f"{page}: {len(TABLE_MARK.findall(new_text))} tables written")
     return 0
--- a/cypressledge/lab/capacity/requirements.py
+++ b/cypressledge/lab/capacity/requirements.py
@@ -25,12 +25,12 @@
 class Measurements:
     """Results by name for one size of fleet; records which were used, and on what basis.
 
-    `part`: the fleet's size as a part of the target's.
+    `size_ratio`: the fleet's size as a part of the target's.
     """
 
-    def __init__(self, results: Results, part: float = 1.0) -> None:
-        self.brokers = TARGET_BROKERS * part
-        self.engines = TARGET_ENGINES * part
+    def __init__(self, results: Results, size_ratio: float = 1.0) -> None:
+        self.brokers = TARGET_BROKERS * size_ratio
+        self.engines = TARGET_ENGINES * size_ratio
         self.slopes: dict[str, Slope] = {slope.name: slope for slope in results.slopes}
         self.facts: dict[str, Fact] = {fact.name: fact for fact in results.facts}
         self.used: dict[str, Basis] = {}
@@ -145,5 +145,5 @@
         """What its least certain source is based on; "given" where no measurement is in it."""
         if not self.sources:
             return "given"
-        base = max(self.sources.values(), key=BASES_BY_CONFIDENCE.index)
-        return base if self.requirement.figure.is_direct else f"reckoned from {base}"
+        weakest_basis = max(self.sources.values(), key=BASES_BY_CONFIDENCE.index)
+        return weakest_basis if self.requirement.figure.is_direct else f"reckoned from {weakest_basis}"
--- a/cypressledge/lab/capacity/run.py
+++ b/cypressledge/lab/capacity/run.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from cypressledge.lab.capacity.capacity_run import CapacityRun
-from cypressledge.lab.capacity.fleet import FleetSize, ScaleError
+from cypressledge.lab.capacity.fleet import CapacityRunError, FleetSize
 from cypressledge.lab.capacity.run_plot import draw_plot
 from cypressledge.lab.capacity.run_report import print_report, summary
 
@@ -64,7 +64,7 @@
     for size in options.sizes():
         try:
             capacity_run = _play(options, size, live)
-        except ScaleError as err:
+        except CapacityRunError as err:
             echo(f"the run at {size.brokers} brokers failed: {err}")
             return 1
         if live:
--- a/cypressledge/lab/capacity/run_figures.py
+++ b/cypressledge/lab/capacity/run_figures.py
@@ -28,8 +28,8 @@
         "all_p99_s": round(quantile(run.verdict.all_times, 0.99), 3),
         "all_most_s": round(max(run.verdict.all_times, default=0.0), 3),
         **_broker_kind_figures(run.simulated_usage, run.real_usage),
-        "alive_fewest": min(host.fewest_alive for host in run.world.hosts),
-        "leases_held": sum(host.leases_held for host in run.world.hosts),
+        "alive_fewest": min(host.fewest_alive for host in run.fleet.hosts),
+        "leases_held": sum(host.leases_held for host in run.fleet.hosts),
         "members_ping_s": run.size.ping_s,
         "start_s": round(run.start_s, 1),
     }
@@ -46,7 +46,7 @@
 
 def _usage_figures(run: CapacityRun) -> dict[str, Any]:
     broker = Usage.largest((run.simulated_usage, run.real_usage))
-    control = Usage.largest(control.cost.usage() for control in run.world.controls)
+    control = Usage.largest(control.cost.usage() for control in run.fleet.controls)
     return {
         "broker_cpu_pct": round(broker.cpu_pct, 2),
         "broker_net_kb_s": round(broker.net_kb_s, 2),
@@ -62,8 +62,8 @@
 
 
 def _event_figures(run: CapacityRun) -> dict[str, Any]:
-    counts = sum((host.counts for host in run.world.hosts), start=Counter())
-    simulated = len(run.world.brokers) - run.size.real_brokers
+    counts = sum((host.counts for host in run.fleet.hosts), start=Counter())
+    simulated = len(run.fleet.brokers) - run.size.real_brokers
     return {
         "snapshots": counts.get("frames.in.whole", 0),
         "reconnects": counts.get("frames.in.welcome", 0) - simulated,
--- a/cypressledge/lab/capacity/run_report.py
+++ b/cypressledge/lab/capacity/run_report.py
@@ -58,7 +58,7 @@
 def _print_usage(run: CapacityRun, echo: Callable[[str], None]) -> None:
     rows = [
         [c.name, c.zone, "votes" if c.votes else "", c.cost.cpu_pct, c.cost.rss_mb, c.cost.net_kb_s]
-        for c in run.world.controls
+        for c in run.fleet.controls
     ]
     echo(tabulate(rows, floatfmt=".2f", headers=["control", "zone", "", "cpu %", "rss MB", "net KB/s"]))
     rows = [
@@ -69,7 +69,7 @@
         )
     ]
     echo(tabulate(rows, floatfmt=".2f", headers=["a broker, most", "cpu %", "net KB/s", "rss MB"]))
-    starts = [cost.start_cpu_s for cost in run.world.real_costs.values()]
+    starts = [cost.start_cpu_s for cost in run.fleet.real_costs.values()]
     echo(f"a real broker's start, most: {max(starts, default=0.0):.2f} s of CPU, not in the figures above")
 
 
@@ -96,7 +96,7 @@
 
 
 def _print_machine(run: CapacityRun, echo: Callable[[str], None]) -> None:
-    host_late = max((seconds for host in run.world.hosts for seconds in host.late), default=0.0)
+    host_late = max((seconds for host in run.fleet.hosts for seconds in host.late), default=0.0)
     machine = run.machine
     echo(
         f"start of all {run.start_s:.1f} s; load average {machine.load_before:.2f} before, "
--- a/cypressledge/lab/capacity/run_tables.py
+++ b/cypressledge/lab/capacity/run_tables.py
@@ -29,7 +29,7 @@
 from cypressledge.lab.curve_fit import best
 from cypressledge.lab.results import ResultsError
 
-SCALE_FILE = "scale.jsonl"  # beside the first results file: a run a line, as `lab capacity` appends them
+RUNS_FILE = "scale.jsonl"  # beside the first results file: a run a line, as `lab capacity` appends them
 FIT_MIN_SIZES = 3  # sizes of a fleet from which a fit is shown
 BROKER_LIMITS = {
     "broker_cpu_pct": CONTROL_CPU_PCT,
@@ -162,7 +162,7 @@
     return found
 
 
-def read_scale(path: str) -> list[Run]:
+def read_runs(path: str) -> list[Run]:
     """Read runs from a file that holds a list, or a run a line. Raises `ResultsError` with one line."""
     try:
         raw = Path(path).read_bytes()
@@ -179,7 +179,7 @@
 def runs_table(runs: list[Run]) -> str:
     """Return the runs, a column each: there are more figures than runs."""
     if not runs:
-        return f"No run yet: there is no `{SCALE_FILE}` beside the slopes."
+        return f"No run yet: there is no `{RUNS_FILE}` beside the slopes."
     keys = [key for key in SHOWN_FIGURES if any(key in run for run in runs)]
     keys += [key for key in _all_keys(runs) if key.startswith("faults.")]
     return markdown_table(
--- a/cypressledge/lab/capacity/simulated_operator.py
+++ b/cypressledge/lab/capacity/simulated_operator.py
@@ -54,8 +54,8 @@
     no answer came.
     """
 
-    def __init__(self, world: CapacityFleet, seed: int) -> None:
-        self.world = world
+    def __init__(self, fleet: CapacityFleet, seed: int) -> None:
+        self.fleet = fleet
         self.random = random.Random(seed)
         self.acknowledged: list[AcknowledgedChange] = []
         self.wrong_answers: list[str] = []  # answers that must not be
@@ -63,9 +63,9 @@
         self.version = 0  # the newest known
         self.request_number = 0
         self.fresh_number = 0  # of values that were not there before
-        self.leader_port = world.controls[0].management
+        self.leader_port = fleet.controls[0].management
         self.engines: dict[str, str] = {
-            f"e{n:03}": "ready" for n in range(world.size.engines - len(world.fake_engines))
+            f"e{n:03}": "ready" for n in range(fleet.size.engines - len(fleet.fake_engines))
         }
         self.busy_keys: set[str] = set()  # keys that a change is under way for
         self.settings_lock = BoundedSemaphore(1)  # all settings are one unit: one change of them at a time
@@ -132,7 +132,7 @@
     def _switch_server(self, leader_address: str = "") -> None:
         """Go on with another control process: where the leader is said to be, or any."""
         port = leader_address.rpartition(":")[2]
-        ports = [control.management for control in self.world.controls]
+        ports = [control.management for control in self.fleet.controls]
         self.leader_port = int(port) if port.isdigit() and int(port) in ports else self.random.choice(ports)
 
     def _record_acknowledged(self, answer: dict, request: str, began: int) -> ChangeOutcome:
@@ -245,7 +245,7 @@
 
     def _request_invalid(self) -> None:
         """Request what no state can take: it is rejected, and nothing changes."""
-        taken = self.world.fake_engines[0].member()["host_port"]
+        taken = self.fleet.fake_engines[0].member()["host_port"]
         operations = self.random.choice(
             (
                 {"set": {"config/Rules": {"DrainGrace": 1}}},
--- a/cypressledge/lab/capacity/targets.py
+++ b/cypressledge/lab/capacity/targets.py
@@ -30,7 +30,7 @@
 # Assumed
 LINK_KB_S = 125_000.0  # of a machine's link of 1 Gbit/s
 BROKERS_PER_RACK = 20
-REMAINING_PART = (TARGET_ZONES - 1) / TARGET_ZONES  # of brokers and engines when a zone is lost
+REMAINING_SHARE = (TARGET_ZONES - 1) / TARGET_ZONES  # of brokers and engines when a zone is lost
 
 # Roles
 REQUEST_PATH = "broker, request path"
--- a/tests/lab/test_capacity_simulated_operator.py
+++ b/tests/lab/test_capacity_simulated_operator.py
@@ -22,22 +22,22 @@
 
     def http(self, port, method, path, body, seconds):
         self.calls += 1
-        told = json.loads(body)
-        ops = told["ops"]
+        request = json.loads(body)
+        ops = request["ops"]
         keys = [*ops.get("set", ()), *ops.get("remove", ())]
         if self.fault == "moved" and self.calls == 1:
             return 503, {"answer": "not primary", "at": "127.0.0.1:102"}
-        if self.fault != "twice" and told["request"] in self.requests:
-            return 200, self.done(self.requests[told["request"]])
-        if self.fault != "takes all" and self.is_bad(ops):
+        if self.fault != "twice" and request["request"] in self.requests:
+            return 200, self.done(self.requests[request["request"]])
+        if self.fault != "takes all" and self.is_invalid(ops):
             return 422, {"answer": "invalid", "why": "bad"}
-        base = told["base"]
+        base = request["base"]
         if self.fault != "no clash" and base is not None and any(self.keys.get(k, 0) > base for k in keys):
             return 409, {"answer": "clash", "why": "changed"}
         if self.fault == "refuses":
             return 409, {"answer": "clash", "why": "changed"}
         self.version += 1
-        self.requests[told["request"]] = self.version
+        self.requests[request["request"]] = self.version
         self.keys |= {k: self.version for k in keys}
         if self.fault == "lost answers" and self.calls % 2:
             raise TimeoutError
@@ -48,7 +48,7 @@
         return {"answer": "done", "version": version, "epoch": 1}
 
     @staticmethod
-    def is_bad(ops):
+    def is_invalid(ops):
         values = ops.get("set", {})
         return (
             "remove" in ops
@@ -60,17 +60,17 @@
         )
 
 
-def operator_and_plane(monkeypatch, fault=""):
+def operator_and_control_plane(monkeypatch, fault=""):
     plane = FakeControlPlane(fault)
     monkeypatch.setattr(simulated_operator, "call_management", plane.http)
     monkeypatch.setattr(simulated_operator, "RETRY_INTERVAL_S", 0.001)
     fake_engine = SimpleNamespace(member=lambda: {"host_port": "127.0.0.1:5"})
-    world = SimpleNamespace(
+    fleet = SimpleNamespace(
         size=SimpleNamespace(engines=9),
         fake_engines=[fake_engine],
         controls=[SimpleNamespace(management=101), SimpleNamespace(management=102)],
     )
-    return simulated_operator.SimulatedOperator(world, 1), plane
+    return simulated_operator.SimulatedOperator(fleet, 1), plane
 
 
 KINDS = ("settings", "engine drains", "engine goes", "engine comes", "repeat", "clash", "bad")
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("fault", ["", "lost answers", "moved"])
 def test_a_sound_plane_has_nothing_wrong(monkeypatch, fault):
-    operator, plane = operator_and_plane(monkeypatch, fault)
+    operator, plane = operator_and_control_plane(monkeypatch, fault)
     for kind in KINDS * 3:
         operator.play(Event(0, kind))
     assert operator.wrong_answers == []
@@ -98,14 +98,14 @@
     ],
 )
 def test_a_fault_is_found(monkeypatch, fault, kind, words):
-    operator, _ = operator_and_plane(monkeypatch, fault)
+    operator, _ = operator_and_control_plane(monkeypatch, fault)
     operator.play(Event(0, kind))
     assert len(operator.wrong_answers) == 1
     assert words in operator.wrong_answers[0]
 
 
 def test_the_leader_is_followed(monkeypatch):
-    operator, _ = operator_and_plane(monkeypatch, "moved")
+    operator, _ = operator_and_control_plane(monkeypatch, "moved")
     operator.play(Event(0, "settings"))
     assert operator.leader_port == 102
     assert len(operator.acknowledged) == 1
@@ -124,9 +124,11 @@
         {"at": 800, "who": "c1", "event": "acknowledged", "version": 3, "request": "r3"},
         {"at": 990, "who": "c1", "event": "acknowledged", "version": 4, "request": "r4"},
     ]
-    seen = harness_observations(operator, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77})
-    assert seen.ends == {("a", 1): 50, ("a", 2): 500, ("b", 7): 77}
-    assert [a.at for a in seen.acked] == [800, 950]
+    observed = harness_observations(
+        operator, faults, records, controls, frozenset("ab"), 1000, {("b", 7): 77}
+    )
+    assert observed.ends == {("a", 1): 50, ("a", 2): 500, ("b", 7): 77}
+    assert [a.at for a in observed.acked] == [800, 950]
 
 
 def test_the_tail_of_a_file_is_complete_lines(tmp_path):
@@ -145,10 +147,14 @@
 
 
 def test_the_current_leader():
-    def told(who, event, epoch):
+    def leader_record(who, event, epoch):
         return {"who": who, "event": event, "epoch": epoch}
 
     assert current_leader([]) == ""
-    both = [told("c1", "primary", 5), told("c2", "primary", 9), told("c1", "stepped_down", 5)]
+    both = [
+        leader_record("c1", "primary", 5),
+        leader_record("c2", "primary", 9),
+        leader_record("c1", "stepped_down", 5),
+    ]
     assert current_leader(both) == "c2"  # whatever the former one says later
-    assert current_leader([*both, told("c2", "stepped_down", 9)]) == ""
+    assert current_leader([*both, leader_record("c2", "stepped_down", 9)]) == ""
