--- a/cypressledge/lab/capacity/__init__.py
+++ b/cypressledge/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: a run at the target's scale with its judge, and the page of requirements against limits."""
+"""Capacity runs at the target's size with their checks, and the page of requirements and their limits."""
--- a/cypressledge/lab/capacity/broker_requirements.py
+++ b/cypressledge/lab/capacity/broker_requirements.py
@@ -1,4 +1,4 @@
-"""What a broker needs: on the request path, in its control part, and as a voter for leases."""
+"""Requirements of a broker: on the request path, in its control part, and as a voter for leases."""
 
 from cypressledge.config import DEFAULT_MEMORY_MB
 from cypressledge.lab.capacity.requirements import (
--- a/cypressledge/lab/capacity/capacity_run.py
+++ b/cypressledge/lab/capacity/capacity_run.py
@@ -1,4 +1,4 @@
-"""One capacity run: starts a fleet, plays a day of changes and faults, and judges what was written down."""
+"""One capacity run: starts a fleet, plays a day of changes and faults, and checks the recorded events."""
 
 import random
 import sys
@@ -29,18 +29,18 @@
 from cypressledge.lab.capacity.simulated_operator import ChangeStatus, SimulatedOperator
 from cypressledge.lab.processes import commit, until
 
-CHANGE_INTERVAL_S = 0.7  # mean time between changes
-INTERVAL_WITHOUT_FAULTS_S = 5.0  # the same where nothing breaks: still 38 times the target's 450 a day
-WATCH_INTERVAL_S = 1.0
-POLL_INTERVAL_S = 0.5  # while waiting for brokers to have a version
-STATUS_TIMEOUT_S = 0.5
-SETTLE_S = 4.0  # after the start, before the day
-END_S = 12.0  # for the last changes, after the day
+CHANGE_INTERVAL_S = 0.7  # s; mean time between changes
+INTERVAL_WITHOUT_FAULTS_S = 5.0  # s; in runs without faults: 38 times the target's rate of 450 changes a day
+WATCH_INTERVAL_S = 1.0  # s; between samples of the processes
+POLL_INTERVAL_S = 0.5  # s; while waiting for brokers to apply a version
+STATUS_TIMEOUT_S = 0.5  # s; of a status request
+SETTLE_S = 4.0  # s; between the start and the day
+END_S = 12.0  # s; after the day, for the last changes to be applied
 
 
 @dataclass
 class CapacityRun:
-    """One run at one size, and what came of it."""
+    """One run at one size, with its verdict and figures."""
 
     size: FleetSize
     seconds: float
@@ -50,17 +50,20 @@
     without_faults: bool = False
     verdict: checks.Verdict = field(default_factory=checks.Verdict)
     figures: dict[str, Any] = field(default_factory=dict)  # for the results file
-    broken: list[str] = field(default_factory=list)  # lines that make the run fail
+    broken: list[str] = field(default_factory=list)  # messages, each of which makes the run fail
     machine: MachineLoad = field(default_factory=MachineLoad)
     start_s: float = 0.0
     commit: str = ""
-    served: int = 0  # lookups at real brokers
-    unserved: int = 0  # the same, rejected or without an answer
+    served: int = 0  # lookups answered by real brokers
+    unserved: int = 0  # lookups that real brokers rejected or did not answer
     simulated_usage: Usage = field(default_factory=Usage)
     real_usage: Usage = field(default_factory=Usage)
 
     def play(self) -> "CapacityRun":
-        """Start, play the day, end, judge. Raises `CapacityRunError` where the run can't go on."""
+        """Start the fleet, play the day, end the fleet and check the records; return this run.
+
+        Raises `CapacityRunError` if the run can't continue.
+        """
         self.machine.begin()
         self.commit = commit()
         self.fleet = CapacityFleet(self.size, self.seed, self.folder)
@@ -88,27 +91,28 @@
         return draw_day(self.seed, self.seconds, CONTROL_TERM_S, CHANGE_INTERVAL_S)
 
     def _await_first_change(self) -> None:
-        """Make a change and wait until every broker has it."""
+        """Request a first change and wait until every broker has applied it."""
         self.operator = SimulatedOperator(self.fleet, self.seed)
         self.faults = FaultInjector(self.fleet, random.Random(self.seed + 1))
         spare_engine = engine_value(unused_address(999), "za")
         first = self.operator.request_change({"set": {"engine/e999": spare_engine}}, None)
         if first.status is not ChangeStatus.ACKNOWLEDGED:
-            raise CapacityRunError(f"the first change was not taken: {first}")
+            raise CapacityRunError(f"the first change was not acknowledged: {first}")
         names = list(self.fleet.brokers)
         timeout_s = 30 + len(names) / 5
         if not until(
             lambda: self._count_applied(names, first.version) == len(names), timeout_s, POLL_INTERVAL_S
         ):
             raise CapacityRunError(
-                f"{self._count_applied(names, first.version)} of {len(names)} brokers have the first change"
+                f"{self._count_applied(names, first.version)} of {len(names)} brokers "
+                "applied the first change"
             )
 
     def _count_applied(self, names: list[str], version: int) -> int:
-        """Count the brokers that have a version, or a newer one, in force."""
+        """Return how many of the brokers have applied this version or a newer one."""
         return sum(_last_version(self.fleet.record(name)) >= version for name in names)
 
-    # While it runs
+    # The day and the sampling during it
 
     def _play_day(self, day: Day) -> None:
         began = time.monotonic()
@@ -117,7 +121,7 @@
             gevent.sleep(max(0.0, began + event.at - time.monotonic()))
             self._show_progress(f"{event.at:5.1f} s: {event.kind}")
             if excess := self.machine.excess():
-                raise CapacityRunError(f"too much for the machine: {excess}")
+                raise CapacityRunError(f"the run exceeds its bounds on the machine: {excess}")
             self.faults.play(event)
         gevent.sleep(max(0.0, began + day.seconds - time.monotonic()))
         gevent.joinall(changes, timeout=END_S)
@@ -127,13 +131,16 @@
         gevent.killall(changes)
 
     def _await_last_change(self) -> None:
-        """Wait until all have what was acknowledged last; whoever has not by then has lost it."""
+        """Wait until all running brokers have applied the newest acknowledged change, or until a timeout.
+
+        A broker that has not applied it by then has lost it.
+        """
         newest = max((change.version for change in self.operator.acknowledged), default=0)
         names = [name for name, broker in self.fleet.brokers.items() if broker.up]
         until(lambda: self._count_applied(names, newest) == len(names), END_S, POLL_INTERVAL_S)
 
     def _watch(self) -> None:
-        """Sample the processes again and again."""
+        """Sample the processes periodically, without end."""
         while True:
             self.fleet.sample()
             self.machine.sample(self.fleet.processes(), self.fleet.memory_mb())
@@ -141,7 +148,7 @@
             gevent.sleep(WATCH_INTERVAL_S)
 
     def _sample_traffic(self) -> None:
-        """Take what control processes and real brokers report of their own traffic."""
+        """Read the traffic that control processes and real brokers report of themselves."""
         for control in self.fleet.controls:
             if control.responsive() and (status := control.status(STATUS_TIMEOUT_S)):
                 control.cost.add_total(_total_bytes(status))
@@ -160,7 +167,7 @@
             sys.stderr.write(f"\r\x1b[K{self.size.brokers} brokers: {text}, {changes} changes")
             sys.stderr.flush()
 
-    # Afterwards
+    # Checks after the run
 
     def _judge(self) -> None:
         fleet, folder = self.fleet, self.folder
@@ -179,24 +186,24 @@
         self.figures = run_figures(self)
         usage = Usage.largest((self.simulated_usage, self.real_usage))
         self.broken += [
-            f"too little took place: {why}"
+            f"too little activity: {why}"
             for why in checks.insufficient_activity(
                 self.verdict, observed, self.size.brokers, self.seconds, self.without_faults
             )
         ]
         exceeded = checks.exceeded_limits(self.verdict, usage.cpu_pct, usage.net_kb_s, usage.rss_mb)
-        self.broken += [f"limit passed: {why}" for why in exceeded]
+        self.broken += [f"limit exceeded: {why}" for why in exceeded]
         if excess := self.machine.excess():
-            self.broken.append(f"limit passed: {excess}")
+            self.broken.append(f"limit exceeded: {excess}")
 
     @property
     def failed(self) -> bool:
-        """Whether the command is to end with 1."""
+        """Whether a check failed, so that the command exits with 1."""
         return self.verdict.broken or bool(self.broken)
 
 
 def _last_version(path: Path) -> int:
-    """Return the version that a broker had in force last; 0 for none."""
+    """Return the version that a broker applied last according to its records; 0 for none."""
     if not path.exists():
         return 0
     versions = [record["version"] for record in read_tail(path) if record["event"] == "in_force"]
@@ -204,7 +211,7 @@
 
 
 def _broker_status(port: int) -> dict:
-    """Return a real broker's view of the control plane; empty where it does not answer."""
+    """Return a real broker's status of the control plane; empty if it does not answer."""
     try:
         return call_management(port, "GET", "/control/status", seconds=STATUS_TIMEOUT_S).body
     except (OSError, ValueError, IndexError):
@@ -212,5 +219,5 @@
 
 
 def _total_bytes(status: dict) -> int:
-    """Return all bytes of a status, in and out."""
+    """Return the bytes of all kinds of traffic in a status, received and sent."""
     return sum(kind["bytes"] for kind in status.get("traffic", {}).values())
--- a/cypressledge/lab/capacity/checks.py
+++ b/cypressledge/lab/capacity/checks.py
@@ -1,8 +1,8 @@
-"""Judges a capacity run by what its processes recorded. No I/O but reading JSON lines.
+"""Checks a capacity run against the records of its processes. No I/O except reading JSON lines.
 
-Shares nothing with the mechanism: it knows moments (µs of CLOCK_BOOTTIME), names, versions and digests. A
-broker's life is from its `start` to when the harness ended it; while the harness kept it from the control
-plane (`Span`) no change is due at it, and what came meanwhile is due from the end of that span.
+Shares no code with the control plane: the checks know only times (µs of CLOCK_BOOTTIME), names, versions and
+digests. A broker's run lasts from its `start` until the harness killed it. While the harness kept the broker
+from the control plane (`Span`), no change is due at it; changes made meanwhile are due from the span's end.
 """
 
 import json
@@ -13,14 +13,14 @@
 from pathlib import Path
 from typing import NamedTuple
 
-IN_FORCE_LIMIT_S = 12.0  # limits: s from the acknowledgement, in quiet times
-LEADER_LIMIT_S = 8.0  # s without a primary
-CPU_LIMIT_PCT, NETWORK_LIMIT_KB_S, MEMORY_LIMIT_MB = 3.2, 30.0, 256.0  # of one broker
+IN_FORCE_LIMIT_S = 12.0  # s; from the acknowledgement of a change until a broker applies it, without faults
+LEADER_LIMIT_S = 8.0  # s; time without a leader
+CPU_LIMIT_PCT, NETWORK_LIMIT_KB_S, MEMORY_LIMIT_MB = 3.2, 30.0, 256.0  # limits of one broker
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A span of time, µs: what it was, and of whom (empty: of nobody in particular)."""
+    """A span of time, µs, with its kind and the broker that it concerns (empty: no particular one)."""
 
     begin: int
     end: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgedChange:
-    """A change that the harness had acknowledged. `at`: when the answer came, µs."""
+    """A change whose acknowledgement the harness received. `at`: when the answer arrived, µs."""
 
     at: int
     version: int
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderLoss:
-    """A leader that the harness took away at `at`, µs.
+    """The loss of a leader that the harness killed, stopped or cut off at `at`, µs.
 
-    `who` empty: all control processes, of which the last stopped at `all_stopped_at`: what one of them
-    recorded in between is no sign of the next leader.
+    If `who` is empty, all control processes were killed, the last of them at `all_stopped_at`: an event that
+    one of them recorded in between does not show the next leader.
     """
 
     at: int
@@ -54,10 +54,10 @@
 
 @dataclass(slots=True)
 class HarnessObservations:
-    """What the harness itself did and was answered.
+    """The faults that the harness injected and the answers that it received.
 
-    `down`: spans in which a broker can't be reached; `faults`: spans that are not quiet; `ends`: by broker
-    and run the moment it was killed; `over`: the end, µs.
+    `down`: spans in which a broker can't be reached; `faults`: spans with a fault; `ends`: times at which
+    brokers were killed, µs, by broker and run; `over`: the end of the capacity run, µs.
     """
 
     acked: list[AcknowledgedChange]
@@ -66,9 +66,9 @@
     losses: list[LeaderLoss]
     ends: dict[tuple[str, int], int]
     over: int
-    wrongs: list[str] = field(default_factory=list)  # answers that must not be, as the harness saw them
-    removed: frozenset[str] = frozenset()  # brokers that are not to be there at the end
-    expected: frozenset[str] = frozenset()  # those that are: one that never wrote a line is lost
+    wrongs: list[str] = field(default_factory=list)  # descriptions of incorrect answers to the harness
+    removed: frozenset[str] = frozenset()  # brokers that need not run at the end
+    expected: frozenset[str] = frozenset()  # brokers that must run at the end, also one that recorded nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class BrokerRun:
-    """One run of one broker: its span, µs, and what it had in force, in order of time."""
+    """One run of one broker: its begin and end, µs, and the versions that it applied, in order of time."""
 
     broker: str
     run: int
@@ -94,7 +94,7 @@
 
 
 class LeaderlessTime(NamedTuple):
-    """The time without a leader after one was lost, s, and how it was lost."""
+    """The time without a leader after the loss of one, s, and the kind of fault that caused it."""
 
     seconds: float
     kind: str
@@ -102,10 +102,10 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """The verdict on one run. Times in s. `by_fault`: times of changes that met a fault, by its kind."""
+    """The result of all checks. Times in s. `by_fault`: those of changes during faults, by kind of fault."""
 
     changes: int = 0
-    undisturbed: list[float] = field(default_factory=list)  # of changes that met no fault
+    undisturbed: list[float] = field(default_factory=list)  # times of changes that overlapped no fault
     all_times: list[float] = field(default_factory=list)
     by_fault: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     leaderless: list[LeaderlessTime] = field(default_factory=list)
@@ -116,14 +116,14 @@
 
     @property
     def broken(self) -> bool:
-        """Whether anything happened that must not."""
+        """Whether a change was lost, a broker went back to an older state, or a record was wrong."""
         return bool(self.lost or self.reverted or self.wrong)
 
 
 def read_records(paths: Iterable[Path]) -> list[dict]:
-    """Read all complete lines of the files; the last line of a killed process may be cut short.
+    """Return the records of all complete lines; a killed process may leave an incomplete last line.
 
-    Raises `ValueError` for any other line that can't be read.
+    Raises `ValueError` for any other line that is not JSON.
     """
     found = []
     for path in paths:
@@ -133,16 +133,16 @@
                 if line:
                     found.append(json.loads(line))
             except ValueError:
-                # A restarted process goes on in the same file: its first line may follow half a one.
+                # A restarted process appends to the same file: its first record may follow an incomplete one.
                 if number + 1 < len(lines) and "}" in line and "{" in line[1:]:
                     found.append(json.loads(line[line.rindex("{") :]))
                 elif number + 1 < len(lines):
-                    raise ValueError(f"{path}:{number + 1}: {line[:120]}") from None
+                    raise ValueError(f"{path}:{number + 1}: not a JSON record: {line[:120]}") from None
     return found
 
 
 def check(brokers: list[dict], controls: list[dict], observed: HarnessObservations) -> Verdict:
-    """Judge a run by the brokers' records, the control processes' and the harness's own."""
+    """Check a run by the records of its brokers and control processes and the harness's observations."""
     verdict = Verdict(changes=len({a.version for a in observed.acked}))
     verdict.wrong += observed.wrongs
     committed = _committed_digests(controls, verdict)
@@ -159,14 +159,15 @@
 
 
 def _committed_digests(controls: list[dict], verdict: Verdict) -> dict[int, str]:
-    """Return the digest of each version, as committed; two that differ are a fault."""
+    """Return the committed digest of each version; report a version with two different digests as wrong."""
     committed: dict[int, str] = {}
     for record in controls:
         if record["event"] == "committed":
             version, digest = record["version"], record["digest"]
             if committed.setdefault(version, digest) != digest:
                 verdict.wrong.append(
-                    f"{record['who']} has version {version} as {digest}, another as {committed[version]}"
+                    f"{record['who']} committed version {version} with digest {digest}, "
+                    f"another control process with {committed[version]}"
                 )
     return committed
 
@@ -174,7 +175,7 @@
 def _check_acknowledged(
     acked: list[AcknowledgedChange], controls: list[dict], committed: dict[int, str], verdict: Verdict
 ) -> None:
-    """An acknowledged change stands in the history at its version, under its own name, and once."""
+    """Check that each acknowledged change is in the history once, at its version and under its request."""
     names: dict[int, str] = {}
     for record in controls:
         if record["event"] in ("committed", "acknowledged") and record.get("request"):
@@ -187,15 +188,17 @@
                 f"{change.version}"
             )
         if change.version not in committed:
-            verdict.lost.append(f"version {change.version} was acknowledged, and is in no one's history")
+            verdict.lost.append(
+                f"version {change.version} was acknowledged, but no control process committed it"
+            )
         elif names.get(change.version, change.request) != change.request:
             verdict.lost.append(
-                f"version {change.version} was acknowledged for {change.request}, and is "
-                f"{names[change.version]}"
+                f"version {change.version} was acknowledged for request {change.request}, but belongs to "
+                f"request {names[change.version]}"
             )
         elif change.digest and change.digest != committed[change.version]:
             verdict.wrong.append(
-                f"version {change.version} was acknowledged as {change.digest}, and is "
+                f"version {change.version} was acknowledged with digest {change.digest}, committed is "
                 f"{committed[change.version]}"
             )
 
@@ -222,7 +225,8 @@
         position = (applied.epoch, applied.version)
         if applied.version < last[1] or applied.epoch < last[0]:
             verdict.reverted.append(
-                f"{broker_run.broker} (run {broker_run.run:x}) went from {last} to {position} at {applied.at}"
+                f"{broker_run.broker} (run {broker_run.run:x}) went back from (epoch, version) "
+                f"{last} to {position} at {applied.at} µs"
             )
         last = position
 
@@ -231,14 +235,18 @@
     for applied in broker_run.applied:
         if applied.version and committed.get(applied.version, "") != applied.digest:
             verdict.wrong.append(
-                f"{broker_run.broker} had version {applied.version} as {applied.digest} at {applied.at}, "
+                f"{broker_run.broker} applied version {applied.version} with digest {applied.digest} "
+                f"at {applied.at} µs, "
                 f"committed is {committed.get(applied.version, 'no such version')}"
             )
 
 
 def _check_in_force(broker_run: BrokerRun, observed: HarnessObservations, verdict: Verdict) -> None:
-    """How long each change took to this life of a broker. Of changes that are due from one moment (a start, a
-    heal) the newest counts, once: it takes the others along."""
+    """Check how long this run of a broker took to apply each change.
+
+    Of the changes that are due from the same time (a start, a heal) only the newest counts, because a broker
+    that applies it has the older ones as well.
+    """
     down = sorted((s for s in observed.down if s.who == broker_run.broker), key=lambda s: s.begin)
     applied_times, applied_versions, highest = [], [], 0
     for applied in broker_run.applied:
@@ -263,7 +271,7 @@
 
 
 def _due_time(moment: int, down: list[Span]) -> int:
-    """Return when what came at a moment is due: at the end of the spans in which nothing could come."""
+    """Return from when a change made at `moment` is due: not before the end of the spans that contain it."""
     for span in down:
         if span.begin <= moment < span.end:
             moment = span.end
@@ -280,18 +288,18 @@
     verdict: Verdict,
 ) -> None:
     until = broker_run.end if applied_at is None else applied_at
-    for span in down:  # cut off before it had it: due again from the heal on
+    for span in down:  # cut off before the change was applied: it is due again from the heal
         if due_at < span.begin < until:
             due_at = max(due_at, span.end)
     if due_at > broker_run.end:
         return
     if applied_at is None and not broker_run.ended:
         verdict.lost.append(
-            f"{broker_run.broker} (run {broker_run.run:x}) never had version {change.version}, due "
+            f"{broker_run.broker} (run {broker_run.run:x}) never applied version {change.version}, due "
             f"{(observed.over - due_at) / 1e6:.1f} s before the end"
         )
     if applied_at is None and broker_run.end - due_at < IN_FORCE_LIMIT_S * 1e6:
-        return  # it was killed before it could have it; or is lost, as said above
+        return  # killed before the limit was over, or reported as lost above
     delay_s = max(0, until - due_at) / 1e6
     verdict.all_times.append(delay_s)
     kinds = {s.kind for s in observed.faults if s.begin <= until and due_at <= s.end}
@@ -304,11 +312,14 @@
 def _check_missing(broker_runs: list[BrokerRun], observed: HarnessObservations, verdict: Verdict) -> None:
     present = {broker_run.broker for broker_run in broker_runs if not broker_run.ended}
     for name in sorted(observed.expected - observed.removed - present):
-        verdict.lost.append(f"{name} is to be there at the end, and wrote nothing")
+        verdict.lost.append(f"{name} must be running at the end, but has no recorded run that was not killed")
 
 
 def _check_leader_losses(controls: list[dict], observed: HarnessObservations, verdict: Verdict) -> None:
-    """From each loss to the first sign of another primary: its own record or what it acknowledged."""
+    """Measure the time from each loss of a leader to the first event of another leader.
+
+    Such an event is its `primary` record or an acknowledgement.
+    """
     leader_records = sorted(
         (r["at"], r["who"]) for r in controls if r["event"] in ("primary", "acknowledged")
     )
@@ -327,29 +338,33 @@
     seconds: float,
     without_faults: bool = False,
 ) -> list[str]:
-    """Return why the run means nothing; empty where it does mean something.
+    """Return the reasons why the run had too little activity to prove anything; empty if it had enough.
 
-    `without_faults`: none were due.
+    `without_faults`: the run is not supposed to have faults.
     """
     found = []
     if verdict.changes < max(5, seconds / (12 if without_faults else 6)):
         found.append(f"only {verdict.changes} changes acknowledged")
     if len(verdict.undisturbed) < brokers:
-        found.append(f"only {len(verdict.undisturbed)} times of a change at a broker in quiet times")
+        found.append(
+            f"only {len(verdict.undisturbed)} times of changes at brokers were measured in quiet times"
+        )
     if without_faults:
-        return found + ["something was broken"] * bool(observed.faults or observed.losses)
+        return found + ["a fault was injected into a run without faults"] * bool(
+            observed.faults or observed.losses
+        )
     if not observed.losses:
         found.append("no primary was lost")
     if verdict.broker_runs <= brokers:
-        found.append("no broker came back")
+        found.append("no broker restarted")
     kinds = {span.kind for span in observed.faults}
     if len(kinds) < min(3, max(1, int(seconds / 8))):
-        found.append(f"faults of {len(kinds)} kinds only")
+        found.append(f"faults of only {len(kinds)} kinds")
     return found
 
 
 def exceeded_limits(verdict: Verdict, cpu_pct: float, net_kb_s: float, rss_mb: float) -> list[str]:
-    """Return which limits the run passed, with their values."""
+    """Return a message for each exceeded limit: its name, the value and the limit."""
     most = max(verdict.undisturbed, default=0.0)
     primary = max((loss.seconds for loss in verdict.leaderless), default=0.0)
     rows = (
--- a/cypressledge/lab/capacity/control_process.py
+++ b/cypressledge/lab/capacity/control_process.py
@@ -1,4 +1,4 @@
-"""Control processes of a capacity run, and calls of management addresses."""
+"""Control processes of a capacity run, and requests to management addresses."""
 
 import json
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 
 class ManagementAnswer(NamedTuple):
-    """What a process answers on its management address: the HTTP status, and the JSON of the body."""
+    """An answer from a management address: the HTTP status and the decoded JSON body."""
 
     status: int
     body: dict
@@ -25,9 +25,10 @@
 def call_management(
     port: int, method: str, path: str, body: bytes = b"", seconds: float = 8.0
 ) -> ManagementAnswer:
-    """Return a process's answer on its management address.
+    """Send a request to a process's management address and return the answer.
 
-    `seconds`: how long to wait for it. Raises `OSError`, `ValueError`.
+    `seconds`: timeout of the answer. Raises `OSError` if the connection fails, `ValueError` or `IndexError`
+    for an answer that is not HTTP with a JSON body.
     """
     with socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S) as sock:
         sock.settimeout(seconds)
@@ -59,7 +60,7 @@
 
 
 class ControlProcess(ManagedProcess):
-    """One control process; `votes`: whether it is a voter."""
+    """A control process of a capacity run; `votes`: whether it is a voter."""
 
     def __init__(self, name: str, zone: str, votes: bool, folder: Path) -> None:
         self.name, self.zone, self.votes, self.folder = name, zone, votes, folder
@@ -71,17 +72,17 @@
         self.cost = ProcessCost()
 
     def start(self, first: Path | None = None) -> None:
-        """Start the process; `first`: a file with which a new history begins."""
+        """Start the process; `first`: the file with the initial contents of a new history."""
         seed_option = ("--first", str(first)) if first else ()
         store = self.folder / f"{self.name}.store"
         self.launch(serve_arguments(self.settings, self.name, store, *seed_option), self.log)
 
     def responsive(self) -> bool:
-        """Whether the process runs and is not stopped."""
+        """Return whether the process runs and is not stopped by a signal."""
         return self.running() and not self.stopped
 
     def status(self, seconds: float = 1.0) -> dict:
-        """Return its status as operators see it; empty where it does not answer."""
+        """Return the status from its management address; empty if it does not answer."""
         try:
             return call_management(self.management, "GET", "/control/status", seconds=seconds).body
         except (OSError, ValueError, IndexError):
--- a/cypressledge/lab/capacity/day.py
+++ b/cypressledge/lab/capacity/day.py
@@ -1,7 +1,7 @@
-"""A compressed day for a capacity run, drawn from a seed: what is changed and what breaks when. No I/O.
+"""A compressed day for a capacity run, drawn from a seed: its changes and faults, with their times. No I/O.
 
-Faults come one after the other with quiet between them; changes go on all the time. The last part of the day
-is quiet, so that whatever is missing at its end is lost and not late.
+Faults follow one another with quiet times between them; changes continue throughout. The last part of the day
+has no faults, so that a change that is missing at its end is lost and not late.
 """
 
 import random
@@ -10,7 +10,7 @@
 
 
 class FaultKind(StrEnum):
-    """What breaks, by the keys of results files; in the order of a day's first faults."""
+    """Kinds of faults, with their keys in results files; in the order of a day's first faults."""
 
     LEADER_KILLED = "a primary killed"
     BROKERS_KILLED = "brokers killed"
@@ -22,7 +22,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What an operator changes, or tries to, by the names that a run prints."""
+    """Kinds of changes that an operator requests, with the names that a run prints."""
 
     SETTINGS = "settings"
     ENGINE_DRAINED = "engine drains"
@@ -43,7 +43,7 @@
     (ChangeKind.CONFLICT, 2),
     (ChangeKind.INVALID, 2),
 )
-FAULT_SPANS = {  # the shortest and the longest, in terms of the control processes' leases
+FAULT_SPANS = {  # shortest and longest duration, in lease terms of the control processes
     FaultKind.LEADER_KILLED: (0.8, 2.0),
     FaultKind.BROKERS_KILLED: (0.2, 1.2),
     FaultKind.REGIONS_CUT: (1.4, 2.4),
@@ -54,14 +54,14 @@
 }
 ZONES = ("za", "zb", "zc")
 REGION = {"za": "east", "zb": "east", "zc": "west"}
-QUIET_LEAD_S = 3.0  # quiet before the first fault
-QUIET_REST_S = 3.0  # and after one, at the least: part of it is the mending's
-QUIET_TAIL_S = 8.0
+QUIET_LEAD_S = 3.0  # s; before the first fault
+QUIET_REST_S = 3.0  # s; minimum after a fault, including the recovery from it
+QUIET_TAIL_S = 8.0  # s; at the end of the day
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A change or fault at `at` seconds of the day, for `span` seconds. `pick`: 0 to 1, decides which."""
+    """A change or fault `at` seconds into the day, for `span` seconds. `pick`: 0 to 1, selects its target."""
 
     at: float
     kind: FaultKind | ChangeKind
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """The faults and changes that a run plays."""
+    """The faults and changes of a capacity run, each in order of time."""
 
     seconds: float
     faults: list[Event]
@@ -79,23 +79,23 @@
 
 
 def draw_fault_span(kind: FaultKind, term_s: float, rng: random.Random) -> float:
-    """Return the seconds that a fault lasts. A stop outlasts the lease's term; the others may or may not."""
+    """Return a random duration of a fault, s. A leader is stopped for longer than the lease term `term_s`."""
     shortest, longest = FAULT_SPANS[kind]
     return rng.uniform(shortest, longest) * term_s
 
 
 def draw_day(seed: int, seconds: float, term_s: float, every_s: float) -> Day:
-    """Draw a day of so many seconds, with a change every `every_s` seconds on average.
+    """Draw a day of this many seconds, with a change every `every_s` seconds on average.
 
-    Each kind of fault comes once before one comes again; the first of a short day take a leader away, kill
-    brokers and cut regions. `term_s`: of the control processes' leases.
+    Each kind of fault occurs once before any occurs again; a short day begins with a killed leader, killed
+    brokers and cut regions. `term_s`: term of the control processes' leases.
     """
     rng = random.Random(seed)
     faults: list[Event] = []
     at, rounds = QUIET_LEAD_S, 0
     while True:
         deck = list(FAULTS)
-        if rounds:  # the first round is in order, so that the shortest day has what it has to have
+        if rounds:  # the first round is in order, so that even the shortest day has the required faults
             rng.shuffle(deck)
         rounds += 1
         for kind in deck:
@@ -107,12 +107,12 @@
 
 
 def draw_day_without_faults(seed: int, seconds: float, every_s: float) -> Day:
-    """Draw a day of changes alone: what the control plane costs where nothing breaks."""
+    """Draw a day with changes only, to measure the cost of the control plane without faults."""
     return Day(seconds, [], draw_changes(random.Random(seed), seconds, every_s))
 
 
 def draw_changes(rng: random.Random, seconds: float, every_s: float) -> list[Event]:
-    """Draw changes at random moments; the last come in the quiet tail, with time left to be in force."""
+    """Draw changes at random times; the last are in the quiet tail, early enough to be applied by its end."""
     found, at = [], 0.0
     kinds, weights = zip(*CHANGE_WEIGHTS, strict=True)
     while (at := at + rng.expovariate(1 / every_s)) < seconds - QUIET_TAIL_S / 2:
--- a/cypressledge/lab/capacity/evaluation.py
+++ b/cypressledge/lab/capacity/evaluation.py
@@ -1,4 +1,4 @@
-"""All requirements, evaluated from measured curves against their limits."""
+"""Evaluation of all requirements from measured curves against their limits."""
 
 from cypressledge.lab.capacity.broker_requirements import BROKER_REQUIREMENTS
 from cypressledge.lab.capacity.failure_requirements import FAILURE_REQUIREMENTS
@@ -8,11 +8,11 @@
 from cypressledge.lab.results import Results
 
 REQUIREMENTS = (*BROKER_REQUIREMENTS, *FLEET_REQUIREMENTS, *FAILURE_REQUIREMENTS)
-BISECTION_STEPS = 20  # to a millionth of the target's size
+BISECTION_STEPS = 20  # for a precision of a millionth of the target's size
 
 
 def evaluate(results: Results) -> list[RequirementResult]:
-    """Evaluate all requirements. Raises `ResultsError` where a curve or fact is missing."""
+    """Evaluate all requirements. Raises `ResultsError` if a curve or fact is missing."""
     return [_evaluate_one(results, requirement) for requirement in REQUIREMENTS]
 
 
@@ -27,7 +27,7 @@
 def _passed_from(
     results: Results, requirement: Requirement, value: float, limit: float | None
 ) -> float | None:
-    """Return the number of brokers, with engines in proportion, from which on the limit is passed."""
+    """Return the number of brokers, with engines in proportion, above which the limit is exceeded."""
     if limit is None or value <= limit:
         return None
     low, high = 0.0, 1.0
--- a/cypressledge/lab/capacity/event_records.py
+++ b/cypressledge/lab/capacity/event_records.py
@@ -1,20 +1,20 @@
-"""Records of processes while they are being written, and the clock that all records share."""
+"""Reading of record files while processes write them, and the clock that all records share."""
 
 import json
 import time
 from collections.abc import Iterable
 from pathlib import Path
 
-TAIL_BYTES = 65_536  # of a file that are read from its end
+TAIL_BYTES = 65_536  # size of the end of a file that is read
 
 
 def boottime_us() -> int:
-    """Return µs of CLOCK_BOOTTIME: the clock of all records."""
+    """Return the time of CLOCK_BOOTTIME in µs, the clock of all records."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 def read_tail(path: Path) -> list[dict]:
-    """Return the last records of a file that is being written, complete lines alone."""
+    """Return the last records of a file that is being written; incomplete lines are left out."""
     with open(path, "rb") as file:
         file.seek(0, 2)
         start = max(0, file.tell() - TAIL_BYTES)
@@ -24,9 +24,9 @@
 
 
 def current_leader(records: Iterable[dict]) -> str:
-    """Return who began to lead under the highest epoch and has not ended there; empty for nobody.
+    """Return the leader of the highest epoch; empty if there is none or it has stepped down.
 
-    Guards against a former leader that records only later that it has stepped down.
+    Records of older epochs are ignored, because a former leader may record late that it has stepped down.
     """
     leader_records = [r for r in records if r["event"] in ("primary", "stepped_down")]
     newest_epoch = max((r["epoch"] for r in leader_records if r["event"] == "primary"), default=-1)
--- a/cypressledge/lab/capacity/failure_requirements.py
+++ b/cypressledge/lab/capacity/failure_requirements.py
@@ -1,4 +1,4 @@
-"""What failures of a machine, an engine, a rack, a zone or a region ask of the others."""
+"""Requirements on the remaining parts when a machine, an engine, a rack, a zone or a region fails."""
 
 from cypressledge.lab.capacity.requirements import (
     LINK,
--- a/cypressledge/lab/capacity/fault_injector.py
+++ b/cypressledge/lab/capacity/fault_injector.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a capacity run's day, and records the spans in which they last."""
+"""Injects the faults of a capacity run's day, and records the spans in which they last."""
 
 import math
 import random
@@ -15,12 +15,12 @@
 from cypressledge.lab.capacity.event_records import boottime_us, current_leader, read_tail
 from cypressledge.lab.capacity.fleet import CapacityFleet
 
-SETTLE_S = 2.5  # after a fault is mended, until times count as quiet again
-KILLED_SHARE = 0.04  # of the brokers, at a time
-LEADER_POLL_S = 0.1
-LEADER_POLLS = 100  # until a fault goes on without a leader
-MINORITY_REGION = "west"  # with a minority of the voters
-SILENT_CUT_SHARE = 0.6  # of the cuts; the others reset connections
+SETTLE_S = 2.5  # s; after a fault is repaired, until times count as quiet again
+KILLED_SHARE = 0.04  # share of the simulated brokers killed at a time
+LEADER_POLL_S = 0.1  # s; between polls for a leader
+LEADER_POLLS = 100  # polls for a leader until a fault continues without one
+MINORITY_REGION = "west"  # the region with a minority of the voters
+SILENT_CUT_SHARE = 0.6  # share of cuts that drop data silently; the others reset connections
 
 
 class Kill(NamedTuple):
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class FaultInjector:
-    """Plays faults on a fleet, and records their spans, the leaders lost and the brokers killed."""
+    """Injects faults into a fleet, and records their spans, the leaders lost and the brokers killed."""
 
     fleet: CapacityFleet
     random: random.Random
@@ -43,7 +43,7 @@
     counts: Counter[str] = field(default_factory=Counter)
 
     def play(self, event: Event) -> None:
-        """Play one fault from its beginning until it is mended."""
+        """Inject one fault, wait for its duration and repair it."""
         began = boottime_us()
         self.counts[event.kind] += 1
         self._handlers()[event.kind](event)
@@ -61,7 +61,7 @@
         }
 
     def leader(self) -> str:
-        """Return the current leader by the control processes' records; empty where none has said so."""
+        """Return the current leader according to the control processes' records; empty if there is none."""
         records = [control.record for control in self.fleet.controls if control.record.exists()]
         return current_leader(record for path in records for record in read_tail(path))
 
@@ -82,7 +82,7 @@
         at = boottime_us()
         self.kills += [Kill(name, at) for name in names]
 
-    # Kinds of faults
+    # Handlers of the kinds of faults
 
     def _kill_leader(self, event: Event) -> None:
         if name := self._await_leader():
@@ -108,7 +108,7 @@
             control.start()
 
     def _some_brokers(self) -> list[str]:
-        """Draw a few of the simulated brokers, and a real one."""
+        """Return a random few of the simulated brokers, and a real one if there is any."""
         simulated = [name for name, broker in self.fleet.brokers.items() if broker.host]
         real = [name for name, broker in self.fleet.brokers.items() if not broker.host]
         some_simulated = self.random.sample(simulated, math.ceil(KILLED_SHARE * len(simulated)))
@@ -129,7 +129,7 @@
         self.fleet.start_brokers(names)
 
     def _kill_zone(self, event: Event) -> None:
-        """Of one, two or three zones: a majority of the voters is never in one."""
+        """Kill the brokers and control processes of one zone; no zone has a majority of the voters."""
         zone = sorted({control.zone for control in self.fleet.controls})[int(event.pick * 3) % 3]
         controls = [control for control in self.fleet.controls if control.zone == zone]
         leader = self._await_leader()
@@ -145,7 +145,10 @@
         self.fleet.start_brokers(names)
 
     def _cut_regions(self, event: Event) -> None:
-        """The region with a minority of the voters has none of what is new until the heal."""
+        """Cut the regions from each other until the span ends.
+
+        Until the heal the region with a minority of the voters gets no changes.
+        """
         leader = self._await_leader()
         began = boottime_us()
         if leader and self.fleet.control_by_name[leader].region == MINORITY_REGION:
--- a/cypressledge/lab/capacity/fleet.py
+++ b/cypressledge/lab/capacity/fleet.py
@@ -1,8 +1,7 @@
-"""The processes of a capacity run: control processes, simulated and real brokers, and regions' proxies.
+"""Processes of a capacity run: control processes, simulated and real brokers, proxies between regions.
 
-Starts its own processes and ends its own by their ids, whatever happens. What goes from one of the two
-regions to the other passes proxies in the harness, so that it can be cut; each region has settings files of
-its own.
+The run kills only processes that it started, by their ids. Traffic between the two regions passes through
+proxies in the harness, so that it can be cut; each region therefore has its own settings files.
 """
 
 import math
@@ -32,28 +31,28 @@
 from cypressledge.lab.udp_proxy import LinkConditions, UdpProxies
 
 CONTROL_PROCESSES = 8
-CONTROL_VOTERS = 5  # of them
-CONTROL_TERM_S = 2.0  # of the control processes' own leases
-CONTROL_PING_S = 0.3
-BROKERS_PER_HOST = 60  # simulated ones, at most
-LIVE_ZONE = "live"  # of the engines that answer: real brokers use no other
+CONTROL_VOTERS = 5  # control processes that are voters
+CONTROL_TERM_S = 2.0  # s; term of the control processes' own leases
+CONTROL_PING_S = 0.3  # s; interval of the control processes' pings
+BROKERS_PER_HOST = 60  # maximum number of simulated brokers in one process
+LIVE_ZONE = "live"  # zone of the engines that answer; real brokers use only this one
 FAKE_ENGINES = 6
-LOOKUP_INTERVAL_S = 1.0  # at a real broker: it is to serve, at next to no cost of that
-MEMBERS_TERM_S = 4.0  # of simulated brokers' own leases
+LOOKUP_INTERVAL_S = 1.0  # s; at a real broker: it serves requests, but at a negligible cost
+MEMBERS_TERM_S = 4.0  # s; term of the simulated brokers' own leases
 MEMBERS_VOTERS = 5
 MEMBERS_LEASES = 8
-CONTROL_START_TIMEOUT_S = 40  # of the control processes, until one has committed
-REAL_START_TIMEOUT_S = 40  # of real brokers, until they listen
-START_POLL_S = 0.1
+CONTROL_START_TIMEOUT_S = 40  # s; until a control process has committed a version
+REAL_START_TIMEOUT_S = 40  # s; until the real brokers listen
+START_POLL_S = 0.1  # s; between checks whether processes have started
 
 
 class CapacityRunError(Exception):
-    """The run can't go on; its text is one plain line."""
+    """Raised when a capacity run can't continue; the message is printed to the user."""
 
 
 @dataclass(slots=True)
 class PlacedBroker:
-    """A broker of the run: where it is, and its host; a real broker has none."""
+    """A broker of the run with its zone, address and host; `host` is None for a real broker."""
 
     name: str
     zone: str
@@ -63,13 +62,13 @@
 
     @property
     def region(self) -> str:
-        """The region of its zone."""
+        """The region that the broker's zone belongs to."""
         return REGION[self.zone]
 
 
 @dataclass
 class FleetSize:
-    """How large a run is. `ping_s`: the members' ping interval; 0: simulated brokers are no members."""
+    """The size of a run. `ping_s`: the members' ping interval; 0: simulated brokers don't run membership."""
 
     brokers: int
     engines: int
@@ -79,7 +78,7 @@
 
 
 class CapacityFleet:
-    """All processes and proxies of one run. `folder`: where their files go."""
+    """All processes and proxies of one run. `folder`: the folder of their files."""
 
     def __init__(self, size: FleetSize, seed: int, folder: Path) -> None:
         self.size, self.seed, self.folder = size, seed, folder
@@ -108,10 +107,10 @@
     def _are_in_two_regions(self, source: str, to: str) -> bool:
         return self.control_by_name[source].region != self.control_by_name[to].region
 
-    # Files
+    # Settings files
 
     def _servers(self, region: str, me: str = "") -> list[dict]:
-        """Return the control processes as they are seen from a region, or by one of them (`me`)."""
+        """Return the list of control processes for a region's brokers, or for the control process `me`."""
         return [
             {
                 "name": control.name,
@@ -126,19 +125,19 @@
         ]
 
     def _fleet_address(self, control: ControlProcess, region: str, me: str) -> str:
-        """Return where control processes find one of them: behind a proxy from the other region."""
+        """Return the address at which other control processes reach one: a proxy from the other region."""
         if not me or control.region == region:
             return f"127.0.0.1:{control.fleet}"
         return self.udp.address(me, control.name)
 
     def _broker_address(self, control: ControlProcess, region: str) -> str:
-        """Return where brokers find a control process: behind a proxy from the other region."""
+        """Return the address at which brokers reach a control process: a proxy from the other region."""
         if control.region == region:
             return f"127.0.0.1:{control.port}"
         return self.tcp[control.name].address
 
     def _write_settings(self, path: Path, servers: list[dict], record: Path | None) -> None:
-        """Write a control settings file. `record`: where what is done is recorded, if anywhere."""
+        """Write a control settings file. `record`: file for the process's event records, if any."""
         settings = {
             "servers": servers,
             "term_s": CONTROL_TERM_S,
@@ -150,7 +149,7 @@
         path.write_text(yaml.safe_dump(settings))
 
     def seed_file(self) -> Path:
-        """Write what the history begins with: settings and engines."""
+        """Write the initial settings and engines of the history to a file; return its path."""
         config = SETTINGS | _site_settings()
         engines = {
             engine.name: engine_value(engine.member()["host_port"], LIVE_ZONE) for engine in self.fake_engines
@@ -161,16 +160,22 @@
         path.write_text(yaml.safe_dump({"config": config, "engines": engines}))
         return path
 
-    # Starting
+    # Start of the processes
 
     def start(self) -> None:
-        """Start control processes, then brokers; return once all run. Raises `CapacityRunError`."""
+        """Start control processes, then brokers; return once all run.
+
+        Raises `CapacityRunError` if some don't start in time.
+        """
         self.start_controls()
         self.start_simulated()
         self.start_real_brokers()
 
     def start_controls(self) -> None:
-        """Start the control processes, and wait until a leader has committed. Raises `CapacityRunError`."""
+        """Start the control processes, and wait until a leader has committed a version.
+
+        Raises `CapacityRunError` at a timeout, with the end of the processes' logs.
+        """
         for control in self.controls:
             self._write_settings(
                 control.settings, self._servers(control.region, control.name), control.record
@@ -182,14 +187,14 @@
             control.start(first)
         if not until(self._has_committed, CONTROL_START_TIMEOUT_S, START_POLL_S):
             logs = "".join(control.log.read_text()[-300:] for control in self.controls)
-            raise CapacityRunError(f"no primary: {logs}")
+            raise CapacityRunError(f"no control process has committed a version: {logs}")
 
     def _has_committed(self) -> bool:
-        """Whether any control process answers that a version is committed."""
+        """Return whether any control process reports a committed version."""
         return any(control.status().get("commit") for control in self.controls if control.responsive())
 
     def start_simulated(self) -> None:
-        """Start the hosts and their brokers. Raises `CapacityRunError`."""
+        """Start the hosts with their simulated brokers. Raises `CapacityRunError` at a timeout."""
         count = self.size.brokers - self.size.real_brokers
         for number in range(math.ceil(count / BROKERS_PER_HOST)):
             self.hosts.append(SimulatedBrokerHost(number, self.folder))
@@ -200,14 +205,17 @@
         self.start_brokers(list(self.brokers))
         timeout_s = 20 + count / 5
         if not until(lambda: self._count_started() == count, timeout_s, START_POLL_S):
-            raise CapacityRunError("simulated brokers did not start")
+            raise CapacityRunError(f"not all of {count} simulated brokers started")
 
     def _count_started(self) -> int:
-        """Count the simulated brokers that their hosts report as started."""
+        """Return how many simulated brokers their hosts reported as started."""
         return sum(len(host.started) for host in self.hosts)
 
     def start_real_brokers(self) -> None:
-        """Start brokers of the program, with fake engines and a small load. Raises `CapacityRunError`."""
+        """Start real broker processes, with fake engines and a small load.
+
+        Raises `CapacityRunError` at a timeout, with the end of the brokers' output.
+        """
         names = [f"real{number}" for number in range(self.size.real_brokers)]
         for number, name in enumerate(names):
             self.brokers[name] = PlacedBroker(name, ZONES[number % 3], new_fleet_address(), None)
@@ -219,13 +227,13 @@
         self.greenlets += [gevent.spawn(client.run) for client in self.clients]
         if not until(self._all_real_brokers_listen, REAL_START_TIMEOUT_S, START_POLL_S):
             logs = "".join(broker.words()[-500:] for broker in brokers)
-            raise CapacityRunError(f"real brokers did not start: {logs}")
+            raise CapacityRunError(f"real brokers did not start listening: {logs}")
 
     def _all_real_brokers_listen(self) -> bool:
         return all("listening on" in broker.words() for broker in self.real_brokers.all.values())
 
     def record(self, name: str) -> Path:
-        """Return the file in which a broker records what it has in force."""
+        """Return the file in which a broker records the versions that it applied."""
         return self.folder / f"{name}.broker.jsonl"
 
     def _add_real_broker(self, name: str) -> None:
@@ -235,10 +243,10 @@
         settings = self.real_brokers.folder / f"{name}.control.yaml"
         self._write_settings(settings, self._servers(placed.region), self.record(name))
 
-    # Brokers come and go
+    # Starts, kills and replacement of brokers
 
     def start_brokers(self, names: list[str]) -> None:
-        """Start these brokers."""
+        """Start the named brokers, real or simulated."""
         for name in names:
             placed = self.brokers[name]
             placed.up = True
@@ -270,7 +278,7 @@
         )
 
     def kill_brokers(self, names: list[str]) -> None:
-        """Kill these brokers."""
+        """Kill the named brokers, real or simulated."""
         for name in names:
             placed = self.brokers[name]
             placed.up = False
@@ -280,13 +288,13 @@
                 placed.host.send(KillCommand(name))
 
     def assign_new_address(self, name: str) -> None:
-        """Give a broker that is down another address for when it comes back."""
+        """Give a killed broker another address, which it uses from its next start on."""
         self.brokers[name].address = new_fleet_address()
 
-    # Regions
+    # Cuts between regions
 
     def cut(self, mode: str) -> None:
-        """Let nothing pass between the regions; `mode` as of `TcpProxy.cut`."""
+        """Block all traffic between the regions; `mode` as in `TcpProxy.cut`."""
         self.is_cut = True
         for pair in self.udp.paths:
             self.udp.paths[pair] = LinkConditions(cut=True)
@@ -296,7 +304,7 @@
             host.send(CutCommand())
 
     def heal(self) -> None:
-        """Let everything pass between the regions again."""
+        """Allow traffic between the regions again."""
         self.is_cut = False
         self.udp.heal()
         for proxy in self.tcp.values():
@@ -304,25 +312,25 @@
         for host in self.hosts:
             host.send(HealCommand())
 
-    # Looking
+    # Resource usage of the processes
 
     def sample(self) -> None:
-        """Sample every process's use of the machine."""
+        """Sample the processor time and memory of every process."""
         for control in self.controls:
             if control.running():
                 control.cost.sample(control.pid)
         for host in self.hosts:
             host.cost.sample(host.process.pid)
         for name, broker in self.real_brokers.all.items():
-            if broker.running() and broker.listening():  # what a start takes is no cost of control
+            if broker.running() and broker.listening():  # the cost of a start is no cost of the control part
                 self.real_costs[name].sample(broker.pid)
 
     def hosted_by(self, host: SimulatedBrokerHost) -> int:
-        """Return how many brokers a host runs."""
+        """Return how many simulated brokers a host runs."""
         return sum(broker.host is host for broker in self.brokers.values())
 
     def memory_mb(self) -> float:
-        """Return the memory of all processes together, as far as sampled, MB."""
+        """Return the total memory of all processes as last sampled, MB."""
         costs = (
             *(control.cost for control in self.controls),
             *(host.cost for host in self.hosts),
@@ -331,13 +339,13 @@
         return sum(cost.rss_mb for cost in costs)
 
     def processes(self) -> int:
-        """Return how many processes run."""
+        """Return how many processes of this fleet run."""
         controls = sum(control.running() for control in self.controls)
         brokers = sum(broker.running() for broker in self.real_brokers.all.values())
         return controls + len(self.hosts) + brokers
 
     def end(self) -> None:
-        """End all processes, proxies and greenlets."""
+        """Kill all processes of this fleet and close its proxies and greenlets."""
         gevent.killall(self.greenlets)
         for host in self.hosts:
             host.end()
@@ -352,21 +360,21 @@
 
 
 def _site_settings() -> dict:
-    """Return the settings that differ from the laboratory's: all zones, and classes in the live one alone."""
+    """Return the settings that differ from the defaults: all zones, and classes only in the live zone."""
     classes = [settings | {"DcsOpen": [0]} for settings in SETTINGS["Classes"]]
     return {"Dcs": [LIVE_ZONE, *ZONES], "Classes": classes}
 
 
 def engine_value(address: str, zone: str, state: str = "ready") -> dict:
-    """Return an engine's value in the control state."""
+    """Return an engine's value as the control plane stores it."""
     return {"address": address, "kind": "node-8c", "zone": zone, "cell": 0, "state": state, "born_ms": 0}
 
 
 def unused_address(number: int) -> str:
-    """Return an address of the loopback where nobody listens, another one for each number."""
+    """Return a loopback address at which nothing listens, a different one for each number."""
     return f"127.0.{1 + number // 250}.{1 + number % 250}:9"
 
 
 def new_fleet_address() -> str:
-    """Return a free address for a fleet socket."""
+    """Return a free loopback address for a broker's fleet socket."""
     return f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"
--- a/cypressledge/lab/capacity/fleet_requirements.py
+++ b/cypressledge/lab/capacity/fleet_requirements.py
@@ -1,4 +1,4 @@
-"""What the roles need that serve all brokers: planner, leader, control machines, directory; and an engine."""
+"""Requirements of the planner, leader, control machines, directory and engines."""
 
 from functools import partial
 
@@ -41,13 +41,13 @@
 
 
 def _observations_kb_s(measured: Measurements, rate: float) -> float:
-    """Return KB/s of the observations of all other brokers, each of which sends `rate` of them a second."""
+    """Return KB/s of the observations of all other brokers, if each sends `rate` of them per second."""
     size = measured.at("sight_bytes", ENGINES_PER_OBSERVATION)
     return size * rate * (measured.brokers - 1) / 1000
 
 
 def _planner_cpu_pct(measured: Measurements, rate: float, run_curve: str) -> float:
-    """Return % of a core for the observations of all brokers, each at `rate` a second, and the runs."""
+    """Return % of a core for all brokers' observations, `rate` per second each, and the planner's runs."""
     received = measured.fact("sight_us") * rate * measured.brokers / 1e6
     runs = measured.at(run_curve, measured.brokers) * PLANNER_RUNS_PER_S / 1e3
     return (received + runs) * 100
--- a/cypressledge/lab/capacity/observations.py
+++ b/cypressledge/lab/capacity/observations.py
@@ -1,4 +1,4 @@
-"""What the harness did and observed during a capacity run, for its checks."""
+"""The harness's own actions and observations during a capacity run, as input of the checks."""
 
 import json
 from dataclasses import asdict
@@ -9,8 +9,8 @@
 from cypressledge.lab.capacity.fault_injector import FaultInjector
 from cypressledge.lab.capacity.simulated_operator import SimulatedOperator
 
-BrokerRunKey = tuple[str, int]  # a broker's name and the number of its run
-FILE_KEYS = {"removed": "gone", "all_stopped_at": "gone"}  # of fields that have another name in the file
+BrokerRunKey = tuple[str, int]  # a broker's name and the identifier of its run
+FILE_KEYS = {"removed": "gone", "all_stopped_at": "gone"}  # keys in the file of fields with another name
 
 
 def harness_observations(
@@ -22,10 +22,11 @@
     over: int,
     killed: dict[BrokerRunKey, int],
 ) -> HarnessObservations:
-    """Return what the harness did and observed.
+    """Return the harness's actions and observations as input of the checks.
 
-    `records`, `controls`: what brokers and control processes wrote; `over`: the end, µs; `killed`: when
-    simulated brokers were killed, as their hosts report it: a busy host may be late.
+    `records`, `controls`: records of the brokers and of the control processes; `over`: the end of the run,
+    µs; `killed`: when simulated brokers were killed, µs, as reported by their hosts, because a busy host may
+    execute a kill late.
     """
     return HarnessObservations(
         _acknowledged(operator, controls),
@@ -42,7 +43,7 @@
 def _broker_run_ends(
     faults: FaultInjector, records: list[dict], killed: dict[BrokerRunKey, int]
 ) -> dict[BrokerRunKey, int]:
-    """Return when lives ended. Of a real broker, a kill ends the life that began last before it."""
+    """Return when broker runs were killed, µs; a real broker's run ends at the first kill after its start."""
     began: dict[BrokerRunKey, int] = {}
     for record in records:
         key = (record["broker"], record["run"])
@@ -59,7 +60,10 @@
 
 
 def _acknowledged(operator: SimulatedOperator, controls: list[dict]) -> list[AcknowledgedChange]:
-    """Return the acknowledged changes, from when a control process recorded it, if before the answer came."""
+    """Return the acknowledged changes.
+
+    Their time is when a control process recorded the acknowledgement, if that was before the answer arrived.
+    """
     recorded: dict[tuple[int, str], int] = {}
     for record in controls:
         if record["event"] == "acknowledged":
@@ -76,7 +80,7 @@
 
 
 def write_observations(path: Path, observed: HarnessObservations) -> None:
-    """Write the observations as JSON, so that a kept run can be judged again."""
+    """Write the observations as JSON, so that the records of a run can be checked again later."""
     content = asdict(observed, dict_factory=_file_keys)
     content["ends"] = [[*broker_run, at] for broker_run, at in observed.ends.items()]
     path.write_text(json.dumps(content, default=sorted))
--- a/cypressledge/lab/capacity/page.py
+++ b/cypressledge/lab/capacity/page.py
@@ -1,6 +1,6 @@
-"""Writes the tables of docs/CAPACITY.md anew from results files, so that figures and page agree.
+"""Regenerates the tables of docs/CAPACITY.md from results files, so that the page agrees with the figures.
 
-A table stands between `<!-- table:NAME -->` and `<!-- end -->`; all else on the page is written by hand.
+A table is between `<!-- table:NAME -->` and `<!-- end -->`; the rest of the page is not generated.
 """
 
 import re
@@ -41,7 +41,7 @@
 )
 from cypressledge.lab.results import Results, ResultsError, read
 
-TableMakers = Mapping[str, Callable[[], str]]  # by the name in a table's mark
+TableMakers = Mapping[str, Callable[[], str]]  # functions that return a table, by name in its mark
 
 TABLE_MARK = re.compile(r"(<!-- table:([a-z-]+) -->\n).*?(<!-- end -->)", re.S)
 TABLES_BY_ROLE = {
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PageInput:
-    """What the page's tables are made of: measured curves and facts, and capacity runs."""
+    """Input of the page's tables: measured curves and facts, and capacity runs."""
 
     results: Results
     runs: list[Run]
@@ -68,8 +68,8 @@
 def read_results(paths: list[str]) -> PageInput:
     """Read curves and runs from files.
 
-    A file that holds a list holds runs; `RUNS_FILE` beside the first one is read, too.
-    Raises `ResultsError`.
+    A `.jsonl` file or one with a JSON list contains runs; `RUNS_FILE` in the folder of the first file is read
+    as well. Raises `ResultsError` if a file can't be read or holds figures of a `--quick` measurement.
     """
     curve_files: list[str] = []
     run_files: list[str] = []
@@ -85,12 +85,12 @@
         run_files.append(str(beside))
     results = read(curve_files)
     if results.quick:
-        raise ResultsError("the slopes were measured with --quick: no figures for a page")
+        raise ResultsError("the slopes were measured with --quick and must not be written into the page")
     return PageInput(results, [run for path in run_files for run in read_runs(path)])
 
 
 def tables(results: Results, runs: list[Run]) -> TableMakers:
-    """Return what makes each table, by the name in its mark."""
+    """Return the functions that return each table, by the name in the table's mark."""
     evaluated = evaluate(results)
     return {
         "first": lambda: over_limit_table(evaluated),
@@ -111,30 +111,35 @@
 
 
 def render(page: str, makers: TableMakers) -> str:
-    """Return the page with its tables written anew.
+    """Return the page with its tables regenerated.
 
-    Raises `ResultsError` for a mark that names no table or has no end.
+    Raises `ResultsError` for a mark with an unknown name or without an end mark.
     """
     marks = page.count("<!-- table:")
     complete = len(TABLE_MARK.findall(page))
     if not marks or marks != complete or marks != page.count("<!-- end -->"):
-        raise ResultsError(f"the page has {marks} marks of tables, {complete} of them with a name and an end")
+        raise ResultsError(
+            f"the page has {marks} table marks, {complete} of which have a name and an end mark"
+        )
 
     return TABLE_MARK.sub(partial(_marked_table, makers), page)
 
 
 def _marked_table(makers: TableMakers, mark: re.Match[str]) -> str:
-    """Return what stands in place of one match of `TABLE_MARK`: its marks, with the table between them."""
+    """Return the replacement of one match of `TABLE_MARK`: its marks, with the table between them."""
     name = mark[2]
     if name not in makers:
-        raise ResultsError(f"the page asks for a table {name}; there are {', '.join(sorted(makers))}")
+        raise ResultsError(
+            f"the page has a mark of unknown table {name!r}; known tables: {', '.join(sorted(makers))}"
+        )
     return f"{mark[1]}\n{makers[name]()}\n\n{mark[3]}"
 
 
 def run(paths: list[str], page: str, check: bool, folder: str, echo: Callable[[str], None]) -> int:
     """Write the page's tables, or with `check` only compare them; return the exit code.
 
-    1: the page differs from its results. `folder`: where plots go, if anywhere. Raises `ResultsError`.
+    1: the page differs from its results. `folder`: the folder for plots; empty for none. Raises
+    `ResultsError` if a file can't be read or the page's marks are invalid.
     """
     page_input = read_results(paths)
     makers = tables(page_input.results, page_input.runs)
--- a/cypressledge/lab/capacity/plots.py
+++ b/cypressledge/lab/capacity/plots.py
@@ -11,7 +11,7 @@
 
 
 def slope_limits(results: Results) -> dict[str, float]:
-    """Return, by curve, the y at which the tightest requirement that is of it alone meets its limit."""
+    """Return, by curve, the y at which the strictest requirement on this curve alone reaches its limit."""
     curves = {slope.name: slope for slope in results.slopes}
     limits: dict[str, float] = {}
     for result in evaluate(results):
@@ -28,7 +28,7 @@
 
 
 def draw_plots(results: Results, folder: str) -> int:
-    """Draw each curve with its fit, and its limit where a requirement has one; return how many were drawn."""
+    """Draw each curve with its fit, and with its limit if it has one; return how many were drawn."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/cypressledge/lab/capacity/process_cost.py
+++ b/cypressledge/lab/capacity/process_cost.py
@@ -1,4 +1,4 @@
-"""What processes take of the machine: processor time, memory and traffic."""
+"""Resource usage of processes: processor time, memory and traffic."""
 
 import os
 import time
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What one process or broker takes; processor time in percent of one core."""
+    """Resource usage of one process or broker; processor time in percent of one core."""
 
     cpu_pct: float = 0.0
     net_kb_s: float = 0.0
@@ -20,7 +20,7 @@
 
     @staticmethod
     def largest(usages: Iterable["Usage"]) -> "Usage":
-        """Return the largest of each figure, zeros of none."""
+        """Return the maximum of each figure; zeros if there are no usages."""
         found = list(usages)
         return Usage(
             max((usage.cpu_pct for usage in found), default=0.0),
@@ -38,13 +38,13 @@
 
 @dataclass(slots=True)
 class ProcessCost:
-    """What a process has taken while it was sampled, over all its restarts."""
+    """Resource usage of a process while it was sampled, summed over its restarts."""
 
     cpu_s: float = 0.0
     seconds: float = 0.0  # between samples of the same process
     rss_mb: float = 0.0
-    start_cpu_s: float = 0.0  # the most that a process had taken at its first sample
-    net_bytes: int = 0  # both ways
+    start_cpu_s: float = 0.0  # maximum processor time of a process at its first sample
+    net_bytes: int = 0  # received and sent
     last_sample: _Sample | None = None
     last_net_total: int = 0
 
@@ -68,7 +68,7 @@
         self.rss_mb = max(self.rss_mb, pages * PAGE_MB)
 
     def add_total(self, total: int) -> None:
-        """Take the process's count of bytes since its start; a lower one than before is of a new process."""
+        """Add a process's byte count since its start; a lower count than before means that it restarted."""
         self.net_bytes += total - self.last_net_total if total >= self.last_net_total else total
         self.last_net_total = total
 
@@ -79,9 +79,9 @@
 
     @property
     def net_kb_s(self) -> float:
-        """Traffic both ways, KB/s."""
+        """Traffic received and sent, KB/s."""
         return self.net_bytes / 1000 / self.seconds if self.seconds else 0.0
 
     def usage(self, shared_by: int = 1) -> Usage:
-        """Return the usage of each of so many brokers in the process."""
+        """Return the usage of each broker, where `shared_by` brokers run in the process."""
         return Usage(self.cpu_pct / shared_by, self.net_kb_s / shared_by, self.rss_mb / shared_by)
--- a/cypressledge/lab/capacity/requirement_tables.py
+++ b/cypressledge/lab/capacity/requirement_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the capacity page that come of measured curves and the requirements evaluated from them."""
+"""Tables of the capacity page for measured curves and the requirements evaluated from them."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 
 def requirements_table(results: list[RequirementResult]) -> str:
-    """Return the requirements of one role."""
+    """Return the table of one role's requirements."""
     return markdown_table(
         ["of", "what", "need", "unit", "limit", "need/limit", "limit from", "basis", "slopes", "carried by"],
         [
@@ -32,7 +32,7 @@
 
 
 def over_limit_table(results: list[RequirementResult]) -> str:
-    """Return the requirements over their limits, the furthest first."""
+    """Return the table of requirements over their limits, highest ratio first."""
     over = sorted(
         (result for result in results if result.is_over_limit), key=lambda result: -result.ratio_or_0
     )
@@ -56,7 +56,10 @@
 
 
 def missing_table(results: list[RequirementResult]) -> str:
-    """Return each thing that is missing: how many figures it fails, and the furthest over."""
+    """Return the table of missing features.
+
+    For each: how many figures exceed their limits because of it, and the one with the highest ratio.
+    """
     by_name: dict[str, list[RequirementResult]] = {}
     for result in results:
         if "missing: " in result.requirement.carried_by:
@@ -72,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _MissingRow:
-    passed_from: float  # brokers; infinite where no limit is passed
+    passed_from: float  # number of brokers; infinite if no limit is exceeded
     cells: list[object]
 
 
@@ -97,7 +100,7 @@
 
 
 def slopes_table(results: Results) -> str:
-    """Return all curves with points and fits."""
+    """Return the table of all curves with their points and fits."""
     return markdown_table(
         ["slope", "what", "unit", "over", "points", "fit", "residual"],
         [
@@ -116,13 +119,13 @@
 
 
 def facts_table(results: Results) -> str:
-    """Return all single figures."""
+    """Return the table of all single measured figures."""
     rows = [[fact.name, fact.what, fact.value, fact.unit] for fact in results.facts]
     return markdown_table(["fact", "what", "value", "unit"], rows)
 
 
 def sources_table(results: Results) -> str:
-    """Return which run gave which figures."""
+    """Return the table of measurements with the figures that each produced."""
     by_source: dict[bytes, tuple[Source, list[str]]] = {}
     figures: list[Slope | Fact] = [*results.slopes, *results.facts]
     for figure in figures:
--- a/cypressledge/lab/capacity/requirements.py
+++ b/cypressledge/lab/capacity/requirements.py
@@ -1,7 +1,7 @@
-"""A requirement of one role at the target's size, its limit, and the figures that it follows from.
+"""Requirements of roles at the target's size, their limits, and the measurements that they are computed from.
 
-A figure of a measured curve is *measured* where a point stands at that size, *interpolated* between two
-points, *extrapolated* by the fit beyond them; what is multiplied or added up is *reckoned*.
+A figure of a measured curve is *measured* if the curve has a point at that size, *interpolated* between two
+points and *extrapolated* by the fit beyond them; a figure with further arithmetic is *reckoned*.
 """
 
 from collections.abc import Callable
@@ -19,13 +19,13 @@
 from cypressledge.lab.results import Basis, Fact, Results, ResultsError, Slope
 
 RequirementKind = Literal["state", "messages", "processor", "memory", "sockets", "network", "time"]
-BASES_BY_CONFIDENCE = ("measured", "interpolated", "extrapolated")  # the firmest first
+BASES_BY_CONFIDENCE = ("measured", "interpolated", "extrapolated")  # most reliable first
 
 
 class Measurements:
-    """Results by name for one size of fleet; records which were used, and on what basis.
+    """Results by name for one size of fleet; records which ones were used, and their bases.
 
-    `size_ratio`: the fleet's size as a part of the target's.
+    `size_ratio`: the fleet's size as a fraction of the target's.
     """
 
     def __init__(self, results: Results, size_ratio: float = 1.0) -> None:
@@ -36,7 +36,7 @@
         self.used: dict[str, Basis] = {}
 
     def at(self, name: str, x: float) -> float:
-        """Return a curve's y at x. Raises `ResultsError` where there is no such curve."""
+        """Return a curve's y at x. Raises `ResultsError` if there is no such curve."""
         if name not in self.slopes:
             raise ResultsError(f"the results have no slope {name}")
         y, basis = self.slopes[name].at(x)
@@ -44,7 +44,7 @@
         return y
 
     def fact(self, name: str) -> float:
-        """Return a fact's value. Raises `ResultsError` where there is none."""
+        """Return a fact's value. Raises `ResultsError` if there is no such fact."""
         if name not in self.facts:
             raise ResultsError(f"the results have no fact {name}")
         self.used[name] = "measured"
@@ -53,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """How a requirement's figure follows from the measurements.
+    """The computation of a requirement's figure from the measurements.
 
-    `is_direct`: it is a curve's own, or a count of the fleet, with nothing multiplied or added.
+    `is_direct`: the figure is a value of a curve or a count of the fleet, without further arithmetic.
     """
 
     compute: Callable[[Measurements], float]
@@ -63,21 +63,21 @@
 
 
 def curve_at_engines(curve: str) -> Figure:
-    """Return a curve's own figure at the fleet's number of engines."""
+    """Return the figure that is the curve's value at the fleet's number of engines."""
     return Figure(lambda measured: measured.at(curve, measured.engines), is_direct=True)
 
 
 def curve_at_brokers(curve: str) -> Figure:
-    """Return a curve's own figure at the fleet's number of brokers."""
+    """Return the figure that is the curve's value at the fleet's number of brokers."""
     return Figure(lambda measured: measured.at(curve, measured.brokers), is_direct=True)
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """What a figure is held against, in the figure's unit.
+    """The limit of a figure, in the figure's unit.
 
-    `value`: None where there is no limit; `source`: where it comes from, as the page says it; `fact`: the
-    measured fact that it is, in place of a value.
+    `value`: None if there is no limit; `source`: where the limit comes from, as shown on the page; `fact`:
+    name of the measured fact that is used as the limit in place of `value`.
     """
 
     value: float | None
@@ -85,7 +85,7 @@
     fact: str = ""
 
     def resolve(self, measured: Measurements) -> float | None:
-        """Return the limit's value. Raises `ResultsError` where its fact is missing."""
+        """Return the limit's value, None for no limit. Raises `ResultsError` if its fact is missing."""
         return measured.fact(self.fact) if self.fact else self.value
 
 
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """One figure that a role needs: one line of the page. `carried_by`: what meets it, as the page has it."""
+    """One figure that a role needs: one row of a table. `carried_by`: what meets it, as shown on the page."""
 
     role: str
     kind: RequirementKind
@@ -117,32 +117,32 @@
 
 @dataclass(slots=True)
 class RequirementResult:
-    """A requirement with its figures."""
+    """A requirement with its computed figure, its limit and their sources."""
 
     requirement: Requirement
     value: float
     limit: float | None
     sources: dict[str, Basis] = field(default_factory=dict)
-    passed_from: float | None = None  # brokers of a smaller fleet, in proportion, that meets the limit first
+    passed_from: float | None = None  # size in brokers of the smallest fleet over the limit
 
     @property
     def ratio(self) -> float | None:
-        """The need as a part of the limit; None where there is no limit."""
+        """The figure divided by the limit; None if there is no limit."""
         return None if self.limit is None else self.value / self.limit
 
     @property
     def ratio_or_0(self) -> float:
-        """The need as a part of the limit; 0 where there is no limit."""
+        """The figure divided by the limit; 0 if there is no limit."""
         return 0.0 if self.ratio is None else self.ratio
 
     @property
     def is_over_limit(self) -> bool:
-        """Whether there is a limit and the need is over it."""
+        """Whether there is a limit and the figure exceeds it."""
         return self.ratio_or_0 > 1
 
     @property
     def basis(self) -> str:
-        """What its least certain source is based on; "given" where no measurement is in it."""
+        """The basis of the least reliable source; "given" if no measurement is used."""
         if not self.sources:
             return "given"
         weakest_basis = max(self.sources.values(), key=BASES_BY_CONFIDENCE.index)
--- a/cypressledge/lab/capacity/run.py
+++ b/cypressledge/lab/capacity/run.py
@@ -1,7 +1,7 @@
 """`lab capacity`: real control processes, real and simulated brokers on the loopback, changes and faults.
 
-Prints what came of each run and judges it by `checks`. Its figures are of one shared machine: load and
-lateness of wake-ups are printed with them.
+Prints the results of each run and of its checks. The figures come from one shared machine, so the load and
+the lateness of wake-ups are printed with them.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class CapacityOptions:
-    """The command's options; `points` is a list of numbers of brokers, with commas."""
+    """The command's options; `points` is a comma-separated list of numbers of brokers."""
 
     brokers: int
     engines: int
@@ -48,7 +48,7 @@
             self.real = min(self.real, QUICK_REAL_BROKERS)
 
     def sizes(self) -> list[FleetSize]:
-        """Return one size a run."""
+        """Return the size of each run."""
         counts = [int(point) for point in self.points.split(",")] if self.points else [self.brokers]
         ping_s = self.ping_s if self.members else 0.0
         return [FleetSize(count, self.engines, min(self.real, count // 4), ping_s=ping_s) for count in counts]
@@ -57,8 +57,8 @@
 def run(options: CapacityOptions, echo: Callable[[str], None], live: bool = False) -> int:
     """Play one run for each size; return the exit code.
 
-    1: something was lost, went back or was wrong, a limit was passed, or too little took place. `live`: show
-    progress on standard error.
+    1: a change was lost, a broker went back to an older state, a record was wrong, a limit was exceeded, or
+    there was too little activity. `live`: show progress on standard error.
     """
     runs: list[CapacityRun] = []
     for size in options.sizes():
--- a/cypressledge/lab/capacity/run_plot.py
+++ b/cypressledge/lab/capacity/run_plot.py
@@ -5,7 +5,7 @@
 
 
 def draw_plot(runs: list[CapacityRun], path: str) -> None:
-    """Draw the runs into a file."""
+    """Draw the runs' figures over the number of brokers into an image file."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/cypressledge/lab/capacity/run_report.py
+++ b/cypressledge/lab/capacity/run_report.py
@@ -1,4 +1,4 @@
-"""What a capacity run prints: tables of its figures, what is broken, and its one last line."""
+"""The printed report of a capacity run: tables of its figures, failed checks, and a last line of summary."""
 
 from collections.abc import Callable
 
@@ -9,11 +9,11 @@
 from cypressledge.lab.capacity.fleet import MEMBERS_LEASES
 from cypressledge.lab.summary_statistics import quantile
 
-SHOWN_FAULTS = 20  # of each kind
+SHOWN_FAULTS = 20  # maximum number of printed failures of each kind of check
 
 
 def print_report(run: CapacityRun, echo: Callable[[str], None]) -> None:
-    """Print a run's tables, and what is broken."""
+    """Print a run's tables and its failed checks."""
     _print_change_times(run.verdict, echo)
     _print_usage(run, echo)
     _print_events(run, echo)
@@ -27,7 +27,7 @@
 
 
 def summary(run: CapacityRun) -> str:
-    """Return the run in one line."""
+    """Return a summary of the run in one line."""
     figures = run.figures
     return (
         f"capacity: brokers {figures['brokers']}, engines {figures['engines']}, "
@@ -89,7 +89,8 @@
     if not run.size.ping_s:
         return "none"
     return (
-        f"{run.size.ping_s:g} s; at the end the fewest that one has for alive {run.figures['alive_fewest']} "
+        f"{run.size.ping_s:g} s; "
+        f"at the end, fewest others alive in one broker's view {run.figures['alive_fewest']} "
         f"of {run.size.brokers - run.size.real_brokers}, "
         f"leases held {run.figures['leases_held']} of {MEMBERS_LEASES}"
     )
@@ -100,7 +101,7 @@
     machine = run.machine
     echo(
         f"start of all {run.start_s:.1f} s; load average {machine.load_before:.2f} before, "
-        f"{machine.highest_load:.2f} at the most; "
+        f"{machine.highest_load:.2f} at most; "
         f"wake-ups late by {run.figures['late_ms_p99']:.1f} ms p99, "
         f"{1e3 * max(machine.late):.0f} ms most here, {1e3 * host_late:.0f} ms most in a host; "
         f"{machine.memory_mb:.0f} MB in {machine.processes} processes; seed {run.seed}, {run.seconds:g} s"
--- a/cypressledge/lab/capacity/run_tables.py
+++ b/cypressledge/lab/capacity/run_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the capacity page that come of capacity runs."""
+"""Tables of the capacity page for capacity runs."""
 
 import json
 from dataclasses import dataclass
@@ -29,8 +29,8 @@
 from cypressledge.lab.curve_fit import best
 from cypressledge.lab.results import ResultsError
 
-RUNS_FILE = "scale.jsonl"  # beside the first results file: a run a line, as `lab capacity` appends them
-FIT_MIN_SIZES = 3  # sizes of a fleet from which a fit is shown
+RUNS_FILE = "scale.jsonl"  # beside the first results file; one run per line, appended by `lab capacity`
+FIT_MIN_SIZES = 3  # number of different fleet sizes that a fit needs
 BROKER_LIMITS = {
     "broker_cpu_pct": CONTROL_CPU_PCT,
     "broker_net_kb_s": CONTROL_NETWORK_KB_S,
@@ -63,12 +63,12 @@
     "load_average",
     "exit",
     "passed",
-)  # of a run; the file has the rest
+)  # figures of a run that are shown; the file has more
 
 
 @dataclass(frozen=True, slots=True)
 class RunLimit:
-    """A figure of a run before its limit; `figure` is its key in the results file."""
+    """A figure of a run with its limit; `figure` is its key in the results file."""
 
     role: str
     what: str
@@ -77,7 +77,7 @@
     limit: Limit = NO_LIMIT
 
 
-RUN_LIMITS = (  # the largest of all runs counts
+RUN_LIMITS = (  # compared with the maximum over all runs
     RunLimit(
         "all", "a change in force at every broker, quiet times, p99", "p99_s", "s", Limit(2.0, "the aim")
     ),
@@ -145,14 +145,14 @@
     RunLimit("all", "brokers that went to an older version", "gone_back", "", Limit(0, "the target")),
     RunLimit("all", "brokers whose state differs from the primary's", "wrong", "", Limit(0, "the target")),
 )
-FITTED_NAME_PARTS = ("cpu", "kb_s", "rss", "_mb")  # parts of names of figures that grow with the fleet
+FITTED_NAME_PARTS = ("cpu", "kb_s", "rss", "_mb")  # substrings of names of figures that grow with the fleet
 
 
 Run = dict[str, Any]  # a run's figures by name, as the results file has them
 
 
 def flatten(figures: Run, prefix: str = "") -> Run:
-    """Return an object's keys, those of objects within it joined with a dot; lists become JSON."""
+    """Return the figures with keys of nested objects joined by dots and lists encoded as JSON."""
     found: Run = {}
     for key, value in figures.items():
         if isinstance(value, dict):
@@ -163,21 +163,24 @@
 
 
 def read_runs(path: str) -> list[Run]:
-    """Read runs from a file that holds a list, or a run a line. Raises `ResultsError` with one line."""
+    """Read runs from a file with a JSON list, or from a JSON-lines file.
+
+    Raises `ResultsError` with a message of one line if the file can't be read or decoded.
+    """
     try:
         raw = Path(path).read_bytes()
         runs = list(map(json.loads, raw.splitlines())) if path.endswith("l") else json.loads(raw)
     except OSError as err:
         raise ResultsError(f"{path}: {err.strerror}") from None
     except ValueError as err:
-        raise ResultsError(f"{path} is no JSON: {err}") from None
+        raise ResultsError(f"{path} is not valid JSON: {err}") from None
     if not isinstance(runs, list) or not all(isinstance(run, dict) and "brokers" in run for run in runs):
-        raise ResultsError(f"{path} is no list of runs, each an object with `brokers`")
+        raise ResultsError(f"{path} is not a list of runs: expected objects with `brokers`")
     return [flatten(run) for run in runs]
 
 
 def runs_table(runs: list[Run]) -> str:
-    """Return the runs, a column each: there are more figures than runs."""
+    """Return the table of runs with one column per run, since there are more figures than runs."""
     if not runs:
         return f"No run yet: there is no `{RUNS_FILE}` beside the slopes."
     keys = [key for key in SHOWN_FIGURES if any(key in run for run in runs)]
@@ -189,9 +192,9 @@
 
 
 def run_limits_table(runs: list[Run], quiet: bool = False) -> str:
-    """Return the largest figures of all runs at the target's size against their limits.
+    """Return the table of the largest figures of all runs at the target's size and their limits.
 
-    With `quiet` of those runs in which nothing was broken, else of the others.
+    With `quiet`, only runs without faults are used, else only runs with faults.
     """
     at_target = [run for run in runs if _is_at_target(run) and run.get("quiet", False) is quiet]
     if not at_target:
@@ -225,7 +228,10 @@
 
 
 def control_fits_table(runs: list[Run]) -> str:
-    """Return fits over brokers of what a broker and a control process spend, where enough sizes were run."""
+    """Return the table of fits over brokers of the costs of a broker and a control process.
+
+    A figure is left out if fewer than `FIT_MIN_SIZES` sizes were run.
+    """
     faulty = [run for run in runs if not run.get("quiet")]
     rows = []
     for key in _all_keys(faulty):
--- a/cypressledge/lab/capacity/simulated_broker_host.py
+++ b/cypressledge/lab/capacity/simulated_broker_host.py
@@ -1,4 +1,4 @@
-"""Processes of simulated brokers, as the harness drives them."""
+"""Control of the processes that run simulated brokers."""
 
 import sys
 from collections import Counter
@@ -14,16 +14,16 @@
 
 
 class SimulatedBrokerHost:
-    """A process of simulated brokers (`lab/simulated_broker.py`), and what it has reported."""
+    """A process that runs simulated brokers (`lab/simulated_broker.py`), and the contents of its reports."""
 
     def __init__(self, number: int, folder: Path) -> None:
         self.number = number
         self.cost = ProcessCost()
-        self.late: list[float] = []  # s of wake-ups that came late
-        self.started: dict[str, int] = {}  # by broker: its run
-        self.killed: dict[tuple[str, int], int] = {}  # by broker and run: when, µs
+        self.late: list[float] = []  # s; delays of late wake-ups
+        self.started: dict[str, int] = {}  # identifier of the last run, by broker
+        self.killed: dict[tuple[str, int], int] = {}  # time of the kill, µs, by broker and run
         self.counts: Counter[str] = Counter()
-        self.fewest_alive = 0  # the fewest others that any broker here has for alive
+        self.fewest_alive = 0  # minimum number of others that a broker of this host considers alive
         self.leases_held = 0
         with open(folder / f"host{number}.log", "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
@@ -37,7 +37,7 @@
         self.reader = gevent.spawn(self._read)
 
     def send(self, command: Command) -> None:
-        """Send one command. Raises `OSError` where the host is gone."""
+        """Send one command to the process. Raises `OSError` if it has exited."""
         self.process.stdin.write(msgspec.json.encode(command) + b"\n")
         self.process.stdin.flush()
 
@@ -59,7 +59,7 @@
             self.leases_held = report.members.leases_held
 
     def end(self) -> None:
-        """Kill the process, and its brokers with it."""
+        """Kill the process together with its simulated brokers."""
         if self.process.poll() is None:
             self.process.kill()
             self.process.wait()
--- a/cypressledge/lab/capacity/simulated_operator.py
+++ b/cypressledge/lab/capacity/simulated_operator.py
@@ -1,4 +1,4 @@
-"""An operator who requests changes over HTTP during a capacity run, and records wrong answers."""
+"""A simulated operator that requests changes over HTTP during a capacity run, and records wrong answers."""
 
 import json
 import random
@@ -18,14 +18,14 @@
 from cypressledge.lab.capacity.fleet import LIVE_ZONE, CapacityFleet, engine_value, unused_address
 from cypressledge.lab.site import SETTINGS
 
-CHANGE_TIMEOUT_S = 20.0  # after which the operator gives a change up
-RETRY_INTERVAL_S = 0.2
-ANSWER_TIMEOUT_S = 6.0
-LOST_ANSWER_S = 0.02  # wait that is too short for an answer
+CHANGE_TIMEOUT_S = 20.0  # s; after which the operator gives up on a change
+RETRY_INTERVAL_S = 0.2  # s; between attempts of a change
+ANSWER_TIMEOUT_S = 6.0  # s; of one attempt
+LOST_ANSWER_S = 0.02  # s; timeout too short for an answer to arrive
 
 
 class ChangeStatus(StrEnum):
-    """Whether a change was acknowledged, by the names under which a run counts them."""
+    """Outcomes of a change, with the names under which a run counts them."""
 
     ACKNOWLEDGED = "taken"
     REJECTED = "refused"
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class ChangeOutcome:
-    """What became of a change."""
+    """The result of a change: its version and digest if acknowledged, else the reason."""
 
     status: ChangeStatus
     version: int = 0
@@ -43,33 +43,33 @@
 
 
 def _engine_value(number: int, state: str) -> dict:
-    """Return the value of an engine that nobody listens for; its zone goes by its number."""
+    """Return the value of an engine at whose address nothing listens; its number selects its zone."""
     return engine_value(unused_address(number), ZONES[number % len(ZONES)], state)
 
 
 class SimulatedOperator:
-    """Requests changes over HTTP, as an operator does, and records answers that must not be.
+    """Requests changes over HTTP, as an operator does, and records incorrect answers.
 
-    A change goes to any control process, then on to the leader, and again under the same request name where
-    no answer came.
+    A change is sent to any control process, then to the leader that it names, and is repeated under the same
+    request identifier if no answer arrives.
     """
 
     def __init__(self, fleet: CapacityFleet, seed: int) -> None:
         self.fleet = fleet
         self.random = random.Random(seed)
         self.acknowledged: list[AcknowledgedChange] = []
-        self.wrong_answers: list[str] = []  # answers that must not be
+        self.wrong_answers: list[str] = []  # descriptions of incorrect answers
         self.counts: Counter[str] = Counter()
-        self.version = 0  # the newest known
+        self.version = 0  # newest version that the operator knows
         self.request_number = 0
-        self.fresh_number = 0  # of values that were not there before
+        self.fresh_number = 0  # counter for values that were not used before
         self.leader_port = fleet.controls[0].management
         self.engines: dict[str, str] = {
             f"e{n:03}": "ready" for n in range(fleet.size.engines - len(fleet.fake_engines))
         }
-        self.busy_keys: set[str] = set()  # keys that a change is under way for
+        self.busy_keys: set[str] = set()  # keys with a change in progress
         self.settings_lock = BoundedSemaphore(1)  # all settings are one unit: one change of them at a time
-        self.longest_wait_s = 0.0  # for an answer
+        self.longest_wait_s = 0.0  # until a change was acknowledged
         self._handlers: Mapping[str, Callable[[], None]] = {
             ChangeKind.SETTINGS: self._change_settings,
             ChangeKind.ENGINE_DRAINED: self._drain_engine,
@@ -81,16 +81,16 @@
         }
 
     def play(self, event: Event) -> None:
-        """Play one change of the day."""
+        """Request the change of one event of the day."""
         self.counts[event.kind] += 1
         self._handlers[event.kind]()
 
-    # One change
+    # Request of one change
 
     def request_change(
         self, operations: dict, base_version: int | None, request: str = "", lose_answer: bool = False
     ) -> ChangeOutcome:
-        """Request one change until its outcome is known, for `CHANGE_TIMEOUT_S` at most.
+        """Request one change repeatedly until its outcome is known, for at most `CHANGE_TIMEOUT_S`.
 
         `operations`, `base_version`: as `/control/change` takes them. `lose_answer`: the first answer is not
         read, as if it had been lost.
@@ -130,7 +130,7 @@
         return answer
 
     def _switch_server(self, leader_address: str = "") -> None:
-        """Go on with another control process: where the leader is said to be, or any."""
+        """Switch to the control process at `leader_address`, or to a random one if that is unknown."""
         port = leader_address.rpartition(":")[2]
         ports = [control.management for control in self.fleet.controls]
         self.leader_port = int(port) if port.isdigit() and int(port) in ports else self.random.choice(ports)
@@ -143,7 +143,7 @@
         return outcome
 
     def _change(self, key: str, operations: dict, **options: Any) -> ChangeOutcome:
-        """Change one key, on the newest version known; no other change of that key is drawn meanwhile."""
+        """Change one key, based on the newest known version; other changes avoid that key meanwhile."""
         self.busy_keys.add(key)
         try:
             outcome = self.request_change(operations, self.version, **options)
@@ -151,14 +151,14 @@
             self.busy_keys.discard(key)
         self.counts[outcome.status] += 1
         if outcome.status is ChangeStatus.REJECTED and not self._is_excusable(outcome.reason):
-            self.wrong_answers.append(f"a good change of {key} was refused: {outcome.reason}")
+            self.wrong_answers.append(f"a valid change of {key} was rejected: {outcome.reason}")
         return outcome
 
     def _is_excusable(self, reason: str) -> bool:
-        """Whether a rejection is no fault: after an unknown outcome the newest known version may be old."""
+        """Return whether a rejection is no error: after an unknown outcome the known version may be stale."""
         return "clash" in reason and self.counts[ChangeStatus.UNKNOWN] > 0
 
-    # Kinds of changes
+    # Handlers of the kinds of changes
 
     def _rules_change(self) -> dict:
         self.fresh_number += 1
@@ -199,7 +199,7 @@
         self._change_engine(f"e{1000 + self.fresh_number}", "ready")
 
     def _repeat_request(self) -> None:
-        """Request a change whose first answer is lost, and retry it: it is applied once."""
+        """Request a change whose first answer is lost, then repeat it; it must be applied only once."""
         self.request_number += 1
         request = f"lab-again-{self.request_number}"
         with self.settings_lock:
@@ -211,10 +211,12 @@
         self.counts["repeated"] += 1
         is_other = again.status is ChangeStatus.ACKNOWLEDGED and again.version != first.version
         if again.status is ChangeStatus.REJECTED or is_other:
-            self.wrong_answers.append(f"{request} was version {first.version}, and then {again}")
+            self.wrong_answers.append(
+                f"request {request} became version {first.version}, its repetition returned {again}"
+            )
 
     def _request_conflicting(self) -> None:
-        """Request two changes of one key on the same version: one is rejected."""
+        """Request two changes of one key based on the same version; exactly one must be rejected."""
         name = self._random_engine("ready")
         if not name:
             return
@@ -231,12 +233,12 @@
         statuses = [outcome.status for outcome in outcomes]
         self.counts["clashed"] += statuses.count(ChangeStatus.REJECTED)
         if statuses.count(ChangeStatus.ACKNOWLEDGED) > 1:
-            self.wrong_answers.append(f"two changes of {key} on version {base_version} were both taken")
+            self.wrong_answers.append(f"two changes of {key} on version {base_version} were both accepted")
         if statuses.count(ChangeStatus.REJECTED) > 1 and not any(
             self._is_excusable(each.reason) for each in outcomes
         ):
             self.wrong_answers.append(
-                f"two changes of {key} on version {base_version} were both refused: "
+                f"two changes of {key} on version {base_version} were both rejected: "
                 f"{[each.reason for each in outcomes]}"
             )
         for outcome, value in zip(outcomes, values, strict=True):
@@ -244,7 +246,7 @@
                 self.engines[name] = value["state"]
 
     def _request_invalid(self) -> None:
-        """Request what no state can take: it is rejected, and nothing changes."""
+        """Request an invalid change; it must be rejected, and the state must not change."""
         taken = self.fleet.fake_engines[0].member()["host_port"]
         operations = self.random.choice(
             (
@@ -259,4 +261,6 @@
         outcome = self.request_change(operations, None)
         self.counts["bad refused"] += outcome.status is ChangeStatus.REJECTED
         if outcome.status is ChangeStatus.ACKNOWLEDGED:
-            self.wrong_answers.append(f"a bad change was taken as version {outcome.version}: {operations}")
+            self.wrong_answers.append(
+                f"an invalid change was accepted as version {outcome.version}: {operations}"
+            )
--- a/tests/lab/test_capacity_checks.py
+++ b/tests/lab/test_capacity_checks.py
@@ -1,4 +1,4 @@
-"""The checks of a capacity run on made-up records: each kind of fault is found, and too little activity."""
+"""The checks of a capacity run on constructed records: they report all errors and too little activity."""
 
 import json
 
@@ -59,7 +59,7 @@
     assert verdict.undisturbed == verdict.all_times == [0.5] * 5
 
 
-def test_a_change_that_never_came_is_lost():
+def test_a_change_that_was_never_applied_is_lost():
     verdict = checks.check(COMPLETE[:-1], HISTORY, observations(ACKNOWLEDGED))
     assert len(verdict.lost) == 1
     assert "version 5" in verdict.lost[0]
@@ -72,51 +72,51 @@
     assert not verdict.lost
 
 
-def test_a_later_version_takes_the_earlier_along():
+def test_applying_a_later_version_applies_the_earlier_ones():
     verdict = checks.check([COMPLETE[0], COMPLETE[-1]], HISTORY, observations(ACKNOWLEDGED))
     assert not verdict.broken
     assert max(verdict.all_times) == 4.5
 
 
-def test_a_broker_that_wrote_nothing_is_lost():
+def test_a_broker_without_records_is_lost():
     verdict = checks.check(COMPLETE, HISTORY, observations(ACKNOWLEDGED, expected=frozenset("ab")))
-    assert verdict.lost == ["b is to be there at the end, and wrote nothing"]
+    assert verdict.lost == ["b must be running at the end, but has no recorded run that was not killed"]
     assert not checks.check(
         COMPLETE, HISTORY, observations(ACKNOWLEDGED, expected=frozenset("ab"), removed=frozenset("b"))
     ).lost
 
 
-def test_a_killed_broker_that_did_not_come_back_is_lost():
+def test_a_killed_broker_that_did_not_restart_is_lost():
     verdict = checks.check(
         COMPLETE, HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 30 * S}, expected=frozenset("a"))
     )
     assert len(verdict.lost) == 1
 
 
-def test_an_acknowledged_change_that_no_history_has_is_lost():
+def test_an_acknowledged_change_that_was_not_committed_is_lost():
     verdict = checks.check(COMPLETE, HISTORY, observations([*ACKNOWLEDGED, (5.1, 9)]))
-    assert any("in no one's history" in line for line in verdict.lost)
+    assert any("no control process committed it" in line for line in verdict.lost)
 
 
-def test_an_acknowledged_change_whose_version_is_another_is_lost():
+def test_an_acknowledged_change_whose_version_belongs_to_another_request_is_lost():
     history = [*HISTORY[:-1], control(5, version=5, request="another")]
     verdict = checks.check(COMPLETE, history, observations(ACKNOWLEDGED))
-    assert any("and is another" in line for line in verdict.lost)
+    assert any("but belongs to request another" in line for line in verdict.lost)
 
 
-def test_back_to_an_older_version_is_found_but_not_across_lives():
+def test_an_older_version_is_reported_within_one_run_of_a_broker_but_not_across_runs():
     back = [*COMPLETE, broker(7, "a", version=3), broker(8, "a", version=5)]
     assert len(checks.check(back, HISTORY, observations(ACKNOWLEDGED)).reverted) == 1
     other = [*COMPLETE, broker(7, "a", version=3, run=2), broker(8, "a", version=5, run=2)]
     assert not checks.check(other, HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 6 * S})).reverted
 
 
-def test_back_to_an_older_epoch_is_found():
+def test_an_older_epoch_is_reported():
     back = [*COMPLETE, broker(7, "a", version=6, epoch=0)]
     assert checks.check(back, [*HISTORY, control(6, version=6)], observations(ACKNOWLEDGED)).reverted
 
 
-def test_another_digest_at_a_broker_is_wrong():
+def test_a_digest_that_differs_from_the_committed_one_is_wrong():
     verdict = checks.check(
         [*COMPLETE[:-1], broker(5.5, "a", version=5, digest="x")], HISTORY, observations(ACKNOWLEDGED)
     )
@@ -124,30 +124,30 @@
     assert "committed is d5" in verdict.wrong[0]
 
 
-def test_a_version_that_nobody_committed_is_wrong():
+def test_an_applied_version_that_was_not_committed_is_wrong():
     assert checks.check([*COMPLETE, broker(6, "a", version=6)], HISTORY, observations(ACKNOWLEDGED)).wrong
 
 
-def test_two_histories_are_wrong():
+def test_one_version_committed_with_two_digests_is_wrong():
     verdict = checks.check(
         COMPLETE, [*HISTORY, control(6, version=3, who="c2", digest="y")], observations(ACKNOWLEDGED)
     )
     assert len(verdict.wrong) == 1
 
 
-def test_a_repeat_that_became_another_version_is_wrong():
+def test_a_repeated_request_that_became_another_version_is_wrong():
     observed = observations(ACKNOWLEDGED)
     observed.acked.append(checks.AcknowledgedChange(6 * S, 5, "r4"))
     assert any("became versions 4 and 5" in line for line in checks.check(COMPLETE, HISTORY, observed).wrong)
 
 
-def test_an_answer_that_must_not_be_is_wrong():
+def test_an_incorrect_answer_is_wrong():
     assert checks.check(
-        COMPLETE, HISTORY, observations(ACKNOWLEDGED, wrongs=["a bad change was taken"])
+        COMPLETE, HISTORY, observations(ACKNOWLEDGED, wrongs=["an invalid change was accepted"])
     ).wrong
 
 
-def test_a_cut_broker_counts_from_the_heal():
+def test_a_change_during_a_cut_is_due_from_the_heal():
     late = [*COMPLETE[:-1], broker(20.5, "a", version=5)]
     observed = observations(ACKNOWLEDGED, down=[span(4.8, 20, "cut", "a")], faults=[span(4.8, 20, "cut")])
     verdict = checks.check(late, HISTORY, observed)
@@ -155,13 +155,13 @@
     assert max(verdict.all_times) == pytest.approx(0.5)
 
 
-def test_one_that_is_cut_while_it_waits_counts_from_the_heal():
+def test_a_change_before_a_cut_that_was_not_applied_is_due_from_the_heal():
     late = [*COMPLETE[:-1], broker(20.5, "a", version=5)]
     observed = observations(ACKNOWLEDGED, down=[span(5.2, 20, "cut", "a")], faults=[span(5.2, 20, "cut")])
     assert max(checks.check(late, HISTORY, observed).all_times) == pytest.approx(0.5)
 
 
-def test_a_later_start_counts_from_the_start_and_once():
+def test_changes_before_a_start_are_due_once_from_the_start():
     other = [broker(30, "a", "start", run=2), broker(30.4, "a", version=5, run=2)]
     verdict = checks.check([*COMPLETE, *other], HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 10 * S}))
     assert not verdict.broken
@@ -169,17 +169,17 @@
     assert len(verdict.all_times) == 6
 
 
-def test_one_that_was_killed_before_it_could_have_it_counts_for_nothing():
+def test_a_broker_killed_before_the_limit_without_the_change_has_lost_nothing():
     observed = observations(ACKNOWLEDGED, ends={("a", 1): round(5.2 * S)}, removed=frozenset("a"))
     assert not checks.check(COMPLETE[:-1], HISTORY, observed).broken
 
 
-def test_one_that_had_time_and_was_killed_without_it_shows():
+def test_a_broker_killed_after_the_limit_without_the_change_counts_with_its_time():
     observed = observations(ACKNOWLEDGED, ends={("a", 1): 30 * S}, removed=frozenset("a"))
     assert max(checks.check(COMPLETE[:-1], HISTORY, observed).undisturbed) == 25
 
 
-def test_undisturbed_times_and_faults_are_distinguished():
+def test_times_during_faults_are_separate_from_undisturbed_times():
     verdict = checks.check(
         COMPLETE, HISTORY, observations(ACKNOWLEDGED, faults=[span(2.9, 3.1, "a primary killed")])
     )
@@ -200,7 +200,7 @@
     assert checks.check(COMPLETE, [*HISTORY, control(12, "primary")], observed).leaderless == [(2.0, "all")]
 
 
-def test_what_is_recorded_before_all_have_stopped_is_no_sign_of_a_leader():
+def test_an_event_before_all_control_processes_have_stopped_does_not_show_a_leader():
     observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * S, "", "all", round(10.2 * S))])
     records = [*HISTORY, control(10.1, "acknowledged", 5), control(12, "primary")]
     assert checks.check(COMPLETE, records, observed).leaderless == [(2.0, "all")]
@@ -209,7 +209,7 @@
 def test_too_little_activity_is_reported():
     found = checks.insufficient_activity(checks.check([], [], observations([])), observations([]), 10, 30)
     words = " ".join(found)
-    for part in ("0 changes", "quiet times", "no primary was lost", "no broker came back", "0 kinds"):
+    for part in ("0 changes", "quiet times", "no primary was lost", "no broker restarted", "0 kinds"):
         assert part in words
 
 
@@ -221,12 +221,12 @@
     assert len(found) == 2
     assert "0 changes" in found[0]
     observed.losses.append(checks.LeaderLoss(1, "c1", "killed"))
-    assert "something was broken" in checks.insufficient_activity(
+    assert "a fault was injected into a run without faults" in checks.insufficient_activity(
         checks.check([], [], observed), observed, 10, 60, without_faults=True
     )
 
 
-def test_limits_are_named():
+def test_exceeded_limits_are_reported():
     verdict = checks.Verdict(undisturbed=[12.5], leaderless=[checks.LeaderlessTime(8.5, "killed")])
     assert len(checks.exceeded_limits(verdict, 3.3, 31, 257)) == 5
     assert not checks.exceeded_limits(
--- a/tests/lab/test_capacity_day.py
+++ b/tests/lab/test_capacity_day.py
@@ -9,12 +9,12 @@
 from cypressledge.lab.tcp_proxy import TcpProxy
 
 
-def test_a_day_is_the_seeds_alone():
+def test_a_day_depends_only_on_the_seed():
     assert draw_day(7, 240, 2, 0.7) == draw_day(7, 240, 2, 0.7) != draw_day(8, 240, 2, 0.7)
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_a_long_day_has_all_faults_and_quiet_between_and_after(seed):
+def test_a_long_day_has_all_kinds_of_faults_with_quiet_times_between_and_after(seed):
     day = draw_day(seed, 300, 2, 0.7)
     assert {fault.kind for fault in day.faults} == set(FAULTS)
     for fault, following in zip(day.faults, day.faults[1:], strict=False):
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_a_short_day_has_the_faults_that_count(seed):
+def test_a_short_day_begins_with_the_first_two_kinds_of_faults(seed):
     assert [f.kind for f in draw_day(seed, 30, 2, 0.7).faults][:2] == list(FAULTS[:2])
 
 
@@ -81,7 +81,7 @@
         exchange(other)
     echo.proxy.heal()
     assert sock.recv(100) == b""
-    assert other.recv(100) == b"abc"  # what was new in the cut is a connection from the heal on
+    assert other.recv(100) == b"abc"  # a connection opened during the cut is forwarded from the heal on
 
 
 def test_a_reset_cut_closes_connections_and_accepts_no_new_ones(echo):
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page against its results, the fits, and what a results file may not be."""
+"""The capacity page against its results, the curve fits, and invalid results files."""
 
 import json
 from pathlib import Path
@@ -24,12 +24,12 @@
     return CliRunner().invoke(cli, ["lab", "capacity-page", *words])
 
 
-def test_the_page_is_as_its_committed_results_say():
+def test_the_page_agrees_with_its_committed_results():
     run = capacity_page("--results", str(RESULTS), "--page", str(PAGE), "--check")
     assert run.exit_code == 0, run.output
 
 
-def test_a_figure_changed_by_hand_is_found_and_written_anew(tmp_path):
+def test_an_edited_figure_is_reported_and_regenerated(tmp_path):
     page, text = tmp_path / "page.md", PAGE.read_text(encoding="utf-8")
     page.write_text(text.replace("| planner", "| Planner", 1), encoding="utf-8")
     assert capacity_page("--results", str(RESULTS), "--page", str(page), "--check").exit_code == 1
@@ -37,16 +37,18 @@
     assert page.read_text(encoding="utf-8") == text
 
 
-def test_every_role_has_needs_and_all_come_from_the_committed_slopes():
+def test_every_role_has_requirements_evaluated_from_the_committed_slopes():
     found = evaluate(read([str(RESULTS)]))
     assert len(found) == len(REQUIREMENTS)
     assert {line.requirement.role for line in found} >= set(ROLES)
     assert all(line.value >= 0 for line in found)
     assert all(line.basis == "given" or line.sources for line in found)
-    assert slope_limits(read([str(RESULTS)]))["module_ms"] == pytest.approx(2.0)  # 500 of them are a second
+    assert slope_limits(read([str(RESULTS)]))["module_ms"] == pytest.approx(
+        2.0
+    )  # 500 of them take one second
 
 
-def test_a_fit_finds_its_law_and_says_how_far_off_it_is():
+def test_a_fit_finds_the_kind_of_curve_and_its_residual():
     bent = [(x, 2.0 * x * x + 3.0 * x + 1.0) for x in (10.0, 20.0, 40.0, 80.0, 160.0)]
     assert curve_fit.best(bent).kind == "quadratic"
     assert curve_fit.best(bent).residual < 1e-9
@@ -60,7 +62,7 @@
         curve_fit.fit([(1.0, 2.0), (1.0, 3.0)], "linear")
 
 
-def test_small_slopes_are_sane():
+def test_measurements_at_small_sizes_are_plausible():
     origin = source(1, "a test")
     cost = decision_costs.statement_cost(12, decision_costs.brokers_for(12), 40, 0.5, 1)
     assert 0 < cost.cpu_ms[0] < 20
@@ -83,13 +85,13 @@
     [
         ("{", "is no results file"),
         ('{"quick": false, "slopes": [{"name": "x"}]}', "is no results file"),
-        ("[1]", "no list of runs"),
+        ("[1]", "is not a list of runs"),
         ('{"quick": true}', "measured with --quick"),
         ('{"quick": false}', "the results have no"),
         (None, "No such file"),
     ],
 )
-def test_a_broken_results_file_is_one_plain_line(tmp_path, raw, says):
+def test_an_invalid_results_file_is_reported_in_one_line(tmp_path, raw, says):
     path = tmp_path / "slopes.json"
     if raw is not None:
         path.write_text(raw)
@@ -100,13 +102,13 @@
     assert run.output.count("\n") == 1
 
 
-def test_a_mark_without_a_table_or_an_end_is_rejected():
+def test_a_mark_without_a_known_table_or_an_end_is_rejected():
     for page in ("<!-- table:none -->\n<!-- end -->", "<!-- table:first -->\n", "no mark"):
         with pytest.raises(ResultsError):
             render(page, {"first": lambda: ""})
 
 
-def test_runs_at_scale_are_shown_as_given_and_fitted_from_three_sizes():
+def test_runs_are_shown_unchanged_and_fitted_from_three_sizes_on():
     runs = [{"brokers": n, "broker_cpu_pct": 0.01 * n, "control": 5} for n in (60, 120, 240)]
     assert "broker_cpu_pct" in runs_table(runs)
     assert "| 2.4 " in runs_table(runs)
@@ -120,7 +122,7 @@
     assert runs_table([]).startswith("No run yet")
 
 
-def test_a_slope_says_where_it_comes_from():
+def test_a_slope_records_its_source_and_the_basis_of_its_values():
     one = slope("x", "broker", "a test", "ms", "engines", [(2, 4.0), (1, 2.0)], source(7, "command"))
     raw = json.loads(json.dumps({"seed": one.source.seed, "points": one.points}))
     assert raw["seed"] == 7
--- a/tests/lab/test_capacity_run.py
+++ b/tests/lab/test_capacity_run.py
@@ -1,4 +1,4 @@
-"""A tiny capacity run: its command on real sockets, and that nothing of it is left when it is ended."""
+"""Small capacity runs on real sockets: their checks pass, and a terminated run leaves no processes."""
 
 import json
 import os
@@ -38,7 +38,7 @@
 
 
 def children(pid):
-    """Processes that a process has started and that run."""
+    """Return the ids of a process's running children."""
     found = []
     for stat in Path("/proc").glob("[0-9]*/stat"):
         try:
@@ -50,7 +50,7 @@
     return found
 
 
-def test_a_tiny_run_loses_nothing(tmp_path):
+def test_a_small_run_loses_no_changes(tmp_path):
     file = tmp_path / "figures.json"
     run = command("--seconds", "20", "--json", str(file))
     words = run.communicate(timeout=150)[0]
@@ -68,7 +68,7 @@
     assert len(figures["load_average"]) == 2
 
 
-def test_one_that_is_ended_leaves_nothing_behind():
+def test_a_terminated_run_leaves_no_processes():
     run = command("--seconds", "60")
     try:
         end = time.monotonic() + 60
@@ -83,7 +83,7 @@
         run.communicate()
 
 
-def test_points_are_drawn(tmp_path):
+def test_runs_are_plotted(tmp_path):
     names = (
         "p99_s",
         "most_s",
@@ -107,7 +107,7 @@
     assert (tmp_path / "a.png").stat().st_size > 5_000
 
 
-def test_a_run_that_is_too_large_for_the_machine_says_so(tmp_path):
+def test_a_run_over_its_bounds_on_the_machine_is_reported(tmp_path):
     point = CapacityRun(FleetSize(12, 20, 1), 30.0, 1, tmp_path)
     assert not point.machine.excess()
     point.machine.sample(processes=20, memory_mb=11_000.0)
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("option", ["--no-faults", "--quiet"])
-def test_a_run_without_faults_has_a_former_option_that_is_hidden(monkeypatch, option):
+def test_the_former_option_for_a_run_without_faults_is_accepted_and_hidden(monkeypatch, option):
     played = []
     monkeypatch.setattr(capacity_command, "run", lambda options, *_, **__: played.append(options) or 0)
     assert CliRunner().invoke(cli, ["lab", "capacity", option]).exit_code == 0
--- a/tests/lab/test_capacity_simulated_operator.py
+++ b/tests/lab/test_capacity_simulated_operator.py
@@ -1,4 +1,4 @@
-"""The simulated operator against made-up answers: it finds answers that must not be. And its records."""
+"""The simulated operator against a fake control plane, and the reading of event records."""
 
 import json
 from types import SimpleNamespace
@@ -15,7 +15,7 @@
 
 
 class FakeControlPlane:
-    """Answers as a control process does, or with one fault."""
+    """Answers as a control process does, correctly or with one given fault."""
 
     def __init__(self, fault=""):
         self.fault, self.version, self.requests, self.keys, self.calls = fault, 0, {}, {}, 0
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("fault", ["", "lost answers", "moved"])
-def test_a_sound_plane_has_nothing_wrong(monkeypatch, fault):
+def test_correct_answers_are_not_reported_as_wrong(monkeypatch, fault):
     operator, plane = operator_and_control_plane(monkeypatch, fault)
     for kind in KINDS * 3:
         operator.play(Event(0, kind))
@@ -91,27 +91,27 @@
 @pytest.mark.parametrize(
     ("fault", "kind", "words"),
     [
-        ("twice", "repeat", "and then"),
-        ("no clash", "clash", "both taken"),
-        ("takes all", "bad", "was taken"),
-        ("refuses", "settings", "good change"),
+        ("twice", "repeat", "its repetition returned"),
+        ("no clash", "clash", "both accepted"),
+        ("takes all", "bad", "was accepted"),
+        ("refuses", "settings", "valid change"),
     ],
 )
-def test_a_fault_is_found(monkeypatch, fault, kind, words):
+def test_an_incorrect_answer_is_reported(monkeypatch, fault, kind, words):
     operator, _ = operator_and_control_plane(monkeypatch, fault)
     operator.play(Event(0, kind))
     assert len(operator.wrong_answers) == 1
     assert words in operator.wrong_answers[0]
 
 
-def test_the_leader_is_followed(monkeypatch):
+def test_the_operator_switches_to_the_leader_named_in_an_answer(monkeypatch):
     operator, _ = operator_and_control_plane(monkeypatch, "moved")
     operator.play(Event(0, "settings"))
     assert operator.leader_port == 102
     assert len(operator.acknowledged) == 1
 
 
-def test_what_the_harness_observed_becomes_the_checks_input():
+def test_harness_observations_contain_ends_of_runs_and_times_of_acknowledgements():
     operator = SimpleNamespace(
         acknowledged=[AcknowledgedChange(900, 3, "r3"), AcknowledgedChange(950, 4, "r4")], wrong_answers=[]
     )
@@ -131,7 +131,7 @@
     assert [a.at for a in observed.acked] == [800, 950]
 
 
-def test_the_tail_of_a_file_is_complete_lines(tmp_path):
+def test_read_tail_returns_complete_lines_only(tmp_path):
     path = tmp_path / "a"
     path.write_text("".join(json.dumps({"n": n, "x": "y" * 50}) + "\n" for n in range(3_000)) + '{"n": 3')
     found = read_tail(path)
@@ -139,14 +139,14 @@
     assert 500 < len(found) < 1_200
 
 
-def test_a_cost_counts_over_restarts():
+def test_traffic_is_summed_over_restarts():
     cost = ProcessCost()
-    for total in (100, 250, 40, 60):  # a new life begins at 0
+    for total in (100, 250, 40, 60):  # the count of a restarted process begins at 0
         cost.add_total(total)
     assert cost.net_bytes == 310
 
 
-def test_the_current_leader():
+def test_the_current_leader_ignores_records_of_older_epochs():
     def leader_record(who, event, epoch):
         return {"who": who, "event": event, "epoch": epoch}
 
@@ -156,5 +156,5 @@
         leader_record("c2", "primary", 9),
         leader_record("c1", "stepped_down", 5),
     ]
-    assert current_leader(both) == "c2"  # whatever the former one says later
+    assert current_leader(both) == "c2"  # even if the former leader records its end later
     assert current_leader([*both, leader_record("c2", "stepped_down", 9)]) == ""
