--- a/tests/lab/test_capacity_checks.py
+++ b/tests/lab/test_capacity_checks.py
@@ -7,12 +7,12 @@
 from cypressledge.lab.capacity import checks
 from cypressledge.lab.summary_statistics import quantile
 
-S = 1_000_000
+US_PER_S = 1_000_000
 
 
-def broker(at, name, event="in_force", version=0, run=1, epoch=1, digest=None):
+def broker_record(at, name, event="in_force", version=0, run=1, epoch=1, digest=None):
     return {
-        "at": int(at * S),
+        "at": int(at * US_PER_S),
         "broker": name,
         "run": run,
         "event": event,
@@ -22,9 +22,9 @@
     }
 
 
-def control(at, event="committed", version=0, who="c1", request="", digest=None):
+def control_record(at, event="committed", version=0, who="c1", request="", digest=None):
     return {
-        "at": int(at * S),
+        "at": int(at * US_PER_S),
         "who": who,
         "event": event,
         "epoch": 1,
@@ -37,18 +37,21 @@
 def observations(acked, over=40.0, **more):
     observed = {"down": [], "faults": [], "losses": [], "ends": {}, **more}
     return checks.HarnessObservations(
-        acked=[checks.AcknowledgedChange(int(at * S), v, f"r{v}") for at, v in acked],
-        over=int(over * S),
+        acked=[checks.AcknowledgedChange(int(at * US_PER_S), v, f"r{v}") for at, v in acked],
+        over=int(over * US_PER_S),
         **observed,
     )
 
 
 def span(begin, end, kind="cut", who=""):
-    return checks.Span(int(begin * S), int(end * S), kind, who)
+    return checks.Span(int(begin * US_PER_S), int(end * US_PER_S), kind, who)
 
 
-HISTORY = [control(0, "primary"), *(control(v, version=v, request=f"r{v}") for v in range(1, 6))]
-COMPLETE = [broker(0, "a", "start"), *(broker(v + 0.5, "a", version=v) for v in range(1, 6))]
+HISTORY = [
+    control_record(0, "primary"),
+    *(control_record(v, version=v, request=f"r{v}") for v in range(1, 6)),
+]
+COMPLETE = [broker_record(0, "a", "start"), *(broker_record(v + 0.5, "a", version=v) for v in range(1, 6))]
 ACKNOWLEDGED = [(v, v) for v in range(1, 6)]
 
 
@@ -88,7 +91,7 @@
 
 def test_a_killed_broker_that_did_not_restart_is_lost():
     verdict = checks.check(
-        COMPLETE, HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 30 * S}, expected=frozenset("a"))
+        COMPLETE, HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 30 * US_PER_S}, expected=frozenset("a"))
     )
     assert len(verdict.lost) == 1
 
@@ -99,45 +102,51 @@
 
 
 def test_an_acknowledged_change_whose_version_belongs_to_another_request_is_lost():
-    history = [*HISTORY[:-1], control(5, version=5, request="another")]
+    history = [*HISTORY[:-1], control_record(5, version=5, request="another")]
     verdict = checks.check(COMPLETE, history, observations(ACKNOWLEDGED))
     assert any("but belongs to request another" in line for line in verdict.lost)
 
 
 def test_an_older_version_is_reported_within_one_run_of_a_broker_but_not_across_runs():
-    back = [*COMPLETE, broker(7, "a", version=3), broker(8, "a", version=5)]
-    assert len(checks.check(back, HISTORY, observations(ACKNOWLEDGED)).reverted) == 1
-    other = [*COMPLETE, broker(7, "a", version=3, run=2), broker(8, "a", version=5, run=2)]
-    assert not checks.check(other, HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 6 * S})).reverted
+    reverted = [*COMPLETE, broker_record(7, "a", version=3), broker_record(8, "a", version=5)]
+    assert len(checks.check(reverted, HISTORY, observations(ACKNOWLEDGED)).reverted) == 1
+    other = [*COMPLETE, broker_record(7, "a", version=3, run=2), broker_record(8, "a", version=5, run=2)]
+    assert not checks.check(
+        other, HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 6 * US_PER_S})
+    ).reverted
 
 
 def test_an_older_epoch_is_reported():
-    back = [*COMPLETE, broker(7, "a", version=6, epoch=0)]
-    assert checks.check(back, [*HISTORY, control(6, version=6)], observations(ACKNOWLEDGED)).reverted
+    reverted = [*COMPLETE, broker_record(7, "a", version=6, epoch=0)]
+    assert checks.check(
+        reverted, [*HISTORY, control_record(6, version=6)], observations(ACKNOWLEDGED)
+    ).reverted
 
 
 def test_a_digest_that_differs_from_the_committed_one_is_wrong():
     verdict = checks.check(
-        [*COMPLETE[:-1], broker(5.5, "a", version=5, digest="x")], HISTORY, observations(ACKNOWLEDGED)
+        [*COMPLETE[:-1], broker_record(5.5, "a", version=5, digest="x")], HISTORY, observations(ACKNOWLEDGED)
     )
     assert len(verdict.wrong) == 1
     assert "committed is d5" in verdict.wrong[0]
 
 
 def test_an_applied_version_that_was_not_committed_is_wrong():
-    assert checks.check([*COMPLETE, broker(6, "a", version=6)], HISTORY, observations(ACKNOWLEDGED)).wrong
+    assert checks.check(
+        [*COMPLETE, broker_record(6, "a", version=6)], HISTORY, observations(ACKNOWLEDGED)
+    ).wrong
 
 
 def test_one_version_committed_with_two_digests_is_wrong():
     verdict = checks.check(
-        COMPLETE, [*HISTORY, control(6, version=3, who="c2", digest="y")], observations(ACKNOWLEDGED)
+        COMPLETE, [*HISTORY, control_record(6, version=3, who="c2", digest="y")], observations(ACKNOWLEDGED)
     )
     assert len(verdict.wrong) == 1
 
 
 def test_a_repeated_request_that_became_another_version_is_wrong():
     observed = observations(ACKNOWLEDGED)
-    observed.acked.append(checks.AcknowledgedChange(6 * S, 5, "r4"))
+    observed.acked.append(checks.AcknowledgedChange(6 * US_PER_S, 5, "r4"))
     assert any("became versions 4 and 5" in line for line in checks.check(COMPLETE, HISTORY, observed).wrong)
 
 
@@ -148,7 +157,7 @@
 
 
 def test_a_change_during_a_cut_is_due_from_the_heal():
-    late = [*COMPLETE[:-1], broker(20.5, "a", version=5)]
+    late = [*COMPLETE[:-1], broker_record(20.5, "a", version=5)]
     observed = observations(ACKNOWLEDGED, down=[span(4.8, 20, "cut", "a")], faults=[span(4.8, 20, "cut")])
     verdict = checks.check(late, HISTORY, observed)
     assert not verdict.broken
@@ -156,26 +165,28 @@
 
 
 def test_a_change_before_a_cut_that_was_not_applied_is_due_from_the_heal():
-    late = [*COMPLETE[:-1], broker(20.5, "a", version=5)]
+    late = [*COMPLETE[:-1], broker_record(20.5, "a", version=5)]
     observed = observations(ACKNOWLEDGED, down=[span(5.2, 20, "cut", "a")], faults=[span(5.2, 20, "cut")])
     assert max(checks.check(late, HISTORY, observed).all_times) == pytest.approx(0.5)
 
 
 def test_changes_before_a_start_are_due_once_from_the_start():
-    other = [broker(30, "a", "start", run=2), broker(30.4, "a", version=5, run=2)]
-    verdict = checks.check([*COMPLETE, *other], HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 10 * S}))
+    other = [broker_record(30, "a", "start", run=2), broker_record(30.4, "a", version=5, run=2)]
+    verdict = checks.check(
+        [*COMPLETE, *other], HISTORY, observations(ACKNOWLEDGED, ends={("a", 1): 10 * US_PER_S})
+    )
     assert not verdict.broken
     assert verdict.all_times.count(pytest.approx(0.4)) == 1
     assert len(verdict.all_times) == 6
 
 
 def test_a_broker_killed_before_the_limit_without_the_change_has_lost_nothing():
-    observed = observations(ACKNOWLEDGED, ends={("a", 1): round(5.2 * S)}, removed=frozenset("a"))
+    observed = observations(ACKNOWLEDGED, ends={("a", 1): round(5.2 * US_PER_S)}, removed=frozenset("a"))
     assert not checks.check(COMPLETE[:-1], HISTORY, observed).broken
 
 
 def test_a_broker_killed_after_the_limit_without_the_change_counts_with_its_time():
-    observed = observations(ACKNOWLEDGED, ends={("a", 1): 30 * S}, removed=frozenset("a"))
+    observed = observations(ACKNOWLEDGED, ends={("a", 1): 30 * US_PER_S}, removed=frozenset("a"))
     assert max(checks.check(COMPLETE[:-1], HISTORY, observed).undisturbed) == 25
 
 
@@ -188,29 +199,37 @@
 
 
 def test_leaderless_time_ends_with_another_leader():
-    records = [*HISTORY, control(10.5, "acknowledged", 5, who="c1"), control(13, "primary", who="c2")]
-    observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * S, "c1", "killed")])
+    records = [
+        *HISTORY,
+        control_record(10.5, "acknowledged", 5, who="c1"),
+        control_record(13, "primary", who="c2"),
+    ]
+    observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * US_PER_S, "c1", "killed")])
     assert checks.check(COMPLETE, records, observed).leaderless == [(3.0, "killed")]
-    observed.losses = [checks.LeaderLoss(20 * S, "c2", "killed")]
+    observed.losses = [checks.LeaderLoss(20 * US_PER_S, "c2", "killed")]
     assert checks.check(COMPLETE, records, observed).leaderless == [(20.0, "killed")]
 
 
 def test_leaderless_time_after_a_restart_of_all_ends_with_any_leader():
-    observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * S, "", "all")])
-    assert checks.check(COMPLETE, [*HISTORY, control(12, "primary")], observed).leaderless == [(2.0, "all")]
+    observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * US_PER_S, "", "all")])
+    assert checks.check(COMPLETE, [*HISTORY, control_record(12, "primary")], observed).leaderless == [
+        (2.0, "all")
+    ]
 
 
 def test_an_event_before_all_control_processes_have_stopped_does_not_show_a_leader():
-    observed = observations(ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * S, "", "all", round(10.2 * S))])
-    records = [*HISTORY, control(10.1, "acknowledged", 5), control(12, "primary")]
+    observed = observations(
+        ACKNOWLEDGED, losses=[checks.LeaderLoss(10 * US_PER_S, "", "all", round(10.2 * US_PER_S))]
+    )
+    records = [*HISTORY, control_record(10.1, "acknowledged", 5), control_record(12, "primary")]
     assert checks.check(COMPLETE, records, observed).leaderless == [(2.0, "all")]
 
 
 def test_too_little_activity_is_reported():
     found = checks.insufficient_activity(checks.check([], [], observations([])), observations([]), 10, 30)
-    words = " ".join(found)
+    reasons = " ".join(found)
     for part in ("0 changes", "quiet times", "no primary was lost", "no broker restarted", "0 kinds"):
-        assert part in words
+        assert part in reasons
 
 
 def test_a_run_without_faults_needs_changes_and_no_fault():
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -20,20 +20,20 @@
 RESULTS, PAGE = ROOT / "docs" / "capacity" / "slopes.json", ROOT / "docs" / "CAPACITY.md"
 
 
-def capacity_page(*words: str):
-    return CliRunner().invoke(cli, ["lab", "capacity-page", *words])
+def invoke_capacity_page(*arguments: str):
+    return CliRunner().invoke(cli, ["lab", "capacity-page", *arguments])
 
 
 def test_the_page_agrees_with_its_committed_results():
-    run = capacity_page("--results", str(RESULTS), "--page", str(PAGE), "--check")
+    run = invoke_capacity_page("--results", str(RESULTS), "--page", str(PAGE), "--check")
     assert run.exit_code == 0, run.output
 
 
 def test_an_edited_figure_is_reported_and_regenerated(tmp_path):
     page, text = tmp_path / "page.md", PAGE.read_text(encoding="utf-8")
     page.write_text(text.replace("| planner", "| Planner", 1), encoding="utf-8")
-    assert capacity_page("--results", str(RESULTS), "--page", str(page), "--check").exit_code == 1
-    assert capacity_page("--results", str(RESULTS), "--page", str(page)).exit_code == 0
+    assert invoke_capacity_page("--results", str(RESULTS), "--page", str(page), "--check").exit_code == 1
+    assert invoke_capacity_page("--results", str(RESULTS), "--page", str(page)).exit_code == 0
     assert page.read_text(encoding="utf-8") == text
 
 
@@ -49,15 +49,15 @@
 
 
 def test_a_fit_finds_the_kind_of_curve_and_its_residual():
-    bent = [(x, 2.0 * x * x + 3.0 * x + 1.0) for x in (10.0, 20.0, 40.0, 80.0, 160.0)]
-    assert curve_fit.best(bent).kind == "quadratic"
-    assert curve_fit.best(bent).residual < 1e-9
-    assert curve_fit.best(bent).at(490.0) == pytest.approx(2.0 * 490 * 490 + 3.0 * 490 + 1.0)
-    power = curve_fit.fit([(x, 3.0 * x**1.5) for x in (1.0, 4.0, 9.0)], "power")
-    assert power.coefficients == pytest.approx([1.5, 3.0])
-    assert power.residual < 1e-9
-    straight = curve_fit.fit([(0.0, 9.0), (1.0, 12.0), (2.0, 9.0)], "linear")  # 10 everywhere: off by 1, 2, 1
-    assert straight.residual == pytest.approx(2.0**0.5 / 10)
+    quadratic_points = [(x, 2.0 * x * x + 3.0 * x + 1.0) for x in (10.0, 20.0, 40.0, 80.0, 160.0)]
+    assert curve_fit.best(quadratic_points).kind == "quadratic"
+    assert curve_fit.best(quadratic_points).residual < 1e-9
+    assert curve_fit.best(quadratic_points).at(490.0) == pytest.approx(2.0 * 490 * 490 + 3.0 * 490 + 1.0)
+    power_fit = curve_fit.fit([(x, 3.0 * x**1.5) for x in (1.0, 4.0, 9.0)], "power")
+    assert power_fit.coefficients == pytest.approx([1.5, 3.0])
+    assert power_fit.residual < 1e-9
+    linear_fit = curve_fit.fit([(0.0, 9.0), (1.0, 12.0), (2.0, 9.0)], "linear")  # y = 10: residuals 1, 2, 1
+    assert linear_fit.residual == pytest.approx(2.0**0.5 / 10)
     with pytest.raises(ValueError, match="needs 2 different x"):
         curve_fit.fit([(1.0, 2.0), (1.0, 3.0)], "linear")
 
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "says"),
+    ("raw", "message"),
     [
         ("{", "is no results file"),
         ('{"quick": false, "slopes": [{"name": "x"}]}', "is no results file"),
@@ -91,13 +91,13 @@
         (None, "No such file"),
     ],
 )
-def test_an_invalid_results_file_is_reported_in_one_line(tmp_path, raw, says):
+def test_an_invalid_results_file_is_reported_in_one_line(tmp_path, raw, message):
     path = tmp_path / "slopes.json"
     if raw is not None:
         path.write_text(raw)
-    run = capacity_page("--results", str(path), "--page", str(PAGE), "--check")
+    run = invoke_capacity_page("--results", str(path), "--page", str(PAGE), "--check")
     assert run.exit_code == 1
-    assert says in run.output
+    assert message in run.output
     assert run.output.startswith("Error: ")
     assert run.output.count("\n") == 1
 
--- a/tests/lab/test_capacity_run.py
+++ b/tests/lab/test_capacity_run.py
@@ -19,7 +19,7 @@
 from cypressledge.lab.capacity.run_plot import draw_plot
 from cypressledge.lab.processes import ROOT
 
-LINE = re.compile(
+SUMMARY_LINE = re.compile(
     r"capacity: brokers 12, engines 20, changes (\d+), in force p99 [\d.]+ s most ([\d.]+) s, primary over "
     r"most ([\d.]+) s, broker cpu [\d.]+ % net [\d.]+ KB/s rss [\d.]+ MB, lost (\d+), gone back (\d+), "
     r"wrong (\d+)"
@@ -27,7 +27,7 @@
 SMALL = ("lab", "capacity", "--brokers", "12", "--engines", "20", "--real", "1", "--seed", "3")
 
 
-def command(*more):
+def start_capacity_run(*more):
     return subprocess.Popen(
         [sys.executable, "-m", "cypressledge", *SMALL, *more],
         cwd=ROOT,
@@ -37,7 +37,7 @@
     )
 
 
-def children(pid):
+def child_process_ids(pid):
     """Return the ids of a process's running children."""
     found = []
     for stat in Path("/proc").glob("[0-9]*/stat"):
@@ -52,16 +52,16 @@
 
 def test_a_small_run_loses_no_changes(tmp_path):
     file = tmp_path / "figures.json"
-    run = command("--seconds", "20", "--json", str(file))
-    words = run.communicate(timeout=150)[0]
-    print(words)
-    found = LINE.fullmatch(words.splitlines()[-1])
-    assert found
-    assert found.groups()[3:] == ("0", "0", "0")
-    assert int(found[1]) >= 5
-    assert float(found[2]) <= 12
-    assert float(found[3]) <= 8
-    assert run.returncode == 0, words
+    run = start_capacity_run("--seconds", "20", "--json", str(file))
+    output = run.communicate(timeout=150)[0]
+    print(output)
+    summary = SUMMARY_LINE.fullmatch(output.splitlines()[-1])
+    assert summary
+    assert summary.groups()[3:] == ("0", "0", "0")
+    assert int(summary[1]) >= 5
+    assert float(summary[2]) <= 12
+    assert float(summary[3]) <= 8
+    assert run.returncode == 0, output
     figures = json.loads(file.read_text())
     assert figures["lost"] == 0
     assert figures["faults"]
@@ -69,15 +69,15 @@
 
 
 def test_a_terminated_run_leaves_no_processes():
-    run = command("--seconds", "60")
+    run = start_capacity_run("--seconds", "60")
     try:
         end = time.monotonic() + 60
-        while len(own := children(run.pid)) < 10 and time.monotonic() < end:
+        while len(child_pids := child_process_ids(run.pid)) < 10 and time.monotonic() < end:
             time.sleep(0.2)
-        assert len(own) >= 10  # eight control processes, a host, a real broker
+        assert len(child_pids) >= 10  # eight control processes, a host, a real broker
         run.send_signal(signal.SIGTERM)
         run.wait(30)
-        assert not [pid for pid in own if os.path.exists(f"/proc/{pid}")]
+        assert not [pid for pid in child_pids if os.path.exists(f"/proc/{pid}")]
     finally:
         run.kill()
         run.communicate()
@@ -93,25 +93,25 @@
         "hollow_net_kb_s",
         "real_net_kb_s",
     )
-    points = []
+    capacity_runs = []
     for count in (120, 60):
-        point = CapacityRun(FleetSize(count, 490, 5), 30.0, 1, tmp_path)
-        point.figures = dict.fromkeys(names, 1.0) | {
+        capacity_run = CapacityRun(FleetSize(count, 490, 5), 30.0, 1, tmp_path)
+        capacity_run.figures = dict.fromkeys(names, 1.0) | {
             "brokers": count,
             "engines": 490,
             "seconds": 30,
             "seed": 1,
         }
-        points.append(point)
-    draw_plot(points, str(tmp_path / "a.png"))
+        capacity_runs.append(capacity_run)
+    draw_plot(capacity_runs, str(tmp_path / "a.png"))
     assert (tmp_path / "a.png").stat().st_size > 5_000
 
 
 def test_a_run_over_its_bounds_on_the_machine_is_reported(tmp_path):
-    point = CapacityRun(FleetSize(12, 20, 1), 30.0, 1, tmp_path)
-    assert not point.machine.excess()
-    point.machine.sample(processes=20, memory_mb=11_000.0)
-    assert "11000 MB" in point.machine.excess()
+    capacity_run = CapacityRun(FleetSize(12, 20, 1), 30.0, 1, tmp_path)
+    assert not capacity_run.machine.excess()
+    capacity_run.machine.sample(processes=20, memory_mb=11_000.0)
+    assert "11000 MB" in capacity_run.machine.excess()
 
 
 @pytest.mark.parametrize("option", ["--no-faults", "--quiet"])
--- a/tests/lab/test_capacity_simulated_operator.py
+++ b/tests/lab/test_capacity_simulated_operator.py
@@ -61,8 +61,8 @@
 
 
 def operator_and_control_plane(monkeypatch, fault=""):
-    plane = FakeControlPlane(fault)
-    monkeypatch.setattr(simulated_operator, "call_management", plane.http)
+    control_plane = FakeControlPlane(fault)
+    monkeypatch.setattr(simulated_operator, "call_management", control_plane.http)
     monkeypatch.setattr(simulated_operator, "RETRY_INTERVAL_S", 0.001)
     fake_engine = SimpleNamespace(member=lambda: {"host_port": "127.0.0.1:5"})
     fleet = SimpleNamespace(
@@ -70,7 +70,7 @@
         fake_engines=[fake_engine],
         controls=[SimpleNamespace(management=101), SimpleNamespace(management=102)],
     )
-    return simulated_operator.SimulatedOperator(fleet, 1), plane
+    return simulated_operator.SimulatedOperator(fleet, 1), control_plane
 
 
 KINDS = ("settings", "engine drains", "engine goes", "engine comes", "repeat", "clash", "bad")
@@ -78,18 +78,18 @@
 
 @pytest.mark.parametrize("fault", ["", "lost answers", "moved"])
 def test_correct_answers_are_not_reported_as_wrong(monkeypatch, fault):
-    operator, plane = operator_and_control_plane(monkeypatch, fault)
+    operator, control_plane = operator_and_control_plane(monkeypatch, fault)
     for kind in KINDS * 3:
         operator.play(Event(0, kind))
     assert operator.wrong_answers == []
     assert operator.counts["bad refused"] == 3
     assert operator.counts["clashed"] == 3
     assert operator.counts["repeated"] == 3
-    assert {a.version for a in operator.acknowledged} == set(range(1, plane.version + 1))
+    assert {a.version for a in operator.acknowledged} == set(range(1, control_plane.version + 1))
 
 
 @pytest.mark.parametrize(
-    ("fault", "kind", "words"),
+    ("fault", "kind", "message"),
     [
         ("twice", "repeat", "its repetition returned"),
         ("no clash", "clash", "both accepted"),
@@ -97,11 +97,11 @@
         ("refuses", "settings", "valid change"),
     ],
 )
-def test_an_incorrect_answer_is_reported(monkeypatch, fault, kind, words):
+def test_an_incorrect_answer_is_reported(monkeypatch, fault, kind, message):
     operator, _ = operator_and_control_plane(monkeypatch, fault)
     operator.play(Event(0, kind))
     assert len(operator.wrong_answers) == 1
-    assert words in operator.wrong_answers[0]
+    assert message in operator.wrong_answers[0]
 
 
 def test_the_operator_switches_to_the_leader_named_in_an_answer(monkeypatch):
@@ -151,10 +151,10 @@
         return {"who": who, "event": event, "epoch": epoch}
 
     assert current_leader([]) == ""
-    both = [
+    two_leaders = [
         leader_record("c1", "primary", 5),
         leader_record("c2", "primary", 9),
         leader_record("c1", "stepped_down", 5),
     ]
-    assert current_leader(both) == "c2"  # even if the former leader records its end later
-    assert current_leader([*both, leader_record("c2", "stepped_down", 9)]) == ""
+    assert current_leader(two_leaders) == "c2"  # even if the former leader records its end later
+    assert current_leader([*two_leaders, leader_record("c2", "stepped_down", 9)]) == ""
