--- a/cypressledge/lab/capacity/event_records.py
+++ b/cypressledge/lab/capacity/event_records.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-TAIL_BYTES = 65_536  # size of the end of a file that is read
+TAIL_BYTES = 65_536  # number of bytes read from the end of a file
 
 
 def boottime_us() -> int:
--- a/cypressledge/lab/capacity/observations.py
+++ b/cypressledge/lab/capacity/observations.py
@@ -10,7 +10,7 @@
 from cypressledge.lab.capacity.simulated_operator import SimulatedOperator
 
 BrokerRunKey = tuple[str, int]  # a broker's name and the identifier of its run
-FILE_KEYS = {"removed": "gone", "all_stopped_at": "gone"}  # keys in the file of fields with another name
+FILE_KEYS = {"removed": "gone", "all_stopped_at": "gone"}  # file keys of fields with a different name
 
 
 def harness_observations(
--- a/cypressledge/lab/capacity/run_report.py
+++ b/cypressledge/lab/capacity/run_report.py
@@ -1,4 +1,4 @@
-"""The printed report of a capacity run: tables of its figures, failed checks, and a last line of summary."""
+"""The printed report of a capacity run: tables of its figures, failed checks, and a summary line."""
 
 from collections.abc import Callable
 
--- a/cypressledge/lab/capacity/targets.py
+++ b/cypressledge/lab/capacity/targets.py
@@ -17,7 +17,7 @@
 # Constants of the program
 POLLS_PER_S = 2.5  # polls of the list of engines, from the interval in net/dns_discovery.py
 DIRECTORY_ANSWER_BYTES = 8_000
-OBSERVATIONS_PER_S = 2.0  # of zones, sent by each broker: fleet/zones/failover.py, deploy/fleet.yaml
+OBSERVATIONS_PER_S = 2.0  # zone observations of each broker: fleet/zones/failover.py, deploy/fleet.yaml
 OBSERVATIONS_PER_S_FAILING = 5.0  # observations per second during a failure
 PLANS_PER_S = 1.0
 SUMMARY_INTERVAL_S = 2.0
@@ -25,12 +25,12 @@
 PLANNER_RUNS_PER_S = 10.0  # the planner's target rate: a tenth of a second between its runs
 ENGINES_PER_OBSERVATION = 64  # maximum number of engines in one broker's observations
 USUAL_SOCKETS = 1_024  # the sites' usual limit on file descriptors
-REQUIRED_SOCKETS = TARGET_CLIENTS * 5 // 3 + RESERVED_SOCKETS + 1  # three fifths are for clients
+REQUIRED_SOCKETS = TARGET_CLIENTS * 5 // 3 + RESERVED_SOCKETS + 1  # clients get three fifths
 
 # Assumptions
 LINK_KB_S = 125_000.0  # rate of a machine's link of 1 Gbit/s
 BROKERS_PER_RACK = 20
-REMAINING_SHARE = (TARGET_ZONES - 1) / TARGET_ZONES  # of brokers and engines when a zone is lost
+REMAINING_SHARE = (TARGET_ZONES - 1) / TARGET_ZONES  # share of brokers and engines after the loss of a zone
 
 # Roles, as shown on the page
 REQUEST_PATH = "broker, request path"
