--- a/cypressledge/lab/curve_fit.py
+++ b/cypressledge/lab/curve_fit.py
@@ -8,7 +8,7 @@
 
 Kind = Literal["linear", "quadratic", "power"]
 DEGREE = {"linear": 1, "quadratic": 2}
-QUADRATIC_RESIDUAL_PART = 0.5  # of the linear fit's residual: a quadratic fit has to come below to be taken
+MAX_QUADRATIC_RESIDUAL_RATIO = 0.5  # quadratic fit is taken below this part of the linear residual
 QUADRATIC_MIN_POINTS = 5  # fewer would say little: the fit has a parameter for nearly each of them
 
 
@@ -69,4 +69,4 @@
     if len({x for x, _ in points}) < QUADRATIC_MIN_POINTS:
         return linear
     quadratic = fit(points, "quadratic")
-    return quadratic if quadratic.residual < QUADRATIC_RESIDUAL_PART * linear.residual else linear
+    return quadratic if quadratic.residual < MAX_QUADRATIC_RESIDUAL_RATIO * linear.residual else linear
--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -28,7 +28,7 @@
 CHUNK_BYTES = 65_536
 LIVE_REFRESH_S = 0.3  # of the table on a terminal
 LINE_INTERVAL_S = 1.0  # elsewhere
-WATCH_PART = 0.3  # of the seconds, between two events
+WATCH_FRACTION = 0.3  # of the seconds, between two events
 
 
 def _fleet_settings(ports: dict[str, int]) -> dict:
@@ -148,7 +148,7 @@
             self.show()
             gevent.sleep(min(left, LIVE_REFRESH_S if self.live else LINE_INTERVAL_S))
 
-    def play(self, seconds: float) -> int:
+    def run_events(self, seconds: float) -> int:
         """Play all events; return 0 if the lease found a new holder and clients were served."""
         self.announce("three brokers start; a voter that starts is in voting quarantine for a term")
         first = until(self.holder, HOLDER_TIMEOUT_S)
@@ -157,7 +157,7 @@
             return 1
         self.greenlets = [gevent.spawn(client.run) for client in self.clients]
         self.announce(f"{first} holds the lease and sums up the fleet's figures")
-        self.watch(seconds * WATCH_PART)
+        self.watch(seconds * WATCH_FRACTION)
         self.announce(f"{first}, the holder, is killed")
         killed = time.monotonic()
         self.brokers.all[first].kill()
@@ -169,10 +169,10 @@
         self.announce(
             f"{second} has followed after {time.monotonic() - killed:.2f} s (the term is {TERM_S} s)"
         )
-        self.watch(seconds * WATCH_PART)
+        self.watch(seconds * WATCH_FRACTION)
         self.brokers.all[first].start()
         self.announce(f"{first} starts anew")
-        self.watch(seconds * WATCH_PART)
+        self.watch(seconds * WATCH_FRACTION)
         served = sum(client.counts["served"] for client in self.clients)
         self.announce(
             f"the end: {served} lookups served; before the kill {first} held the lease, then {second}"
@@ -193,6 +193,6 @@
     """Play the demonstration; return the exit code."""
     demo = Demo(live, click.echo)
     try:
-        return demo.play(seconds)
+        return demo.run_events(seconds)
     finally:
         demo.end()
--- a/cypressledge/lab/scaling/broker_process_costs.py
+++ b/cypressledge/lab/scaling/broker_process_costs.py
@@ -42,7 +42,7 @@
 
 
 @contextmanager
-def broker_before(count: int) -> Iterator[BrokerProcess]:
+def broker_with_engines(count: int) -> Iterator[BrokerProcess]:
     """Run a broker without the fleet's part before so many fake engines; it is ended whatever happens."""
     engines = [LabEngine(f"s-{i + 1}", "room1", 0.005) for i in range(count)]
     brokers = Brokers()
@@ -84,7 +84,7 @@
 def idle_costs(counts: tuple[int, ...]) -> dict[int, IdleCost]:
     """Measure one broker with more and more idle connections; return the costs by their number."""
     costs: dict[int, IdleCost] = {}
-    with broker_before(IDLE_ENGINES) as broker:
+    with broker_with_engines(IDLE_ENGINES) as broker:
         connections: list[socket.socket] = []
         for count in sorted(counts):
             new = count - len(connections)
@@ -112,7 +112,7 @@
 
 def serving_cost(engines: int, seconds: float) -> ServingCost:
     """Measure one broker under a small load. Raises `RuntimeError` where it serves nothing."""
-    with broker_before(engines) as broker:
+    with broker_with_engines(engines) as broker:
         descriptors_before = descriptors(broker)
         clients = [Client([broker.port], PAUSE_S, 0) for _ in range(CLIENTS)]
         greenlets = [gevent.spawn(client.run) for client in clients]
--- a/cypressledge/lab/scaling/decision_costs.py
+++ b/cypressledge/lab/scaling/decision_costs.py
@@ -22,7 +22,7 @@
 ROLE = "broker, request path"
 TABLES = 40  # groups of them
 WARM_UP_S = 0.5
-PART_OF_SECONDS = 5  # of those that many tables take: one table, and a fleet's size, are measured for less
+SHORT_RUN_DIVISOR = 5  # of those that many tables take: one table, and a fleet's size, are measured for less
 ONE_TABLE_ROUNDS = 3
 PEER_ENGINES = 60  # before which the fleet's size is measured
 
@@ -123,14 +123,15 @@
     fleets = (40, TARGET_BROKERS) if quick else (40, 120, 240, TARGET_BROKERS)
     seconds = 1.0 if quick else 10.0
     rounds = 3 if quick else 5
-    part = seconds / PART_OF_SECONDS
+    short_run_s = seconds / SHORT_RUN_DIVISOR
     return DecisionCosts(
         seconds=seconds,
         rounds=rounds,
         many_tables=statement_costs(sizes, TABLES, seconds, rounds, seed),
-        one_table=statement_costs(sizes, 1, part, ONE_TABLE_ROUNDS, seed),
+        one_table=statement_costs(sizes, 1, short_run_s, ONE_TABLE_ROUNDS, seed),
         ms_by_peers=[
-            (peers, statement_cost(PEER_ENGINES, peers, TABLES, part, seed).cpu_ms[0]) for peers in fleets
+            (peers, statement_cost(PEER_ENGINES, peers, TABLES, short_run_s, seed).cpu_ms[0])
+            for peers in fleets
         ],
         kb_by_engines=[(size, manager_kb(size, seed)) for size in sizes],
         list_ms_by_engines=[(size, engine_list_ms(size, seed)) for size in sizes],
--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InformedPlanner:
+class PlannerWithObservations:
     """A planner that has each broker's observations, and the items that it sends."""
 
     zones: ZoneFailover
@@ -70,10 +70,12 @@
             pass
 
 
-def informed_planner(brokers: int, engines: int, lost: bool, seed: int) -> InformedPlanner:
+def planner_with_observations(
+    brokers: int, engines: int, zone_lost: bool, seed: int
+) -> PlannerWithObservations:
     """Return a planner that has each broker's observations; the core is a fake.
 
-    `lost`: a zone is lost, else all is well.
+    `zone_lost`: a zone is lost, else all is well.
     """
     names = [f"n{i:03d}" for i in range(brokers)]
     entries = engine_entries(engines)
@@ -98,12 +100,12 @@
         log_event=lambda event, **fields: None,
     )
     zones = ZoneFailover(names[0], core, site, FailoverPace(), links)
-    bad = frozenset(e.engine for e in entries if e.zone == 0) if lost else frozenset()
+    bad = frozenset(e.engine for e in entries if e.zone == 0) if zone_lost else frozenset()
     rng = random.Random(seed)
     for name in names:
         used = rng.sample([e.engine for e in entries], min(OBSERVED_ENGINES, engines))
         zones.receive(name, observations_of(used, bad))
-    return InformedPlanner(zones, sent)
+    return PlannerWithObservations(zones, sent)
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,9 +116,9 @@
     longest_step_ms: float
 
 
-def planner_run(brokers: int, engines: int, lost: bool, seed: int) -> PlannerRun:
+def planner_run(brokers: int, engines: int, zone_lost: bool, seed: int) -> PlannerRun:
     """Measure the second run of a planner."""
-    planner = informed_planner(brokers, engines, lost, seed)
+    planner = planner_with_observations(brokers, engines, zone_lost, seed)
     planner.run()
     gc.collect()
     steps: list[int] = []  # ns
@@ -130,7 +132,7 @@
 
 def observations_us() -> float:
     """Return the µs to decode observations of 64 engines and take them."""
-    zones = informed_planner(2, OBSERVED_ENGINES, False, 1).zones
+    zones = planner_with_observations(2, OBSERVED_ENGINES, False, 1).zones
     observations = observations_of([stable_hash(f"s-{i}") for i in range(OBSERVED_ENGINES)], frozenset())
     raw = encode(Envelope(VERSION, "n001", "n000", 1 << 61, 3, 1, 1, [observations]))
     return cpu_ms(partial(_receive_repeatedly, zones, raw)) * 1000 / RECEIVED
@@ -147,14 +149,15 @@
 class PlannerCosts:
     """What the planner and the summary cost, by the number of brokers.
 
-    `lost_by_engines`: ms of a run with a zone lost, by the number of engines, at `largest_fleet` brokers.
+    `zone_lost_by_engines`: ms of a run with a zone lost, by the number of engines, with `largest_fleet`
+    brokers.
     """
 
-    well: dict[int, PlannerRun]
-    lost: dict[int, PlannerRun]
+    healthy: dict[int, PlannerRun]
+    zone_lost: dict[int, PlannerRun]
     summaries: dict[int, SummaryCost]
     largest_fleet: int
-    lost_by_engines: Points
+    zone_lost_by_engines: Points
 
 
 def measure_planner(quick: bool, seed: int) -> PlannerCosts:
@@ -163,11 +166,11 @@
     engines = 60 if quick else 490
     engine_counts = (12, 60) if quick else ENGINE_COUNTS
     return PlannerCosts(
-        well={size: planner_run(size, engines, False, seed) for size in sizes},
-        lost={size: planner_run(size, engines, True, seed) for size in sizes},
+        healthy={size: planner_run(size, engines, False, seed) for size in sizes},
+        zone_lost={size: planner_run(size, engines, True, seed) for size in sizes},
         summaries={size: summary_cost(size, engines) for size in sizes},
         largest_fleet=sizes[-1],
-        lost_by_engines=[
+        zone_lost_by_engines=[
             (count, planner_run(sizes[-1], count, True, seed).total_ms) for count in engine_counts
         ],
     )
@@ -183,14 +186,14 @@
 def _run_curves(costs: PlannerCosts, source: Source) -> Iterator[Slope]:
     by_brokers = CurveFamily(ROLE, "brokers", source)
     by_engines = CurveFamily(ROLE, "engines", source)
-    well = [(size, run.total_ms) for size, run in costs.well.items()]
-    yield by_brokers.curve("planner_well_ms", "one act of the planner, all well", "ms", well)
-    lost = [(size, run.total_ms) for size, run in costs.lost.items()]
-    yield by_brokers.curve("planner_lost_ms", "one act of the planner, a zone lost", "ms", lost)
-    longest = [(size, run.longest_step_ms) for size, run in costs.lost.items()]
+    healthy = [(size, run.total_ms) for size, run in costs.healthy.items()]
+    yield by_brokers.curve("planner_well_ms", "one act of the planner, all well", "ms", healthy)
+    zone_lost = [(size, run.total_ms) for size, run in costs.zone_lost.items()]
+    yield by_brokers.curve("planner_lost_ms", "one act of the planner, a zone lost", "ms", zone_lost)
+    longest = [(size, run.longest_step_ms) for size, run in costs.zone_lost.items()]
     yield by_brokers.curve("planner_longest_ms", "its longest step", "ms", longest)
     what = f"one act, a zone lost, {costs.largest_fleet} brokers"
-    yield by_engines.curve("planner_engines_ms", what, "ms", costs.lost_by_engines)
+    yield by_engines.curve("planner_engines_ms", what, "ms", costs.zone_lost_by_engines)
 
 
 def _message_curves(summaries: dict[int, SummaryCost], source: Source) -> Iterator[Slope]:
@@ -214,7 +217,7 @@
 
 
 def _facts(seed: int, source: Source) -> list[Fact]:
-    planner = informed_planner(4, 60, True, seed)
+    planner = planner_with_observations(4, 60, True, seed)
     planner.run()
     plan_bytes = datagram_bytes(planner.sent[0])
     metrics_bytes = datagram_bytes(broker_metrics(490, 122))
--- a/cypressledge/lab/virtual_fleet.py
+++ b/cypressledge/lab/virtual_fleet.py
@@ -18,7 +18,7 @@
 from cypressledge.fleet.messages import VERSION, Ack, Envelope, IndirectPing, Ping, encode
 
 SECOND_US = 1_000_000
-GATHER_US = 10_000  # that a broker takes datagrams together for, as the program does
+RECEIVE_BATCH_US = 10_000  # that a broker takes datagrams together for, as the program does
 MAX_INBOX = 1_024  # datagrams
 
 
@@ -93,7 +93,7 @@
         self.lease_manager.set_alive(self.membership.alive(), now)
         self._flush()
         self.cpu_ns += time.thread_time_ns() - began
-        return self.world.at + max(GATHER_US, round((due - now) / self.rate))
+        return self.world.at + max(RECEIVE_BATCH_US, round((due - now) / self.rate))
 
     def _flush(self) -> None:
         queues, self.queues = self.queues, {}
@@ -210,7 +210,7 @@
             return
         node.inbox.append(datagram)
         if len(node.inbox) == 1:
-            self._schedule(self.at + GATHER_US, "turn", node)
+            self._schedule(self.at + RECEIVE_BATCH_US, "turn", node)
 
     def _turn(self, node: VirtualNode) -> None:
         if self.at < node.paused_until:
