--- a/cypressledge/lab/__init__.py
+++ b/cypressledge/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: models, fakes, proxies and experiments. Never imported by `run`."""
+"""Models, fakes, proxies and experiments that test and measure the program. Never imported by `run`."""
--- a/cypressledge/lab/cost.py
+++ b/cypressledge/lab/cost.py
@@ -1,7 +1,7 @@
-"""`lab cost`: what the fleet's part costs a broker, off against on: memory, processor time, requests' times.
+"""`lab cost`: memory, processor time and request latency of brokers with `--fleet` and without it.
 
-Starts real brokers on the loopback, half of them without and half with `--fleet`, the same load on both;
-reads /proc of the processes it started.
+Starts real brokers on the loopback, half of them without and half with `--fleet`, and puts the same load on
+both halves; reads /proc of the processes it started.
 """
 
 import os
@@ -20,19 +20,19 @@
 from cypressledge.lab.site import free_udp_ports
 from cypressledge.lab.summary_statistics import mean, quantile
 
-LOADED_BROKERS = 4  # that get load
+LOADED_BROKERS = 4  # brokers that receive load; the others of a group stay idle
 ENGINES = 4
 ENGINE_WORK_S = 0.005
 MAX_VOTERS = 5
-SETTLE_S = 10  # in which leases are taken and peers become known
-WARM_UP_S = 0.5  # of a load
+SETTLE_S = 10  # s; time for the brokers to acquire leases and discover their peers
+WARM_UP_S = 0.5  # s; load before the first round that counts
 ROUND_S = 3.0
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Clients of each loaded broker, and what each waits between its lookups."""
+    """The number of clients of each loaded broker, and each client's pause between its lookups."""
 
     name: str
     clients: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PairedRound:
-    """Times of lookups in one round without the fleet's part, then with it; s."""
+    """Latencies (s) of the lookups in one round: without `--fleet`, then with it."""
 
     off: list[float]
     on: list[float]
@@ -52,10 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PairedTimes:
-    """Times of lookups under one load, with the fleet's part off and on in turns; ms.
+    """Latencies (ms) of the lookups under one load, measured alternately without and with `--fleet`.
 
-    `p99_off`, `p99_on`: medians of the rounds' p99; `added_*`: how much more the p99 of a round was with it
-    on, as the median and the quartiles of all rounds.
+    `p99_off`, `p99_on`: medians of the rounds' p99; `added_*`: how much higher the p99 of a round was with
+    `--fleet`, as the median and the quartiles of all rounds.
     """
 
     lookups: int
@@ -67,7 +67,7 @@
 
     @staticmethod
     def of(rounds: list[PairedRound]) -> "PairedTimes":
-        """Return the figures of several rounds."""
+        """Summarize several rounds."""
         p99_off = [quantile(each.off, 0.99) * 1e3 for each in rounds]
         p99_on = [quantile(each.on, 0.99) * 1e3 for each in rounds]
         added = sorted(on - off for off, on in zip(p99_off, p99_on, strict=True))
@@ -99,14 +99,14 @@
 
 
 def cpu_s(broker: BrokerProcess) -> float:
-    """Return the processor time of a process so far, s."""
+    """Return the processor time (s) of a process since its start."""
     fields = Path(f"/proc/{broker.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def _fleet_settings(names: list[str], leases: int) -> dict:
     ports = free_udp_ports(names)
-    voters = min(MAX_VOTERS, len(names) - (len(names) + 1) % 2)  # an odd number
+    voters = min(MAX_VOTERS, len(names) - (len(names) + 1) % 2)  # always odd
     return {
         "peers": [{"name": name, "address": f"127.0.0.1:{port}"} for name, port in ports.items()],
         "voters": [{"version": 1, "names": names[:voters]}],
@@ -116,7 +116,7 @@
 
 
 class BrokerGroup:
-    """Brokers with the fleet's part on, or off, the fake engines they use, and their clients."""
+    """Brokers that all run with `--fleet` or all without it, their fake engines and their clients."""
 
     def __init__(self, count: int, leases: int, has_fleet: bool) -> None:
         self.has_fleet = has_fleet
@@ -132,11 +132,11 @@
         self.brokers = list(self.processes.all.values())
 
     def is_ready(self) -> bool:
-        """Whether all take clients."""
+        """Return whether all brokers listen for clients."""
         return all("listening on" in broker.words() for broker in self.brokers)
 
     def set_load(self, load: Load) -> None:
-        """Put a load on the first brokers, not running yet."""
+        """Create the clients of a load on the first `LOADED_BROKERS` brokers, without starting them."""
         gevent.killall(self.greenlets)
         self.clients = [
             Client([broker.port], load.pause_s, 0)
@@ -145,7 +145,7 @@
         ]
 
     def run_load(self, seconds: float) -> list[float]:
-        """Run the load for a while; return the lookups' times, s, sorted."""
+        """Run the load for `seconds`; return the latencies (s) of its lookups in ascending order."""
         for client in self.clients:
             client.latencies.clear()
         self.greenlets = [gevent.spawn(client.run) for client in self.clients]
@@ -154,7 +154,7 @@
         return sorted(latency for client in self.clients for latency in client.latencies)
 
     def idle_cpu_pct(self, seconds: float) -> list[float]:
-        """Return each broker's part of a core while nobody asks anything, percent."""
+        """Return the share of a core (percent) that each broker uses while no client sends requests."""
         before = [cpu_s(broker) for broker in self.brokers]
         began = time.monotonic()
         gevent.sleep(seconds)
@@ -162,11 +162,11 @@
         return [(cpu_s(broker) - was) / took * 100 for broker, was in zip(self.brokers, before, strict=True)]
 
     def leases_lost(self) -> int:
-        """Return how many times a lease was lost, by the brokers' logs."""
+        """Return how many times a lease was lost, according to the brokers' logs."""
         return sum(event["event"] == "lease_lost" for broker in self.brokers for event in broker.events())
 
     def end(self) -> None:
-        """End all brokers, engines and clients."""
+        """Stop all clients, brokers and engines."""
         gevent.killall(self.greenlets)
         self.processes.end()
         for engine in self.engines:
@@ -174,7 +174,10 @@
 
 
 def run(brokers: int, leases: int, seconds: float, rounds: int, echo: Callable[[str], None]) -> int:
-    """Measure without and with: memory and processor time with nobody asking, then times under loads."""
+    """Measure brokers without and with `--fleet`; return the exit code.
+
+    Memory and processor time are measured while the brokers are idle, then latencies under each load.
+    """
     off = BrokerGroup(brokers, leases, False)
     on = BrokerGroup(brokers, leases, True)
     try:
@@ -212,7 +215,7 @@
 
 
 def _paired_times(off: BrokerGroup, on: BrokerGroup, load: Load, rounds: int) -> PairedTimes:
-    """Load both in turns, so that the machine's own ups and downs meet both alike."""
+    """Load both groups alternately, so that changes in the speed of the machine affect both equally."""
     for group in (off, on):
         group.set_load(load)
         group.run_load(WARM_UP_S)
@@ -220,7 +223,7 @@
 
 
 def _longest_steps(on: BrokerGroup) -> tuple[float, float]:
-    """Return the longest step of a task and the p99 of the owner's turns, ms."""
+    """Return the longest step of a fleet task and the p99 of the turns of the fleet node, ms."""
     tasks = [(ask(broker, "/fleet/tasks") or [{}])[0] for broker in on.brokers[:LOADED_BROKERS]]
     longest_step = max(task.get("longest_step_ms", 0) for task in tasks)
     return longest_step, max(task.get("turn_p99_ms", 0) for task in tasks)
--- a/cypressledge/lab/curve_fit.py
+++ b/cypressledge/lab/curve_fit.py
@@ -1,4 +1,4 @@
-"""Least squares through a curve's points: linear, quadratic, or a power of x."""
+"""Least-squares fits of measured points: linear, quadratic, or a power of x."""
 
 import math
 from typing import Literal
@@ -8,15 +8,15 @@
 
 Kind = Literal["linear", "quadratic", "power"]
 DEGREE = {"linear": 1, "quadratic": 2}
-MAX_QUADRATIC_RESIDUAL_RATIO = 0.5  # quadratic fit is taken below this part of the linear residual
-QUADRATIC_MIN_POINTS = 5  # fewer would say little: the fit has a parameter for nearly each of them
+MAX_QUADRATIC_RESIDUAL_RATIO = 0.5  # of the linear residual; `best` takes a quadratic fit below it
+QUADRATIC_MIN_POINTS = 5  # with fewer points, the three parameters of a quadratic would overfit them
 
 
 class Fit(msgspec.Struct, frozen=True):
-    """A fit.
+    """A curve fitted to measured points.
 
-    `coefficients`: highest degree first; of a power, exponent and factor. `residual`: root of the mean square
-    of the points' deviations, as a part of their mean.
+    `coefficients`: highest degree first; for a power, exponent and factor. `residual`: root mean square of
+    the points' deviations, relative to the mean of the absolute y.
     """
 
     kind: Kind
@@ -31,7 +31,7 @@
         return float(np.polyval(self.coefficients, x))
 
     def formula(self, x: str) -> str:
-        """Return the formula with three digits each; `x`: what to call x."""
+        """Return the formula with three significant digits for each coefficient; `x`: the name of x."""
         digits = [f"{value:.3g}" for value in self.coefficients]
         if self.kind == "power":
             return f"{digits[1]}·{x}^{digits[0]}"
@@ -42,9 +42,9 @@
 
 
 def fit(points: list[tuple[float, float]], kind: Kind) -> Fit:
-    """Fit the points.
+    """Fit a curve of one kind to the points.
 
-    Raises `ValueError` for too few of them, and for a power where one is not above 0.
+    Raises `ValueError` for too few distinct x, and for a power if any x or y is not above 0.
     """
     needed = 2 if kind == "power" else DEGREE[kind] + 1
     if len({x for x, _ in points}) < needed:
@@ -52,7 +52,7 @@
     x, y = (np.array(column, float) for column in zip(*points, strict=True))
     if kind == "power":
         if min(x) <= 0 or min(y) <= 0:
-            raise ValueError("a power fit needs x and y above 0")
+            raise ValueError(f"a power fit needs x and y above 0, got {points}")
         exponent, log_factor = np.polyfit(np.log(x), np.log(y), 1)
         coefficients = [float(exponent), math.exp(log_factor)]
     else:
@@ -64,7 +64,7 @@
 
 
 def best(points: list[tuple[float, float]]) -> Fit:
-    """Return the linear fit, unless there are enough points and a quadratic one comes much nearer to them."""
+    """Return the quadratic fit if there are enough points and it fits them much better, else the linear."""
     linear = fit(points, "linear")
     if len({x for x, _ in points}) < QUADRATIC_MIN_POINTS:
         return linear
--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -1,4 +1,4 @@
-"""`lab demo`: three brokers with the fleet's part on, engines in two zones, a load, one kill."""
+"""`lab demo`: three brokers with `--fleet`, engines in two zones, and a load; kills the lease holder once."""
 
 import json
 import time
@@ -26,9 +26,9 @@
 HOLDER_TIMEOUT_S = 15
 ANSWER_TIMEOUT_S = 0.5
 CHUNK_BYTES = 65_536
-LIVE_REFRESH_S = 0.3  # of the table on a terminal
-LINE_INTERVAL_S = 1.0  # elsewhere
-WATCH_FRACTION = 0.3  # of the seconds, between two events
+LIVE_REFRESH_S = 0.3  # s; interval at which the table on a terminal is redrawn
+LINE_INTERVAL_S = 1.0  # s; interval of status lines if the output is not redrawn
+WATCH_FRACTION = 0.3  # part of the demonstration's duration between two events
 
 
 def _fleet_settings(ports: dict[str, int]) -> dict:
@@ -46,7 +46,7 @@
 
 
 def ask(broker: BrokerProcess, path: str) -> Any:
-    """Return a broker's answer on its management address; None where there is none."""
+    """Return the JSON answer of a broker's management address; None if there is no valid answer."""
     try:
         with socket.create_connection(("127.0.0.1", broker.management), ANSWER_TIMEOUT_S) as sock:
             sock.settimeout(ANSWER_TIMEOUT_S)
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Row:
-    """One broker as the table shows it."""
+    """The table row of one broker."""
 
     broker: str
     process: str
     lease: str
     holder: str
     token: object
-    summarized: object  # how many brokers the fleet summary counts
+    summarized: object  # number of brokers that the fleet summary covers
     missing: str
 
     def cells(self) -> list[object]:
@@ -77,10 +77,10 @@
 
 
 class Demo:
-    """The brokers, engines and clients of the demonstration, and what is shown of them."""
+    """The brokers, engines and clients of the demonstration, and the display of their state."""
 
     def __init__(self, live: bool, echo: Callable[[str], None]) -> None:
-        self.live = live  # draw the table anew on a terminal
+        self.live = live  # redraw a table on a terminal instead of printing lines
         self.echo = echo
         self.began = time.monotonic()
         self.engines = [LabEngine(f"s-{number + 1}", ZONES[number % 2]) for number in range(ENGINES)]
@@ -94,7 +94,7 @@
         self.last_event = ""
 
     def holder(self, excluded: str = "") -> str:
-        """Return the broker that reports that it holds the lease; empty for none but `excluded`."""
+        """Return the broker that reports holding the lease, ignoring `excluded`; empty if there is none."""
         for name, broker in self.brokers.all.items():
             if name != excluded and broker.running():
                 rows = ask(broker, "/fleet/leases") or []
@@ -103,13 +103,13 @@
         return ""
 
     def announce(self, event: str) -> None:
-        """Show an event."""
+        """Record an event with its time for the table, or print it if no table is shown."""
         self.last_event = f"{time.monotonic() - self.began:5.1f} s  {event}"
         if not self.live:
             self.echo(self.last_event)
 
     def show(self) -> None:
-        """Show the state: a table drawn anew on a terminal, one line elsewhere."""
+        """Show the state: redraw the table on a terminal, or print one line elsewhere."""
         rows = [self._row(name, broker) for name, broker in self.brokers.all.items()]
         counts = sum((client.counts for client in self.clients), Counter())
         if self.live:
@@ -142,14 +142,14 @@
         )
 
     def watch(self, seconds: float) -> None:
-        """Show the state again and again for a while."""
+        """Show the state periodically for `seconds`."""
         end = time.monotonic() + seconds
         while (left := end - time.monotonic()) > 0:
             self.show()
             gevent.sleep(min(left, LIVE_REFRESH_S if self.live else LINE_INTERVAL_S))
 
     def run_events(self, seconds: float) -> int:
-        """Play all events; return 0 if the lease found a new holder and clients were served."""
+        """Run all events in order; return 0 if the lease got a new holder and clients were served, else 1."""
         self.announce("three brokers start; a voter that starts is in voting quarantine for a term")
         first = until(self.holder, HOLDER_TIMEOUT_S)
         if not first:
@@ -182,7 +182,7 @@
         return 0 if served else 1
 
     def end(self) -> None:
-        """End all brokers, engines and clients."""
+        """Stop all clients, brokers and engines."""
         gevent.killall(self.greenlets)
         self.brokers.end()
         for engine in self.engines:
@@ -190,7 +190,7 @@
 
 
 def run(seconds: float, live: bool) -> int:
-    """Play the demonstration; return the exit code."""
+    """Run the demonstration; return the exit code."""
     demo = Demo(live, click.echo)
     try:
         return demo.run_events(seconds)
--- a/cypressledge/lab/engines.py
+++ b/cypressledge/lab/engines.py
@@ -1,4 +1,4 @@
-"""Fake engines on the line protocol: they answer after a time, or fall silent. Loopback only."""
+"""Fake engines on the line protocol, which answer after a delay or not at all. Loopback only."""
 
 import gevent
 from gevent import socket
@@ -22,7 +22,7 @@
 
 
 class LabEngine:
-    """One engine. `work_s`: how long a query takes; `silent`: it takes queries and answers nothing."""
+    """A fake engine. `work_s`: how long a query takes; `silent`: it accepts queries and never answers."""
 
     def __init__(self, name: str, zone: str, work_s: float = 0.02) -> None:
         self.name = name
@@ -58,8 +58,8 @@
             conn.sendall(f"{name} 200 count=1 {len(ROW)}\r\n".encode() + ROW + b"\r\n")
             self.answered += 1
         except OSError:
-            pass  # the broker is gone
+            pass  # the broker has closed the connection
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop the engine's server."""
         self.server.stop(timeout=0.1)
--- a/cypressledge/lab/fleet_size.py
+++ b/cypressledge/lab/fleet_size.py
@@ -1,4 +1,4 @@
-"""`lab size`: many brokers in virtual time; messages and processor time of each, and how leases spread."""
+"""`lab size`: many brokers in virtual time; messages and processor time of each, and lease placement."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from cypressledge.lab.virtual_fleet import SECOND_US, VirtualFleet, VirtualNode
 
 SETTLE_S = 10
-REACQUIRE_TIMEOUT_S = 20  # after a death, until leases that are not held again count as lost
+REACQUIRE_TIMEOUT_S = 20  # s after a broker is killed; leases that are not held again by then count as lost
 REACQUIRE_STEP_US = 10_000
 
 
@@ -28,7 +28,7 @@
         return _Totals(node.cpu_ns, node.datagrams_sent, node.items_sent, node.payload_bytes)
 
     def rates_since(self, before: "_Totals", seconds: float) -> "_Totals":
-        """Return what was spent a second."""
+        """Return the increase since `before`, per second."""
         return _Totals(
             (self.cpu_ns - before.cpu_ns) / seconds,
             (self.datagrams - before.datagrams) / seconds,
@@ -40,7 +40,7 @@
 def report(
     brokers: int, leases: int, voters: int, seconds: float, seed: int, echo: Callable[[str], None]
 ) -> int:
-    """Print a fleet's figures, before and after a death; return 1 where a lease is not held again."""
+    """Print a fleet's figures before and after one broker is killed; return 1 if a lease stays unheld."""
     names = [f"n{i:03d}" for i in range(brokers)]
     world = VirtualFleet(names, names[:voters], leases, seed)
     world.run(SETTLE_S * SECOND_US)
@@ -75,12 +75,15 @@
 def _kill_busiest(
     world: VirtualFleet, lease_names: list[str], held: Counter[str], echo: Callable[[str], None]
 ) -> int:
-    """Kill who holds most leases, and wait until they are held again."""
+    """Kill the broker that holds the most leases, and wait until its leases are held again.
+
+    Returns 0 if all of them are held again within `REACQUIRE_TIMEOUT_S`, else 1.
+    """
     victim = held.most_common(1)[0][0]
     lost = [lease for lease in lease_names if victim in world.holders(lease)]
     died = world.at
     world.kill(victim)
-    reacquired: dict[str, int] = {}  # by lease: µs after the death
+    reacquired: dict[str, int] = {}  # by lease: µs after the kill
     while len(reacquired) < len(lost) and world.at < died + REACQUIRE_TIMEOUT_S * SECOND_US:
         world.run(REACQUIRE_STEP_US)
         for lease in lost:
--- a/cypressledge/lab/load.py
+++ b/cypressledge/lab/load.py
@@ -1,4 +1,4 @@
-"""A small load: JSON-RPC clients that send lookups to brokers and count the answers. Loopback only."""
+"""JSON-RPC clients that put a small load of lookups on brokers and count the answers. Loopback only."""
 
 import base64
 import json
@@ -11,17 +11,17 @@
 from gevent import socket
 
 STATEMENT = base64.b64encode(b"SELECT a, b, c FROM sales_17.orders").decode()
-WAIT_MS = 3_000  # that a client waits for an answer
-COST_MS = 20.0  # of a lookup, as its client tells it
+WAIT_MS = 3_000  # ms; how long a client waits for an answer
+COST_MS = 20.0  # ms; cost estimate that a client sends with a lookup
 CONNECT_TIMEOUT_S = 1.0
-TIMEOUT_MARGIN_S = 1  # of the socket, beyond the wait
+TIMEOUT_MARGIN_S = 1  # s that the socket timeout exceeds the client's wait
 
 
 def lookup_request(number: int, query_id: str, wait_ms: int, cost: float, statement: str) -> bytes:
-    """Return the JSON-RPC request of one lookup, framed.
+    """Return the framed JSON-RPC request of one lookup.
 
-    `number`: of the request on its connection; `cost`: what the client takes the statement's work for, ms;
-    `statement`: in base64.
+    `number`: JSON-RPC id, the request's number on its connection; `cost`: the client's estimate of the
+    statement's work, ms; `statement`: in base64.
     """
     body = json.dumps(
         {
@@ -42,32 +42,32 @@
 
 
 def answer(file: BinaryIO) -> dict:
-    """Return the next JSON-RPC answer on a connection. Raises `OSError` where there is none."""
+    """Return the next JSON-RPC answer on a connection. Raises `OSError` if the connection ends before it."""
     size = 0
     while line := file.readline().strip():
         key, _, value = line.partition(b":")
         if key.lower() == b"content-length":
             size = int(value)
     if not size:
-        raise OSError("the broker hung up")
+        raise OSError("the broker closed the connection or sent an answer without a Content-Length")
     return json.loads(file.read(size))
 
 
 class Client:
-    """Sends lookups to one broker after another, as a load balancer spreads clients; skips one that is down.
+    """A client that moves on to the next broker when its connection fails, as behind a load balancer.
 
-    `ports`: of the brokers; `pause_s`: between two lookups; `first`: the index of the port it begins with.
+    `ports`: ports of the brokers; `pause_s`: s between two lookups; `first`: index of the first port to use.
     """
 
     def __init__(self, ports: list[int], pause_s: float, first: int) -> None:
         self.ports = ports
         self.pause_s = pause_s
         self.next_port = first
-        self.counts: Counter[str] = Counter()  # served, rejected and broken
-        self.latencies: list[float] = []  # seconds, of what was served
+        self.counts: Counter[str] = Counter()  # lookups served and rejected, connections broken
+        self.latencies: list[float] = []  # s; of lookups that were served
 
     def run(self) -> None:
-        """Send one lookup after the other, each on the connection that is open; a greenlet."""
+        """Send lookups one after another, reconnecting after each failure; runs as a greenlet."""
         while True:
             port = self.ports[self.next_port % len(self.ports)]
             try:
--- a/cypressledge/lab/processes.py
+++ b/cypressledge/lab/processes.py
@@ -1,4 +1,4 @@
-"""Brokers as processes: started, stopped, killed and ended by their ids."""
+"""Broker processes that an experiment starts, pauses, terminates and kills by process id."""
 
 import json
 import os
@@ -22,16 +22,16 @@
 
 
 class ManagedProcess:
-    """A process of the program that the laboratory starts, and ends by its id."""
+    """A process of the program that an experiment starts and ends by its process id."""
 
     process: subprocess.Popen | None = None
-    stopped = False  # by SIGSTOP
-    log_start = 0  # bytes of the log that former processes wrote
+    stopped = False  # whether SIGSTOP has paused it
+    log_start = 0  # bytes; size of the log file when this process was started
 
     def launch(self, arguments: Sequence[str], log_file: Path, env: Mapping[str, str] | None = None) -> None:
-        """Start `cypressledge` with these arguments in a session of its own; its output goes on in the log.
+        """Start `cypressledge` with these arguments in its own session; append its output to the log file.
 
-        `env`: its environment; this process's where it is None.
+        `env`: its environment; None to inherit that of this process.
         """
         with open(log_file, "a", encoding="utf-8") as log:
             self.log_start = log.tell()
@@ -48,7 +48,7 @@
 
     @property
     def pid(self) -> int:
-        """The id of the process. Raises `RuntimeError` where it was never started."""
+        """The process id. Raises `RuntimeError` if the process was never started."""
         return self._started().pid
 
     def _started(self) -> subprocess.Popen:
@@ -57,25 +57,25 @@
         return self.process
 
     def running(self) -> bool:
-        """Whether the process exists, stopped or not."""
+        """Return whether the process exists, paused or not."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to this process only, not to its group; do nothing if it is not running."""
         if self.running():
             self._started().send_signal(number)
             if number in (signal.SIGSTOP, signal.SIGCONT):
                 self.stopped = number == signal.SIGSTOP
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has exited."""
         if self.running():
             self._started().kill()
             self._started().wait()
 
 
 class BrokerProcess(ManagedProcess):
-    """One broker of the program. `fleet`: the content of its fleet file, by its keys."""
+    """A broker process with its configuration files. `fleet`: content of its fleet file, by key."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         self.config_file.write_text(json.dumps(config(name, self.port, self.management, members, more)))
 
     def start(self, fleet: bool = True, more: tuple[str, ...] = (), place: dict | None = None) -> None:
-        """Start it, with or without the fleet's part.
+        """Start the broker, with `--fleet` if `fleet` is true.
 
         `more`: further arguments; `place`: environment variables that name its zone and region.
         """
@@ -103,7 +103,7 @@
         self.launch([*fleet_option, *more], self.log_file, env)
 
     def leave(self, seconds: float = 5.0) -> int | None:
-        """Send SIGTERM and return the exit code; None where it took longer and was killed."""
+        """Send SIGTERM and return the exit code; kill it and return None if it takes over `seconds`."""
         self.signal(signal.SIGTERM)
         try:
             return self._started().wait(seconds)
@@ -112,23 +112,23 @@
             return None
 
     def listening(self) -> bool:
-        """Whether it has logged, since its last start, that it listens."""
+        """Return whether it has logged since its last start that it is listening."""
         with open(self.log_file, "rb") as log:
             log.seek(self.log_start)
             return b"listening on" in log.read()
 
     def words(self) -> str:
-        """Return its log so far."""
+        """Return the text of its log file, empty if there is none."""
         return self.log_file.read_text(encoding="utf-8") if self.log_file.exists() else ""
 
     def events(self) -> list[dict]:
-        """Return the structured lines of its log."""
+        """Return the structured (JSON) lines of its log, decoded."""
         lines = [line for line in self.words().splitlines() if line.startswith("{") and line.endswith("}")]
         return [json.loads(line) for line in lines]
 
 
 class Brokers:
-    """Several broker processes with their files in one folder, a temporary one where none is named."""
+    """Several broker processes with their files in one folder, a temporary one if none is given."""
 
     def __init__(self, folder: str = "") -> None:
         self._temporary = None if folder else tempfile.TemporaryDirectory(prefix="cypressledge-lab-")
@@ -139,12 +139,12 @@
     def add(
         self, name: str, fleet: dict, members: list[dict] | None = None, more: dict | None = None
     ) -> BrokerProcess:
-        """Add one, not started yet. `more`: site settings that differ from the laboratory's."""
+        """Create a broker process without starting it. `more`: site settings in place of the defaults."""
         self.all[name] = BrokerProcess(name, self.folder, fleet, members, more)
         return self.all[name]
 
     def end(self) -> None:
-        """Kill all, and remove the folder unless it was named."""
+        """Kill all brokers, and remove the folder if it is a temporary one."""
         for broker in self.all.values():
             broker.kill()
         if self._temporary is not None:
@@ -152,7 +152,7 @@
 
 
 def until(condition: Callable[[], Result], seconds: float, pause: float = 0.02) -> Result | None:
-    """Wait until a condition is true, `seconds` at most; return its value, or None where it stayed false."""
+    """Wait at most `seconds` until a condition is true; return its value, or None if it stays false."""
     end = time.monotonic() + seconds
     while not (result := condition()):
         if time.monotonic() >= end:
@@ -163,9 +163,9 @@
 
 @cache
 def commit() -> str:
-    """Return the commit that this process began with, marked where the tree differs from it.
+    """Return the checked-out commit, marked with "+changes" if the package differs from it.
 
-    Cached, as what is changed in the tree while the process runs is not what it runs.
+    Cached, because the process keeps running the code it started with when files change later.
     """
     changed = _git("status", "--porcelain", "--", "cypressledge")
     return (_git("rev-parse", "--short=10", "HEAD") or "unknown") + ("+changes" if changed else "")
--- a/cypressledge/lab/results.py
+++ b/cypressledge/lab/results.py
@@ -1,4 +1,4 @@
-"""Files of measured slopes: JSON by msgspec's structs, each slope with what it takes to measure it again."""
+"""Results files: measured slopes and facts as JSON, each with the seed, commit and command to repeat it."""
 
 import os
 from collections.abc import Sequence
@@ -16,11 +16,11 @@
 
 
 class ResultsError(Exception):
-    """A results file can't be used; the text is one plain line."""
+    """Raised if a results file can't be used; the message is one line."""
 
 
 class Source(msgspec.Struct, frozen=True):
-    """Where figures come from. `load_average`: of the machine, over one minute, as the measurement began."""
+    """The origin of figures. `load_average`: the machine's one-minute load when the measurement began."""
 
     seed: int
     commit: str
@@ -30,14 +30,17 @@
 
 
 class CurveValue(NamedTuple):
-    """A curve's y at some x, and what it is based on."""
+    """A curve's y at some x, and whether it is measured, interpolated or extrapolated."""
 
     y: float
     basis: Basis
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A measured curve: points of y over x. `role`: whose y it is; `what`: y in words; `unit`: of y."""
+    """A measured curve: points of y over x.
+
+    `role`: the part of the system that y belongs to; `what`: description of y; `unit`: unit of y.
+    """
 
     name: str
     role: str
@@ -50,11 +53,11 @@
 
     @property
     def residual(self) -> float:
-        """The fit's residual, as a part of the mean y."""
+        """The fit's residual, relative to the mean of the absolute y."""
         return self.fit.residual
 
     def at(self, x: float) -> CurveValue:
-        """Return y at x: a point's, between two points on the straight line, beyond them the fit's."""
+        """Return y at x: measured at a point, interpolated linearly between points, else from the fit."""
         for (x0, y0), (x1, y1) in pairwise(self.points):
             if x0 <= x <= x1:
                 y = y0 + (y1 - y0) * (x - x0) / (x1 - x0)
@@ -63,7 +66,7 @@
 
 
 class Fact(msgspec.Struct, frozen=True):
-    """A single figure that is measured but no slope."""
+    """A single measured figure that is not part of a slope."""
 
     name: str
     what: str
@@ -76,7 +79,10 @@
 
 
 class Results(msgspec.Struct):
-    """One file. `quick`: with fewer and smaller points, for tests; no figure of such a file is for a page."""
+    """The content of a results file.
+
+    `quick`: measured with fewer and smaller points, for tests; its figures must not be published in pages.
+    """
 
     quick: bool
     slopes: list[Slope] = []
@@ -84,7 +90,7 @@
 
 
 def source(seed: int, command: str) -> Source:
-    """Return the source of a measurement that begins now."""
+    """Return the source of a measurement that begins now, with the present commit, time and load average."""
     date = datetime.now(UTC).isoformat(timespec="seconds")
     return Source(seed, commit(), date, round(os.getloadavg()[0], 2), command)
 
@@ -92,21 +98,22 @@
 def slope(
     name: str, role: str, what: str, unit: str, x: str, points: Sequence[tuple[float, float]], source: Source
 ) -> Slope:
-    """Return a curve with its fit, points in order of x and rounded to six digits."""
+    """Return a slope with its fit; its points are sorted by x, and y is rounded to six significant digits."""
     ordered = sorted((float(a), float(f"{b:.6g}")) for a, b in points)
     return Slope(name, role, what, unit, x, ordered, best(ordered), source)
 
 
 def write(path: str, results: Results) -> None:
-    """Write a results file, indented so that differences are readable."""
+    """Write a results file, indented so that diffs are readable."""
     raw = msgspec.json.format(msgspec.json.encode(results), indent=1)
     Path(path).write_bytes(raw + b"\n")
 
 
 def read(paths: list[str]) -> Results:
-    """Read several files as one.
+    """Read several results files and merge them.
 
-    Raises `ResultsError` with one line that names the file and the mistake.
+    Raises `ResultsError`, with one line that names the file and the error, if a file can't be read or decoded
+    or if a slope or fact occurs more than once.
     """
     slopes: dict[str, Slope] = {}
     facts: dict[str, Fact] = {}
@@ -127,5 +134,5 @@
 def _add(known: dict[str, Figure], figures: list[Figure], path: str) -> None:
     for figure in figures:
         if figure.name in known:
-            raise ResultsError(f"{path}: {figure.name} is there twice")
+            raise ResultsError(f"{path}: {figure.name} occurs more than once in the results files")
         known[figure.name] = figure
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -1,9 +1,9 @@
-"""Many simulated brokers in one process: the control plane's real client code, and no statements.
+"""Many simulated brokers in one process, with the control plane's real client code and without statements.
 
-`python -m cypressledge.lab.simulated_broker`, started by the capacity run. Commands come as JSON lines on
-standard input, reports go as JSON lines to standard output (`simulated_broker_messages.py`); the end of the
-input ends the process. Each simulated broker is a `SubscriberClient` and, where `members` is given, a
-`FleetNode` whose peers are those of the state.
+The capacity run starts it as `python -m cypressledge.lab.simulated_broker`. It reads commands as JSON lines
+from standard input and writes reports as JSON lines to standard output (`simulated_broker_messages.py`); it
+exits at the end of its input. Each simulated broker is a `SubscriberClient` and, if `members` is given, a
+`FleetNode` whose peers are the brokers in the control plane's state.
 """
 
 from __future__ import annotations
@@ -47,16 +47,16 @@
     from cypressledge.fleet.node import FleetNode
 
 FIGURES_INTERVAL_S = 1.0
-WAKE_UP_INTERVAL_S = 0.05  # between two looks at how late the process wakes up
+WAKE_UP_INTERVAL_S = 0.05  # s; sleep whose overrun is measured as the process's wake-up delay
 DRIFT_PPM = 10_000
-READ_BYTES = 65_536  # of commands, at once
-COUNTED_PREFIXES = ("control.", "fleet.")  # of the counters that are reported
+READ_BYTES = 65_536  # maximum bytes of commands read at once
+COUNTED_PREFIXES = ("control.", "fleet.")  # prefixes of the counters that are reported
 
 
 class FilteredInbox(deque[Envelope]):
-    """An inbox that takes nothing from senders beyond a cut.
+    """An inbox that drops envelopes from senders that are cut off.
 
-    Guards against a cut that would need a proxy for each two of all brokers.
+    Without it, a network cut between regions would need a proxy for each pair of brokers.
     """
 
     def __init__(self, is_cut_off: Callable[[str], bool]) -> None:
@@ -64,32 +64,32 @@
         self.is_cut_off = is_cut_off
 
     def append(self, envelope: Envelope) -> None:
-        """Take an envelope, unless its sender is cut off."""
+        """Append an envelope, unless its sender is cut off."""
         if not self.is_cut_off(envelope.sender):
             super().append(envelope)
 
 
 class _CountingSocket:
-    """A datagram socket that counts its bytes, both ways."""
+    """A datagram socket that counts the bytes it sends and receives."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.bytes = 0
 
     def sendto(self, raw: bytes, to: tuple[str, int]) -> int:
-        """Send as a socket does."""
+        """Send a datagram, count its bytes and return what the socket returns."""
         self.bytes += len(raw)
         return self.sock.sendto(raw, to)
 
     def recvfrom(self, size: int) -> tuple[bytes, tuple[str, int]]:
-        """Receive as a socket does."""
+        """Receive a datagram, count its bytes and return it with its source address."""
         raw, source = self.sock.recvfrom(size)
         self.bytes += len(raw)
         return raw, source
 
 
 class CountingGeventSocket:
-    """What a transport needs of its gevent socket, with the bytes counted on the socket within (`_sock`)."""
+    """The part of a gevent socket that a transport uses; its inner socket (`_sock`) counts the bytes."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -97,20 +97,20 @@
 
     @property
     def bytes(self) -> int:
-        """Bytes that were sent and received."""
+        """The number of bytes sent and received."""
         return self._sock.bytes
 
     def fileno(self) -> int:
-        """Return the descriptor to wait on."""
+        """Return the file descriptor to wait on."""
         return self.sock.fileno()
 
     def close(self) -> None:
-        """Close the socket."""
+        """Close the wrapped gevent socket."""
         self.sock.close()
 
 
 class SimulatedBroker:
-    """One broker without statements."""
+    """A simulated broker: a control plane client and optionally a fleet member, without statements."""
 
     def __init__(self, command: StartCommand, settings: ControlSettings, host: SimulatedBrokers) -> None:
         self.name = command.broker
@@ -137,7 +137,7 @@
     def _join(self, members: MembersSettings) -> None:
         """Become a member of the fleet.
 
-        The imports are here, as the memory of brokers that are no members is measured, too.
+        The imports are local, because the memory of brokers that are not members is measured as well.
         """
         from cypressledge.fleet.leases.electorate import Electorate
         from cypressledge.fleet.leases.lease import LeaseSlot
@@ -168,10 +168,10 @@
         return self.host.is_cut and self.host.regions.get(sender, self.region) != self.region
 
     def _on_change(self, state: FleetState, change: Change | None) -> None:
-        """Take peers and regions from the state.
+        """Update peers and regions from the state if a change concerns a broker's key.
 
-        Guards against work at each change of a setting: peers are read where a broker's key is touched, and
-        by the first only of those that share this process's knowledge of regions.
+        Changes of other keys are ignored to save work. Simulated brokers that are not members of the fleet
+        need no peers, and the first of them to see a version updates the regions of the whole process.
         """
         if change is not None and not any(op.key.startswith("broker/") for op in change.ops):
             return
@@ -186,11 +186,11 @@
             self.node.set_peers(addresses | {self.name: parse_address(self.address)})
 
     def bytes(self) -> int:
-        """Return the bytes sent and received, over the control plane and among members."""
+        """Return the bytes sent and received over the control plane and between members."""
         return sum(self.client.traffic.bytes.values()) + (self.sock.bytes if self.sock else 0)
 
     def counts(self) -> Counter[str]:
-        """Return its counters of control plane and fleet, and its frames by kind."""
+        """Return the broker's control plane and fleet counters, and its frames by kind."""
         counts = Counter({f"frames.{kind}": count for kind, count in self.client.traffic.frames.items()})
         for name, count in self.counters.counts.items():
             if name.startswith(COUNTED_PREFIXES):
@@ -198,7 +198,7 @@
         return counts
 
     def kill(self) -> None:
-        """End it without a word to anyone."""
+        """Stop the broker without notifying its peers or the control plane, as a killed process would."""
         self.client.stop()
         if self.node is not None:
             self.node.close()
@@ -206,21 +206,21 @@
 
 
 class SimulatedBrokers:
-    """The process's simulated brokers, its commands and figures."""
+    """All simulated brokers of this process; executes commands and reports figures."""
 
     def __init__(self, send: Callable[[Report], None]) -> None:
         self.send = send
         self.brokers: dict[str, SimulatedBroker] = {}
         self.settings: dict[str, ControlSettings] = {}  # by file
-        self.regions: dict[str, str] = {}  # of brokers, by name
-        self.regions_version = 0  # of the state that they are of
+        self.regions: dict[str, str] = {}  # region of each broker, by name
+        self.regions_version = 0  # version of the state that `regions` was read from
         self.is_cut = False
-        self.killed_bytes = 0  # of brokers that were killed
+        self.killed_bytes = 0  # bytes sent and received by brokers that were killed
         self.killed_counts: Counter[str] = Counter()
-        self.late: list[float] = []  # s of wake-ups since the last figures
+        self.late: list[float] = []  # s; delay of each wake-up since the last figures
 
     def execute(self, command: Command) -> None:
-        """Execute one command."""
+        """Start or kill a broker, or cut or heal the network between regions."""
         if isinstance(command, StartCommand):
             self._start(command)
         elif isinstance(command, KillCommand):
@@ -245,7 +245,7 @@
         self.send(BrokerKilled(broker.name, broker.run, LeaseClock().now()))
 
     def figures(self) -> ProcessFigures:
-        """Return what the process has done so far, and how late it woke up since the last time (s)."""
+        """Return the process's totals so far and its longest wake-up delay (s) since the last call."""
         counts = Counter(self.killed_counts)
         for broker in self.brokers.values():
             counts.update(broker.counts())
@@ -263,7 +263,7 @@
         return [broker.node for broker in self.brokers.values() if broker.node is not None]
 
     def _fewest_alive(self) -> int:
-        """Return the fewest members that any broker here has for alive, itself counted."""
+        """Return the smallest number of members that any node here considers alive, itself included."""
         return min((len(node.alive()) for node in self._nodes()), default=0)
 
     def _leases_held(self) -> int:
@@ -271,7 +271,7 @@
         return sum(len(node.lease_manager.held_leases(now)) for node in self._nodes())
 
     def measure_lateness(self) -> None:
-        """Note how late this process wakes up; a greenlet."""
+        """Record continuously how late this process wakes up; runs as a greenlet."""
         while True:
             due = time.monotonic() + WAKE_UP_INTERVAL_S
             gevent.sleep(WAKE_UP_INTERVAL_S)
@@ -303,7 +303,8 @@
 def read_lines(descriptor: int) -> Iterator[bytes]:
     """Yield the complete lines of a descriptor until its end.
 
-    Guards against a turn of all brokers for each line: what has come is read at once.
+    Reads all available bytes at once: waiting for each line separately would run all brokers between two
+    lines.
     """
     make_nonblocking(descriptor)
     rest = b""
--- a/cypressledge/lab/simulated_broker_messages.py
+++ b/cypressledge/lab/simulated_broker_messages.py
@@ -1,10 +1,10 @@
-"""What a capacity run and a process of simulated brokers send each other, as JSON lines."""
+"""The messages between a capacity run and a process of simulated brokers, sent as JSON lines."""
 
 import msgspec
 
 
 class MembersSettings(msgspec.Struct, frozen=True):
-    """How simulated brokers are members of a fleet: their ping interval, voters and leases."""
+    """Fleet settings of simulated brokers: ping interval, lease term, voters and leases."""
 
     ping_s: float
     term_s: float
@@ -13,7 +13,7 @@
 
 
 class StartCommand(msgspec.Struct, frozen=True, tag_field="do", tag="start"):
-    """Starts one broker. `settings`, `record`: files; `address`: of its fleet socket."""
+    """Starts one broker. `settings`, `record`: file paths; `address`: address of its fleet socket."""
 
     broker: str
     zone: str
@@ -25,17 +25,17 @@
 
 
 class KillCommand(msgspec.Struct, frozen=True, tag_field="do", tag="kill"):
-    """Ends one broker without a word to anyone."""
+    """Kills one broker, which notifies neither its peers nor the control plane."""
 
     broker: str
 
 
 class CutCommand(msgspec.Struct, frozen=True, tag_field="do", tag="cut"):
-    """Lets nothing pass between members in different regions."""
+    """Drops all datagrams between members in different regions."""
 
 
 class HealCommand(msgspec.Struct, frozen=True, tag_field="do", tag="heal"):
-    """Lets everything pass between members again."""
+    """Ends a cut: datagrams pass between all members again."""
 
 
 Command = StartCommand | KillCommand | CutCommand | HealCommand
@@ -58,14 +58,17 @@
 
 
 class MembersFigures(msgspec.Struct, frozen=True, array_like=True):
-    """The fewest members that any broker of the process has for alive, and the leases held in it."""
+    """The smallest number of members that a broker of the process considers alive, and its held leases.
+
+    `leases_held`: number of leases that brokers of the process hold.
+    """
 
     fewest_alive: int
     leases_held: int
 
 
 class ProcessFigures(msgspec.Struct, frozen=True, tag_field="event", tag="figures"):
-    """What a process has done by `at`, µs. `late`: the most that it has lately woken up late, s."""
+    """A process's totals at `at` (µs). `late`: its longest wake-up delay since the previous report, s."""
 
     at: int
     brokers: int
--- a/cypressledge/lab/site.py
+++ b/cypressledge/lab/site.py
@@ -1,12 +1,12 @@
-"""A plain site's configuration for brokers that the laboratory starts, and free ports of the loopback."""
+"""The site configuration of brokers that experiments start, and free ports on the loopback."""
 
 import random
 import socket
 from typing import Any
 
-RESERVED_PORTS: set[int] = set()  # that `free_port` has returned
+RESERVED_PORTS: set[int] = set()  # ports that `free_port` has returned
 PORT_ATTEMPTS = 1_000
-FIRST_PORT, END_PORT = 15_000, 32_000  # below the range that the system gives to clients' sockets
+FIRST_PORT, END_PORT = 15_000, 32_000  # below the system's ephemeral port range
 
 SETTINGS: dict[str, Any] = {
     "Classes": [
@@ -82,10 +82,10 @@
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """Return a port of the loopback that is free now. Raises `OSError` where none is found.
+    """Return a port of the loopback that is free now. Raises `OSError` if none is found.
 
-    Guards against one that is taken before it is used: none from the range that the system gives to clients'
-    sockets, and none twice.
+    Returns no port from the system's ephemeral range and no port twice, so that another socket does not take
+    the port before the caller binds it.
     """
     for _ in range(PORT_ATTEMPTS):
         port = random.SystemRandom().randrange(FIRST_PORT, END_PORT)
@@ -97,7 +97,7 @@
         if port not in RESERVED_PORTS:
             RESERVED_PORTS.add(port)
             return port
-    raise OSError("no free port")
+    raise OSError(f"no free port on 127.0.0.1 from {FIRST_PORT} to {END_PORT - 1}")
 
 
 def config(
@@ -105,7 +105,7 @@
 ) -> dict:
     """Return a broker's configuration.
 
-    `members`: its engines, as the directory would list them; `more`: site settings in place of `SETTINGS`.
+    `members`: its engines, as the directory lists them; `more`: site settings that override `SETTINGS`.
     """
     return {
         "name": name,
--- a/cypressledge/lab/tcp_proxy.py
+++ b/cypressledge/lab/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy for TCP connections that can be cut, silently or by a reset. Loopback sockets only."""
+"""A TCP proxy whose connections can be cut, by dropping bytes silently or by closing. Loopback only."""
 
 import contextlib
 
@@ -7,16 +7,17 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-CHUNK_BYTES = 65_536  # read at once
-CONNECT_TIMEOUT_S = 2.0  # to the target
+CHUNK_BYTES = 65_536  # maximum bytes read at once
+CONNECT_TIMEOUT_S = 2.0  # s; timeout of connections to the target
 
 SocketPair = tuple[socket.socket, socket.socket]
 
 
 class TcpProxy:
-    """One address on the loopback whose connections are forwarded to `target`, unless the proxy is cut.
+    """A loopback address whose connections are forwarded to `target`, unless the proxy is cut.
 
-    A cut is "silent" (bytes stall, as over a path that drops everything) or "reset" (connections end).
+    A cut is "silent" (bytes stall, as on a network path that drops all packets) or "reset" (connections are
+    closed).
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -26,8 +27,8 @@
         self.connected = Event()  # set unless cut
         self.connected.set()
         self.pairs: set[SocketPair] = set()  # client's and target's socket of each connection
-        self.stale: set[SocketPair] = set()  # open when it was cut: closed by the heal, never resumed
-        self.bytes = 0  # forwarded, both ways
+        self.stale: set[SocketPair] = set()  # open at a silent cut; `heal` closes them, they never resume
+        self.bytes = 0  # bytes forwarded in both directions
         self.server = StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
 
@@ -47,7 +48,7 @@
             self.stale = set(self.pairs)
 
     def heal(self) -> None:
-        """Forward new connections again; close those that stalled."""
+        """End the cut: forward new connections again and close those that stalled."""
         self.is_cut = False
         stale, self.stale = self.stale, set()
         self._close_pairs(stale)
@@ -56,7 +57,7 @@
     def _serve(self, client: socket.socket, _peer: tuple[str, int]) -> None:
         if self.is_cut and self.cut_mode == "reset":
             return
-        self.connected.wait()  # silent: accepted by the system, and nothing follows until the heal
+        self.connected.wait()  # silent cut: the connection is accepted, but not forwarded until `heal`
         try:
             server = socket.create_connection(self.target, CONNECT_TIMEOUT_S)
         except OSError:
@@ -83,7 +84,7 @@
                 destination.sendall(data)
             destination.shutdown(socket.SHUT_WR)
         except OSError:
-            # Guards against a half that waits forever for a peer that was reset.
+            # Shut down both sockets, else the other direction would wait forever for a peer that was reset.
             self._shut_down(source, destination)
 
     def _close_pairs(self, pairs: set[SocketPair]) -> None:
--- a/cypressledge/lab/udp_proxy.py
+++ b/cypressledge/lab/udp_proxy.py
@@ -1,4 +1,4 @@
-"""UDP proxies between processes, which drop, delay, duplicate and reorder datagrams on the loopback."""
+"""UDP proxies that drop, delay, duplicate and reorder datagrams between processes on the loopback."""
 
 import random
 from collections.abc import Callable
@@ -7,14 +7,15 @@
 import gevent
 from gevent import socket
 
-DATAGRAM_LIMIT = 65_536  # bytes; more than UDP carries
+DATAGRAM_LIMIT = 65_536  # bytes; exceeds the maximum size of a UDP datagram
 
 
 @dataclass(slots=True)
 class LinkConditions:
-    """How one direction between two brokers behaves.
+    """The conditions of one direction of the link between two brokers.
 
-    `loss` and `copies` are probabilities of a datagram; `delay` is a range in seconds, drawn from evenly.
+    `loss`, `copies`: probabilities that a datagram is dropped or duplicated; `delay`: range in seconds, from
+    which each delay is drawn uniformly.
     """
 
     cut: bool = False
@@ -24,14 +25,17 @@
 
 
 class UdpProxies:
-    """A proxy for each ordered pair: what `a` sends to `address(a, b)` reaches `b` if the link lets it."""
+    """One proxy for each ordered pair; it forwards to `b` what `a` sends to `address(a, b)`.
+
+    The `LinkConditions` of the pair decide whether and when a datagram is forwarded.
+    """
 
     def __init__(
         self, ports: dict[str, int], seed: int, between: Callable[[str, str], bool] = lambda source, to: True
     ) -> None:
         """Open the proxies.
 
-        `ports`: by name, the UDP port of each process. `between`: which pairs have a proxy, by default all.
+        `ports`: UDP port of each process, by name; `between`: whether a pair has a proxy, by default all do.
         """
         self.ports, self.random = ports, random.Random(seed)
         self.paths = {
@@ -50,7 +54,7 @@
             self.greenlets.append(gevent.spawn(self._run, pair, sock))
 
     def address(self, source: str, to: str) -> str:
-        """Where `source` has to send datagrams meant for `to`, HOST:PORT."""
+        """Return the address (HOST:PORT) to which `source` must send datagrams meant for `to`."""
         return f"127.0.0.1:{self.sockets[source, to].getsockname()[1]}"
 
     def _run(self, pair: tuple[str, str], sock: socket.socket) -> None:
@@ -81,7 +85,7 @@
         try:
             self.sender.sendto(raw, target)
         except OSError:
-            self.dropped += 1  # nobody listens there just now
+            self.dropped += 1  # no process is listening on the target port
 
     def heal(self) -> None:
         """Restore all links to their undisturbed state."""
--- a/cypressledge/lab/virtual_fleet.py
+++ b/cypressledge/lab/virtual_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time: members and leases as the program has them, a network that loses and delays.
+"""A simulated fleet in virtual time: the program's membership and lease code on a lossy, delaying network.
 
-No sockets and no real clocks: what a broker would send goes through a queue of events. Seeded, so a run is
-the same each time. Used for sizes that one machine can't start as processes, and for long random schedules.
+There are no sockets and no real clocks: datagrams pass through an event queue. Runs are seeded and therefore
+reproducible. Used for fleets too large to start as processes on one machine, and for long random schedules.
 """
 
 import heapq
@@ -18,12 +18,12 @@
 from cypressledge.fleet.messages import VERSION, Ack, Envelope, IndirectPing, Ping, encode
 
 SECOND_US = 1_000_000
-RECEIVE_BATCH_US = 10_000  # that a broker takes datagrams together for, as the program does
+RECEIVE_BATCH_US = 10_000  # µs during which a broker collects datagrams before a turn, as in the program
 MAX_INBOX = 1_024  # datagrams
 
 
 class Datagram(NamedTuple):
-    """A datagram on its way: its sender with its incarnation and oldest accepted voter set, and its items."""
+    """A datagram in transit, with the sender's incarnation and oldest accepted voter set."""
 
     sender: str
     incarnation: int
@@ -32,7 +32,7 @@
 
 
 class VirtualNode:
-    """One broker: members and leases, on a clock of its own."""
+    """One broker's membership and leases, with a clock of its own."""
 
     def __init__(self, world: "VirtualFleet", name: str, run: int) -> None:
         self.world = world
@@ -42,7 +42,7 @@
         self.inbox: list[Datagram] = []
         self.queues: dict[str, list[Any]] = {}  # by peer: items to send
         self.paused_until = 0  # µs of true time
-        self.next_due = 0  # when its next turn is due, µs of true time
+        self.next_due = 0  # µs of true time; when its next turn is due
         self.cpu_ns = 0
         self.datagrams_sent = 0
         self.items_sent = 0
@@ -67,7 +67,7 @@
         self.world.on_lease_event(self.world, self, event, lease, token, reason)
 
     def now(self) -> int:
-        """Return the time on this node's clock, µs."""
+        """Return the time (µs) of this node's clock."""
         return round(self.world.at * self.rate) + 7 * SECOND_US
 
     def send(self, peer: str, item: object) -> None:
@@ -75,7 +75,7 @@
         self.queues.setdefault(peer, []).append(item)
 
     def turn(self) -> int:
-        """Take one turn; return when the next is due, µs of true time."""
+        """Process the inbox and timers, and send; return when the next turn is due, µs of true time."""
         began = time.thread_time_ns()
         now = self.now()
         inbox, self.inbox = self.inbox, []
@@ -120,10 +120,11 @@
 
 
 class VirtualFleet:
-    """All nodes and the network.
+    """All nodes and the network between them.
 
-    `cut`: pairs (from, to) that nothing passes; `loss`, `copies`: probabilities of a datagram; `delay`: µs,
-    from and to. `on_lease_event` is called with the fleet, the node, an event, its lease, token and reason.
+    `cut`: pairs (from, to) between which all datagrams are dropped; `loss`, `copies`: probabilities that a
+    datagram is lost or duplicated; `delay`: minimum and maximum, µs. `on_lease_event` is called with the
+    fleet, the node, an event, its lease, token and reason.
     """
 
     def __init__(
@@ -139,7 +140,7 @@
         self.names = names
         self.term = term  # µs
         self.drift = drift  # parts in a million
-        self.rates = rates or {}  # of nodes' clocks, by name
+        self.rates = rates or {}  # clock rate of each node relative to true time, by name; 1.0 if absent
 
         self.random = random.Random(seed)
         self.voter_sets = {1: tuple(voters)}
@@ -151,7 +152,7 @@
         self.loss = 0.0
         self.copies = 0.0
         self.delay = (100, 2_000)
-        self.wall_step = 0  # µs that wall clocks have been stepped by
+        self.wall_step = 0  # µs by which all wall clocks have been stepped
         self.instance_ids = itertools.count(1)
         self.on_lease_event: Callable[..., object] = lambda *event: None
         self.nodes: dict[str, VirtualNode] = {}
@@ -159,20 +160,20 @@
             self.start(name)
 
     def wall(self) -> int:
-        """Return the time of a wall clock that may have been stepped, µs."""
+        """Return the wall clock time (µs), including any step."""
         return 1_700_000_000 * SECOND_US + self.at + self.wall_step
 
     def start(self, name: str) -> None:
-        """Start a process; one of that name that runs is gone."""
+        """Start a node; a running node of the same name is replaced."""
         node = self.nodes[name] = VirtualNode(self, name, next(self.instance_ids))
         self._schedule(self.at + self.random.randrange(1_000), "turn", node)
 
     def kill(self, name: str) -> None:
-        """End a process without a word to anyone."""
+        """Remove a node without notifying the others."""
         del self.nodes[name]
 
     def carry(self, source: str, to: str, datagram: Datagram) -> None:
-        """Pass a datagram on, after a delay, unless it is lost."""
+        """Deliver a datagram after a delay, unless it is lost or the link is cut; it may be duplicated."""
         if (source, to) in self.cut:
             return
         for _ in range(2 if self.copies and self.random.random() < self.copies else 1):
@@ -184,11 +185,11 @@
         heapq.heappush(self.events, (when, next(self.event_numbers), kind, argument))
 
     def call(self, after: int, callback: Callable[[], None]) -> None:
-        """Call back at a later moment, µs from now."""
+        """Schedule a call of `callback` in `after` µs."""
         self._schedule(self.at + after, "call", callback)
 
     def run(self, span: int) -> None:
-        """Let time pass."""
+        """Advance true time by `span` µs and process all events in it."""
         end = self.at + span
         while self.events and self.events[0][0] <= end:
             self.at, _, kind, argument = heapq.heappop(self.events)
@@ -201,7 +202,7 @@
         self.at = end
 
     def _is_running(self, node: VirtualNode) -> bool:
-        """Whether a node is neither gone nor replaced by one of its name."""
+        """Return whether a node has been neither removed nor replaced by another of the same name."""
         return self.nodes.get(node.name) is node
 
     def _receive(self, to: str, datagram: Datagram) -> None:
@@ -217,13 +218,13 @@
             self._schedule(node.paused_until, "turn", node)
             return
         due = node.turn()
-        # A turn that datagrams bring comes earlier; a late duplicate of one is harmless.
+        # Datagrams can cause an earlier turn; that the turn already scheduled then runs as well is harmless.
         if node.next_due <= self.at or due < node.next_due:
             node.next_due = due
             self._schedule(due, "turn", node)
 
     def holders(self, lease: str) -> list[str]:
-        """Return who believes in holding a lease now, by its own clock."""
+        """Return the nodes that consider themselves holders of a lease now, each by its own clock."""
         return [
             name
             for name, node in self.nodes.items()
