--- a/cypressledge/lab/scaling/__init__.py
+++ b/cypressledge/lab/scaling/__init__.py
@@ -1,6 +1,6 @@
-"""Scaling: what each part of the program costs against the fleet's size, as points, fits and their source.
+"""Cost of each part of the program as a function of the fleet's size, as points, fits and their source.
 
-Processor time is the thread's own (`thread_time`) or a process's from /proc, so that others on the machine
-disturb it little; each point is one run. What runs is the program's own code; fakes are named where they are.
-Bytes of datagrams count 28 of UDP and IP each. KB are 1,000 bytes.
+Processor time is that of the thread (`thread_time`) or of a process (from /proc), so that other processes on
+the machine affect it little; each point is one run. The measured code is the program's own; docstrings name
+the fakes. Datagram sizes include 28 bytes of UDP and IP headers each. 1 KB is 1,000 bytes.
 """
--- a/cypressledge/lab/scaling/broker_process_costs.py
+++ b/cypressledge/lab/scaling/broker_process_costs.py
@@ -1,4 +1,4 @@
-"""A real broker on the loopback: memory, descriptors and processor time against its clients and engines."""
+"""Memory, descriptors and processor time of a real broker on the loopback, by its clients and engines."""
 
 import base64
 import json
@@ -19,19 +19,19 @@
 from cypressledge.lab.scaling.measuring import CurveFamily, Findings
 
 ROLE = "broker, request path"
-SOCKETS = 8_192  # the broker's own limit in its file; what the system allows binds as well
+SOCKETS = 8_192  # socket limit in the broker's configuration; the system's limit applies as well
 MEMORY_MB = 512
 START_TIMEOUT_S = 30
 CLIENTS = 16
-PAUSE_S = 0.02  # of each client between statements: about 500 statements/s
+PAUSE_S = 0.02  # s; each client's pause between statements, for about 500 statements/s in total
 IDLE_ENGINES = 4
-IDLE_S = 0.5  # in which nobody asks
+IDLE_S = 0.5  # s; period without requests in which idle processor time is measured
 WARM_UP_S = 1.0
 CONNECT_TIMEOUT_S = 5.0
 
 
 def process_ms(broker: BrokerProcess) -> float:
-    """Return the processor time of the process so far, ms, as the kernel's scheduler counts it."""
+    """Return the processor time (ms) of the process so far, as counted by the kernel's scheduler."""
     tasks = Path(f"/proc/{broker.pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e6
 
@@ -43,7 +43,10 @@
 
 @contextmanager
 def broker_with_engines(count: int) -> Iterator[BrokerProcess]:
-    """Run a broker without the fleet's part before so many fake engines; it is ended whatever happens."""
+    """Run a broker without `--fleet` and with `count` fake engines; stop all of them on exit.
+
+    Raises `RuntimeError` with the end of the log if the broker does not start.
+    """
     engines = [LabEngine(f"s-{i + 1}", "room1", 0.005) for i in range(count)]
     brokers = Brokers()
     try:
@@ -62,7 +65,7 @@
 
 
 def _connect(port: int) -> socket.socket:
-    """Open a connection and have one lookup answered on it: without one it would be closed after 2 s."""
+    """Open a connection and complete one lookup on it: the broker closes one without a lookup after 2 s."""
     sock = socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S)
     sock.settimeout(CONNECT_TIMEOUT_S)
     query_id = base64.b16encode(sock.getsockname()[1].to_bytes(4, "big")).decode()
@@ -73,16 +76,16 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleCost:
-    """What open and idle client connections cost a broker."""
+    """The cost of open, idle client connections to a broker."""
 
     memory_mb: float
     descriptors: int
     cpu_ms_per_s: float
-    connect_ms: float  # processor time of each of the last connections, with its one lookup
+    connect_ms: float  # processor time of each newly opened connection, including its one lookup
 
 
 def idle_costs(counts: tuple[int, ...]) -> dict[int, IdleCost]:
-    """Measure one broker with more and more idle connections; return the costs by their number."""
+    """Measure one broker with an increasing number of idle connections; return the costs by that number."""
     costs: dict[int, IdleCost] = {}
     with broker_with_engines(IDLE_ENGINES) as broker:
         connections: list[socket.socket] = []
@@ -103,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingCost:
-    """What statements cost a broker as a process."""
+    """The cost of statements for a broker process."""
 
     statement_ms: float  # processor time
     statements_per_s: float
@@ -111,7 +114,7 @@
 
 
 def serving_cost(engines: int, seconds: float) -> ServingCost:
-    """Measure one broker under a small load. Raises `RuntimeError` where it serves nothing."""
+    """Measure one broker under a small load. Raises `RuntimeError` if it serves no lookup."""
     with broker_with_engines(engines) as broker:
         descriptors_before = descriptors(broker)
         clients = [Client([broker.port], PAUSE_S, 0) for _ in range(CLIENTS)]
@@ -127,7 +130,7 @@
         engine_connections = descriptors(broker) - descriptors_before - len(clients)
         gevent.killall(greenlets)
     if not served:
-        raise RuntimeError("the broker served nothing")
+        raise RuntimeError(f"the broker served no lookup in {seconds:g} s with {engines} engines")
     return ServingCost(ms / served, served / took, engine_connections)
 
 
@@ -136,7 +139,7 @@
 
 
 def broker_process_costs(quick: bool, seed: int, source: Source) -> Findings:
-    """Measure one broker as a process, idle and serving; `quick`: few and small points."""
+    """Measure one broker process, idle and serving; `quick`: few and small points."""
     idle = idle_costs((50, 100) if quick else (100, 200, 400, 600))
     engine_counts = (4, 8) if quick else (4, 8, 16, 32)
     serving = {engines: serving_cost(engines, 1.0 if quick else 4.0) for engines in engine_counts}
@@ -147,7 +150,7 @@
 
 
 def _idle_curves(costs: dict[int, IdleCost], source: Source) -> Iterator[Slope]:
-    """Yield the curves over idle client connections."""
+    """Yield the curves by the number of idle client connections."""
     family = CurveFamily(ROLE, "client connections", source)
     memory = [(connections, cost.memory_mb) for connections, cost in costs.items()]
     yield family.curve("clients_mb", "memory of the process", "MB", memory)
@@ -160,7 +163,7 @@
 
 
 def _serving_curves(costs: dict[int, ServingCost], source: Source) -> Iterator[Slope]:
-    """Yield the curves over engines, of a broker under a small load."""
+    """Yield the curves of a broker under a small load, by the number of engines."""
     family = CurveFamily(ROLE, "engines", source)
     statement = [(engines, cost.statement_ms) for engines, cost in costs.items()]
     what = "the whole broker, a statement of JSON-RPC and lines"
--- a/cypressledge/lab/scaling/decision_costs.py
+++ b/cypressledge/lab/scaling/decision_costs.py
@@ -1,4 +1,4 @@
-"""The decisions alone: processor time and memory against engines, peers and tables."""
+"""Processor time and memory of the decisions alone, by the number of engines, peers and tables."""
 
 import gc
 import tracemalloc
@@ -20,23 +20,23 @@
 from cypressledge.lab.scaling.statement_stream import WORK_US, StatementStream, workload_manager
 
 ROLE = "broker, request path"
-TABLES = 40  # groups of them
+TABLES = 40  # number of table groups
 WARM_UP_S = 0.5
-SHORT_RUN_DIVISOR = 5  # of those that many tables take: one table, and a fleet's size, are measured for less
+SHORT_RUN_DIVISOR = 5  # one table and the fleet's size are measured for a fifth of the time of many tables
 ONE_TABLE_ROUNDS = 3
-PEER_ENGINES = 60  # before which the fleet's size is measured
+PEER_ENGINES = 60  # number of engines in the measurement by the fleet's size
 
 
 def brokers_for(engines: int) -> int:
-    """Return the brokers of a fleet that loads each engine as the target does."""
+    """Return the number of brokers with which each engine has the load that it has in the target fleet."""
     return max(1, round(engines * TARGET_BROKERS / ENGINE_COUNTS[-1]))
 
 
 @dataclass(frozen=True, slots=True)
 class StatementCost:
-    """What statements cost a manager, and what became of them.
+    """The cost of statements for a manager, the engines used and the part of the statements given up.
 
-    `cpu_ms`: of each round the processor time of one statement, in rising order.
+    `cpu_ms`: processor time of one statement in each round, in ascending order.
     """
 
     cpu_ms: list[float]
@@ -57,9 +57,10 @@
 def statement_costs(
     sizes: tuple[int, ...], tables: int, seconds: float, rounds: int, seed: int
 ) -> dict[int, StatementCost]:
-    """Measure statements before so many engines, by their number.
+    """Measure statements with each number of engines in `sizes`; return the costs by that number.
 
-    All sizes take turns, so that the machine's ups and downs, which last for minutes, meet all of them alike.
+    The rounds of all sizes alternate, so that changes in the speed of the machine, which last for minutes,
+    affect all sizes equally.
     """
     streams = {
         size: StatementStream(workload_manager(size, brokers_for(size), seed), tables, seed) for size in sizes
@@ -82,7 +83,7 @@
 
 
 def manager_kb(engines: int, seed: int) -> float:
-    """Return what a manager holds after half a second of statements, KB of Python's allocations."""
+    """Return the memory (KB of Python allocations) of a manager after `WARM_UP_S` of statements."""
     gc.collect()
     tracemalloc.start()
     stream = StatementStream(workload_manager(engines, brokers_for(engines), seed), 40, seed)
@@ -94,7 +95,7 @@
 
 
 def engine_list_ms(engines: int, seed: int) -> float:
-    """Return the ms that a complete list without a change takes, and the first statement after it."""
+    """Return the processor time (ms) of a complete but unchanged list and the first statement after it."""
     manager = workload_manager(engines, brokers_for(engines), seed)
     received = c.EngineListReceived(c.EngineListKind.FULL, engine_entries(engines))
     arrival = c.RequestReceived(1, 0, 5 * SECOND_US, 0, WORK_US, 10.0, 1)
@@ -103,9 +104,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionCosts:
-    """What the decisions cost, by the number of engines, and by that of brokers at `PEER_ENGINES` engines.
+    """Costs of the decisions, by the number of engines, and by that of brokers with `PEER_ENGINES` engines.
 
-    `seconds`, `rounds`: for how long and how often statements of many tables were measured.
+    `seconds`, `rounds`: total duration and number of rounds of the measurement with many tables.
     """
 
     seconds: float
@@ -118,7 +119,7 @@
 
 
 def measure_decisions(quick: bool, seed: int) -> DecisionCosts:
-    """Measure the decisions against engines, peers and tables; `quick`: few and small points."""
+    """Measure the decisions by engines, peers and tables; `quick`: few and small points."""
     sizes = (12, 36, 60) if quick else ENGINE_COUNTS
     fleets = (40, TARGET_BROKERS) if quick else (40, 120, 240, TARGET_BROKERS)
     seconds = 1.0 if quick else 10.0
@@ -139,7 +140,7 @@
 
 
 def decision_costs(quick: bool, seed: int, source: Source) -> Findings:
-    """Measure the decisions as `measure_decisions` does; return curves and facts."""
+    """Run `measure_decisions` and return its results as slopes and facts."""
     costs = measure_decisions(quick, seed)
     return Findings(list(_curves(costs, source)), _facts(costs.many_tables, costs.rounds, source))
 
--- a/cypressledge/lab/scaling/directory_costs.py
+++ b/cypressledge/lab/scaling/directory_costs.py
@@ -1,4 +1,4 @@
-"""The directory's complete list of engines: its size, and what reading and polling it costs a broker."""
+"""Size of the directory's complete list of engines, and a broker's cost of reading and polling it."""
 
 import threading
 from collections.abc import Iterator, Mapping
@@ -31,16 +31,19 @@
 
 ROLE = "broker, control part"
 ENGINE_STARTED_MS = 1_700_000_000_000
-MAX_DNS_BYTES = 65_535  # of a DNS message: its length field over TCP, and just over what UDP carries
-MAX_ANSWER_BYTES = 8_000  # of the directory's answers, as the platform's page has it
-POLLS = 20  # measured together
+MAX_DNS_BYTES = 65_535  # limit of a DNS message's 16-bit length field over TCP; UDP carries slightly less
+MAX_ANSWER_BYTES = 8_000  # limit of the directory's answers according to the platform's page
+POLLS = 20  # polls in one timed call
 MAX_QUERY_BYTES = 4_096
-QUERY_ID_BYTES = 2  # a DNS message begins with its id
-END_OF_QUERIES = b"end"  # in place of a query: the name server ends
+QUERY_ID_BYTES = 2  # bytes; a DNS message begins with its id
+END_OF_QUERIES = b"end"  # datagram that makes the fake name server exit
 
 
 def directory_answer(query: dns.message.Message, engines: int, serial: int = 1) -> dns.message.Message:
-    """Return a directory's answer as the platform's page shows it: SRV, A and TXT of each, and the serial."""
+    """Return a directory's answer in the format that the platform's page shows.
+
+    It holds SRV, A and TXT records of each engine, and a SOA record with the serial.
+    """
     response = dns.message.make_response(query)
     hosts = [_host_name(number) for number in range(engines)]
     services = [f"0 40 {6565 + number % 8} {host}" for number, host in enumerate(hosts)]
@@ -60,12 +63,12 @@
 
 
 def _records(owner: str, kind: str, texts: list[str]) -> dns.rrset.RRset:
-    """Return the DNS records of one name and kind, with a time to live of 1 s."""
+    """Return the DNS records of one name and record type, with a time to live of 1 s."""
     return dns.rrset.from_text_list(owner, 1, "IN", kind, texts)
 
 
 def encoded_answer(query: dns.message.Message, engines: int, serial: int = 1) -> bytes | None:
-    """Return the encoded answer; None where one message can't hold it."""
+    """Return the encoded answer; None if it exceeds the size of a DNS message."""
     try:
         return directory_answer(query, engines, serial).to_wire(max_size=MAX_DNS_BYTES)
     except dns.exception.TooBig:
@@ -73,7 +76,7 @@
 
 
 def max_engines_within(bound: int) -> int:
-    """Return how many engines' list just fits an answer of so many bytes."""
+    """Return the largest number of engines whose list fits an answer of `bound` bytes."""
     query = dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV)
     low, high = 1, 2_000
     while low < high:
@@ -84,14 +87,14 @@
 
 
 def directory_poller() -> DirectoryPoller:
-    """Return the program's poller with a fake core, which takes lists and does nothing."""
+    """Return the program's poller with a fake core, which accepts lists and discards them."""
     engines = SimpleNamespace(update_list=lambda *_listed: None)
     core: Any = SimpleNamespace(counters=Counters(), engines=engines)
     return DirectoryPoller(core, None, EngineNaming(("node-8c", "node-16c"), ZONES, "lines"), 0)
 
 
 def list_read_ms(engines: int) -> float | None:
-    """Return the ms that a changed list takes a broker to read; None where it can't be sent."""
+    """Return the processor time (ms) for a broker to read a changed list; None if it can't be sent."""
     query = dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV)
     answers = [encoded_answer(query, engines, serial) for serial in (1, 2, 3)]
     raws = [raw for raw in answers if raw is not None]
@@ -103,7 +106,10 @@
 
 @contextmanager
 def dns_responder(raw: bytes) -> Iterator[tuple[str, int]]:
-    """Run a name server on the loopback that gives one answer under each query's own id, on a thread."""
+    """Run a fake name server on the loopback, in a thread, that gives the same answer to every query.
+
+    Each answer carries the id of its query. Yields the server's address.
+    """
     with socket(AF_INET, SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         thread = threading.Thread(target=_answer_queries, args=(sock, raw), daemon=True)
@@ -115,7 +121,7 @@
 
 
 def _answer_queries(sock: socket, raw: bytes) -> None:
-    """Send one encoded answer under each query's own id, until `END_OF_QUERIES` comes."""
+    """Answer each query with `raw`, under the id of the query, until `END_OF_QUERIES` arrives."""
     while True:
         query, client = sock.recvfrom(MAX_QUERY_BYTES)
         if query == END_OF_QUERIES:
@@ -124,7 +130,7 @@
 
 
 def unchanged_poll_ms(engines: int, polls: int) -> float | None:
-    """Return the ms of a poll that brings the same list as the last one; None where it can't be sent."""
+    """Return the processor time (ms) of a poll that finds the list unchanged; None if it can't be sent."""
     raw = encoded_answer(dns.message.make_query(SERVICE_NAME + ".", dns.rdatatype.SRV), engines)
     if raw is None or len(raw) > MAX_DNS_BYTES - HEADER_BYTES:
         return None
@@ -141,7 +147,7 @@
 
 
 def directory_costs(quick: bool, seed: int, source: Source) -> Findings:
-    """Measure the list of engines as the program polls and reads it; `quick`: few and small points."""
+    """Measure polling and reading the list of engines in the program; `quick`: few and small points."""
     bounds = {
         MAX_ANSWER_BYTES: "the platform's answer of 8,000 bytes",
         MAX_DNS_BYTES - HEADER_BYTES: "one UDP datagram",
@@ -178,5 +184,5 @@
 
 
 def _measured_points(by_size: Mapping[int, float | None]) -> Points:
-    """Return the points of those sizes whose list could be sent."""
+    """Return the points of the sizes at which the list could be sent."""
     return [(size, value) for size, value in by_size.items() if value is not None]
--- a/cypressledge/lab/scaling/fleet_file_costs.py
+++ b/cypressledge/lab/scaling/fleet_file_costs.py
@@ -1,4 +1,4 @@
-"""`fleet.yaml`: what reading it costs against its peers, and how many it may name."""
+"""Time to read `fleet.yaml` by the number of its peers, and the maximum number of peers."""
 
 import tempfile
 from functools import partial
@@ -15,7 +15,7 @@
 
 
 def write_fleet_file(folder: Path, peers: int) -> str:
-    """Write a file of so many peers, five voters and 50 leases; return its path."""
+    """Write a fleet file with `peers` peers, five voters and 50 leases; return its path."""
     path = folder / f"{peers}.yaml"
     names = [f"n{i:03d}" for i in range(peers)]
     path.write_text(
@@ -34,7 +34,7 @@
 
 
 def fleet_file_costs(quick: bool, seed: int, source: Source) -> Findings:
-    """Measure reading the file against its peers, and find its bound; `quick`: few and small points."""
+    """Measure reading the file by its number of peers, and find its limit; `quick`: few and small points."""
     sizes = (20, 60) if quick else (25, 50, 100, 150, 200)
     with tempfile.TemporaryDirectory(prefix="cypressledge-lab-") as folder:
         points = []
--- a/cypressledge/lab/scaling/measuring.py
+++ b/cypressledge/lab/scaling/measuring.py
@@ -1,4 +1,4 @@
-"""Processor time of calls, sizes and engines that all measurements share, and what a measurement yields."""
+"""Constants, timing functions, test data and result types that all scaling measurements share."""
 
 import gc
 import time
@@ -10,9 +10,9 @@
 from cypressledge.lab.results import Fact, Slope, Source, slope
 
 SECOND_US = 1_000_000
-HEADER_BYTES = 28  # of UDP and IPv4 on each datagram
+HEADER_BYTES = 28  # bytes of UDP and IPv4 headers of each datagram
 TARGET_BROKERS = 460
-ENGINE_COUNTS = (12, 36, 60, 120, 245, 490)  # the last is the target's
+ENGINE_COUNTS = (12, 36, 60, 120, 245, 490)  # the last is that of the target fleet
 ZONES = ("east-a", "east-b", "west-a", "west-b")
 ZONE_REGIONS = {"east-a": "east", "east-b": "east", "west-a": "west", "west-b": "west"}
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Findings:
-    """Curves and single figures of one measurement."""
+    """The slopes and facts that one measurement yields."""
 
     slopes: list[Slope]
     facts: list[Fact] = field(default_factory=list)
@@ -29,19 +29,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CurveFamily:
-    """Curves of one measurement over the same x. `role`: whose figures they are; `x`: what it counts."""
+    """Curves of one measurement over the same x.
+
+    `role`: the part of the system that the figures belong to; `x`: description of what x counts.
+    """
 
     role: str
     x: str
     source: Source
 
     def curve(self, name: str, what: str, unit: str, points: Points) -> Slope:
-        """Return one curve with its fit. `what`: its figure in words; `unit`: of that figure."""
+        """Return one curve with its fit. `what`: description of y; `unit`: unit of y."""
         return slope(name, self.role, what, unit, self.x, points, self.source)
 
 
 def cpu_ms(call: Callable[[], object]) -> float:
-    """Return the processor time of one call on this thread, ms; garbage is collected before."""
+    """Return the processor time (ms) of one call on this thread; collects garbage before the call."""
     gc.collect()
     began = time.thread_time_ns()
     call()
@@ -49,12 +52,12 @@
 
 
 def median_cpu_ms(call: Callable[[], object], times: int) -> float:
-    """Return the median of several calls."""
+    """Return the median processor time (ms) of several calls."""
     return sorted(cpu_ms(call) for _ in range(times))[times // 2]
 
 
 def engine_entries(count: int) -> tuple[c.EngineListEntry, ...]:
-    """Return so many engines as a list names them."""
+    """Return the engine list entries of `count` engines."""
     return tuple(
         c.EngineListEntry(stable_hash(f"s-{i:08x}"), c.EngineState.READY, i % 2, i % 4, i % 2, 0)
         for i in range(count)
--- a/cypressledge/lab/scaling/membership_costs.py
+++ b/cypressledge/lab/scaling/membership_costs.py
@@ -1,4 +1,4 @@
-"""Members and 50 leases in virtual time against the fleet's size: decisions and encoding, no sockets."""
+"""Cost of membership and 50 leases in virtual time, by fleet size: decisions and encoding, no sockets."""
 
 import gc
 from collections.abc import Iterable
@@ -12,15 +12,15 @@
 ROLE = "broker, control part"
 VOTERS = 5
 LEASES = 50
-SETTLE_S = 10  # in which brokers that start at once come to know each other
-LOSS_MAX_BROKERS = 240  # with more of them the start and the loss take minutes to play
-LOSS_WATCH_S = 15.0  # after a quarter of the brokers has died
+SETTLE_S = 10  # s; time for brokers that start at the same moment to discover each other
+LOSS_MAX_BROKERS = 240  # with more brokers, simulating the start and the loss takes minutes
+LOSS_WATCH_S = 15.0  # s that the others are observed after a quarter of the brokers was killed
 LOSS_STEPS_PER_S = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a node spends: percent of a core, datagrams and KB sent a second, headers counted."""
+    """A node's load: percent of a core, and datagrams and KB (with headers) sent per second."""
 
     cpu_pct: float
     datagrams_per_s: float
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupLoad:
-    """The mean and the largest of each figure of a group of nodes."""
+    """The mean and the maximum of each load figure over a group of nodes."""
 
     mean: Load
     largest: Load
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarterLoss:
-    """What the death of a quarter of the brokers costs the others.
+    """The cost of the loss of a quarter of the brokers for the others.
 
-    A time is `LOSS_WATCH_S` where what it stands for did not happen within it.
+    A time is `LOSS_WATCH_S` if its event did not occur within `LOSS_WATCH_S`.
     """
 
-    noticed_s: float  # until each of the others holds all of them for gone
+    noticed_s: float  # until none of the others considers any of the killed brokers alive
     largest_cpu_pct: float
     largest_kb_per_s: float
     leases_held_s: float  # until all leases are held again
@@ -50,7 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipCost:
-    """What one size of fleet costs when it has settled, and after a loss where the fleet is small enough."""
+    """The cost of one fleet size in the steady state, and after a loss if the fleet is small enough.
+
+    `loss`: None for fleets of more than `LOSS_MAX_BROKERS`.
+    """
 
     voters: GroupLoad
     others: GroupLoad
@@ -69,14 +72,14 @@
         return _Counts(node.cpu_ns, node.datagrams_sent, node.payload_bytes)
 
     def load_since(self, before: "_Counts", seconds: float) -> Load:
-        """Return the load of the seconds since earlier counts."""
+        """Return the load since the counts `before`, taken `seconds` earlier."""
         sent = self.sent - before.sent
         size = self.payload_bytes - before.payload_bytes + HEADER_BYTES * sent
         return Load((self.cpu_ns - before.cpu_ns) / seconds / 1e7, sent / seconds, size / seconds / 1000)
 
 
 def membership_cost(brokers: int, seconds: float, seed: int) -> MembershipCost:
-    """Measure one fleet for so many seconds of virtual time."""
+    """Measure one fleet for `seconds` of virtual time."""
     names = [f"n{i:03d}" for i in range(brokers)]
     world = VirtualFleet(names, names[:VOTERS], LEASES, seed)
     world.run(SETTLE_S * SECOND_US)
@@ -97,7 +100,7 @@
 
 
 def _quarter_loss(world: VirtualFleet) -> QuarterLoss:
-    """Kill each fourth broker and watch the others."""
+    """Kill every fourth broker and measure the others for `LOSS_WATCH_S`."""
     dead = set(world.names[::4])
     for name in dead:
         world.kill(name)
@@ -117,7 +120,7 @@
 
 
 def membership_costs(quick: bool, seed: int, source: Source) -> Findings:
-    """Measure fleets of several sizes; `quick`: few and small ones."""
+    """Measure fleets of several sizes; `quick`: few and small fleets."""
     sizes = (20, 40) if quick else (60, 120, 240, 460)
     costs = {size: membership_cost(size, 4.0 if quick else 5.0, seed) for size in sizes}
     voters = {size: cost.voters for size, cost in costs.items()}
--- a/cypressledge/lab/scaling/planner_costs.py
+++ b/cypressledge/lab/scaling/planner_costs.py
@@ -1,4 +1,4 @@
-"""The planner of zones and the fleet's summary: processor time and bytes against brokers and engines."""
+"""Processor time and message sizes of the zone planner and the fleet's summary, by brokers and engines."""
 
 import gc
 import random
@@ -39,19 +39,19 @@
 from cypressledge.lab.scaling.summary_costs import SummaryCost, broker_metrics, datagram_bytes, summary_cost
 
 ROLE = "planner"
-LEASE = HeldLease("zones", "zones", 1, 1, 200 * SECOND_US)  # under which the planner acts
-OBSERVED_ENGINES = 64  # that one message of observations names at most
-RECEIVED = 200  # messages of observations, measured together
+LEASE = HeldLease("zones", "zones", 1, 1, 200 * SECOND_US)  # the planner's lease
+OBSERVED_ENGINES = 64  # maximum number of engines in one message of observations
+RECEIVED = 200  # messages of observations received in one timed call
 
 
 def observations_of(engines: list[int], bad: frozenset[int]) -> EngineObservations:
-    """Return what a broker reports of the engines it used, as many as one message names at most."""
+    """Return a broker's observations of the first `OBSERVED_ENGINES` engines; those in `bad` only fail."""
     observations = [_observation(engine, engine in bad) for engine in engines[:OBSERVED_ENGINES]]
     return EngineObservations(observations, {"sahel": 1_000}, [])
 
 
 def _observation(engine: int, is_bad: bool) -> EngineObservation:
-    """Return what a broker reports of one engine: only failures, or only answers."""
+    """Return a broker's observation of one engine: failures only if it is bad, else answers only."""
     if is_bad:
         return EngineObservation(engine, 0, 0, 0, 3, 1, 0, 4, 900)
     return EngineObservation(engine, 40, 0, 0, 0, 0, 400_000, 0, 12)
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerWithObservations:
-    """A planner that has each broker's observations, and the items that it sends."""
+    """A planner that has received each broker's observations, and the items that it has sent."""
 
     zones: ZoneFailover
     sent: list[object]
@@ -73,9 +73,9 @@
 def planner_with_observations(
     brokers: int, engines: int, zone_lost: bool, seed: int
 ) -> PlannerWithObservations:
-    """Return a planner that has each broker's observations; the core is a fake.
+    """Return a planner that has received each broker's observations; the broker core is a fake.
 
-    `zone_lost`: a zone is lost, else all is well.
+    `zone_lost`: whether all engines of one zone fail; otherwise all engines answer.
     """
     names = [f"n{i:03d}" for i in range(brokers)]
     entries = engine_entries(engines)
@@ -110,14 +110,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerRun:
-    """Processor time of one run of the planner, and of its longest step, in which requests wait; ms."""
+    """Processor time (ms) of one run of the planner and of its longest step, during which requests wait."""
 
     total_ms: float
     longest_step_ms: float
 
 
 def planner_run(brokers: int, engines: int, zone_lost: bool, seed: int) -> PlannerRun:
-    """Measure the second run of a planner."""
+    """Measure the second run of a planner, after an unmeasured first one."""
     planner = planner_with_observations(brokers, engines, zone_lost, seed)
     planner.run()
     gc.collect()
@@ -131,7 +131,7 @@
 
 
 def observations_us() -> float:
-    """Return the µs to decode observations of 64 engines and take them."""
+    """Return the processor time (µs) to decode and process one message of observations of 64 engines."""
     zones = planner_with_observations(2, OBSERVED_ENGINES, False, 1).zones
     observations = observations_of([stable_hash(f"s-{i}") for i in range(OBSERVED_ENGINES)], frozenset())
     raw = encode(Envelope(VERSION, "n001", "n000", 1 << 61, 3, 1, 1, [observations]))
@@ -139,7 +139,7 @@
 
 
 def _receive_repeatedly(zones: ZoneFailover, raw: bytes) -> None:
-    """Decode and take the same datagram `RECEIVED` times."""
+    """Decode the same datagram `RECEIVED` times and pass its observations to the planner."""
     for _ in range(RECEIVED):
         received: Any = decode(raw).items[0]
         zones.receive("n001", received)
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerCosts:
-    """What the planner and the summary cost, by the number of brokers.
+    """Costs of the planner and the summary, by the number of brokers.
 
     `zone_lost_by_engines`: ms of a run with a zone lost, by the number of engines, with `largest_fleet`
     brokers.
@@ -161,7 +161,10 @@
 
 
 def measure_planner(quick: bool, seed: int) -> PlannerCosts:
-    """Measure the planner's run and the summary against brokers before 490 engines; `quick`: small points."""
+    """Measure a planner's run and the summary by the number of brokers, with 490 engines.
+
+    `quick`: measure few and small points.
+    """
     sizes = (20, 60, 120) if quick else (60, 120, 200, 320, 460)
     engines = 60 if quick else 490
     engine_counts = (12, 60) if quick else ENGINE_COUNTS
@@ -177,7 +180,7 @@
 
 
 def planner_costs(quick: bool, seed: int, source: Source) -> Findings:
-    """Measure the planner as `measure_planner` does; return curves and facts."""
+    """Run `measure_planner` and return its results as slopes and facts."""
     costs = measure_planner(quick, seed)
     slopes = [*_run_curves(costs, source), *_message_curves(costs.summaries, source)]
     return Findings(slopes, _facts(seed, source))
@@ -208,7 +211,7 @@
 
 
 def _observations_bytes() -> list[tuple[int, int]]:
-    """Return the size of one broker's observations, by the engines they name."""
+    """Return the size (bytes) of one broker's observations, by the number of engines in them."""
     points = []
     for count in (12, 36, OBSERVED_ENGINES):
         engines = [stable_hash(f"s-{i}") for i in range(count)]
--- a/cypressledge/lab/scaling/run.py
+++ b/cypressledge/lab/scaling/run.py
@@ -1,4 +1,4 @@
-"""`lab scaling`: measures everything, one part after the other, and writes a results file."""
+"""`lab scaling`: runs all scaling measurements one after another and writes a results file."""
 
 import time
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 Measurement = Callable[[bool, int, Source], Findings]
 
-MEASUREMENTS: tuple[tuple[str, Measurement], ...] = (  # under the names that the command prints
+MEASUREMENTS: tuple[tuple[str, Measurement], ...] = (  # by the name that the command prints
     ("decisions", decision_costs),
     ("directory", directory_costs),
     ("together", membership_costs),
@@ -25,7 +25,10 @@
 
 
 def run(path: str, quick: bool, seed: int, echo: Callable[[str], None]) -> int:
-    """Measure and write the results; return 0, whatever the figures are. `quick`: few and small points."""
+    """Run all measurements and write the results to `path`; return 0 whatever the figures are.
+
+    `quick`: measure few and small points.
+    """
     command = f"python -m cypressledge lab scaling --json {path} --seed {seed}{' --quick' if quick else ''}"
     results = Results(quick)
     for name, measure in MEASUREMENTS:
--- a/cypressledge/lab/scaling/statement_stream.py
+++ b/cypressledge/lab/scaling/statement_stream.py
@@ -1,4 +1,4 @@
-"""Statements for one workload manager in virtual time, and the processor time that it takes for them."""
+"""A stream of statements for one workload manager in virtual time, and the manager's processor time."""
 
 import random
 import time
@@ -11,22 +11,22 @@
 from cypressledge.lab.site import SETTINGS
 from cypressledge.settings import parse_settings
 
-STATEMENTS_PER_S = 500.0  # at one broker (the target's)
-WORK_US = 10_000  # of a statement at its engine
+STATEMENTS_PER_S = 500.0  # arrival rate at one broker of the target fleet
+WORK_US = 10_000  # µs; time that a statement takes at its engine
 CLIENT_WAIT_US = 3 * SECOND_US
 
 
 def workload_manager(engines: int, peers: int, seed: int) -> WorkloadManager:
-    """Return a manager that knows its engines and has its usual rate."""
+    """Return a workload manager with its engine list and its usual answer rate."""
     settings = parse_settings(SETTINGS | {"PeersTotal": peers, "Dcs": list(ZONES)})
     manager = WorkloadManager(settings, seed)
     manager.handle(SECOND_US, [c.EngineListReceived(c.EngineListKind.FULL, engine_entries(engines))])
-    manager.pace.answer_rate = STATEMENTS_PER_S  # as after some periods: sets how many engines are kept to
+    manager.pace.answer_rate = STATEMENTS_PER_S  # as after some periods; determines how many engines are used
     return manager
 
 
 class StatementStream:
-    """Statements for one manager in virtual time: Poisson arrivals; engines take `WORK_US` for each."""
+    """Statements with Poisson arrivals for one manager in virtual time; engines take `WORK_US` for each."""
 
     def __init__(self, manager: WorkloadManager, tables: int, seed: int) -> None:
         self.manager = manager
@@ -39,11 +39,11 @@
         self.attempts: dict[int, int] = {}  # by request: the number of its last attempt
         self.timers: list[tuple[int, int]] = []  # heap: when, token
         self.engines_used: set[int] = set()
-        self.cpu_ns = 0  # of the manager
-        self.given_up = 0  # statements
+        self.cpu_ns = 0  # processor time of the manager
+        self.given_up = 0  # statements that the manager rejected or failed
 
     def run(self, seconds: float) -> int:
-        """Let time pass, tick by tick; return how many statements arrived."""
+        """Advance virtual time tick by tick by `seconds`; return how many statements arrived."""
         before = self.arrived
         end = self.now + round(seconds * SECOND_US)
         while self.now < end:
@@ -85,7 +85,7 @@
             self.given_up += 1
 
     def reset_counts(self) -> None:
-        """Begin to count anew what was spent and given up, and which engines are used."""
+        """Reset the processor time, the statements given up and the engines used."""
         self.cpu_ns = 0
         self.engines_used.clear()
         self.given_up = 0
--- a/cypressledge/lab/scaling/summary_costs.py
+++ b/cypressledge/lab/scaling/summary_costs.py
@@ -1,4 +1,4 @@
-"""The fleet's summary and its datagrams: processor time and bytes against brokers and engines."""
+"""Processor time and datagram size of the fleet's summary, by the number of brokers and engines."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,12 +10,12 @@
 
 
 def datagram_bytes(*items: Any) -> int:
-    """Return the bytes of a datagram that carries the items, headers counted."""
+    """Return the size in bytes of a datagram that carries the items, including headers."""
     return len(encode(Envelope(VERSION, "n000", "n001", 1 << 61, 3, 1, 1, list(items)))) + HEADER_BYTES
 
 
 def broker_metrics(engines: int, avoided: int) -> BrokerMetrics:
-    """Return a broker's metrics with so many engines avoided, `MAX_ENGINES` at most."""
+    """Return a broker's metrics in which it avoids `avoided` engines, at most `MAX_ENGINES`."""
     classes = {name: [40_000_000, 12_000, 3_000, 41_000_000] for name in ("lookup", "report", "order-load")}
     return BrokerMetrics(
         7,
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SummaryCost:
-    """Processor time of one summary, and the bytes of its datagram."""
+    """Processor time (ms) of one summary, and the size (bytes) of its datagram."""
 
     ms: float
     size: int
 
 
 def summary_cost(brokers: int, engines: int) -> SummaryCost:
-    """Measure a summary of all brokers but a quarter (a zone that is gone)."""
+    """Measure a summary from which a quarter of the brokers is missing, as after the loss of a zone."""
     names = [f"n{i:03d}" for i in range(brokers)]
     merge = SummaryRound(7, 1 << 61, names[0])
     for name in names[brokers // 4 :]:
