--- a/cypressledge/lab/fleet_size.py
+++ b/cypressledge/lab/fleet_size.py
@@ -81,14 +81,14 @@
     """
     victim = held.most_common(1)[0][0]
     lost = [lease for lease in lease_names if victim in world.holders(lease)]
-    died = world.at
+    killed_at = world.at
     world.kill(victim)
     reacquired: dict[str, int] = {}  # by lease: µs after the kill
-    while len(reacquired) < len(lost) and world.at < died + REACQUIRE_TIMEOUT_S * SECOND_US:
+    while len(reacquired) < len(lost) and world.at < killed_at + REACQUIRE_TIMEOUT_S * SECOND_US:
         world.run(REACQUIRE_STEP_US)
         for lease in lost:
             if lease not in reacquired and world.holders(lease):
-                reacquired[lease] = world.at - died
+                reacquired[lease] = world.at - killed_at
     spread = Counter(world.holders(lease)[0] for lease in reacquired)
     survivor = next(iter(world.nodes.values()))
     alive = sum(member.state == ALIVE for member in survivor.membership.members.values())
