--- a/cypressledge/lab/load.py
+++ b/cypressledge/lab/load.py
@@ -42,7 +42,7 @@
 
 
 def answer(file: BinaryIO) -> dict:
-    """Return the next JSON-RPC answer on a connection. Raises `OSError` if the connection ends before it."""
+    """Return the next JSON-RPC answer on a connection. Raises `OSError` if there is none."""
     size = 0
     while line := file.readline().strip():
         key, _, value = line.partition(b":")
--- a/cypressledge/lab/scaling/broker_process_costs.py
+++ b/cypressledge/lab/scaling/broker_process_costs.py
@@ -65,7 +65,7 @@
 
 
 def _connect(port: int) -> socket.socket:
-    """Open a connection and complete one lookup on it: the broker closes one without a lookup after 2 s."""
+    """Open a connection and complete one lookup, without which the broker would close it after 2 s."""
     sock = socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S)
     sock.settimeout(CONNECT_TIMEOUT_S)
     query_id = base64.b16encode(sock.getsockname()[1].to_bytes(4, "big")).decode()
--- a/cypressledge/lab/simulated_broker.py
+++ b/cypressledge/lab/simulated_broker.py
@@ -278,7 +278,7 @@
             self.late.append(time.monotonic() - due)
 
     def report_figures(self) -> None:
-        """Report the figures again and again; a greenlet."""
+        """Report the figures periodically; runs as a greenlet."""
         while True:
             gevent.sleep(FIGURES_INTERVAL_S)
             self.send(self.figures())
--- a/cypressledge/lab/simulated_broker_messages.py
+++ b/cypressledge/lab/simulated_broker_messages.py
@@ -58,9 +58,9 @@
 
 
 class MembersFigures(msgspec.Struct, frozen=True, array_like=True):
-    """The smallest number of members that a broker of the process considers alive, and its held leases.
+    """The smallest number of members that a broker of the process considers alive, and its leases.
 
-    `leases_held`: number of leases that brokers of the process hold.
+    `leases_held`: number of leases that all brokers of the process hold together.
     """
 
     fewest_alive: int
--- a/cypressledge/lab/site.py
+++ b/cypressledge/lab/site.py
@@ -97,7 +97,7 @@
         if port not in RESERVED_PORTS:
             RESERVED_PORTS.add(port)
             return port
-    raise OSError(f"no free port on 127.0.0.1 from {FIRST_PORT} to {END_PORT - 1}")
+    raise OSError(f"no free port found on 127.0.0.1 in {PORT_ATTEMPTS} attempts")
 
 
 def config(
--- a/cypressledge/lab/virtual_fleet.py
+++ b/cypressledge/lab/virtual_fleet.py
@@ -23,7 +23,7 @@
 
 
 class Datagram(NamedTuple):
-    """A datagram in transit, with the sender's incarnation and oldest accepted voter set."""
+    """A datagram in transit: its items, and its sender's incarnation and oldest accepted voter set."""
 
     sender: str
     incarnation: int
