--- a/cypressledge/cli/lab.py
+++ b/cypressledge/cli/lab.py
@@ -29,7 +29,7 @@
     "--most", default=3_000_000, show_default=True, help="Number of states after which a search is aborted."
 )
 def model(deep: bool, most: int) -> None:
-    """Check all states of small models of the lease, and of the same models without each safety check."""
+    """Check all states of small models of the lease, also with each safety check removed in turn."""
     from cypressledge.lab.lease_model.run import run
 
     sys.exit(run(deep, most, click.echo))
--- a/cypressledge/net/clickhouse/transport.py
+++ b/cypressledge/net/clickhouse/transport.py
@@ -33,7 +33,7 @@
         core.counters.gauge("clickhouse.engine_connections", lambda: self.connection_count)
 
     def set_login(self, user: str, key: str) -> None:
-        """Set the user and key with which the broker authenticates at engines; no user sends neither."""
+        """Set the user and key for authentication at the engines; if `user` is empty, neither is sent."""
         self.login_headers = f"X-ClickHouse-User: {user}\r\nX-ClickHouse-Key: {key}\r\n" if user else ""
 
     def send(self, attempt: Attempt) -> None:
--- a/cypressledge/net/connection_registry.py
+++ b/cypressledge/net/connection_registry.py
@@ -8,7 +8,7 @@
 
 from cypressledge.net.socket_writer import SocketWriter
 
-# Connections of each kind that one search for an idle connection examines, and searches for one eviction.
+# Maximum number of connections of each group that one search examines, and of searches for one eviction.
 MAX_EXAMINED = 8
 REUSE_WINDOW = 4_500_000  # µs; clients close after 4 s of idle time, so a longer idle one is not reused
 CONNECT_GRACE = 300_000  # µs after connecting in which a client does not count as silent
@@ -39,7 +39,7 @@
         """Return the eviction priority: the lowest is closed first, `NOT_EVICTABLE` never."""
 
     def close_idle(self) -> None:
-        """Close the connection for another client: answer what has been requested, and read nothing more."""
+        """Make room for another client: answer what has been requested, and read nothing more."""
 
 
 Connection = TypeVar("Connection", bound=ClientConnection)
--- a/cypressledge/net/http_server.py
+++ b/cypressledge/net/http_server.py
@@ -149,13 +149,15 @@
         return eviction_priority(now, self.connected_at, self.last_active_at, self.has_requested, is_busy)
 
     def close_idle(self) -> None:
-        """Close the connection for another client: shut down the broker's side, and read nothing more."""
+        """Make room for another client: shut down the broker's side, and read nothing more."""
         self.server.connections.mark_closing(self)
         self.closing = True
         self.writer.close(lambda: shutdown_write(self.sock))
 
     def _reject_unreadable(self, status: HTTPStatus) -> None:
-        """Answer with an error and close the connection; an open exchange gets no error into its answer."""
+        """Answer with an error, unless an exchange is open, and stop reading.
+
+        The error must not be mixed into the answer of the open exchange."""
         self.server.counters.add(f"{self.server.name}.bad_http")
         if self.current is None:
             self.closing = True
--- a/cypressledge/net/jsonrpc/connection.py
+++ b/cypressledge/net/jsonrpc/connection.py
@@ -197,7 +197,7 @@
             self.writer.close(lambda: shutdown_write(self.sock))
 
     def close_idle(self) -> None:
-        """Close the connection for another client, after what has been requested is answered."""
+        """Close the connection to make room for another client, after what has been requested is answered."""
         self.close_reason = CloseReason.EVICTED
         self.frontend.connections.mark_closing(self)
         self.drain()
--- a/cypressledge/net/line_protocol/connection.py
+++ b/cypressledge/net/line_protocol/connection.py
@@ -118,7 +118,9 @@
         return 0 < self.silent_since < monotonic_us() - self.transport.silence_limit
 
     def has_lost_answer(self, engine_last_received_at: int) -> bool:
-        """Return whether an answer is lost, if the engine last sent bytes on any connection at this time.
+        """Return whether an answer on this connection is lost.
+
+        `engine_last_received_at`: µs, monotonic; when the engine last sent bytes on any connection.
 
         An engine that runs a query reports progress in each interval. A connection that is silent while its
         engine sends on another one has lost a message; whether an engine that is silent on all connections
--- a/cypressledge/net/line_protocol/transport.py
+++ b/cypressledge/net/line_protocol/transport.py
@@ -8,7 +8,9 @@
 from cypressledge.net.line_protocol.connection import CloseReason, EngineConnection
 from cypressledge.net.line_protocol.pending_attempt import PendingAttempt
 
-PREFERRED_ATTEMPTS = 8  # per connection before another is opened; exceeded only when no more may be opened
+# Attempts on one connection before another is opened; exceeded only by reassigned attempts, and once the
+# limit on connections is reached, which follows from the available descriptors.
+PREFERRED_ATTEMPTS = 8
 MAX_CONNECTIONS_TRIED = 3  # connections to which an attempt may be assigned before it is sent
 ALIVE_WINDOW = 1_500_000  # µs after an engine's message in which a slow connect is not the engine's fault
 UNREACHABLE_TIMEOUTS = 2  # consecutive connect timeouts after which an engine counts as unreachable
@@ -37,7 +39,7 @@
         return sum(map(len, self.connections.values()))
 
     def send(self, attempt: Attempt) -> None:
-        """Assign the attempt to the connection with the fewest, or to a new one beyond `PREFERRED_ATTEMPTS`.
+        """Assign the attempt to the least used connection, or to a new one if that has `PREFERRED_ATTEMPTS`.
 
         A corrupt answer closes its connection, so it must not affect all work at the engine. On the other
         hand, few connections are opened, as some new connections are reset together with their attempts."""
@@ -69,7 +71,7 @@
     def _close_longest_idle(self) -> bool:
         """Close the longest idle connection; return False if none is idle.
 
-        Idle connections must not use up the limit, so that new engines get no connection."""
+        Idle connections to other engines must not use up the limit and leave new engines without any."""
         connections = [c for some in self.connections.values() for c in some]
         idle = [c for c in connections if not c.pending and not c.has_unread_bytes()]
         if idle:
@@ -77,9 +79,10 @@
         return bool(idle)
 
     def reassign(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Assign an attempt that was never sent to another connection; the last try ends with `outcome`.
+        """Assign an attempt that was never sent to another connection, or end it with `outcome`.
 
-        New connections may be reset. Nothing has been executed, so this does not count as an attempt."""
+        It ends after `MAX_CONNECTIONS_TRIED` connections, or if its engine is not ready or its answer is not
+        awaited. New connections may be reset. Nothing has been executed, so no attempt is used up."""
         attempt.connections_tried += 1
         attempt.transport_state = None
         endpoint = self.core.engines.ready_endpoints.get(attempt.endpoint.id)
--- a/cypressledge/net/management.py
+++ b/cypressledge/net/management.py
@@ -35,7 +35,7 @@
         self.server.listener.max_connections = MIN_CALLERS
 
     def add(self, path: str, method: str, call: Call) -> None:
-        """Register a handler for a path and its only method."""
+        """Register the handler for a path and the one method that the path accepts."""
         self.calls[path] = (method, call)
 
     def apply_limits(self, limits: Limits) -> None:
--- a/tests/fakes/replica_random_walk.py
+++ b/tests/fakes/replica_random_walk.py
@@ -95,7 +95,7 @@
             self.lease.acquire(name)
             self.token = self.lease.token
         elif action < 53:
-            self.token += amount % 4 > 0  # sometimes the token of another holder
+            self.token += amount % 4 > 0  # sometimes the token of another holder, present or former
             world.lease(name, self.token, world.now + (amount % 7 + 1) * SECOND)
         else:
             world.lease(name, None)
--- a/tests/net/jsonrpc/test_jsonrpc_invalid_clients.py
+++ b/tests/net/jsonrpc/test_jsonrpc_invalid_clients.py
@@ -11,7 +11,7 @@
 
 
 class InvalidClients(BrokerTestCase):
-    """Each invalid client gets an error or a close within 3 s, and a regular client is still served."""
+    """Invalid clients get a rejection, an error or a close within 3 s; a regular one is served throughout."""
 
     def setUp(self):
         self.served_engine = self.engine()
--- a/tests/net/line_protocol/test_invalid_engine_answers.py
+++ b/tests/net/line_protocol/test_invalid_engine_answers.py
@@ -12,7 +12,7 @@
     """Malformed answers are never passed on; the attempt may have run, and its class may allow a retry."""
 
     def query_answered_with(self, raw, **more):
-        """Answer the first attempt with these bytes; return the client's final answer and the engine."""
+        """Answer the first attempt with these bytes, a retry with a row; return the answer and the engine."""
 
         def play(engine, say, name, fields, statement):
             if len(engine.wants) > 1:
