--- a/cypressledge/fleet/clock.py
+++ b/cypressledge/fleet/clock.py
@@ -24,5 +24,5 @@
         return round(time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1000 * self.rate) + self.offset_us
 
     def to_machine_time(self, moment: int) -> int:
-        """Return the machine's time, µs, at a time of this clock. Simulated processes share the machine's."""
+        """Return the time of the machine's clock, which all processes share, at a time of this one, µs."""
         return round((moment - self.offset_us) / self.rate)
--- a/cypressledge/fleet/event_log.py
+++ b/cypressledge/fleet/event_log.py
@@ -1,4 +1,7 @@
-"""Structured log lines (structlog, JSON) of the fleet's events on standard error."""
+"""Structured log lines (structlog, JSON) of the fleet's events on standard error.
+
+The fields state which broker, which event, under which token and why.
+"""
 
 import sys
 
--- a/cypressledge/fleet/lease_recorder.py
+++ b/cypressledge/fleet/lease_recorder.py
@@ -1,4 +1,4 @@
-"""A record, for simulations only, of the leases that this process believed it held, and until when."""
+"""A record, for simulations only, of the leases that this process held by its own clock, and until when."""
 
 import json
 
@@ -28,7 +28,7 @@
             self.record(lease)
 
     def record(self, lease: str) -> None:
-        """Record until when this process believes it holds a lease, if that has changed; 0 if not held."""
+        """Record until when this process holds a lease by its own clock, if changed; 0 if not held."""
         clock = self.node.clock
         grant = self.node.lease_manager.held_lease(lease, clock.now())
         if grant is None:
--- a/cypressledge/fleet/leases/acquisition.py
+++ b/cypressledge/fleet/leases/acquisition.py
@@ -125,8 +125,8 @@
         self.highest_token = max(self.highest_token, token)
 
     def cannot_win(self, alive: frozenset[str]) -> bool:
-        """Return whether the current round can't reach a majority: too few voters have not rejected it and
-        are alive or have voted."""
+        """Return whether the current round can't reach a majority. The voters that can still
+        count are those that have not rejected it and that are alive or have voted before."""
         possible = [
             v
             for v in self.electorate.voters
--- a/cypressledge/fleet/leases/participation.py
+++ b/cypressledge/fleet/leases/participation.py
@@ -243,8 +243,9 @@
             self._query_status(now)
 
     def _may_request(self) -> bool:
-        """Return whether this broker may request the lease: it is a candidate or has requested the lease's
-        group, is not stopping, and holds no other slot of the group."""
+        """Return whether this broker may request the lease: one on demand if its group is requested here, any
+        other if this broker is a candidate. Not while it stops, knows no voters, or has another slot of the
+        group or requests votes for one."""
         context = self.context
         if context.stopping or not context.electorate.voters or context.is_group_taken(self):
             return False
--- a/cypressledge/fleet/node.py
+++ b/cypressledge/fleet/node.py
@@ -192,7 +192,7 @@
         return self.clock.now()
 
     def alive(self) -> frozenset[str]:
-        """Return the names of the members that are alive, this one included."""
+        """Return the names of the members that are alive, including this one unless it is leaving."""
         return self.membership.alive()
 
     def alive_peers(self) -> list[str]:
--- a/cypressledge/fleet/operator_answers.py
+++ b/cypressledge/fleet/operator_answers.py
@@ -115,5 +115,5 @@
 
 
 def to_body(answer: Body) -> bytes:
-    """Return the answer as a line of JSON, in UTF-8."""
+    """Return the answer as one line of JSON, in ASCII."""
     return json.dumps(msgspec.to_builtins(answer)).encode() + b"\n"
--- a/cypressledge/fleet/zones/failover.py
+++ b/cypressledge/fleet/zones/failover.py
@@ -137,7 +137,7 @@
         self._accept(plan, self.broker, now)
 
     def _accept(self, plan: FailoverPlan, sender: str, now: int) -> None:
-        """Follow a plan unless it is outdated, and refresh the engine lists if it opens or closes engines."""
+        """Follow a plan unless the follower rejects it; refresh the engine lists if engines open or close."""
         shares_before = self._shares()
         had_local_evacuations = bool(self.follower.locally_evacuated)
         if not self.follower.accept(plan, now):
--- a/cypressledge/fleet/zones/health.py
+++ b/cypressledge/fleet/zones/health.py
@@ -14,7 +14,7 @@
 MAX_AGE = 3_000_000  # µs; older observations are ignored, newer ones weigh less with their age
 MIN_ATTEMPTS = 4  # attempts in a zone that a verdict on it requires
 MIN_ENGINES_TRIED = 0.5  # fraction of a zone's engines that must be tried for a verdict on it
-LOST_FRACTION = 0.8  # fraction of the tried engines that must be down for a lost zone, or slow for a slow one
+LOST_FRACTION = 0.8  # minimum fraction of the tried engines: down in a lost zone, down or slow in a slow one
 DEGRADED_FRACTION = 0.3  # fraction of the tried engines that must be down or slow for a degraded zone
 MAX_RECENT_ANSWER_AGE_MS = 400  # ms since an answer up to which it counts as recent
 # µs; age up to which a report's answers count as recent; reports arrive at least every 500 ms
--- a/cypressledge/fleet/zones/planner_duty.py
+++ b/cypressledge/fleet/zones/planner_duty.py
@@ -24,7 +24,7 @@
 REPEAT_INTERVAL = 1_000_000  # µs between transmissions of an unchanged plan
 # µs to the next transmission after the first and the second one; shorter, because a datagram may get lost
 INITIAL_REPEAT_INTERVALS = {1: 100_000, 2: 200_000}
-MIN_EVACUATED_BROKERS = 2  # local evacuations of a zone that the planner requires to adopt them
+MIN_EVACUATED_BROKERS = 2  # brokers that must have left a zone by themselves for the planner to adopt it
 
 
 class NotPlanningError(AttributeError):
@@ -135,9 +135,9 @@
         self.links.log_event(BrokerEvent.PLANNER_STARTED, token=grant.token, number=zones.number)
 
     def _adopt(self, planner: FailoverPlanner, reports: list[BrokerObservations], now: int) -> None:
-        """Adopt a zone's local evacuations if at least half of the brokers made them.
+        """Adopt the local evacuations of a zone, so that the brokers do not all return to it at once.
 
-        Otherwise all these brokers would return to the zone at once.
+        At least `MIN_EVACUATED_BROKERS` and half of the brokers with recent reports must have left it.
         """
         fresh = [report for report in reports if report.age < MAX_AGE]
         for name, zone in planner.zones.items():
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -162,7 +162,7 @@
     other = next(n for n in fleet.names if n != first.holder)
     assert fleet.cli(other, "release", "ledger") == (1, "Error: not held here\n")
     assert fleet.cli(other, "release", "nothing") == (1, "Error: no such lease\n")
-    code, words = fleet.cli(first.holder, "give-back", "ledger")  # the former name of `release`
+    code, words = fleet.cli(first.holder, "give-back", "ledger")  # the former, hidden name of `release`
     assert (code, words) == (0, "ledger given back\n")
     fleet.wait_for_act(fleet.last_write().at, excluding=first.holder)
     code, words = fleet.cli(other, "tasks")
