--- a/cypressledge/controlplane/broker_registry.py
+++ b/cypressledge/controlplane/broker_registry.py
@@ -17,7 +17,7 @@
 
 RETRY_INTERVAL_US = 1_000_000  # µs; time until a registration is forwarded or proposed again
 MAX_REGISTRATIONS = MAX_OPS_PER_CHANGE // 2  # in one change; each registration may also remove another key
-OBSERVATION_INTERVAL_US = 1_000_000  # µs; time between checks for absent brokers without registrations
+OBSERVATION_INTERVAL_US = 1_000_000  # µs; time between checks for absent brokers if none are to be registered
 MAX_OBSERVATION_GAP_US = 10_000_000  # µs without a check; after that, earlier absences no longer count
 # µs; absence after which another broker may take the address. A broker that only switches to another control
 # process must not lose its address: it detects silence after 3.5 s, waits up to 5 s until its next attempt,
--- a/cypressledge/controlplane/change_proposals.py
+++ b/cypressledge/controlplane/change_proposals.py
@@ -79,7 +79,7 @@
         return len(self._waiting)
 
     def submit(self, change: ChangeRequest, exchange: HttpExchange) -> None:
-        """Queue a requested change for the process's main greenlet; called in the caller's greenlet."""
+        """Queue a requested change for the process's event loop; called in the caller's greenlet."""
         try:
             self.inbox.put_nowait(self._propose, change, exchange)
         except InboxFullError:
@@ -101,7 +101,7 @@
     def _propose(self, now: int, change: ChangeRequest, exchange: HttpExchange) -> None:
         """Propose a change, or answer with the error or the result of a dry run.
 
-        Called in the process's main greenlet.
+        Called in the process's event loop.
         """
         try:
             state = self._leader_state()
--- a/cypressledge/controlplane/committed_changes.py
+++ b/cypressledge/controlplane/committed_changes.py
@@ -16,7 +16,7 @@
     def apply(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
         """Apply changes, or a snapshot that replaces all earlier ones.
 
-        Called in the process's main greenlet.
+        Called in the process's event loop.
         """
         if snapshot is not None:
             self._history.reset(snapshot)
@@ -27,7 +27,7 @@
         self._has_unpublished = True
 
     def apply_from_other_greenlet(self, changes: list[Change] | None, snapshot: Snapshot | None) -> None:
-        """Do the same as `apply`, called in another greenlet than the process's main one."""
+        """Do the same as `apply` from a greenlet other than the event loop, and wake the event loop."""
         self.apply(changes, snapshot)
         self._inbox.wake()
 
--- a/cypressledge/controlplane/faults.py
+++ b/cypressledge/controlplane/faults.py
@@ -1,6 +1,7 @@
 """Fault injection for test runs: a control process kills or stops itself, or its disk fails, at a given step.
 
-CYPRESSLEDGE_LAB_FAULT="ACTION-TIMING:STEP:N", where N counts the occurrences of the step:
+CYPRESSLEDGE_LAB_FAULT="ACTION-TIMING:STEP:N", where N counts the occurrences of the step (for `kill` and
+`stop`, "-" may stand in place of the first colon):
 
 - `kill-after:append:1`: killed once the first AppendEntries with an operator's named change has been sent;
 - `kill-before:promised:1`: killed before the first Promise is sent;
@@ -11,6 +12,7 @@
 Steps are the message tags of `messages.py` and the steps of the store.
 
 CYPRESSLEDGE_LAB_ONCE=FILE: of all processes with the same FILE, only the one that creates it has the fault.
+The fault `disk-full` ignores the file.
 """
 
 import os
@@ -28,8 +30,8 @@
 class FaultInjection:
     """The fault that `text` describes, if any.
 
-    `marker_file`: only one of the processes that share it has the fault; empty: this process has it in any
-    case. Raises `ConfigError` if `text` is not a valid fault.
+    `marker_file`: only one of the processes that share it is killed or stopped; empty: this process is in any
+    case. A disk fault ignores it. Raises `ConfigError` if `text` is not a valid fault.
     """
 
     def __init__(self, text: str, marker_file: str = "") -> None:
--- a/cypressledge/controlplane/leader_role.py
+++ b/cypressledge/controlplane/leader_role.py
@@ -17,7 +17,8 @@
 from cypressledge.controlplane.replica_context import HEARTBEAT_INTERVAL_US, NEVER, ReplicaContext, Role
 from cypressledge.controlplane.replicated_log import ReplicatedLog
 
-QUORUM_TIMEOUT_US = 10_000_000  # µs; time without a majority's answers before it lets another replica try
+# µs; time without a majority's answers after which this replica steps down, so that another one can try.
+QUORUM_TIMEOUT_US = 10_000_000
 
 
 class LeaderRole:
--- a/cypressledge/controlplane/operator_calls.py
+++ b/cypressledge/controlplane/operator_calls.py
@@ -71,7 +71,10 @@
 
 
 def read_version(request: HttpRequest, name: str, default: int) -> int:
-    """Return a URL parameter that is a version. Raises `BadRequestError` if it is not a decimal number."""
+    """Return a URL parameter that is a version, or `default` if it is absent.
+
+    Raises `BadRequestError` unless it is a decimal number of at most `MAX_VERSION_DIGITS` digits.
+    """
     text = request.params.get(name, "")
     if not text:
         return default
--- a/cypressledge/controlplane/operator_client.py
+++ b/cypressledge/controlplane/operator_client.py
@@ -136,7 +136,7 @@
                 raise NoAnswerError("there is no leader")
 
     def _learn_addresses(self, addresses: LeaderAddresses) -> None:
-        """Update the known addresses: the leader first, the one that was called last."""
+        """Update the known addresses: the leader first, and at the end the one that was just called."""
         asked = self._known[0]
         others = [parse_address(text) for text in addresses.servers]
         leader = [parse_address(addresses.address)] if addresses.address else []
--- a/cypressledge/controlplane/peer_connections.py
+++ b/cypressledge/controlplane/peer_connections.py
@@ -49,7 +49,7 @@
 
 
 class PeerHandler(Protocol):
-    """Callbacks for peers' messages and connections, run by the process's main greenlet; `now` is in µs."""
+    """Callbacks for peers' messages and connections, run by the process's event loop; `now` is in µs."""
 
     def received(self, now: int, peer: str, message: Message) -> None:
         """Process a message from a peer."""
@@ -215,7 +215,7 @@
     def serve(self, hello: Hello, frames: FramedConnection) -> None:
         """Read a peer's messages until its connection ends, then raise `ConnectionEndedError`.
 
-        Returns without reading if the peer is rejected.
+        A rejected peer is sent the reason; none of its further messages are processed.
         """
         why = self._handshake.rejection_reason(hello)
         if why:
--- a/cypressledge/controlplane/publisher.py
+++ b/cypressledge/controlplane/publisher.py
@@ -54,7 +54,7 @@
     max_subscribers: int = 600
     full_retry_after_ms: int = 5_000
     mismatch_retry_after_ms: int = 5_000  # after another message format or cluster
-    replaced_retry_after_ms: int = 1_000  # so that two brokers of one name don't replace each other in a loop
+    replaced_retry_after_ms: int = 1_000  # two brokers of one name would replace each other without a pause
 
 
 class Publisher:
@@ -290,7 +290,7 @@
             self._send(now, subscription, Deltas(changes), after)
 
     def _is_ahead(self, now: int, subscription: Subscription) -> bool:
-        """Return whether a broker is ahead of this process, which is possible if this is a standby."""
+        """Return whether a broker is ahead of this process: a standby may be slightly behind the leader."""
         state = self.history.state
         if subscription.applied.version <= state.version and subscription.applied.epoch <= state.epoch:
             subscription.ahead_since, subscription.is_ahead_reported = None, False
--- a/cypressledge/controlplane/replicated_log.py
+++ b/cypressledge/controlplane/replicated_log.py
@@ -235,9 +235,9 @@
     # Commit
 
     def advance_commit(self, version: int) -> bool:
-        """Mark everything up to a version as committed; return whether that is stored.
+        """Mark everything up to a version as committed; return whether each durable step succeeded.
 
-        It is stored first, then passed to `on_commit`.
+        It is stored first, then passed to `on_commit`; a compaction follows if it is due.
         """
         if version <= self.commit:
             return True
--- a/cypressledge/controlplane/server_selection.py
+++ b/cypressledge/controlplane/server_selection.py
@@ -22,7 +22,7 @@
 MIN_STALE_CONNECTION = 10_000_000  # µs; minimum duration of a connection to a server without leader contact
 # µs; time until the next change away from such a server. It doubles, as all servers may lack leader contact.
 STALE_CHANGE_DELAY_RANGE = (10_000_000, 20_000_000)
-# µs; time without returns to a server that was left because it had no leader contact.
+# µs; how long a server that was left for lack of leader contact is not tried again as a nearer one.
 STALE_AVOIDANCE_TIME = 60_000_000
 MAX_RETRY_AFTER = 60_000_000  # µs; longest time that a rejection may keep a broker away
 
--- a/cypressledge/controlplane/startup.py
+++ b/cypressledge/controlplane/startup.py
@@ -16,7 +16,7 @@
 from cypressledge.controlplane.state_values import StateError, encode_value
 from cypressledge.net import receive_buffer, socket_writer
 
-RESERVED_DESCRIPTORS = 128  # file descriptors for operators' connections and for all but connections
+RESERVED_DESCRIPTORS = 128  # for operators' connections, and for everything that is not a connection
 MAX_QUEUED_BYTES = 256 << 20  # bytes queued for all peers and brokers together
 MAX_BUFFERED_BYTES = 64 << 20  # bytes received from all peers and brokers together, and not processed yet
 STORE_FILE = "history.sqlite"  # name of the store in the directory given by `--store`
--- a/tests/controlplane/replica_scenes.py
+++ b/tests/controlplane/replica_scenes.py
@@ -118,7 +118,7 @@
 
 
 def empty_disk_counted(replica_class):
-    """A voter lost its disk like in the scenario before, but the operator started it with --first."""
+    """A voter lost its disk as in the previous scenario, but the operator started it with --first."""
     world = started_world(replica_class)
     world.propose("a", "x")
     world.run("ab")
--- a/tests/controlplane/test_control_parts.py
+++ b/tests/controlplane/test_control_parts.py
@@ -341,8 +341,8 @@
     subscriber.received(now, Deltas(history.changes[1:]))
     assert [len(names) for names in broker.lists] == [1, 300]
     assert integration.rejection_reason == subscriber.rejection_reason == "not these"
-    in_force = [answer for answer in map(json.loads, record.read_text().splitlines()) if "version" in answer]
-    assert [answer["version"] for answer in in_force] == [1, 301]  # recorded only once in force
+    in_force = [event for event in map(json.loads, record.read_text().splitlines()) if "version" in event]
+    assert [event["version"] for event in in_force] == [1, 301]  # recorded only once in force
     invalid = history.state.draft_change(1, [engine(301)])
     subscriber.received(now, Deltas([history.state.draft_change(1, [engine(300)]), invalid]))
     assert len(broker.lists[-1]) == 301  # changes before a gap are applied
