--- a/cypressledge/lab/capacity/checks.py
+++ b/cypressledge/lab/capacity/checks.py
@@ -68,7 +68,7 @@
     over: int
     wrongs: list[str] = field(default_factory=list)  # descriptions of incorrect answers to the harness
     removed: frozenset[str] = frozenset()  # brokers that need not run at the end
-    expected: frozenset[str] = frozenset()  # brokers that must run at the end, also one that recorded nothing
+    expected: frozenset[str] = frozenset()  # brokers that must run at the end; one without records is lost
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypressledge/lab/capacity/fleet.py
+++ b/cypressledge/lab/capacity/fleet.py
@@ -1,7 +1,8 @@
 """Processes of a capacity run: control processes, simulated and real brokers, proxies between regions.
 
-The run kills only processes that it started, by their ids. Traffic between the two regions passes through
-proxies in the harness, so that it can be cut; each region therefore has its own settings files.
+The run kills only processes that it started, by their ids, and kills them also after an error. Traffic
+between the two regions passes through proxies in the harness, so that it can be cut; each region therefore
+has its own settings files.
 """
 
 import math
@@ -125,13 +126,19 @@
         ]
 
     def _fleet_address(self, control: ControlProcess, region: str, me: str) -> str:
-        """Return the address at which other control processes reach one: a proxy from the other region."""
+        """Return the fleet address of a control process, as `me` in `region` reaches it.
+
+        From the other region this is the address of a proxy. `me`: empty for a region's brokers.
+        """
         if not me or control.region == region:
             return f"127.0.0.1:{control.fleet}"
         return self.udp.address(me, control.name)
 
     def _broker_address(self, control: ControlProcess, region: str) -> str:
-        """Return the address at which brokers reach a control process: a proxy from the other region."""
+        """Return the address at which the brokers of `region` reach a control process.
+
+        From the other region this is the address of a proxy.
+        """
         if control.region == region:
             return f"127.0.0.1:{control.port}"
         return self.tcp[control.name].address
--- a/cypressledge/lab/capacity/page.py
+++ b/cypressledge/lab/capacity/page.py
@@ -113,7 +113,7 @@
 def render(page: str, makers: TableMakers) -> str:
     """Return the page with its tables regenerated.
 
-    Raises `ResultsError` for a mark with an unknown name or without an end mark.
+    Raises `ResultsError` for a page without marks, or for a mark with an unknown name or without an end.
     """
     marks = page.count("<!-- table:")
     complete = len(TABLE_MARK.findall(page))
--- a/cypressledge/lab/capacity/requirements.py
+++ b/cypressledge/lab/capacity/requirements.py
@@ -123,7 +123,7 @@
     value: float
     limit: float | None
     sources: dict[str, Basis] = field(default_factory=dict)
-    passed_from: float | None = None  # size in brokers of the smallest fleet over the limit
+    passed_from: float | None = None  # brokers of the smallest fleet over the limit, engines in proportion
 
     @property
     def ratio(self) -> float | None:
--- a/cypressledge/lab/capacity/run_report.py
+++ b/cypressledge/lab/capacity/run_report.py
@@ -90,7 +90,7 @@
         return "none"
     return (
         f"{run.size.ping_s:g} s; "
-        f"at the end, fewest others alive in one broker's view {run.figures['alive_fewest']} "
+        f"at the end, fewest members alive in one broker's view {run.figures['alive_fewest']} "
         f"of {run.size.brokers - run.size.real_brokers}, "
         f"leases held {run.figures['leases_held']} of {MEMBERS_LEASES}"
     )
--- a/cypressledge/lab/capacity/simulated_broker_host.py
+++ b/cypressledge/lab/capacity/simulated_broker_host.py
@@ -23,7 +23,7 @@
         self.started: dict[str, int] = {}  # identifier of the last run, by broker
         self.killed: dict[tuple[str, int], int] = {}  # time of the kill, µs, by broker and run
         self.counts: Counter[str] = Counter()
-        self.fewest_alive = 0  # minimum number of others that a broker of this host considers alive
+        self.fewest_alive = 0  # minimum of the members that a broker here considers alive, itself included
         self.leases_held = 0
         with open(folder / f"host{number}.log", "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
--- a/cypressledge/lab/capacity/targets.py
+++ b/cypressledge/lab/capacity/targets.py
@@ -25,7 +25,7 @@
 PLANNER_RUNS_PER_S = 10.0  # the planner's target rate: a tenth of a second between its runs
 ENGINES_PER_OBSERVATION = 64  # maximum number of engines in one broker's observations
 USUAL_SOCKETS = 1_024  # the sites' usual limit on file descriptors
-REQUIRED_SOCKETS = TARGET_CLIENTS * 5 // 3 + RESERVED_SOCKETS + 1  # clients get three fifths
+REQUIRED_SOCKETS = TARGET_CLIENTS * 5 // 3 + RESERVED_SOCKETS + 1  # clients get 3/5 of sockets
 
 # Assumptions
 LINK_KB_S = 125_000.0  # rate of a machine's link of 1 Gbit/s
--- a/cypressledge/lab/demo.py
+++ b/cypressledge/lab/demo.py
@@ -153,7 +153,7 @@
         self.announce("three brokers start; a voter that starts is in voting quarantine for a term")
         first = until(self.holder, HOLDER_TIMEOUT_S)
         if not first:
-            self.announce("no broker came to hold the lease")
+            self.announce("no broker acquired the lease")
             return 1
         self.greenlets = [gevent.spawn(client.run) for client in self.clients]
         self.announce(f"{first} holds the lease and sums up the fleet's figures")
@@ -164,14 +164,14 @@
         self.show()
         second = until(lambda: self.holder(first), HOLDER_TIMEOUT_S)
         if not second:
-            self.announce("nobody followed")
+            self.announce("no other broker acquired the lease")
             return 1
         self.announce(
             f"{second} has followed after {time.monotonic() - killed:.2f} s (the term is {TERM_S} s)"
         )
         self.watch(seconds * WATCH_FRACTION)
         self.brokers.all[first].start()
-        self.announce(f"{first} starts anew")
+        self.announce(f"{first} restarts")
         self.watch(seconds * WATCH_FRACTION)
         served = sum(client.counts["served"] for client in self.clients)
         self.announce(
--- a/cypressledge/lab/lease_model/model_checker.py
+++ b/cypressledge/lab/lease_model/model_checker.py
@@ -4,8 +4,8 @@
 order, or never, which covers loss, delay, duplication and reordering. Real time advances in ticks; each
 process's clock advances at its own rate. Voters and requesters may restart, and brokers may reload the voter
 sets, at any moment, as often as the bounds allow. Nothing else is bounded: states hold durations instead of
-points in time, so that a walk ends when no new state is left. The world runs the production classes `Voter`,
-`LeaseAcquisition` and `Electorate`.
+points in time, so that an exploration ends when no new state is left. The world runs the production classes
+`Voter`, `LeaseAcquisition` and `Electorate`.
 """
 
 from collections import deque
@@ -15,21 +15,20 @@
 from cypressledge.lab.lease_model.steps import possible_steps
 from cypressledge.lab.lease_model.world import NOTHING_HELD, World
 
-Predecessors = dict[
-    int, tuple[int | None, str]
-]  # hash of a state -> hash of its predecessor, text of the step
+# Hash of a state -> hash of its predecessor (None for the initial state) and text of the step between them.
+Predecessors = dict[int, tuple[int | None, str]]
 
 
 @dataclass
 class WalkResult:
-    """The result of a walk: numbers of states and steps, and the first fault with its trace."""
+    """The result of an exploration: numbers of states and steps, and the first fault with its trace."""
 
     states: int
     steps: int
     fault: str = ""
     trace: list[str] = field(default_factory=list)
     is_complete: bool = True  # every reachable state was explored
-    held_states: int = 0  # states after the lease was first held; a walk that has none proves nothing
+    held_states: int = 0  # states after the lease was first held; without any, the result proves nothing
 
 
 def walk(
--- a/cypressledge/lab/lease_model/run.py
+++ b/cypressledge/lab/lease_model/run.py
@@ -14,7 +14,7 @@
 
 
 class WalkName(NamedTuple):
-    """The name of a walk; `kind` is `world` or `mutation`."""
+    """The name of an exploration; `kind` is `world` or `mutation`."""
 
     kind: str
     name: str
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Walk:
-    """The input of a walk: a bounded world, and the lease classes that run in it."""
+    """The input of an exploration: a bounded world, and the lease classes that run in it."""
 
     bounds: Bounds
     implementation: Implementation
 
 
 def named_walks(deep: bool = False) -> dict[WalkName, Walk]:
-    """Return all walks by kind and name; `deep` includes the large ones."""
+    """Return the inputs of all explorations by kind and name; `deep` includes the large ones."""
     worlds = WORLDS | (DEEP_WORLDS if deep else {})
     walks = {WalkName("world", bounds.name): Walk(bounds, Implementation()) for bounds in worlds.values()}
     for mutation in MUTATIONS:
@@ -40,7 +40,7 @@
 
 
 def walk_all(deep: bool = False, max_states: int = 1_000_000) -> dict[WalkName, WalkResult]:
-    """Run all walks in a pool with one process per core, and return their results."""
+    """Run all explorations in a pool with one process per core, and return their results."""
     walks = named_walks(deep)
     arguments = [(each.bounds, each.implementation, max_states) for each in walks.values()]
     with multiprocessing.get_context("spawn").Pool(os.cpu_count()) as pool:
@@ -49,7 +49,10 @@
 
 
 def run(deep: bool, max_states: int, echo: Callable[[str], None]) -> int:
-    """Run all walks and print the results; return 1 if a world has a fault or a mutation has none, else 0."""
+    """Explore all worlds and print the results.
+
+    Returns 1 if a world without a mutation has a fault or a mutation has none, else 0.
+    """
     failures = states = 0
     for (kind, name), result in walk_all(deep, max_states).items():
         states += result.states
--- a/cypressledge/lab/load.py
+++ b/cypressledge/lab/load.py
@@ -54,7 +54,9 @@
 
 
 class Client:
-    """A client that moves on to the next broker when its connection fails, as behind a load balancer.
+    """A client that sends lookups to one broker, and to the next one after its connection fails.
+
+    A load balancer would move the client in the same way; a broker that is down is skipped.
 
     `ports`: ports of the brokers; `pause_s`: s between two lookups; `first`: index of the first port to use.
     """
--- a/cypressledge/lab/simulated_broker_messages.py
+++ b/cypressledge/lab/simulated_broker_messages.py
@@ -58,9 +58,10 @@
 
 
 class MembersFigures(msgspec.Struct, frozen=True, array_like=True):
-    """The smallest number of members that a broker of the process considers alive, and its leases.
+    """Membership figures of a process of simulated brokers.
 
-    `leases_held`: number of leases that all brokers of the process hold together.
+    `fewest_alive`: smallest number of members that one of its brokers considers alive, itself included;
+    `leases_held`: number of leases that all its brokers hold together.
     """
 
     fewest_alive: int
--- a/cypressledge/lab/zone_processes/core_engine.py
+++ b/cypressledge/lab/zone_processes/core_engine.py
@@ -83,7 +83,10 @@
         return self.cores * warm * (SLOW_CAPACITY if self.failure == "slow" else 1.0)
 
     def fail(self, failure: str) -> None:
-        """Start to fail; `failure`: silent (no answers), reset (connections are closed) or slow (tenfold)."""
+        """Start to fail.
+
+        `failure`: silent (no answers), reset (connections are closed) or slow (a tenth of the capacity).
+        """
         self.failure = failure
         if failure != "slow":
             self.running.clear()
--- a/cypressledge/lab/zone_simulation/world.py
+++ b/cypressledge/lab/zone_simulation/world.py
@@ -132,7 +132,7 @@
         self.lost_at: int | None = None
         self.back_at: int | None = None
         self.events: list[LoggedEvent] = []
-        self.plan_taken_at: dict[int, int] = {}  # broker -> time of the plan that leaves the lost zone
+        self.plan_taken_at: dict[int, int] = {}  # broker -> when it took the plan that leaves the lost zone
         self.planner = 0
         self.planner_acts_from = 0
         self.token = 1
@@ -205,7 +205,7 @@
             self.plan_taken_at.setdefault(broker.number, self.now)
 
     def lost_zone_name(self) -> str:
-        """Return the name of the lost zone, or an empty string if none is lost."""
+        """Return the name of the lost zone, or an empty string if none has been lost."""
         return self.zone_names[self.lost_zone] if self.lost_zone is not None else ""
 
     def engines_in(self, zone: int) -> list[ModelEngine]:
--- a/tests/lab/test_capacity_page.py
+++ b/tests/lab/test_capacity_page.py
@@ -43,9 +43,8 @@
     assert {line.requirement.role for line in found} >= set(ROLES)
     assert all(line.value >= 0 for line in found)
     assert all(line.basis == "given" or line.sources for line in found)
-    assert slope_limits(read([str(RESULTS)]))["module_ms"] == pytest.approx(
-        2.0
-    )  # 500 of them take one second
+    # 500 statements of 2 ms take one second.
+    assert slope_limits(read([str(RESULTS)]))["module_ms"] == pytest.approx(2.0)
 
 
 def test_a_fit_finds_the_kind_of_curve_and_its_residual():
