--- a/cypressledge/lab/cost.py
+++ b/cypressledge/lab/cost.py
@@ -190,7 +190,7 @@
         echo(
             f"{brokers} brokers, {leases} leases; {rounds} rounds of {ROUND_S:g} s in turns, load on "
             f"{LOADED_BROKERS} of them; engines take 5 ms; a task's longest step {step_ms} ms, "
-            f"p99 of the fleet node's turns {turn_ms} ms"
+            f"the owner's turns p99 {turn_ms} ms"
         )
     finally:
         off.end()
