--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -1,6 +1,6 @@
-"""Routing: a request goes to the engine of least cost among those that admit it; ties are broken at random.
+"""Routing: a request goes to the engine of lowest cost among those that admit it; ties are broken at random.
 
-A cost is in threads a core: this broker's work in flight, and penalties in the same unit.
+A cost is in threads per core: this broker's work in flight, plus penalties in the same unit.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -18,38 +18,39 @@
 from cypressledge.decisions.retries import deduplicates
 from cypressledge.decisions.units import MS
 
-REPORT_WEIGHT = 2.0  # of the other brokers' reported load against this broker's threads a core
-REPORT_HALF_LIFE = 2_000 * MS  # age at which a report counts half: about the run time of expensive work
-PREFERRED_ENGINES_MIN = 3  # engines that a broker prefers at the least
-ANSWERS_PER_PREFERRED_ENGINE = 2  # answers a second for which it prefers one more
-UNPREFERRED_ENGINE_COST = 1.0  # of the first engine that the broker does not prefer, in threads a core
-UNCACHED_COST = 0.25  # of engines that are not among the group's, in threads a core
-BLOCKED_COST = 2.0  # of an engine where a load blocks the group, in threads a core
-FAILED_COST = 2.0  # of an engine that just failed the request or rejects, in threads a core
-RESERVED_COST = 0.5  # to a class free to go anywhere, of engines that another class must use
-LOAD_ENGINE_COST = 2.0  # to what loads block, of engines that the group's loads go to
-NOT_LOAD_ENGINE_COST = 1.0  # to a load, of engines that its group's loads do not go to
-TIE = 1e-9  # difference of costs, in threads a core, up to which they are equal
+REPORT_WEIGHT = 2.0  # weight of the other brokers' reported load relative to this broker's own load
+REPORT_HALF_LIFE = 2_000 * MS  # µs; age at which a report counts half, about the run time of expensive work
+PREFERRED_ENGINES_MIN = 3  # fewest engines that a broker prefers
+ANSWERS_PER_PREFERRED_ENGINE = 2  # answers per second for each further engine that a broker prefers
+# Costs are in threads per core.
+UNPREFERRED_ENGINE_COST = 1.0  # cost of the first engine that the broker does not prefer
+UNCACHED_COST = 0.25  # cost of engines that are not among the group's engines, which cache its tables
+BLOCKED_COST = 2.0  # cost of an engine for each load that blocks the group there
+FAILED_COST = 2.0  # cost of an engine that just failed the request or rejects attempts
+RESERVED_COST = 0.5  # cost of engines that another class requires, for classes without requirements
+LOAD_ENGINE_COST = 2.0  # cost of the load engines of the group, for requests that loads block
+NOT_LOAD_ENGINE_COST = 1.0  # cost of engines that are not load engines of the group, for loads
+TIE_TOLERANCE = 1e-9  # largest difference of equal costs
 
 
 @dataclass(slots=True)
-class RoutingFacts:
-    """What the cost of an engine depends on besides the engine, computed once for each choice."""
+class CostInputs:
+    """Inputs of the engine costs that are the same for all engines, computed once for each choice."""
 
     request: Request
-    threads: int  # that the request runs on
+    threads: int  # threads that the request uses
     table_group: int
     now: int  # µs
     fleet_slowdown: float
-    mean_load: float  # threads a core, of load reports
-    load_spread: float
-    distances: Mapping[Engine, float]  # as Affinity.preference_distances gives them
-    group_engines: Collection[Engine]
-    load_engines: Collection[Engine]
+    mean_load: float  # threads per core, of load reports
+    load_spread: float  # threads per core, of load reports
+    distances: Mapping[Engine, float]  # result of Affinity.preference_distances
+    group_engines: Collection[Engine]  # engines without UNCACHED_COST
+    load_engines: Collection[Engine]  # result of Affinity.load_engines; empty if loads don't matter
 
 
 class Router:
-    """Chooses engines for requests."""
+    """Chooses the engine that a request is sent to."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         self.configure()
 
     def configure(self) -> None:
-        """Apply the context's settings."""
+        """Apply the context's settings: required kinds and zones, and the weight of load reports."""
         settings = self._context.settings
         self._reserved_kinds = frozenset().union(*(c.required_kinds or () for c in settings.classes))
         self._reserved_zones = frozenset().union(*(c.required_zones or () for c in settings.classes))
@@ -80,26 +81,26 @@
         self._report_weight = REPORT_WEIGHT * (1.0 - 1.0 / settings.broker_count)
 
     def choose(self, request: Request) -> Engine | None:
-        """The allowed engine with capacity and the least cost; None without any."""
+        """Return the candidate with capacity and the lowest cost; None without any."""
         allowance = self._limits.short_work_allowance(request)
         if not self._limits.fleet_has_capacity(request, allowance):
             return None
-        facts = self._facts(request)
+        inputs = self._cost_inputs(request)
         admits = self._admission.admits
-        least = 0.0
+        lowest_cost = 0.0
         ties: list[Engine] = []
         for engine in self._candidates(request):
             if not admits(engine, request, allowance):
                 continue
-            cost = self._cost(engine, facts)
-            if not ties or cost < least - TIE:
-                least, ties = cost, [engine]
-            elif cost < least + TIE:
+            cost = self._cost(engine, inputs)
+            if not ties or cost < lowest_cost - TIE_TOLERANCE:
+                lowest_cost, ties = cost, [engine]
+            elif cost < lowest_cost + TIE_TOLERANCE:
                 ties.append(engine)
         return self._context.random.choice(ties) if ties else None
 
     def _candidates(self, request: Request) -> Sequence[Engine]:
-        """Engines that the rules on kinds, zones, retries and loads allow for the request."""
+        """Return the engines that the rules on kinds, zones, retries and loads allow for the request."""
         class_settings = request.class_settings
         engines = self._registry.ready
         if (kinds := class_settings.required_kinds) is not None:
@@ -113,15 +114,15 @@
             excluded = self._affinity.excluded_engines(request)
             engines = [engine for engine in engines if engine not in excluded]
         if class_settings.is_load:
-            starts_soon = self._affinity.load_would_start_soon
-            engines = [engine for engine in engines if starts_soon(engine, request)]
+            would_start_soon = self._affinity.load_would_start_soon
+            engines = [engine for engine in engines if would_start_soon(engine, request)]
         return engines
 
-    def _facts(self, request: Request) -> RoutingFacts:
+    def _cost_inputs(self, request: Request) -> CostInputs:
         affinity, class_settings, group = self._affinity, request.class_settings, request.table_group
         is_load = class_settings.is_load
         has_load_engines = is_load or class_settings.blocked_by_loads
-        return RoutingFacts(
+        return CostInputs(
             request=request,
             threads=class_settings.threads,
             table_group=group,
@@ -135,67 +136,67 @@
         )
 
     def _preferred_count(self) -> int:
-        """Engines that this broker prefers, by its traffic."""
+        """Return how many engines this broker prefers, which grows with its rate of answers."""
         return PREFERRED_ENGINES_MIN + int(self._pace.answer_rate / ANSWERS_PER_PREFERRED_ENGINE)
 
-    # Cost terms, each in threads a core; they are added in this order.
+    # Cost terms in threads per core, in the order in which they are added.
 
-    def _cost(self, engine: Engine, facts: RoutingFacts) -> float:
-        request = facts.request
+    def _cost(self, engine: Engine, inputs: CostInputs) -> float:
+        request = inputs.request
         class_settings = request.class_settings
-        cost = _in_flight_cost(engine, facts)
-        cost += self._reported_load_cost(engine, facts)
-        cost += _affinity_cost(engine, facts)
+        cost = _in_flight_cost(engine, inputs)
+        cost += self._reported_load_cost(engine, inputs)
+        cost += _affinity_cost(engine, inputs)
         if class_settings.blocked_by_loads or class_settings.is_load:
-            cost += _blocked_cost(engine, facts)
-            cost += _load_placement_cost(engine, facts)
-        if engine is request.avoided_engine or facts.now < engine.rejected_until:
+            cost += _blocked_cost(engine, inputs)
+            cost += _load_placement_cost(engine, inputs)
+        if engine is request.avoided_engine or inputs.now < engine.rejected_until:
             cost += FAILED_COST
         if self._reserves_engines and self._is_reserved(engine, class_settings):
             cost += RESERVED_COST
         return cost
 
-    def _reported_load_cost(self, engine: Engine, facts: RoutingFacts) -> float:
-        """The other brokers' load as the engine last reported it.
+    def _reported_load_cost(self, engine: Engine, inputs: CostInputs) -> float:
+        """Return the cost of the other brokers' load, as the engine last reported it.
 
-        The older the report, the more of it is replaced by a random guess, so that brokers do not all choose
-        the engine with the lowest old report.
+        The older the report, the more of it is replaced by a random value, so that the brokers do not all
+        choose the engine with the lowest old report.
         """
-        known = 1.0 / (1.0 + (facts.now - engine.reported_at) / REPORT_HALF_LIFE)
+        freshness = 1.0 / (1.0 + (inputs.now - engine.reported_at) / REPORT_HALF_LIFE)
         deviation = 2.0 * self._random() - 1.0
-        guess = (1.0 - known) * facts.load_spread * deviation * (engine.reported_at > 0)
-        return self._report_weight * (known * (engine.reported_load - facts.mean_load) + guess)
+        random_part = (1.0 - freshness) * inputs.load_spread * deviation * (engine.reported_at > 0)
+        return self._report_weight * (freshness * (engine.reported_load - inputs.mean_load) + random_part)
 
     def _is_reserved(self, engine: Engine, class_settings: ClassSettings) -> bool:
-        """Whether another class must use the engine, while the request's class may go anywhere."""
+        """Return whether another class requires the engine's kind or zone and this class requires none."""
         if class_settings.required_kinds is not None or class_settings.required_zones is not None:
             return False
         return engine.kind in self._reserved_kinds or engine.zone in self._reserved_zones
 
 
-def _in_flight_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """This broker's threads a core with the request, times how much slower than the fleet the engine is."""
-    load = (engine.threads + facts.threads) / engine.cores
-    relative_slowdown = engine.slowdown / facts.fleet_slowdown
+def _in_flight_cost(engine: Engine, inputs: CostInputs) -> float:
+    """Return this broker's threads per core including the request, times the engine's relative slowdown."""
+    load = (engine.threads + inputs.threads) / engine.cores
+    relative_slowdown = engine.slowdown / inputs.fleet_slowdown
     return load * (relative_slowdown if relative_slowdown > 1.0 else 1.0)
 
 
-def _affinity_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Penalty on engines that are not among the group's, and on warm ones that the broker does not prefer."""
-    is_uncached = engine not in facts.group_engines
-    is_warm = facts.now >= engine.warm_at
-    return is_uncached * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * facts.distances[engine]
+def _affinity_cost(engine: Engine, inputs: CostInputs) -> float:
+    """Return the penalty on engines outside the group's and on warm engines that aren't preferred."""
+    is_uncached = engine not in inputs.group_engines
+    is_warm = inputs.now >= engine.warm_at
+    return is_uncached * UNCACHED_COST + is_warm * UNPREFERRED_ENGINE_COST * inputs.distances[engine]
 
 
-def _blocked_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Penalty on an engine where loads block the group."""
-    is_blocked = engine.blocked_until.get(facts.table_group, 0) > facts.now
-    return BLOCKED_COST * max(engine.loads_in_flight.get(facts.table_group, 0), is_blocked)
+def _blocked_cost(engine: Engine, inputs: CostInputs) -> float:
+    """Return the penalty on an engine where loads block the group."""
+    is_blocked = engine.blocked_until.get(inputs.table_group, 0) > inputs.now
+    return BLOCKED_COST * max(engine.loads_in_flight.get(inputs.table_group, 0), is_blocked)
 
 
-def _load_placement_cost(engine: Engine, facts: RoutingFacts) -> float:
-    """Penalty that separates loads from the queries that they block."""
-    is_load_engine = engine in facts.load_engines
-    if facts.request.class_settings.is_load:
+def _load_placement_cost(engine: Engine, inputs: CostInputs) -> float:
+    """Return the penalty that separates loads from the queries that they block."""
+    is_load_engine = engine in inputs.load_engines
+    if inputs.request.class_settings.is_load:
         return (not is_load_engine) * NOT_LOAD_ENGINE_COST
     return is_load_engine * LOAD_ENGINE_COST
--- a/cypressledge/lab/capacity/fleet_requirements.py
+++ b/cypressledge/lab/capacity/fleet_requirements.py
@@ -1,4 +1,4 @@
-"""What the roles need that serve all brokers: planner, leader, control machines, directory; and an engine."""
+"""Requirements of the planner, leader, control machines, directory and engines."""
 
 from functools import partial
 
@@ -41,13 +41,13 @@
 
 
 def _observations_kb_s(measured: Measurements, rate: float) -> float:
-    """Return KB/s of the observations of all other brokers, each of which sends `rate` of them a second."""
+    """Return KB/s of the observations of all other brokers, if each sends `rate` of them per second."""
     size = measured.at("sight_bytes", ENGINES_PER_OBSERVATION)
     return size * rate * (measured.brokers - 1) / 1000
 
 
 def _planner_cpu_pct(measured: Measurements, rate: float, run_curve: str) -> float:
-    """Return % of a core for the observations of all brokers, each at `rate` a second, and the runs."""
+    """Return % of a core for all brokers' observations, `rate` per second each, and the planner's runs."""
     received = measured.fact("sight_us") * rate * measured.brokers / 1e6
     runs = measured.at(run_curve, measured.brokers) * PLANNER_RUNS_PER_S / 1e3
     return (received + runs) * 100
@@ -55,8 +55,8 @@
 
 OBSERVATIONS = Figure(partial(_observations_kb_s, rate=OBSERVATIONS_PER_S))
 OBSERVATIONS_FAILING = Figure(partial(_observations_kb_s, rate=OBSERVATIONS_PER_S_FAILING))
-PLANNER_WELL = Figure(partial(_planner_cpu_pct, rate=OBSERVATIONS_PER_S, run_curve="planner_well_ms"))
-PLANNER_ZONE_LOST = Figure(
+PLANNER_CPU_NORMAL = Figure(partial(_planner_cpu_pct, rate=OBSERVATIONS_PER_S, run_curve="planner_well_ms"))
+PLANNER_CPU_ZONE_LOST = Figure(
     partial(_planner_cpu_pct, rate=OBSERVATIONS_PER_S_FAILING, run_curve="planner_lost_ms")
 )
 
@@ -126,7 +126,7 @@
         kind="processor",
         what="ten acts/s and sights, all well",
         unit="% of a core",
-        figure=PLANNER_WELL,
+        figure=PLANNER_CPU_NORMAL,
         limit=PLANNER_CPU,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
@@ -135,7 +135,7 @@
         kind="processor",
         what="ten acts/s and sights, a zone lost",
         unit="% of a core",
-        figure=PLANNER_ZONE_LOST,
+        figure=PLANNER_CPU_ZONE_LOST,
         limit=PLANNER_CPU,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
@@ -216,7 +216,7 @@
         kind="processor",
         what="the planner's acts and sights there, a zone lost",
         unit="% of a core",
-        figure=PLANNER_ZONE_LOST,
+        figure=PLANNER_CPU_ZONE_LOST,
         limit=ONE_CORE,
         carried_by=MISSING_PLANNER_MACHINE,
     ),
--- a/cypressledge/lab/lease_model/model_checker.py
+++ b/cypressledge/lab/lease_model/model_checker.py
@@ -1,10 +1,10 @@
-"""Walks the lease through all interleavings of a small world, for two holders or a shrinking token. No I/O.
+"""Explores all interleavings of a small world, and looks for two lease holders or a decreasing token. No I/O.
 
-The network is the set of all messages ever sent: each may be delivered at any time, again, in any order, or
-never, so loss, delay, duplicates and reordering are all of its behaviours. Real time moves in ticks; each
-process's clock moves by its own rate. Voters and requesters may restart, and brokers reload the voter sets,
-at any moment, as often as the bounds say. Nothing else is bounded: states are kept with spans in place of
-moments, so a walk ends when no new state is left. The world runs the program's own `Voter`,
+The network is the set of all messages ever sent. Each may be delivered at any time, repeatedly, in any
+order, or never, which covers loss, delay, duplication and reordering. Real time advances in ticks; each
+process's clock advances at its own rate. Voters and requesters may restart, and brokers may reload the voter
+sets, at any moment, as often as the bounds allow. Nothing else is bounded: states hold durations instead of
+points in time, so that a walk ends when no new state is left. The world runs the production classes `Voter`,
 `LeaseAcquisition` and `Electorate`.
 """
 
@@ -15,59 +15,61 @@
 from cypressledge.lab.lease_model.steps import possible_steps
 from cypressledge.lab.lease_model.world import NOTHING_HELD, World
 
-Reached = dict[int, tuple[int | None, str]]  # by a state's hash: the state before, and the step from it
+Predecessors = dict[
+    int, tuple[int | None, str]
+]  # hash of a state -> hash of its predecessor, text of the step
 
 
 @dataclass
 class WalkResult:
-    """What a walk found: how many states and steps, and the trace of the first failure."""
+    """The result of a walk: numbers of states and steps, and the first fault with its trace."""
 
     states: int
     steps: int
     fault: str = ""
     trace: list[str] = field(default_factory=list)
-    is_complete: bool = True  # no state was left out
-    held_states: int = 0  # in which somebody has held the lease: a walk without any means nothing
+    is_complete: bool = True  # every reachable state was explored
+    held_states: int = 0  # states after the lease was first held; a walk that has none proves nothing
 
 
 def walk(
     bounds: Bounds, implementation: Implementation | None = None, max_states: int = 1_000_000
 ) -> WalkResult:
-    """Walk a world, nearest states first, until a failure or `max_states` states."""
+    """Explore a world breadth-first until the first fault, or until `max_states` states are known."""
     implementation = implementation or Implementation()
     first = World(bounds, implementation)
-    reached: Reached = {hash(first.key()): (None, "")}
+    predecessors: Predecessors = {hash(first.key()): (None, "")}
     queue = deque([first])
     result = WalkResult(1, 0)
     while queue:
         world = queue.popleft()
         before = hash(world.key())
         for step in possible_steps(world, bounds, implementation):
-            following = world.copy()
-            step.change(following)
+            successor = world.copy()
+            step.change(successor)
             result.steps += 1
-            fault = following.check()
-            key = hash(following.key())
-            if key in reached and not fault:
+            fault = successor.check()
+            key = hash(successor.key())
+            if key in predecessors and not fault:
                 continue
-            reached[key] = (before, step.text)
+            predecessors[key] = (before, step.text)
             result.states += 1
-            result.held_states += following.highest_held != NOTHING_HELD
+            result.held_states += successor.highest_held != NOTHING_HELD
             if fault:
                 result.fault = fault
-                result.trace = _trace(reached, key)
+                result.trace = _trace(predecessors, key)
                 return result
-            if len(reached) >= max_states:
+            if len(predecessors) >= max_states:
                 result.is_complete = False
                 return result
-            queue.append(following)
+            queue.append(successor)
     return result
 
 
-def _trace(reached: Reached, key: int | None) -> list[str]:
-    """Return the steps from the first state to this one."""
+def _trace(predecessors: Predecessors, key: int | None) -> list[str]:
+    """Return the texts of the steps from the initial state to the state `key`."""
     steps = []
     while key is not None:
-        key, text = reached[key]
+        key, text = predecessors[key]
         steps.append(text)
     return steps[-2::-1]
--- a/tests/controlplane/distribution_world.py
+++ b/tests/controlplane/distribution_world.py
@@ -1,4 +1,4 @@
-"""Publishers and subscribers over connections that delay, go dark and break, in virtual time."""
+"""Publishers and subscribers in virtual time, over connections with delays, partitions and resets."""
 
 import heapq
 import itertools
@@ -22,7 +22,7 @@
     max_subscribers=3,
     full_retry_after_ms=500,
 )
-FAULTS = ["break", "dark", "new broker", "new site", "compact", "spoil", "none"]
+FAULTS = ["reset", "partition", "new broker", "new publisher", "compact", "corrupt", "none"]
 
 
 @dataclass(slots=True)
@@ -31,15 +31,15 @@
 
     publisher: int
     subscriber: int
-    is_dark: bool = False  # nothing passes, and nobody is told
-    last_to_publisher: int = 0  # when the last message of each way arrives
+    is_partitioned: bool = False  # messages are lost, and neither end is notified
+    last_to_publisher: int = 0  # when the last message in this direction arrives
     last_to_subscriber: int = 0
-    unconfirmed: int = 0  # updates without an answer
+    unconfirmed: int = 0  # unanswered updates
     has_said_hello: bool = False
 
 
 class DistributionWorld:
-    """So many publishers and brokers, and the history that the publishers learn little by little."""
+    """A number of publishers and brokers, and the history, which the publishers receive in steps."""
 
     def __init__(self, seed: int, publishers: int = 3, brokers: int = 4) -> None:
         self.random, self.now, self.heap, self.order = random.Random(seed), 0, [], itertools.count()
@@ -68,10 +68,10 @@
         positions = [(0, 0)]
 
         def changed(state: FleetState, change) -> None:
-            assert state.epoch >= positions[-1][0], "went back"
-            assert state.version > positions[-1][1], "went back"
-            assert state.digest == self.digests[state.version], "not the history's"
-            assert state.digest_matches(), "not the history's"
+            assert state.epoch >= positions[-1][0], "the epoch decreased"
+            assert state.version > positions[-1][1], "the version did not increase"
+            assert state.digest == self.digests[state.version], "the digest differs from the history's"
+            assert state.digest_matches(), "the entries do not match the digest"
             positions.append(state.position)
 
         return ConfigSubscriber(
@@ -89,7 +89,7 @@
 
     # Connections
 
-    def later(self, delay: int, act, *arguments) -> None:
+    def schedule(self, delay: int, act, *arguments) -> None:
         heapq.heappush(self.heap, (self.now + delay, next(self.order), act, arguments))
 
     def _connection_of(self, subscriber: int) -> tuple[int, Connection | None]:
@@ -97,18 +97,18 @@
         return next(found, (0, None))
 
     def _close(self, subscriber: int) -> None:
-        """The subscriber's side is closed at once; the publisher hears of it later."""
+        """Close the subscriber's end immediately; the publisher is notified after a delay."""
         number, connection = self._connection_of(subscriber)
         if connection:
             del self.connections[number]
             publisher = self.publishers[connection.publisher]
-            self.later(self.random.randrange(SECOND_US), publisher.disconnected, self.now, number)
+            self.schedule(self.random.randrange(SECOND_US), publisher.disconnected, self.now, number)
 
     def _dial(self, subscriber: int, server: Server) -> None:
         assert self._connection_of(subscriber)[1] is None, "two connections of one broker"
         number = next(self.ids)
         self.connections[number] = Connection(int(server.name[1:]), subscriber)
-        self.later(self.random.randrange(SECOND_US // 10), self._established, number)
+        self.schedule(self.random.randrange(SECOND_US // 10), self._established, number)
 
     def _established(self, number: int) -> None:
         if number in self.connections:
@@ -116,7 +116,7 @@
 
     def _disconnect(self, number: int, reason: m.Disconnect) -> None:
         self._transmit_to_subscriber(number, reason)
-        self.later(SECOND_US // 2, self._reset, number)
+        self.schedule(SECOND_US // 2, self._reset, number)
 
     def _reset(self, number: int) -> None:
         connection = self.connections.pop(number, None)
@@ -125,18 +125,18 @@
 
     # Messages
 
-    def _transit_end(self, last_arrival: int) -> int:
-        """When a message arrives: after a delay, and not before the one that left earlier."""
+    def _arrival_time(self, last_arrival: int) -> int:
+        """Return when a message arrives: after a random delay, but not before the previous message."""
         return max(last_arrival, self.now + self.random.randrange(SECOND_US // 5))
 
     def _to_publisher(self, subscriber: int, message: m.Message) -> None:
         number, connection = self._connection_of(subscriber)
-        if connection and not connection.is_dark:
-            connection.last_to_publisher = self._transit_end(connection.last_to_publisher)
+        if connection and not connection.is_partitioned:
+            connection.last_to_publisher = self._arrival_time(connection.last_to_publisher)
             delay = connection.last_to_publisher - self.now
-            self.later(delay, self._at_publisher, number, transmitted(message))
+            self.schedule(delay, self._deliver_to_publisher, number, encode_and_decode(message))
 
-    def _at_publisher(self, number: int, message: m.Message) -> None:
+    def _deliver_to_publisher(self, number: int, message: m.Message) -> None:
         connection = self.connections.get(number)
         if not connection:
             return
@@ -153,7 +153,7 @@
         connection = self.connections.get(number)
         if connection and isinstance(message, m.Deltas | m.CompleteSnapshot):
             connection.unconfirmed += 1
-            assert connection.unconfirmed <= 1, "more than one message out"
+            assert connection.unconfirmed <= 1, "more than one message in flight"
             if self.messages_to_corrupt:
                 self.messages_to_corrupt -= 1
                 message = self._corrupted(message)
@@ -161,10 +161,10 @@
 
     def _transmit_to_subscriber(self, number: int, message: m.Message) -> None:
         connection = self.connections.get(number)
-        if connection and not connection.is_dark:
-            connection.last_to_subscriber = self._transit_end(connection.last_to_subscriber)
+        if connection and not connection.is_partitioned:
+            connection.last_to_subscriber = self._arrival_time(connection.last_to_subscriber)
             delay = connection.last_to_subscriber - self.now
-            self.later(delay, self._at_subscriber, number, transmitted(message))
+            self.schedule(delay, self._deliver_to_subscriber, number, encode_and_decode(message))
 
     def _corrupted(self, message: m.Message) -> m.Message:
         if isinstance(message, m.CompleteSnapshot):
@@ -174,16 +174,16 @@
         bad = m.Change(last.epoch, last.version, [m.Op("engine/bad", b"\x01")], last.digest)
         return m.Deltas([*rest, bad])
 
-    def _at_subscriber(self, number: int, message: m.Message) -> None:
+    def _deliver_to_subscriber(self, number: int, message: m.Message) -> None:
         if number in self.connections:
             self.brokers[self.connections[number].subscriber].received(self.now, message)
 
-    # What happens
+    # Time, commits and faults
 
     def run(self, span: int) -> None:
         end = self.now + span
         while True:
-            due = [site.tick(self.now) for site in (*self.publishers, *self.brokers)]
+            due = [node.tick(self.now) for node in (*self.publishers, *self.brokers)]
             self.now = max(self.now, min(due + [event[0] for event in self.heap[:1]]))
             if self.now > end:
                 self.now = end
@@ -193,7 +193,7 @@
                 act(*arguments)
 
     def commit(self, count: int, epoch_step: int) -> None:
-        """The history grows; each publisher learns of it when it catches up."""
+        """Append changes to the history; each publisher receives them when it catches up."""
         for _ in range(count):
             version = self.truth.version + 1
             value = encode_value(Engine(f"h{version}:1")) if version % 4 else None
@@ -212,30 +212,30 @@
         publisher.committed(self.now)
 
     def fault(self, kind: str, number: int) -> None:
-        """One of `FAULTS`, at the publisher or broker that the number chooses."""
+        """Inject one of `FAULTS` at the publisher or broker that the number selects."""
         publisher, broker = number % len(self.publishers), number % len(self.brokers)
-        if kind == "break":
+        if kind == "reset":
             self._break(broker)
-        elif kind == "dark":
+        elif kind == "partition":
             _, connection = self._connection_of(broker)
             if connection:
-                connection.is_dark = True
+                connection.is_partitioned = True
         elif kind == "new broker":
             self._close(broker)
             self.brokers[broker] = self._broker(broker, number)
-        elif kind == "new site":
+        elif kind == "new publisher":
             self._restart_publisher(publisher)
         elif kind == "compact":
             self.publishers[publisher].history.compact(keep=number % 3)
-        elif kind == "spoil":
+        elif kind == "corrupt":
             self.messages_to_corrupt += 1
 
     def _break(self, broker: int) -> None:
         number, connection = self._connection_of(broker)
         if connection:
             publisher = self.publishers[connection.publisher]
-            self.later(0, self._reset, number)
-            self.later(SECOND_US // 3, publisher.disconnected, self.now, number)
+            self.schedule(0, self._reset, number)
+            self.schedule(SECOND_US // 3, publisher.disconnected, self.now, number)
 
     def _restart_publisher(self, index: int) -> None:
         for number in [n for n, c in self.connections.items() if c.publisher == index]:
@@ -244,6 +244,6 @@
         self.publishers[index] = self._publisher(index, history)
 
 
-def transmitted(message: m.Message) -> m.Message:
-    """The message as its bytes say it."""
+def encode_and_decode(message: m.Message) -> m.Message:
+    """Return the message after encoding and decoding, as its receiver gets it."""
     return m.decode(m.encode(message)[4:])
--- a/tests/decisions/test_manager_faults.py
+++ b/tests/decisions/test_manager_faults.py
@@ -1,4 +1,4 @@
-"""How a manager reacts to faults of engines, to loads that block queries, and to overload."""
+"""Reactions of a manager to faults of engines, to loads that block queries, and to overload."""
 
 import dataclasses
 
@@ -51,7 +51,7 @@
     assert len([s for s in driver.sends if s.engine == 1]) <= 1
 
 
-def test_silence_everywhere_ejects_nobody():
+def test_silence_of_all_engines_ejects_no_engine():
     driver = ManagerDriver(settings(LONG_OBJECTIVE))
     for request in range(60):
         driver.arrive(request)
@@ -109,13 +109,13 @@
     assert all(s.engine != driver.engine_of(1) for s in driver.sends[1:])
 
 
-def test_work_that_misses_its_objective_is_rejected_early():
+def test_requests_that_will_miss_their_objective_are_rejected_early():
     driver = ManagerDriver(
         settings(dataclasses.replace(LOOKUP, latency_objective=SECOND, latency_objective_stretch=0)),
         engines=1,
     )
     driver.manager.registry.ready[0].slowdown, driver.manager.registry.ready[0].bound = 3.0, 1
-    for request in (1, 2, 3):  # two lookups are sent
+    for request in (1, 2, 3):  # the bound admits two lookups
         driver.arrive(request)
     assert not final_answers(driver.run(SECOND // 2))
     assert [a.request for a in final_answers(driver.run(SECOND // 2))] == [3]
@@ -128,7 +128,7 @@
 
 
 def test_an_engine_that_answers_errors_at_once_is_ejected():
-    """It has the fewest queries in flight, so it would attract the most."""
+    """Such an engine has the fewest queries in flight and would attract the most."""
     driver = ManagerDriver(engines=3)
     for request in range(200):
         driver.arrive(request)
@@ -143,8 +143,8 @@
     assert not driver.manager.engines[1].ejected
 
 
-def test_errors_everywhere_eject_nobody():
-    """They are the queries' fault."""
+def test_errors_at_all_engines_eject_no_engine():
+    """Errors at all engines are attributed to the queries."""
     driver = ManagerDriver(engines=3)
     for request in range(200):
         driver.arrive(request)
@@ -153,11 +153,11 @@
 
 
 def test_loads_and_queries_that_they_block_go_to_separate_engines():
-    """No manager knows the others' loads: all send a group's loads to the same engines by rank."""
+    """Managers don't know each other's loads, so all send a group's loads to the same engines by rank."""
     load = ClassSettings(latency_objective=4 * SECOND, deadline=20 * SECOND, is_load=True)
     driver = ManagerDriver(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), load), engines=5)
     driver.arrive(1, class_index=1, table_group=9)
-    driver.run(4 * SECOND)  # as if a load ran all the time
+    driver.run(4 * SECOND)  # the load runs all the time
     load_engines = {e.id for e in driver.manager.affinity.load_engines(9)}
     assert 1 <= len(load_engines) <= 3
     driver.end(1)
@@ -176,8 +176,8 @@
     assert not driver.manager.engines[1].blocked_until
 
 
-def test_late_work_of_low_priority_weight_is_not_moved():
-    """The retry budget is of more value elsewhere."""
+def test_late_requests_of_low_priority_weight_are_not_moved():
+    """Moving them would use up the retry budget for requests of higher weight."""
     driver = ManagerDriver(
         settings(dataclasses.replace(LOOKUP, late_priority_weight=0.1, blocked_by_loads=True)), engines=2
     )
@@ -191,7 +191,7 @@
     assert [a.request for a in cancellations(driver.actions)] == [1]
 
 
-def test_a_notification_of_waiting_for_a_load_keeps_its_group_away_for_a_while():
+def test_a_notification_of_waiting_for_a_load_diverts_its_group():
     driver = ManagerDriver(settings(dataclasses.replace(LOOKUP, blocked_by_loads=True), REPORT))
     driver.arrive(1, table_group=7)
     blocked = driver.engine_of(1)
@@ -202,7 +202,7 @@
         assert driver.engine_of(request) != blocked
 
 
-def test_loads_run_at_the_highest_priority_however_late():
+def test_late_loads_keep_the_highest_priority():
     load = ClassSettings(latency_objective=SECOND, deadline=20 * SECOND, is_load=True)
     driver = ManagerDriver(settings(LOOKUP, load, supports_priorities=True))
     driver.arrive(1, class_index=1, table_group=7)
@@ -228,8 +228,8 @@
 )
 
 
-def test_loads_leave_engines_to_the_queries_of_their_group():
-    """However many arrive: on such engines queries of the group would be blocked by them."""
+def test_loads_leave_some_engines_free_for_the_queries_of_their_group():
+    """Loads on all engines would block every query of the group."""
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, LOAD), engines=5)
     for request in range(1, 60):
         driver.arrive(request, class_index=1, table_group=9)
@@ -238,7 +238,7 @@
     assert driver.engine_of(100) == driver.manager.affinity.ranked(9)[0].id
 
 
-def test_loads_go_anywhere_where_nothing_else_is_left():
+def test_loads_use_any_engine_if_no_other_is_usable():
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, LOAD), engines=3)
     free = driver.manager.affinity.ranked(9)[0]
     for engine in driver.manager.registry.ready:
@@ -248,7 +248,7 @@
 
 
 def test_queries_wait_for_an_engine_where_no_load_locks_their_group():
-    """At the others they would be blocked, and the retry budget could not move them all."""
+    """At other engines the queries would be blocked, and the retry budget would not suffice to move them."""
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, kind_cores=(1, 1)), engines=2)
     free, other = driver.manager.affinity.ranked(9)
     other.blocked_until[9] = driver.now + 10 * SECOND
@@ -256,11 +256,11 @@
         driver.arrive(request, table_group=9)
     assert {s.engine for s in driver.sends} == {free.id}
     assert len(driver.sends) < 8
-    driver.arrive(10, table_group=8)  # another group's queries don't wait for them
+    driver.arrive(10, table_group=8)  # queries of another group don't wait
     assert driver.engine_of(10) == other.id
 
 
-def test_loads_wait_shortest_first_at_the_broker_and_not_at_an_engine():
+def test_loads_wait_at_the_broker_shortest_first():
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS, LOAD), engines=2)
     for request in range(1, 8):
         driver.arrive(request, class_index=1, table_group=9, cost=(20 - request) * SECOND)
@@ -270,7 +270,7 @@
     assert [s.request for s in driver.sends[sent:]] == [7]
 
 
-def test_short_work_has_an_allowance_where_long_work_fills_the_bound():
+def test_short_requests_have_an_allowance_while_long_ones_fill_the_bound():
     driver = ManagerDriver(settings(LOOKUP, REPORT), engines=1)
     for request in range(1, 30):
         driver.arrive(request, class_index=1, cost=2 * SECOND)
@@ -280,13 +280,13 @@
     assert [s.request for s in driver.sends[10:]] == [100]
 
 
-def test_a_rejecting_engine_gets_the_threads_it_had_and_single_attempts_beyond():
-    """Its rejections would use up the retry budget."""
+def test_a_rejecting_engine_gets_its_former_threads_and_single_probes():
+    """Without this limit, its rejections would use up the retry budget."""
     driver = ManagerDriver(engines=2)
     sent = 0
     for request in range(1, 101):
         driver.arrive(request)
-        while sent < len(driver.sends):  # this request or one that waited
+        while sent < len(driver.sends):  # this request, or one that waited
             attempt, sent = driver.sends[sent], sent + 1
             if attempt.engine == 1:
                 driver.end(attempt.request, Outcome.REJECTED)
@@ -298,13 +298,13 @@
     driver = ManagerDriver(settings(BLOCKED_BY_LOADS), engines=2)
     free, other = driver.manager.affinity.ranked(9)
     other.blocked_until[9] = driver.now + 10 * SECOND
-    free.rejected_until, free.next_overflow_at = driver.now + 10 * SECOND, driver.now + 10 * SECOND
+    free.rejected_until, free.next_capacity_probe_at = driver.now + 10 * SECOND, driver.now + 10 * SECOND
     driver.arrive(1, table_group=9)
     assert driver.engine_of(1) == other.id
 
 
 def notify_progress(driver, until, *requests):
-    """Send progress notifications of these requests each half second, until a time."""
+    """Send progress notifications of these requests every half second until the time `until`."""
     while driver.now < until:
         driver.run(SECOND // 2)
         driver.handle(
@@ -316,7 +316,7 @@
 
 
 def test_a_lost_response_is_found_by_missing_progress_notifications():
-    """The engine is active, and would notify of all that it runs."""
+    """An active engine sends notifications of all its attempts; the one without any has lost its response."""
     patient = dataclasses.replace(REPORT, latency_objective=20 * SECOND)
     driver = ManagerDriver(settings(LOOKUP, patient, progress_interval=SECOND // 2), engines=1)
     for request in range(1, 4):
@@ -340,11 +340,11 @@
     assert not cancellations(driver.actions)
 
 
-def test_short_work_is_moved_early_where_responses_get_lost():
+def test_short_requests_are_moved_early_while_responses_get_lost():
     driver = ManagerDriver(settings(LOOKUP, progress_interval=SECOND // 2), engines=2)
     driver.arrive(1)
     driver.run(SECOND // 2)
-    assert not cancellations(driver.actions)  # it may only be slow
+    assert not cancellations(driver.actions)  # the attempt may only be slow
     driver.end(1)
     driver.manager.lost_responses.loss_rate = 0.05
     driver.arrive(2)
--- a/tests/fakes/fake_name_server.py
+++ b/tests/fakes/fake_name_server.py
@@ -1,4 +1,4 @@
-"""A name server for the directory and for DNS-SD, whose lists a test sets."""
+"""A fake name server for the engine directory and for DNS-SD, whose lists a test sets."""
 
 import itertools
 import socket
@@ -9,14 +9,18 @@
 
 
 class FakeNameServer:
-    """Answers SRV queries for the directory and PTR/SRV/TXT/A queries for DNS-SD."""
+    """A UDP server that answers SRV queries for the engine directory and PTR/SRV/TXT/A queries for DNS-SD.
+
+    `engines` maps names to (port, SRV priority), `instances` the names of DNS-SD instances to (port, state).
+    `asked` counts all queries; with `is_silent` none is answered.
+    """
 
     def __init__(self):
         self.engines, self.serial, self.is_silent, self.asked = {}, 1, False, 0
-        self.born = 0  # ms: when the engines started
-        self.sends_invalid_answers = False  # send bad answers in front of the good one
+        self.engines_started_ms = 0  # ms since 1970; start time in the TXT records of the engines
+        self.sends_invalid_answers = False  # send invalid answers before the valid one
         self.instances = {}
-        self.directory_clients = []  # the address behind each query for the directory: one a poll
+        self.directory_clients = []  # client address of each directory query; each poll has its own
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.port = self.sock.getsockname()[1]
@@ -38,26 +42,29 @@
             self.directory_clients.append(peer)
         if self.is_silent:
             return
-        good = self._answer(query)
+        valid = self._answer(query)
         if self.sends_invalid_answers:
             serial, self.serial = self.serial, 0
-            old = self._answer(dns.message.from_wire(raw))
+            outdated = self._answer(dns.message.from_wire(raw))
             self.serial = serial
-            failure = good[:3] + bytes([good[3] | 2]) + good[4:]
-            for bad in (failure, good[:-9], bytes([good[0] ^ 1]) + good[1:], old):
-                self.sock.sendto(bad, peer)
-        self.sock.sendto(good, peer)
+            server_failure = valid[:3] + bytes([valid[3] | 2]) + valid[4:]
+            for invalid in (server_failure, valid[:-9], bytes([valid[0] ^ 1]) + valid[1:], outdated):
+                self.sock.sendto(invalid, peer)
+        self.sock.sendto(valid, peer)
 
     def polls_ended_after(self, query_count):
-        """The number of queries of each poll that began after so many queries, and has ended."""
+        """Return the number of queries of each ended poll that began after the first `query_count` queries.
+
+        Only directory queries count. The last poll is left out, since it may still be running.
+        """
         clients = list(self.directory_clients)
         polls = [list(queries) for _, queries in itertools.groupby(clients[query_count:])]
         if query_count and polls and polls[0][0] == clients[query_count - 1]:
-            del polls[0]  # it began before
-        return [len(queries) for queries in polls[:-1]]  # the last one may go on
+            del polls[0]  # this poll began earlier
+        return [len(queries) for queries in polls[:-1]]  # the last one may still be running
 
     def answer_last_query(self):
-        """Answer the last query now, as things stand."""
+        """Answer the last query (again) from the present lists."""
         raw, peer = self.last
         self.sock.sendto(self._answer(dns.message.from_wire(raw)), peer)
 
@@ -74,15 +81,18 @@
                     answer.answer,
                     name,
                     "SRV",
-                    *(f"{rank} 40 {port} {who}.room1.hosts." for who, (port, rank) in self.engines.items()),
+                    *(
+                        f"{priority} 40 {port} {engine_name}.room1.hosts."
+                        for engine_name, (port, priority) in self.engines.items()
+                    ),
                 )
-            for who in self.engines:
-                add(answer.additional, f"{who}.room1.hosts.", "A", "127.0.0.1")
+            for engine_name in self.engines:
+                add(answer.additional, f"{engine_name}.room1.hosts.", "A", "127.0.0.1")
                 add(
                     answer.additional,
-                    f"{who}.room1.hosts.",
+                    f"{engine_name}.room1.hosts.",
                     "TXT",
-                    f'"kind=node-8c" "cell=0" "started={self.born}"',
+                    f'"kind=node-8c" "cell=0" "started={self.engines_started_ms}"',
                 )
             add(answer.authority, "cluster.lan.", "SOA", f"ns. root. {self.serial} 1 1 1 1")
         elif name in self.instances:
@@ -100,5 +110,5 @@
 
 
 def _is_directory_query(query):
-    """Whether it asks for the directory's list, not for DNS-SD."""
+    """Return whether a query is for the engine directory and not for DNS-SD."""
     return query.question[0].name.to_text().startswith("_app.")
