--- a/cypressledge/broker/periodic_tasks.py
+++ b/cypressledge/broker/periodic_tasks.py
@@ -32,7 +32,8 @@
 def run_maintenance(tasks: Sequence[Callable[[], None]], counters: Counters) -> NoReturn:
     """Call each task once in every interval.
 
-    A release build logs and counts an exception and continues, because the next run may succeed."""
+    A release build logs and counts an exception and continues: a fault of one connection must not end the
+    process, and the next run may succeed."""
     while True:
         gevent.sleep(MAINTENANCE_INTERVAL_S)
         for task in tasks:
--- a/cypressledge/broker/request_ledger.py
+++ b/cypressledge/broker/request_ledger.py
@@ -274,7 +274,7 @@
             self._fail(request, fault or EngineFault(f"engine: {outcome.name.lower()}"))
 
     def _answer_rejected(self, request: Request, reason: c.Reason) -> None:
-        """Reject a request that the module has given up and that no engine has executed."""
+        """Reject a request that the module has given up and that the client may safely retry."""
         self._counters.add(f"{EventKind.REJECTED}.{reason}")
         self._log.rejected_or_failed(EventKind.REJECTED, request, reason)
         if self._claim_answer(request, "rejected", "overload"):
--- a/cypressledge/broker/requests.py
+++ b/cypressledge/broker/requests.py
@@ -10,7 +10,8 @@
 from cypressledge.decisions import contract as c
 
 CLIENT_KEY = re.compile(r"[!-+\--~]{1,128}\Z", re.A)  # no commas or blanks, so that it can be part of a list
-MAX_SEND_DELAY = 500_000  # µs; maximum time from decision to send, which the module adds to its margins
+# µs; an attempt is sent within this time after its decision, or never. The margins of the module include it.
+MAX_SEND_DELAY = 500_000
 
 
 @dataclass(slots=True)
@@ -83,7 +84,7 @@
         Called on a transport's greenlet, so that engines are not read faster than clients read."""
 
     def reject(self, retry_after: int) -> None:
-        """Answer that the query was not executed and may be retried, preferably after `retry_after` µs."""
+        """Answer that the client may safely retry the query, preferably after `retry_after` µs."""
 
     def fail(self, fault: EngineFault) -> None:
         """Answer that the query failed and may have been executed; a partial answer is visibly truncated."""
--- a/cypressledge/broker_process/process.py
+++ b/cypressledge/broker_process/process.py
@@ -29,7 +29,7 @@
     from cypressledge.fleet.broker_integration import FleetIntegration
     from cypressledge.service_config import ServiceConfig
 
-ACCEPT_AFTER_STOP_S = 0.72  # seconds of accepting requests after SIGTERM; later ones could meet SIGKILL
+ACCEPT_AFTER_STOP_S = 0.72  # seconds of accepting requests after SIGTERM; later ones might be open at SIGKILL
 FLUSH_S = 0.5  # seconds; longest time for sending the last answers
 MAX_COUNTED_DEADLINE_US = 3_000_000  # µs; upper limit of the longest class deadline in the shutdown timeout
 KILL_MARGIN_US = 700_000  # µs after that deadline at which SIGKILL may be sent
@@ -158,8 +158,8 @@
     def _shutdown_timeout_us(self) -> int:
         """Return the time in µs after which a stopping broker gives up its open requests.
 
-        The deployment sends SIGKILL no earlier than the longest deadline, or 3 s if it is longer, plus 0.7 s
-        after SIGTERM."""
+        The deployment sends SIGKILL no earlier than 0.7 s plus the longest deadline after SIGTERM; of that
+        deadline, at most 3 s count."""
         longest = max(k.deadline for k in self.core.settings.classes)
         return min(longest, MAX_COUNTED_DEADLINE_US) + KILL_MARGIN_US - GIVE_UP_MARGIN_US
 
--- a/cypressledge/decisions/contract.py
+++ b/cypressledge/decisions/contract.py
@@ -47,7 +47,7 @@
     SHUTTING_DOWN = "shutting-down"
     DEADLINE = "deadline"  # the attempt is still in flight at the client's deadline
     NO_CAPACITY = "no-capacity"  # the request waited for an engine until its deadline
-    OBJECTIVE_MISSED = "objective-missed"  # too late for its latency objective, or for late service
+    OBJECTIVE_MISSED = "objective-missed"  # can neither meet its latency objective nor be served late
     ATTEMPTS_USED = "attempts-used"
     NO_TIME = "no-time-for-retry"
     RETRY_BUDGET = "retry-budget"
@@ -130,7 +130,8 @@
     list_on_request: bool = False  # whether the engine list is sent to subscribers only
     slow_start_capacity: float = 1.0  # fraction of its capacity that an engine has when it starts
     slow_start_window: int = 0  # µs; time until a started engine has its full capacity
-    overload_multiple: float = 0.0  # work over capacity in overload_window at which a starting engine fails
+    # Multiple of its capacity; a starting engine fails under that much work within overload_window.
+    overload_multiple: float = 0.0
     overload_window: int = 0  # µs
     ordering_key_cooldown: int = 0  # µs; time between an uncertain outcome and the key's next request
     load_report_fields: tuple[str, ...] = ()  # names of the values in a load report, in order
--- a/cypressledge/decisions/dispatch.py
+++ b/cypressledge/decisions/dispatch.py
@@ -13,7 +13,7 @@
 from cypressledge.decisions.retries import RetryBudget, RetryPolicy
 from cypressledge.decisions.routing import Router
 
-BLOCKED_SUBQUEUES_MAX = 3  # subqueues without an engine after which a dispatch skips their class
+BLOCKED_SUBQUEUES_MAX = 3  # subqueues without an engine after which their class is skipped, to save time
 
 
 class AttemptStarter:
--- a/cypressledge/decisions/engines.py
+++ b/cypressledge/decisions/engines.py
@@ -69,7 +69,7 @@
 
     # Loads that lock table groups (dispatch, outcomes, progress).
     loads_in_flight: dict[int, int] = field(default_factory=dict)  # number of this broker's loads, by group
-    blocked_until: dict[int, int] = field(default_factory=dict)  # end of a notified block by a load, by group
+    blocked_until: dict[int, int] = field(default_factory=dict)  # by group; assumed end of a block by a load
 
 
 class EngineRegistry:
--- a/cypressledge/decisions/estimates.py
+++ b/cypressledge/decisions/estimates.py
@@ -110,7 +110,7 @@
         return run_time * max(self.latency_ratios[request.class_index], 1.0)
 
     def delay_reference(self, class_index: int) -> float:
-        """Return the reference of a class's queueing delay: its latency objective times work over weight."""
+        """Return a class's reference delay: its latency objective times mean work over priority weight."""
         class_settings = self._context.settings.classes[class_index]
         work = self.work[class_index]
         stretch = class_settings.latency_objective_stretch * work / class_settings.threads
--- a/cypressledge/decisions/health.py
+++ b/cypressledge/decisions/health.py
@@ -9,7 +9,7 @@
 
 MISSING_ANSWERS_LIMIT = 14.0  # missing answers above which an engine is ejected; high, as work varies widely
 MISSING_PER_ATTEMPT_MAX = 4.0  # limit per attempt, so that one long request ejects no engine
-SILENCE_MIN = 400 * MS  # µs; shortest silence that counts; only older attempts leave an ejected engine
+SILENCE_MIN = 400 * MS  # µs; shortest silence that counts; older attempts are moved from an ejected engine
 RESPONSIVE_ENGINES_MIN = 3  # other engines that must have been active lately; else all may be silent
 TRIAL_INTERVAL = 1_000 * MS  # µs; time between trial requests at an ejected engine
 ERROR_LIMIT = 0.25  # error rate above which an engine is ejected if other engines have no errors
--- a/cypressledge/decisions/progress.py
+++ b/cypressledge/decisions/progress.py
@@ -8,7 +8,7 @@
 from cypressledge.decisions.request import Request
 from cypressledge.decisions.units import MS
 
-RUNAWAY_MULTIPLE = 3.0  # multiple of a new attempt's expected latency; longer remaining work is moved
+RUNAWAY_MULTIPLE = 3.0  # multiple of a new attempt's expected latency; one with more time left is moved
 PROGRESS_MIN = 0.01  # smallest progress used as a divisor to estimate the remaining time
 BLOCKED_BY_LOAD_TTL = 2_000 * MS  # µs; how long a notification marks its group as blocked at its engine
 
--- a/cypressledge/decisions/routing.py
+++ b/cypressledge/decisions/routing.py
@@ -46,7 +46,7 @@
     load_spread: float  # threads per core, of load reports
     distances: Mapping[Engine, float]  # result of Affinity.preference_distances
     group_engines: Collection[Engine]  # engines without UNCACHED_COST
-    load_engines: Collection[Engine]  # result of Affinity.load_engines; empty if loads don't matter
+    load_engines: Collection[Engine]  # of the group, for loads and requests that loads block; else empty
 
 
 class Router:
--- a/cypressledge/decisions/slow_start.py
+++ b/cypressledge/decisions/slow_start.py
@@ -6,7 +6,7 @@
 from cypressledge.decisions.rank_hash import HASH_RANGE, rank_hash
 from cypressledge.decisions.request import Request
 
-FEW_REQUESTS = 8  # requests in a budget, or answers of a class, up to which they count as few
+FEW_REQUESTS = 8  # a budget for up to this many requests is small; a class with fewer answers is unknown
 SAFETY_FACTOR = 0.6  # fraction of the budget that is used, as engine speed and spread of work are unknown
 RECENT_SENDS_MAX = 400  # sends that are remembered for each engine
 
